--- a/Makefile
+++ b/Makefile
@@ -4,12 +4,6 @@
 # Schedules of the control plane in virtual time that `soak` plays, some 0.4 s each for one worker.
 SIMULATION_SEEDS ?= 3000
 
-# Files that the formatter keeps; others join as they are touched.
-FORMATTED = hallhitch/planes/control hallhitch/planes/distribution hallhitch/planes/quota hallhitch/planes/discovery \
-	hallhitch/planes/values.py $(wildcard hallhitch/messages/[acfl]*.py) hallhitch/programs hallhitch/node tests/system/control \
-	tests/system/quota tests/system/distribution tests/system/node tests/system/simulation \
-	hallhitch/lab/simulation
-
 .PHONY: build test soak lint run demo demo-gateway demo-control demo-fleet messages clean
 
 build: $(VENV)/done
@@ -30,7 +24,7 @@
 
 lint: build
 	$(VENV)/bin/ruff check hallhitch tests benchmarks
-	$(VENV)/bin/ruff format --check $(FORMATTED)
+	$(VENV)/bin/ruff format --check hallhitch tests benchmarks
 	$(VENV)/bin/mypy
 	$(VENV)/bin/lint-imports
 
--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -38,8 +38,11 @@
     told = msgspec.structs.replace(told, seconds=told.seconds * by, faults=faults)
     virtual = world.play(told, seed)
     real = sockets.play(told, seed)
-    return (figures(virtual.journal.events, virtual.traffic, virtual.counter_calls),
-            figures(real.journal.events, real.traffic, real.counter.calls), len(check(real.journal.events)))
+    return (
+        figures(virtual.journal.events, virtual.traffic, virtual.counter_calls),
+        figures(real.journal.events, real.traffic, real.counter.calls),
+        len(check(real.journal.events)),
+    )
 
 
 def main() -> None:
@@ -64,13 +67,23 @@
             real = interval([float(getattr(r, figure)) for _, r, _ in results])
             apart = interval([float(getattr(r, figure)) - float(getattr(v, figure)) for v, r, _ in results])
             says = "agree" if apart.low <= 0 <= apart.high else "differ"
-            rows.append(f"| {name} | {figure} | {virtual.mean:.4g} | {real.mean:.4g} | {apart.mean:.4g} "
-                        f"({apart.low:.4g} to {apart.high:.4g}) | {says} |")
-    text = "\n".join([
-        "# Virtual runs beside runs on sockets", "",
-        f"`python -m benchmarks.calibration --seeds {told.seeds} --seconds {told.seconds:g} "
-        f"--parallel {told.parallel}`: two gateways, {told.seeds} seeds each; {broken} rules broken on sockets.", "",
-        "| scenario | figure | virtual | sockets | difference | |", "| --- | --- | --- | --- | --- | --- |", *rows, ""])
+            rows.append(
+                f"| {name} | {figure} | {virtual.mean:.4g} | {real.mean:.4g} | {apart.mean:.4g} "
+                f"({apart.low:.4g} to {apart.high:.4g}) | {says} |"
+            )
+    text = "\n".join(
+        [
+            "# Virtual runs beside runs on sockets",
+            "",
+            f"`python -m benchmarks.calibration --seeds {told.seeds} --seconds {told.seconds:g} "
+            f"--parallel {told.parallel}`: two gateways, {told.seeds} seeds each; {broken} rules broken on sockets.",
+            "",
+            "| scenario | figure | virtual | sockets | difference | |",
+            "| --- | --- | --- | --- | --- | --- |",
+            *rows,
+            "",
+        ]
+    )
     print(text)
     if told.write:
         told.write.write_text(text)
--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -51,8 +51,19 @@
     """Print a table as the pages write it."""
     print(f"\n### {title}\n\n| {' | '.join(heads)} |\n|{' --- |' * len(heads)}")
     for row in rows:
-        print("| " + " | ".join(f"{v:,.4g}" if isinstance(v, float) and v < 1000 else f"{v:,.0f}"
-                                if isinstance(v, float | int) else str(v) for v in row) + " |", flush=True)
+        print(
+            "| "
+            + " | ".join(
+                f"{v:,.4g}"
+                if isinstance(v, float) and v < 1000
+                else f"{v:,.0f}"
+                if isinstance(v, float | int)
+                else str(v)
+                for v in row
+            )
+            + " |",
+            flush=True,
+        )
 
 
 def apart(call: Callable[..., Row], *arguments: Any) -> Row:
@@ -89,33 +100,83 @@
         return "".join(draw.choices(LETTERS, k=length))
 
     names = [f"{word(6)}{number}" for number in range(services)]
-    return json.dumps({
-        "configVersion": version,
-        "routes": {f"r-{word(7)}{n}": {
-            "host": f"{word(5)}{n % 997}.example", "pathPrefix": f"/{word(4)}{n}/", "routeKind": "idempotent",
-            "timeout": "3000ms", "targetLatency": "800ms", "priority": n % 4, "targetService": draw.choice(names),
-            "maxAttempts": 2, "public": False, "allowedRegions": []} for n in range(routes)},
-        "services": {name: {"healthPath": "/health", "maxConnections": 100, "protocol": "h1", "tls": False,
-                            "coldStart": "3s", "coldPerS": 12.0} for name in names},
-        "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 67108864, "headerTimeout": "3000ms",
-                   "idleTimeout": "15000ms"},
-        "tenants": {f"{word(4)}{n}": {
-            "apiKeys": [word(20), word(20)], "priority": 1, "ratePerS": 1e6, "burstSize": 1e6, "allowedRegions": []}
-            for n in range(tenants)}}).encode()
+    return json.dumps(
+        {
+            "configVersion": version,
+            "routes": {
+                f"r-{word(7)}{n}": {
+                    "host": f"{word(5)}{n % 997}.example",
+                    "pathPrefix": f"/{word(4)}{n}/",
+                    "routeKind": "idempotent",
+                    "timeout": "3000ms",
+                    "targetLatency": "800ms",
+                    "priority": n % 4,
+                    "targetService": draw.choice(names),
+                    "maxAttempts": 2,
+                    "public": False,
+                    "allowedRegions": [],
+                }
+                for n in range(routes)
+            },
+            "services": {
+                name: {
+                    "healthPath": "/health",
+                    "maxConnections": 100,
+                    "protocol": "h1",
+                    "tls": False,
+                    "coldStart": "3s",
+                    "coldPerS": 12.0,
+                }
+                for name in names
+            },
+            "limits": {
+                "maxHeaderBytes": 16384,
+                "maxBodyBytes": 67108864,
+                "headerTimeout": "3000ms",
+                "idleTimeout": "15000ms",
+            },
+            "tenants": {
+                f"{word(4)}{n}": {
+                    "apiKeys": [word(20), word(20)],
+                    "priority": 1,
+                    "ratePerS": 1e6,
+                    "burstSize": 1e6,
+                    "allowedRegions": [],
+                }
+                for n in range(tenants)
+            },
+        }
+    ).encode()
 
 
 def backend(number: int, service: str = "", cold: float = 0.0) -> Listed:
     """One entry of the platform's list."""
-    return Listed(f"i-{number * 2654435761 % 2**32:08x}", service or f"huvo{number % 610}", f"10.{number // 65536}."
-                  f"{number // 256 % 256}.{number % 256}", 8080, f"namaka-{number % 58}", 3, False, cold)
+    return Listed(
+        f"i-{number * 2654435761 % 2**32:08x}",
+        service or f"huvo{number % 610}",
+        f"10.{number // 65536}.{number // 256 % 256}.{number % 256}",
+        8080,
+        f"namaka-{number % 58}",
+        3,
+        False,
+        cold,
+    )
 
 
 def gateway(number: int) -> Gateway:
     """One gateway, as the others know it."""
     zone = number % 58
     host = f"10.{number // 65536}.{number // 256 % 256}.{number % 256}"
-    return Gateway(f"edge-{zone}-{number}", f"{host}:7560", number * 2654435761 % 2**62 + 1, "edge", f"namaka-{zone}",
-                   f"region-{zone % 28}", f"{host}:8388", True)
+    return Gateway(
+        f"edge-{zone}-{number}",
+        f"{host}:7560",
+        number * 2654435761 % 2**62 + 1,
+        "edge",
+        f"namaka-{zone}",
+        f"region-{zone % 28}",
+        f"{host}:8388",
+        True,
+    )
 
 
 def word_size(routes: int, tenants: int) -> Row:
@@ -159,11 +220,34 @@
     hub.take_list(moment[0] + 1, [replace(entries[0], draining=True), *entries[1:]])
     changed = hub.news(pull)
     assert changed is not None and len(changed.backends.entries) == 1
-    page = json.dumps({"instances": {"columnNames": ["instanceId", "targetService", "address", "zone", "slotCount",
-                                                     "state", "coldRemaining"], "rowValues": [
-        [e.instance, e.service, f"{e.host}:{e.port}", e.zone, 3, "ready", "0ms"] for e in entries]}}).encode()
-    return (count, size, len(Envelope(news=changed).SerializeToString()), held, unchanged / 1000, whole / 1000,
-            spent(lambda: hub.news(pull)) / 1000, spent(lambda: read_page(page, 0.0)) / 1000)
+    page = json.dumps(
+        {
+            "instances": {
+                "columnNames": [
+                    "instanceId",
+                    "targetService",
+                    "address",
+                    "zone",
+                    "slotCount",
+                    "state",
+                    "coldRemaining",
+                ],
+                "rowValues": [
+                    [e.instance, e.service, f"{e.host}:{e.port}", e.zone, 3, "ready", "0ms"] for e in entries
+                ],
+            }
+        }
+    ).encode()
+    return (
+        count,
+        size,
+        len(Envelope(news=changed).SerializeToString()),
+        held,
+        unchanged / 1000,
+        whole / 1000,
+        spent(lambda: hub.news(pull)) / 1000,
+        spent(lambda: read_page(page, 0.0)) / 1000,
+    )
 
 
 def news_of_gateways(count: int) -> Row:
@@ -174,9 +258,13 @@
     hub: Feed[Gateway] = Feed(1)
     hub.replace(known)
     parts = [{g.address: g for g in entries[n::3]} for n in range(3)]
-    return (count, size, spent(lambda: hub.replace(united(parts[0], parts[1:]))) / 1000,
-            spent(lambda: ranks(known)) / 1000,
-            spent(lambda: nearest(entries, "region-3", "namaka-3", {})) / 1000)
+    return (
+        count,
+        size,
+        spent(lambda: hub.replace(united(parts[0], parts[1:]))) / 1000,
+        spent(lambda: ranks(known)) / 1000,
+        spent(lambda: nearest(entries, "region-3", "namaka-3", {})) / 1000,
+    )
 
 
 def map_of_holders(buckets: int) -> Row:
@@ -187,8 +275,10 @@
 
 def choosing(backends: int, gateways: int) -> Row:
     """One decision over so many backends of one service, and sorting their seats anew, seen from one gateway."""
-    service, route = Service("s", "/health", 100, 0.0, 0.0), Route(
-        "r", "h", "/", "idempotent", 3000.0, 800.0, 0, (("s", 1.0),), 2, True)
+    service, route = (
+        Service("s", "/health", 100, 0.0, 0.0),
+        Route("r", "h", "/", "idempotent", 3000.0, 800.0, 0, (("s", 1.0),), 2, True),
+    )
     own, zones = gateway(0), {f"namaka-{z}": f"region-{z % 28}" for z in range(58)}
     word = ClusterConfig(1, 1, {"h": (route,)}, {"s": service}, {}, {})
     here = [replace(gateway(n * 28), zone=f"namaka-{n % 2 * 28}", region="region-0") for n in range(1, gateways)]
@@ -319,32 +409,92 @@
 def slopes(settings: Path) -> None:
     """All tables; `settings` is a coordinator's settings file with three seeds."""
     node = read(str(settings))
-    table("The word: routes and tenants (command: word_size)",
-          ["routes", "tenants", "JSON MB", "zlib MB", "read ms", "held MB", "process at most MB"],
-          [apart(word_size, *size) for size in (
-              (200, 10), (2000, 10), (20_000, 10), (54_000, 10),
-              (200, 1000), (200, 10_000), (200, 100_000), (200, 640_000))])
-    table("Backends (news_of_backends)",
-          ["backends", "bytes each on the wire", "bytes of news of one changed", "bytes held each in the hub",
-           "taking an unchanged list ms", "news of all ms", "news of one ms", "reading the platform's pages ms"],
-          [apart(news_of_backends, count) for count in (350, 3500, 35_000)])
-    table("Gateways (news_of_gateways)",
-          ["gateways", "bytes each on the wire", "union at a coordinator, a pull ms", "order of buckets, a change ms",
-           "one answer of the directory ms"],
-          [apart(news_of_gateways, count) for count in (9, 150, 1500, 15_000)])
+    table(
+        "The word: routes and tenants (command: word_size)",
+        ["routes", "tenants", "JSON MB", "zlib MB", "read ms", "held MB", "process at most MB"],
+        [
+            apart(word_size, *size)
+            for size in (
+                (200, 10),
+                (2000, 10),
+                (20_000, 10),
+                (54_000, 10),
+                (200, 1000),
+                (200, 10_000),
+                (200, 100_000),
+                (200, 640_000),
+            )
+        ],
+    )
+    table(
+        "Backends (news_of_backends)",
+        [
+            "backends",
+            "bytes each on the wire",
+            "bytes of news of one changed",
+            "bytes held each in the hub",
+            "taking an unchanged list ms",
+            "news of all ms",
+            "news of one ms",
+            "reading the platform's pages ms",
+        ],
+        [apart(news_of_backends, count) for count in (350, 3500, 35_000)],
+    )
+    table(
+        "Gateways (news_of_gateways)",
+        [
+            "gateways",
+            "bytes each on the wire",
+            "union at a coordinator, a pull ms",
+            "order of buckets, a change ms",
+            "one answer of the directory ms",
+        ],
+        [apart(news_of_gateways, count) for count in (9, 150, 1500, 15_000)],
+    )
     table("Holders (map_of_holders)", ["buckets", "bytes"], [map_of_holders(count) for count in (128, 3584)])
-    table("Choosing (choosing; all in one region of two zones)",
-          ["backends of the service", "gateways of the region", "one request us", "first sorting ms",
-           "sorting anew, one came or went, ms", "memory MB"],
-          [apart(choosing, *size) for size in ((36, 9), (150, 9), (1000, 9), (150, 36), (150, 144), (1000, 144))])
-    table("Counting tenants (counting, accounted)",
-          ["tenants", "one add us", "bytes held each", "bytes each in a claim", "account us each",
-           "reading at a coordinator us each"],
-          [(*apart(counting, count), apart(accounted, count)[1]) for count in (1000, 10_000, 100_000)])
-    table("Checking (checking)", ["routes", "tenants", "JSON MB", "check ms", "zlib ms"],
-          [apart(checking, *size) for size in (
-              (200, 10), (2000, 10), (20_000, 10), (54_000, 10), (200, 10_000), (200, 100_000), (200, 640_000))])
-    table("A change of the register, three replicas in one process (register_change)",
-          ["routes", "wall ms (median of 5)", "processor ms of all three", "MB on disk, one replica"],
-          [apart(register_change, routes, node) for routes in (200, 2000, 20_000, 54_000)])
+    table(
+        "Choosing (choosing; all in one region of two zones)",
+        [
+            "backends of the service",
+            "gateways of the region",
+            "one request us",
+            "first sorting ms",
+            "sorting anew, one came or went, ms",
+            "memory MB",
+        ],
+        [apart(choosing, *size) for size in ((36, 9), (150, 9), (1000, 9), (150, 36), (150, 144), (1000, 144))],
+    )
+    table(
+        "Counting tenants (counting, accounted)",
+        [
+            "tenants",
+            "one add us",
+            "bytes held each",
+            "bytes each in a claim",
+            "account us each",
+            "reading at a coordinator us each",
+        ],
+        [(*apart(counting, count), apart(accounted, count)[1]) for count in (1000, 10_000, 100_000)],
+    )
+    table(
+        "Checking (checking)",
+        ["routes", "tenants", "JSON MB", "check ms", "zlib ms"],
+        [
+            apart(checking, *size)
+            for size in (
+                (200, 10),
+                (2000, 10),
+                (20_000, 10),
+                (54_000, 10),
+                (200, 10_000),
+                (200, 100_000),
+                (200, 640_000),
+            )
+        ],
+    )
+    table(
+        "A change of the register, three replicas in one process (register_change)",
+        ["routes", "wall ms (median of 5)", "processor ms of all three", "MB on disk, one replica"],
+        [apart(register_change, routes, node) for routes in (200, 2000, 20_000, 54_000)],
+    )
     print(f"\n{os.cpu_count()} processors, load {os.getloadavg()[0]:.0f}, Python on {os.uname().machine}")
--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -55,20 +55,22 @@
         rows.append(Row(name, Kind.TENANT, name, version, Head(True, Limits(clients=10**6, rate=1e9))))
         rows.append(Row(name, Kind.PLAN, "small-shop", version, Plan(1.5, 4.0)))
         rows += [Row(name, Kind.CLIENT, f"{number:08x}{n:08x}", version, Client("small-shop")) for n in range(clients)]
-        rows.append(Row(name, Kind.CREDENTIAL, "boss", version, Credential(
-            Scope.ADMIN, (Verifier(keys.keyed("x" * 43)),))))  # a fast hash: the first argon2 check is not the subject
+        rows.append(
+            Row(name, Kind.CREDENTIAL, "boss", version, Credential(Scope.ADMIN, (Verifier(keys.keyed("x" * 43)),)))
+        )  # a fast hash: the first argon2 check is not the subject
     parts = {row.tenant: (version, version) for row in rows if row.kind is Kind.TENANT}
     made = build(was.epoch, version, rows, parts)
     db = connect(folder / "state.db")
     db.execute("BEGIN")
     for table in ("change", "snapshot", "piece", "row", "part"):
         db.execute(f"DELETE FROM {table}")
-    db.executemany("INSERT INTO row VALUES (?,?,?,?,?)",
-                   [(r.tenant, r.kind.value, r.name, r.version, r.bytes()) for r in rows])
+    db.executemany(
+        "INSERT INTO row VALUES (?,?,?,?,?)", [(r.tenant, r.kind.value, r.name, r.version, r.bytes()) for r in rows]
+    )
     db.executemany("INSERT INTO part VALUES (?,?,?)", [(name, *part) for name, part in parts.items()])
     pieces = 0
     for start in range(0, len(rows), PIECE):
-        body = encode_rows(rows[start:start + PIECE])
+        body = encode_rows(rows[start : start + PIECE])
         db.execute("INSERT INTO piece VALUES (7,?,?,?)", (pieces, body, digest(7, pieces, body)))
         pieces += 1
     write_snapshot_head(db, 7, made, pieces)
@@ -106,15 +108,24 @@
             token = f"hh_{tenant}.boss.{'x' * 43}"
             turn += 1
             if kind == "change":
-                data = request("PUT", f"/v1/tenants/{tenant}/clients/new-{os.getpid()}-{turn}", token,
-                               f"{number}-{turn}-{os.getpid()}", b'{"plan":"small-shop"}')
+                data = request(
+                    "PUT",
+                    f"/v1/tenants/{tenant}/clients/new-{os.getpid()}-{turn}",
+                    token,
+                    f"{number}-{turn}-{os.getpid()}",
+                    b'{"plan":"small-shop"}',
+                )
             elif kind == "read":
-                data = request("GET", f"/v1/tenants/{tenant}/clients/{(number * 31 + turn - 1) % tenants:08x}"
-                               f"{turn % 100:08x}", token)
+                data = request(
+                    "GET",
+                    f"/v1/tenants/{tenant}/clients/{(number * 31 + turn - 1) % tenants:08x}{turn % 100:08x}",
+                    token,
+                )
             else:  # "there" or "absent": another tenant's thing, or one that is not there at all
                 other = "tenant-0001" if kind == "there" else "tenant-none"
-                data = request("GET", f"/v1/tenants/{other}/clients/{1:08x}{turn % 100:08x}",
-                               f"hh_tenant-0000.boss.{'x' * 43}")
+                data = request(
+                    "GET", f"/v1/tenants/{other}/clients/{1:08x}{turn % 100:08x}", f"hh_tenant-0000.boss.{'x' * 43}"
+                )
             began = time.perf_counter()
             writer.write(data)
             status = await answer(reader)
@@ -148,8 +159,11 @@
 def start(plane: ControlPlane) -> tuple[subprocess.Popen[str], float, int]:
     """Start the program: the process, seconds until it serves, its resident KiB then."""
     began = time.perf_counter()
-    process = subprocess.Popen([sys.executable, "-O", "-m", "hallhitch", "control", "serve", str(plane.file)],
-                               stderr=subprocess.PIPE, text=True)
+    process = subprocess.Popen(
+        [sys.executable, "-O", "-m", "hallhitch", "control", "serve", str(plane.file)],
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     assert process.stderr is not None
     for line in process.stderr:
         if '"serving"' in line:
@@ -199,44 +213,72 @@
             stop(process)
         rows = [
             ("start, empty store", f"{empty_s:.2f} s", "imports of the framework, and one argon2 context"),
-            (f"start, {total:,} clients of {tenants:,} tenants", f"{statistics.median(starts):.2f} s "
-             f"({statistics.median(starts) - empty_s:.2f} s over the empty one)",
-             "one core: decoding, hashing and indexing each row, then hashing the stored state"),
-            ("resident memory after it", f"{kib / 1024:.0f} MiB ({empty_kib / 1024:.0f} empty); "
-             f"{(kib - empty_kib) / 1024 / total * 1e5:.1f} MiB per 100,000 clients",
-             "objects and the persistent map's nodes"),
+            (
+                f"start, {total:,} clients of {tenants:,} tenants",
+                f"{statistics.median(starts):.2f} s ({statistics.median(starts) - empty_s:.2f} s over the empty one)",
+                "one core: decoding, hashing and indexing each row, then hashing the stored state",
+            ),
+            (
+                "resident memory after it",
+                f"{kib / 1024:.0f} MiB ({empty_kib / 1024:.0f} empty); "
+                f"{(kib - empty_kib) / 1024 / total * 1e5:.1f} MiB per 100,000 clients",
+                "objects and the persistent map's nodes",
+            ),
             ("transactions of one row, SQLite alone", f"{syncs(Path(place)):.0f} a second", "this disk's sync"),
         ]
         process, *_ = start(plane)
         for admins in (1, ADMINS):
             times, failed = callers(plane, tenants, seconds, change=admins)["change"]
-            rows.append((f"durable changes, {admins} at once",
-                         f"{len(times) / seconds:.0f} a second, p50 {per(times, 50):.1f} ms, "
-                         f"p99 {per(times, 99):.1f} ms, {failed} failed",
-                         "one call's way through TLS, framework, writer and one sync" if admins == 1 else
-                         "one core of Python: HTTP, TLS and framework; syncs are shared"))
+            rows.append(
+                (
+                    f"durable changes, {admins} at once",
+                    f"{len(times) / seconds:.0f} a second, p50 {per(times, 50):.1f} ms, "
+                    f"p99 {per(times, 99):.1f} ms, {failed} failed",
+                    "one call's way through TLS, framework, writer and one sync"
+                    if admins == 1
+                    else "one core of Python: HTTP, TLS and framework; syncs are shared",
+                )
+            )
         alone, failed = callers(plane, tenants, seconds, read=2)["read"]
-        rows.append(("reads, 2 at once, alone", f"p50 {per(alone, 50):.1f} ms, p99 {per(alone, 99):.1f} ms, "
-                     f"{failed} failed", "the framework"))
+        rows.append(
+            (
+                "reads, 2 at once, alone",
+                f"p50 {per(alone, 50):.1f} ms, p99 {per(alone, 99):.1f} ms, {failed} failed",
+                "the framework",
+            )
+        )
         both = callers(plane, tenants, seconds, read=2, change=ADMINS)
-        rows.append((f"reads, 2 at once, beside {ADMINS} who change",
-                     f"p50 {per(both['read'][0], 50):.1f} ms, p99 {per(both['read'][0], 99):.1f} ms, at "
-                     f"{len(both['change'][0]) / seconds:.0f} changes a second",
-                     "the same core: a read waits its turn behind changes"))
+        rows.append(
+            (
+                f"reads, 2 at once, beside {ADMINS} who change",
+                f"p50 {per(both['read'][0], 50):.1f} ms, p99 {per(both['read'][0], 99):.1f} ms, at "
+                f"{len(both['change'][0]) / seconds:.0f} changes a second",
+                "the same core: a read waits its turn behind changes",
+            )
+        )
         pairs = callers(plane, tenants, seconds, there=1, absent=1)
         there, absent = pairs["there"][0], pairs["absent"][0]
         least = min(len(there), len(absent))
         rng = np.random.default_rng(1)
         draws = [np.median(rng.choice(there, least)) / np.median(rng.choice(absent, least)) for _ in range(400)]
-        rows.append(("answer on another tenant's thing / on none at all",
-                     f"medians' ratio {np.median(there) / np.median(absent):.3f} "
-                     f"(95 %: {np.percentile(draws, 2.5):.3f} to {np.percentile(draws, 97.5):.3f}, {least} pairs)",
-                     "the guard answers both before anything is looked up"))
+        rows.append(
+            (
+                "answer on another tenant's thing / on none at all",
+                f"medians' ratio {np.median(there) / np.median(absent):.3f} "
+                f"(95 %: {np.percentile(draws, 2.5):.3f} to {np.percentile(draws, 97.5):.3f}, {least} pairs)",
+                "the guard answers both before anything is looked up",
+            )
+        )
         began = time.perf_counter()
         backup(plane.folder / "store", plane.folder / "saved.db")
         size = (plane.folder / "saved.db").stat().st_size / 1e6
-        rows.append(("backup and its verification, in service", f"{time.perf_counter() - began:.1f} s, {size:.0f} MB",
-                     "verification rebuilds the catalogue"))
+        rows.append(
+            (
+                "backup and its verification, in service",
+                f"{time.perf_counter() - began:.1f} s, {size:.0f} MB",
+                "verification rebuilds the catalogue",
+            )
+        )
         stop(process)
         process, took, _ = start(plane)
         rows.append(("start after these changes", f"{took:.2f} s", "the log behind the last snapshot is replayed"))
@@ -254,18 +296,23 @@
     told = parser.parse_args()
     resource.setrlimit(resource.RLIMIT_NOFILE, (4096, 4096))
     rows = measure(told.tenants, told.clients, told.seconds)
-    lines = ["# What the control plane costs", "",
-             f"`python -m benchmarks.control_plane --tenants {told.tenants} --clients {told.clients} "
-             f"--seconds {told.seconds:g}`, one run, {os.cpu_count()} cores, {platform.machine()}, "
-             f"Python {platform.python_version()}. Absolute figures are this machine's; "
-             "docs/design/control-plane.md says how they grow.",
-             "", "| what | measured | bounded by |", "| --- | --- | --- |",
-             *(f"| {' | '.join(row)} |" for row in rows), ""]
+    lines = [
+        "# What the control plane costs",
+        "",
+        f"`python -m benchmarks.control_plane --tenants {told.tenants} --clients {told.clients} "
+        f"--seconds {told.seconds:g}`, one run, {os.cpu_count()} cores, {platform.machine()}, "
+        f"Python {platform.python_version()}. Absolute figures are this machine's; "
+        "docs/design/control-plane.md says how they grow.",
+        "",
+        "| what | measured | bounded by |",
+        "| --- | --- | --- |",
+        *(f"| {' | '.join(row)} |" for row in rows),
+        "",
+    ]
     print("\n".join(lines))
     if told.write:
         told.write.write_text("\n".join(lines))
 
 
-
 if __name__ == "__main__":
     main()
--- a/benchmarks/counted_gateway.py
+++ b/benchmarks/counted_gateway.py
@@ -39,8 +39,14 @@
                 tables |= {f"module {name}.{n}": len(v) for n, v in vars(value).items() if hasattr(v, "__len__")}
         tables["open"] = len(core.open)
         tables["deadlines"] = len(core.deadlines)
-    return {"s": round(time.monotonic() - began), "rss": before, "collected": found, "after": resident(),
-            "types": dict(types.most_common(TYPES)), "tables": tables}
+    return {
+        "s": round(time.monotonic() - began),
+        "rss": before,
+        "collected": found,
+        "after": resident(),
+        "types": dict(types.most_common(TYPES)),
+        "tables": tables,
+    }
 
 
 async def count(path: str) -> None:
--- a/benchmarks/cpu_per_request.py
+++ b/benchmarks/cpu_per_request.py
@@ -69,16 +69,25 @@
                 await program.stop()
             port = free_port()
             bare: Any = await asyncio.create_subprocess_exec(
-                sys.executable, "-O", "-m", "benchmarks.passthrough", str(port), *(node.address for node in nodes),
-                cwd=ROOT, stdout=asyncio.subprocess.PIPE)
+                sys.executable,
+                "-O",
+                "-m",
+                "benchmarks.passthrough",
+                str(port),
+                *(node.address for node in nodes),
+                cwd=ROOT,
+                stdout=asyncio.subprocess.PIPE,
+            )
             await bare.stdout.readline()
             theirs, other = await cost(bare.pid, f"127.0.0.1:{port}", rate, seconds)
             bare.terminate()
             await bare.wait()
             served = told.statuses["served"] / max(1, told.sent)
-            rows.append(f"| {rate:g} | {ours:.0f} | {theirs:.0f} | {ours / theirs:.1f} | {served:.3f} | "
-                        f"{told.percentiles()[50.0]:.1f} / {other.percentiles()[50.0]:.1f} | "
-                        f"{'yes' if told.valid and other.valid else 'no'} |")
+            rows.append(
+                f"| {rate:g} | {ours:.0f} | {theirs:.0f} | {ours / theirs:.1f} | {served:.3f} | "
+                f"{told.percentiles()[50.0]:.1f} / {other.percentiles()[50.0]:.1f} | "
+                f"{'yes' if told.valid and other.valid else 'no'} |"
+            )
             print(rows[-1], flush=True)
     return rows
 
@@ -108,12 +117,19 @@
     if told.profile:
         return print(asyncio.run(profile(told.profile, told.seconds)))
     rows = asyncio.run(measure(told.rates, told.seconds))
-    text = "\n".join([
-        "# CPU a request", "",
-        f"`python -m benchmarks.cpu_per_request --seconds {told.seconds:g}`: us of user and system time a request, of",
-        "the gateway and of a bare pass-through with the same socket calls and parser, in one run.", "",
-        "| requests a second | gateway | pass-through | ratio | served | p50, ms | schedule kept |",
-        "| --- | --- | --- | --- | --- | --- | --- |", *rows, ""])
+    text = "\n".join(
+        [
+            "# CPU a request",
+            "",
+            f"`python -m benchmarks.cpu_per_request --seconds {told.seconds:g}`: us of user and system time a request,",
+            "of the gateway and of a bare pass-through with the same socket calls and parser, in one run.",
+            "",
+            "| requests a second | gateway | pass-through | ratio | served | p50, ms | schedule kept |",
+            "| --- | --- | --- | --- | --- | --- | --- |",
+            *rows,
+            "",
+        ]
+    )
     if told.write:
         told.write.write_text(text)
 
--- a/benchmarks/feed.py
+++ b/benchmarks/feed.py
@@ -54,14 +54,25 @@
         async with plane.client() as root:
             await change(root, "PUT", "/v1/operators/gateways", {"scope": "gateway", "certificate": shown})
             await seed(root, "acme")
-            context = trusting(str(plane.folder / "tls" / "ca.crt"), str(certificate),
-                               str(certificate.with_suffix(".key")))
-            tasks = [asyncio.create_task(Link(
-                plane.url, context, f"gateway-{n}", Saved(plane.folder / f"saved-{n}"),
-                lambda made, n=n: apply(n, made)).run()) for n in range(GATEWAYS)]  # type: ignore[misc]
+            context = trusting(
+                str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
+            )
+            tasks = [
+                asyncio.create_task(
+                    Link(
+                        plane.url,
+                        context,
+                        f"gateway-{n}",
+                        Saved(plane.folder / f"saved-{n}"),
+                        lambda made, n=n: apply(n, made),  # type: ignore[misc]
+                    ).run()
+                )
+                for n in range(GATEWAYS)
+            ]
             for number in range(count):
-                done = await change(root, "PUT", "/v1/tenants/acme/plans/small-shop",
-                                    {"rate": 1.0 + number, "burst": 9.0}, If_Match="*")
+                done = await change(
+                    root, "PUT", "/v1/tenants/acme/plans/small-shop", {"rate": 1.0 + number, "burst": 9.0}, If_Match="*"
+                )
                 began = time.monotonic()
                 version = int(done.headers["etag"].strip('"').partition(".")[2])
                 while len(held) < GATEWAYS or min(held.values()) < version:
@@ -77,6 +88,7 @@
 
 def large(clients: int) -> Catalogue:
     """1,000 tenants with so many clients together."""
+
     def rows() -> list[Row]:
         made = []
         for t in range(1000):
@@ -122,18 +134,30 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     took = asyncio.run(changes(told.changes))
     makes, takes, grown = whole(told.clients)
-    text = "\n".join([
-        "# The feed", "",
-        f"`python -m benchmarks.feed --changes {told.changes} --clients {told.clients}`", "",
-        f"From the answer to a change until all {GATEWAYS} gateways have applied it (links in one process, no other "
-        f"load): median {np.median(took):.1f} ms, 99th percentile {np.percentile(took, 99):.1f} ms, "
-        f"most {max(took):.1f} ms, over {len(took)} changes.", "",
-        f"A whole catalogue of 1,000 tenants and {told.clients} clients, line by line ({len(takes)} lines):", "",
-        "| | in all, s | median step, ms | 99.9th percentile, ms | longest step, ms |",
-        "| --- | --- | --- | --- | --- |",
-        *(f"| {name} | {sum(steps) / 1000:.2f} | {np.median(steps):.2f} | {np.percentile(steps, 99.9):.2f} | "
-          f"{max(steps):.2f} |" for name, steps in (("control plane, making", makes), ("gateway, taking in", takes))),
-        "", f"The process grows by {grown:.0f} MiB at its peak while the gateway holds the old and the new.", ""])
+    text = "\n".join(
+        [
+            "# The feed",
+            "",
+            f"`python -m benchmarks.feed --changes {told.changes} --clients {told.clients}`",
+            "",
+            f"From the answer to a change until all {GATEWAYS} gateways have applied it (links in one process, no "
+            f"other load): median {np.median(took):.1f} ms, 99th percentile {np.percentile(took, 99):.1f} ms, "
+            f"most {max(took):.1f} ms, over {len(took)} changes.",
+            "",
+            f"A whole catalogue of 1,000 tenants and {told.clients} clients, line by line ({len(takes)} lines):",
+            "",
+            "| | in all, s | median step, ms | 99.9th percentile, ms | longest step, ms |",
+            "| --- | --- | --- | --- | --- |",
+            *(
+                f"| {name} | {sum(steps) / 1000:.2f} | {np.median(steps):.2f} | {np.percentile(steps, 99.9):.2f} | "
+                f"{max(steps):.2f} |"
+                for name, steps in (("control plane, making", makes), ("gateway, taking in", takes))
+            ),
+            "",
+            f"The process grows by {grown:.0f} MiB at its peak while the gateway holds the old and the new.",
+            "",
+        ]
+    )
     print(text)
     if told.write:
         told.write.write_text(text)
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -67,6 +67,7 @@
 
 async def measure(program: Program, path: Path, rate: float, kind: str, seconds: float) -> str:
     """One row: the loop's lag, the calls' times, CPU, what of the usual load was served."""
+
     async def told() -> list[float]:
         before = path.read_text() if path.exists() else ""
         program.process.send_signal(signal.SIGUSR1)
@@ -88,9 +89,11 @@
     if kind:
         await asyncio.to_thread(guests.join)
     served = tally.statuses["served"] / max(1, tally.sent)
-    return (f"| {rate:g}{f', {kind} crowd' if kind else ''} | {busy:.2f} | {served:.3f} | "
-            f"{' / '.join(f'{lag:.1f}' for lag in lags)} | {sorted(calls)[len(calls) // 2]:.1f} / {max(calls):.1f} | "
-            f"{len(calls)} |")
+    return (
+        f"| {rate:g}{f', {kind} crowd' if kind else ''} | {busy:.2f} | {served:.3f} | "
+        f"{' / '.join(f'{lag:.1f}' for lag in lags)} | {sorted(calls)[len(calls) // 2]:.1f} / {max(calls):.1f} | "
+        f"{len(calls)} |"
+    )
 
 
 async def run(seconds: float, say: Callable[[str], None]) -> None:
@@ -104,8 +107,14 @@
             await program.start(optimised=True, module="benchmarks.lagging_gateway")
             await program.logged('"serving"')
             await measure(program, path, 200, "", 1.5)  # warm
-            for rate, kind in ((200.0, ""), (1000.0, ""), (2000.0, ""), (200.0, "silent"), (200.0, "half written"),
-                               (200.0, "rude")):
+            for rate, kind in (
+                (200.0, ""),
+                (1000.0, ""),
+                (2000.0, ""),
+                (200.0, "silent"),
+                (200.0, "half written"),
+                (200.0, "rude"),
+            ):
                 say(await measure(program, path, rate, kind, seconds))
             await program.stop()
 
@@ -117,13 +126,17 @@
     parser.add_argument("--write", type=Path)
     given = parser.parse_args()
     lines = [
-        "# In a flood: the loop's lag, and the second address", "",
-        f"    python -m benchmarks.flood --seconds {given.seconds:g}", "",
+        "# In a flood: the loop's lag, and the second address",
+        "",
+        f"    python -m benchmarks.flood --seconds {given.seconds:g}",
+        "",
         f"Limits {LIMITS}; a crowd holds up to {CROWD} connections, about 1,500 new a second. The gateway has",
         "a whole core. Lag is by how much a timer due every 5 ms is late; a call is `GET /api/telemetry`, from",
-        "connecting to the end of its answer.", "",
+        "connecting to the end of its answer.",
+        "",
         "| a second | cores used | served | lag, ms: p50 / p99 / p99.9 / most | call, ms: p50 / most | calls |",
-        "| --- | --- | --- | --- | --- | --- |"]
+        "| --- | --- | --- | --- | --- | --- |",
+    ]
 
     def say(row: str) -> None:
         lines.append(row)
--- a/benchmarks/long_messages.py
+++ b/benchmarks/long_messages.py
@@ -49,8 +49,10 @@
     reader, writer = await program.connect()
     method = f"POST /reject/{number:016x}" if body else f"GET /inspect/{number:016x}"
     extra = f"Idempotency-Key: k\r\nContent-Length: {body}\r\n" if body else ""
-    writer.write(f"{method} HTTP/1.1\r\nHost: s\r\nReq-Id: {number:016x}\r\nX-Contract: full-plant\r\n"
-                 f"Req-Deadline-Ms: 1500\r\nConnection: close\r\n{extra}\r\n".encode())
+    writer.write(
+        f"{method} HTTP/1.1\r\nHost: s\r\nReq-Id: {number:016x}\r\nX-Contract: full-plant\r\n"
+        f"Req-Deadline-Ms: 1500\r\nConnection: close\r\n{extra}\r\n".encode()
+    )
     piece = bytes(16_384)
     for _ in range(body // len(piece)):
         writer.write(piece)
@@ -112,11 +114,18 @@
     parser.add_argument("--write", type=Path)
     given = parser.parse_args()
     size = given.megabytes << 20
-    lines = ["# Long messages: memory", "", f"    python -m benchmarks.long_messages --many {given.many} "
-             f"--megabytes {given.megabytes}" + (f" --enforce {given.enforce}" if given.enforce else ""), "",
-             f"{given.many} at once, limits {LIMITS}; readers stand still until all are under way. MiB resident"
-             + (f", {given.enforce} at most by the kernel." if given.enforce else "."), "",
-             "| case | before | all under way | at most | came whole | s |", "| --- | --- | --- | --- | --- | --- |"]
+    lines = [
+        "# Long messages: memory",
+        "",
+        f"    python -m benchmarks.long_messages --many {given.many} "
+        f"--megabytes {given.megabytes}" + (f" --enforce {given.enforce}" if given.enforce else ""),
+        "",
+        f"{given.many} at once, limits {LIMITS}; readers stand still until all are under way. MiB resident"
+        + (f", {given.enforce} at most by the kernel." if given.enforce else "."),
+        "",
+        "| case | before | all under way | at most | came whole | s |",
+        "| --- | --- | --- | --- | --- | --- |",
+    ]
     for case, answer, body in (("answers", size, 0), ("answers, and bodies of a 32nd", size, size // 32)):
         row = asyncio.run(measure(given.many, answer, body, given.enforce))
         lines.append(f"| {case} | {row[0]:.1f} | {row[1]:.1f} | {row[2]:.1f} | {row[3]:.0%} | {row[4]:.1f} |")
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -61,6 +61,7 @@
 
 # Members in virtual time.
 
+
 def members_run(job: tuple[int, int]) -> dict[str, float]:
     """One seed: quiet, a third of all datagrams lost, a crash, a split in halves for 30 s."""
     quiet()
@@ -70,8 +71,10 @@
     c.time.run(c.time.now + 8_000)
     sent, size_of = sum(p.sent for p in c.peers.values()), sum(p.bytes for p in c.peers.values())
     c.time.run(c.time.now + 10_000)
-    found = {"datagrams": (sum(p.sent for p in c.peers.values()) - sent) / size / 10,
-             "bytes": (sum(p.bytes for p in c.peers.values()) - size_of) / size / 10}
+    found = {
+        "datagrams": (sum(p.sent for p in c.peers.values()) - sent) / size / 10,
+        "bytes": (sum(p.bytes for p in c.peers.values()) - size_of) / size / 10,
+    }
     loss = c.links.begin(Trouble("drop", 0.0, share=0.3))
     c.time.run(c.time.now + 20_000)
     c.links.end(loss)
@@ -96,20 +99,25 @@
 
 def members(sizes: list[int], seeds: int, workers: int) -> None:
     """Print the table."""
-    print("| members | seeds | datagrams a second | bytes a second | first knows of a crash, s | all, s | "
-          "accusations while 30 % are lost for 20 s | false failures | one view after 30 s in halves, s |")
+    print(
+        "| members | seeds | datagrams a second | bytes a second | first knows of a crash, s | all, s | "
+        "accusations while 30 % are lost for 20 s | false failures | one view after 30 s in halves, s |"
+    )
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     with ProcessPoolExecutor(workers, mp_context=multiprocessing.get_context("spawn")) as pool:
         for size in sizes:
             runs = list(pool.map(members_run, [(size, seed) for seed in range(1, seeds + 1)]))
             cells = [mean([run[key] for run in runs]) for key in ("datagrams", "bytes", "first", "all", "accusations")]
             healed = mean([run["healed"] for run in runs]) if "healed" in runs[0] else "-"
-            print(f"| {size} | {seeds} | {' | '.join(cells)} | {sum(run['false'] for run in runs):.0f} | {healed} |",
-                  flush=True)
+            print(
+                f"| {size} | {seeds} | {' | '.join(cells)} | {sum(run['false'] for run in runs):.0f} | {healed} |",
+                flush=True,
+            )
 
 
 # Real processes.
 
+
 def cpu_of(pid: int) -> float:
     """Seconds of processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -158,14 +166,19 @@
 def processes(sizes: list[int], seconds: float) -> None:
     """Print the table."""
     quiet()
-    print("| processes | one view after the start, s | datagrams a second | bytes a second | processor, % of a core | "
-          "without membership | first knows of a crash, s | all, s | one view after 30 s in halves, s |")
+    print(
+        "| processes | one view after the start, s | datagrams a second | bytes a second | processor, % of a core | "
+        "without membership | first knows of a crash, s | all, s | one view after 30 s in halves, s |"
+    )
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     for size in sizes:
         r = asyncio.run(processes_run(size, seconds))
         bare = asyncio.run(without(size, seconds))
-        print(f"| {size} | {r['join']:.1f} | {r['datagrams']:.1f} | {r['bytes']:.0f} | {r['cpu']:.2f} | {bare:.2f} | "
-              f"{r['first']:.1f} | {r['all']:.1f} | {r['healed']:.1f} |", flush=True)
+        print(
+            f"| {size} | {r['join']:.1f} | {r['datagrams']:.1f} | {r['bytes']:.0f} | {r['cpu']:.2f} | {bare:.2f} | "
+            f"{r['first']:.1f} | {r['all']:.1f} | {r['healed']:.1f} |",
+            flush=True,
+        )
 
 
 # Service of a modelled fleet.
@@ -177,9 +190,17 @@
     """Service and p99 of one run."""
     quiet()
     gateways, sets, faults, seconds, seed = job
-    told = replaced(read(str(ROOT / "calm.toml"), Scenario), {
-        "world.gateways": gateways, "world.nodes": 100, "traffic.rate": 700.0, "seconds": seconds,
-        "traffic.spread": [0.2, 0.4]} | sets)
+    told = replaced(
+        read(str(ROOT / "calm.toml"), Scenario),
+        {
+            "world.gateways": gateways,
+            "world.nodes": 100,
+            "traffic.rate": 700.0,
+            "seconds": seconds,
+            "traffic.spread": [0.2, 0.4],
+        }
+        | sets,
+    )
     run = world.play(msgspec.structs.replace(told, faults=faults), seed)
     found = figures(run.journal.events, run.traffic, run.counter_calls)
     return found.service, found.p99
@@ -197,13 +218,18 @@
         return (Fault("gateways_die", 5.0, seconds, 0.7),)
 
     days: list[Day] = [
-        ("right numbers, no membership", 40, off, (), 20.0), ("right numbers, membership", 40, with_, (), 20.0),
-        ("all told 0, no membership", 40, zero, (), 20.0), ("all told 0, membership", 40, zero | with_, (), 20.0),
-        ("split 3 s, no membership", 40, off, split(3.0), 20.0), ("split 3 s", 40, with_, split(3.0), 20.0),
-        ("split 30 s, no membership", 40, off, split(30.0), 60.0), ("split 30 s", 40, with_, split(30.0), 60.0),
+        ("right numbers, no membership", 40, off, (), 20.0),
+        ("right numbers, membership", 40, with_, (), 20.0),
+        ("all told 0, no membership", 40, zero, (), 20.0),
+        ("all told 0, membership", 40, zero | with_, (), 20.0),
+        ("split 3 s, no membership", 40, off, split(3.0), 20.0),
+        ("split 3 s", 40, with_, split(3.0), 20.0),
+        ("split 30 s, no membership", 40, off, split(30.0), 60.0),
+        ("split 30 s", 40, with_, split(30.0), 60.0),
         ("seven in ten die for 20 s, no membership", 40, off, die(20.0), 40.0),
         ("seven in ten die for 20 s", 40, with_, die(20.0), 40.0),
-        ("split 5 min, no membership", 40, off, split(300.0), 330.0), ("split 5 min", 40, with_, split(300.0), 330.0),
+        ("split 5 min, no membership", 40, off, split(300.0), 330.0),
+        ("split 5 min", 40, with_, split(300.0), 330.0),
         ("200 right numbers, no membership", 200, off, (), 20.0),
         ("200 right numbers, membership", 200, with_, (), 20.0),
         ("200 all told 0, no membership", 200, zero, (), 20.0),
@@ -223,6 +249,7 @@
 
 # Places.
 
+
 def moves() -> None:
     """Print how many servers gateways take up when one leaves, against the least possible and numbers that shift."""
     servers = [f"node-{n}" for n in range(100)]
@@ -265,11 +292,16 @@
     def split(c: Cluster) -> None:
         c.time.after(5_000, c.begin, Trouble("split", 0.0, parts=(0.5, 0.5)), 30_000.0)
 
-    print("| what happens to 60 | | servers taken up or left a gateway | most in one second | times | least and most "
-          "that budgets are divided by |")
+    print(
+        "| what happens to 60 | | servers taken up or left a gateway | most in one second | times | least and most "
+        "that budgets are divided by |"
+    )
     print("| --- | --- | --- | --- | --- | --- |")
-    for name, happens in (("a tenth restarted each 10 s", release), ("seven in ten die, back 5 s later", die),
-                          ("halves for 30 s", split)):
+    for name, happens in (
+        ("a tenth restarted each 10 s", release),
+        ("seven in ten die, back 5 s later", die),
+        ("halves for 30 s", split),
+    ):
         for how, told in settings.items():
             kept: dict[int, set[str]] = {}
             moved: dict[int, dict[int, int]] = {}
@@ -278,9 +310,15 @@
             clock = VirtualTime()
             began = clock.now
 
-            def follow(number: int, counted: Counted, kept: dict[int, set[str]] = kept, began: float = began,
-                       moved: dict[int, dict[int, int]] = moved, budgets: list[int] = budgets,
-                       clock: VirtualTime = clock) -> None:
+            def follow(
+                number: int,
+                counted: Counted,
+                kept: dict[int, set[str]] = kept,
+                began: float = began,
+                moved: dict[int, dict[int, int]] = moved,
+                budgets: list[int] = budgets,
+                clock: VirtualTime = clock,
+            ) -> None:
                 now = {server for server in servers if counted.rank(server) < few}
                 if clock.now - began > 4_500:
                     second = int(clock.now / 1000)
@@ -310,8 +348,13 @@
         process = f._processes[0]
         assert process is not None
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-            for what, data in (("noise", os.urandom(400)), ("well formed, another cluster", encode(Ping(
-                    FORM, "other", Record("x", 1, 0, State.ALIVE, "127.0.0.1:1", 1), 0, (), 1, 1)))):
+            for what, data in (
+                ("noise", os.urandom(400)),
+                (
+                    "well formed, another cluster",
+                    encode(Ping(FORM, "other", Record("x", 1, 0, State.ALIVE, "127.0.0.1:1", 1), 0, (), 1, 1)),
+                ),
+            ):
                 for rate in (0, 1_000, 20_000):
                     used, loop = cpu_of(process.pid), asyncio.get_running_loop()
                     began, sent = loop.time(), 0
--- a/benchmarks/memory_by_trouble.py
+++ b/benchmarks/memory_by_trouble.py
@@ -26,8 +26,12 @@
 def replies(kind: str) -> Callable[[int], bytes | None]:
     """What nodes say under a trouble."""
     bad: bytes | None = {
-        "errors": http(500), "resets": b"", "spoilt": b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
-        "turned away": http(503, Srv_Declined="1"), "no answer": None}.get(kind, GOOD)
+        "errors": http(500),
+        "resets": b"",
+        "spoilt": b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
+        "turned away": http(503, Srv_Declined="1"),
+        "no answer": None,
+    }.get(kind, GOOD)
     return lambda n: bad if n % 3 == 0 else GOOD
 
 
@@ -79,9 +83,14 @@
                 if writer is None or reader is None:
                     reader, writer = await program.connect()
                 customer = f"{turn if kind == 'new clients' else turn % 400:016x}"
-                lines = [f"GET /inspect/{customer} HTTP/1.1", "Host: s", f"Req-Id: {stamp + turn:016x}",
-                         "X-Contract: full-plant", f"Req-Deadline-Ms: {150 if kind == 'no answer' else 2000}",
-                         "X-Metering: units=1,spread=2,first=0"]
+                lines = [
+                    f"GET /inspect/{customer} HTTP/1.1",
+                    "Host: s",
+                    f"Req-Id: {stamp + turn:016x}",
+                    "X-Contract: full-plant",
+                    f"Req-Deadline-Ms: {150 if kind == 'no answer' else 2000}",
+                    "X-Metering: units=1,spread=2,first=0",
+                ]
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                     writer.write("\r\n".join(lines).encode() + b"\r\n\r\n")
                     if kind == "departures" and turn % 3 == 0:
@@ -96,6 +105,7 @@
 
         for third in (1, 2, 3):
             if kind == "replaced nodes":
+
                 async def replace() -> None:
                     for seq in range(2, 10_000):
                         await asyncio.sleep(0.05)
@@ -122,18 +132,34 @@
     parser.add_argument("--write", type=Path)
     told = parser.parse_args()
     rows = []
-    for kind in ("none", "new clients", "errors", "resets", "spoilt", "turned away", "no answer", "departures",
-                 "replaced nodes"):
+    for kind in (
+        "none",
+        "new clients",
+        "errors",
+        "resets",
+        "spoilt",
+        "turned away",
+        "no answer",
+        "departures",
+        "replaced nodes",
+    ):
         sizes = asyncio.run(measure(kind, told.requests))
         growth = (sizes[3] - sizes[2]) * 3 / told.requests * 1000
         rows.append(f"| {kind} | {' | '.join(f'{size / 1024:.1f}' for size in sizes)} | {growth:.0f} |")
         print(rows[-1], flush=True)
-    text = "\n".join([
-        "# Memory of the gateway by trouble", "",
-        f"`python -m benchmarks.memory_by_trouble --requests {told.requests}`; MiB resident, a third of the requests",
-        "meets the trouble; growth is that of the last third.", "",
-        "| trouble | start | a third | two thirds | end | growth, KiB per 1,000 requests |",
-        "| --- | --- | --- | --- | --- | --- |", *rows, ""])
+    text = "\n".join(
+        [
+            "# Memory of the gateway by trouble",
+            "",
+            f"`python -m benchmarks.memory_by_trouble --requests {told.requests}`; MiB resident, a third of the",
+            "requests meets the trouble; growth is that of the last third.",
+            "",
+            "| trouble | start | a third | two thirds | end | growth, KiB per 1,000 requests |",
+            "| --- | --- | --- | --- | --- | --- |",
+            *rows,
+            "",
+        ]
+    )
     if told.write:
         told.write.write_text(text)
 
--- a/benchmarks/memory_of_a_day.py
+++ b/benchmarks/memory_of_a_day.py
@@ -31,8 +31,7 @@
     with tempfile.TemporaryDirectory() as folder:
         os.environ["COUNTS_TO"] = str(Path(folder) / "counts")
         asyncio.run(run.play())
-        return [[json.loads(line) for line in path.read_text().splitlines()]
-                for path in sorted(Path(folder).iterdir())]
+        return [[json.loads(line) for line in path.read_text().splitlines()] for path in sorted(Path(folder).iterdir())]
 
 
 def main() -> None:
@@ -45,18 +44,27 @@
     found = lines(told.seconds, told.rate)
     rows = ["| gateway | s | resident, MiB | collected | resident behind it |", "| --- | --- | --- | --- | --- |"]
     for number, each in enumerate(found):
-        rows += [f"| {number} | {at['s']} | {at['rss'] / 1024:.1f} | {at['collected']} | {at['after'] / 1024:.1f} |"
-                 for at in each[::4]]
+        rows += [
+            f"| {number} | {at['s']} | {at['rss'] / 1024:.1f} | {at['collected']} | {at['after'] / 1024:.1f} |"
+            for at in each[::4]
+        ]
     rows += ["", "Objects and tables of the first gateway, at three times:", ""]
     picked = [found[0][n] for n in (len(found[0]) // 5, len(found[0]) // 2, -1)]
     rows += ["| what | " + " | ".join(f"{at['s']} s" for at in picked) + " |", "| --- | --- | --- | --- |"]
     for part in ("types", "tables"):
         for name in picked[-1][part]:
             rows.append(f"| {name} | {' | '.join(str(at[part].get(name, '')) for at in picked)} |")
-    text = "\n".join([
-        "# Memory of a long day", "",
-        f"`python -m benchmarks.memory_of_a_day --seconds {told.seconds:g} --rate {told.rate:g}`: the long scenario on",
-        "sockets; each gateway collects and counts every 15 s, so what is counted is held by somebody.", "", *rows, ""])
+    text = "\n".join(
+        [
+            "# Memory of a long day",
+            "",
+            f"`python -m benchmarks.memory_of_a_day --seconds {told.seconds:g} --rate {told.rate:g}`: the long",
+            "scenario on sockets; each gateway collects and counts every 15 s, so what is counted is held by somebody.",
+            "",
+            *rows,
+            "",
+        ]
+    )
     print(text)
     if told.write:
         told.write.write_text(text)
--- a/benchmarks/order_latency.py
+++ b/benchmarks/order_latency.py
@@ -151,8 +151,15 @@
 
 
 def measure(
-    orders: Orders, trouble: Trouble, routes: int, bytes_per_ms: float, seed: int,
-    *, founders: int, losses: int, delay: float,
+    orders: Orders,
+    trouble: Trouble,
+    routes: int,
+    bytes_per_ms: float,
+    seed: int,
+    *,
+    founders: int,
+    losses: int,
+    delay: float,
 ) -> Sample:
     """One case with one seed."""
     sample = Sample()
@@ -186,8 +193,14 @@
                     whole = Sample()
                     for seed in range(asked.seeds):
                         one = measure(
-                            orders, trouble, routes, asked.bytes_per_ms, seed,
-                            founders=founders, losses=losses, delay=delay,
+                            orders,
+                            trouble,
+                            routes,
+                            asked.bytes_per_ms,
+                            seed,
+                            founders=founders,
+                            losses=losses,
+                            delay=delay,
                         )
                         whole.waits_ms += one.waits_ms
                         whole.tries += one.tries
--- a/benchmarks/profiled_gateway.py
+++ b/benchmarks/profiled_gateway.py
@@ -28,8 +28,10 @@
     files: defaultdict[str, float] = defaultdict(float)
     for (file, line, _), (_, _, own, *_) in found.items():
         files["/".join(Path(file).parts[-2:]) if line else "built-in"] += own
-    lines = [f"| all of `{file}` | | {own / answers * 1e6:.1f} | {own / whole:.1%} |"
-             for file, own in sorted(files.items(), key=lambda one: -one[1])[:14]]
+    lines = [
+        f"| all of `{file}` | | {own / answers * 1e6:.1f} | {own / whole:.1%} |"
+        for file, own in sorted(files.items(), key=lambda one: -one[1])[:14]
+    ]
     for (file, line, name), (calls, _, own, *_) in sorted(found.items(), key=lambda one: -one[1][2])[:FUNCTIONS]:
         where = f"{Path(file).stem}:{line} {name}" if line else name
         lines.append(f"| `{where}` | {calls / answers:.1f} | {own / answers * 1e6:.1f} | {own / whole:.1%} |")
--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -60,14 +60,24 @@
     data = folder / f"core-{core}" / "data"
     data.mkdir(parents=True, exist_ok=True)
     top: dict[str, Any] = {
-        "nodeName": f"core-{core}", "role": "coordinator", "machineClass": "core", "serves": ["control_plane"],
-        "ipAddress": hosts[core], "zone": f"zone-{core}", "region": ZONES[f"zone-{core}"],
-        "internalPortRange": [PORT, PORT + 7], "seedNodes": [f"{host}:{PORT + 8}" for host in hosts],
-        "firstStart": True, "dataDirectory": str(data)}
+        "nodeName": f"core-{core}",
+        "role": "coordinator",
+        "machineClass": "core",
+        "serves": ["control_plane"],
+        "ipAddress": hosts[core],
+        "zone": f"zone-{core}",
+        "region": ZONES[f"zone-{core}"],
+        "internalPortRange": [PORT, PORT + 7],
+        "seedNodes": [f"{host}:{PORT + 8}" for host in hosts],
+        "firstStart": True,
+        "dataDirectory": str(data),
+    }
     tables: Mapping[str, Mapping[str, Any]] = {
-        "zones": ZONES, "listenAddresses": {"controlPlane": f"{hosts[core]}:{PORT + 8}"},
+        "zones": ZONES,
+        "listenAddresses": {"controlPlane": f"{hosts[core]}:{PORT + 8}"},
         "faultTolerance": {"machineLosses": 1},
-        "cloudApi": {"address": f"127.1.{step}.9:{PORT + 9}", "ratePerS": 47.0, "maxLag": "800ms"}}
+        "cloudApi": {"address": f"127.1.{step}.9:{PORT + 9}", "ratePerS": 47.0, "maxLag": "800ms"},
+    }
     lines = [f"{name} = {json.dumps(value)}" for name, value in top.items()]
     for name, rows in tables.items():
         lines += [f"[{name}]", *(f"{key} = {json.dumps(value)}" for key, value in rows.items())]
@@ -88,11 +98,25 @@
         """One page."""
         self.calls += 1
         begin = int(target.partition("pageToken=")[2] or 0)
-        rows = [[e.instance, e.service, f"{e.host}:{e.port}", e.zone, e.slots,
-                 "draining" if e.instance in self.draining else "ready"] for e in self.entries[begin:begin + PAGE]]
+        rows = [
+            [
+                e.instance,
+                e.service,
+                f"{e.host}:{e.port}",
+                e.zone,
+                e.slots,
+                "draining" if e.instance in self.draining else "ready",
+            ]
+            for e in self.entries[begin : begin + PAGE]
+        ]
         more = str(begin + PAGE) if begin + PAGE < len(self.entries) else None
-        page = {"instances": {"columnNames": ["instanceId", "targetService", "address", "zone", "slotCount", "state"],
-                              "rowValues": rows}, "nextPageToken": more}
+        page = {
+            "instances": {
+                "columnNames": ["instanceId", "targetService", "address", "zone", "slotCount", "state"],
+                "rowValues": rows,
+            },
+            "nextPageToken": more,
+        }
         return 200, {"Content-Type": "application/json"}, json.dumps(page).encode()
 
 
@@ -102,8 +126,17 @@
     def __init__(self, number: int, node: Node) -> None:
         zone, step = f"zone-{number % 6}", int(node.ip.split(".")[2])
         self.node = replace(
-            node, name=f"edge-{number}", role="gateway", machine_class="edge", data=None, cloud=None, zone=zone,
-            region=ZONES[zone], ip=f"127.{10 * step + number // 250}.{number % 250 + 1}.1", listen={})
+            node,
+            name=f"edge-{number}",
+            role="gateway",
+            machine_class="edge",
+            data=None,
+            cloud=None,
+            zone=zone,
+            region=ZONES[zone],
+            ip=f"127.{10 * step + number // 250}.{number % 250 + 1}.1",
+            listen={},
+        )
         self.incarnation = random.getrandbits(60) + 1
         self.links = Links(node.cluster, self._handle)
         self.hub = StateHub(self.incarnation)
@@ -152,9 +185,13 @@
     def per_second(self, before: Sums, count: int) -> list[float]:
         """A gateway and second: sent, received bytes, frames, ms there; and ms a coordinator in all."""
         span = self.at - before.at
-        return [(self.sent - before.sent) / span / count, (self.received - before.received) / span / count,
-                (self.frames - before.frames) / span / count, (self.own - before.own) / span / count * 1000,
-                (self.cores - before.cores) / span / 3 * 1000]
+        return [
+            (self.sent - before.sent) / span / count,
+            (self.received - before.received) / span / count,
+            (self.frames - before.frames) / span / count,
+            (self.own - before.own) / span / count * 1000,
+            (self.cores - before.cores) / span / 3 * 1000,
+        ]
 
 
 class Team:
@@ -166,9 +203,19 @@
     @classmethod
     async def start(cls, first: int, count: int, file: Path) -> Team:
         """Start so many gateways."""
-        return cls(await asyncio.create_subprocess_exec(
-            sys.executable, "-O", "-m", "benchmarks.system_capacity", "--team", f"{first},{count},{file}",
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, limit=2**24))
+        return cls(
+            await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-O",
+                "-m",
+                "benchmarks.system_capacity",
+                "--team",
+                f"{first},{count},{file}",
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                limit=2**24,
+            )
+        )
 
     async def ask(self, what: str) -> Any:
         """One word to it, and its answer."""
@@ -195,13 +242,17 @@
     while line := (await reader.readline()).decode().split():
         traffic = [hollow.links.traffic for hollow in hollows]
         told: object = {
-            "known": min(len(h.hub.gateways) for h in hollows), "held": sum(len(h.quota.held()) for h in hollows),
+            "known": min(len(h.hub.gateways) for h in hollows),
+            "held": sum(len(h.quota.held()) for h in hollows),
             "version": min(h.config.version for h in hollows),
             "evacuated": all("zone-1" in h.config.evacuated for h in hollows),
             "drained": all((e := h.hub.backends.get(drains)) is not None and e.draining for h in hollows),
-            "own": time.process_time(), "sent": sum(one.sent for one in traffic),
-            "received": sum(one.received for one in traffic), "grown": resident() - bare,
-            "frames": sum(one.frames_sent + one.frames_received for one in traffic)}
+            "own": time.process_time(),
+            "sent": sum(one.sent for one in traffic),
+            "received": sum(one.received for one in traffic),
+            "grown": resident() - bare,
+            "frames": sum(one.frames_sent + one.frames_received for one in traffic),
+        }
         if line[0] == "count":
             told = await counts(hollows, float(line[1]))
         print(json.dumps(told), flush=True)
@@ -218,6 +269,7 @@
 
 async def order(host: str, call: str, body: bytes = b"") -> bool:
     """One order of the operator to one coordinator; whether it was acknowledged."""
+
     def ask() -> bool:
         link = http.client.HTTPConnection(host, PORT + 8, timeout=2)
         try:
@@ -227,6 +279,7 @@
             return False
         finally:
             link.close()
+
     return await asyncio.to_thread(ask)
 
 
@@ -241,6 +294,7 @@
             began = now()
             await hollow.quota.counter.take(random.choice(tenants), 500.0)
             took.append(now() - began)
+
     await asyncio.gather(*(one(hollow) for hollow in hollows))
     return sorted(took)
 
@@ -259,8 +313,14 @@
 
     async def _sums(self) -> Sums:
         told = await self._asked("state")
-        return Sums(time.monotonic(), sum(t["own"] for t in told), used(self._pids), sum(t["sent"] for t in told),
-                    sum(t["received"] for t in told), sum(t["frames"] for t in told))
+        return Sums(
+            time.monotonic(),
+            sum(t["own"] for t in told),
+            used(self._pids),
+            sum(t["sent"] for t in told),
+            sum(t["received"] for t in told),
+            sum(t["frames"] for t in told),
+        )
 
     async def _until(self, what: Callable[[list[Any]], bool], most: float) -> float:
         """Seconds until it holds, `most` at most."""
@@ -285,11 +345,19 @@
     async def _measure(self) -> tuple[list[object], list[object]]:
         count, host, ends = self._count, f"127.1.{self._number}.1", time.monotonic() + SETTLE
         for file in self._files:
-            self._cores.append(await asyncio.create_subprocess_exec(
-                sys.executable, "-O", "-m", "hallhitch.programs.coordinator", stdin=asyncio.subprocess.DEVNULL,
-                stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.DEVNULL,
-                env={name: os.environ[name] for name in KEPT if name in os.environ} | {
-                    "HALLHITCH_NODE_FILE": str(file)}))
+            self._cores.append(
+                await asyncio.create_subprocess_exec(
+                    sys.executable,
+                    "-O",
+                    "-m",
+                    "hallhitch.programs.coordinator",
+                    stdin=asyncio.subprocess.DEVNULL,
+                    stdout=asyncio.subprocess.DEVNULL,
+                    stderr=asyncio.subprocess.DEVNULL,
+                    env={name: os.environ[name] for name in KEPT if name in os.environ}
+                    | {"HALLHITCH_NODE_FILE": str(file)},
+                )
+            )
         self._pids = [process.pid for process in self._cores]
         while not await order(host, "config.replace", config(1, ROUTES, TENANTS)) and time.monotonic() < ends:
             await asyncio.sleep(0.2)
@@ -297,9 +365,12 @@
         for first in range(0, count, TEAM):
             self._teams.append(await Team.start(first, min(TEAM, count - first), self._files[0]))
         await self._asked("state")  # once all run
-        took = await self._until(lambda told: (
-            all(t["known"] >= count and t["version"] == 1 for t in told)
-            and sum(t["held"] for t in told) == BUCKETS), SETTLE)
+        took = await self._until(
+            lambda told: (
+                all(t["known"] >= count and t["version"] == 1 for t in told) and sum(t["held"] for t in told) == BUCKETS
+            ),
+            SETTLE,
+        )
         await asyncio.sleep(REST)
         before = await self._sums()
         await asyncio.sleep(WINDOW)
@@ -316,11 +387,26 @@
         self._listing.draining.add(self._listing.entries[0].instance)
         drained = await self._until(lambda told: all(t["drained"] for t in told), SPREAD)
         return (
-            [count, took if took < SETTLE else f"not in {SETTLE:.0f}", *idle, max(memory) / 1024,
-             max(is_now - was for is_now, was in zip(memory, bare, strict=True)) / count, mine],
-            [count, per_count, lags[len(lags) // 2] if lags else 0.0, lags[int(len(lags) * 0.99)] if lags else 0.0,
-             *((b - i) / per_count for b, i in zip(busy[:4], idle[:4], strict=True)), busy[4],
-             evacuated * 1000 if acked else "no answer", (spread.received - end.received) / count, drained * 1000])
+            [
+                count,
+                took if took < SETTLE else f"not in {SETTLE:.0f}",
+                *idle,
+                max(memory) / 1024,
+                max(is_now - was for is_now, was in zip(memory, bare, strict=True)) / count,
+                mine,
+            ],
+            [
+                count,
+                per_count,
+                lags[len(lags) // 2] if lags else 0.0,
+                lags[int(len(lags) * 0.99)] if lags else 0.0,
+                *((b - i) / per_count for b, i in zip(busy[:4], idle[:4], strict=True)),
+                busy[4],
+                evacuated * 1000 if acked else "no answer",
+                (spread.received - end.received) / count,
+                drained * 1000,
+            ],
+        )
 
 
 async def fleet(folder: Path, sizes: Sequence[int]) -> None:
@@ -336,14 +422,40 @@
         print(f"step {count}: {quiet} {busy}", file=sys.stderr, flush=True)
         calm.append(quiet)
         loaded.append(busy)
-    table(f"Calm: {LISTED} backends, {ROUTES} routes, {TENANTS} tenants, three coordinators",
-          ["gateways", "settled s", "sent B/s a gateway", "received B/s", "frames/s", "processor ms/s a gateway",
-           "processor ms/s a coordinator", "memory of a coordinator MB", "more KB a gateway there",
-           "KB of a hollow gateway here"], calm)
-    table("Counting, and news of one change",
-          ["gateways", "counts/s a gateway", "median ms", "p99 ms", "bytes sent a count", "received", "frames a count",
-           "processor ms a count, both sides", "processor ms/s a coordinator", "evacuation at the last gateway ms",
-           "bytes received a gateway meanwhile", "drain at the last gateway ms"], loaded)
+    table(
+        f"Calm: {LISTED} backends, {ROUTES} routes, {TENANTS} tenants, three coordinators",
+        [
+            "gateways",
+            "settled s",
+            "sent B/s a gateway",
+            "received B/s",
+            "frames/s",
+            "processor ms/s a gateway",
+            "processor ms/s a coordinator",
+            "memory of a coordinator MB",
+            "more KB a gateway there",
+            "KB of a hollow gateway here",
+        ],
+        calm,
+    )
+    table(
+        "Counting, and news of one change",
+        [
+            "gateways",
+            "counts/s a gateway",
+            "median ms",
+            "p99 ms",
+            "bytes sent a count",
+            "received",
+            "frames a count",
+            "processor ms a count, both sides",
+            "processor ms/s a coordinator",
+            "evacuation at the last gateway ms",
+            "bytes received a gateway meanwhile",
+            "drain at the last gateway ms",
+        ],
+        loaded,
+    )
 
 
 def main() -> None:
--- a/benchmarks/weak_days.py
+++ b/benchmarks/weak_days.py
@@ -33,8 +33,10 @@
     """One run: scenario, load, connections of a node, seed, and whether its faults come."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     name, load, connections, seed, faults = job
-    told = replaced(read(str(ROOT / f"{name}.toml"), Scenario), {
-        "traffic.load": load, "world.gateways": 4, "world.connections": connections, "seconds": SECONDS})
+    told = replaced(
+        read(str(ROOT / f"{name}.toml"), Scenario),
+        {"traffic.load": load, "world.gateways": 4, "world.connections": connections, "seconds": SECONDS},
+    )
     if not faults:
         told = msgspec.structs.replace(told, faults=())
     run = world.play(told, seed)
@@ -47,28 +49,42 @@
     parser.add_argument("--seeds", type=int, default=6)
     parser.add_argument("--write", type=Path)
     told = parser.parse_args()
-    days = [(name, load, connections) for name in ("resets", "quick-failures") for load in LOADS
-            for connections in CONNECTIONS]
-    jobs: list[Job] = [(*day, seed, faults) for day in days for seed in range(1, told.seeds + 1)
-                       for faults in (False, True)]
+    days = [
+        (name, load, connections)
+        for name in ("resets", "quick-failures")
+        for load in LOADS
+        for connections in CONNECTIONS
+    ]
+    jobs: list[Job] = [
+        (*day, seed, faults) for day in days for seed in range(1, told.seeds + 1) for faults in (False, True)
+    ]
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
         found = dict(zip(jobs, pool.map(one, jobs), strict=True))
     rows = []
     for day in days:
         calm, hurt = ([found[(*day, seed, faults)] for seed in range(1, told.seeds + 1)] for faults in (False, True))
         cost = interval([c.service - h.service for c, h in zip(calm, hurt, strict=True)])
-        mean = [sum(getattr(each, field) for each in hurt) / len(hurt) for field in (
-            "service", "refused", "attempts", "resets", "errors", "p99")]
+        mean = [
+            sum(getattr(each, field) for each in hurt) / len(hurt)
+            for field in ("service", "refused", "attempts", "resets", "errors", "p99")
+        ]
         shares = " | ".join(f"{value:.3f}" for value in mean[:-1])
         span = f"{cost.mean:.4f} ({cost.low:.4f} to {cost.high:.4f})"
-        rows.append(f"| {day[0]} | {day[1]:g} | {day[2]} | {span} | {shares}"
-                    f" | {mean[-1]:.0f} |")
-    text = "\n".join([
-        "# The two weakest kinds of day, in the emulator", "",
-        f"`python -m benchmarks.weak_days --seeds {told.seeds}`: four gateways, {SECONDS:g} s in virtual time; what",
-        "the faults cost of service, by paired seeds with intervals, and means of the days with faults.", "",
-        "| day | load | connections a node takes | cost in service | service | refused | attempts a try | resets |"
-        " errors | p99, ms |", "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |", *rows, ""])
+        rows.append(f"| {day[0]} | {day[1]:g} | {day[2]} | {span} | {shares} | {mean[-1]:.0f} |")
+    text = "\n".join(
+        [
+            "# The two weakest kinds of day, in the emulator",
+            "",
+            f"`python -m benchmarks.weak_days --seeds {told.seeds}`: four gateways, {SECONDS:g} s in virtual time;",
+            "what the faults cost of service, by paired seeds with intervals, and means of the days with faults.",
+            "",
+            "| day | load | connections a node takes | cost in service | service | refused | attempts a try | resets |"
+            " errors | p99, ms |",
+            "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+            *rows,
+            "",
+        ]
+    )
     print(text)
     if told.write:
         told.write.write_text(text)
--- a/hallhitch/adapter.py
+++ b/hallhitch/adapter.py
@@ -12,8 +12,14 @@
 from hallhitch.decision.settings import WireError, need, number, section, settings_of, word
 
 OUTCOMES = {
-    "success": "ok", "failure": "error", "overloaded": "full", "timed_out": "timeout",
-    "unreachable": "unreachable", "broken": "reset", "withdrawn": "cancelled", "void": "void",
+    "success": "ok",
+    "failure": "error",
+    "overloaded": "full",
+    "timed_out": "timeout",
+    "unreachable": "unreachable",
+    "broken": "reset",
+    "withdrawn": "cancelled",
+    "void": "void",
 }
 STATES = {"healthy": "up", "cordoned": "drain", "deregistered": "gone"}
 SCOPES = {"Partial": "changes", "Complete": "full", "Persisted": "saved", "Error": "failed"}
@@ -22,8 +28,12 @@
 def entry_of(entry: dict[str, Any]) -> api.ServerEntry:
     """Read one line of the server list."""
     return api.ServerEntry(
-        need(entry, "server", str), word(entry, "condition", STATES), int(number(entry, "campus")),
-        int(number(entry, "block")), number(entry, "online-since"), number(entry, "heft", 1.0),
+        need(entry, "server", str),
+        word(entry, "condition", STATES),
+        int(number(entry, "campus")),
+        int(number(entry, "block")),
+        number(entry, "online-since"),
+        number(entry, "heft", 1.0),
     )
 
 
@@ -42,17 +52,30 @@
     """Read an arriving request."""
     flags = int(number(m, "attrs"))
     return api.Request(
-        need(m, "op-id", int), need(m, "client-id", str), need(m, "terms", int), need(m, "qos", int),
-        number(m, "quota-units", 1.0), need(m, "patience-left"), number(m, "set-size", 1.0),
-        bool(flags & 4), bool(flags & 2),
+        need(m, "op-id", int),
+        need(m, "client-id", str),
+        need(m, "terms", int),
+        need(m, "qos", int),
+        number(m, "quota-units", 1.0),
+        need(m, "patience-left"),
+        number(m, "set-size", 1.0),
+        bool(flags & 4),
+        bool(flags & 2),
     )
 
 
 def outcome_of(m: dict[str, Any]) -> api.AttemptEnded:
     """Read the end of an attempt."""
     return api.AttemptEnded(
-        need(m, "op-id", int), need(m, "send-no", int), need(m, "server", str), word(m, "status", OUTCOMES),
-        number(m, "lag"), bool(m.get("ended")), number(m, "quota-use"), number(m, "true-units"), report_of(m),
+        need(m, "op-id", int),
+        need(m, "send-no", int),
+        need(m, "server", str),
+        word(m, "status", OUTCOMES),
+        number(m, "lag"),
+        bool(m.get("ended")),
+        number(m, "quota-use"),
+        number(m, "true-units"),
+        report_of(m),
     )
 
 
@@ -61,12 +84,13 @@
     "NewRequest": request_of,
     "Reply": outcome_of,
     "Aborted": lambda m: api.RequestGone(need(m, "op-id", int)),
-    "HeadReceived": lambda m: api.StreamStarted(
-        need(m, "op-id", int), need(m, "send-no", int), need(m, "server", str)),
+    "HeadReceived": lambda m: api.StreamStarted(need(m, "op-id", int), need(m, "send-no", int), need(m, "server", str)),
     "CheckResult": lambda m: api.ProbeEnded(
-        need(m, "server", str), word(m, "status", OUTCOMES), number(m, "lag"), report_of(m)),
+        need(m, "server", str), word(m, "status", OUTCOMES), number(m, "lag"), report_of(m)
+    ),
     "CountResult": lambda m: api.CounterAnswer(
-        need(m, "entry-name", int), word(m, "status", OUTCOMES), number(m, "level"), number(m, "lag")),
+        need(m, "entry-name", int), word(m, "status", OUTCOMES), number(m, "level"), number(m, "lag")
+    ),
     "DeadlineHit": lambda m: api.TimerFired(need(m, "token", int)),
     "FromPeer": lambda m: api.PeerMessage(need(m, "author", int), need(m, "octets", str)),
 }
--- a/hallhitch/cli/api_client.py
+++ b/hallhitch/cli/api_client.py
@@ -60,8 +60,9 @@
         answer = self._call(method, path, headers, body, {})
         return answer.json() if answer.content else None
 
-    def _call(self, method: str, path: tuple[str, ...], headers: dict[str, str], body: Any,
-              query: dict[str, str]) -> httpx.Response:
+    def _call(
+        self, method: str, path: tuple[str, ...], headers: dict[str, str], body: Any, query: dict[str, str]
+    ) -> httpx.Response:
         place = "/v1/" + "/".join(quote(part, safe="") for part in path)
         wait, why = FIRST_WAIT, ""
         for number in range(TRIES):
@@ -103,14 +104,25 @@
 
 def connected(command: F) -> F:
     """The options of a command that calls the API; it gets an `Api` as `api`."""
-    for option in reversed((
-        click.option("--url", envvar="HALLHITCH_URL", default="https://127.0.0.1:8443", show_default=True,
-                     help="The administration API [HALLHITCH_URL]."),
-        click.option("--token-file", type=click.Path(), help="A file with the token; otherwise HALLHITCH_TOKEN."),
-        click.option("--ca", envvar="HALLHITCH_CA", type=click.Path(), help="Whom to trust [HALLHITCH_CA]."),
-        click.option("--cert", envvar="HALLHITCH_CERT", type=click.Path(),
-                     help="A client certificate in place of a token; its key lies beside it [HALLHITCH_CERT]."),
-    )):
+    for option in reversed(
+        (
+            click.option(
+                "--url",
+                envvar="HALLHITCH_URL",
+                default="https://127.0.0.1:8443",
+                show_default=True,
+                help="The administration API [HALLHITCH_URL].",
+            ),
+            click.option("--token-file", type=click.Path(), help="A file with the token; otherwise HALLHITCH_TOKEN."),
+            click.option("--ca", envvar="HALLHITCH_CA", type=click.Path(), help="Whom to trust [HALLHITCH_CA]."),
+            click.option(
+                "--cert",
+                envvar="HALLHITCH_CERT",
+                type=click.Path(),
+                help="A client certificate in place of a token; its key lies beside it [HALLHITCH_CERT].",
+            ),
+        )
+    ):
         command = option(command)
     return command
 
--- a/hallhitch/cli/check.py
+++ b/hallhitch/cli/check.py
@@ -16,8 +16,15 @@
 from hallhitch.resp.config import RespConfig
 from hallhitch.settings_file import SettingsError, read
 
-FORMS: dict[str, type[Any]] = {"control": ControlSettings, "tenant": TenantFile, "resp": RespConfig,
-                              "scenario": Scenario, "peers": Peers, "timeline": TimeLine, "cases": Cases}
+FORMS: dict[str, type[Any]] = {
+    "control": ControlSettings,
+    "tenant": TenantFile,
+    "resp": RespConfig,
+    "scenario": Scenario,
+    "peers": Peers,
+    "timeline": TimeLine,
+    "cases": Cases,
+}
 
 
 def form_of(path: str) -> str:
--- a/hallhitch/cli/control.py
+++ b/hallhitch/cli/control.py
@@ -23,8 +23,13 @@
 
 def _told(found: Loaded) -> dict[str, object]:
     catalogue = found.catalogue
-    return {"epoch": catalogue.epoch, "version": catalogue.version, "tenants": len(catalogue.tenants),
-            "replayed": found.replayed, "checksum": f"{catalogue.sum:032x}"}
+    return {
+        "epoch": catalogue.epoch,
+        "version": catalogue.version,
+        "tenants": len(catalogue.tenants),
+        "replayed": found.replayed,
+        "checksum": f"{catalogue.sum:032x}",
+    }
 
 
 @click.group()
@@ -76,8 +81,12 @@
 @control.command()
 @FILE
 @click.argument("source", type=click.Path())
-@click.option("--epoch-at-least", type=click.IntRange(0), default=0,
-              help="An epoch that gateways are known to hold: the new one is later.")
+@click.option(
+    "--epoch-at-least",
+    type=click.IntRange(0),
+    default=0,
+    help="An epoch that gateways are known to hold: the new one is later.",
+)
 def restore(file: str, source: str, epoch_at_least: int) -> None:
     """Put the backup SOURCE in the store's place, in a later epoch; what stood there is moved aside."""
     settings = _settings(file)
--- a/hallhitch/cli/credentials.py
+++ b/hallhitch/cli/credentials.py
@@ -37,9 +37,13 @@
     found = list(api_of(**options).pages(*_place(tenant)))
     if plain:
         return as_json(found)
-    table(("id", "scope", "client", "expires", "old secret until", "version"),
-          [(c["name"], c["scope"], c["client"], _moment(c["expires"]), _moment(c["overlap_until"]), c["version"])
-           for c in found])
+    table(
+        ("id", "scope", "client", "expires", "old secret until", "version"),
+        [
+            (c["name"], c["scope"], c["client"], _moment(c["expires"]), _moment(c["overlap_until"]), c["version"])
+            for c in found
+        ],
+    )
 
 
 @credentials.command()
@@ -51,8 +55,16 @@
 @click.option("--certificate", help="SHA-256 of a client certificate, in place of a secret (operators).")
 @connected
 @JSON
-def issue(tenant: str, id: str, scope: str, client: str | None, expires: datetime | None, certificate: str | None,
-          plain: bool, **options: Any) -> None:
+def issue(
+    tenant: str,
+    id: str,
+    scope: str,
+    client: str | None,
+    expires: datetime | None,
+    certificate: str | None,
+    plain: bool,
+    **options: Any,
+) -> None:
     """Issue a credential; its token is told this once."""
     body: dict[str, Any] = {"scope": scope}
     if client is not None:
@@ -67,8 +79,13 @@
 @credentials.command()
 @TENANT
 @ID
-@click.option("--overlap", type=click.IntRange(0, 30 * 86_400), default=3_600, show_default=True,
-              help="Seconds for which the secret before counts too.")
+@click.option(
+    "--overlap",
+    type=click.IntRange(0, 30 * 86_400),
+    default=3_600,
+    show_default=True,
+    help="Seconds for which the secret before counts too.",
+)
 @connected
 @JSON
 def rotate(tenant: str, id: str, overlap: int, plain: bool, **options: Any) -> None:
--- a/hallhitch/cli/demo.py
+++ b/hallhitch/cli/demo.py
@@ -88,17 +88,17 @@
             secret_file(folder / f"{wanted.tenant}.token", made["token"])
     command = f"{os.path.relpath(Path(sys.prefix) / 'bin' / 'hallhitch')}"
     click.echo(f"""
-It serves at {url}; its log is {folder / 'log'}. In another shell:
+It serves at {url}; its log is {folder / "log"}. In another shell:
 
   export HALLHITCH_URL={url} HALLHITCH_CA={ca}
-  export HALLHITCH_TOKEN=$(cat {folder / 'operator.token'})
+  export HALLHITCH_TOKEN=$(cat {folder / "operator.token"})
   {command} tenants list
   {command} tenants show acme
   {command} tenants diff deploy/demo/acme.toml       # edit the file, then `apply` it
   {command} credentials issue acme eye --scope read
-  {command} control backup {folder / 'control.toml'} {folder / 'saved.db'}
+  {command} control backup {folder / "control.toml"} {folder / "saved.db"}
 
   curl --cacert {ca} {url}/openapi.json
-  curl --cacert {ca} -H "Authorization: Bearer $(cat {folder / 'acme.token'})" {url}/v1/tenants/acme/clients
-  curl --cacert {ca} -H "Authorization: Bearer $(cat {folder / 'acme.token'})" {url}/v1/tenants/bolt   # 404
+  curl --cacert {ca} -H "Authorization: Bearer $(cat {folder / "acme.token"})" {url}/v1/tenants/acme/clients
+  curl --cacert {ca} -H "Authorization: Bearer $(cat {folder / "acme.token"})" {url}/v1/tenants/bolt   # 404
 """)
--- a/hallhitch/cli/demo_fleet.py
+++ b/hallhitch/cli/demo_fleet.py
@@ -20,8 +20,13 @@
 @click.option("--scenario", default=FAULT, show_default=True, help="A scenario's name, or a file.")
 @click.option("--seconds", type=click.FloatRange(5, 600), default=SECONDS, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--to", type=click.Path(path_type=Path), default=Path("found/demo"), show_default=True,
-              help="A folder for the log and the report.")
+@click.option(
+    "--to",
+    type=click.Path(path_type=Path),
+    default=Path("found/demo"),
+    show_default=True,
+    help="A folder for the log and the report.",
+)
 def demo(scenario: str, seconds: float, seed: int, to: Path) -> None:
     """Two gateways, an emulated fleet on loopback, traffic with a fault. Exit code 1 if a rule was broken."""
     from hallhitch.lab.checker import check
@@ -56,8 +61,24 @@
     (to / "log.jsonl").write_bytes(b"".join(run.journal.lines()))
     outcome = Outcome(found, [str(b) for b in broken], told.seconds)
     (to / "report.html").write_text(page(told.name, {(told.name, "two gateways on sockets"): {seed: outcome}}))
-    table(("figure", "value"), [(name, f"{getattr(found, name):.4g}") for name in (
-        "service", "in_time", "late", "refused", "failed", "beyond_units", "errors", "resets", "p50", "p99")])
+    table(
+        ("figure", "value"),
+        [
+            (name, f"{getattr(found, name):.4g}")
+            for name in (
+                "service",
+                "in_time",
+                "late",
+                "refused",
+                "failed",
+                "beyond_units",
+                "errors",
+                "resets",
+                "p50",
+                "p99",
+            )
+        ],
+    )
     click.echo(f"{len(events)} events in {to / 'log.jsonl'}; the report is {to / 'report.html'}")
     for rule in broken[:3]:
         click.echo(str(rule), err=True)
--- a/hallhitch/cli/demo_system.py
+++ b/hallhitch/cli/demo_system.py
@@ -9,15 +9,31 @@
 from hallhitch.cli.output import Failure, table
 
 SECONDS, DAY = 20.0, "kills"
-NAMES = ("kills", "herd", "wipes", "links", "frozen", "backends", "changes", "press", "control_cut",
-         "exchange", "hundreds")
+NAMES = (
+    "kills",
+    "herd",
+    "wipes",
+    "links",
+    "frozen",
+    "backends",
+    "changes",
+    "press",
+    "control_cut",
+    "exchange",
+    "hundreds",
+)
 
 
 @click.command()
 @click.option("--day", type=click.Choice(NAMES), default=DAY, show_default=True, help="What goes wrong.")
 @click.option("--seconds", type=click.FloatRange(5, 600), default=SECONDS, show_default=True)
-@click.option("--load", type=click.FloatRange(0.1, 5), default=1.0, show_default=True,
-              help="Times the usual 110 requests a second.")
+@click.option(
+    "--load",
+    type=click.FloatRange(0.1, 5),
+    default=1.0,
+    show_default=True,
+    help="Times the usual 110 requests a second.",
+)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--to", type=click.Path(path_type=Path), help="A folder to keep settings, logs and disks in.")
 def demo(day: str, seconds: float, load: float, seed: int, to: Path | None) -> None:
@@ -43,16 +59,20 @@
     shape = Shape(seed=seed)
     async with World(shape, to, linked=True) as world:
         rig, began = world.rig, now()
-        click.echo(f"{shape.regions} regions {shape.between:g} ms apart, {len(rig.of('gateway'))} gateways, "
-                   f"{len(rig.of('coordinator'))} coordinators, {len(world.fleet.backends)} backends")
+        click.echo(
+            f"{shape.regions} regions {shape.between:g} ms apart, {len(rig.of('gateway'))} gateways, "
+            f"{len(rig.of('coordinator'))} coordinators, {len(world.fleet.backends)} backends"
+        )
         try:
             await world.configured()
             ready = now() - began
             await world.serving()
         except (RuntimeError, TimeoutError) as error:
             raise Failure(str(error)) from None
-        click.echo(f"all ready after {ready / 1000:.1f} s, every gateway serves every tenant after "
-                   f"{(now() - began) / 1000:.1f} s; {seconds:g} s of traffic follow")
+        click.echo(
+            f"all ready after {ready / 1000:.1f} s, every gateway serves every tenant after "
+            f"{(now() - began) / 1000:.1f} s; {seconds:g} s of traffic follow"
+        )
         world.spawn(world.watch_readiness())
 
         faults = DAYS[day](world, seconds)
@@ -70,8 +90,10 @@
     click.echo()
     table(HEAD, rows(traffic.outcomes))
     fleet = world.fleet
-    click.echo(f"\n{fleet.opened} connections to backends, {fleet.probes} probes, {world.platform.calls} calls to the "
-               f"platform; 99 of 100 requests left at most {percentile(traffic.late, 0.99):.1f} ms late")
+    click.echo(
+        f"\n{fleet.opened} connections to backends, {fleet.probes} probes, {world.platform.calls} calls to the "
+        f"platform; 99 of 100 requests left at most {percentile(traffic.late, 0.99):.1f} ms late"
+    )
     click.echo(f"{acknowledgements(world.records.orders)}; {len(world.records.reads)} times read back\n")
     broken = check(world.records, shape.figures)
     for line in verdict(broken):
--- a/hallhitch/cli/experiment.py
+++ b/hallhitch/cli/experiment.py
@@ -14,8 +14,13 @@
 from hallhitch.cli.output import Failure, as_json, table
 from hallhitch.settings_file import SettingsError
 
-DATABASE = click.option("--db", type=click.Path(path_type=Path), default=Path("found/experiments.db"),
-                        show_default=True, help="The file that results are kept in.")
+DATABASE = click.option(
+    "--db",
+    type=click.Path(path_type=Path),
+    default=Path("found/experiments.db"),
+    show_default=True,
+    help="The file that results are kept in.",
+)
 JSON = click.option("--json", "plain", is_flag=True, help="Print JSON.")
 SHOWN = ("service", "in_time", "late", "refused", "failed", "beyond_units", "beyond_cost", "attempts", "p50", "p99")
 
@@ -100,9 +105,13 @@
     """The experiments that have results."""
     from hallhitch.lab import experiments
 
-    table(("experiment", "runs", "broken", "last"),
-          [(name, runs, broken, datetime.fromtimestamp(at, UTC).isoformat(timespec="seconds"))
-           for name, runs, broken, at in experiments.Results(db).experiments()])
+    table(
+        ("experiment", "runs", "broken", "last"),
+        [
+            (name, runs, broken, datetime.fromtimestamp(at, UTC).isoformat(timespec="seconds"))
+            for name, runs, broken, at in experiments.Results(db).experiments()
+        ],
+    )
 
 
 def _results(db: Path, name: str) -> Any:
--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -21,8 +21,9 @@
     """Fleets of real gateways that know each other, with faults between them."""
 
 
-def prepared(scenario: str, gateways: int, seconds: float | None, sizes: dict[str, Any] | None = None,
-             own: bool = False) -> Any:
+def prepared(
+    scenario: str, gateways: int, seconds: float | None, sizes: dict[str, Any] | None = None, own: bool = False
+) -> Any:
     """A scenario of this name or file, with so many gateways and other sizes, and with its own faults or without."""
     from hallhitch.lab.cases import named
     from hallhitch.lab.scenario import replaced
@@ -30,8 +31,12 @@
     name, colon, case = scenario.partition(":")
     path = Path(name) if name.endswith(".toml") else ROOT / f"{name}.toml"
     told = named(f"{path}{colon}{case}")
-    return replaced(told, {"world.gateways": gateways, "seconds": seconds or told.seconds} | (sizes or {})
-                    | ({} if own else {"faults": []}))
+    return replaced(
+        told,
+        {"world.gateways": gateways, "seconds": seconds or told.seconds}
+        | (sizes or {})
+        | ({} if own else {"faults": []}),
+    )
 
 
 async def watch(run: Any) -> None:
@@ -73,8 +78,11 @@
             cut = run.begin(Trouble("split", 0.0, parts=(0.5, 0.5)))
             click.echo("        the links between the first half and the second are cut")
             half = gateways - gateways // 2
-            took = await run.until(lambda views: all(
-                sum(m["state"] in ("alive", "suspect") for m in v["members"]) <= half for v in views.values()))
+            took = await run.until(
+                lambda views: all(
+                    sum(m["state"] in ("alive", "suspect") for m in v["members"]) <= half for v in views.values()
+                )
+            )
             click.echo(f"        each half by itself after {took:.1f} s; both go on serving")
             await asyncio.sleep(6.0)
             run.over(cut)
@@ -130,12 +138,28 @@
 @click.option("--nodes", type=click.IntRange(1, 400), help="In place of the scenario's.")
 @click.option("--rate", type=click.FloatRange(0.1, 5000), help="Requests a second, in place of the scenario's load.")
 @click.option("--faults", "own", is_flag=True, help="With the scenario's own faults too.")
-@click.option("--late", type=click.FloatRange(1, 10_000), default=50.0, show_default=True,
-              help="Ms that one try in a hundred may be sent late by the rig itself; past it the run is refused.")
+@click.option(
+    "--late",
+    type=click.FloatRange(1, 10_000),
+    default=50.0,
+    show_default=True,
+    help="Ms that one try in a hundred may be sent late by the rig itself; past it the run is refused.",
+)
 @click.option("--report", type=click.Path(path_type=Path), help="Write evenness as one HTML page there.")
-def run_(scenario: str, gateways: int, line: Path | None, seconds: float | None, seed: int, log: Path | None,
-         without_peers: bool, nodes: int | None, rate: float | None, own: bool, late: float,
-         report: Path | None) -> None:
+def run_(
+    scenario: str,
+    gateways: int,
+    line: Path | None,
+    seconds: float | None,
+    seed: int,
+    log: Path | None,
+    without_peers: bool,
+    nodes: int | None,
+    rate: float | None,
+    own: bool,
+    late: float,
+    report: Path | None,
+) -> None:
     """Play SCENARIO (a name or a file, or a case of a file of them: cases/evenness:zone) on real gateways, with the
     faults of a time line. Exit code 1 if a rule was broken, or if the rig was too late itself to be believed."""
     from hallhitch.lab.checker import check
@@ -167,11 +191,18 @@
     found, broken, even = figures(events, run.traffic, run.counter.calls), check(events), evenness(events)
     if report is not None:
         report.write_text(page({f"{told.name}, {gateways} gateways": events}))
-    table(("figure", "value"), [(name, f"{getattr(found, name):.4g}") for name in (
-        "service", "in_time", "refused", "failed", "attempts", "p50", "p99")] + [
-        (name, f"{getattr(even, name):.4g}") for name in (
-            "moment_cv", "idle", "second_cv", "second_most", "run_least", "run_most", "herd_pairs")] + [
-        ("rig late, ms", f"{run.late:.1f}")])
+    table(
+        ("figure", "value"),
+        [
+            (name, f"{getattr(found, name):.4g}")
+            for name in ("service", "in_time", "refused", "failed", "attempts", "p50", "p99")
+        ]
+        + [
+            (name, f"{getattr(even, name):.4g}")
+            for name in ("moment_cv", "idle", "second_cv", "second_most", "run_least", "run_most", "herd_pairs")
+        ]
+        + [("rig late, ms", f"{run.late:.1f}")],
+    )
     if run.late > late:
         raise Failure(f"one try in a hundred was sent {run.late:.0f} ms late by the rig itself: not to be believed")
     for rule in broken[:3]:
--- a/hallhitch/cli/load.py
+++ b/hallhitch/cli/load.py
@@ -19,8 +19,12 @@
 @click.argument("address")
 @click.option("--rate", type=click.FloatRange(0.01, 1e5), default=100.0, show_default=True, help="Requests a second.")
 @click.option("--seconds", type=click.FloatRange(0.1, 1e5), default=10.0, show_default=True)
-@click.option("--shape", type=click.Choice(["poisson", "constant", "bursts", "ramp", "onoff"]), default="poisson",
-              show_default=True)
+@click.option(
+    "--shape",
+    type=click.Choice(["poisson", "constant", "bursts", "ramp", "onoff"]),
+    default="poisson",
+    show_default=True,
+)
 @click.option("--trace", type=click.Path(path_type=Path), help="Replay this trace in place of a shape.")
 @click.option("--protocol", type=click.Choice(["http", "resp"]), default="http", show_default=True)
 @click.option("--customers", type=click.IntRange(1, 10**6), default=200, show_default=True)
@@ -28,8 +32,19 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--record", type=click.Path(path_type=Path), help="Write what is asked as a trace.")
 @click.option("--json", "plain", is_flag=True, help="Print JSON.")
-def load(address: str, rate: float, seconds: float, shape: Any, trace: Path | None, protocol: Any, customers: int,
-         workers: int, seed: int, record: Path | None, plain: bool) -> None:
+def load(
+    address: str,
+    rate: float,
+    seconds: float,
+    shape: Any,
+    trace: Path | None,
+    protocol: Any,
+    customers: int,
+    workers: int,
+    seed: int,
+    record: Path | None,
+    plain: bool,
+) -> None:
     """Load ADDRESS (host:port on loopback) by a schedule, whether or not it keeps pace.
 
     Times count from when a request was meant to go. Exit code 1 if the generator itself was late: such a run measures
@@ -49,14 +64,23 @@
     if record is not None:
         record.write_bytes(b"".join(lab.write_trace(asked)))
     with click.progressbar(length=100, label=f"{len(asked)} requests", file=sys.stderr) as bar:
-        tally = lab.run(lab.Plan(address, protocol, asked, workers), lambda share: bar.update(
-            max(0, int(share * 100) - bar.pos)))
-    rows = [(group, tally.times[group].get_total_count(), *(f"{ms:.1f}" for ms in tally.percentiles(group).values()))
-            for group in sorted(tally.times)]
+        tally = lab.run(
+            lab.Plan(address, protocol, asked, workers), lambda share: bar.update(max(0, int(share * 100) - bar.pos))
+        )
+    rows = [
+        (group, tally.times[group].get_total_count(), *(f"{ms:.1f}" for ms in tally.percentiles(group).values()))
+        for group in sorted(tally.times)
+    ]
     if plain:
-        as_json({"sent": tally.sent, "valid": tally.valid, "late_p99_ms": tally.late_p99,
-                 "statuses": dict(tally.statuses),
-                 "ms": {group: {str(p): ms for p, ms in tally.percentiles(group).items()} for group in tally.times}})
+        as_json(
+            {
+                "sent": tally.sent,
+                "valid": tally.valid,
+                "late_p99_ms": tally.late_p99,
+                "statuses": dict(tally.statuses),
+                "ms": {group: {str(p): ms for p, ms in tally.percentiles(group).items()} for group in tally.times},
+            }
+        )
     else:
         table(("", "requests", *(f"p{p:g} ms" for p in lab.PERCENTILES)), rows)
         click.echo(f"the generator was at most {tally.late_p99:.2f} ms late for 99 of 100 requests")
--- a/hallhitch/cli/members.py
+++ b/hallhitch/cli/members.py
@@ -31,15 +31,30 @@
     for member in view["members"]:
         states[member["state"]] = states.get(member["state"], 0) + 1
     agreed = "never" if view["agreed_s"] is None else f"{view['agreed_s']:g} s ago"
-    click.echo(f"{view['name']} in {view['cluster']}: view {view['view']}, "
-               f"{', '.join(f'{count} {state}' for state, count in sorted(states.items()))}; "
-               f"places among {view['places']}, budgets over {view['budgets']}; "
-               f"health {view['health']}, agreed {agreed}")
+    click.echo(
+        f"{view['name']} in {view['cluster']}: view {view['view']}, "
+        f"{', '.join(f'{count} {state}' for state, count in sorted(states.items()))}; "
+        f"places among {view['places']}, budgets over {view['budgets']}; "
+        f"health {view['health']}, agreed {agreed}"
+    )
     for name, instances in view["conflicts"].items():
         click.echo(f"two gateways under one name: {name} ({', '.join(instances)})")
-    table(("name", "state", "incarnation", "instance", "address", "zone", "version", "heard"), [
-        (m["name"], m["state"], m["incarnation"], m["instance"][:8], m["address"], m["zone"] or "-", m["version"],
-         "itself" if m["self"] else "-" if m["heard_s"] is None else f"{m['heard_s']:g} s") for m in view["members"]])
+    table(
+        ("name", "state", "incarnation", "instance", "address", "zone", "version", "heard"),
+        [
+            (
+                m["name"],
+                m["state"],
+                m["incarnation"],
+                m["instance"][:8],
+                m["address"],
+                m["zone"] or "-",
+                m["version"],
+                "itself" if m["self"] else "-" if m["heard_s"] is None else f"{m['heard_s']:g} s",
+            )
+            for m in view["members"]
+        ],
+    )
 
 
 @click.command()
--- a/hallhitch/cli/tenants.py
+++ b/hallhitch/cli/tenants.py
@@ -34,9 +34,21 @@
     found = list(api_of(**options).pages("tenants"))
     if plain:
         return as_json(found)
-    table(("name", "on", "plans", "clients", "hosts", "rate", "version"),
-          [(t["name"], "yes" if t["on"] else "no", t["uses"]["plans"], t["uses"]["clients"], t["uses"]["hosts"],
-            f"{t['uses']['rate']:g}/{t['limits']['rate']:g}", t["part_version"]) for t in found])
+    table(
+        ("name", "on", "plans", "clients", "hosts", "rate", "version"),
+        [
+            (
+                t["name"],
+                "yes" if t["on"] else "no",
+                t["uses"]["plans"],
+                t["uses"]["clients"],
+                t["uses"]["hosts"],
+                f"{t['uses']['rate']:g}/{t['limits']['rate']:g}",
+                t["part_version"],
+            )
+            for t in found
+        ],
+    )
 
 
 @tenants.command()
@@ -50,10 +62,14 @@
     lists = {kind: list(api.pages("tenants", tenant, kind)) for kind in ("plans", "hosts", "clients")}
     if plain:
         return as_json(told | lists)
-    click.echo(f"{tenant}: {'on' if told['on'] else 'off'}, version {told['part_version']}, "
-               f"rate {told['uses']['rate']:g} of {told['limits']['rate']:g}")
-    table(("plan", "rate", "burst", "price", "ceiling"),
-          [(p["name"], p["rate"], p["burst"], p["price"], p["ceiling_rate"]) for p in lists["plans"]])
+    click.echo(
+        f"{tenant}: {'on' if told['on'] else 'off'}, version {told['part_version']}, "
+        f"rate {told['uses']['rate']:g} of {told['limits']['rate']:g}"
+    )
+    table(
+        ("plan", "rate", "burst", "price", "ceiling"),
+        [(p["name"], p["rate"], p["burst"], p["price"], p["ceiling_rate"]) for p in lists["plans"]],
+    )
     table(("host", "on"), [(h["name"], "yes" if h["on"] else "no") for h in lists["hosts"]])
     table(("client", "plan", "on"), [(c["name"], c["plan"], "yes" if c["on"] else "no") for c in lists["clients"]])
 
@@ -82,9 +98,12 @@
     made = []
     for step in changes:
         sign = "+" if step.now is None else "-" if step.wanted is None else "~"
-        fields = ", ".join(f"{name}: {_short(before)} -> {_short(after)}" if sign == "~" else
-                           f"{name}={_short(after if sign == '+' else before)}"
-                           for name, before, after in step.fields())
+        fields = ", ".join(
+            f"{name}: {_short(before)} -> {_short(after)}"
+            if sign == "~"
+            else f"{name}={_short(after if sign == '+' else before)}"
+            for name, before, after in step.fields()
+        )
         made.append(f"{sign} {step.kind.value} {step.name}  {fields}".rstrip())
     return made
 
@@ -109,8 +128,12 @@
 @tenants.command()
 @click.argument("file", type=click.Path())
 @click.option("--yes", is_flag=True, help="Do not ask.")
-@click.option("--wait", type=click.FloatRange(0, 3600), metavar="SECONDS",
-              help="Until all gateways that are counted have applied it (operators); exit code 1 if they have not.")
+@click.option(
+    "--wait",
+    type=click.FloatRange(0, 3600),
+    metavar="SECONDS",
+    help="Until all gateways that are counted have applied it (operators); exit code 1 if they have not.",
+)
 @connected
 @JSON
 def apply(file: str, yes: bool, wait: float | None, plain: bool, **options: Any) -> None:
@@ -125,8 +148,10 @@
     versions = send(api, wanted.tenant, changes)
     told = waited(api, versions[-1], wait) if versions and wait is not None else None
     if plain:
-        as_json({"tenant": wanted.tenant, "changes": lines(changes), "versions": versions}
-                | ({"gateways": told} if told else {}))
+        as_json(
+            {"tenant": wanted.tenant, "changes": lines(changes), "versions": versions}
+            | ({"gateways": told} if told else {})
+        )
     elif versions:
         click.echo(f"applied {len(changes)} changes, now at version {versions[-1]}")
         if told:
@@ -152,9 +177,15 @@
     """Make changes, in pieces that are atomic and hold by themselves; the versions they led to."""
     versions = []
     for start in range(0, len(changes), MOST_EDITS):
-        edits = [{"kind": step.kind.value, "name": step.name, "expect": step.version or "none",
-                  "value": msgspec.to_builtins(step.wanted) if step.wanted is not None else None}
-                 for step in changes[start:start + MOST_EDITS]]
+        edits = [
+            {
+                "kind": step.kind.value,
+                "name": step.name,
+                "expect": step.version or "none",
+                "value": msgspec.to_builtins(step.wanted) if step.wanted is not None else None,
+            }
+            for step in changes[start : start + MOST_EDITS]
+        ]
         versions.append(str(api.change("POST", "tenants", tenant, "changes", body={"edits": edits})["version"]))
     return versions
 
--- a/hallhitch/cli/trace.py
+++ b/hallhitch/cli/trace.py
@@ -41,10 +41,20 @@
 @click.argument("out", type=click.Path(path_type=Path))
 @click.option("--form", type=click.Choice(["access-log", "csv"]), required=True, help="What FILE is.")
 @click.option("--plan", default="", help="The plan of all requests: an access log does not know it.")
-@click.option("--deadline-ms", type=click.IntRange(1, 600_000), default=4000, show_default=True,
-              help="Where FILE does not say it.")
-@click.option("--body", type=click.IntRange(1, 65_536), default=64, show_default=True,
-              help="Bytes of a POST's body, which an access log does not know.")
+@click.option(
+    "--deadline-ms",
+    type=click.IntRange(1, 600_000),
+    default=4000,
+    show_default=True,
+    help="Where FILE does not say it.",
+)
+@click.option(
+    "--body",
+    type=click.IntRange(1, 65_536),
+    default=64,
+    show_default=True,
+    help="Bytes of a POST's body, which an access log does not know.",
+)
 def import_(file: Path, out: Path, form: str, plan: str, deadline_ms: int, body: int) -> None:
     """Make a trace of FILE: an access log in the common or combined format, or a table with a header (csv)."""
     from hallhitch.lab import load as lab
@@ -92,5 +102,7 @@
         recorder = asyncio.run(run())
     except (ValueError, OSError) as error:
         raise SettingsError(f"{listen} to {to}: {error}") from error
-    click.echo(f"{recorder.recorded} requests; {recorder.left} named no class and customer; "
-               f"{recorder.unread} connections could not be read")
+    click.echo(
+        f"{recorder.recorded} requests; {recorder.left} named no class and customer; "
+        f"{recorder.unread} connections could not be read"
+    )
--- a/hallhitch/control/api/app.py
+++ b/hallhitch/control/api/app.py
@@ -76,20 +76,29 @@
     return msgspec.json.encode(app.openapi_schema.to_schema())
 
 
-def framework(service: Service | None, checker: Checker | None, store: SqliteStore | None,
-              publisher: Publisher | None = None) -> Litestar:
+def framework(
+    service: Service | None, checker: Checker | None, store: SqliteStore | None, publisher: Publisher | None = None
+) -> Litestar:
     """The handlers, without the guard."""
     app = Litestar(
         route_handlers=[*HANDLERS, *FEED, described],
         guards=[allowed],
         exception_handlers={ProblemError: on_problem, HTTPException: on_http, Exception: on_any},
         openapi_config=OpenAPIConfig(
-            title="hallhitch administration", version=__version__, path="/_description", enabled_endpoints=set(),
-            description="Tenants, their plans, clients, host names and credentials.", use_handler_docstrings=True,
+            title="hallhitch administration",
+            version=__version__,
+            path="/_description",
+            enabled_endpoints=set(),
+            description="Tenants, their plans, clients, host names and credentials.",
+            use_handler_docstrings=True,
             security=[{"bearer": []}, {"certificate": []}],
-            components=Components(security_schemes={
-                "bearer": SecurityScheme(type="http", scheme="bearer"),
-                "certificate": SecurityScheme(type="mutualTLS")})),
+            components=Components(
+                security_schemes={
+                    "bearer": SecurityScheme(type="http", scheme="bearer"),
+                    "certificate": SecurityScheme(type="mutualTLS"),
+                }
+            ),
+        ),
         logging_config=None,
         request_max_body_size=None,  # the guard bounds bodies
     )
@@ -99,7 +108,8 @@
     return app
 
 
-def application(writer: Writer, checker: Checker, store: SqliteStore, clock: WallClock, told: ApiSettings,
-                publisher: Publisher) -> Guard:
+def application(
+    writer: Writer, checker: Checker, store: SqliteStore, clock: WallClock, told: ApiSettings, publisher: Publisher
+) -> Guard:
     """The whole application."""
     return Guard(framework(Service(writer), checker, store, publisher), writer, checker, clock, told)
--- a/hallhitch/control/api/calls.py
+++ b/hallhitch/control/api/calls.py
@@ -102,12 +102,21 @@
 
 
 async def submit(
-    request: Conn, tenant: str, plan: Callable[[Catalogue, int], Planned],
+    request: Conn,
+    tenant: str,
+    plan: Callable[[Catalogue, int], Planned],
 ) -> Response[Any]:
     """Hand a call to the writer; its reply, or the error that stands for what went wrong."""
     state = request.scope["state"]
-    call = Call(caller_of(request), state["key"], state["asked"], tenant,
-                f"{request.method} {request.url.path}"[:400], plan, _refusal)
+    call = Call(
+        caller_of(request),
+        state["key"],
+        state["asked"],
+        tenant,
+        f"{request.method} {request.url.path}"[:400],
+        plan,
+        _refusal,
+    )
     try:
         reply = await service_of(request).writer.submit(call)
     except KeyReused as error:
@@ -119,10 +128,16 @@
     except Halted as error:
         raise ProblemError(503, "halted", "Nothing can be changed now; reads go on.", wait=10.0) from error
     except Exception as error:
-        raise ProblemError(503, "not-written", "The store could not be written and nothing was changed, as far as "
-                           "is known. Repeat the call with the same key.", wait=2.0) from error
-    return Response(reply.body, status_code=reply.status, headers=reply.headers,
-                    media_type=reply.headers["content-type"])
+        raise ProblemError(
+            503,
+            "not-written",
+            "The store could not be written and nothing was changed, as far as "
+            "is known. Repeat the call with the same key.",
+            wait=2.0,
+        ) from error
+    return Response(
+        reply.body, status_code=reply.status, headers=reply.headers, media_type=reply.headers["content-type"]
+    )
 
 
 def _refusal(refusal: Refused) -> Reply:
@@ -135,8 +150,11 @@
     kept = catalogue.get(target.tenant, target.kind, target.name)
     if kept is None:
         raise Refused("not-found", "", "there is nothing of this name")
-    headers = {"content-type": JSON, "etag": f'"{views.stamp(catalogue.epoch, kept.version)}"',
-               "cache-control": "no-store"}
+    headers = {
+        "content-type": JSON,
+        "etag": f'"{views.stamp(catalogue.epoch, kept.version)}"',
+        "cache-control": "no-store",
+    }
     return Reply(status, headers, _encode(views.view(catalogue, target.kind, target.name, kept, token)))
 
 
@@ -157,8 +175,11 @@
         was = _there(catalogue, target)
         condition.check(catalogue, was, replaces=True)
         status = 200 if was is not None else 201
-        return Planned(Change(target.tenant, (Edit(target.kind, target.name, value),)),
-                       lambda made: shown(made, target, status, token), token is not None)
+        return Planned(
+            Change(target.tenant, (Edit(target.kind, target.name, value),)),
+            lambda made: shown(made, target, status, token),
+            token is not None,
+        )
 
     return await submit(request, target.tenant, plan)
 
@@ -179,8 +200,9 @@
             value = fold(was.value, body)
         else:
             value = typed(merge(msgspec.to_builtins(was.value), body), TYPES[target.kind])
-        return Planned(Change(target.tenant, (Edit(target.kind, target.name, value),)),
-                       lambda made: shown(made, target, 200))
+        return Planned(
+            Change(target.tenant, (Edit(target.kind, target.name, value),)), lambda made: shown(made, target, 200)
+        )
 
     return await submit(request, target.tenant, plan)
 
@@ -194,8 +216,10 @@
         if was is None:
             raise Refused("not-found", "", "there is nothing of this name")
         condition.check(catalogue, was, replaces=False)
-        return Planned(Change(target.tenant, (Edit(target.kind, target.name),)),
-                       lambda made: Reply(204, {"content-type": JSON}, b""))
+        return Planned(
+            Change(target.tenant, (Edit(target.kind, target.name),)),
+            lambda made: Reply(204, {"content-type": JSON}, b""),
+        )
 
     return await submit(request, target.tenant, plan)
 
@@ -217,7 +241,10 @@
 
 
 def page(
-    names: Iterable[str], after: str, limit: int, wanted: Callable[[str], bool],
+    names: Iterable[str],
+    after: str,
+    limit: int,
+    wanted: Callable[[str], bool],
 ) -> tuple[list[str], str | None]:
     """A page of names past `after`, in order, and where the next begins."""
     found = heapq.nsmallest(limit + 1, (name for name in names if name > after and wanted(name)))
--- a/hallhitch/control/api/feed.py
+++ b/hallhitch/control/api/feed.py
@@ -21,8 +21,9 @@
 HOLD_MOST = 20_000  # ms that a question may wait for news
 MEDIA = "application/x-ndjson"
 Name = Annotated[str, QueryParameter(name="gateway", pattern="^[a-z0-9][a-z0-9.-]{0,62}$")]
-Instance = Annotated[str, QueryParameter(name="instance", pattern="^[0-9a-f]{16,64}$",
-                                         description="Drawn by the gateway at its start.")]
+Instance = Annotated[
+    str, QueryParameter(name="instance", pattern="^[0-9a-f]{16,64}$", description="Drawn by the gateway at its start.")
+]
 Number = Annotated[int, QueryParameter(ge=0, le=2**53)]
 
 
@@ -52,8 +53,14 @@
 
 
 @get("/v1/feed", responses=READ, operation_id="getFeed", tags=["feed"], opt={"feed": True})
-async def feed(request: Conn, gateway: Name, instance: Instance, epoch: Number = 0, version: Number = 0,
-               hold_ms: Annotated[int, QueryParameter(ge=0, le=HOLD_MOST)] = 0) -> Response[Any]:
+async def feed(
+    request: Conn,
+    gateway: Name,
+    instance: Instance,
+    epoch: Number = 0,
+    version: Number = 0,
+    hold_ms: Annotated[int, QueryParameter(ge=0, le=HOLD_MOST)] = 0,
+) -> Response[Any]:
     """What leads on from the version that a gateway holds: lines of JSON, or 204 after `hold_ms` without news.
 
     The question renews the gateway's lease and tells what it has applied. 409: the gateway is ahead, or its name is
@@ -81,8 +88,12 @@
 
 
 @get("/v1/gateways", responses=READ, operation_id="listGateways", tags=["feed"], opt={"tenant": OPERATORS})
-async def gateways(request: Conn, version: Annotated[str | None, QueryParameter(
-        pattern=r"^[0-9]{1,15}\.[0-9]{1,15}$", description="The newest if none is told.")] = None) -> Answer:
+async def gateways(
+    request: Conn,
+    version: Annotated[
+        str | None, QueryParameter(pattern=r"^[0-9]{1,15}\.[0-9]{1,15}$", description="The newest if none is told.")
+    ] = None,
+) -> Answer:
     """The gateways, and how far a version has come (operators)."""
     publisher, catalogue = publisher_of(request), service_of(request).catalogue
     now = publisher.now()
@@ -95,8 +106,16 @@
     def shown(found: list[Gateway]) -> list[GatewayView]:
         return [GatewayView(g.name, views.stamp(*g.holds), round(g.ends - now)) for g in found]
 
-    return answer(GatewaysView(views.stamp(*asked), progress.state, progress.applied, progress.counted,
-                               shown(publisher.members.counted(now)), shown(publisher.members.lost(now))))
+    return answer(
+        GatewaysView(
+            views.stamp(*asked),
+            progress.state,
+            progress.applied,
+            progress.counted,
+            shown(publisher.members.counted(now)),
+            shown(publisher.members.lost(now)),
+        )
+    )
 
 
 FEED: list[Any] = [feed, leave, gateways]
--- a/hallhitch/control/api/guard.py
+++ b/hallhitch/control/api/guard.py
@@ -71,8 +71,12 @@
             return receive
         key = headers.one("idempotency-key")
         if key is None or not KEY.fullmatch(key):
-            raise ProblemError(400, "no-idempotency-key",
-                               "A change needs a key of 1 to 200 visible ASCII characters.", "Idempotency-Key")
+            raise ProblemError(
+                400,
+                "no-idempotency-key",
+                "A change needs a key of 1 to 200 visible ASCII characters.",
+                "Idempotency-Key",
+            )
         body = await self._body(headers, receive)
         if body:
             kind = (headers.one("content-type") or "").partition(";")[0].strip().lower()
@@ -82,8 +86,13 @@
         state["raw"], state["key"] = body, key
         conditions = "\n".join(headers.one(name) or "" for name in ("if-match", "if-none-match"))
         asked = blake2b(digest_size=16)
-        for piece in (scope["method"].encode(), scope.get("raw_path") or scope["path"].encode(),
-                      scope["query_string"], conditions.encode(), body):
+        for piece in (
+            scope["method"].encode(),
+            scope.get("raw_path") or scope["path"].encode(),
+            scope["query_string"],
+            conditions.encode(),
+            body,
+        ):
             asked.update(b"%d:" % len(piece))
             asked.update(piece)
         state["asked"] = asked.digest()
@@ -190,6 +199,11 @@
     headers = problem.headers() | {"content-length": str(len(body))}
     if problem.status in (400, 413, 431):  # what follows on the connection may be the rest of it
         headers["connection"] = "close"
-    await send({"type": "http.response.start", "status": problem.status,
-                "headers": [(name.encode(), value.encode()) for name, value in headers.items()]})
+    await send(
+        {
+            "type": "http.response.start",
+            "status": problem.status,
+            "headers": [(name.encode(), value.encode()) for name, value in headers.items()],
+        }
+    )
     await send({"type": "http.response.body", "body": b"" if method == "HEAD" else body})
--- a/hallhitch/control/api/problems.py
+++ b/hallhitch/control/api/problems.py
@@ -11,8 +11,15 @@
 from hallhitch.hosting.changes import Refused
 
 MEDIA = "application/problem+json"
-STATUS = {"not-found": 404, "stale": 412, "unconditional": 428, "invalid": 422, "over-limit": 409, "in-use": 409,
-          "taken": 409}
+STATUS = {
+    "not-found": 404,
+    "stale": 412,
+    "unconditional": 428,
+    "invalid": 422,
+    "over-limit": 409,
+    "in-use": 409,
+    "taken": 409,
+}
 
 
 class Problem(Struct, frozen=True, omit_defaults=True):
@@ -35,9 +42,16 @@
 
     def body(self) -> bytes:
         """The answer's bytes."""
-        return msgspec.json.encode(Problem(
-            f"urn:hallhitch:problem:{self.code}", HTTPStatus(self.status).phrase, self.status, self.code,
-            self.detail, self.field))
+        return msgspec.json.encode(
+            Problem(
+                f"urn:hallhitch:problem:{self.code}",
+                HTTPStatus(self.status).phrase,
+                self.status,
+                self.code,
+                self.detail,
+                self.field,
+            )
+        )
 
     def headers(self) -> dict[str, str]:
         """The answer's own headers."""
--- a/hallhitch/control/api/resources.py
+++ b/hallhitch/control/api/resources.py
@@ -23,8 +23,15 @@
 from hallhitch.hosting.model import TYPES, Catalogue, Client, Credential, Head, Host, Kept, Kind, Plan, Scope, Verifier
 from hallhitch.hosting.names import OPERATORS, client_of
 
-Key = Annotated[str, HeaderParameter(name="Idempotency-Key", min_length=1, max_length=200,
-                               description="The same key and call give the first answer again, for 24 h.")]
+Key = Annotated[
+    str,
+    HeaderParameter(
+        name="Idempotency-Key",
+        min_length=1,
+        max_length=200,
+        description="The same key and call give the first answer again, for 24 h.",
+    ),
+]
 IfMatch = Annotated[str | None, HeaderParameter(name="If-Match", description="Entity tags of the thing, or *.")]
 IfNoneMatch = Annotated[str | None, HeaderParameter(name="If-None-Match", description="* if there must be none.")]
 After = Annotated[str, QueryParameter(name="after", max_length=253, description="The `next` of the page before.")]
@@ -37,14 +44,22 @@
     return ResponseSpec(Problem, generate_examples=False, description=text, media_type=MEDIA)
 
 
-READ = {400: _problem("What cannot be read."), 401: _problem("No credential that counts."),
-        404: _problem("Nothing there that the caller may see."), 429: _problem("Too many calls."),
-        503: _problem("Nothing can be looked up now.")}
+READ = {
+    400: _problem("What cannot be read."),
+    401: _problem("No credential that counts."),
+    404: _problem("Nothing there that the caller may see."),
+    429: _problem("Too many calls."),
+    503: _problem("Nothing can be looked up now."),
+}
 CHANGE = READ | {
-    403: _problem("Beyond the credential's scope."), 409: _problem("Contradicts what stands."),
-    412: _problem("The thing is not as If-Match or If-None-Match says."), 413: _problem("Too large a body."),
-    415: _problem("Another media type."), 422: _problem("A value that cannot be, or a key used for another call."),
-    428: _problem("A replace without If-Match.")}
+    403: _problem("Beyond the credential's scope."),
+    409: _problem("Contradicts what stands."),
+    412: _problem("The thing is not as If-Match or If-None-Match says."),
+    413: _problem("Too large a body."),
+    415: _problem("Another media type."),
+    422: _problem("A value that cannot be, or a key used for another call."),
+    428: _problem("A replace without If-Match."),
+}
 
 
 def allowed(connection: ASGIConnection[Any, Any, Any, Any], handler: BaseRouteHandler) -> None:
@@ -65,8 +80,9 @@
         raise ProblemError(403, "beyond-scope", "This credential may not do that.")
 
 
-def listed(request: Conn, tenant: str, kind: Kind, after: str, limit: int, prefix: str) -> tuple[
-        list[tuple[str, Kept]], str | None]:
+def listed(
+    request: Conn, tenant: str, kind: Kind, after: str, limit: int, prefix: str
+) -> tuple[list[tuple[str, Kept]], str | None]:
     """A page of one kind of a tenant's things."""
     part = service_of(request).catalogue.tenants.get(tenant)
     if part is None:
@@ -89,13 +105,15 @@
     opt = {"kind": Kind.TENANT}
 
     @get("/", responses=READ, operation_id="listTenants")
-    async def list(self, request: Conn, after: After = "", limit: Limit = 100, prefix: Prefix = "") -> Response[
-            views.TenantPage]:
+    async def list(
+        self, request: Conn, after: After = "", limit: Limit = 100, prefix: Prefix = ""
+    ) -> Response[views.TenantPage]:
         """The tenants that the caller may see."""
         catalogue, caller = service_of(request).catalogue, caller_of(request)
         seen = catalogue.tenants if caller.scope is Scope.OPERATOR else [caller.tenant]
         names, following = calls.page(
-            seen, after, limit, lambda name: name.startswith(prefix) and name in catalogue.tenants)
+            seen, after, limit, lambda name: name.startswith(prefix) and name in catalogue.tenants
+        )
         items = [views.tenant_view(catalogue, name, catalogue.tenants[name]) for name in names]
         return answer(views.TenantPage(items, following))
 
@@ -105,14 +123,22 @@
         return calls.read(request, Target(tenant, Kind.TENANT, tenant))
 
     @put("/{tenant:str}", responses=CHANGE, operation_id="putTenant", opt={"write": True})
-    async def put(self, request: Conn, tenant: str, data: Head, key: Key, if_match: IfMatch = None,
-                  if_none_match: IfNoneMatch = None) -> Response[views.TenantView]:
+    async def put(
+        self,
+        request: Conn,
+        tenant: str,
+        data: Head,
+        key: Key,
+        if_match: IfMatch = None,
+        if_none_match: IfNoneMatch = None,
+    ) -> Response[views.TenantView]:
         """Create or replace a tenant's own entry (operators)."""
         return await calls.put(request, Target(tenant, Kind.TENANT, tenant), data)
 
     @patch("/{tenant:str}", responses=CHANGE, operation_id="patchTenant", opt={"write": True})
-    async def patch(self, request: Conn, tenant: str, data: dict[str, Any], key: Key,
-                    if_match: IfMatch = None) -> Response[views.TenantView]:
+    async def patch(
+        self, request: Conn, tenant: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
+    ) -> Response[views.TenantView]:
         """Merge into a tenant's own entry (operators)."""
         return await calls.patch(request, Target(tenant, Kind.TENANT, tenant))
 
@@ -121,10 +147,16 @@
         """Drop a tenant with all it has (operators)."""
         return await calls.delete(request, Target(tenant, Kind.TENANT, tenant))
 
-    @post("/{tenant:str}/changes", responses=CHANGE, operation_id="changeTenant", status_code=200,
-          opt={"write": True, "kind": Kind.PLAN})
-    async def changes(self, request: Conn, tenant: str, data: views.ChangesBody, key: Key) -> Response[
-            views.ChangedView]:
+    @post(
+        "/{tenant:str}/changes",
+        responses=CHANGE,
+        operation_id="changeTenant",
+        status_code=200,
+        opt={"write": True, "kind": Kind.PLAN},
+    )
+    async def changes(
+        self, request: Conn, tenant: str, data: views.ChangesBody, key: Key
+    ) -> Response[views.ChangedView]:
         """Several edits of one tenant, all or none."""
         caller = caller_of(request)
         for number, edit in enumerate(data.edits):
@@ -136,7 +168,8 @@
 
         def plan(catalogue: Catalogue, now: int) -> Planned:
             if tenant not in catalogue.tenants and not (
-                    data.edits[0].kind is Kind.TENANT and data.edits[0].value is not None):
+                data.edits[0].kind is Kind.TENANT and data.edits[0].value is not None
+            ):
                 raise Refused("not-found", "", "there is no such tenant")
             made = Change(tenant, tuple(_edit(catalogue, edit, f"edits[{n}]") for n, edit in enumerate(data.edits)))
 
@@ -174,8 +207,9 @@
     opt = {"kind": Kind.PLAN}
 
     @get("/", responses=READ, operation_id="listPlans")
-    async def list(self, request: Conn, tenant: str, after: After = "", limit: Limit = 100,
-                   prefix: Prefix = "") -> Response[views.PlanPage]:
+    async def list(
+        self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
+    ) -> Response[views.PlanPage]:
         """The tenant's plans."""
         things, following = listed(request, tenant, Kind.PLAN, after, limit, prefix)
         catalogue = service_of(request).catalogue
@@ -187,14 +221,23 @@
         return calls.read(request, Target(tenant, Kind.PLAN, name))
 
     @put("/{name:str}", responses=CHANGE, operation_id="putPlan", opt={"write": True})
-    async def put(self, request: Conn, tenant: str, name: str, data: Plan, key: Key, if_match: IfMatch = None,
-                  if_none_match: IfNoneMatch = None) -> Response[views.PlanView]:
+    async def put(
+        self,
+        request: Conn,
+        tenant: str,
+        name: str,
+        data: Plan,
+        key: Key,
+        if_match: IfMatch = None,
+        if_none_match: IfNoneMatch = None,
+    ) -> Response[views.PlanView]:
         """Create or replace a plan."""
         return await calls.put(request, Target(tenant, Kind.PLAN, name), data)
 
     @patch("/{name:str}", responses=CHANGE, operation_id="patchPlan", opt={"write": True})
-    async def patch(self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key,
-                    if_match: IfMatch = None) -> Response[views.PlanView]:
+    async def patch(
+        self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
+    ) -> Response[views.PlanView]:
         """Merge into a plan."""
         return await calls.patch(request, Target(tenant, Kind.PLAN, name))
 
@@ -212,9 +255,16 @@
     opt = {"kind": Kind.CLIENT}
 
     @get("/", responses=READ, operation_id="listClients")
-    async def list(self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = "",
-                   plan: Annotated[str | None, QueryParameter(name="plan", max_length=64)] = None,
-                   on: Annotated[bool | None, QueryParameter(name="on")] = None) -> Response[views.ClientPage]:
+    async def list(
+        self,
+        request: Conn,
+        tenant: str,
+        after: After = "",
+        limit: Limit = 100,
+        prefix: Prefix = "",
+        plan: Annotated[str | None, QueryParameter(name="plan", max_length=64)] = None,
+        on: Annotated[bool | None, QueryParameter(name="on")] = None,
+    ) -> Response[views.ClientPage]:
         """The tenant's clients, all or those on a plan, on or off."""
         catalogue = service_of(request).catalogue
         part = catalogue.tenants.get(tenant)
@@ -235,14 +285,23 @@
         return calls.read(request, Target(tenant, Kind.CLIENT, client_of(name)))
 
     @put("/{name:str}", responses=CHANGE, operation_id="putClient", opt={"write": True})
-    async def put(self, request: Conn, tenant: str, name: str, data: Client, key: Key, if_match: IfMatch = None,
-                  if_none_match: IfNoneMatch = None) -> Response[views.ClientView]:
+    async def put(
+        self,
+        request: Conn,
+        tenant: str,
+        name: str,
+        data: Client,
+        key: Key,
+        if_match: IfMatch = None,
+        if_none_match: IfNoneMatch = None,
+    ) -> Response[views.ClientView]:
         """Create or replace a client."""
         return await calls.put(request, Target(tenant, Kind.CLIENT, client_of(name)), data)
 
     @patch("/{name:str}", responses=CHANGE, operation_id="patchClient", opt={"write": True})
-    async def patch(self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key,
-                    if_match: IfMatch = None) -> Response[views.ClientView]:
+    async def patch(
+        self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
+    ) -> Response[views.ClientView]:
         """Merge into a client."""
         return await calls.patch(request, Target(tenant, Kind.CLIENT, client_of(name)))
 
@@ -260,8 +319,9 @@
     opt = {"kind": Kind.HOST}
 
     @get("/", responses=READ, operation_id="listHosts")
-    async def list(self, request: Conn, tenant: str, after: After = "", limit: Limit = 100,
-                   prefix: Prefix = "") -> Response[views.HostPage]:
+    async def list(
+        self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
+    ) -> Response[views.HostPage]:
         """The tenant's host names."""
         things, following = listed(request, tenant, Kind.HOST, after, limit, prefix)
         catalogue = service_of(request).catalogue
@@ -273,8 +333,16 @@
         return calls.read(request, Target(tenant, Kind.HOST, name.lower()))
 
     @put("/{name:str}", responses=CHANGE, operation_id="putHost", opt={"write": True})
-    async def put(self, request: Conn, tenant: str, name: str, data: Host, key: Key, if_match: IfMatch = None,
-                  if_none_match: IfNoneMatch = None) -> Response[views.HostView]:
+    async def put(
+        self,
+        request: Conn,
+        tenant: str,
+        name: str,
+        data: Host,
+        key: Key,
+        if_match: IfMatch = None,
+        if_none_match: IfNoneMatch = None,
+    ) -> Response[views.HostView]:
         """Give a tenant a host name (operators)."""
         return await calls.put(request, Target(tenant, Kind.HOST, name.lower()), data)
 
@@ -314,12 +382,18 @@
         if value.certificate is not None:
             raise Refused("invalid", "certificate", "a certificate has no secret to rotate")
         until = now + data.overlap_seconds * 1000
-        older = tuple(Verifier(v.hash, until if v.until is None else min(v.until, until))
-                      for v in value.verifiers[:1] if data.overlap_seconds)
+        older = tuple(
+            Verifier(v.hash, until if v.until is None else min(v.until, until))
+            for v in value.verifiers[:1]
+            if data.overlap_seconds
+        )
         fresh = Verifier(hashes[Scope.CLIENT if value.scope is Scope.CLIENT else Scope.ADMIN])
         made = msgspec.structs.replace(value, verifiers=(fresh, *older))
-        return Planned(Change(tenant, (Edit(Kind.CREDENTIAL, name, made),)),
-                       lambda after: calls.shown(after, target, 200, str(Token(tenant, name, secret))), True)
+        return Planned(
+            Change(tenant, (Edit(Kind.CREDENTIAL, name, made),)),
+            lambda after: calls.shown(after, target, 200, str(Token(tenant, name, secret))),
+            True,
+        )
 
     return await calls.submit(request, tenant, plan)
 
@@ -338,13 +412,15 @@
     opt = {"kind": Kind.CREDENTIAL}
 
     @get("/", responses=READ, operation_id="listCredentials")
-    async def list(self, request: Conn, tenant: str, after: After = "", limit: Limit = 100,
-                   prefix: Prefix = "") -> Response[views.CredentialPage]:
+    async def list(
+        self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
+    ) -> Response[views.CredentialPage]:
         """The tenant's credentials, without their secrets."""
         things, following = listed(request, tenant, Kind.CREDENTIAL, after, limit, prefix)
         catalogue = service_of(request).catalogue
-        return answer(views.CredentialPage(
-            [views.view(catalogue, Kind.CREDENTIAL, *thing) for thing in things], following))
+        return answer(
+            views.CredentialPage([views.view(catalogue, Kind.CREDENTIAL, *thing) for thing in things], following)
+        )
 
     @get("/{name:str}", responses=READ, operation_id="getCredential")
     async def get(self, request: Conn, tenant: str, name: str) -> Response[views.CredentialView]:
@@ -352,21 +428,30 @@
         return calls.read(request, Target(tenant, Kind.CREDENTIAL, name))
 
     @put("/{name:str}", responses=CHANGE, operation_id="putCredential", opt={"write": True})
-    async def put(self, request: Conn, tenant: str, name: str, data: views.CredentialBody, key: Key,
-                  if_match: IfMatch = None, if_none_match: IfNoneMatch = None) -> Response[views.CredentialView]:
+    async def put(
+        self,
+        request: Conn,
+        tenant: str,
+        name: str,
+        data: views.CredentialBody,
+        key: Key,
+        if_match: IfMatch = None,
+        if_none_match: IfNoneMatch = None,
+    ) -> Response[views.CredentialView]:
         """Issue a credential; the answer holds its token."""
         return await issue(request, tenant, name, data)
 
     @patch("/{name:str}", responses=CHANGE, operation_id="patchCredential", opt={"write": True})
-    async def patch(self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key,
-                    if_match: IfMatch = None) -> Response[views.CredentialView]:
+    async def patch(
+        self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
+    ) -> Response[views.CredentialView]:
         """Set or lift a credential's end."""
         return await calls.patch(request, Target(tenant, Kind.CREDENTIAL, name), _fold_credential)
 
-    @post("/{name:str}/rotate", responses=CHANGE, operation_id="rotateCredential", opt={"write": True},
-          status_code=200)
-    async def rotate(self, request: Conn, tenant: str, name: str, data: views.RotateBody, key: Key,
-                     if_match: IfMatch = None) -> Response[views.CredentialView]:
+    @post("/{name:str}/rotate", responses=CHANGE, operation_id="rotateCredential", opt={"write": True}, status_code=200)
+    async def rotate(
+        self, request: Conn, tenant: str, name: str, data: views.RotateBody, key: Key, if_match: IfMatch = None
+    ) -> Response[views.CredentialView]:
         """A new secret; the one before counts for the overlap."""
         return await rotate(request, tenant, name, data)
 
@@ -384,8 +469,9 @@
     opt = {"kind": Kind.CREDENTIAL, "tenant": OPERATORS}
 
     @get("/", responses=READ, operation_id="listOperators")
-    async def list(self, request: Conn, after: After = "", limit: Limit = 100,
-                   prefix: Prefix = "") -> Response[views.CredentialPage]:
+    async def list(
+        self, request: Conn, after: After = "", limit: Limit = 100, prefix: Prefix = ""
+    ) -> Response[views.CredentialPage]:
         """The operators' credentials, without their secrets."""
         catalogue = service_of(request).catalogue
         names, following = calls.page(catalogue.operators, after, limit, lambda name: name.startswith(prefix))
@@ -398,14 +484,22 @@
         return calls.read(request, Target(OPERATORS, Kind.CREDENTIAL, name))
 
     @put("/{name:str}", responses=CHANGE, operation_id="putOperator", opt={"write": True})
-    async def put(self, request: Conn, name: str, data: views.CredentialBody, key: Key, if_match: IfMatch = None,
-                  if_none_match: IfNoneMatch = None) -> Response[views.CredentialView]:
+    async def put(
+        self,
+        request: Conn,
+        name: str,
+        data: views.CredentialBody,
+        key: Key,
+        if_match: IfMatch = None,
+        if_none_match: IfNoneMatch = None,
+    ) -> Response[views.CredentialView]:
         """Issue an operator's credential, by secret or by client certificate."""
         return await issue(request, OPERATORS, name, data)
 
     @post("/{name:str}/rotate", responses=CHANGE, operation_id="rotateOperator", opt={"write": True}, status_code=200)
-    async def rotate(self, request: Conn, name: str, data: views.RotateBody, key: Key,
-                     if_match: IfMatch = None) -> Response[views.CredentialView]:
+    async def rotate(
+        self, request: Conn, name: str, data: views.RotateBody, key: Key, if_match: IfMatch = None
+    ) -> Response[views.CredentialView]:
         """A new secret; the one before counts for the overlap."""
         return await rotate(request, OPERATORS, name, data)
 
@@ -415,22 +509,26 @@
         return await calls.delete(request, Target(OPERATORS, Kind.CREDENTIAL, name))
 
 
-Before = Annotated[str, QueryParameter(name="after", pattern="^[0-9]{0,18}$",
-                                       description="The `next` of the page before.")]
+Before = Annotated[
+    str, QueryParameter(name="after", pattern="^[0-9]{0,18}$", description="The `next` of the page before.")
+]
 
 
 async def _audits(request: Conn, tenant: str | None, after: str, limit: int) -> Answer:
     store: SqliteStore = request.app.state.store
     before = int(after) if after else 2**62
     found = await asyncio.to_thread(store.audits, tenant, before, limit + 1)
-    items = [views.AuditView(a.id, a.at, a.tenant, a.actor, a.action, a.status,
-                             views.stamp(a.epoch, a.version) if a.version else None) for a in found[:limit]]
+    items = [
+        views.AuditView(
+            a.id, a.at, a.tenant, a.actor, a.action, a.status, views.stamp(a.epoch, a.version) if a.version else None
+        )
+        for a in found[:limit]
+    ]
     return answer(views.AuditPage(items, str(items[-1].id) if len(found) > limit else None))
 
 
 @get("/v1/tenants/{tenant:str}/audit", responses=READ, operation_id="listTenantAudit", tags=["audit"])
-async def tenant_audit(request: Conn, tenant: str, after: Before = "", limit: Limit = 100) -> Response[
-        views.AuditPage]:
+async def tenant_audit(request: Conn, tenant: str, after: Before = "", limit: Limit = 100) -> Response[views.AuditPage]:
     """What was decided about a tenant, newest first."""
     if tenant not in service_of(request).catalogue.tenants and caller_of(request).scope is not Scope.OPERATOR:
         raise hidden()
@@ -452,8 +550,15 @@
     tenant = None if caller.scope is Scope.OPERATOR else caller.tenant
     if written is None or (tenant is not None and written.tenant != tenant):
         raise hidden()
-    return answer(views.VersionView(views.stamp(written.epoch, written.version), written.at, written.tenant,
-                                    written.actor, views.rows_view(written.diff, tenant)))
+    return answer(
+        views.VersionView(
+            views.stamp(written.epoch, written.version),
+            written.at,
+            written.tenant,
+            written.actor,
+            views.rows_view(written.diff, tenant),
+        )
+    )
 
 
 @get("/v1/status", responses=READ, operation_id="getStatus", tags=["versions"], opt={"tenant": OPERATORS})
@@ -463,5 +568,4 @@
     return answer(views.StatusView(views.stamp(catalogue.epoch, catalogue.version), len(catalogue.tenants)))
 
 
-HANDLERS: list[Any] = [
-    Tenants, Plans, Clients, Hosts, Credentials, Operators, tenant_audit, audit, version, status]
+HANDLERS: list[Any] = [Tenants, Plans, Clients, Hosts, Credentials, Operators, tenant_audit, audit, version, status]
--- a/hallhitch/control/api/views.py
+++ b/hallhitch/control/api/views.py
@@ -226,24 +226,35 @@
     """A tenant as its view."""
     head: Head = part.head.value
     uses = Uses(len(part.clients), len(part.plans), len(part.hosts), len(part.credentials), part.rate)
-    return TenantView(head.on, head.limits, name=name, version=stamp(catalogue.epoch, part.head.version),
-                      part_version=stamp(catalogue.epoch, part.version), uses=uses)
+    return TenantView(
+        head.on,
+        head.limits,
+        name=name,
+        version=stamp(catalogue.epoch, part.head.version),
+        part_version=stamp(catalogue.epoch, part.version),
+        uses=uses,
+    )
 
 
 def credential_view(name: str, version: str, value: Credential, token: str | None = None) -> CredentialView:
     """A credential as its view."""
     older = [v.until for v in value.verifiers[1:] if v.until is not None]
-    return CredentialView(name, version, value.scope, value.client, value.expires, value.certificate,
-                          max(older, default=None), token)
+    return CredentialView(
+        name, version, value.scope, value.client, value.expires, value.certificate, max(older, default=None), token
+    )
 
 
 def rows_view(diff: Diff, tenant: str | None) -> list[RowView]:
     """What a version touched, of one tenant or (None) of all."""
-    rows = [RowView(gone, Kind.TENANT, gone, None) for gone in diff.reset
-            if gone not in diff.parts and tenant in (None, gone)]
+    rows = [
+        RowView(gone, Kind.TENANT, gone, None)
+        for gone in diff.reset
+        if gone not in diff.parts and tenant in (None, gone)
+    ]
     for row in diff.rows:
         if tenant in (None, row.tenant):
-            shown = None if row.value is None else (
-                {} if row.kind is Kind.CREDENTIAL else msgspec.to_builtins(row.value))
+            shown = (
+                None if row.value is None else ({} if row.kind is Kind.CREDENTIAL else msgspec.to_builtins(row.value))
+            )
             rows.append(RowView(row.tenant, row.kind, row.name, shown))
     return rows
--- a/hallhitch/control/backups.py
+++ b/hallhitch/control/backups.py
@@ -97,8 +97,10 @@
         epoch = max(epoch, int(time.time()))
         half = folder / HALF
         half.unlink(missing_ok=True)
-        with contextlib.closing(connect(source, readonly=True)) as old, \
-                contextlib.closing(sqlite3.connect(half, isolation_level=None)) as db:
+        with (
+            contextlib.closing(connect(source, readonly=True)) as old,
+            contextlib.closing(sqlite3.connect(half, isolation_level=None)) as db,
+        ):
             old.backup(db)
             migrate(db, half)
             made = _advance(db, found.catalogue, epoch)
@@ -124,9 +126,8 @@
     rows: list[Row] = list(rows_of(made))
     pieces = 0
     for start in range(0, len(rows), PIECE):
-        body = encode_rows(rows[start:start + PIECE])
-        db.execute("INSERT INTO piece VALUES (?,?,?,?)",
-                   (last + 1, pieces, body, digest_of(last + 1, pieces, body)))
+        body = encode_rows(rows[start : start + PIECE])
+        db.execute("INSERT INTO piece VALUES (?,?,?,?)", (last + 1, pieces, body, digest_of(last + 1, pieces, body)))
         pieces += 1
     write_snapshot_head(db, last + 1, made, pieces)
     db.execute("COMMIT")
@@ -137,8 +138,9 @@
     """The epoch of what stands in a folder, as far as it can be read."""
     try:
         with contextlib.closing(connect(folder / FILE, readonly=True)) as db:
-            row = db.execute("SELECT max(epoch) FROM (SELECT epoch FROM change UNION ALL "
-                             "SELECT epoch FROM snapshot)").fetchone()
+            row = db.execute(
+                "SELECT max(epoch) FROM (SELECT epoch FROM change UNION ALL SELECT epoch FROM snapshot)"
+            ).fetchone()
             return int(row[0] or 0)
     except (StoreError, sqlite3.Error):  # what cannot be read is why one restores
         return 0
--- a/hallhitch/control/serve.py
+++ b/hallhitch/control/serve.py
@@ -99,12 +99,20 @@
 
         def connection() -> asyncio.Protocol:
             made: asyncio.Protocol = self.config.http_protocol_class(  # type: ignore[call-arg]
-                config=self.config, server_state=self.server_state, app_state=self.lifespan.state)
+                config=self.config, server_state=self.server_state, app_state=self.lifespan.state
+            )
             return made
 
-        self.servers = [await asyncio.get_running_loop().create_server(
-            connection, sock=self._listener, ssl=self._context, ssl_handshake_timeout=HANDSHAKE,
-            ssl_shutdown_timeout=FAREWELL, backlog=1024)]
+        self.servers = [
+            await asyncio.get_running_loop().create_server(
+                connection,
+                sock=self._listener,
+                ssl=self._context,
+                ssl_handshake_timeout=HANDSHAKE,
+                ssl_shutdown_timeout=FAREWELL,
+                backlog=1024,
+            )
+        ]
         self.started = True
 
     @contextlib.contextmanager
@@ -120,8 +128,9 @@
     try:
         found = store.load()
         clock = WallClock(found.at)
-        writer = Writer(store, found.catalogue, found.history, clock, keys, settings.store.snapshot_each,
-                        settings.store.keep)
+        writer = Writer(
+            store, found.catalogue, found.history, clock, keys, settings.store.snapshot_each, settings.store.keep
+        )
         ca = settings.tls.client_ca
         certificates = Certificates(settings.path(settings.tls.folder, file), settings.path(ca, file) if ca else None)
         listener = listen(address_of(settings.api.listen))
@@ -142,11 +151,17 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end)
     loop.add_signal_handler(signal.SIGHUP, certificates.reload)
-    chores = [loop.create_task(_look(certificates, settings.tls.look_seconds)),
-              loop.create_task(_hourly(writer))]
-    log.info("serving", listen=settings.api.listen, epoch=found.catalogue.epoch, version=found.catalogue.version,
-             tenants=len(found.catalogue.tenants), replayed=found.replayed, names=certificates.names,
-             start_ms=round((time.monotonic() - began) * 1000))
+    chores = [loop.create_task(_look(certificates, settings.tls.look_seconds)), loop.create_task(_hourly(writer))]
+    log.info(
+        "serving",
+        listen=settings.api.listen,
+        epoch=found.catalogue.epoch,
+        version=found.catalogue.version,
+        tenants=len(found.catalogue.tenants),
+        replayed=found.replayed,
+        names=certificates.names,
+        start_ms=round((time.monotonic() - began) * 1000),
+    )
     await server.serve()
     for chore in chores:
         chore.cancel()
@@ -164,9 +179,19 @@
     quiet.addHandler(logging.NullHandler())  # what it has to say is counted here
     protocol = type("BoundedProtocol", (Bounded,), {"bounds": api})
     config = uvicorn.Config(
-        app, http=protocol, ws="none", lifespan="off", log_config=None, access_log=False, server_header=False,
-        date_header=False, h11_max_incomplete_event_size=api.head_kib * 1024, timeout_keep_alive=api.idle_seconds,
-        timeout_graceful_shutdown=int(ENDING), proxy_headers=False)
+        app,
+        http=protocol,
+        ws="none",
+        lifespan="off",
+        log_config=None,
+        access_log=False,
+        server_header=False,
+        date_header=False,
+        h11_max_incomplete_event_size=api.head_kib * 1024,
+        timeout_keep_alive=api.idle_seconds,
+        timeout_graceful_shutdown=int(ENDING),
+        proxy_headers=False,
+    )
     return Server(config, listener, certificates.context)
 
 
--- a/hallhitch/control/store.py
+++ b/hallhitch/control/store.py
@@ -175,8 +175,9 @@
         raise StoreError(f"{path}: there is no store; 'hallhitch control init' makes one")
     try:
         mode = "rwc" if create else "ro" if readonly else "rw"
-        db = sqlite3.connect(f"file:{path}?mode={mode}", uri=True, isolation_level=None, timeout=WAIT,
-                             check_same_thread=False)
+        db = sqlite3.connect(
+            f"file:{path}?mode={mode}", uri=True, isolation_level=None, timeout=WAIT, check_same_thread=False
+        )
         if not readonly:
             db.execute("PRAGMA journal_mode=WAL")
             db.execute("PRAGMA synchronous=FULL")
@@ -212,7 +213,8 @@
     def answer(self, actor: str, key: str) -> Answer | None:
         """What was answered to this key, if it is still kept."""
         row = self._db.execute(
-            "SELECT at, asked, body, digest FROM answer WHERE actor=? AND key=?", (actor, key)).fetchone()
+            "SELECT at, asked, body, digest FROM answer WHERE actor=? AND key=?", (actor, key)
+        ).fetchone()
         if row is None:
             return None
         if digest(actor, key, *row[:3]) != row[3]:
@@ -234,18 +236,23 @@
             self._db.execute("DELETE FROM part WHERE tenant=?", (gone,))
         for row in diff.rows:
             if row.value is None:
-                self._db.execute("DELETE FROM row WHERE tenant=? AND kind=? AND name=?",
-                                 (row.tenant, row.kind.value, row.name))
+                self._db.execute(
+                    "DELETE FROM row WHERE tenant=? AND kind=? AND name=?", (row.tenant, row.kind.value, row.name)
+                )
             else:
-                self._db.execute("INSERT OR REPLACE INTO row VALUES (?,?,?,?,?)",
-                                 (row.tenant, row.kind.value, row.name, row.version, row.bytes()))
+                self._db.execute(
+                    "INSERT OR REPLACE INTO row VALUES (?,?,?,?,?)",
+                    (row.tenant, row.kind.value, row.name, row.version, row.bytes()),
+                )
         for name, (born, version) in diff.parts.items():
             self._db.execute("INSERT OR REPLACE INTO part VALUES (?,?,?)", (name, born, version))
 
     def audit(self, entry: Audited) -> None:
         """Write a line of the audit; its id is the store's."""
-        self._db.execute("INSERT INTO audit VALUES (NULL,?,?,?,?,?,?,?)", (
-            entry.at, entry.tenant, entry.actor, entry.action, entry.status, entry.epoch, entry.version))
+        self._db.execute(
+            "INSERT INTO audit VALUES (NULL,?,?,?,?,?,?,?)",
+            (entry.at, entry.tenant, entry.actor, entry.action, entry.status, entry.epoch, entry.version),
+        )
 
 
 class SqliteStore:
@@ -291,28 +298,31 @@
         """Epoch and version of the last change or snapshot on disk."""
         row = self._db.execute(
             "SELECT epoch, version FROM (SELECT epoch, version FROM change UNION ALL "
-            "SELECT epoch, version FROM snapshot) ORDER BY epoch DESC, version DESC LIMIT 1").fetchone()
+            "SELECT epoch, version FROM snapshot) ORDER BY epoch DESC, version DESC LIMIT 1"
+        ).fetchone()
         return (row[0], row[1]) if row else (0, 0)
 
     def change(self, epoch: int, version: int) -> Written | None:
         """One change of the log, if it is still kept."""
-        row = self._reader.execute("SELECT * FROM change WHERE epoch=? AND version=?",
-                                   (epoch, version)).fetchone()
+        row = self._reader.execute("SELECT * FROM change WHERE epoch=? AND version=?", (epoch, version)).fetchone()
         return _written(row) if row else None
 
     def audits(self, tenant: str | None, before: int, most: int) -> list[Audited]:
         """Lines of the audit, newest first; `tenant` None means all."""
         where, values = ("", ()) if tenant is None else ("tenant=? AND ", (tenant,))
         rows = self._reader.execute(
-            f"SELECT * FROM audit WHERE {where}id<? ORDER BY id DESC LIMIT ?", (*values, before, most))
+            f"SELECT * FROM audit WHERE {where}id<? ORDER BY id DESC LIMIT ?", (*values, before, most)
+        )
         return [Audited(*row) for row in rows]
 
     def keep_piece(self, snapshot: int, number: int, rows: list[Row]) -> None:
         """Write a piece of a snapshot that does not count before `keep_snapshot`."""
         body = encode_rows(rows)
         with self.batch():
-            self._db.execute("INSERT OR REPLACE INTO piece VALUES (?,?,?,?)",
-                             (snapshot, number, body, digest(snapshot, number, body)))
+            self._db.execute(
+                "INSERT OR REPLACE INTO piece VALUES (?,?,?,?)",
+                (snapshot, number, body, digest(snapshot, number, body)),
+            )
 
     def keep_snapshot(self, snapshot: int, catalogue: Catalogue, pieces: int, keep: int) -> None:
         """Let a snapshot count from now on; drop older ones, and the log but for the last `keep` before it."""
@@ -320,8 +330,9 @@
             write_snapshot_head(self._db, snapshot, catalogue, pieces)
             self._db.execute("DELETE FROM snapshot WHERE id<>?", (snapshot,))
             self._db.execute("DELETE FROM piece WHERE snapshot<>?", (snapshot,))
-            self._db.execute("DELETE FROM change WHERE epoch=? AND version<=?",
-                             (catalogue.epoch, catalogue.version - keep))
+            self._db.execute(
+                "DELETE FROM change WHERE epoch=? AND version<=?", (catalogue.epoch, catalogue.version - keep)
+            )
 
     def forget_answers(self, before: int) -> int:
         """Drop answers older than this; how many went."""
@@ -353,8 +364,7 @@
 
 def encode_parts(catalogue: Catalogue) -> bytes:
     """Each tenant's born and version, as bytes."""
-    return "\n".join(f"{name} {part.born} {part.version}"
-                     for name, part in sorted(catalogue.tenants.items())).encode()
+    return "\n".join(f"{name} {part.born} {part.version}" for name, part in sorted(catalogue.tenants.items())).encode()
 
 
 def _written(row: tuple[Any, ...]) -> Written:
@@ -419,7 +429,8 @@
     def rows() -> Iterator[Row]:
         number = 0
         for number, body, piece in db.execute(  # noqa: B007
-                "SELECT number, body, digest FROM piece WHERE snapshot=? ORDER BY number", (id,)):
+            "SELECT number, body, digest FROM piece WHERE snapshot=? ORDER BY number", (id,)
+        ):
             if digest(id, number, body) != piece:
                 raise Damaged(f"table piece, snapshot {id}, number {number}: the checksum does not fit")
             yield from decode_rows(body)
@@ -427,8 +438,9 @@
     (found,) = db.execute("SELECT count(*) FROM piece WHERE snapshot=?", (id,)).fetchone()
     if found != pieces:
         raise Damaged(f"table piece, snapshot {id}: {found} pieces in place of {pieces}")
-    told = {name: (int(born), int(last)) for name, born, last in (
-        line.split(" ") for line in parts.decode().splitlines())}
+    told = {
+        name: (int(born), int(last)) for name, born, last in (line.split(" ") for line in parts.decode().splitlines())
+    }
     try:
         catalogue = build(epoch, version, rows(), told)
     except (ValueError, KeyError) as error:
--- a/hallhitch/control/writer.py
+++ b/hallhitch/control/writer.py
@@ -97,8 +97,14 @@
     """Owns the newest catalogue and the way to the next one."""
 
     def __init__(
-        self, store: SqliteStore, catalogue: Catalogue, history: History, clock: WallClock, keys: Keys,
-        snapshot_each: int = SNAPSHOT_EACH, keep: int = KEEP,
+        self,
+        store: SqliteStore,
+        catalogue: Catalogue,
+        history: History,
+        clock: WallClock,
+        keys: Keys,
+        snapshot_each: int = SNAPSHOT_EACH,
+        keep: int = KEEP,
     ) -> None:
         self.catalogue, self.history = catalogue, history
         self._store, self._clock, self._keys = store, clock, keys
@@ -204,7 +210,8 @@
             if self._halted:
                 raise Halted(self._halted)
             catalogue, outcomes, diffs = await self._in_thread(
-                self._commit, [call for call, _ in batch], self.catalogue, self._clock.now())
+                self._commit, [call for call, _ in batch], self.catalogue, self._clock.now()
+            )
             for diff in diffs:
                 self.history.add(diff)
             if catalogue is not self.catalogue:
@@ -240,8 +247,10 @@
             log.error("the store cannot be read", error=str(error))
             return  # each further batch tries again, and fails whole
         if newest not in ((self.catalogue.epoch, self.catalogue.version), (0, 0)):
-            self._halted = f"the store is at {newest[0]}.{newest[1]}, this process at " \
-                           f"{self.catalogue.epoch}.{self.catalogue.version}"
+            self._halted = (
+                f"the store is at {newest[0]}.{newest[1]}, this process at "
+                f"{self.catalogue.epoch}.{self.catalogue.version}"
+            )
             log.critical("no changes until a restart", reason=self._halted)
 
     def _commit(self, calls: list[Call], catalogue: Catalogue, now: int) -> _Done:
@@ -255,7 +264,12 @@
         return catalogue, outcomes, diffs
 
     def _decide(
-        self, batch: Batch, call: Call, catalogue: Catalogue, now: int, diffs: list[Diff],
+        self,
+        batch: Batch,
+        call: Call,
+        catalogue: Catalogue,
+        now: int,
+        diffs: list[Diff],
     ) -> tuple[Catalogue, Outcome]:
         """One call: the catalogue it leaves and its answer."""
         # The credential was checked when the call came in; what counts is that it does when the change is made.
@@ -281,8 +295,7 @@
         body = self._keys.seal(reply.body, f"{call.caller.name} {call.key}") if sealed else reply.body
         packed = _pack(_Kept(reply.status, reply.headers, body, sealed))
         batch.keep_answer(call.caller.name, call.key, Answer(now, call.asked, packed))
-        batch.audit(Audited(0, now, call.tenant, call.caller.name, call.action, reply.status,
-                            catalogue.epoch, version))
+        batch.audit(Audited(0, now, call.tenant, call.caller.name, call.action, reply.status, catalogue.epoch, version))
         return catalogue, reply
 
     def _again(self, call: Call, kept: Answer) -> Outcome:
--- a/hallhitch/core/module.py
+++ b/hallhitch/core/module.py
@@ -50,7 +50,11 @@
     counter: CounterPort
 
     def __init__(
-        self, gateway: Gateway, deadlines: Deadlines, scheduler: Scheduler, name: str = "module",
+        self,
+        gateway: Gateway,
+        deadlines: Deadlines,
+        scheduler: Scheduler,
+        name: str = "module",
         batch: int = 0,
     ) -> None:
         super().__init__(name, scheduler, most=65_536)
@@ -63,9 +67,21 @@
     # What fronts and transports tell.
 
     def begin(
-        self, customer: str, plan: int, klass: int, deadline: float, answer: AnswerPort, payload: object,
-        *, units: float = 1.0, spread: float = 1.0, write: bool = False, repeat: bool = False,
-        kind: api.RequestClass | None = None, coming: bool = False, waited: float = 0.0,
+        self,
+        customer: str,
+        plan: int,
+        klass: int,
+        deadline: float,
+        answer: AnswerPort,
+        payload: object,
+        *,
+        units: float = 1.0,
+        spread: float = 1.0,
+        write: bool = False,
+        repeat: bool = False,
+        kind: api.RequestClass | None = None,
+        coming: bool = False,
+        waited: float = 0.0,
     ) -> int:
         """Take a request; its one final answer goes to `answer` before the client's deadline.
 
@@ -115,9 +131,7 @@
         """Those of an exchange that are out."""
         return [attempt for number in range(x.sends) if (attempt := self._out.get((x.id, number)))]
 
-    def ended(
-        self, a: Attempt, outcome: str, payload: object = None, lag: float | None = None
-    ) -> bool:
+    def ended(self, a: Attempt, outcome: str, payload: object = None, lag: float | None = None) -> bool:
         """An attempt's end, after `lag` or the time since its send; the first good one is the answer.
 
         Says whether the payload was handed to the front.
@@ -151,8 +165,8 @@
         self.deadlines.sweep()
         if self._batch:
             while mail:
-                self._hand(mail[:self._batch])
-                del mail[:self._batch]
+                self._hand(mail[: self._batch])
+                del mail[: self._batch]
                 # What a decision brought about at once is heard before the next decision.
                 mail, self._mail = self._mail + mail, []
         else:
--- a/hallhitch/decision/api.py
+++ b/hallhitch/decision/api.py
@@ -221,8 +221,17 @@
 
 
 Event = (
-    ServerList | Request | RequestGone | StreamStarted | AttemptEnded | ProbeEnded | CounterAnswer
-    | TimerFired | PeerMessage | NewSettings | Peers
+    ServerList
+    | Request
+    | RequestGone
+    | StreamStarted
+    | AttemptEnded
+    | ProbeEnded
+    | CounterAnswer
+    | TimerFired
+    | PeerMessage
+    | NewSettings
+    | Peers
 )
 
 
--- a/hallhitch/decision/settings.py
+++ b/hallhitch/decision/settings.py
@@ -49,32 +49,49 @@
     family, limits, safety = section(info, "family-info"), section(info, "limits"), section(info, "safety")
     classes = tuple(
         api.RequestClass(
-            name=need(c, "name", str), aim=need(c, "aim"), deadline=need(c, "deadline"),
+            name=need(c, "name", str),
+            aim=need(c, "aim"),
+            deadline=need(c, "deadline"),
             worth=number(c, "worth", 1.0),
-            effect=word(c, "repeat", EFFECTS), group=c.get("group") or "all",
+            effect=word(c, "repeat", EFFECTS),
+            group=c.get("group") or "all",
             repeat_window=number(c, "window"),
         )
         for c in need(info, "classes", list)
     )
     plans = tuple(
         api.Plan(
-            name=need(p, "name", str), rate=number(p, "per-second"), burst=number(p, "peak-units"),
-            open_limit=int(number(p, "concurrency")), price=number(p, "worth-factor", 1.0),
-            beyond_worth=number(p, "beyond-earns"), beyond_cost=number(p, "overrun-cost"),
-            ceiling_rate=number(p, "never-over-rate"), ceiling_burst=number(p, "hard-burst"),
+            name=need(p, "name", str),
+            rate=number(p, "per-second"),
+            burst=number(p, "peak-units"),
+            open_limit=int(number(p, "concurrency")),
+            price=number(p, "worth-factor", 1.0),
+            beyond_worth=number(p, "beyond-earns"),
+            beyond_cost=number(p, "overrun-cost"),
+            ceiling_rate=number(p, "never-over-rate"),
+            ceiling_burst=number(p, "hard-burst"),
         )
         for p in info.get("tiers-of-service") or []
     )
     return api.Settings(
-        gateways=need(info, "balancers", int), classes=classes, plans=plans,
+        gateways=need(info, "balancers", int),
+        classes=classes,
+        plans=plans,
         has_counter=bool(family.get("shared-counter")),
-        counter_timeout=number(family, "counter-timeout", 50.0), postpaid=bool(family.get("post-paid")),
-        most_units=number(family, "units-top", 1.0), push_list=info.get("discovery", "push") == "push",
-        attempts=int(number(limits, "send-cap", 1.0)), second_copies=bool(limits.get("second-copies")),
+        counter_timeout=number(family, "counter-timeout", 50.0),
+        postpaid=bool(family.get("post-paid")),
+        most_units=number(family, "units-top", 1.0),
+        push_list=info.get("discovery", "push") == "push",
+        attempts=int(number(limits, "send-cap", 1.0)),
+        second_copies=bool(limits.get("second-copies")),
         can_cancel=bool(limits.get("cancel")),
-        can_advise=bool(limits.get("retry-after")), max_advice=number(limits, "max-retry-after"),
+        can_advise=bool(limits.get("retry-after")),
+        max_advice=number(limits, "max-retry-after"),
         connect_timeout=number(limits, "connect-timeout", 250.0),
-        keepalive=number(limits, "keepalive", 15_000.0), cold_time=number(safety, "cold"),
-        cold_from=number(safety, "cold-from", 1.0), fall_time=number(safety, "fall", 1000.0),
-        fall_multiple=number(safety, "fall-multiple", 1.0), index=int(number(info, "index")),
+        keepalive=number(limits, "keepalive", 15_000.0),
+        cold_time=number(safety, "cold"),
+        cold_from=number(safety, "cold-from", 1.0),
+        fall_time=number(safety, "fall", 1000.0),
+        fall_multiple=number(safety, "fall-multiple", 1.0),
+        index=int(number(info, "index")),
     )
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -99,7 +99,8 @@
     def meet(core: Core) -> None:
         if place is not None:  # without one, the settings keep the module from calling
             core.counter = counters[core] = CounterClient(
-                *place, core.counted, deadlines, loop, told.settings.counter_timeout)
+                *place, core.counted, deadlines, loop, told.settings.counter_timeout
+            )
 
     cores: list[Core] = []
 
@@ -127,14 +128,28 @@
         from hallhitch.resp.server import LimitServer
 
         fronts[LimitServer(limits, settings, deadlines, loop, most, spare)] = partial(
-            bound, "listen (RESP)", address_of(resp.listen))
-    ingress = Ingress(core, settings, deadlines, loop, clients, spare, told.inherited is not None,
-                      told.memory // HELD_SHARE, lambda: drain.welcome, figures.ended)
-    fronts[ingress] = partial(bound, "listen", told.listen) if told.inherited is None else partial(
-        bound, "EDGE_FD", told.inherited)
+            bound, "listen (RESP)", address_of(resp.listen)
+        )
+    ingress = Ingress(
+        core,
+        settings,
+        deadlines,
+        loop,
+        clients,
+        spare,
+        told.inherited is not None,
+        told.memory // HELD_SHARE,
+        lambda: drain.welcome,
+        figures.ended,
+    )
+    fronts[ingress] = (
+        partial(bound, "listen", told.listen) if told.inherited is None else partial(bound, "EDGE_FD", told.inherited)
+    )
     figures.levels = {
-        "in_flight": lambda: ingress.in_flight, "backends_known": lambda: len(routes.entries),
-        "backends_excluded": core.gateway.avoided}
+        "in_flight": lambda: ingress.in_flight,
+        "backends_known": lambda: len(routes.entries),
+        "backends_excluded": core.gateway.avoided,
+    }
     serving = False
 
     def evacuate(call: Call) -> Reply:
@@ -205,8 +220,7 @@
             log.error("configuration not taken", error=f"{type(error).__name__}: {error}")
             return
         figures.reloads_ok += 1
-        kept = [f.name for f in fields(told) if f.name not in MOVES and getattr(told, f.name) != getattr(
-            fresh, f.name)]
+        kept = [f.name for f in fields(told) if f.name not in MOVES and getattr(told, f.name) != getattr(fresh, f.name)]
         moved = fresh.discovery != told.discovery or fresh.zones != told.zones
         tuned = fresh.settings != told.settings
         told = replace(fresh, **{f.name: getattr(told, f.name) for f in fields(told) if f.name in STAYS})
@@ -227,8 +241,13 @@
                 counters[one].retune(fresh.settings.counter_timeout)
                 if before is None or before[0] != found[0]:
                     counters[one].move(*found)
-        log.info("configuration taken", discovery=fresh.discovery, counter=found and found[0],
-                 classes=[kind.name for kind in fresh.settings.classes], kept_until_restart=kept)
+        log.info(
+            "configuration taken",
+            discovery=fresh.discovery,
+            counter=found and found[0],
+            classes=[kind.name for kind in fresh.settings.classes],
+            kept_until_restart=kept,
+        )
 
     loop.add_signal_handler(signal.SIGTERM, close)
     loop.add_signal_handler(signal.SIGINT, close)
@@ -262,7 +281,11 @@
 
 
 def members_of(
-    path: str, told: config.Config, shared: str | None, deadlines: Deadlines, loop: asyncio.AbstractEventLoop,
+    path: str,
+    told: config.Config,
+    shared: str | None,
+    deadlines: Deadlines,
+    loop: asyncio.AbstractEventLoop,
     counts: Callable[[Counted], None],
 ) -> Members:
     """This gateway among the others, as the file says; `shared` is the folder of all processes of this gateway."""
@@ -271,8 +294,17 @@
     from hallhitch.membership.settings import read
 
     try:
-        return Members(read(path), told.name, __version__, told.settings.gateways, kin_of(shared), deadlines, loop,
-                       random.Random(), counts)
+        return Members(
+            read(path),
+            told.name,
+            __version__,
+            told.settings.gateways,
+            kin_of(shared),
+            deadlines,
+            loop,
+            random.Random(),
+            counts,
+        )
     except ValueError as error:
         raise WireError(f"field 'name': {error}") from error
 
--- a/hallhitch/hosted/link.py
+++ b/hallhitch/hosted/link.py
@@ -42,11 +42,19 @@
 class Link:
     """Follows the feed for as long as it runs. `applied` is called in the loop with each newer catalogue."""
 
-    def __init__(self, url: str, context: ssl.SSLContext, name: str, saved: Saved,
-                 applied: Callable[[Catalogue], None], draw: random.Random | None = None) -> None:
+    def __init__(
+        self,
+        url: str,
+        context: ssl.SSLContext,
+        name: str,
+        saved: Saved,
+        applied: Callable[[Catalogue], None],
+        draw: random.Random | None = None,
+    ) -> None:
         self._name, self._saved, self._applied = name, saved, applied
         self._client = httpx.AsyncClient(
-            base_url=url, verify=context, trust_env=False, timeout=httpx.Timeout(SILENT, read=HOLD / 1000 + SILENT))
+            base_url=url, verify=context, trust_env=False, timeout=httpx.Timeout(SILENT, read=HOLD / 1000 + SILENT)
+        )
         self._instance = secrets.token_hex(16)
         self._draw = draw or random.Random()
         self._follower = Follower(saved.load() or Catalogue(), self._draw)
@@ -83,8 +91,13 @@
     async def _ask(self) -> float:
         """One question, to the end of its answer; s to wait before the next."""
         epoch, version = self._follower.holds
-        query: dict[str, Any] = {"gateway": self._name, "instance": self._instance, "epoch": epoch,
-                                 "version": version, "hold_ms": HOLD}
+        query: dict[str, Any] = {
+            "gateway": self._name,
+            "instance": self._instance,
+            "epoch": epoch,
+            "version": version,
+            "hold_ms": HOLD,
+        }
         async with self._client.stream("GET", "/v1/feed", params=query) as answer:
             if answer.status_code == 204:
                 self._well()
@@ -128,15 +141,23 @@
         now = time.monotonic()
         if self._said <= self._heard or now - self._said > STALE_EACH:
             self._said = now
-            log.warning("catalogue may be stale", error=f"{type(error).__name__}: {error}"[:300],
-                        since_s=round(self.stale, 1), epoch=self.held.epoch, version=self.held.version)
+            log.warning(
+                "catalogue may be stale",
+                error=f"{type(error).__name__}: {error}"[:300],
+                since_s=round(self.stale, 1),
+                epoch=self.held.epoch,
+                version=self.held.version,
+            )
         return self._follower.failed() / 1000
 
     async def _end(self) -> None:
         with contextlib.suppress(httpx.HTTPError, OSError, TimeoutError):
             async with asyncio.timeout(LEAVING):
-                await self._client.delete("/v1/feed", params={"gateway": self._name, "instance": self._instance},
-                                          headers={"Idempotency-Key": str(uuid.uuid4())})
+                await self._client.delete(
+                    "/v1/feed",
+                    params={"gateway": self._name, "instance": self._instance},
+                    headers={"Idempotency-Key": str(uuid.uuid4())},
+                )
         if self._keeping is not None:
             await self._keeping
         await self._client.aclose()
--- a/hallhitch/hosting/changes.py
+++ b/hallhitch/hosting/changes.py
@@ -75,8 +75,11 @@
     part = made.tenants.get(change.tenant)
     if part is not None:
         _check_whole(part)
-    if change.tenant == names.OPERATORS and catalogue.operators and not any(
-            kept.value.scope is Scope.OPERATOR for kept in made.operators.values()):
+    if (
+        change.tenant == names.OPERATORS
+        and catalogue.operators
+        and not any(kept.value.scope is Scope.OPERATOR for kept in made.operators.values())
+    ):
         raise Refused("in-use", "edits", "this would leave no operator's credential")
     return Applied(made, delta(made, catalogue.version, draft.touched))
 
@@ -87,8 +90,15 @@
     if draft.get(tenant, Kind.TENANT, tenant) is None and edit.kind is not Kind.TENANT and tenant:
         raise Refused("not-found", at, "there is no such tenant")
     if edit.expect is not None and edit.expect != (was.version if was is not None else 0):
-        raise Refused("stale", at, "this was changed meanwhile" if was else "there is no such thing"
-                      if edit.expect else "there is one already")
+        raise Refused(
+            "stale",
+            at,
+            "this was changed meanwhile"
+            if was
+            else "there is no such thing"
+            if edit.expect
+            else "there is one already",
+        )
     if edit.value is None:
         if was is None:
             raise Refused("not-found", at, f"there is no {edit.kind.value} of this name")
@@ -150,7 +160,9 @@
             raise Refused("not-found", "client", f"a credential names the client '{client}', which there is not")
     rate = part.rate
     if rate > limits.rate * (1 + 1e-9):
-        raise Refused("over-limit", "limits.rate",
-                      f"the clients that are on would have {rate:g} units a second together; "
-                      f"the tenant may hand out {limits.rate:g}")
-
+        raise Refused(
+            "over-limit",
+            "limits.rate",
+            f"the clients that are on would have {rate:g} units a second together; "
+            f"the tenant may hand out {limits.rate:g}",
+        )
--- a/hallhitch/hosting/draft.py
+++ b/hallhitch/hosting/draft.py
@@ -34,8 +34,15 @@
     def closed(self, version: int) -> Tenant:
         """The part as it stands now."""
         done = {Tenant.KINDS[kind]: things.finish() for kind, things in self.things.items()}
-        return Tenant(self.was.born, version, self.head, members=self.members.finish(),
-                      active=self.active.finish(), keys=self.keys.finish(), **done)
+        return Tenant(
+            self.was.born,
+            version,
+            self.head,
+            members=self.members.finish(),
+            active=self.active.finish(),
+            keys=self.keys.finish(),
+            **done,
+        )
 
 
 def _add(counts: MapMutation[str, int], name: str, by: int) -> None:
@@ -126,8 +133,9 @@
         for name, part in self._parts.items():
             if name in changed:  # others were opened only to be read
                 self._tenants[name] = part.closed(version)
-        return Catalogue(epoch, version, self._tenants.finish(), self._operators.finish(),
-                         self._hosts.finish(), self._sum)
+        return Catalogue(
+            epoch, version, self._tenants.finish(), self._operators.finish(), self._hosts.finish(), self._sum
+        )
 
     def _part(self, tenant: str) -> _Part | None:
         part = self._parts.get(tenant)
@@ -212,8 +220,15 @@
         if kept.value.client is not None:
             keys.setdefault(kept.value.client, set()).add(id)
     made = {field: Map(things[kind]) for kind, field in Tenant.KINDS.items()}
-    return Tenant(born, version, things[Kind.TENANT][name], members=Map(members), active=Map(+active),
-                  keys=Map({client: frozenset(ids) for client, ids in keys.items()}), **made)
+    return Tenant(
+        born,
+        version,
+        things[Kind.TENANT][name],
+        members=Map(members),
+        active=Map(+active),
+        keys=Map({client: frozenset(ids) for client, ids in keys.items()}),
+        **made,
+    )
 
 
 def set_parts(catalogue: Catalogue, parts: dict[str, tuple[int, int]]) -> Catalogue:
@@ -221,7 +236,18 @@
     tenants = catalogue.tenants.mutate()
     for name, (born, version) in parts.items():
         was = tenants[name]
-        tenants[name] = Tenant(born, version, was.head, was.plans, was.clients, was.hosts, was.credentials,
-                               was.members, was.active, was.keys)
-    return Catalogue(catalogue.epoch, catalogue.version, tenants.finish(), catalogue.operators,
-                     catalogue.hosts, catalogue.sum)
+        tenants[name] = Tenant(
+            born,
+            version,
+            was.head,
+            was.plans,
+            was.clients,
+            was.hosts,
+            was.credentials,
+            was.members,
+            was.active,
+            was.keys,
+        )
+    return Catalogue(
+        catalogue.epoch, catalogue.version, tenants.finish(), catalogue.operators, catalogue.hosts, catalogue.sum
+    )
--- a/hallhitch/hosting/feed.py
+++ b/hallhitch/hosting/feed.py
@@ -75,8 +75,11 @@
 
 def slim(diff: Diff) -> Diff:
     """What gateways are told of a diff. A credential that names no client any more is gone to them."""
-    rows = [row if told(row) else Row(row.tenant, row.kind, row.name, row.version, None)
-            for row in diff.rows if row.tenant != OPERATORS]
+    rows = [
+        row if told(row) else Row(row.tenant, row.kind, row.name, row.version, None)
+        for row in diff.rows
+        if row.tenant != OPERATORS
+    ]
     # What goes stands before what is put, as in every diff.
     rows.sort(key=lambda row: row.value is not None)
     return Diff(diff.epoch, diff.since, diff.version, diff.reset, tuple(rows), diff.parts)
--- a/hallhitch/hosting/history.py
+++ b/hallhitch/hosting/history.py
@@ -61,8 +61,12 @@
 
 
 def _cooked(rows: tuple[_RawRow, ...]) -> tuple[Row, ...]:
-    return tuple([Row(r.tenant, r.kind, r.name, r.version,
-                      decode(r.kind, r.value) if bytes(r.value) != NULL else None) for r in rows])
+    return tuple(
+        [
+            Row(r.tenant, r.kind, r.name, r.version, decode(r.kind, r.value) if bytes(r.value) != NULL else None)
+            for r in rows
+        ]
+    )
 
 
 def _plain(rows: Iterable[Row]) -> list[tuple[Any, ...]]:
@@ -81,8 +85,16 @@
 
 def encode_diff(diff: Diff) -> bytes:
     """A diff as bytes: what the change log holds and what gateways are sent."""
-    return _encode({"epoch": diff.epoch, "since": diff.since, "version": diff.version, "reset": diff.reset,
-                    "rows": _plain(diff.rows), "parts": diff.parts})
+    return _encode(
+        {
+            "epoch": diff.epoch,
+            "since": diff.since,
+            "version": diff.version,
+            "reset": diff.reset,
+            "rows": _plain(diff.rows),
+            "parts": diff.parts,
+        }
+    )
 
 
 def decode_diff(body: bytes) -> Diff:
@@ -94,9 +106,11 @@
 def delta(newest: Catalogue, since: int, touched: Iterable[Key]) -> Diff:
     """The diff from `since`, given the names that were touched from then on."""
     keys = set(touched)
-    reset = {tenant for tenant, kind, _ in keys
-             if kind is Kind.TENANT and (
-                 tenant not in newest.tenants or newest.tenants[tenant].born > since)}
+    reset = {
+        tenant
+        for tenant, kind, _ in keys
+        if kind is Kind.TENANT and (tenant not in newest.tenants or newest.tenants[tenant].born > since)
+    }
     rows: list[Row] = []
     for tenant in sorted(reset & set(newest.tenants)):
         rows += rows_of_tenant(newest, tenant)
@@ -113,8 +127,11 @@
         if kept is not None:
             stand.append(Row(tenant, kind, name, kept.version, kept.value))
     rows = [row for row in rows if row.value is None] + [row for row in rows if row.value is not None] + stand
-    parts = {tenant: (newest.tenants[tenant].born, newest.tenants[tenant].version)
-             for tenant in sorted({key[0] for key in keys}) if tenant in newest.tenants}
+    parts = {
+        tenant: (newest.tenants[tenant].born, newest.tenants[tenant].version)
+        for tenant in sorted({key[0] for key in keys})
+        if tenant in newest.tenants
+    }
     return Diff(newest.epoch, since, newest.version, tuple(sorted(reset)), tuple(rows), parts)
 
 
@@ -133,8 +150,10 @@
 
     def add(self, diff: Diff) -> None:
         """The next version; the oldest go where too many names are held."""
-        keys = (*((tenant, Kind.TENANT, tenant) for tenant in diff.reset),
-                *((row.tenant, row.kind, row.name) for row in diff.rows))
+        keys = (
+            *((tenant, Kind.TENANT, tenant) for tenant in diff.reset),
+            *((row.tenant, row.kind, row.name) for row in diff.rows),
+        )
         self._versions.append((diff.version, keys))
         self._held += len(keys)
         while self._held > self._most and self._versions:
@@ -156,8 +175,9 @@
 def patch(catalogue: Catalogue, diff: Diff) -> Catalogue:
     """A catalogue at `since`, brought to the diff's version; ValueError where it stands elsewhere."""
     if (catalogue.epoch, catalogue.version) != (diff.epoch, diff.since):
-        raise ValueError(f"the diff leads on from {diff.epoch}.{diff.since}, "
-                         f"not from {catalogue.epoch}.{catalogue.version}")
+        raise ValueError(
+            f"the diff leads on from {diff.epoch}.{diff.since}, not from {catalogue.epoch}.{catalogue.version}"
+        )
     draft = Draft(catalogue)
     for tenant in diff.reset:
         draft.drop(tenant, Kind.TENANT, tenant)
--- a/hallhitch/hosting/membership.py
+++ b/hallhitch/hosting/membership.py
@@ -79,8 +79,7 @@
 
     def lost(self, now: float) -> list[Gateway]:
         """Those whose lease ran out not long ago, by name."""
-        return sorted((g for g in self._gateways.values() if g.ends <= now < g.ends + FORGOTTEN),
-                      key=lambda g: g.name)
+        return sorted((g for g in self._gateways.values() if g.ends <= now < g.ends + FORGOTTEN), key=lambda g: g.name)
 
     def progress(self, version: Version, now: float) -> Progress:
         """How far a version has come. One of a later epoch has whatever of the earlier was kept."""
--- a/hallhitch/hosting/model.py
+++ b/hallhitch/hosting/model.py
@@ -117,7 +117,11 @@
     """A tenant's part. `born` is the version that made it, `version` the last that changed anything in it."""
 
     KINDS: ClassVar[dict[Kind, str]] = {
-        Kind.PLAN: "plans", Kind.CLIENT: "clients", Kind.HOST: "hosts", Kind.CREDENTIAL: "credentials"}
+        Kind.PLAN: "plans",
+        Kind.CLIENT: "clients",
+        Kind.HOST: "hosts",
+        Kind.CREDENTIAL: "credentials",
+    }
 
     born: int
     version: int
@@ -139,7 +143,8 @@
     def rate(self) -> float:
         """Units a second handed out: what all clients that are on may use together, in the long run."""
         return math.fsum(
-            self.plans[name].value.rate * count for name, count in self.active.items() if name in self.plans)
+            self.plans[name].value.rate * count for name, count in self.active.items() if name in self.plans
+        )
 
 
 class Catalogue(Struct, frozen=True):
@@ -163,4 +168,9 @@
 
 
 TYPES: dict[Kind, type[Any]] = {
-    Kind.TENANT: Head, Kind.PLAN: Plan, Kind.CLIENT: Client, Kind.HOST: Host, Kind.CREDENTIAL: Credential}
+    Kind.TENANT: Head,
+    Kind.PLAN: Plan,
+    Kind.CLIENT: Client,
+    Kind.HOST: Host,
+    Kind.CREDENTIAL: Credential,
+}
--- a/hallhitch/hosting/rows.py
+++ b/hallhitch/hosting/rows.py
@@ -48,8 +48,7 @@
 
 def hash_of(tenant: str, kind: str, name: str, version: int, body: bytes) -> int:
     """A row's hash, below 2**128."""
-    return xxh3_128_intdigest(b"%s\0%s\0%s\0%d\0%s" % (
-        tenant.encode(), kind.encode(), name.encode(), version, body))
+    return xxh3_128_intdigest(b"%s\0%s\0%s\0%d\0%s" % (tenant.encode(), kind.encode(), name.encode(), version, body))
 
 
 def sum_of(tenant: str, kind: Kind, name: str, kept: Kept) -> int:
--- a/hallhitch/hosting/tenant_file.py
+++ b/hallhitch/hosting/tenant_file.py
@@ -81,8 +81,18 @@
         now = present.get(key)
         if now is None or now[0] != value:
             made.append(Step(key[0], key[1], now[0] if now else None, value, now[1] if now else None))
-    gone = [Step(kind, name, value, None, version) for (kind, name), (value, version) in present.items()
-            if (kind, name) not in wanted]
-    rank = {(Kind.TENANT, False): 0, (Kind.PLAN, False): 1, (Kind.CLIENT, True): 2, (Kind.CLIENT, False): 3,
-            (Kind.HOST, True): 4, (Kind.HOST, False): 5, (Kind.PLAN, True): 6}
+    gone = [
+        Step(kind, name, value, None, version)
+        for (kind, name), (value, version) in present.items()
+        if (kind, name) not in wanted
+    ]
+    rank = {
+        (Kind.TENANT, False): 0,
+        (Kind.PLAN, False): 1,
+        (Kind.CLIENT, True): 2,
+        (Kind.CLIENT, False): 3,
+        (Kind.HOST, True): 4,
+        (Kind.HOST, False): 5,
+        (Kind.PLAN, True): 6,
+    }
     return sorted(made + gone, key=lambda step: (rank[step.kind, step.wanted is None], step.name))
--- a/hallhitch/lab/baselines.py
+++ b/hallhitch/lab/baselines.py
@@ -86,8 +86,14 @@
         return min(good, key=cost)
 
 
-CHOICES: dict[str, type[Gateway]] = {"module": Gateway, "uniform": Uniform, "round_robin": RoundRobin,
-                                     "two": TwoChoices, "least": Least, "informed": Informed}
+CHOICES: dict[str, type[Gateway]] = {
+    "module": Gateway,
+    "uniform": Uniform,
+    "round_robin": RoundRobin,
+    "two": TwoChoices,
+    "least": Least,
+    "informed": Informed,
+}
 
 
 class Board:
--- a/hallhitch/lab/cases.py
+++ b/hallhitch/lab/cases.py
@@ -38,7 +38,8 @@
             raise SettingsError(f"{path}: field 'case.{number}.name': there are two '{case.name}'")
         try:
             found[case.name] = msgspec.structs.replace(
-                replaced(base, settings | case.settings), name=case.name, about=case.about, faults=case.faults)
+                replaced(base, settings | case.settings), name=case.name, about=case.about, faults=case.faults
+            )
         except (ValueError, LookupError) as error:
             raise SettingsError(f"{path}: field 'case.{number}.settings': {error}") from error
     return found
--- a/hallhitch/lab/checker.py
+++ b/hallhitch/lab/checker.py
@@ -14,8 +14,16 @@
 SLACK = 50.0  # ms by which each time limit grows, for what is on the way
 DRAIN = 500.0  # ms after the word that a node drains, from which on nothing new goes there
 MAY_HAVE_RUN = {"error", "reset", "timeout", "cancelled"}
-RULES = ("one final answer", "in time", "one attempt at a time", "resends", "drains", "cold nodes", "own answer",
-         "quotas")
+RULES = (
+    "one final answer",
+    "in time",
+    "one attempt at a time",
+    "resends",
+    "drains",
+    "cold nodes",
+    "own answer",
+    "quotas",
+)
 
 
 class Broken(Struct, frozen=True):
@@ -76,8 +84,9 @@
             if ask is None:
                 found.append(Broken("one final answer", f"{event[2]} was never asked", (event,)))
             elif event[2] in answered:
-                found.append(Broken("one final answer", f"{event[2]} had one already", (
-                    ask, answered[event[2]], event)))
+                found.append(
+                    Broken("one final answer", f"{event[2]} had one already", (ask, answered[event[2]], event))
+                )
             else:
                 answered[event[2]] = event
                 if event[0] > ask[8] + SLACK and event[2] not in left and event[2] not in held:
@@ -115,9 +124,13 @@
                 if effect == "unsafe":
                     found.append(Broken("resends", f"{id} may not be repeated", (asks[id], *before, event)))
                 elif effect == "keyed" and (
-                        cells.get(sent[5]) != cells.get(event[5]) or event[0] - sent[0] > window + SLACK):
-                    found.append(Broken("resends", f"{id} may be repeated in its pod and window alone", (
-                        asks[id], *before, event)))
+                    cells.get(sent[5]) != cells.get(event[5]) or event[0] - sent[0] > window + SLACK
+                ):
+                    found.append(
+                        Broken(
+                            "resends", f"{id} may be repeated in its pod and window alone", (asks[id], *before, event)
+                        )
+                    )
             out[id] = event
         elif name == "done":
             sent_ = out.get(event[2])
@@ -147,8 +160,9 @@
             halted[event[2]] = event[0]
         elif event[1] == "gateway" and event[3] == "resumed":
             since: float = halted.pop(event[2], event[0])
-            heard |= {key: event[0] for key, word in told.items()
-                      if key[0] == event[2] and word[0] + DRAIN + SLACK > since}
+            heard |= {
+                key: event[0] for key, word in told.items() if key[0] == event[2] and word[0] + DRAIN + SLACK > since
+            }
         elif event[1] == "send":
             place = event[4], event[5]
             word = told.get(place)
@@ -186,8 +200,11 @@
             full = start[5] / share
             now = full * (share + (1 - share) * (event[0] - start[0]) / start[6])
             if sum(e[5] for e in held) > multiple * now * window * 1.001:
-                found.append(Broken("cold nodes", f"{event[4]} was sent more than {multiple} times what it could do",
-                                    (start, *held)))
+                found.append(
+                    Broken(
+                        "cold nodes", f"{event[4]} was sent more than {multiple} times what it could do", (start, *held)
+                    )
+                )
                 del born[event[4]]
     return found
 
--- a/hallhitch/lab/counter_sides.py
+++ b/hallhitch/lab/counter_sides.py
@@ -111,8 +111,9 @@
             if outcome != "ok":
                 return answers.give(slot, error("BUSY the queue is full"))
             made = simple("OK") if total == float(adds[0][2]) else bulk(None)  # NX: nil where the name was there
-            answers.give(slot, array([made if words[0].upper() == b"SET" else bulk(b"%.7g" % total)
-                                      for words in calls]))
+            answers.give(
+                slot, array([made if words[0].upper() == b"SET" else bulk(b"%.7g" % total) for words in calls])
+            )
 
         self._counter.call(int(adds[0][1]), float(adds[0][2]), lives[adds[0][1]], reply)
 
@@ -125,4 +126,6 @@
 
 
 COUNTER_SIDES: dict[str, type[HttpCounterSide] | type[RespCounterSide]] = {
-    "http": HttpCounterSide, "resp": RespCounterSide}
+    "http": HttpCounterSide,
+    "resp": RespCounterSide,
+}
