--- a/hallhitch/lab/evenness.py
+++ b/hallhitch/lab/evenness.py
@@ -79,8 +79,9 @@
 
     def ability(self, at: Numbers) -> Numbers:
         """Cores' worth at these times: a row a node, 0 where it is not up."""
-        came, gone, cold, full = (np.asarray(x, dtype=float)[:, None] for x in (
-            self.came, self.gone, self._cold, self._full))
+        came, gone, cold, full = (
+            np.asarray(x, dtype=float)[:, None] for x in (self.came, self.gone, self._cold, self._full)
+        )
         age = at[None, :] - came
         with np.errstate(divide="ignore", invalid="ignore"):
             warm = np.where(cold > 0, self.cold_from + (1 - self.cold_from) * np.clip(age / cold, 0, 1), 1.0)
@@ -260,5 +261,17 @@
         mean = counts[whole].sum() / by_second[whole].sum()
         least, most = (float(each.min() / mean), float(each.max() / mean)) if mean else (1.0, 1.0)
     herd_most, pairs, chance = _herds(sends, nodes, end, seed)
-    return Evenness(_spread(work, able)[0], idle, beside, second_cv, second_most, least, most, herd_most, pairs, chance,
-                    _moves(events, sends), _arrivals(nodes, sends, begin, end))
+    return Evenness(
+        _spread(work, able)[0],
+        idle,
+        beside,
+        second_cv,
+        second_most,
+        least,
+        most,
+        herd_most,
+        pairs,
+        chance,
+        _moves(events, sends),
+        _arrivals(nodes, sends, begin, end),
+    )
--- a/hallhitch/lab/evenness_page.py
+++ b/hallhitch/lab/evenness_page.py
@@ -36,8 +36,15 @@
     figure, axes = plt.subplots(figsize=(12, max(1.5, min(9.0, 0.09 * len(names)))))
     colours = plt.get_cmap("YlOrRd").copy()
     colours.set_bad("#ccc")
-    axes.imshow(work, aspect="auto", interpolation="nearest", vmin=0.0, vmax=HEAT_MOST,
-                cmap=colours, extent=(0.0, float(moments[-1]) / 1000, len(names) - 0.5, -0.5))
+    axes.imshow(
+        work,
+        aspect="auto",
+        interpolation="nearest",
+        vmin=0.0,
+        vmax=HEAT_MOST,
+        cmap=colours,
+        extent=(0.0, float(moments[-1]) / 1000, len(names) - 0.5, -0.5),
+    )
     axes.set(xlabel="s", ylabel="node")
     return drawn(figure)
 
@@ -53,8 +60,9 @@
         if held.size:
             levels = np.linspace(0.0, 3 * HEAT_MOST, 100)
             axes.plot(levels, [(held >= level).mean() for level in levels], label=name, linewidth=1.2)
-    axes.set(xlabel="requests in work for a core's ability", ylabel="share of nodes and moments, at least",
-             yscale="log")
+    axes.set(
+        xlabel="requests in work for a core's ability", ylabel="share of nodes and moments, at least", yscale="log"
+    )
     axes.legend(fontsize=8)
     return drawn(figure)
 
--- a/hallhitch/lab/experiments.py
+++ b/hallhitch/lab/experiments.py
@@ -81,8 +81,9 @@
     @property
     def key(self) -> str:
         """What the result depends on."""
-        what = msgspec.json.encode((self.scenario, self.setting.scenario, self.setting.module, self.seed, code()),
-                                   order="deterministic")
+        what = msgspec.json.encode(
+            (self.scenario, self.setting.scenario, self.setting.module, self.seed, code()), order="deterministic"
+        )
         return hashlib.sha256(self.experiment.encode() + self.setting.name.encode() + what).hexdigest()
 
 
@@ -112,8 +113,9 @@
 
 def commit() -> str:
     """The commit that the tree stands at, or nothing."""
-    done = subprocess.run(["git", "rev-parse", "--short", "HEAD"], cwd=Path(__file__).parent, capture_output=True,
-                          text=True, check=False)
+    done = subprocess.run(
+        ["git", "rev-parse", "--short", "HEAD"], cwd=Path(__file__).parent, capture_output=True, text=True, check=False
+    )
     return done.stdout.strip()
 
 
@@ -174,31 +176,52 @@
     def keep(self, job: Job, outcome: Outcome) -> None:
         """Write a result."""
         what = msgspec.json.encode({"scenario": job.scenario, "setting": job.setting})
-        self._db.execute("INSERT OR REPLACE INTO result VALUES (?,?,?,?,?,?,?,?,?,?,?,?)", (
-            job.key, job.experiment, job.scenario.name, job.setting.name, job.seed,
-            msgspec.json.encode(outcome.figures), msgspec.json.encode(outcome.broken), f"{code()} {commit()}",
-            f"{platform.machine()} {os.cpu_count()} cores", outcome.seconds, time.time(), what))
+        self._db.execute(
+            "INSERT OR REPLACE INTO result VALUES (?,?,?,?,?,?,?,?,?,?,?,?)",
+            (
+                job.key,
+                job.experiment,
+                job.scenario.name,
+                job.setting.name,
+                job.seed,
+                msgspec.json.encode(outcome.figures),
+                msgspec.json.encode(outcome.broken),
+                f"{code()} {commit()}",
+                f"{platform.machine()} {os.cpu_count()} cores",
+                outcome.seconds,
+                time.time(),
+                what,
+            ),
+        )
 
     def experiments(self) -> list[tuple[str, int, int, float]]:
         """Each experiment: its name, runs, runs with a broken rule, when it last got one."""
-        return self._db.execute("SELECT experiment, count(*), sum(CAST(broken AS TEXT) <> '[]'), max(at) FROM result "
-                                "GROUP BY experiment ORDER BY max(at)").fetchall()
+        return self._db.execute(
+            "SELECT experiment, count(*), sum(CAST(broken AS TEXT) <> '[]'), max(at) FROM result "
+            "GROUP BY experiment ORDER BY max(at)"
+        ).fetchall()
 
     def of(self, experiment: str) -> dict[tuple[str, str], dict[int, Outcome]]:
         """Newest results of an experiment, by scenario and setting, by seed."""
         found: dict[tuple[str, str], dict[int, Outcome]] = {}
         for scenario, setting, seed, body, broken, seconds in self._db.execute(
-                "SELECT scenario, setting, seed, figures, broken, seconds FROM result WHERE experiment=? ORDER BY at",
-                (experiment,)):
+            "SELECT scenario, setting, seed, figures, broken, seconds FROM result WHERE experiment=? ORDER BY at",
+            (experiment,),
+        ):
             found.setdefault((scenario, setting), {})[seed] = Outcome(
-                msgspec.json.decode(body, type=Figures), msgspec.json.decode(broken), seconds)
+                msgspec.json.decode(body, type=Figures), msgspec.json.decode(broken), seconds
+            )
         return found
 
 
 def jobs_of(told: Experiment, scenarios: list[Scenario]) -> list[Job]:
     """All runs of an experiment, seed by seed, so that what is there early can be compared."""
-    return [Job(told.name, scenario, setting, told.first_seed + number)
-            for number in range(told.seeds) for scenario in scenarios for setting in told.settings]
+    return [
+        Job(told.name, scenario, setting, told.first_seed + number)
+        for number in range(told.seeds)
+        for scenario in scenarios
+        for setting in told.settings
+    ]
 
 
 def run(results: Results, jobs: list[Job], workers: int, done: Callable[[Job, Outcome], None]) -> int:
@@ -245,8 +268,9 @@
     verdict: str  # better, worse or cannot tell
 
 
-def compare(first: dict[int, Outcome], second: dict[int, Outcome], figure: str = "service",
-            more_is_better: bool = True) -> Compared:
+def compare(
+    first: dict[int, Outcome], second: dict[int, Outcome], figure: str = "service", more_is_better: bool = True
+) -> Compared:
     """Compare by paired seeds; with fewer than five pairs nothing is told."""
     seeds = sorted(set(first) & set(second))
     if not seeds:
--- a/hallhitch/lab/figures.py
+++ b/hallhitch/lab/figures.py
@@ -83,8 +83,9 @@
             effects[event[4]] += 1
     # A client's tries belong to its first, by the key that they share.
     inside = {i.key: i for i in traffic.intents if i.inside}
-    worth = {i.key: classes[list(classes)[i.klass]][2] * plans[list(plans)[i.customer.plan]][2]
-             for i in traffic.intents}
+    worth = {
+        i.key: classes[list(classes)[i.klass]][2] * plans[list(plans)[i.customer.plan]][2] for i in traffic.intents
+    }
     begun: dict[str, float] = {}
     earned: dict[str, float] = defaultdict(float)
     status: dict[str, str] = {}
@@ -111,8 +112,10 @@
         elif status.get(key) not in ("in time", "late"):
             status[key] = answer[3]
     # What one that saw all tries would let in, and of the rest what it earns at most: no part counts above 1.
-    asked = sum(worth[i.key] * (1.0 if i.inside else plans[list(plans)[i.customer.plan]][3])
-                for i in traffic.intents) or 1.0
+    asked = (
+        sum(worth[i.key] * (1.0 if i.inside else plans[list(plans)[i.customer.plan]][3]) for i in traffic.intents)
+        or 1.0
+    )
     count = len(inside) or 1
 
     def part(word: str) -> float:
@@ -123,8 +126,7 @@
         return sum(min(earned[key], worth[key]) for key in chosen) / total if total else 1.0
 
     by_class = {name: service_of([k for k, i in inside.items() if i.klass == n]) for n, name in enumerate(classes)}
-    by_plan = {name: service_of([k for k, i in inside.items() if i.customer.plan == n])
-               for n, name in enumerate(plans)}
+    by_plan = {name: service_of([k for k, i in inside.items() if i.customer.plan == n]) for n, name in enumerate(plans)}
     curve: list[float] = []
     slots: dict[int, list[str]] = defaultdict(list)
     for key, intent in inside.items():
@@ -134,12 +136,25 @@
     all_earned = sum(earned.values())
     tries = len(over) or 1
     return Figures(
-        service=(all_earned - cost) / asked, in_time=part("in time"), late=part("late"), refused=part("refused"),
-        failed=part("failed"), unanswered=sum(key not in status for key in inside) / count,
-        beyond_units=sum(over.values()) / count, beyond_cost=cost / asked, attempts=sends / tries,
-        resets=outcomes["reset"] / max(1, sends), errors=outcomes["error"] / max(1, sends),
-        full=outcomes["full"] / max(1, sends), timeouts=outcomes["timeout"] / max(1, sends),
-        duplicates=sum(n > 1 for n in effects.values()), missed=missed,
-        counter_calls=counter_calls / max(1, len(traffic.intents)), by_class=by_class, by_plan=by_plan, curve=curve,
+        service=(all_earned - cost) / asked,
+        in_time=part("in time"),
+        late=part("late"),
+        refused=part("refused"),
+        failed=part("failed"),
+        unanswered=sum(key not in status for key in inside) / count,
+        beyond_units=sum(over.values()) / count,
+        beyond_cost=cost / asked,
+        attempts=sends / tries,
+        resets=outcomes["reset"] / max(1, sends),
+        errors=outcomes["error"] / max(1, sends),
+        full=outcomes["full"] / max(1, sends),
+        timeouts=outcomes["timeout"] / max(1, sends),
+        duplicates=sum(n > 1 for n in effects.values()),
+        missed=missed,
+        counter_calls=counter_calls / max(1, len(traffic.intents)),
+        by_class=by_class,
+        by_plan=by_plan,
+        curve=curve,
         p50=float(np.percentile(served_ms, 50)) if served_ms else 0.0,
-        p99=float(np.percentile(served_ms, 99)) if served_ms else 0.0)
+        p99=float(np.percentile(served_ms, 99)) if served_ms else 0.0,
+    )
--- a/hallhitch/lab/fleet/cluster.py
+++ b/hallhitch/lab/fleet/cluster.py
@@ -63,10 +63,19 @@
 class Cluster:
     """All members of a run. `follow` hears what follows for a gateway, by number; `sized` counts bytes too."""
 
-    def __init__(self, count: int, seed: int, time: VirtualTime | None = None, tuning: Tuning | None = None,
-                 damping: Damping | None = None, seeds: int = 3, told: int | None = None, sized: bool = False,
-                 slow: Callable[[int], float] = lambda number: 0.0,
-                 follow: Callable[[int, Counted], None] = lambda number, counted: None) -> None:
+    def __init__(
+        self,
+        count: int,
+        seed: int,
+        time: VirtualTime | None = None,
+        tuning: Tuning | None = None,
+        damping: Damping | None = None,
+        seeds: int = 3,
+        told: int | None = None,
+        sized: bool = False,
+        slow: Callable[[int], float] = lambda number: 0.0,
+        follow: Callable[[int, Counted], None] = lambda number, counted: None,
+    ) -> None:
         self.time, self.count = time or VirtualTime(), count
         self._streams, self.tuning, self.damping = Streams(seed), tuning or Tuning(), damping or Damping()
         self._seeds = tuple(address(n) for n in range(min(seeds, count)))
@@ -101,12 +110,11 @@
         self._starts[number] += 1
         rng = random.Random(self._streams.of(f"member {number} start {self._starts[number]}").random())
         instance = rng.getrandbits(63)
-        me = Record(name or f"g{number}", instance, 0, State.ALIVE, address(number),
-                    instance if kin is None else kin)
+        me = Record(name or f"g{number}", instance, 0, State.ALIVE, address(number), instance if kin is None else kin)
         now = self.time.now
         peer = self.peers[number] = Peer(
-            number, Conduct(Swim(me, CLUSTER, self.tuning, rng, self._seeds),
-                            Roster(me, self._told, self.damping, now)))
+            number, Conduct(Swim(me, CLUSTER, self.tuning, rng, self._seeds), Roster(me, self._told, self.damping, now))
+        )
         return peer
 
     def start_all(self, over: float = 0.0) -> None:
@@ -178,7 +186,9 @@
         living = {peer.swim.me.key for peer in self.peers.values() if peer.alive and peer.swim.me.state.there}
         return bool(living) and all(
             {r.key: r.state for r in peer.swim.records() if r.state.there} == dict.fromkeys(living, State.ALIVE)
-            for peer in self.there() if peer.swim.me.state.there)
+            for peer in self.there()
+            if peer.swim.me.state.there
+        )
 
     def until(self, holds: Callable[[], bool], most: float, step: float = 100.0) -> float:
         """Go on until something holds, and say how many ms that took; `most` where it did not."""
--- a/hallhitch/lab/fleet/links.py
+++ b/hallhitch/lab/fleet/links.py
@@ -41,7 +41,8 @@
         """A trouble begins; its number, to end it by."""
         self._number += 1
         self._active[self._number] = _Active(
-            trouble, self._names(trouble.whom), self._names(trouble.to), split(trouble.parts, self._gateways))
+            trouble, self._names(trouble.whom), self._names(trouble.to), split(trouble.parts, self._gateways)
+        )
         return self._number
 
     def end(self, number: int) -> None:
@@ -76,8 +77,10 @@
             elif trouble.kind == "duplicate":
                 late += [ms for ms in late if self._stream.chance(trouble.share)]
             elif trouble.kind == "delay":
-                late = [ms + (self._stream.between(*trouble.delay_ms) if self._stream.chance(trouble.share) else 0.0)
-                        for ms in late]
+                late = [
+                    ms + (self._stream.between(*trouble.delay_ms) if self._stream.chance(trouble.share) else 0.0)
+                    for ms in late
+                ]
         return late
 
     def _names(self, whom: Whom) -> frozenset[str]:
--- a/hallhitch/lab/fleet/processes.py
+++ b/hallhitch/lab/fleet/processes.py
@@ -64,9 +64,17 @@
     """A run whose gateways know each other, and the faults between them. `peers` off starts them without membership;
     `numbered` says which number each is told to have."""
 
-    def __init__(self, scenario: Scenario, seed: int, line: TimeLine | None = None, peers: bool = True,
-                 file: str = "", seeds: Iterable[int] = (0, 1, 2), numbered: Callable[[int], int] = lambda n: n,
-                 tick: Tick | None = None) -> None:
+    def __init__(
+        self,
+        scenario: Scenario,
+        seed: int,
+        line: TimeLine | None = None,
+        peers: bool = True,
+        file: str = "",
+        seeds: Iterable[int] = (0, 1, 2),
+        numbered: Callable[[int], int] = lambda n: n,
+        tick: Tick | None = None,
+    ) -> None:
         """`file` are further lines of each gateway's peers file."""
         super().__init__(scenario, seed, tick)
         self.line, self._peers, self._file, self._seeds = line or TimeLine(), peers, file, tuple(seeds)
@@ -109,7 +117,9 @@
             sock.bind((relay_of(number), self.port))
             sock.setblocking(False)
             _, self.relays[number] = await loop.create_datagram_endpoint(
-                lambda number=number: Relay(number, self), sock=sock)  # type: ignore[misc]
+                lambda number=number: Relay(number, self),  # type: ignore[misc]
+                sock=sock,
+            )
         await super().open(folder)
 
     def index(self, number: int) -> int:
@@ -129,8 +139,10 @@
         """A gateway's file."""
         seeds = json.dumps([f"{relay_of(seed)}:{self.port}" for seed in self._seeds])
         path = self._folder / f"peers{number}.toml"
-        path.write_text(f'listen = "{own(number)}:{self.port}"\nadvertise = "{relay_of(number)}:{self.port}"\n'
-                        f'cluster = "fleet-{self.port}"\nseeds = {seeds}\n{self._file}')
+        path.write_text(
+            f'listen = "{own(number)}:{self.port}"\nadvertise = "{relay_of(number)}:{self.port}"\n'
+            f'cluster = "fleet-{self.port}"\nseeds = {seeds}\n{self._file}'
+        )
         return path
 
     def said(self, number: int, line: bytes) -> None:
@@ -195,8 +207,11 @@
         whom = numbers(trouble.whom, self.count)
         if trouble.kind in ("kill", "restart", "term"):
             for number in whom:
-                self._spawn(self.ends(number, trouble.kind == "term", None if not seconds and trouble.kind != "restart"
-                                      else seconds))
+                self._spawn(
+                    self.ends(
+                        number, trouble.kind == "term", None if not seconds and trouble.kind != "restart" else seconds
+                    )
+                )
         elif trouble.kind == "stop":
             for number in whom:
                 self.halt(number)
@@ -261,8 +276,11 @@
 
     def living(self) -> list[int]:
         """Gateways that run and do not stand still."""
-        return [number for number, process in sorted(self._processes.items())
-                if process is not None and number not in self._stopped]
+        return [
+            number
+            for number, process in sorted(self._processes.items())
+            if process is not None and number not in self._stopped
+        ]
 
     async def view(self, number: int, path: str = "/api/members", host: str = "") -> Any:
         """What a gateway's second address answers."""
@@ -294,10 +312,12 @@
 
     async def agreed(self, guard: float = GUARD) -> float:
         """Wait until all that live see each other and nobody else."""
+
         def holds(views: dict[int, View]) -> bool:
             living = sorted(f"n{number}" for number in self.living())
             return len(views) == len(living) and all(
-                sorted(there(view)) == living and "suspect" not in states(view).values() for view in views.values())
+                sorted(there(view)) == living and "suspect" not in states(view).values() for view in views.values()
+            )
 
         return await self.until(holds, guard)
 
@@ -314,5 +334,7 @@
 def states(view: View) -> dict[str, str]:
     """A view's states by name; of several instances the one that is there."""
     order = ("left", "failed", "suspect", "alive")
-    return {member["name"]: member["state"]
-            for member in sorted(view["members"], key=lambda member: order.index(member["state"]))}
+    return {
+        member["name"]: member["state"]
+        for member in sorted(view["members"], key=lambda member: order.index(member["state"]))
+    }
--- a/hallhitch/lab/fleet/timeline.py
+++ b/hallhitch/lab/fleet/timeline.py
@@ -43,8 +43,11 @@
             raise ValueError("field 'whom': nobody")
         if self.every_s and (self.every_s <= self.for_s or self.until_s <= self.at_s):
             raise ValueError("field 'every_s': shorter than 'for_s', or without an end")
-        for field, names in (("whom", self.whom), ("to", self.to),
-                             ("parts", [n for part in self.parts if isinstance(part, tuple) for n in part])):
+        for field, names in (
+            ("whom", self.whom),
+            ("to", self.to),
+            ("parts", [n for part in self.parts if isinstance(part, tuple) for n in part]),
+        ):
             for name in names:
                 checked(field, lambda name=name: party(name))  # type: ignore[misc]
 
@@ -53,8 +56,10 @@
         if not self.every_s:
             return [(self.at_s * 1000, (self.at_s + self.for_s) * 1000)]
         count = int((self.until_s - self.at_s) / self.every_s - 1e-9) + 1
-        return [((self.at_s + n * self.every_s) * 1000, (self.at_s + n * self.every_s + self.for_s) * 1000)
-                for n in range(count)]
+        return [
+            ((self.at_s + n * self.every_s) * 1000, (self.at_s + n * self.every_s + self.for_s) * 1000)
+            for n in range(count)
+        ]
 
 
 def party(name: str) -> str:
@@ -89,8 +94,9 @@
     found, begun = [], 0
     for part in parts:
         if isinstance(part, tuple):
-            found.append(frozenset(f"g{n}" for n in numbers(part, gateways)) | {
-                name for name in part if not ONE.fullmatch(name)})
+            found.append(
+                frozenset(f"g{n}" for n in numbers(part, gateways)) | {name for name in part if not ONE.fullmatch(name)}
+            )
         else:
             ends = min(gateways, begun + max(1, round(part * gateways)))
             found.append(frozenset(f"g{n}" for n in range(begun, ends)))
--- a/hallhitch/lab/hopping.py
+++ b/hallhitch/lab/hopping.py
@@ -125,8 +125,18 @@
 class ModelHops:
     """Carries attempts over modelled connections, pooled as the real hops pool theirs."""
 
-    def __init__(self, core: Core, zone: int, nodes: dict[str, Node], network: Network, world: World,
-                 time: GatewayTime, journal: Journal, stream: Stream, number: int) -> None:
+    def __init__(
+        self,
+        core: Core,
+        zone: int,
+        nodes: dict[str, Node],
+        network: Network,
+        world: World,
+        time: GatewayTime,
+        journal: Journal,
+        stream: Stream,
+        number: int,
+    ) -> None:
         self._core, self._zone, self._nodes, self._network, self._world = core, zone, nodes, network, world
         self._time, self._journal, self._stream, self._number = time, journal, stream, number
         self._deadlines = core.deadlines
@@ -208,8 +218,16 @@
             if not lost:
                 self._later(self._way(job), self._back, job, outcome, echo)
 
-        return Work(job.ask.id, job.attempt.number, intent.work, job.attempt.ends, intent.key,
-                    kind.repeat_window, kind.effect != api.SAFE, reply)
+        return Work(
+            job.ask.id,
+            job.attempt.number,
+            intent.work,
+            job.attempt.ends,
+            intent.key,
+            kind.repeat_window,
+            kind.effect != api.SAFE,
+            reply,
+        )
 
     def _back(self, job: _Job, outcome: str, echo: int) -> None:
         """A node's answer has come; one that is spoilt or comes twice costs its connection."""
@@ -246,8 +264,9 @@
 class ModelCounter:
     """Calls of the counter over the modelled network, each given up in time."""
 
-    def __init__(self, core: Core, zone: int, counter: Counter, network: Network, world: World,
-                 time: GatewayTime) -> None:
+    def __init__(
+        self, core: Core, zone: int, counter: Counter, network: Network, world: World, time: GatewayTime
+    ) -> None:
         self._core, self._zone, self._counter, self._network = core, zone, counter, network
         self._world, self._time = world, time
 
@@ -267,16 +286,29 @@
             self._time.call_later(self._network.delay(self._zone, 0) / 1000, tell, outcome, total)
 
         limit = self._core.deadlines.after(self._world.counter_timeout, lambda: tell("timeout", 0.0))
-        self._time.call_later(self._network.delay(self._zone, 0) / 1000, self._counter.call, name, units, lifetime,
-                              reply)
+        self._time.call_later(
+            self._network.delay(self._zone, 0) / 1000, self._counter.call, name, units, lifetime, reply
+        )
 
 
 class ModelGateway:
     """One gateway: the real core and module on modelled ports."""
 
-    def __init__(self, number: int, settings: api.Settings, seed: int, world: World, time: VirtualTime,
-                 nodes: dict[str, Node], counter: Counter, network: Network, journal: Journal, stream: Stream,
-                 known: tuple[api.ServerEntry, ...], board: Board | None = None) -> None:
+    def __init__(
+        self,
+        number: int,
+        settings: api.Settings,
+        seed: int,
+        world: World,
+        time: VirtualTime,
+        nodes: dict[str, Node],
+        counter: Counter,
+        network: Network,
+        journal: Journal,
+        stream: Stream,
+        known: tuple[api.ServerEntry, ...],
+        board: Board | None = None,
+    ) -> None:
         self.number, self._time, self._journal = number, GatewayTime(time), journal
         zone = number % world.zones
         module = chooser(world, settings, seed, board)
@@ -320,8 +352,18 @@
         """A client's try has come."""
         i = ask.intent
         kind = self.core.gateway.set.classes[i.klass]
-        return self.core.begin(i.customer.name, i.customer.plan, i.klass, patience, ask, ask, units=1.0,
-                               spread=float(spread), write=kind.effect != api.SAFE, repeat=repeat)
+        return self.core.begin(
+            i.customer.name,
+            i.customer.plan,
+            i.klass,
+            patience,
+            ask,
+            ask,
+            units=1.0,
+            spread=float(spread),
+            write=kind.effect != api.SAFE,
+            repeat=repeat,
+        )
 
     def kill(self) -> None:
         """The process dies."""
--- a/hallhitch/lab/load.py
+++ b/hallhitch/lab/load.py
@@ -163,8 +163,12 @@
 
     def packed(self) -> tuple[dict[str, bytes], dict[str, int], bytes, int]:
         """The same, to pass between processes."""
-        return ({name: told.encode() for name, told in self.times.items()}, dict(self.statuses), self.late.encode(),
-                self.sent)
+        return (
+            {name: told.encode() for name, told in self.times.items()},
+            dict(self.statuses),
+            self.late.encode(),
+            self.sent,
+        )
 
     def add(self, packed: tuple[dict[str, bytes], dict[str, int], bytes, int]) -> None:
         """Take a worker's part in."""
@@ -199,10 +203,14 @@
     def request(self, line: TraceLine) -> bytes:
         """A request's bytes."""
         id = next(self._ids)
-        lines_ = [f"{'POST' if line.body else 'GET'} /{line.klass}/{line.customer} HTTP/1.1",
-                  f"Host: {line.tenant or 'service.internal'}",
-                  f"Req-Id: {id:016x}", f"X-Contract: {line.plan}", f"Req-Deadline-Ms: {line.deadline_ms}",
-                  f"X-Metering: units={line.units:g},spread={self._gateways},first=0"]
+        lines_ = [
+            f"{'POST' if line.body else 'GET'} /{line.klass}/{line.customer} HTTP/1.1",
+            f"Host: {line.tenant or 'service.internal'}",
+            f"Req-Id: {id:016x}",
+            f"X-Contract: {line.plan}",
+            f"Req-Deadline-Ms: {line.deadline_ms}",
+            f"X-Metering: units={line.units:g},spread={self._gateways},first=0",
+        ]
         if line.body:
             lines_ += [f"Idempotency-Key: k{id:x}", f"Content-Length: {line.body}"]
         return "\r\n".join(lines_).encode() + b"\r\n\r\n" + b"x" * line.body
@@ -239,8 +247,13 @@
 class Worker:
     """One process's part of the schedule."""
 
-    def __init__(self, plan: Plan, begin: float, clock: Callable[[], float] = time.monotonic,
-                 connect: Connect = asyncio.open_connection) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        begin: float,
+        clock: Callable[[], float] = time.monotonic,
+        connect: Connect = asyncio.open_connection,
+    ) -> None:
         self._plan, self._begin, self.tally, self._clock, self._connect = plan, begin, Tally(), clock, connect
         self._wire = Http(plan.gateways) if plan.protocol == "http" else Resp()
         self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
@@ -275,8 +288,7 @@
             async with self._room:
                 for again in (True, False):
                     kept = again and bool(self._idle)  # the second time on a new one
-                    reader, writer = self._idle.pop() if kept else await self._connect(
-                        *loopback(self._plan.address))
+                    reader, writer = self._idle.pop() if kept else await self._connect(*loopback(self._plan.address))
                     try:
                         writer.write(self._wire.request(line))
                         status, keep = await self._wire.reply(reader)
@@ -302,7 +314,7 @@
     import uvloop
 
     async def run() -> Tally:
-        return await Worker(plan, begin).run(plan.lines[number::plan.workers])
+        return await Worker(plan, begin).run(plan.lines[number :: plan.workers])
 
     pipe.send(uvloop.run(run()).packed())
 
--- a/hallhitch/lab/node.py
+++ b/hallhitch/lab/node.py
@@ -16,8 +16,12 @@
 QUICK = (1.0, 4.0)  # ms that a quick failure takes
 # Faults of nodes: what each changes, and how it is without.
 NODE_FAULTS: dict[str, tuple[str, float | bool]] = {
-    "slow": ("slow", 1.0), "stall": ("stalled", False), "quick_failures": ("failing", 0.0), "spoilt": ("spoiling", 0.0),
-    "twice": ("doubling", 0.0)}
+    "slow": ("slow", 1.0),
+    "stall": ("stalled", False),
+    "quick_failures": ("failing", 0.0),
+    "spoilt": ("spoiling", 0.0),
+    "twice": ("doubling", 0.0),
+}
 
 
 class Time(Protocol):
@@ -63,8 +67,17 @@
     """One node. Work shares the cores evenly; the more a node holds, the slower it is in all."""
 
     def __init__(
-        self, name: str, world: World, pod: Pod, cell: int, zone: int, speed: float, time: Time, journal: Journal,
-        stream: Stream, born: float = 0.0,
+        self,
+        name: str,
+        world: World,
+        pod: Pod,
+        cell: int,
+        zone: int,
+        speed: float,
+        time: Time,
+        journal: Journal,
+        stream: Stream,
+        born: float = 0.0,
     ) -> None:
         self.name, self.cell, self.zone, self.born = name, cell, zone, born
         self._world, self._pod, self._time, self._journal, self._stream = world, pod, time, journal, stream
@@ -86,8 +99,18 @@
 
     def again(self, now: float) -> Node:
         """The same node, started now, in place of this one."""
-        return Node(self.name, self._world, self._pod, self.cell, self.zone, self._speed, self._time, self._journal,
-                    self._stream, now)
+        return Node(
+            self.name,
+            self._world,
+            self._pod,
+            self.cell,
+            self.zone,
+            self._speed,
+            self._time,
+            self._journal,
+            self._stream,
+            now,
+        )
 
     @property
     def capacity(self) -> float:
--- a/hallhitch/lab/report.py
+++ b/hallhitch/lab/report.py
@@ -16,8 +16,24 @@
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt  # noqa: E402 - the backend must be chosen first
 
-FIGURES = ("service", "in_time", "late", "refused", "failed", "unanswered", "beyond_units", "beyond_cost", "attempts",
-           "resets", "errors", "full", "timeouts", "counter_calls", "p50", "p99")
+FIGURES = (
+    "service",
+    "in_time",
+    "late",
+    "refused",
+    "failed",
+    "unanswered",
+    "beyond_units",
+    "beyond_cost",
+    "attempts",
+    "resets",
+    "errors",
+    "full",
+    "timeouts",
+    "counter_calls",
+    "p50",
+    "p99",
+)
 STYLE = """body{font:15px/1.5 system-ui,sans-serif;max-width:70em;margin:2em auto;padding:0 1em}
 table{border-collapse:collapse;margin:1em 0}td,th{border:1px solid #ccc;padding:.2em .6em;text-align:right}
 td:first-child,th:first-child{text-align:left}img{max-width:100%}.worse{color:#a00}.better{color:#070}"""
@@ -52,8 +68,12 @@
     left.set(xlabel="s", ylabel="service of what was asked in that second", ylim=(0, 1.05))
     left.legend(loc="lower left", fontsize=8)
     means = [interval([o.figures.service for o in outcomes.values()]) for outcomes in by_setting.values()]
-    right.errorbar([m.mean for m in means], range(len(means)), fmt="o",
-                   xerr=[[m.mean - m.low for m in means], [m.high - m.mean for m in means]])
+    right.errorbar(
+        [m.mean for m in means],
+        range(len(means)),
+        fmt="o",
+        xerr=[[m.mean - m.low for m in means], [m.high - m.mean for m in means]],
+    )
     right.set(yticks=range(len(means)), yticklabels=list(by_setting), xlabel="service")
     right.margins(y=0.4)
     return drawn(figure)
@@ -82,12 +102,17 @@
                 found = interval([float(getattr(o.figures, figure)) for o in outcomes.values()])
                 cells.append({key: f"{getattr(found, key):.4g}" for key in ("mean", "low", "high")})
             rows.append({"name": setting, "seeds": len(outcomes), "cells": cells})
-            broken += [f"{scenario}, {setting}, seed {seed}: {text}"
-                       for seed, o in outcomes.items() for text in o.broken]
+            broken += [
+                f"{scenario}, {setting}, seed {seed}: {text}" for seed, o in outcomes.items() for text in o.broken
+            ]
         base, *others = by_setting
-        compared = [{"name": other, "difference": str(found.difference), "verdict": found.verdict}
-                    for other in others for found in [compare(by_setting[base], by_setting[other])]]
-        parts.append({"scenario": scenario, "rows": rows, "base": base, "compared": compared,
-                      "chart": _chart(by_setting)})
+        compared = [
+            {"name": other, "difference": str(found.difference), "verdict": found.verdict}
+            for other in others
+            for found in [compare(by_setting[base], by_setting[other])]
+        ]
+        parts.append(
+            {"scenario": scenario, "rows": rows, "base": base, "compared": compared, "chart": _chart(by_setting)}
+        )
     runs = sum(len(outcomes) for outcomes in results.values())
     return PAGE.render(name=name, runs=runs, broken=broken, parts=parts, figures=figures, style=STYLE)
--- a/hallhitch/lab/scenario.py
+++ b/hallhitch/lab/scenario.py
@@ -77,7 +77,6 @@
     choice_late_ms: Natural = 0.0  # how late `informed` hears what nodes hold
     counter_form: Literal["http", "resp"] = "http"  # what the counter speaks; on sockets alone it matters
 
-
     def ability(self, number: int) -> float:
         """How much more than others a node can do."""
         return self.able[number] if number < len(self.able) else 1.0
@@ -110,10 +109,33 @@
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
     """Something that goes wrong from `at_s` on, for `for_s`. `part` is the share of those it may befall."""
 
-    kind: Literal["slow", "quick_failures", "stall", "crash", "replace", "drain", "spoilt", "twice", "reset", "stale",
-                  "gateways_die", "gateways_stop", "gateways_reload", "counter_down", "counter_silent", "counter_slow",
-                  "counter_empty", "counter_part", "discovery_down", "burst", "flash", "gateways_split",
-                  "zone_lost", "unreachable", "list_held"]
+    kind: Literal[
+        "slow",
+        "quick_failures",
+        "stall",
+        "crash",
+        "replace",
+        "drain",
+        "spoilt",
+        "twice",
+        "reset",
+        "stale",
+        "gateways_die",
+        "gateways_stop",
+        "gateways_reload",
+        "counter_down",
+        "counter_silent",
+        "counter_slow",
+        "counter_empty",
+        "counter_part",
+        "discovery_down",
+        "burst",
+        "flash",
+        "gateways_split",
+        "zone_lost",
+        "unreachable",
+        "list_held",
+    ]
     at_s: Natural
     for_s: Natural = 0.0
     part: Share = 0.1
@@ -151,15 +173,31 @@
     def settings(self, rates: dict[str, tuple[float, float]]) -> api.Settings:
         """What a gateway is told; `rates` has each plan's rate and burst, as drawn."""
         w = self.world
-        classes = tuple(api.RequestClass(
-            name, k.aim, k.deadline, k.worth, k.effect, "cell" if k.effect == "keyed" else "all", k.window)
-            for name, k in self.classes.items())
-        plans = tuple(api.Plan(name, *rates[name], price=p.price, beyond_worth=p.beyond_worth,
-                               beyond_cost=p.beyond_cost) for name, p in self.plans.items())
+        classes = tuple(
+            api.RequestClass(
+                name, k.aim, k.deadline, k.worth, k.effect, "cell" if k.effect == "keyed" else "all", k.window
+            )
+            for name, k in self.classes.items()
+        )
+        plans = tuple(
+            api.Plan(name, *rates[name], price=p.price, beyond_worth=p.beyond_worth, beyond_cost=p.beyond_cost)
+            for name, p in self.plans.items()
+        )
         return api.Settings(
-            w.gateways, classes, plans, counter_timeout=w.counter_timeout, attempts=w.attempts, can_cancel=True,
-            can_advise=True, max_advice=1000.0, keepalive=w.keepalive, cold_time=w.cold_s * 1000,
-            cold_from=w.cold_from, fall_time=w.fall_ms, fall_multiple=w.fall_multiple)
+            w.gateways,
+            classes,
+            plans,
+            counter_timeout=w.counter_timeout,
+            attempts=w.attempts,
+            can_cancel=True,
+            can_advise=True,
+            max_advice=1000.0,
+            keepalive=w.keepalive,
+            cold_time=w.cold_s * 1000,
+            cold_from=w.cold_from,
+            fall_time=w.fall_ms,
+            fall_multiple=w.fall_multiple,
+        )
 
 
 def described(scenario: Scenario, settings: api.Settings) -> tuple[Any, ...]:
--- a/hallhitch/lab/sockets.py
+++ b/hallhitch/lab/sockets.py
@@ -175,9 +175,13 @@
             run.journal.add(run.time.now, "done", id, number, "cancelled")
             return False
         what, echo = outcome.result()
-        text = {"ok": answer(200, b"%d" % echo), "twice": answer(200, b"%d" % echo) * 2, "error": answer(500),
-                "full": answer(503, extra="Srv-Declined: 1\r\n"),
-                "spoilt": b"HTTP/1.1 200 OK\r\nContent-Length: none\r\n\r\n"}.get(what, b"")
+        text = {
+            "ok": answer(200, b"%d" % echo),
+            "twice": answer(200, b"%d" % echo) * 2,
+            "error": answer(500),
+            "full": answer(503, extra="Srv-Declined: 1\r\n"),
+            "spoilt": b"HTTP/1.1 200 OK\r\nContent-Length: none\r\n\r\n",
+        }.get(what, b"")
         heard = {"spoilt": "error", "twice": "ok"}.get(what, what)
         run.journal.add(run.time.now, "done", id, number, heard)
         writer.write(text)
@@ -347,9 +351,18 @@
     async def _node(self, born: float) -> SocketNode:
         w, number = self.scenario.world, len(self.nodes)
         cell = number % w.pods
-        node = Node(f"node-{number}", w, self._pods[cell], cell, number % w.zones,
-                    self._speeds.between(*w.speed) * w.ability(number), self.time, self.journal,
-                    self._streams.of(f"node {number}"), born)
+        node = Node(
+            f"node-{number}",
+            w,
+            self._pods[cell],
+            cell,
+            number % w.zones,
+            self._speeds.between(*w.speed) * w.ability(number),
+            self.time,
+            self.journal,
+            self._streams.of(f"node {number}"),
+            born,
+        )
         made = self.nodes[node.name] = await SocketNode(node, self).start()
         return made
 
@@ -362,31 +375,77 @@
 
     def host(self, entry: api.ServerEntry) -> dict[str, Any]:
         """A node's line in discovery's list."""
-        return {"host": entry.server, "dial": self.nodes[entry.server].listener.address,
-                "site": f"zone-{entry.zone}", "class": "node", "block": entry.cell, "health": STATES[entry.state],
-                "share": entry.weight, "born_ms": entry.started}
+        return {
+            "host": entry.server,
+            "dial": self.nodes[entry.server].listener.address,
+            "site": f"zone-{entry.zone}",
+            "class": "node",
+            "block": entry.cell,
+            "health": STATES[entry.state],
+            "share": entry.weight,
+            "born_ms": entry.started,
+        }
 
     def _config(self, number: int) -> dict[str, Any]:
         """What a gateway is told, in the platform's form."""
         w, s = self.scenario.world, self.settings
         effects = {api.SAFE: "pure", api.KEYED: "token", api.UNSAFE: "side_effect"}
         settings = {
-            "balancers": w.gateways, "index": self.index(number), "discovery": "push",
+            "balancers": w.gateways,
+            "index": self.index(number),
+            "discovery": "push",
             "zones": [f"zone-{n}" for n in range(w.zones)],
-            "classes": [{"name": k.name, "aim": k.aim, "deadline": k.deadline, "worth": k.worth,
-                         "repeat": effects[k.effect], "group": k.group, "window": k.repeat_window} for k in s.classes],
-            "tiers-of-service": [{"name": p.name, "per-second": p.rate, "peak-units": p.burst, "worth-factor": p.price,
-                                  "beyond-earns": p.beyond_worth, "overrun-cost": p.beyond_cost} for p in s.plans],
+            "classes": [
+                {
+                    "name": k.name,
+                    "aim": k.aim,
+                    "deadline": k.deadline,
+                    "worth": k.worth,
+                    "repeat": effects[k.effect],
+                    "group": k.group,
+                    "window": k.repeat_window,
+                }
+                for k in s.classes
+            ],
+            "tiers-of-service": [
+                {
+                    "name": p.name,
+                    "per-second": p.rate,
+                    "peak-units": p.burst,
+                    "worth-factor": p.price,
+                    "beyond-earns": p.beyond_worth,
+                    "overrun-cost": p.beyond_cost,
+                }
+                for p in s.plans
+            ],
             "family-info": {"shared-counter": True, "counter-timeout": s.counter_timeout, "units-top": 1},
-            "limits": {"connect-timeout": s.connect_timeout, "keepalive": s.keepalive, "send-cap": s.attempts,
-                       "retry-after": True, "max-retry-after": s.max_advice, "cancel": True},
-            "safety": {"cold": s.cold_time, "cold-from": s.cold_from, "fall": s.fall_time,
-                       "fall-multiple": s.fall_multiple}}
+            "limits": {
+                "connect-timeout": s.connect_timeout,
+                "keepalive": s.keepalive,
+                "send-cap": s.attempts,
+                "retry-after": True,
+                "max-retry-after": s.max_advice,
+                "cancel": True,
+            },
+            "safety": {
+                "cold": s.cold_time,
+                "cold-from": s.cold_from,
+                "fall": s.fall_time,
+                "fall-multiple": s.fall_multiple,
+            },
+        }
         known = {"seq": 1, "whole": True, "hosts": [self.host(entry) for entry in self._first]}
         host, port = self.places[number]
-        return {"name": f"n{number}", "listen": f"{host}:{port}", "settings": settings,
-                "discovery": self._agents[number].listener.address, "counter": self._counters[number].address,
-                "seed": f"{self.seed * 1000 + number:016x}", "limits": {"sockets": 1024}, "known": known}
+        return {
+            "name": f"n{number}",
+            "listen": f"{host}:{port}",
+            "settings": settings,
+            "discovery": self._agents[number].listener.address,
+            "counter": self._counters[number].address,
+            "seed": f"{self.seed * 1000 + number:016x}",
+            "limits": {"sockets": 1024},
+            "known": known,
+        }
 
     def index(self, number: int) -> int:
         """The number that a gateway is told to have."""
@@ -406,8 +465,15 @@
         path.write_text(json.dumps(self._config(number)))
         environ = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")} | {"EDGE_CONFIG": str(path)}
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-O", "-m", self.module, *self._arguments(number), env=environ,
-            stderr=asyncio.subprocess.PIPE, cwd=Path(__file__).parents[2])
+            sys.executable,
+            "-O",
+            "-m",
+            self.module,
+            *self._arguments(number),
+            env=environ,
+            stderr=asyncio.subprocess.PIPE,
+            cwd=Path(__file__).parents[2],
+        )
         assert process.stderr is not None
         self._started.append(process)
         while b'"serving"' not in (line := await asyncio.wait_for(process.stderr.readline(), READY)):
@@ -479,8 +545,9 @@
         try:
             for again in (True, False):
                 kept = again and bool(self._idle[number])  # the second time on a new one
-                reader, writer = self._idle[number].pop() if kept else await asyncio.open_connection(
-                    *self.places[number])
+                reader, writer = (
+                    self._idle[number].pop() if kept else await asyncio.open_connection(*self.places[number])
+                )
                 if not taken:
                     taken = True
                     self._log_ask(id, number, intent, first, began + patience)
@@ -501,23 +568,38 @@
     def _log_ask(self, id: int, number: int, intent: Intent, first: bool, ends: float) -> None:
         plan, klass = self.settings.plans[intent.customer.plan].name, self.settings.classes[intent.klass].name
         start = self.journal._start
-        self.journal.add(self.time.now, "ask", id, number, intent.customer.name, plan, klass, intent.key,
-                         round(ends - start, 3), first)
+        self.journal.add(
+            self.time.now,
+            "ask",
+            id,
+            number,
+            intent.customer.name,
+            plan,
+            klass,
+            intent.key,
+            round(ends - start, 3),
+            first,
+        )
 
     def _request(self, id: int, intent: Intent, left: float) -> bytes:
         kind = self.settings.classes[intent.klass]
         safe = kind.effect == api.SAFE
-        lines = [f"{'GET' if safe else 'POST'} /{kind.name}/{intent.customer.name} HTTP/1.1", "Host: service.internal",
-                 f"Req-Id: {id:016x}", f"X-Contract: {self.settings.plans[intent.customer.plan].name}",
-                 f"Req-Deadline-Ms: {max(1, round(left))}",
-                 f"X-Metering: units=1,spread={intent.customer.spread},first={intent.customer.first}"]
+        lines = [
+            f"{'GET' if safe else 'POST'} /{kind.name}/{intent.customer.name} HTTP/1.1",
+            "Host: service.internal",
+            f"Req-Id: {id:016x}",
+            f"X-Contract: {self.settings.plans[intent.customer.plan].name}",
+            f"Req-Deadline-Ms: {max(1, round(left))}",
+            f"X-Metering: units=1,spread={intent.customer.spread},first={intent.customer.first}",
+        ]
         body = b"" if safe else b"part"
         if not safe:
             lines += [f"Idempotency-Key: {intent.key}", f"Content-Length: {len(body)}"]
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
-    def _answered(self, id: int, number: int, line: str, headers: dict[str, str], body: bytes, reader: Reader,
-                  writer: Writer) -> tuple[str, float]:
+    def _answered(
+        self, id: int, number: int, line: str, headers: dict[str, str], body: bytes, reader: Reader, writer: Writer
+    ) -> tuple[str, float]:
         code = int(line.split()[1])
         status = "served" if code == 200 else "refused" if code in (429, 503) else "failed"
         echo = int(body) if code == 200 and body.isdigit() else 0
@@ -652,8 +734,12 @@
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for listener in (*self._left, *self._counters, *(a.listener for a in self._agents),
-                         *(made.listener for made in self.nodes.values())):
+        for listener in (
+            *self._left,
+            *self._counters,
+            *(a.listener for a in self._agents),
+            *(made.listener for made in self.nodes.values()),
+        ):
             listener.stop()
 
 
--- a/hallhitch/lab/system/allowed.py
+++ b/hallhitch/lab/system/allowed.py
@@ -17,8 +17,11 @@
 def route_of(config: Config, host: str, path: str) -> tuple[str, Any] | None:
     """Name and table of the route that a request takes: of its host, the longest prefix that begins its path."""
     path = path.partition("?")[0]
-    found = [(len(route["pathPrefix"]), name, route) for name, route in config["routes"].items()
-             if route["host"].lower() == host.lower() and path.startswith(route["pathPrefix"])]
+    found = [
+        (len(route["pathPrefix"]), name, route)
+        for name, route in config["routes"].items()
+        if route["host"].lower() == host.lower() and path.startswith(route["pathPrefix"])
+    ]
     if not found:
         return None
     _, name, route = max(found, key=lambda each: each[0])
@@ -86,5 +89,7 @@
 
     def calm(self, machines: Sequence[str], since: float, until: float) -> bool:
         """Whether they were in touch all the while."""
-        return not any((span.whom == "core" or span.whom in machines) and span.at <= until
-                       and span.ends >= since - self.window for span in self.spans)
+        return not any(
+            (span.whom == "core" or span.whom in machines) and span.at <= until and span.ends >= since - self.window
+            for span in self.spans
+        )
--- a/hallhitch/lab/system/backend.py
+++ b/hallhitch/lab/system/backend.py
@@ -52,8 +52,9 @@
 class Backend:
     """One life of a backend."""
 
-    def __init__(self, fleet: Fleet, instance: str, kind: Kind, address: tuple[str, int], place: tuple[str, str],
-                 cold: bool) -> None:
+    def __init__(
+        self, fleet: Fleet, instance: str, kind: Kind, address: tuple[str, int], place: tuple[str, str], cold: bool
+    ) -> None:
         self.fleet, self.instance, self.kind, self.address = fleet, instance, kind, address
         self.zone, self.region = place
         self.born = now()
@@ -76,7 +77,8 @@
     async def listen(self) -> None:
         """Take connections."""
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: _Connection(self), *self.address, reuse_address=True, backlog=256)
+            lambda: _Connection(self), *self.address, reuse_address=True, backlog=256
+        )
 
     def end(self) -> None:
         """Its process is gone: addresses refuse, connections break."""
@@ -207,10 +209,20 @@
     async def _request(self, message: Message, head: dict[str, str], path: str) -> None:
         backend, at = self.backend, now()
         arrival = Arrival(
-            next(self.fleet.records.numbers), head.get("hallhitch-request-id", ""), at, backend.instance,
-            self.kind.service, backend.zone, backend.region, self._sender,
-            message.method.decode(), path, head.get("hallhitch-tenant-name", ""), head.get("authorization", ""),
-            digest(message.body))
+            next(self.fleet.records.numbers),
+            head.get("hallhitch-request-id", ""),
+            at,
+            backend.instance,
+            self.kind.service,
+            backend.zone,
+            backend.region,
+            self._sender,
+            message.method.decode(),
+            path,
+            head.get("hallhitch-tenant-name", ""),
+            head.get("authorization", ""),
+            digest(message.body),
+        )
         self.fleet.records.arrivals.append(arrival)
         if not arrival.id:
             return await self._turn(arrival, 400)
@@ -265,15 +277,16 @@
         elif trick == "broken":
             whole = self._bytes(200, seal, body, arrival.id)
             await self.fleet.paths.pass_on(BACKENDS, self._sender, now() + self._delay)
-            self._write(whole[:len(whole) - len(body) // 2 - 1])
+            self._write(whole[: len(whole) - len(body) // 2 - 1])
             self._close()
         else:
             await self._answer(200, seal, body, arrival.id)
             if trick == "doubled":
                 self._write(self._bytes(200, seal, body, arrival.id))
             elif trick == "late":
-                asyncio.get_running_loop().call_later(LATE / 1000, self._write,
-                                                      self._bytes(200, seal, body, arrival.id))
+                asyncio.get_running_loop().call_later(
+                    LATE / 1000, self._write, self._bytes(200, seal, body, arrival.id)
+                )
 
     async def _answer(self, status: int, extra: bytes = b"", body: bytes = b"", id: str = "") -> None:
         text = self._bytes(status, extra, body, id)
--- a/hallhitch/lab/system/clients.py
+++ b/hallhitch/lab/system/clients.py
@@ -113,8 +113,9 @@
 class Client:
     """Clients of one zone that share the directory's answer and kept connections."""
 
-    def __init__(self, place: Place, region: str, zone: str, number: int, stream: Stream, keeps: bool = True,
-                 holds: float = 1.0) -> None:
+    def __init__(
+        self, place: Place, region: str, zone: str, number: int, stream: Stream, keeps: bool = True, holds: float = 1.0
+    ) -> None:
         self._place, self.region, self.zone, self._number = place, region, zone, number
         self._stream, self._keeps, self._holds = stream, keeps, holds
         self.addresses: list[str] = []
@@ -150,8 +151,10 @@
         try:
             late = self._place.paths.delay(self._number, region_of(address[0])) / 1000
             await asyncio.sleep(2 * late)
-            writer.write(f"GET /hallhitch/resolve?name={name}&region={self.region}&zone={self.zone} HTTP/1.1\r\n"
-                         f"Host: {address[0]}:{address[1]}\r\n\r\n".encode())
+            writer.write(
+                f"GET /hallhitch/resolve?name={name}&region={self.region}&zone={self.zone} HTTP/1.1\r\n"
+                f"Host: {address[0]}:{address[1]}\r\n\r\n".encode()
+            )
             first, _, body = await read_message(reader)
             if first.split()[1] != "200":
                 raise ValueError(first)
@@ -230,11 +233,27 @@
         """One try on a connection, recorded."""
         p, at = self._place, now()
         id = f"{next(p.ids):016x}"
-        noted = Try(id, at, self.region, self.zone, p.names.get(kept.address, ""), want.method, want.host, want.path,
-                    want.key, digest(want.body), ends - at, probe)
+        noted = Try(
+            id,
+            at,
+            self.region,
+            self.zone,
+            p.names.get(kept.address, ""),
+            want.method,
+            want.host,
+            want.path,
+            want.key,
+            digest(want.body),
+            ends - at,
+            probe,
+        )
         p.records.tries.append(noted)
-        lines = [f"{want.method} {want.path} HTTP/1.1", f"Host: {want.host}", f"Hallhitch-Request-Id: {id}",
-                 f"Hallhitch-Deadline-Remaining: {max(1, ends - at):.0f}"]
+        lines = [
+            f"{want.method} {want.path} HTTP/1.1",
+            f"Host: {want.host}",
+            f"Hallhitch-Request-Id: {id}",
+            f"Hallhitch-Deadline-Remaining: {max(1, ends - at):.0f}",
+        ]
         if want.key:
             lines.append(f"Authorization: Token {want.key}")
         if want.body:
@@ -266,8 +285,11 @@
     def _keep(self, kept: _Kept, headers: Mapping[str, str]) -> None:
         told = dict(part.strip().partition("=")[::2] for part in headers.get("keep-alive", "").split(","))
         rests = float(told["timeout"]) * 1000 if told.get("timeout", "").isdigit() else IDLE
-        if not self._keeps or headers.get("connection", "").lower() == "close" or (
-                self.addresses and kept.address not in self.addresses):
+        if (
+            not self._keeps
+            or headers.get("connection", "").lower() == "close"
+            or (self.addresses and kept.address not in self.addresses)
+        ):
             kept.writer.close()
         else:
             kept.until = now() + min(rests, IDLE)
--- a/hallhitch/lab/system/control_days.py
+++ b/hallhitch/lab/system/control_days.py
@@ -79,11 +79,14 @@
             one, other = sequel.two_under_one_number()
             await asyncio.gather(cut, here.replace(one), there.replace(other))
             await world.operator.read_back()
+
         return happens
 
     words = f"for {lasts:g} s, orders on both sides"
-    return [(seconds * 0.05, f"{alone.name} cut off from the other coordinators {words}", cut_from(others)),
-            (seconds * 0.55, f"{alone.name} cut off from all gateways {words}", cut_from(gateways))]
+    return [
+        (seconds * 0.05, f"{alone.name} cut off from the other coordinators {words}", cut_from(others)),
+        (seconds * 0.55, f"{alone.name} cut off from all gateways {words}", cut_from(gateways)),
+    ]
 
 
 def exchange(world: World, seconds: float) -> list[Fault]:
@@ -103,13 +106,19 @@
             await world.rig.kill(other)
             await asyncio.sleep(catch_up)
             await world.rig.back(other, "killed")
+
         return happens
 
     step = seconds * 0.9 / len(old_ones)
     faults: list[Fault] = [(seconds * 0.05, "orders go on", lambda: _orders_meanwhile(world, sequel, seconds * 0.9))]
-    return faults + [(seconds * 0.05 + step * number,
-                      f"a new machine comes for {old.name}, which leaves; another one is killed for {catch_up:g} s",
-                      exchanged(old)) for number, old in enumerate(old_ones)]
+    return faults + [
+        (
+            seconds * 0.05 + step * number,
+            f"a new machine comes for {old.name}, which leaves; another one is killed for {catch_up:g} s",
+            exchanged(old),
+        )
+        for number, old in enumerate(old_ones)
+    ]
 
 
 def hundreds(world: World, seconds: float) -> list[Fault]:
@@ -125,7 +134,8 @@
         CHANGES // 3: restart,
         CHANGES // 3 + GONE_FOR: lambda: rig.back(restarted, "restarted"),
         CHANGES * 2 // 3: lambda: rig.kill(wiped, wipe=True),
-        CHANGES * 2 // 3 + GONE_FOR: lambda: rig.back(wiped, "wiped")}
+        CHANGES * 2 // 3 + GONE_FOR: lambda: rig.back(wiped, "wiped"),
+    }
 
     async def changed() -> None:
         for number in range(CHANGES):
--- a/hallhitch/lab/system/days.py
+++ b/hallhitch/lab/system/days.py
@@ -23,6 +23,7 @@
         await world.rig.kill(machine, wipe)
         await asyncio.sleep(BACK)
         await world.rig.back(machine, "killed")
+
     return happens
 
 
@@ -57,17 +58,21 @@
         await world.operator.replace(moved(configuration(world.shape, 1), "ask", "shelf", 4))
         await _killed(world, cores[0], True)()
 
-    return [(seconds * 0.2, f"version 4; {cores[0].name} is killed and loses its disk", change),
-            _kill(world, seconds * 0.65, cores[-1], True)]
+    return [
+        (seconds * 0.2, f"version 4; {cores[0].name} is killed and loses its disk", change),
+        _kill(world, seconds * 0.65, cores[-1], True),
+    ]
 
 
 def links(world: World, seconds: float) -> list[Fault]:
     """Single machines are cut off, then the core is cut in two. Needs links between the processes."""
     cores, edges = world.rig.of("coordinator"), world.rig.of("gateway")
     lasts = seconds * 0.15
-    return [_cut(world, seconds * 0.1, edges[:1], [], lasts),
-            _cut(world, seconds * 0.35, cores[:1], [*cores[1:], *edges], lasts),
-            _cut(world, seconds * 0.65, cores[:1], cores[1:], lasts)]
+    return [
+        _cut(world, seconds * 0.1, edges[:1], [], lasts),
+        _cut(world, seconds * 0.35, cores[:1], [*cores[1:], *edges], lasts),
+        _cut(world, seconds * 0.65, cores[:1], cores[1:], lasts),
+    ]
 
 
 def frozen(world: World, seconds: float) -> list[Fault]:
@@ -79,15 +84,18 @@
             world.rig.freeze(machine)
             await asyncio.sleep(lasts)
             world.rig.thaw(machine)
+
         return happens
 
     async def leaves() -> None:
         await world.rig.term(edges[-1])
         await world.rig.back(edges[-1], "left")
 
-    return [(seconds * 0.2, f"{edges[0].name} stands still for 3 s", freeze(edges[0], 3.0)),
-            (seconds * 0.45, f"{cores[0].name} stands still for 3 s", freeze(cores[0], 3.0)),
-            (seconds * 0.6, f"{edges[-1].name} is told to leave, and comes back", leaves)]
+    return [
+        (seconds * 0.2, f"{edges[0].name} stands still for 3 s", freeze(edges[0], 3.0)),
+        (seconds * 0.45, f"{cores[0].name} stands still for 3 s", freeze(cores[0], 3.0)),
+        (seconds * 0.6, f"{edges[-1].name} is told to leave, and comes back", leaves),
+    ]
 
 
 def backends(world: World, seconds: float) -> list[Fault]:
@@ -123,11 +131,13 @@
         await asyncio.sleep(seconds * 0.15)
         world.platform_state("up")
 
-    return [(seconds * 0.1, "a backend drains, a new one starts cold", drains),
-            (seconds * 0.3, "a backend crashes, a new one starts cold", crashes),
-            (seconds * 0.4, "two backends turn cold", cold),
-            (seconds * 0.5, "answers are lost, broken off, doubled, late, garbled", trouble),
-            (seconds * 0.75, "the list is down, a backend crashes", list_away)]
+    return [
+        (seconds * 0.1, "a backend drains, a new one starts cold", drains),
+        (seconds * 0.3, "a backend crashes, a new one starts cold", crashes),
+        (seconds * 0.4, "two backends turn cold", cold),
+        (seconds * 0.5, "answers are lost, broken off, doubled, late, garbled", trouble),
+        (seconds * 0.75, "the list is down, a backend crashes", list_away),
+    ]
 
 
 def changes(world: World, seconds: float) -> list[Fault]:
@@ -138,8 +148,12 @@
     async def grows() -> None:
         await operator.replace(configuration(shape, 3, more))
         await asyncio.sleep(shape.figures.config / 1000)
-        await asyncio.gather(*(world.clients[0].probe(address, more[0].want(1, shape.keys(shape.tenants[0])[0]))
-                               for address in world.place.names))
+        await asyncio.gather(
+            *(
+                world.clients[0].probe(address, more[0].want(1, shape.keys(shape.tenants[0])[0]))
+                for address in world.place.names
+            )
+        )
 
     async def race() -> None:
         one = moved(configuration(shape, 3, more), "ask", "shelf", 5)
@@ -156,9 +170,12 @@
         await asyncio.sleep(seconds * 0.2)
         await operator.take_back(zone)
 
-    return [(seconds * 0.1, "twenty routes more", grows), (seconds * 0.35, "two operators at once", race),
-            (seconds * 0.5, "an invalid configuration", invalid),
-            (seconds * 0.55, f"{shape.zone(1, 1)} is evacuated, and taken back", evacuation)]
+    return [
+        (seconds * 0.1, "twenty routes more", grows),
+        (seconds * 0.35, "two operators at once", race),
+        (seconds * 0.5, "an invalid configuration", invalid),
+        (seconds * 0.55, f"{shape.zone(1, 1)} is evacuated, and taken back", evacuation),
+    ]
 
 
 def press(world: World, seconds: float) -> list[Fault]:
@@ -167,8 +184,10 @@
     keys, client = shape.keys(shape.tenants[-1]), world.clients[-3:]
 
     async def presses() -> None:
-        wants = [shape.paths[number % 2].want(10_000 + number, keys[number % len(keys)])
-                 for number in range(int(seconds * 0.3 * 200))]
+        wants = [
+            shape.paths[number % 2].want(10_000 + number, keys[number % len(keys)])
+            for number in range(int(seconds * 0.3 * 200))
+        ]
         tasks = []
         for number, want in enumerate(wants):
             tasks.append(asyncio.create_task(client[number % len(client)].ask(want)))
@@ -178,5 +197,7 @@
     return [(seconds * 0.3, f"{shape.tenants[-1].name} sends 200 a second more", presses)]
 
 
-DAYS: dict[str, Day] = {each.__name__: each for each in (
-    kills, herd, wipes, links, frozen, backends, changes, press, control_cut, exchange, hundreds)}
+DAYS: dict[str, Day] = {
+    each.__name__: each
+    for each in (kills, herd, wipes, links, frozen, backends, changes, press, control_cut, exchange, hundreds)
+}
--- a/hallhitch/lab/system/fleet.py
+++ b/hallhitch/lab/system/fleet.py
@@ -22,9 +22,17 @@
 class Fleet:
     """The backends. `owner`: who opened a connection, by its two ends; `regions`: their numbers, by caller."""
 
-    def __init__(self, records: Records, paths: Paths, port: int, lag: float = 300.0, seed: int = 1,
-                 owner: Callable[[Address, Address], str] = lambda peer, here: "",
-                 regions: Mapping[str, int] | None = None, size: Callable[[str], int] = lambda path: 256) -> None:
+    def __init__(
+        self,
+        records: Records,
+        paths: Paths,
+        port: int,
+        lag: float = 300.0,
+        seed: int = 1,
+        owner: Callable[[Address, Address], str] = lambda peer, here: "",
+        regions: Mapping[str, int] | None = None,
+        size: Callable[[str], int] = lambda path: 256,
+    ) -> None:
         self.records, self.paths, self._port = records, paths, port
         self.owner, self._regions = owner, regions or {}
         self.lag, self.size = lag, size
@@ -97,8 +105,18 @@
             if state not in ("ready", "draining") or zone and each.zone != zone:
                 continue
             host, port = each.address
-            rows.append([each.instance, each.kind.service, f"{host}:{port}", each.zone, "v1", each.kind.slots, state,
-                         f"{max(0.0, each.cold_until - at):.0f}ms"])
+            rows.append(
+                [
+                    each.instance,
+                    each.kind.service,
+                    f"{host}:{port}",
+                    each.zone,
+                    "v1",
+                    each.kind.slots,
+                    state,
+                    f"{max(0.0, each.cold_until - at):.0f}ms",
+                ]
+            )
         return rows
 
     def living(self) -> Iterable[Backend]:
--- a/hallhitch/lab/system/linked.py
+++ b/hallhitch/lab/system/linked.py
@@ -48,8 +48,11 @@
         told = await loop.sock_recv(sock, 1)
         if told == TAKEN:
             return sock
-        raise ConnectionRefusedError(f"{host}:{port} refuses") if told == REFUSED else ConnectionResetError(
-            f"{host}:{port} reset")
+        raise (
+            ConnectionRefusedError(f"{host}:{port} refuses")
+            if told == REFUSED
+            else ConnectionResetError(f"{host}:{port} reset")
+        )
     except BaseException:
         sock.close()
         raise
@@ -65,7 +68,8 @@
         """The program's loop."""
 
         async def create_connection(
-                self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
+            self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any
+        ) -> Any:
             """As ever, but over the relay to the system's others."""
             if port == internal and host not in (None, own):
                 more["sock"] = await connected(self, host, port, caller)
--- a/hallhitch/lab/system/owners.py
+++ b/hallhitch/lab/system/owners.py
@@ -20,8 +20,12 @@
 
 def question(local: Address, remote: Address) -> bytes:
     """What is asked of the kernel about the socket with these two ends."""
-    ends = struct.pack("!HH", local[1], remote[1]) + b"".join(
-        socket.inet_aton(host).ljust(16, b"\0") for host, _ in (local, remote)) + bytes(4) + NO_COOKIE
+    ends = (
+        struct.pack("!HH", local[1], remote[1])
+        + b"".join(socket.inet_aton(host).ljust(16, b"\0") for host, _ in (local, remote))
+        + bytes(4)
+        + NO_COOKIE
+    )
     body = struct.pack(WHAT, socket.AF_INET, socket.IPPROTO_TCP, 0, 0, 0xFFFFFFFF) + ends
     return struct.pack(HEAD, struct.calcsize(HEAD) + len(body), BY_FAMILY, REQUEST, 1, 0) + body
 
--- a/hallhitch/lab/system/paths.py
+++ b/hallhitch/lab/system/paths.py
@@ -32,8 +32,14 @@
 class Paths:
     """Delays and links. `number_of`: the number of each process by its name; a name that is not there is a stranger."""
 
-    def __init__(self, between: float, within: float, number_of: Mapping[str, int],
-                 late: Mapping[tuple[int, int], float] | None = None, seed: int = 1) -> None:
+    def __init__(
+        self,
+        between: float,
+        within: float,
+        number_of: Mapping[str, int],
+        late: Mapping[tuple[int, int], float] | None = None,
+        seed: int = 1,
+    ) -> None:
         self._between, self._within, self._late = between, within, dict(late or {})
         self._number_of = number_of
         self._links = Links(MOST, Streams(seed).of("links"))
@@ -49,11 +55,13 @@
             return self._within
         return self._late.get((min(one, other), max(one, other)), self._between)
 
-    def begin(self, kind: Literal["cut", "stall"], whom: Sequence[str], to: Sequence[str] = (),
-              one_way: bool = False) -> int:
+    def begin(
+        self, kind: Literal["cut", "stall"], whom: Sequence[str], to: Sequence[str] = (), one_way: bool = False
+    ) -> int:
         """A link's trouble begins, between processes and others, by name; the number to end it by."""
-        number = self._links.begin(Trouble(kind, 0.0, whom=tuple(map(self.party, whom)),
-                                           to=tuple(map(self.party, to)), one_way=one_way))
+        number = self._links.begin(
+            Trouble(kind, 0.0, whom=tuple(map(self.party, whom)), to=tuple(map(self.party, to)), one_way=one_way)
+        )
         self._change()
         return number
 
--- a/hallhitch/lab/system/platform.py
+++ b/hallhitch/lab/system/platform.py
@@ -85,6 +85,8 @@
             begin, moment = int(row), float(stamp)
         rows = self._fleet.listed(moment, asked.get("zone", ""))
         more = begin + self._page < len(rows)
-        body = {"instances": {"columnNames": COLUMNS, "rowValues": rows[begin:begin + self._page]},
-                "nextPageToken": f"p-{begin + self._page}-{moment:.3f}" if more else None}
+        body = {
+            "instances": {"columnNames": COLUMNS, "rowValues": rows[begin : begin + self._page]},
+            "nextPageToken": f"p-{begin + self._page}-{moment:.3f}" if more else None,
+        }
         return answer(200, json.dumps(body).encode(), JSON)
--- a/hallhitch/lab/system/relay.py
+++ b/hallhitch/lab/system/relay.py
@@ -54,8 +54,9 @@
             raise ValueError(f"{new.name}: {CALLERS} machines at most may have relays")
         others = list(self._by_number.values())
         self._by_number[new.number] = self._by_host[new.host] = new
-        await self._listen([*(image(new.host, other.number) for other in others),
-                            *(image(other.host, new.number) for other in others)])
+        await self._listen(
+            [*(image(new.host, other.number) for other in others), *(image(other.host, new.number) for other in others)]
+        )
 
     async def _listen(self, hosts: Sequence[str]) -> None:
         if hosts:
@@ -84,8 +85,10 @@
             self.open.add(there)
             await self._paths.pass_on(other.name, one.name, now() + late)
             await self._tell(writer, TAKEN)
-            both = [asyncio.ensure_future(self._pump(reader, there, one.name, other.name, late)),
-                    asyncio.ensure_future(self._pump(back, writer, other.name, one.name, late))]
+            both = [
+                asyncio.ensure_future(self._pump(reader, there, one.name, other.name, late)),
+                asyncio.ensure_future(self._pump(back, writer, other.name, one.name, late)),
+            ]
             try:
                 await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
             finally:
--- a/hallhitch/lab/system/report.py
+++ b/hallhitch/lab/system/report.py
@@ -49,8 +49,17 @@
     def row(self, name: str) -> Row:
         """A line of the table."""
         of = max(1, self.asked)
-        return (name, str(self.asked), f"{self.share:.2%}", f"{self.in_aim / of:.2%}", str(self.refused),
-                str(self.failed), f"{self.p50:.0f}", f"{self.p99:.0f}", f"{self.tries / of:.2f}")
+        return (
+            name,
+            str(self.asked),
+            f"{self.share:.2%}",
+            f"{self.in_aim / of:.2%}",
+            str(self.refused),
+            str(self.failed),
+            f"{self.p50:.0f}",
+            f"{self.p99:.0f}",
+            f"{self.tries / of:.2f}",
+        )
 
 
 def part(outcomes: Iterable[Outcome]) -> Summary:
@@ -59,9 +68,15 @@
     times = [o.ended - o.at for o in all_ if o.served]
     refused = sum(o.status in (429, 503) for o in all_)
     return Summary(
-        len(all_), len(times), sum(o.served and o.ended - o.at <= o.want.aim for o in all_), refused,
-        len(all_) - len(times) - refused, percentile(times, 0.5), percentile(times, 0.99),
-        sum(o.tries for o in all_))
+        len(all_),
+        len(times),
+        sum(o.served and o.ended - o.at <= o.want.aim for o in all_),
+        refused,
+        len(all_) - len(times) - refused,
+        percentile(times, 0.5),
+        percentile(times, 0.99),
+        sum(o.tries for o in all_),
+    )
 
 
 def table(outcomes: Sequence[Outcome]) -> list[Row]:
@@ -85,9 +100,11 @@
             contents[order.version].append(order.config)
     twofold = sum(len(each) > 1 for each in contents.values())
     times = [order.acked - order.at for order in orders if order.acked is not None]
-    return (f"{len(orders)} orders, {len(times)} acknowledged: p50 {percentile(times, 0.5):.0f} ms, "
-            f"p99 {percentile(times, 0.99):.0f} ms, worst {max(times, default=0.0):.0f} ms; "
-            f"{twofold} numbers acknowledged for two contents")
+    return (
+        f"{len(orders)} orders, {len(times)} acknowledged: p50 {percentile(times, 0.5):.0f} ms, "
+        f"p99 {percentile(times, 0.99):.0f} ms, worst {max(times, default=0.0):.0f} ms; "
+        f"{twofold} numbers acknowledged for two contents"
+    )
 
 
 def verdict(broken: dict[str, list[Broken]], most: int = 3) -> list[str]:
--- a/hallhitch/lab/system/rig.py
+++ b/hallhitch/lab/system/rig.py
@@ -47,8 +47,10 @@
 def roles(path: Path = DEPLOY) -> dict[str, Role]:
     """The roles as they are deployed, by name."""
     with open(path, "rb") as file:
-        return {name: Role(told["run"].split()[-1], told["on"], tuple(told["serves"]))
-                for name, told in tomllib.load(file)["roles"].items()}
+        return {
+            name: Role(told["run"].split()[-1], told["on"], tuple(told["serves"]))
+            for name, told in tomllib.load(file)["roles"].items()
+        }
 
 
 @dataclass(slots=True)
@@ -92,8 +94,11 @@
         return self.log.read_text(errors="replace").splitlines()[-count:] if self.log.exists() else []
 
 
-LISTENS = {"edge": (("frontend", FRONT), ("readiness", READY)), "control_plane": (("controlPlane", CONTROL),),
-           "directory": (("directoryApi", DIRECTORY),)}
+LISTENS = {
+    "edge": (("frontend", FRONT), ("readiness", READY)),
+    "control_plane": (("controlPlane", CONTROL),),
+    "directory": (("directoryApi", DIRECTORY),),
+}
 
 
 def listens(machine: Machine, base: int) -> dict[str, str]:
@@ -105,30 +110,59 @@
     """A settings file's text."""
     figures, edge = shape.figures, machine.role == "gateway"
     top: dict[str, Any] = {
-        "nodeName": machine.name, "role": machine.role, "machineClass": "edge" if edge else "core",
-        "serves": list(machine.serves), "ipAddress": machine.host,
-        "zone": machine.zone, "region": machine.region,
-        "internalPortRange": [base + INTERNAL, base + SPAN_OF_PORTS - 1], "seedNodes": list(seeds),
-        "firstStart": first, "countsTowardLoss": not edge, "discoverySource": "cloud_api", "entryType": "directory",
-        "configMode": "highest"}
+        "nodeName": machine.name,
+        "role": machine.role,
+        "machineClass": "edge" if edge else "core",
+        "serves": list(machine.serves),
+        "ipAddress": machine.host,
+        "zone": machine.zone,
+        "region": machine.region,
+        "internalPortRange": [base + INTERNAL, base + SPAN_OF_PORTS - 1],
+        "seedNodes": list(seeds),
+        "firstStart": first,
+        "countsTowardLoss": not edge,
+        "discoverySource": "cloud_api",
+        "entryType": "directory",
+        "configMode": "highest",
+    }
     if not edge:
         top["dataDirectory"] = str(machine.data)
     tables: dict[str, Mapping[str, Any]] = {
-        "zones": shape.zone_table(), "listenAddresses": listens(machine, base),
+        "zones": shape.zone_table(),
+        "listenAddresses": listens(machine, base),
         "limits": {"cpuShare": 0.86, "cpuCores": 1, "memoryMb": 300, "maxOpenFiles": 4096, "bandwidthMbps": 1000.0},
         "faultTolerance": {"machineLosses": shape.losses, "zones": 1, "regionLosses": 0},
         "bounds": {
-            "contactWindow": _ms(figures.contact), "drainTimeout": _ms(figures.drain),
-            "gracePeriod": _ms(shape.grace), "configApply": _ms(figures.config),
-            "downgradeSlack": _ms(figures.back), "evacuation": _ms(figures.evacuation), "ttl_max": _ms(shape.ttl_most),
-            "seedLag": "3s", "addressReuse": "2s", "ackTimeout": "6000ms", "catchUp": _ms(shape.catch_up),
-            "lossSlack": "200ms", "maxStretch": "10000ms", "recovery": "15s", "retryBudgetRatio": figures.retry_ratio,
-            "retryWindow": _ms(figures.retry_window), "retryBudgetSlack": int(figures.retry_slack),
-            "quotaWindow": _ms(figures.quota_window), "quotaOvershoot": figures.quota_over,
-            "quotaSlack": int(figures.quota_slack), "coldOvershoot": figures.cold_over,
-            "coldSlack": int(figures.cold_slack)},
-        "cloudApi": {"address": f"{platform[0]}:{platform[1]}", "ratePerS": shape.list_rate, "duties": [],
-                     "maxLag": _ms(shape.list_lag)}}
+            "contactWindow": _ms(figures.contact),
+            "drainTimeout": _ms(figures.drain),
+            "gracePeriod": _ms(shape.grace),
+            "configApply": _ms(figures.config),
+            "downgradeSlack": _ms(figures.back),
+            "evacuation": _ms(figures.evacuation),
+            "ttl_max": _ms(shape.ttl_most),
+            "seedLag": "3s",
+            "addressReuse": "2s",
+            "ackTimeout": "6000ms",
+            "catchUp": _ms(shape.catch_up),
+            "lossSlack": "200ms",
+            "maxStretch": "10000ms",
+            "recovery": "15s",
+            "retryBudgetRatio": figures.retry_ratio,
+            "retryWindow": _ms(figures.retry_window),
+            "retryBudgetSlack": int(figures.retry_slack),
+            "quotaWindow": _ms(figures.quota_window),
+            "quotaOvershoot": figures.quota_over,
+            "quotaSlack": int(figures.quota_slack),
+            "coldOvershoot": figures.cold_over,
+            "coldSlack": int(figures.cold_slack),
+        },
+        "cloudApi": {
+            "address": f"{platform[0]}:{platform[1]}",
+            "ratePerS": shape.list_rate,
+            "duties": [],
+            "maxLag": _ms(shape.list_lag),
+        },
+    }
     lines = [f"{name} = {json.dumps(value)}" for name, value in top.items()]
     for name, table in tables.items():
         lines += [f"[{name}]", *(f"{key} = {json.dumps(value)}" for key, value in table.items())]
@@ -142,8 +176,9 @@
 class Rig:
     """All machines of a world, and what befalls their processes."""
 
-    def __init__(self, shape: Shape, base: int, folder: Path, platform: Address, records: Records,
-                 linked: bool = False) -> None:
+    def __init__(
+        self, shape: Shape, base: int, folder: Path, platform: Address, records: Records, linked: bool = False
+    ) -> None:
         """`linked`: relays stand between the processes."""
         self.shape, self.base, self._linked = shape, base, linked
         self._platform, self._records, self._folder = platform, records, folder
@@ -153,8 +188,11 @@
         self._made = 0
         places = shape.places()
         made = [("coordinator", f"core-{n + 1}", places[n % len(places)], 101 + n) for n in range(shape.cores)]
-        made += [("gateway", f"edge-{region}{zone}{n + 1}", (region, zone), 1 + n)
-                 for region, zone in places for n in range(shape.edges)]
+        made += [
+            ("gateway", f"edge-{region}{zone}{n + 1}", (region, zone), 1 + n)
+            for region, zone in places
+            for n in range(shape.edges)
+        ]
         for role, name, (region, zone), last in made:
             self._place(role, name, f"127.{region}.{zone}.{last}", shape.zone(region, zone), shape.region(region))
         self.fell = asyncio.Event()  # a process has ended that nobody asked to
@@ -206,8 +244,16 @@
             what = [LINKED, *what, str(machine.number), machine.host, str(self.base + INTERNAL)]
         with open(machine.log, "ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-O", "-m", *what, cwd=ROOT, stdin=asyncio.subprocess.DEVNULL,
-                stdout=log, stderr=log, env=environ | {"HALLHITCH_NODE_FILE": str(path)})
+                sys.executable,
+                "-O",
+                "-m",
+                *what,
+                cwd=ROOT,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                env=environ | {"HALLHITCH_NODE_FILE": str(path)},
+            )
         machine.process, machine.started, machine.asked, machine.stopped = process, True, False, False
         self._records.lives.append((now(), machine.name))
         machine.watch = asyncio.get_running_loop().create_task(self._watched(machine, process))
@@ -224,8 +270,11 @@
 
     def fallen(self) -> list[str]:
         """Which processes have ended by themselves, with their codes and the last line of their logs."""
-        return [f"{m.name} ended by itself ({', '.join(map(str, m.ended))}): {(m.last_lines(1) or ['no log'])[0]}"
-                for m in (*self.machines.values(), *self.removed) if m.ended]
+        return [
+            f"{m.name} ended by itself ({', '.join(map(str, m.ended))}): {(m.last_lines(1) or ['no log'])[0]}"
+            for m in (*self.machines.values(), *self.removed)
+            if m.ended
+        ]
 
     async def start_all(self) -> None:
         """Start all that do not run."""
--- a/hallhitch/lab/system/rules.py
+++ b/hallhitch/lab/system/rules.py
@@ -57,15 +57,21 @@
 def twice(records: Records, figures: Figures) -> list[Broken]:
     """An unsafe request that ran more than once."""
     unsafe = _unsafe(records)
-    return [Broken("TWICE", f"{id} ran at {', '.join(a.instance for a in runs_)}")
-            for id, runs_ in _begun(records).items() if len(runs_) > 1 and id in unsafe]
+    return [
+        Broken("TWICE", f"{id} ran at {', '.join(a.instance for a in runs_)}")
+        for id, runs_ in _begun(records).items()
+        if len(runs_) > 1 and id in unsafe
+    ]
 
 
 def refused(records: Records, figures: Figures) -> list[Broken]:
     """An unsafe request that was refused with a promise, and ran all the same."""
     unsafe, begun = _unsafe(records), _begun(records)
-    return [Broken("REFUSED", f"{t.id} got {t.status} from {t.gateway} and ran at {begun[t.id][0].instance}")
-            for t in records.tries if t.status in PROMISES and t.id in unsafe and t.id in begun]
+    return [
+        Broken("REFUSED", f"{t.id} got {t.status} from {t.gateway} and ran at {begun[t.id][0].instance}")
+        for t in records.tries
+        if t.status in PROMISES and t.id in unsafe and t.id in begun
+    ]
 
 
 def mixed(records: Records, figures: Figures) -> list[Broken]:
@@ -100,8 +106,10 @@
     @lru_cache(4096)
     def names(key: str, host: str, path: str) -> frozenset[str]:
         told = {tenant_of(config, key) for config in configs}
-        public = any(each is not None and each[1].get("public", False)
-                     for each in (route_of(config, host, path) for config in configs))
+        public = any(
+            each is not None and each[1].get("public", False)
+            for each in (route_of(config, host, path) for config in configs)
+        )
         return frozenset(name for name in told if name or public or not key)
 
     for a in records.arrivals:
@@ -129,9 +137,11 @@
     def allowed(host: str, path: str, key: str, service: str) -> bool:
         return any(runs(config, host, path, key, service) for config in configs)
 
-    return [Broken("ROUTE", f"{a.id} ran at {a.instance} of {a.service}")
-            for a in records.arrivals if a.begun is not None and (t := tries.get(a.id)) is not None
-            and not allowed(t.host, t.path, t.key, a.service)]
+    return [
+        Broken("ROUTE", f"{a.id} ran at {a.instance} of {a.service}")
+        for a in records.arrivals
+        if a.begun is not None and (t := tries.get(a.id)) is not None and not allowed(t.host, t.path, t.key, a.service)
+    ]
 
 
 def homes(records: Records, figures: Figures) -> list[Broken]:
@@ -145,12 +155,19 @@
             found = route_of(config, host, path)
             if found is not None:
                 tenant = config.get("tenants", {}).get(tenant_of(config, key), {})
-                verdicts.append(all(not each.get("allowedRegions") or region in each["allowedRegions"]
-                                    for each in (found[1], tenant)))
+                verdicts.append(
+                    all(
+                        not each.get("allowedRegions") or region in each["allowedRegions"]
+                        for each in (found[1], tenant)
+                    )
+                )
         return not verdicts or any(verdicts)
 
-    return [Broken("HOME", f"{a.id} reached {a.instance} in {a.region}") for a in records.arrivals
-            if (t := tries.get(a.id)) is not None and not at_home(t.host, t.path, t.key, a.region)]
+    return [
+        Broken("HOME", f"{a.id} reached {a.instance} in {a.region}")
+        for a in records.arrivals
+        if (t := tries.get(a.id)) is not None and not at_home(t.host, t.path, t.key, a.region)
+    ]
 
 
 def drain(records: Records, figures: Figures) -> list[Broken]:
@@ -177,12 +194,19 @@
     for order in records.orders:
         if order.kind != "evacuate" or order.acked is None:
             continue
-        back = min((o.at for o in records.orders
-                    if o.kind == "return" and o.zone == order.zone and o.at >= order.at), default=FOREVER)
-        found += [Broken("EVAC", f"{a.id} reached {a.instance} in {a.zone} {a.at - order.acked:.0f} ms after the word")
-                  for a in records.arrivals if a.zone == order.zone and a.status != 421 and a.id in tries
-                  and order.acked + figures.evacuation < a.at < back
-                  and touch.calm((a.sender, tries[a.id].gateway), tries[a.id].at, a.at)]
+        back = min(
+            (o.at for o in records.orders if o.kind == "return" and o.zone == order.zone and o.at >= order.at),
+            default=FOREVER,
+        )
+        found += [
+            Broken("EVAC", f"{a.id} reached {a.instance} in {a.zone} {a.at - order.acked:.0f} ms after the word")
+            for a in records.arrivals
+            if a.zone == order.zone
+            and a.status != 421
+            and a.id in tries
+            and order.acked + figures.evacuation < a.at < back
+            and touch.calm((a.sender, tries[a.id].gateway), tries[a.id].at, a.at)
+        ]
     return found
 
 
@@ -193,7 +217,7 @@
     for number, (_, at) in enumerate(marks):
         while marks[first][1] < at - window:
             first += 1
-        yield at, sum(1 for sent, _ in marks[first:number + 1] if sent >= at - window)
+        yield at, sum(1 for sent, _ in marks[first : number + 1] if sent >= at - window)
 
 
 def failback(records: Records, figures: Figures) -> list[Broken]:
@@ -220,8 +244,12 @@
         if a.begun is not None and a.tenant and a.id in tries:
             by_tenant[a.tenant].append((tries[a.id].at, a.at))
     window = figures.quota_window
-    ends = [min((o.acked for o in held.orders if o.acked is not None and o.version > order.version), default=FOREVER)
-            + figures.config + window for order in held.orders]  # of the time for which each may be in force
+    ends = [
+        min((o.acked for o in held.orders if o.acked is not None and o.version > order.version), default=FOREVER)
+        + figures.config
+        + window
+        for order in held.orders
+    ]  # of the time for which each may be in force
 
     def limit(name: str, at: float) -> float:
         most = 0.0
@@ -235,8 +263,11 @@
         return most * (1 + figures.quota_over) + figures.quota_slack
 
     for name, marks in by_tenant.items():
-        over = [(count - allowed, at, count, allowed) for at, count in _most(marks, window)
-                if count > (allowed := limit(name, at))]
+        over = [
+            (count - allowed, at, count, allowed)
+            for at, count in _most(marks, window)
+            if count > (allowed := limit(name, at))
+        ]
         if over:
             _, at, count, allowed = max(over)
             found.append(Broken("QUOTA", f"{name} ran {count} in the window to {at:.0f}, {allowed:g} at most"))
@@ -266,8 +297,10 @@
     for name, marks in further.items():
         for number, at in enumerate(marks):
             extra = number + 1 - bisect_left(marks, at - w)
-            requests = max(bisect_right(asked[name], at - late) - bisect_left(asked[name], at - late - w)
-                           for late in (0.0, w / 2, w))
+            requests = max(
+                bisect_right(asked[name], at - late) - bisect_left(asked[name], at - late - w)
+                for late in (0.0, w / 2, w)
+            )
             most = figures.retry_ratio * requests + figures.retry_slack
             if extra > most:
                 found.append(Broken("BUDGET", f"{name} got {extra} further arrivals in a window, {most:g} at most"))
@@ -306,8 +339,7 @@
         t = tries.get(a.id)
         if a.begun is None or t is None:
             continue
-        versions = [o.version for o in held.orders
-                    if o.at <= a.at and runs(o.config, t.host, t.path, t.key, a.service)]
+        versions = [o.version for o in held.orders if o.at <= a.at and runs(o.config, t.host, t.path, t.key, a.service)]
         if not versions:
             continue  # ROUTE says so
         life = a.sender, bisect_right(starts[a.sender], a.at)
@@ -346,8 +378,19 @@
 
 
 RULES: dict[str, Callable[[Records, Figures], list[Broken]]] = {
-    "TWICE": twice, "REFUSED": refused, "MIXED": mixed, "UNASKED": unasked, "ROUTE": route, "HOME": homes,
-    "DRAIN": drain, "EVAC": evac, "FAILBACK": failback, "QUOTA": quota, "BUDGET": budget, "CONFIG": config}
+    "TWICE": twice,
+    "REFUSED": refused,
+    "MIXED": mixed,
+    "UNASKED": unasked,
+    "ROUTE": route,
+    "HOME": homes,
+    "DRAIN": drain,
+    "EVAC": evac,
+    "FAILBACK": failback,
+    "QUOTA": quota,
+    "BUDGET": budget,
+    "CONFIG": config,
+}
 
 
 def check(records: Records, figures: Figures) -> dict[str, list[Broken]]:
--- a/hallhitch/lab/system/shape.py
+++ b/hallhitch/lab/system/shape.py
@@ -40,8 +40,17 @@
     def want(self, number: int, key: str) -> Want:
         """One request of this kind."""
         unsafe = self.kind == "non_idempotent"
-        return Want(self.name, "POST" if unsafe else "GET", HOST, f"{self.prefix}{number:x}?n={number % 7}", key,
-                    b"item %d" % number if unsafe else b"", not unsafe, self.aim, self.deadline)
+        return Want(
+            self.name,
+            "POST" if unsafe else "GET",
+            HOST,
+            f"{self.prefix}{number:x}?n={number % 7}",
+            key,
+            b"item %d" % number if unsafe else b"",
+            not unsafe,
+            self.aim,
+            self.deadline,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,14 +72,20 @@
     edges: int = 3  # gateways of a zone
     cores: int = 3  # in all, one region after the other
     backends: tuple[tuple[Kind, int], ...] = (
-        (Kind("shelf", slots=4, work=40), 12), (Kind("vault", slots=4, work=30), 6))
+        (Kind("shelf", slots=4, work=40), 12),
+        (Kind("vault", slots=4, work=30), 6),
+    )
     paths: tuple[Path, ...] = (
         Path("look", "idempotent", (("shelf", 1),), 60.0, 500, 2000, 2),
         Path("stamp", "non_idempotent", (("shelf", 1),), 25.0, 600, 2500, 0),
         Path("fetch", "download", (("vault", 1),), 8.0, 800, 3000, 3, size=40_000),
-        Path("ask", "idempotent", (("vault", 90), ("shelf", 10)), 17.0, 500, 2000, 1))
+        Path("ask", "idempotent", (("vault", 90), ("shelf", 10)), 17.0, 500, 2000, 1),
+    )
     tenants: tuple[TenantShape, ...] = (
-        TenantShape("red", 0.5, 120), TenantShape("green", 0.3, 90), TenantShape("blue", 0.2, 60))
+        TenantShape("red", 0.5, 120),
+        TenantShape("green", 0.3, 90),
+        TenantShape("blue", 0.2, 60),
+    )
     between: float = 25.0  # ms one way between regions, for clients and backends
     within: float = 0.5
     losses: int = 1
@@ -110,9 +125,16 @@
 def route(path: Path) -> dict[str, Any]:
     """A route as the operator sends it."""
     made: dict[str, Any] = {
-        "host": HOST, "pathPrefix": path.prefix, "routeKind": path.kind, "timeout": f"{path.deadline * 2:.0f}ms",
-        "targetLatency": f"{path.aim:.0f}ms", "priority": path.priority, "maxAttempts": path.attempts,
-        "public": False, "allowedRegions": list(path.homes)}
+        "host": HOST,
+        "pathPrefix": path.prefix,
+        "routeKind": path.kind,
+        "timeout": f"{path.deadline * 2:.0f}ms",
+        "targetLatency": f"{path.aim:.0f}ms",
+        "priority": path.priority,
+        "maxAttempts": path.attempts,
+        "public": False,
+        "allowedRegions": list(path.homes),
+    }
     if len(path.services) == 1:
         made["targetService"] = path.services[0][0]
     else:
@@ -122,16 +144,39 @@
 
 def configuration(shape: Shape, version: int, more: Sequence[Path] = ()) -> Config:
     """The world's configuration under a version, with these further routes."""
-    services = {kind.service: {
-        "healthPath": kind.health_path, "maxConnections": kind.connections, "protocol": "h1", "tls": False,
-        "coldStart": f"{kind.cold_time:.0f}ms", "coldPerS": kind.cold_rate} for kind, _ in shape.backends}
-    tenants = {tenant.name: {
-        "apiKeys": shape.keys(tenant), "priority": 1, "ratePerS": tenant.rate, "burstSize": tenant.rate,
-        "allowedRegions": []} for tenant in shape.tenants}
-    return {"configVersion": version, "routes": {f"r-{each.name}": route(each) for each in (*shape.paths, *more)},
-            "services": services, "tenants": tenants,
-            "limits": {"maxHeaderBytes": 16384, "maxBodyBytes": 67108864, "headerTimeout": "3000ms",
-                       "idleTimeout": "15000ms"}}
+    services = {
+        kind.service: {
+            "healthPath": kind.health_path,
+            "maxConnections": kind.connections,
+            "protocol": "h1",
+            "tls": False,
+            "coldStart": f"{kind.cold_time:.0f}ms",
+            "coldPerS": kind.cold_rate,
+        }
+        for kind, _ in shape.backends
+    }
+    tenants = {
+        tenant.name: {
+            "apiKeys": shape.keys(tenant),
+            "priority": 1,
+            "ratePerS": tenant.rate,
+            "burstSize": tenant.rate,
+            "allowedRegions": [],
+        }
+        for tenant in shape.tenants
+    }
+    return {
+        "configVersion": version,
+        "routes": {f"r-{each.name}": route(each) for each in (*shape.paths, *more)},
+        "services": services,
+        "tenants": tenants,
+        "limits": {
+            "maxHeaderBytes": 16384,
+            "maxBodyBytes": 67108864,
+            "headerTimeout": "3000ms",
+            "idleTimeout": "15000ms",
+        },
+    }
 
 
 def moved(config: Config, name: str, service: str, version: int) -> Config:
--- a/hallhitch/lab/system/world.py
+++ b/hallhitch/lab/system/world.py
@@ -68,27 +68,48 @@
         self.paths = Paths(shape.between, shape.within, self._numbers, seed=shape.seed)
         regions = {shape.region(number): number for number in range(1, shape.regions + 1)}
         self._region_of = {m.name: regions[m.region] for m in machines}
-        self.fleet = Fleet(self.records, self.paths, self.base + BACKEND, lag=shape.list_lag * 0.6, seed=shape.seed,
-                           owner=Owners(self.rig.pids).of, regions=self._region_of,
-                           size=shape.size)
-        self.relays = Relays(self.paths, [End(m.number, m.name, m.host) for m in machines] if linked else [],
-                             self.base + INTERNAL)
+        self.fleet = Fleet(
+            self.records,
+            self.paths,
+            self.base + BACKEND,
+            lag=shape.list_lag * 0.6,
+            seed=shape.seed,
+            owner=Owners(self.rig.pids).of,
+            regions=self._region_of,
+            size=shape.size,
+        )
+        self.relays = Relays(
+            self.paths, [End(m.number, m.name, m.host) for m in machines] if linked else [], self.base + INTERNAL
+        )
         self.platform = Platform(self.fleet, listing, shape.list_rate)
         streams = Streams(shape.seed)
         self._linked = linked
         self._operator_streams = (streams.of(f"operator {number}") for number in itertools.count(1))
-        self.operator = Operator(self.records, lambda: self._controls(self.rig.serving("control_plane")),
-                                 streams.of("operator"))
+        self.operator = Operator(
+            self.records, lambda: self._controls(self.rig.serving("control_plane")), streams.of("operator")
+        )
         gateways = {f"{m.host}:{self.base + FRONT}": m for m in self.rig.of("gateway")}
         self.place = Place(
-            self.records, self.paths,
+            self.records,
+            self.paths,
             {region: self._directories(region) for region in regions},
-            {address: m.name for address, m in gateways.items()}, shape.ttl_most,
-            reads=lambda address: address not in gateways or not gateways[address].stopped)
+            {address: m.name for address, m in gateways.items()},
+            shape.ttl_most,
+            reads=lambda address: address not in gateways or not gateways[address].stopped,
+        )
         self.clients = [
-            Client(self.place, shape.region(region), shape.zone(region, zone), region,
-                   streams.of(f"client {region} {zone} {kind}"), keeps=kind != 1, holds=3.0 if kind == 2 else 1.0)
-            for region, zone in shape.places() for kind in range(3)]
+            Client(
+                self.place,
+                shape.region(region),
+                shape.zone(region, zone),
+                region,
+                streams.of(f"client {region} {zone} {kind}"),
+                keeps=kind != 1,
+                holds=3.0 if kind == 2 else 1.0,
+            )
+            for region, zone in shape.places()
+            for kind in range(3)
+        ]
         self.ready_at: dict[str, bool] = {}
         self._started = 0
         self._list_away: float | None = None  # since when
@@ -143,8 +164,13 @@
         kind = next(kind for kind, _ in self.shape.backends if kind.service == service)
         self._started += 1
         high, low = divmod(FIRST_BACKEND + self._started, 250)
-        await self.fleet.start(f"{service}-{self._started}", kind, f"127.{region}.{10 * high + zone}.{low + 1}",
-                               (self.shape.zone(region, zone), self.shape.region(region)), cold)
+        await self.fleet.start(
+            f"{service}-{self._started}",
+            kind,
+            f"127.{region}.{10 * high + zone}.{low + 1}",
+            (self.shape.zone(region, zone), self.shape.region(region)),
+            cold,
+        )
 
     async def succeed(self, old: Machine) -> Machine:
         """Start a new, empty machine that is to take another one's place."""
@@ -190,8 +216,10 @@
 
     async def serving(self) -> None:
         """Every gateway serves every tenant: what a start leaves to be waited out is over."""
-        wants = [self.shape.paths[0].want(number, self.shape.keys(tenant)[0])
-                 for number, tenant in enumerate(self.shape.tenants)]
+        wants = [
+            self.shape.paths[0].want(number, self.shape.keys(tenant)[0])
+            for number, tenant in enumerate(self.shape.tenants)
+        ]
         todo = {(address, number) for address in self.place.names for number in range(len(wants))}
 
         async def one(address: str, number: int) -> None:
@@ -211,8 +239,9 @@
                 return (await get((machine.host, self.base + READY), "/hallhitch/readiness"))[0] == 200
         return False
 
-    async def until(self, holds: Callable[[], Awaitable[bool]], what: str, guard: float = GUARD,
-                    step: float = LOOK) -> None:
+    async def until(
+        self, holds: Callable[[], Awaitable[bool]], what: str, guard: float = GUARD, step: float = LOOK
+    ) -> None:
         """Look until something holds; TimeoutError says what never did, and where the logs are."""
         try:
             async with asyncio.timeout(guard):
--- a/hallhitch/lab/system_cases.py
+++ b/hallhitch/lab/system_cases.py
@@ -21,8 +21,20 @@
     bytes: float = 2000.0
 
 
-def kind(name: str, how: str, service: str, rate: float, work: float, spread: float, aim: float, worth: float,
-         late: float, size: float, priority: int, homes: frozenset[str] = frozenset()) -> Kind:
+def kind(
+    name: str,
+    how: str,
+    service: str,
+    rate: float,
+    work: float,
+    spread: float,
+    aim: float,
+    worth: float,
+    late: float,
+    size: float,
+    priority: int,
+    homes: frozenset[str] = frozenset(),
+) -> Kind:
     """A kind of request with a route of its own."""
     route = Route(name, "h", f"/{name}/", how, 4 * aim, aim, priority, ((service, 1.0),), 2, False, homes)
     return Kind(route, rate, work, spread, 4 * aim, worth, late, size)
@@ -59,14 +71,30 @@
 
 
 CASES = (
-    Case("calm"), Case("high", load=1.4), Case("busy", load=1.9), Case("full", load=2.3),
-    Case("short", load=1.8, troubles=((6000.0, "zone"),)), Case("over", load=3.0),
-    Case("gone", load=1.3, troubles=((6000.0, "gone"),)), Case("dark", load=1.3, troubles=((6000.0, "dark"),)),
-    Case("zone", load=1.3, troubles=((6000.0, "zone"),)), Case("return", load=1.3, troubles=((6000.0, "return"),)),
+    Case("calm"),
+    Case("high", load=1.4),
+    Case("busy", load=1.9),
+    Case("full", load=2.3),
+    Case("short", load=1.8, troubles=((6000.0, "zone"),)),
+    Case("over", load=3.0),
+    Case("gone", load=1.3, troubles=((6000.0, "gone"),)),
+    Case("dark", load=1.3, troubles=((6000.0, "dark"),)),
+    Case("zone", load=1.3, troubles=((6000.0, "zone"),)),
+    Case("return", load=1.3, troubles=((6000.0, "return"),)),
     Case("release", load=1.3, troubles=((4000.0, "release"),)),
     Case("evacuate", load=1.3, troubles=((4000.0, "evacuate"),)),
-    Case("all cold", troubles=((0.0, "cold"),)), Case("turned cold", troubles=((8000.0, "cold"),)),
+    Case("all cold", troubles=((0.0, "cold"),)),
+    Case("turned cold", troubles=((8000.0, "cold"),)),
     Case("six slots", load=1.0, slots=6, queue=24, resets=False, speeds=(0.7 * 1.8, 1.8, 1.8, 1.5 * 1.8), far=55.0),
-    Case("grown", load=8.0, gateways=(15, 15, 14, 14, 14, 14), big=(16,) * 6, small=(8,) * 6, slots=6, queue=24,
-         length=6000.0, cold_rate=12.0),
+    Case(
+        "grown",
+        load=8.0,
+        gateways=(15, 15, 14, 14, 14, 14),
+        big=(16,) * 6,
+        small=(8,) * 6,
+        slots=6,
+        queue=24,
+        length=6000.0,
+        cold_rate=12.0,
+    ),
 )
--- a/hallhitch/lab/system_compare.py
+++ b/hallhitch/lab/system_compare.py
@@ -48,9 +48,16 @@
             waits = max(0, len(m.works) + 1 - m.entry.slots) / m.entry.slots
             return waits + m.speed * 0.5 + 0.1 * away + 1.0 * far + 0.01 * self._rng.random()
 
-        fit = [m for m in self._world.machines.values()
-               if m.entry.service == ask.service and not m.dead and not m.draining and m.cold_until <= now
-               and m.entry.zone not in self._world.evacuated and (not ask.homes or m.entry.region in ask.homes)]
+        fit = [
+            m
+            for m in self._world.machines.values()
+            if m.entry.service == ask.service
+            and not m.dead
+            and not m.draining
+            and m.cold_until <= now
+            and m.entry.zone not in self._world.evacuated
+            and (not ask.homes or m.entry.region in ask.homes)
+        ]
         if not fit:
             return Refuse(300.0)
         exchange.sent = True
--- a/hallhitch/lab/system_model.py
+++ b/hallhitch/lab/system_model.py
@@ -55,9 +55,11 @@
         """The shares in one line."""
         asked = max(1, self.count["asked"])
         shares = " ".join(f"{k} {100 * self.count[k] / asked:.2f}%" for k in ("served", "late", "lost", "refused"))
-        return (f"worth {100 * self.earned / self.owed:.2f}% {shares} further {self.count['further']} "
-                f"cold {self.cold_most} budget {self.budget:.2f} MB zone {self.near_mb:.0f} region {self.far_mb:.0f}"
-                f" tried-late {self.count['late refusal']} reset {self.count['reset']} twice {self.count['twice']}")
+        return (
+            f"worth {100 * self.earned / self.owed:.2f}% {shares} further {self.count['further']} "
+            f"cold {self.cold_most} budget {self.budget:.2f} MB zone {self.near_mb:.0f} region {self.far_mb:.0f}"
+            f" tried-late {self.count['late refusal']} reset {self.count['reset']} twice {self.count['twice']}"
+        )
 
 
 class World:
@@ -77,8 +79,11 @@
             for place, count in enumerate(counts):
                 for _ in range(count):
                     self.start(service, f"z{place}", 0.0)
-        self.nodes = [Gateway(f"g{z}-{i}", f"{z}:{i}", 1, "edge", f"z{z}", self.zones[f"z{z}"], "x", True)
-                      for z, count in enumerate(case.gateways) for i in range(count)]
+        self.nodes = [
+            Gateway(f"g{z}-{i}", f"{z}:{i}", 1, "edge", f"z{z}", self.zones[f"z{z}"], "x", True)
+            for z, count in enumerate(case.gateways)
+            for i in range(count)
+        ]
         self.minds = {}
         for node in self.nodes:
             settings = Settings(node.name, node.zone, node.region, self.zones, 0.2, 10_000.0, 58.0, 1.5, 5.0, 800.0)
@@ -215,8 +220,9 @@
         else:
             answer += ["lost" if isinstance(step, Fail) else "ok"]
 
-    def _attempt(self, each: Kind, node: Gateway, machine: Machine, ends: float,
-                 done: list[tuple[str, Outcome]], ran: list[int]) -> Steps:
+    def _attempt(
+        self, each: Kind, node: Gateway, machine: Machine, ends: float, done: list[tuple[str, Outcome]], ran: list[int]
+    ) -> Steps:
         way, name = self.delay(node.zone, machine.entry.zone), machine.entry.instance
         mb = each.bytes / 1e6
         if machine.entry.region != node.region:
--- a/hallhitch/lab/traces.py
+++ b/hallhitch/lab/traces.py
@@ -62,17 +62,26 @@
     table = csv.DictReader(lines)
     columns = set(table.fieldnames or ())
     if not columns >= NEEDED or not columns <= NEEDED | OPTIONAL or len(columns & {"at_ms", "time"}) != 1:
-        raise ValueError(f"line 1: the header needs {', '.join(sorted(NEEDED))} and one of at_ms and time; it may have "
-                         f"units, deadline_ms, body and tenant; found {', '.join(sorted(columns)) or 'nothing'}")
+        raise ValueError(
+            f"line 1: the header needs {', '.join(sorted(NEEDED))} and one of at_ms and time; it may have "
+            f"units, deadline_ms, body and tenant; found {', '.join(sorted(columns)) or 'nothing'}"
+        )
     made = []
     for row in table:
         try:
             if None in row or None in row.values():
                 raise ValueError("another number of columns than the header")
             at = float(row["at_ms"]) if "at_ms" in columns else datetime.fromisoformat(row["time"]).timestamp() * 1000
-            fields = {"at_ms": at, "class": row["class"], "customer": row["customer"], "plan": row["plan"],
-                      "units": float(row.get("units") or 1), "body": int(row.get("body") or 0),
-                      "deadline_ms": int(row.get("deadline_ms") or deadline_ms), "tenant": row.get("tenant") or ""}
+            fields = {
+                "at_ms": at,
+                "class": row["class"],
+                "customer": row["customer"],
+                "plan": row["plan"],
+                "units": float(row.get("units") or 1),
+                "body": int(row.get("body") or 0),
+                "deadline_ms": int(row.get("deadline_ms") or deadline_ms),
+                "tenant": row.get("tenant") or "",
+            }
             made.append(msgspec.convert(fields, TraceLine))
         except ValueError as error:
             raise ValueError(f"line {table.line_num}: {error}") from error
@@ -88,8 +97,15 @@
         return None
     metering = dict(part.strip().partition(b"=")[::2] for part in head.get(b"x-metering", b"").split(b","))
     try:
-        return TraceLine(at_ms, path[1], path[2].lower(), head[b"x-contract"].decode("latin-1"),
-                         float(metering.get(b"units", b"1")), int(head[b"req-deadline-ms"]), len(request.body))
+        return TraceLine(
+            at_ms,
+            path[1],
+            path[2].lower(),
+            head[b"x-contract"].decode("latin-1"),
+            float(metering.get(b"units", b"1")),
+            int(head[b"req-deadline-ms"]),
+            len(request.body),
+        )
     except (KeyError, ValueError):
         return None
 
@@ -129,8 +145,10 @@
         far: asyncio.StreamWriter | None = None
         try:
             back, far = await asyncio.open_connection(*self._to)
-            ways = [asyncio.ensure_future(self._pass(reader, far, RequestReader())),
-                    asyncio.ensure_future(self._pass(back, writer, None))]
+            ways = [
+                asyncio.ensure_future(self._pass(reader, far, RequestReader())),
+                asyncio.ensure_future(self._pass(back, writer, None)),
+            ]
             try:
                 await asyncio.gather(*ways)
             finally:
@@ -144,8 +162,9 @@
                 if one is not None:
                     one.transport.abort()
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                    asked: RequestReader | None) -> None:
+    async def _pass(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, asked: RequestReader | None
+    ) -> None:
         """One way, to its end; the end itself is passed on too."""
         while data := await reader.read(65_536):
             writer.write(data)
--- a/hallhitch/lab/traffic.py
+++ b/hallhitch/lab/traffic.py
@@ -85,8 +85,15 @@
 def _customer(scenario: Scenario, who: Stream, plan: int, number: int) -> Customer:
     t, gateways = scenario.traffic, scenario.world.gateways
     roll = who.random()
-    kind = ("full" if roll < t.full else "heavy" if roll < t.full + t.heavy else
-            "spiky" if roll < t.full + t.heavy + t.spiky else "calm")
+    kind = (
+        "full"
+        if roll < t.full
+        else "heavy"
+        if roll < t.full + t.heavy
+        else "spiky"
+        if roll < t.full + t.heavy + t.spiky
+        else "calm"
+    )
     use = {"full": who.between(0.85, 0.98), "heavy": who.between(*t.heavy_x)}.get(kind, who.between(*t.calm_use))
     spread = max(1, min(gateways, round(gateways * who.between(*t.spread))))
     return Customer(f"{0x10000 + number * 7919:016x}", plan, kind, who.index(gateways), spread, use)
@@ -116,8 +123,9 @@
     return times
 
 
-def _intent(scenario: Scenario, draw: Stream, customer: Customer, at: float, klass: int, key: str,
-            weights: list[float]) -> Intent:
+def _intent(
+    scenario: Scenario, draw: Stream, customer: Customer, at: float, klass: int, key: str, weights: list[float]
+) -> Intent:
     t = scenario.traffic
     kind = list(scenario.classes.values())[klass]
 
@@ -125,9 +133,19 @@
         number = bisect.bisect_right(weights, draw.random(), hi=len(weights) - 1)
         return (customer.first + number) % scenario.world.gateways
 
-    return Intent(at, customer, klass, draw.between(*kind.work), kind.deadline * draw.between(*t.patience),
-                  draw.chance(t.retry), draw.between(*t.retry_wait),
-                  draw.random() if draw.chance(t.leave) else 2.0, gateway(), gateway(), key)
+    return Intent(
+        at,
+        customer,
+        klass,
+        draw.between(*kind.work),
+        kind.deadline * draw.between(*t.patience),
+        draw.chance(t.retry),
+        draw.between(*t.retry_wait),
+        draw.random() if draw.chance(t.leave) else 2.0,
+        gateway(),
+        gateway(),
+        key,
+    )
 
 
 def _weights(draw: Stream, customer: Customer, skew: float) -> list[float]:
@@ -177,8 +195,9 @@
         for turn in range(round(fault.size)):
             customer = small[turn % len(small)]
             at = (fault.at_s + max(0.05, fault.for_s) * draw.random()) * 1000
-            made.append(_intent(scenario, draw, customer, at, klass, f"burst-{number}-{turn}",
-                                _weights(draw, customer, 0.5)))
+            made.append(
+                _intent(scenario, draw, customer, at, klass, f"burst-{number}-{turn}", _weights(draw, customer, 0.5))
+            )
     return made
 
 
@@ -204,8 +223,14 @@
         return made
     at = draw.exponential(1000 / scenario.traffic.fresh_per_s)
     while at < scenario.seconds * 1000:
-        customer = Customer(f"{0x1_0000_0000 + len(made):016x}", len(made) % len(scenario.plans), "fresh",
-                            draw.index(scenario.world.gateways), min(2, scenario.world.gateways), 0.0)
+        customer = Customer(
+            f"{0x1_0000_0000 + len(made):016x}",
+            len(made) % len(scenario.plans),
+            "fresh",
+            draw.index(scenario.world.gateways),
+            min(2, scenario.world.gateways),
+            0.0,
+        )
         klass = draw.index(len(scenario.classes))
         made.append(_intent(scenario, draw, customer, at, klass, f"fresh-{len(made)}", _weights(draw, customer, 1.0)))
         at += draw.exponential(1000 / scenario.traffic.fresh_per_s)
--- a/hallhitch/lab/world.py
+++ b/hallhitch/lab/world.py
@@ -88,8 +88,18 @@
         self._made += 1
         cell = number % w.pods
         speed = self._speeds.between(*w.speed) * w.ability(number)
-        node = Node(f"node-{number}", w, self._pods[cell], cell, number % w.zones, speed, self.time, self.journal,
-                    self.streams.of(f"node {number}"), born)
+        node = Node(
+            f"node-{number}",
+            w,
+            self._pods[cell],
+            cell,
+            number % w.zones,
+            speed,
+            self.time,
+            self.journal,
+            self.streams.of(f"node {number}"),
+            born,
+        )
         self.nodes[node.name] = node
         return node
 
@@ -105,8 +115,20 @@
         first = self._first_list
         if self.scenario.world.shuffled:
             first = tuple(sorted(first, key=lambda _: stream.random()))
-        made = ModelGateway(number, settings, self.seed * 1000 + self._starts, self.scenario.world, self.time,
-                            self.nodes, self.counter, self.network, self.journal, stream, first, self._board)
+        made = ModelGateway(
+            number,
+            settings,
+            self.seed * 1000 + self._starts,
+            self.scenario.world,
+            self.time,
+            self.nodes,
+            self.counter,
+            self.network,
+            self.journal,
+            stream,
+            first,
+            self._board,
+        )
         if self._mutant is not None:
             self._mutant(made)
         self.gateways[number] = made
@@ -140,8 +162,18 @@
         self._ids += 1
         id, now, patience = self._ids, self.time.now, intent.patience * share
         plan, klass = self.settings.plans[intent.customer.plan].name, self.settings.classes[intent.klass].name
-        self.journal.add(now, "ask", id, number, intent.customer.name, plan, klass, intent.key,
-                         round(now + patience - EPOCH, 3), first)
+        self.journal.add(
+            now,
+            "ask",
+            id,
+            number,
+            intent.customer.name,
+            plan,
+            klass,
+            intent.key,
+            round(now + patience - EPOCH, 3),
+            first,
+        )
         over, exchange = False, 0
 
         def done(status: str, advice: float) -> None:
@@ -217,7 +249,8 @@
         elif kind in ("gateways_stop", "gateways_reload"):
             for number in self._picked(fault.part):
                 self._stop(number, fault) if kind == "gateways_stop" else self.journal.add(
-                    self.time.now, "gateway", number, "reloaded")
+                    self.time.now, "gateway", number, "reloaded"
+                )
         elif kind in ("reset", "stale"):
             setattr(self.network, kind, fault.size)
             self.time.at(ends, setattr, self.network, kind, 0.0 if kind == "reset" else float("inf"))
--- a/hallhitch/logs.py
+++ b/hallhitch/logs.py
@@ -25,9 +25,13 @@
     """Set the log up, once, at the start of a command."""
     plain = not sys.stderr.isatty()
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-                    structlog.processors.format_exc_info, veil,
-                    structlog.processors.JSONRenderer() if plain else structlog.dev.ConsoleRenderer()],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.format_exc_info,
+            veil,
+            structlog.processors.JSONRenderer() if plain else structlog.dev.ConsoleRenderer(),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
--- a/hallhitch/membership/link.py
+++ b/hallhitch/membership/link.py
@@ -24,8 +24,16 @@
 class Link:
     """Sends and receives."""
 
-    def __init__(self, cluster: str, allowed: Callable[[str], bool], most: int, clock: Callable[[], float],
-                 loop: asyncio.AbstractEventLoop, hear: Callable[[Datagram], None], heard: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        cluster: str,
+        allowed: Callable[[str], bool],
+        most: int,
+        clock: Callable[[], float],
+        loop: asyncio.AbstractEventLoop,
+        hear: Callable[[Datagram], None],
+        heard: Callable[[], None],
+    ) -> None:
         """`hear` gets each message, `heard` is called at the end of a turn; at most `most` a second are read."""
         self._cluster, self._allowed, self._most, self._clock, self._loop = cluster, allowed, most, clock, loop
         self._hear, self._heard = hear, heard
--- a/hallhitch/membership/model.py
+++ b/hallhitch/membership/model.py
@@ -78,7 +78,8 @@
     Suspicions do not count: they are over soon, one way or the other.
     """
     return SUM_MASK & xxhash.xxh3_64_intdigest(
-        f"{record.name}\0{record.instance}\0{record.incarnation}\0{record.address}".encode())
+        f"{record.name}\0{record.instance}\0{record.incarnation}\0{record.address}".encode()
+    )
 
 
 def kins(records: Iterable[Record]) -> dict[Key, int]:
--- a/hallhitch/membership/service.py
+++ b/hallhitch/membership/service.py
@@ -35,14 +35,25 @@
 class Members:
     """This gateway among the others."""
 
-    def __init__(self, settings: Peers, name: str, version: str, told: int, kin: int | None, deadlines: Deadlines,
-                 loop: asyncio.AbstractEventLoop, rng: random.Random, follow: Callable[[Counted], object]) -> None:
+    def __init__(
+        self,
+        settings: Peers,
+        name: str,
+        version: str,
+        told: int,
+        kin: int | None,
+        deadlines: Deadlines,
+        loop: asyncio.AbstractEventLoop,
+        rng: random.Random,
+        follow: Callable[[Counted], object],
+    ) -> None:
         """`told` gateways there are by the settings; `kin` is alike for all processes of one gateway that follow each
         other by design, None where there is one alone; `follow` hears of places and budgets."""
         self.settings, self._deadlines, self._follow, self._name = settings, deadlines, follow, name_of(name)
         self._allowed = Allowed(settings.networks)
-        self._link = Link(settings.cluster, self._allowed, settings.datagrams_per_s, deadlines.clock, loop,
-                          self._hear, self._done)
+        self._link = Link(
+            settings.cluster, self._allowed, settings.datagrams_per_s, deadlines.clock, loop, self._hear, self._done
+        )
         instance = rng.getrandbits(63)
         self._version, self._rng = version[:24], rng
         self._instance, self._kin = instance, instance if kin is None else kin
@@ -70,16 +81,26 @@
             here = self._link.open((address[0], 0))
             self._home = False
             self._deadlines.after(HOME, self._go_home)
-        me = Record(self._name, self._instance, 0, State.ALIVE, self._advertised(here), self._kin,
-                    self.settings.zone, self._version)
+        me = Record(
+            self._name,
+            self._instance,
+            0,
+            State.ALIVE,
+            self._advertised(here),
+            self._kin,
+            self.settings.zone,
+            self._version,
+        )
         now = self._deadlines.clock()
         # Where the file says that this gateway is, another process of it may be.
-        seeds = dict.fromkeys(written(numeric(seed)) for seed in (*self.settings.seeds, self.settings.advertise
-                                                                  or self.settings.listen))
+        seeds = dict.fromkeys(
+            written(numeric(seed)) for seed in (*self.settings.seeds, self.settings.advertise or self.settings.listen)
+        )
         self.swim = Swim(me, self.settings.cluster, self.settings.tuning(), self._rng, tuple(seeds), self._allowed)
         self._roster = Roster(me, self._told, self.settings.damping(), now)
-        log.info("looks for other gateways", address=me.address, instance=f"{me.instance:x}",
-                 seeds=list(self.settings.seeds))
+        log.info(
+            "looks for other gateways", address=me.address, instance=f"{me.instance:x}", seeds=list(self.settings.seeds)
+        )
         self._conduct = Conduct(self.swim, self._roster)
         self.swim.start(now)
         self._done()
@@ -152,8 +173,12 @@
         held, self._state = self._state, self.state
         if self._state != "whole":
             self._left = self.swim.count
-            log.warning("cut off from gateways, or they are gone", view=self._state, missing=self._roster.missing,
-                        there=self.swim.count)
+            log.warning(
+                "cut off from gateways, or they are gone",
+                view=self._state,
+                missing=self._roster.missing,
+                there=self.swim.count,
+            )
         elif held:
             back = self.swim.count > self._left
             log.info("gateways are back" if back else "goes by those that are there", there=self.swim.count)
@@ -176,9 +201,11 @@
         assert self.swim is not None
         kinds: dict[str, list[str]] = {}
         for change in changes:
-            word = {State.ALIVE: "came" if change.was is None or not change.was.there else "",
-                    State.FAILED: "failed" if change.was is not None else "", State.LEFT: "left"}.get(
-                        change.record.state, "")
+            word = {
+                State.ALIVE: "came" if change.was is None or not change.was.there else "",
+                State.FAILED: "failed" if change.was is not None else "",
+                State.LEFT: "left",
+            }.get(change.record.state, "")
             if word:
                 kinds.setdefault(word, []).append(change.record.name)
         for word, names in kinds.items():
@@ -186,8 +213,7 @@
             say(f"gateways {word}", names=names[:NAMES_MOST], count=len(names), there=self.swim.count)
         conflicts = set(self.swim.conflicts)
         for name in sorted(conflicts - self._conflicts):
-            log.error("two gateways under one name", name=name,
-                      instances=[f"{i:x}" for i in self.swim.conflicts[name]])
+            log.error("two gateways under one name", name=name, instances=[f"{i:x}" for i in self.swim.conflicts[name]])
         for name in sorted(self._conflicts - conflicts):
             log.info("one gateway under its name again", name=name)
         self._conflicts = conflicts
@@ -210,15 +236,29 @@
         rows = []
         for record in sorted(swim.records(), key=lambda r: (r.name, r.instance)):
             held = swim.members.get(record.key)
-            rows.append({
-                "name": record.name, "instance": f"{record.instance:x}", "state": record.state.name.lower(),
-                "incarnation": record.incarnation, "address": record.address, "zone": record.zone,
-                "version": record.version, "self": held is None,
-                "heard_s": None if held is None or held.heard == -float("inf") else round((now - held.heard) / 1000, 1),
-            })
+            rows.append(
+                {
+                    "name": record.name,
+                    "instance": f"{record.instance:x}",
+                    "state": record.state.name.lower(),
+                    "incarnation": record.incarnation,
+                    "address": record.address,
+                    "zone": record.zone,
+                    "version": record.version,
+                    "self": held is None,
+                    "heard_s": None
+                    if held is None or held.heard == -float("inf")
+                    else round((now - held.heard) / 1000, 1),
+                }
+            )
         return {
-            "name": self._name, "instance": f"{self._instance:x}", "cluster": self.settings.cluster,
-            "view": self.state, "places": self.told.seen, "budgets": self.told.counted, "health": swim.health,
+            "name": self._name,
+            "instance": f"{self._instance:x}",
+            "cluster": self.settings.cluster,
+            "view": self.state,
+            "places": self.told.seen,
+            "budgets": self.told.counted,
+            "health": swim.health,
             "agreed_s": None if swim.agreed == -float("inf") else round((now - swim.agreed) / 1000, 1),
             "conflicts": {name: [f"{i:x}" for i in instances] for name, instances in swim.conflicts.items()},
             "members": rows,
@@ -235,8 +275,9 @@
             return ""
         records, c = swim.records(), swim.counts
         lines = [f"# HELP {PREFIX} Members by state, this gateway among them.", f"# TYPE {PREFIX} gauge"]
-        lines += [f'{PREFIX}{{state="{state.name.lower()}"}} {sum(r.state is state for r in records)}'
-                  for state in State]
+        lines += [
+            f'{PREFIX}{{state="{state.name.lower()}"}} {sum(r.state is state for r in records)}' for state in State
+        ]
         agreed = 0 if swim.agreed == -float("inf") else round(self._deadlines.clock() - swim.agreed)
         rows: list[tuple[str, str, str, int]] = [
             ("places", "gauge", "Gateways that servers are shared by.", self.told.seen),
@@ -261,7 +302,8 @@
             lines += [f"# HELP {PREFIX}_{name} {told}", f"# TYPE {PREFIX}_{name} {kind}", f"{PREFIX}_{name} {value}"]
         name = f"{PREFIX}_datagrams_dropped"
         lines += [f"# HELP {name} Datagrams not taken or not sent, by reason.", f"# TYPE {name} counter"]
-        lines += [f'{name}{{reason="{reason}"}} {link.dropped[reason]}'
-                  for reason in ("network", "flood", "size", "form", "cluster", "unsent")]
+        lines += [
+            f'{name}{{reason="{reason}"}} {link.dropped[reason]}'
+            for reason in ("network", "flood", "size", "form", "cluster", "unsent")
+        ]
         return "\n".join(lines) + "\n"
-
--- a/hallhitch/membership/settings.py
+++ b/hallhitch/membership/settings.py
@@ -76,15 +76,23 @@
     def tuning(self) -> Tuning:
         """What the state machine goes by, in ms."""
         p = self.periods
-        return Tuning(p.probe_s * 1000, p.answer_s * 1000, suspicion=p.suspicion, reach=p.reach_s * 1000,
-                      sync=p.exchange_s * 1000, forget=p.forget_s * 1000, members=self.members)
+        return Tuning(
+            p.probe_s * 1000,
+            p.answer_s * 1000,
+            suspicion=p.suspicion,
+            reach=p.reach_s * 1000,
+            sync=p.exchange_s * 1000,
+            forget=p.forget_s * 1000,
+            members=self.members,
+        )
 
     def damping(self) -> Damping:
         """What places and budgets follow by, in ms."""
         f = self.follow
         fresh = 8 * self.periods.probe_s * 1000
-        return Damping(f.settle_s * 1000, f.pause_s * 1000, f.step_s * 1000, f.part, f.hold_s * 1000, f.fade_s * 1000,
-                       fresh)
+        return Damping(
+            f.settle_s * 1000, f.pause_s * 1000, f.step_s * 1000, f.part, f.hold_s * 1000, f.fade_s * 1000, fresh
+        )
 
 
 def numeric(text: str) -> tuple[str, int]:
--- a/hallhitch/membership/swim.py
+++ b/hallhitch/membership/swim.py
@@ -102,8 +102,15 @@
 class Swim:
     """One process's view."""
 
-    def __init__(self, me: Record, cluster: str, tuning: Tuning, rng: random.Random, seeds: tuple[str, ...] = (),
-                 allowed: Callable[[str], bool] = lambda address: True) -> None:
+    def __init__(
+        self,
+        me: Record,
+        cluster: str,
+        tuning: Tuning,
+        rng: random.Random,
+        seeds: tuple[str, ...] = (),
+        allowed: Callable[[str], bool] = lambda address: True,
+    ) -> None:
         self.me, self._cluster, self.tuning, self._rng = me, cluster, tuning, rng
         self._seeds, self._allowed = seeds, allowed
         self.members: dict[Key, Held] = {}  # all but this process
@@ -155,8 +162,12 @@
     def wake(self) -> float:
         """When to call `tick` next."""
         probe = self._probe
-        self._due = min(self._probe_at if probe is None else probe.ends if probe.asked else probe.asks,
-                        self._reach_at, self._suspect_at, self._for_at)
+        self._due = min(
+            self._probe_at if probe is None else probe.ends if probe.asked else probe.asks,
+            self._reach_at,
+            self._suspect_at,
+            self._for_at,
+        )
         return self._due
 
     def tick(self, now: float) -> None:
@@ -417,8 +428,12 @@
         """Another process speaks from an address: whoever had it before is gone."""
         for key in list(self._names.get(record.name, ())):
             held = self.members[key]
-            if key != record.key and held.record.address == record.address and held.record.state.there and (
-                    self.members[record.key].record.state.there):
+            if (
+                key != record.key
+                and held.record.address == record.address
+                and held.record.state.there
+                and (self.members[record.key].record.state.there)
+            ):
                 self._set(held, replace(held.record, state=State.FAILED, by=self.me.instance), now)
 
     # Probes.
@@ -455,8 +470,7 @@
             self._worse(max(0, probe.asked - probe.nacks) if probe.asked else 1)
             self._accuse(held, now)
         elif now >= probe.asks and not probe.asked:
-            others = [key for key in self._round if key != probe.key
-                      and self.members[key].record.state is State.ALIVE]
+            others = [key for key in self._round if key != probe.key and self.members[key].record.state is State.ALIVE]
             chosen = self._rng.sample(others, min(len(others), self.tuning.indirect))
             probe.asked = len(chosen)
             if not chosen:
@@ -510,12 +524,18 @@
     def _reach(self, now: float) -> None:
         """Try one that failed, or a seed where nobody lives: after a split somebody must speak first."""
         self._reach_at = now + self.tuning.reach * (0.75 + 0.5 * self._rng.random())
-        for key in [key for key, held in self.members.items()
-                    if not held.record.state.there and now - held.since > self.tuning.forget]:
+        for key in [
+            key
+            for key, held in self.members.items()
+            if not held.record.state.there and now - held.since > self.tuning.forget
+        ]:
             self._forget(key)
         lived = {self.members[key].record.address for key in self._round} | {self.me.address}
-        gone = [held for held in self.members.values()
-                if held.record.state is State.FAILED and held.record.address not in lived]
+        gone = [
+            held
+            for held in self.members.values()
+            if held.record.state is State.FAILED and held.record.address not in lived
+        ]
         seeds = [seed for seed in self._seeds if seed not in lived]
         if not self._round:  # alone: all seeds, one of them may answer
             for seed in seeds:
@@ -560,8 +580,9 @@
         """The other's part has been taken: answer with one's own, or go on with the next."""
         address = page.sender.address
         if page.turn % 2 == 0:
-            newer = [mine for record in page.news if (mine := self._mine(record)) is not None
-                     and mine.order > record.order]
+            newer = [
+                mine for record in page.news if (mine := self._mine(record)) is not None and mine.order > record.order
+            ]
             self._page(address, held, page.after, page.until, page.turn + 1, newer)
             return
         self._cursor = page.until
--- a/hallhitch/net/acceptor.py
+++ b/hallhitch/net/acceptor.py
@@ -48,9 +48,7 @@
 class Peer(Actor[bytes | Sent]):
     """One client's connection; its mailbox holds what is to be written, in order."""
 
-    def __init__(
-        self, acceptor: Acceptor, sock: socket.socket, deadlines: Deadlines, scheduler: Scheduler
-    ) -> None:
+    def __init__(self, acceptor: Acceptor, sock: socket.socket, deadlines: Deadlines, scheduler: Scheduler) -> None:
         super().__init__("client", scheduler)
         self._acceptor, self._sock, self._deadlines = acceptor, sock, deadlines
         self.ending = False  # nothing more is read; the connection ends once nothing is owed
@@ -210,7 +208,7 @@
             while self._unsent:
                 messages = self._unsent
                 plain = next((n for n, one in enumerate(messages) if isinstance(one, Sent)), len(messages))
-                self._unsent = messages[plain or 1:]
+                self._unsent = messages[plain or 1 :]
                 if plain:
                     await self._all(b"".join(one for one in messages[:plain] if isinstance(one, bytes)))
                 elif isinstance(sent := messages[0], Sent):
@@ -277,8 +275,12 @@
     idle_most = 10_000.0  # ms that a connection may stand idle
 
     def __init__(
-        self, deadlines: Deadlines, scheduler: asyncio.AbstractEventLoop, most: int,
-        spare: int, shared: bool = False,
+        self,
+        deadlines: Deadlines,
+        scheduler: asyncio.AbstractEventLoop,
+        most: int,
+        spare: int,
+        shared: bool = False,
     ) -> None:
         """Take `most` clients, and `spare` ones past that, only to turn them away in words.
 
@@ -436,7 +438,7 @@
         """End a part of the idle connections, all that are left once `looks` looks have passed."""
         since = self.deadlines.clock() - DRAIN_NEW
         idle = [p for p in self._peers if p.idle and p.heard < since]
-        for peer in idle[:math.ceil(len(idle) / max(1.0, looks))]:
+        for peer in idle[: math.ceil(len(idle) / max(1.0, looks))]:
             peer.part()
         self._looks = self.deadlines.after(DRAIN_LOOK, lambda: self._part(looks - 1))
 
--- a/hallhitch/net/config.py
+++ b/hallhitch/net/config.py
@@ -44,8 +44,11 @@
     if kind(old) != kind(new):
         return name or "the file"
     if isinstance(old, dict):
-        below = ((f"{name}.{key}" if name else key, value, new.get(key)) for key, value in old.items()
-                 if value is not None and key not in OPTIONAL)
+        below = (
+            (f"{name}.{key}" if name else key, value, new.get(key))
+            for key, value in old.items()
+            if value is not None and key not in OPTIONAL
+        )
         return next(filter(None, (lacking(value, there, field) for field, value, there in below)), "")
     if isinstance(old, list) and old and all(isinstance(one, dict) for one in old):
         shared = {key: old[0][key] for key in old[0] if all(kind(o.get(key)) == kind(old[0][key]) for o in old)}
@@ -103,9 +106,17 @@
     if descriptor is not None and not descriptor.isdigit():
         raise WireError("EDGE_FD is no descriptor")
     return Config(
-        environ.get("EDGE_NAME") or need(top, "name", str), address("listen", "EDGE_LISTEN"),
+        environ.get("EDGE_NAME") or need(top, "name", str),
+        address("listen", "EDGE_LISTEN"),
         address("discovery", "" if previous else "EDGE_DISCOVERY"),
-        address("counter", "") if settings.has_counter else None, seed, sockets, memory, settings, zones,
-        news_of(known, zones, saved=True) if known is not None else None, ops,
-        None if descriptor is None else int(descriptor), top,
+        address("counter", "") if settings.has_counter else None,
+        seed,
+        sockets,
+        memory,
+        settings,
+        zones,
+        news_of(known, zones, saved=True) if known is not None else None,
+        ops,
+        None if descriptor is None else int(descriptor),
+        top,
     )
--- a/hallhitch/net/counter.py
+++ b/hallhitch/net/counter.py
@@ -60,7 +60,11 @@
     def call(self, name: int, units: float, lifetime: float) -> bytes:
         """One call as bytes."""
         return b"POST /tally/%d?n=%s&keep_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n" % (
-            name, f"{units:.7g}".encode(), max(1, round(lifetime)), self._host)
+            name,
+            f"{units:.7g}".encode(),
+            max(1, round(lifetime)),
+            self._host,
+        )
 
     def feed(self, data: memoryview) -> Iterator[tuple[str, float]]:
         """The answers that have come whole, as outcome and total, up to the first that cannot be read."""
@@ -262,8 +266,13 @@
     """The core's port to the counter."""
 
     def __init__(
-        self, address: tuple[str, int], codec: Callable[[], CounterCodec], told: Counted,
-        deadlines: Deadlines, scheduler: Scheduler, timeout: float,
+        self,
+        address: tuple[str, int],
+        codec: Callable[[], CounterCodec],
+        told: Counted,
+        deadlines: Deadlines,
+        scheduler: Scheduler,
+        timeout: float,
     ) -> None:
         self.address, self.codec, self.told = address, codec, told
         self.deadlines, self.timeout, self._scheduler = deadlines, timeout, scheduler
--- a/hallhitch/net/hops.py
+++ b/hallhitch/net/hops.py
@@ -292,8 +292,9 @@
                 lines.append(name.title() + b": " + request.headers[name])
         lines.append(b"Req-Deadline-Ms: %d" % left)
         if request.flow is not None:
-            lines.append(b"Transfer-Encoding: chunked" if request.length is None
-                         else b"Content-Length: %d" % request.length)
+            lines.append(
+                b"Transfer-Encoding: chunked" if request.length is None else b"Content-Length: %d" % request.length
+            )
         elif request.body or request.method not in (b"GET", b"HEAD"):
             lines.append(b"Content-Length: %d" % len(request.body))
         return b"\r\n".join(lines) + b"\r\n\r\n"
@@ -343,8 +344,14 @@
     """All hops: the port through which the core sends and cancels."""
 
     def __init__(
-        self, routes: Routes, told: Told, deadlines: Deadlines, scheduler: Scheduler,
-        settings: api.Settings, most: int, wrote: Callable[[], None] = lambda: None,
+        self,
+        routes: Routes,
+        told: Told,
+        deadlines: Deadlines,
+        scheduler: Scheduler,
+        settings: api.Settings,
+        most: int,
+        wrote: Callable[[], None] = lambda: None,
     ) -> None:
         """`wrote` is told of each attempt written whole; `most` bounds the connections."""
         self.wrote = wrote
@@ -426,8 +433,7 @@
             place = self.routes.where(server)
             while hop.idle and (not up or hop.idle[0].idle_since < old or hop.idle[0].to != place):
                 self.close(hop.idle.popleft())
-            if place is None and not any(
-                    j.attempt.server == server for j in self._jobs.values()):
+            if place is None and not any(j.attempt.server == server for j in self._jobs.values()):
                 del self._hops[server]
         self.deadlines.after(1000.0, self._prune)
 
--- a/hallhitch/net/http.py
+++ b/hallhitch/net/http.py
@@ -52,8 +52,13 @@
     _passes_early = False
 
     def __init__(
-        self, long: bool = False, hold: Callable[[int], bool] = refused, *,
-        head_most: int = HEAD_MOST, body_most: int = BODY_MOST, long_most: int = LONG_MOST,
+        self,
+        long: bool = False,
+        hold: Callable[[int], bool] = refused,
+        *,
+        head_most: int = HEAD_MOST,
+        body_most: int = BODY_MOST,
+        long_most: int = LONG_MOST,
     ) -> None:
         """Bodies past `body_most` are refused; if `long`, they pass in pieces once `hold` gives no more room for them.
 
@@ -198,8 +203,13 @@
     """Reads requests off one connection."""
 
     def __init__(
-        self, long: bool = False, hold: Callable[[int], bool] = refused, *,
-        head_most: int = HEAD_MOST, body_most: int = BODY_MOST, long_most: int = LONG_MOST,
+        self,
+        long: bool = False,
+        hold: Callable[[int], bool] = refused,
+        *,
+        head_most: int = HEAD_MOST,
+        body_most: int = BODY_MOST,
+        long_most: int = LONG_MOST,
     ) -> None:
         super().__init__(long, hold, head_most=head_most, body_most=body_most, long_most=long_most)
         self.expects = False  # whether a client waits to be told to send its body
@@ -213,7 +223,8 @@
         head = self._message.headers
         if b"expect" in head:
             self.expects = head[b"expect"].lower() == b"100-continue" and (
-                bool(self._message.length) or b"transfer-encoding" in head)
+                bool(self._message.length) or b"transfer-encoding" in head
+            )
 
     def on_body(self, body: bytes) -> None:
         self.expects = False
@@ -231,8 +242,12 @@
     _passes_early = True
 
     def __init__(
-        self, long: bool = False, *,
-        head_most: int = HEAD_MOST, body_most: int = BODY_MOST, long_most: int = LONG_MOST,
+        self,
+        long: bool = False,
+        *,
+        head_most: int = HEAD_MOST,
+        body_most: int = BODY_MOST,
+        long_most: int = LONG_MOST,
     ) -> None:
         super().__init__(long, head_most=head_most, body_most=body_most, long_most=long_most)
         self.parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
@@ -258,7 +273,7 @@
     if not target.startswith(b"/"):
         scheme, mark, rest = target.partition(b"://")
         if mark and scheme.lower() in (b"http", b"https"):
-            rest = rest[len(rest.partition(b"/")[0].partition(b"?")[0]):]
+            rest = rest[len(rest.partition(b"/")[0].partition(b"?")[0]) :]
             return rest if rest.startswith(b"/") else b"/" + rest
     return target
 
@@ -269,25 +284,33 @@
 
 
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
-    409: b"Conflict", 413: b"Content Too Large", 417: b"Expectation Failed", 429: b"Too Many Requests",
-    431: b"Request Header Fields Too Large", 500: b"Internal Server Error", 502: b"Bad Gateway",
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    417: b"Expectation Failed",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
     503: b"Service Unavailable",
 }
 
 
-def head(
-    status: int, length: int | None, *, headers: bytes = b"", close: bool = False, version: str = "1.1"
-) -> bytes:
+def head(status: int, length: int | None, *, headers: bytes = b"", close: bool = False, version: str = "1.1") -> bytes:
     """An answer's head; without a length, its body comes in chunks, or to the end of a connection of HTTP/1.0."""
     ending = b"Connection: close\r\n" if close else b"Connection: keep-alive\r\n" if version == "1.0" else b""
-    size = b"Content-Length: %d\r\n" % length if length is not None else (
-        b"" if version == "1.0" else b"Transfer-Encoding: chunked\r\n")
+    size = (
+        b"Content-Length: %d\r\n" % length
+        if length is not None
+        else (b"" if version == "1.0" else b"Transfer-Encoding: chunked\r\n")
+    )
     return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, REASONS[status], size, headers, ending)
 
 
-def answer(
-    status: int, body: bytes = b"", *, headers: bytes = b"", close: bool = False, version: str = "1.1"
-) -> bytes:
+def answer(status: int, body: bytes = b"", *, headers: bytes = b"", close: bool = False, version: str = "1.1") -> bytes:
     """One whole answer."""
     return head(status, len(body), headers=headers, close=close, version=version) + body
--- a/hallhitch/net/ingress.py
+++ b/hallhitch/net/ingress.py
@@ -24,8 +24,9 @@
 CUSTOMER_MOST = 1 << 33
 REQ_ID = re.compile(rb"[0-9a-fA-F]{16}")
 KEY = re.compile(rb"[!-~]{1,128}")
-ONCE = frozenset((
-    b"host", b"req-id", b"x-contract", b"x-metering", b"req-deadline-ms", b"idempotency-key", b"req-retry"))
+ONCE = frozenset(
+    (b"host", b"req-id", b"x-contract", b"x-metering", b"req-deadline-ms", b"idempotency-key", b"req-retry")
+)
 REFUSALS = (429, 503)
 DEADLINE_MOST = 600_000
 # ms from SIGTERM to SIGKILL: the longest deadline, counted as the first at least, and the second, less some of our own
@@ -277,7 +278,11 @@
         self._give(502)
 
     def _give(
-        self, status: int, body: bytes = b"", headers: bytes = b"", close: bool = False,
+        self,
+        status: int,
+        body: bytes = b"",
+        headers: bytes = b"",
+        close: bool = False,
         passes: Message | None = None,
     ) -> None:
         busy, flow = self._busy, passes.flow if passes is not None else None
@@ -333,9 +338,16 @@
     """Turns clients' requests into exchanges."""
 
     def __init__(
-        self, core: Core, settings: api.Settings, deadlines: Deadlines,
-        scheduler: asyncio.AbstractEventLoop, most: int, spare: int, shared: bool = False,
-        held_most: int = 0, welcome: Callable[[], bool] = lambda: True,
+        self,
+        core: Core,
+        settings: api.Settings,
+        deadlines: Deadlines,
+        scheduler: asyncio.AbstractEventLoop,
+        most: int,
+        spare: int,
+        shared: bool = False,
+        held_most: int = 0,
+        welcome: Callable[[], bool] = lambda: True,
         tally: Callable[[str, str], None] = lambda klass, outcome: None,
     ) -> None:
         """`welcome` says whether health is told yes; `tally` is told each request's class and outcome at its end."""
@@ -369,7 +381,11 @@
         return max(1.0, self._until - self.deadlines.clock())
 
     def begin(
-        self, request: Message, path: bytes, client: Client, terms: Terms,
+        self,
+        request: Message,
+        path: bytes,
+        client: Client,
+        terms: Terms,
         named: tuple[int, api.RequestClass] | None,
     ) -> int:
         """Open an exchange for a request; nothing is counted or learned of one that is not acceptable."""
@@ -403,12 +419,21 @@
         deadline = whole(head.get(b"req-deadline-ms"), "Req-Deadline-Ms")
         if not 1 <= deadline <= DEADLINE_MOST:
             raise Unacceptable(400, "Req-Deadline-Ms is out of range")
-        units, spread = metering(
-            head.get(b"x-metering", b""), terms.settings.most_units, terms.settings.gateways)
+        units, spread = metering(head.get(b"x-metering", b""), terms.settings.most_units, terms.settings.gateways)
         self.open_ids.add(name)
         # Nobody waits for longer than the settings say of the class.
         return self.core.begin(
-            parts[-1].decode(), plan, klass, min(float(deadline), kind.deadline, self._last()), client, request,
-            units=units, spread=spread, write=kind.effect != api.SAFE,
-            repeat=head.get(b"req-retry") == b"1", kind=kind, coming=request.flow is not None,
-            waited=client.waited)
+            parts[-1].decode(),
+            plan,
+            klass,
+            min(float(deadline), kind.deadline, self._last()),
+            client,
+            request,
+            units=units,
+            spread=spread,
+            write=kind.effect != api.SAFE,
+            repeat=head.get(b"req-retry") == b"1",
+            kind=kind,
+            coming=request.flow is not None,
+            waited=client.waited,
+        )
--- a/hallhitch/net/pacing.py
+++ b/hallhitch/net/pacing.py
@@ -29,9 +29,10 @@
 
     def failed(self, reached: bool) -> float:
         """Before the next try; one that did not reach discovery (`reached` false) has cost it nothing."""
-        first, longest = (max(AGAIN, self._spread), max(AGAIN_MOST, 2 * self._spread)) if reached else (
-            AGAIN, AGAIN_MOST)
-        most = min(longest, first * 2.0**min(self._failed, 16))
+        first, longest = (
+            (max(AGAIN, self._spread), max(AGAIN_MOST, 2 * self._spread)) if reached else (AGAIN, AGAIN_MOST)
+        )
+        most = min(longest, first * 2.0 ** min(self._failed, 16))
         self._failed += 1
         return most * (1 + self._random.random()) / 2
 
--- a/hallhitch/net/routes.py
+++ b/hallhitch/net/routes.py
@@ -47,9 +47,16 @@
             dials[host] = address_of(need(e, "dial", str))
         except ValueError as error:
             raise WireError(f"field 'dial' {error}") from error
-        entries.append(api.ServerEntry(
-            host, word(e, "health", STATES), zone, int(number(e, "block")), number(e, "born_ms"),
-            number(e, "share", 1.0)))
+        entries.append(
+            api.ServerEntry(
+                host,
+                word(e, "health", STATES),
+                zone,
+                int(number(e, "block")),
+                number(e, "born_ms"),
+                number(e, "share", 1.0),
+            )
+        )
     mode = "saved" if saved else "full" if m.get("whole") else "changes"
     return News(need(m, "seq", int), api.ServerList(mode, tuple(entries)), dials)
 
@@ -58,8 +65,12 @@
     """Holds the list as last told; `told` passes every change on."""
 
     def __init__(
-        self, scheduler: Scheduler, deadlines: Deadlines, zones: list[str],
-        told: Callable[[api.ServerList], object], pacing: Pacing,
+        self,
+        scheduler: Scheduler,
+        deadlines: Deadlines,
+        zones: list[str],
+        told: Callable[[api.ServerList], object],
+        pacing: Pacing,
     ) -> None:
         super().__init__("route table", scheduler)
         self._deadlines, self._zones, self._told = deadlines, zones, told
@@ -141,9 +152,7 @@
                 reader.close()
             await pause(self._deadlines, self._pacing.failed(reached=True))
 
-    async def _ask(
-        self, sock: Any, reader: AnswerReader, address: tuple[str, int], after: int, hold: float
-    ) -> int:
+    async def _ask(self, sock: Any, reader: AnswerReader, address: tuple[str, int], after: int, hold: float) -> int:
         loop = asyncio.get_running_loop()
         query = f"?from={after}&hold_ms={hold:.0f}" if after >= 0 else ""
         head = f"GET /catalog/members{query} HTTP/1.1\r\nHost: {address[0]}\r\n\r\n"
--- a/hallhitch/ops/beside.py
+++ b/hallhitch/ops/beside.py
@@ -41,8 +41,11 @@
         left = handover.read(self._folder, self._deadlines.clock())
         if left is not None:
             handover.take(left, self._learner, self._idleness)
-            log.info("goes on from what another process learned", classes=list(left["classes"]),
-                     customers=len(left["customers"]))
+            log.info(
+                "goes on from what another process learned",
+                classes=list(left["classes"]),
+                customers=len(left["customers"]),
+            )
 
     def serves(self, sharers: list[Share]) -> None:
         """Clients are taken by this process from now on; the sharers hear of another one, now and as it changes."""
--- a/hallhitch/ops/handover.py
+++ b/hallhitch/ops/handover.py
@@ -45,9 +45,16 @@
 
     def sound(self, now: float) -> bool:
         """Whether a row that was read can be one; ValueError if a number is none."""
-        return (isinstance(self.name, str) and isinstance(self.plan, str) and isinstance(self.key, int)
-                and number(self.read) <= now and number(self.at) <= now and number(self.spread) >= 1
-                and number(self.others) >= 0 and math.isfinite(sum(map(number, self[7:]))))
+        return (
+            isinstance(self.name, str)
+            and isinstance(self.plan, str)
+            and isinstance(self.key, int)
+            and number(self.read) <= now
+            and number(self.at) <= now
+            and number(self.spread) >= 1
+            and number(self.others) >= 0
+            and math.isfinite(sum(map(number, self[7:])))
+        )
 
 
 class Learner(Protocol):
@@ -77,11 +84,19 @@
 
 def write(folder: str, gateway: Learner, idleness: Idleness, now: float) -> bool:
     """Leave what was learned by `now` (Unix ms); whether it could be written."""
-    text = json.dumps({
-        "version": VERSION, "at": now, "depth": gateway.depth, "asks": gateway.asks,
-        "classes": {name: [gateway.work[name], gateway.learned[name], gateway.failing[name]] for name in gateway.work},
-        "idle": idleness.told(), "customers": customers_of(gateway),
-    })
+    text = json.dumps(
+        {
+            "version": VERSION,
+            "at": now,
+            "depth": gateway.depth,
+            "asks": gateway.asks,
+            "classes": {
+                name: [gateway.work[name], gateway.learned[name], gateway.failing[name]] for name in gateway.work
+            },
+            "idle": idleness.told(),
+            "customers": customers_of(gateway),
+        }
+    )
     path = Path(folder) / NAME
     beside = path.with_suffix(f".{os.getpid()}")
     try:
@@ -101,13 +116,21 @@
             text = file.read(SIZE_MOST + 1)
         told = json.loads(text) if len(text) <= SIZE_MOST else None
         sound = (
-            isinstance(told, dict) and told.get("version") == VERSION and 0 <= now - number(told["at"]) <= AGE_MOST
-            and number(told["depth"]) >= 0 and 0 < number(told["asks"]) <= 1
-            and all(number(work) > 0 and number(when) <= now and 0 <= number(failing) <= 1
-                    for work, when, failing in told["classes"].values())
-            and all(type(order) is int and 0 <= order <= ORDER_MOST and 0 <= number(share) <= 1 and number(when) <= now
-                    for order, share, when in told["idle"])
-            and all(Kept(*row).sound(now) for row in told["customers"]))
+            isinstance(told, dict)
+            and told.get("version") == VERSION
+            and 0 <= now - number(told["at"]) <= AGE_MOST
+            and number(told["depth"]) >= 0
+            and 0 < number(told["asks"]) <= 1
+            and all(
+                number(work) > 0 and number(when) <= now and 0 <= number(failing) <= 1
+                for work, when, failing in told["classes"].values()
+            )
+            and all(
+                type(order) is int and 0 <= order <= ORDER_MOST and 0 <= number(share) <= 1 and number(when) <= now
+                for order, share, when in told["idle"]
+            )
+            and all(Kept(*row).sound(now) for row in told["customers"])
+        )
         return told if sound else None
     except (OSError, ValueError, KeyError, TypeError, AttributeError):
         return None
@@ -124,8 +147,19 @@
     for k in (Kept(*row) for row in told["customers"]):
         plan = plans.get(k.plan)
         if plan is not None:
-            c = Customer(k.name, plan, min(k.store, plan.burst), min(k.ceiling, plan.ceiling_burst), k.at, k.read,
-                         k.spread, k.key, others=k.others, guess=k.guess, part=min(k.part, plan.burst))
+            c = Customer(
+                k.name,
+                plan,
+                min(k.store, plan.burst),
+                min(k.ceiling, plan.ceiling_burst),
+                k.at,
+                k.read,
+                k.spread,
+                k.key,
+                others=k.others,
+                guess=k.guess,
+                part=min(k.part, plan.burst),
+            )
             gateway.bind(c, plan)
             gateway.customers[k.name], gateway.names[k.key] = c, Name(c, k.started, k.last)
 
@@ -134,8 +168,24 @@
     """What is known of customers, those last read; nothing of whom nothing holds any more."""
     known = [c for c in gateway.customers.values() if c.key in gateway.names and not gateway.stranger(c)]
     known.sort(key=lambda c: -c.read)
-    return [Kept(c.name, c.plan.name, c.key, c.read, c.at, c.spread, c.others, c.store, c.ceiling, c.guess, c.part,
-                 gateway.names[c.key].started, gateway.names[c.key].last) for c in known[:CUSTOMERS_MOST]]
+    return [
+        Kept(
+            c.name,
+            c.plan.name,
+            c.key,
+            c.read,
+            c.at,
+            c.spread,
+            c.others,
+            c.store,
+            c.ceiling,
+            c.guess,
+            c.part,
+            gateway.names[c.key].started,
+            gateway.names[c.key].last,
+        )
+        for c in known[:CUSTOMERS_MOST]
+    ]
 
 
 def number(value: Any) -> float:
--- a/hallhitch/ops/neighbour.py
+++ b/hallhitch/ops/neighbour.py
@@ -39,7 +39,8 @@
     def other(self, byte: int) -> bool:
         """Whether another process holds this byte of its slot: it LIVES, or it SERVES."""
         return self._slot >= 0 and any(
-            not self._lock(slot, byte, test=True) for slot in range(SLOTS) if slot != self._slot)
+            not self._lock(slot, byte, test=True) for slot in range(SLOTS) if slot != self._slot
+        )
 
     def close(self) -> None:
         """Be gone."""
--- a/hallhitch/planes/data/backend_connection.py
+++ b/hallhitch/planes/data/backend_connection.py
@@ -25,8 +25,24 @@
 class BackendConnection(asyncio.Protocol):
     """One connection to one backend."""
 
-    __slots__ = ("pool", "transport", "reader", "attempt", "flow", "idle_since", "told", "heard", "_age", "_fresh",
-                 "_verdict", "_spoilt", "_closed", "_upload", "_drained", "__weakref__")
+    __slots__ = (
+        "pool",
+        "transport",
+        "reader",
+        "attempt",
+        "flow",
+        "idle_since",
+        "told",
+        "heard",
+        "_age",
+        "_fresh",
+        "_verdict",
+        "_spoilt",
+        "_closed",
+        "_upload",
+        "_drained",
+        "__weakref__",
+    )
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
@@ -190,8 +206,14 @@
         if answer is not None:
             self._learn(answer)
         uploading = self._upload is not None and not self._upload.done()
-        clean = (keep and not self._spoilt and not uploading and not self.reader.partial
-                 and self.usable() and not self.transport.get_write_buffer_size())
+        clean = (
+            keep
+            and not self._spoilt
+            and not uploading
+            and not self.reader.partial
+            and self.usable()
+            and not self.transport.get_write_buffer_size()
+        )
         self.attempt, self._fresh = None, False
         self.reader.release()
         if clean:
@@ -219,8 +241,13 @@
         """The connection has ended; so has what it carried."""
         attempt, self.attempt = self.attempt, None
         now = self.pool.pools.clock()
-        if (attempt is not None and attempt.written is not None and outcome is Outcome.LOST and not self._closed
-                and now - attempt.written < AT_ONCE):
+        if (
+            attempt is not None
+            and attempt.written is not None
+            and outcome is Outcome.LOST
+            and not self._closed
+            and now - attempt.written < AT_ONCE
+        ):
             self.pool.trust.reset(now, self._age)
         self._drop()
         if attempt is not None:
--- a/hallhitch/planes/data/candidates.py
+++ b/hallhitch/planes/data/candidates.py
@@ -189,8 +189,7 @@
 
     def _usable(self, seat: Seat, want: Want) -> bool:
         backend = seat.backend
-        return (backend.instance not in want.tried
-                and (not want.homes or backend.region in want.homes))
+        return backend.instance not in want.tried and (not want.homes or backend.region in want.homes)
 
     def _ready(self, seat: Seat, want: Want) -> bool:
         now, health = want.now, seat.health
@@ -200,13 +199,21 @@
         if want.unsafe:
             return state is State.GOOD and not self._hushed(seat, now)
         # Those near get their trials one by one; of the others each may be its own trial.
-        return (state is State.GOOD or state is State.DOUBTED and seat.out == 0
-                or state is State.DUE and seat.out == 0 and not seat.near)
+        return (
+            state is State.GOOD
+            or state is State.DOUBTED
+            and seat.out == 0
+            or state is State.DUE
+            and seat.out == 0
+            and not seat.near
+        )
 
     def yields(self, seat: Seat, want: Want) -> bool:
         """Whether this seat's room is due to somebody who waits with a higher priority."""
-        return any(count and priority < want.priority and (not homes or seat.backend.region in homes)
-                   for (priority, homes), count in self.waiting.items())
+        return any(
+            count and priority < want.priority and (not homes or seat.backend.region in homes)
+            for (priority, homes), count in self.waiting.items()
+        )
 
     def choose(self, want: Want, rng: Random) -> Seat | None:
         """The best seat with room now, None if there is none."""
@@ -247,8 +254,13 @@
         if self.trials < 1.0 or want.unsafe or want.kind == DOWNLOAD:
             return None
         for seat in self.near:
-            if (seat.health.state(want.now) is State.DUE and not seat.health.trial and not seat.out
-                    and self._usable(seat, want) and self._warm(seat, want.now)):
+            if (
+                seat.health.state(want.now) is State.DUE
+                and not seat.health.trial
+                and not seat.out
+                and self._usable(seat, want)
+                and self._warm(seat, want.now)
+            ):
                 return seat
         return None
 
@@ -258,8 +270,11 @@
     def _best(self, seats: list[Seat], load: float, want: Want, queue: float, rng: Random) -> Seat | None:
         best, least = None, 0.0
         for seat in seats:
-            if seat.out + 1 <= seat.backend.slots * (1.0 + queue) and self._ready(seat, want) and self.room(
-                    seat, load, want, queue):
+            if (
+                seat.out + 1 <= seat.backend.slots * (1.0 + queue)
+                and self._ready(seat, want)
+                and self.room(seat, load, want, queue)
+            ):
                 cost = self.cost(seat, load, want, rng)
                 if best is None or cost < least:
                     best, least = seat, cost
--- a/hallhitch/planes/data/choice.py
+++ b/hallhitch/planes/data/choice.py
@@ -64,8 +64,9 @@
     def __init__(self, settings: Settings, rng: Random) -> None:
         self._settings, self._rng = settings, rng
         self._weights = RendezvousWeights()
-        self._cold = Cold(settings.name, settings.region, settings.cold_over, settings.cold_slack, settings.list_lag,
-                          self._weights)
+        self._cold = Cold(
+            settings.name, settings.region, settings.cold_over, settings.cold_slack, settings.list_lag, self._weights
+        )
         self._config: ClusterConfig | None = None
         self._entries: Sequence[Backend] = ()
         self._seats: dict[str, Seat] = {}
@@ -159,8 +160,9 @@
         exchange.done = True
         self._rest(exchange)
 
-    def _learn(self, now: float, run: Run, attempt: Attempt, place: Candidates | None, outcome: Outcome,
-               lag: float) -> None:
+    def _learn(
+        self, now: float, run: Run, attempt: Attempt, place: Candidates | None, outcome: Outcome, lag: float
+    ) -> None:
         seat, ask = attempt.seat, run.ask
         health, jitter = seat.health, 0.8 + 0.4 * self._rng.random()
         if outcome not in (Outcome.VOID, Outcome.SILENT, Outcome.UNREACHABLE):
@@ -212,8 +214,14 @@
         arrived = sum(1 for a in run.attempts if a.arrived)
         further = arrived > 0
         budget = self._budget(now, ask.service)
-        if (arrived >= max(route.attempts, 1) or len(run.attempts) - arrived >= UNREACHABLE_MOST
-                or further and not budget.room(now, len(self._peers)) or out and place.pace.slow):
+        if (
+            arrived >= max(route.attempts, 1)
+            or len(run.attempts) - arrived >= UNREACHABLE_MOST
+            or further
+            and not budget.room(now, len(self._peers))
+            or out
+            and place.pace.slow
+        ):
             if out:
                 return Hold(left)
             return Fail(run.status) if ran else self._turn_away(ask, usual)
@@ -254,8 +262,9 @@
         place.trials = min(place.trials + TRIAL_SHARE, TRIALS_MOST)
         self._cold.sent(now, seat.backend)
         left = ask.ends - now
-        attempt.patience = left if not ask.route.repeatable else place.pace.patience(
-            usual, ask.route.target, now - ask.came, left)
+        attempt.patience = (
+            left if not ask.route.repeatable else place.pace.patience(usual, ask.route.target, now - ask.came, left)
+        )
         return Send(seat.backend, attempt.patience)
 
     def _wait(self, now: float, run: Run, place: Candidates, usual: Usual, ran: bool) -> Step:
@@ -286,8 +295,9 @@
         budget = self._budgets.get(service)
         if budget is None:
             settings = self._settings
-            budget = self._budgets[service] = Budget(settings.retry_ratio, settings.retry_window,
-                                                     settings.retry_slack, now)
+            budget = self._budgets[service] = Budget(
+                settings.retry_ratio, settings.retry_window, settings.retry_slack, now
+            )
         return budget
 
     def _place(self) -> None:
--- a/hallhitch/planes/data/cold.py
+++ b/hallhitch/planes/data/cold.py
@@ -78,8 +78,9 @@
             del self._seen[name], self._regions[name]
         self._mine.clear()
 
-    def evacuated(self, now: float, zones: frozenset[str], entries: Sequence[Backend],
-                  services: Mapping[str, Service]) -> None:
+    def evacuated(
+        self, now: float, zones: frozenset[str], entries: Sequence[Backend], services: Mapping[str, Service]
+    ) -> None:
         """The zones that are evacuated: those taken back may have turned cold, and the list tells it late."""
         back = self._evacuated - zones
         self._evacuated = zones
--- a/hallhitch/planes/data/connection_pools.py
+++ b/hallhitch/planes/data/connection_pools.py
@@ -39,12 +39,38 @@
     """One request on its way to one backend."""
 
     __slots__ = (
-        "owner", "backend", "unsafe", "ends", "method", "request_id", "shared", "body", "flow",
-        "began", "written", "over", "connection", "lag", "patience", "silent")
+        "owner",
+        "backend",
+        "unsafe",
+        "ends",
+        "method",
+        "request_id",
+        "shared",
+        "body",
+        "flow",
+        "began",
+        "written",
+        "over",
+        "connection",
+        "lag",
+        "patience",
+        "silent",
+    )
 
     def __init__(
-        self, owner: Owner, backend: Backend, *, unsafe: bool, ends: float, method: bytes, request_id: bytes | None,
-        shared: bytes, body: bytes, flow: Flow | None, began: float, patience: float,
+        self,
+        owner: Owner,
+        backend: Backend,
+        *,
+        unsafe: bool,
+        ends: float,
+        method: bytes,
+        request_id: bytes | None,
+        shared: bytes,
+        body: bytes,
+        flow: Flow | None,
+        began: float,
+        patience: float,
     ) -> None:
         """`shared` is the head's part that all attempts have in common; moments are steady ms."""
         self.owner, self.backend, self.unsafe, self.ends = owner, backend, unsafe, ends
@@ -134,7 +160,8 @@
         loop, backend = asyncio.get_running_loop(), self.backend
         most = CONNECT_NEAR if backend.region == self.pools.region else CONNECT_FAR
         connecting = loop.create_task(
-            loop.create_connection(lambda: BackendConnection(self), backend.host, backend.port))
+            loop.create_connection(lambda: BackendConnection(self), backend.host, backend.port)
+        )
         connection: BackendConnection | None = None
         try:
             done, _ = await asyncio.wait((connecting,), timeout=most / 1000)
@@ -211,7 +238,12 @@
     """All connections to backends."""
 
     def __init__(
-        self, clock: Callable[[], float], region: str, most: int, figures: dict[str, int], room: Room,
+        self,
+        clock: Callable[[], float],
+        region: str,
+        most: int,
+        figures: dict[str, int],
+        room: Room,
     ) -> None:
         """`most` bounds all connections together, resting ones too; `room` is for answers held whole."""
         self.clock, self.region, self.most, self.figures = clock, region, most, figures
@@ -282,8 +314,11 @@
         """Whether one more may be opened; the one that rested longest makes room if need be."""
         if self.open + self.opening < self.most:
             return True
-        oldest = min((pool.idle[0] for pool in self._pools.values() if pool.idle),
-                     key=lambda connection: connection.idle_since, default=None)
+        oldest = min(
+            (pool.idle[0] for pool in self._pools.values() if pool.idle),
+            key=lambda connection: connection.idle_since,
+            default=None,
+        )
         if oldest is not None:
             oldest.close()
         return oldest is not None
--- a/hallhitch/planes/data/exchange.py
+++ b/hallhitch/planes/data/exchange.py
@@ -76,8 +76,27 @@
 class Driver:
     """One request under way."""
 
-    __slots__ = ("_context", "_request", "_client", "_read", "_route", "_tenant", "_taken", "_ask", "_exchange",
-                 "_out", "_sent", "_ran", "_good", "_own", "_finished", "_wake", "_woken", "_timer", "_shared")
+    __slots__ = (
+        "_context",
+        "_request",
+        "_client",
+        "_read",
+        "_route",
+        "_tenant",
+        "_taken",
+        "_ask",
+        "_exchange",
+        "_out",
+        "_sent",
+        "_ran",
+        "_good",
+        "_own",
+        "_finished",
+        "_wake",
+        "_woken",
+        "_timer",
+        "_shared",
+    )
 
     def __init__(self, context: Context, request: Message, read: float, client: Presence) -> None:
         """`read`: when its head was read (steady ms)."""
@@ -209,8 +228,18 @@
         request = self._request
         request_id = request.headers.get(REQUEST_ID) or None
         attempt = Attempt(
-            self, step.backend, unsafe=unsafe, ends=self._ask.ends, method=request.method, request_id=request_id,
-            shared=self._shared, body=request.body, flow=request.flow, began=now, patience=now + step.patience)
+            self,
+            step.backend,
+            unsafe=unsafe,
+            ends=self._ask.ends,
+            method=request.method,
+            request_id=request_id,
+            shared=self._shared,
+            body=request.body,
+            flow=request.flow,
+            began=now,
+            patience=now + step.patience,
+        )
         self._out.append(attempt)
         self._context.pools.send(attempt)
         return attempt
@@ -218,7 +247,8 @@
     def _request_is_spent(self) -> bool:
         """Whether its body passed already, to another backend."""
         return self._request.flow is not None and (
-            self._sent > 0 or any(attempt.written is not None for attempt in self._out))
+            self._sent > 0 or any(attempt.written is not None for attempt in self._out)
+        )
 
     def _lose_patience(self, exchange: Exchange, now: float) -> None:
         """Tell the decisions of attempts that have been silent for too long; take back what was not even written."""
@@ -228,8 +258,7 @@
             attempt.silent = True
             self._woken = True
             if attempt.written is not None:
-                self._context.decisions.ended(
-                    now, exchange, attempt.backend, Outcome.SILENT, now - attempt.written)
+                self._context.decisions.ended(now, exchange, attempt.backend, Outcome.SILENT, now - attempt.written)
 
     def _no_answer(self, status: int, after: float = LATE_AFTER) -> Reply:
         """The reply where no backend's good answer is there, and nothing more is sent: 503 only if it never runs."""
@@ -327,5 +356,3 @@
         if at < 0:
             return service
     return max(split, key=lambda part: part[1])[0]
-
-
--- a/hallhitch/planes/data/front.py
+++ b/hallhitch/planes/data/front.py
@@ -27,8 +27,22 @@
 class Client(asyncio.Protocol):
     """One client's connection."""
 
-    __slots__ = ("front", "transport", "reader", "left", "queue", "busy", "_refusal", "_ended",
-                 "_held", "_stopped", "_drained", "_begun", "_flow", "__weakref__")
+    __slots__ = (
+        "front",
+        "transport",
+        "reader",
+        "left",
+        "queue",
+        "busy",
+        "_refusal",
+        "_ended",
+        "_held",
+        "_stopped",
+        "_drained",
+        "_begun",
+        "_flow",
+        "__weakref__",
+    )
 
     def __init__(self, front: Front) -> None:
         self.front = front
@@ -287,7 +301,8 @@
     async def start(self) -> None:
         """Listen; raises OSError."""
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Client(self), *self._address, reuse_address=True, backlog=BACKLOG)
+            lambda: Client(self), *self._address, reuse_address=True, backlog=BACKLOG
+        )
 
     @property
     def port(self) -> int:
@@ -385,5 +400,3 @@
         self.close_listener()
         for client in list(self.clients):
             client.abort()
-
-
--- a/hallhitch/planes/data/health.py
+++ b/hallhitch/planes/data/health.py
@@ -49,8 +49,18 @@
 class Health:
     """Bad ends, pauses and trials of one backend."""
 
-    __slots__ = ("bad_at", "full_until", "good_at", "moved", "trial", "until", "_first_bad", "_full", "_pause",
-                 "_strikes")
+    __slots__ = (
+        "bad_at",
+        "full_until",
+        "good_at",
+        "moved",
+        "trial",
+        "until",
+        "_first_bad",
+        "_full",
+        "_pause",
+        "_strikes",
+    )
 
     def __init__(self) -> None:
         self.good_at = self.bad_at = float("-inf")
--- a/hallhitch/planes/data/plane.py
+++ b/hallhitch/planes/data/plane.py
@@ -28,7 +28,11 @@
     """Serves clients at the node's frontend address."""
 
     def __init__(
-        self, node: Node, decisions: Decisions, counter: Counter, clock: Callable[[], float] = steady,
+        self,
+        node: Node,
+        decisions: Decisions,
+        counter: Counter,
+        clock: Callable[[], float] = steady,
     ) -> None:
         """`clock` gives steady milliseconds."""
         self.figures: dict[str, int] = {}
--- a/hallhitch/planes/data/wire.py
+++ b/hallhitch/planes/data/wire.py
@@ -22,24 +22,63 @@
 NOT_EXECUTED = b"hallhitch-not-executed"
 DEADLINE = b"hallhitch-deadline-remaining"
 
-HOP = frozenset((
-    b"connection", b"keep-alive", b"te", b"trailer", b"transfer-encoding", b"upgrade", b"expect",
-    b"proxy-authorization", b"proxy-authenticate", b"proxy-connection", b"proxy-authentication-info"))
+HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"proxy-authorization",
+        b"proxy-authenticate",
+        b"proxy-connection",
+        b"proxy-authentication-info",
+    )
+)
 # Besides these, what the length of the body is, is said anew; and what only this system may say or know.
 NOT_SENT = HOP | {
-    b"content-length", b"authorization", b"hallhitch-tenant-name", b"hallhitch-expected-instance", DEADLINE}
+    b"content-length",
+    b"authorization",
+    b"hallhitch-tenant-name",
+    b"hallhitch-expected-instance",
+    DEADLINE,
+}
 NOT_ANSWERED = HOP | {b"content-length"}
 # What may come once only: who reads the first and who reads the last must not see two requests.
 ONCE = frozenset((b"host", b"content-length", b"transfer-encoding", b"authorization", REQUEST_ID))
 
 REASONS = {
-    200: b"OK", 201: b"Created", 202: b"Accepted", 204: b"No Content", 206: b"Partial Content", 301: b"Moved",
-    302: b"Found", 303: b"See Other", 304: b"Not Modified", 307: b"Temporary Redirect", 400: b"Bad Request",
-    401: b"Unauthorized", 403: b"Forbidden", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
-    409: b"Conflict", 410: b"Gone", 412: b"Precondition Failed", 413: b"Content Too Large",
-    421: b"Misdirected Request", 422: b"Unprocessable Content", 429: b"Too Many Requests",
-    431: b"Request Header Fields Too Large", 500: b"Internal Server Error", 501: b"Not Implemented",
-    502: b"Bad Gateway", 503: b"Service Unavailable", 504: b"Gateway Timeout",
+    200: b"OK",
+    201: b"Created",
+    202: b"Accepted",
+    204: b"No Content",
+    206: b"Partial Content",
+    301: b"Moved",
+    302: b"Found",
+    303: b"See Other",
+    304: b"Not Modified",
+    307: b"Temporary Redirect",
+    400: b"Bad Request",
+    401: b"Unauthorized",
+    403: b"Forbidden",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    410: b"Gone",
+    412: b"Precondition Failed",
+    413: b"Content Too Large",
+    421: b"Misdirected Request",
+    422: b"Unprocessable Content",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
 }
 
 
@@ -147,8 +186,10 @@
         any(name in ONCE for name in request.twice)
         or b"transfer-encoding" in headers
         and (b"content-length" in headers or headers[b"transfer-encoding"].lower() != b"chunked")
-        or b"host" not in headers and request.version == "1.1"
-        or request.version not in ("1.0", "1.1"))
+        or b"host" not in headers
+        and request.version == "1.1"
+        or request.version not in ("1.0", "1.1")
+    )
 
 
 def request_head(request: Message, tenant: str | None) -> bytes:
@@ -159,10 +200,15 @@
         lines.append(b"Hallhitch-Tenant-Name: " + tenant.encode())
     headers = request.headers
     if request.flow is not None:
-        lines.append(b"Transfer-Encoding: chunked" if request.length is None
-                     else b"Content-Length: %d" % request.length)
-    elif (request.body or b"content-length" in headers or b"transfer-encoding" in headers
-          or request.method in (b"POST", b"PUT", b"PATCH")):
+        lines.append(
+            b"Transfer-Encoding: chunked" if request.length is None else b"Content-Length: %d" % request.length
+        )
+    elif (
+        request.body
+        or b"content-length" in headers
+        or b"transfer-encoding" in headers
+        or request.method in (b"POST", b"PUT", b"PATCH")
+    ):
         lines.append(b"Content-Length: %d" % len(request.body))
     return b"\r\n".join(lines) + b"\r\n"
 
@@ -170,7 +216,10 @@
 def attempt_head(shared: bytes, left: float, instance: str) -> bytes:
     """The whole head of one attempt: with what is left of its time, and the one backend that may run it."""
     return b"%sHallhitch-Deadline-Remaining: %d\r\nHallhitch-Expected-Instance: %s\r\n\r\n" % (
-        shared, max(1, int(left)), instance.encode())
+        shared,
+        max(1, int(left)),
+        instance.encode(),
+    )
 
 
 def judge(answer: Message, request_id: bytes | None, fresh: bool) -> Outcome | None:
@@ -182,8 +231,13 @@
     own = headers.get(REQUEST_ID) or None
     if own != request_id and own is not None:
         return None
-    if (REQUEST_ID in answer.twice or own is None and request_id is not None and not fresh
-            or headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked"):
+    if (
+        REQUEST_ID in answer.twice
+        or own is None
+        and request_id is not None
+        and not fresh
+        or headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked"
+    ):
         return Outcome.SPOILT
     if status == 421:
         return Outcome.MOVED
@@ -193,8 +247,15 @@
         return Outcome.FAILED
     if 200 <= status < 300:
         framed = answer.length is not None or b"transfer-encoding" in headers or status == 204
-        if (SEAL not in headers or SEAL in answer.twice or b"content-encoding" in headers or NOT_EXECUTED in headers
-                or own is None and request_id is not None or not framed):
+        if (
+            SEAL not in headers
+            or SEAL in answer.twice
+            or b"content-encoding" in headers
+            or NOT_EXECUTED in headers
+            or own is None
+            and request_id is not None
+            or not framed
+        ):
             return Outcome.SPOILT
     return Outcome.OK
 
@@ -205,8 +266,7 @@
     if status in (408, 421, 429, 503) and NOT_EXECUTED not in answer.headers:
         status = 502
     lines = end_to_end(answer, NOT_ANSWERED)
-    return Reply(
-        status, b"".join([line + b"\r\n" for line in lines]), answer.body, answer.flow, answer.length)
+    return Reply(status, b"".join([line + b"\r\n" for line in lines]), answer.body, answer.flow, answer.length)
 
 
 def own_reply(status: int, request: Message | None, after: float | None = None, close: bool = False) -> Reply:
@@ -233,8 +293,11 @@
             size = b"Transfer-Encoding: chunked\r\n" if version == "1.1" and reply.flow is not None else b""
     else:
         size = b"Content-Length: %d\r\n" % len(reply.body)
-    ending = b"Connection: close\r\n" if close else (
-        b"Connection: keep-alive\r\n" + keep_alive if version == "1.0" else keep_alive)
+    ending = (
+        b"Connection: close\r\n"
+        if close
+        else (b"Connection: keep-alive\r\n" + keep_alive if version == "1.0" else keep_alive)
+    )
     return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, REASONS.get(status, b"-"), reply.fields, size, ending)
 
 
--- a/hallhitch/resp/codec.py
+++ b/hallhitch/resp/codec.py
@@ -33,7 +33,7 @@
         for head in HEAD.finditer(looked_at):
             if len(head[1]) > 3 or int(head[1]) > COUNT_MOST:
                 self.broken = "too many arguments"
-                data = data[:max(0, head.start() - len(self._tail))]
+                data = data[: max(0, head.start() - len(self._tail))]
                 break
         self._tail = looked_at[-20:]
         self._held += len(data)
--- a/hallhitch/resp/counter.py
+++ b/hallhitch/resp/counter.py
@@ -30,9 +30,14 @@
         life = min(60_000, max(1, round(lifetime)))
         # The stub of this function knows commands of one word only.
         pack: Callable[[tuple[object, ...]], bytes] = cast(Any, hiredis.pack_command)
-        return b"".join((
-            pack(("MULTI",)), pack(("SET", name, 0, "PX", life, "NX")),
-            pack(("INCRBYFLOAT", name, f"{units:.7g}")), pack(("EXEC",))))
+        return b"".join(
+            (
+                pack(("MULTI",)),
+                pack(("SET", name, 0, "PX", life, "NX")),
+                pack(("INCRBYFLOAT", name, f"{units:.7g}")),
+                pack(("EXEC",)),
+            )
+        )
 
     def feed(self, data: memoryview) -> Iterator[tuple[str, float]]:
         """The answers that have come whole; a transaction that did not run has added nothing."""
--- a/hallhitch/resp/server.py
+++ b/hallhitch/resp/server.py
@@ -78,8 +78,12 @@
         self._writing = 0  # replies handed over to be written
         self._id, self._name = next(NUMBERS), b""
         self._commands: dict[bytes, Callable[[list[bytes], Slot], bytes | None]] = {
-            b"TAKE": self._take, b"PING": self._ping, b"ECHO": self._echo, b"HELLO": self._hello,
-            b"CLIENT": self._client, b"QUIT": self._quit,
+            b"TAKE": self._take,
+            b"PING": self._ping,
+            b"ECHO": self._echo,
+            b"HELLO": self._hello,
+            b"CLIENT": self._client,
+            b"QUIT": self._quit,
         }
 
     @property
@@ -192,8 +196,17 @@
         number = classes.index(klass)
         kind = settings.classes[number]
         slot.exchange = core.begin(
-            customer, plans.index(plan), number, float(deadline), slot, kind,
-            units=amount, spread=float(settings.gateways), write=kind.effect != api.SAFE, kind=kind)
+            customer,
+            plans.index(plan),
+            number,
+            float(deadline),
+            slot,
+            kind,
+            units=amount,
+            spread=float(settings.gateways),
+            write=kind.effect != api.SAFE,
+            kind=kind,
+        )
         return None
 
     def _ping(self, words: list[bytes], slot: Slot) -> bytes:
@@ -213,11 +226,20 @@
         if rest:
             self._name = client_name(rest[1])
         fields = [
-            codec.bulk(b"server"), codec.bulk(b"hallhitch"),
-            codec.bulk(b"version"), codec.bulk(__version__.encode()),
-            codec.bulk(b"proto"), codec.integer(2), codec.bulk(b"id"), codec.integer(self._id),
-            codec.bulk(b"mode"), codec.bulk(b"standalone"), codec.bulk(b"role"), codec.bulk(b"master"),
-            codec.bulk(b"modules"), codec.array([]),
+            codec.bulk(b"server"),
+            codec.bulk(b"hallhitch"),
+            codec.bulk(b"version"),
+            codec.bulk(__version__.encode()),
+            codec.bulk(b"proto"),
+            codec.integer(2),
+            codec.bulk(b"id"),
+            codec.integer(self._id),
+            codec.bulk(b"mode"),
+            codec.bulk(b"standalone"),
+            codec.bulk(b"role"),
+            codec.bulk(b"master"),
+            codec.bulk(b"modules"),
+            codec.array([]),
         ]
         return codec.array(fields)
 
@@ -259,8 +281,13 @@
     idle_most = math.inf
 
     def __init__(
-        self, core: Core, settings: api.Settings, deadlines: Deadlines,
-        scheduler: asyncio.AbstractEventLoop, most: int, spare: int,
+        self,
+        core: Core,
+        settings: api.Settings,
+        deadlines: Deadlines,
+        scheduler: asyncio.AbstractEventLoop,
+        most: int,
+        spare: int,
     ) -> None:
         super().__init__(deadlines, scheduler, most, spare)
         self.core, self.settings = core, settings
--- a/hallhitch/tls/authority.py
+++ b/hallhitch/tls/authority.py
@@ -28,9 +28,13 @@
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "hallhitch local authority")])
     now = datetime.now(UTC)
     shown = (
-        x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(private.public_key())
+        x509.CertificateBuilder()
+        .subject_name(name)
+        .issuer_name(name)
+        .public_key(private.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - SLACK).not_valid_after(now + timedelta(days=365 * YEARS))
+        .not_valid_before(now - SLACK)
+        .not_valid_after(now + timedelta(days=365 * YEARS))
         .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
         .add_extension(x509.KeyUsage(False, False, False, False, False, True, True, False, False), critical=True)
         .add_extension(x509.SubjectKeyIdentifier.from_public_key(private.public_key()), critical=False)
@@ -59,9 +63,11 @@
     shown = (
         x509.CertificateBuilder()
         .subject_name(x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, names[0][:64])]))
-        .issuer_name(authority.subject).public_key(private.public_key())
+        .issuer_name(authority.subject)
+        .public_key(private.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(min(now, now + timedelta(days=days)) - SLACK).not_valid_after(now + timedelta(days=days))
+        .not_valid_before(min(now, now + timedelta(days=days)) - SLACK)
+        .not_valid_after(now + timedelta(days=days))
         .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
         .add_extension(x509.ExtendedKeyUsage([usage]), critical=False)
         .add_extension(x509.SubjectAlternativeName([_general(name) for name in names]), critical=False)
@@ -82,8 +88,9 @@
 
 
 def _pem(key: ec.EllipticCurvePrivateKey) -> bytes:
-    return key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8,
-                             serialization.NoEncryption())
+    return key.private_bytes(
+        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+    )
 
 
 def _write(path: Path, data: bytes, mode: int) -> None:
--- a/hallhitch/tls/certificates.py
+++ b/hallhitch/tls/certificates.py
@@ -49,8 +49,10 @@
         told = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     except x509.ExtensionNotFound:
         return ()
-    return (*(name.lower() for name in told.get_values_for_type(x509.DNSName)),
-            *(str(address) for address in told.get_values_for_type(x509.IPAddress)))
+    return (
+        *(name.lower() for name in told.get_values_for_type(x509.DNSName)),
+        *(str(address) for address in told.get_values_for_type(x509.IPAddress)),
+    )
 
 
 def fingerprint(der: bytes) -> str:
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -26,8 +26,14 @@
 
 def run(*words: str, **environ: str) -> subprocess.CompletedProcess[str]:
     """Run a command."""
-    return subprocess.run([sys.executable, "-m", "hallhitch", *words], cwd=ROOT, capture_output=True, text=True,
-                          timeout=GUARD, env={"PATH": "/usr/bin:/bin", **environ})
+    return subprocess.run(
+        [sys.executable, "-m", "hallhitch", *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=GUARD,
+        env={"PATH": "/usr/bin:/bin", **environ},
+    )
 
 
 class Files(unittest.TestCase):
@@ -74,8 +80,12 @@
     async def hallhitch(self, *words: str, token: str = "") -> subprocess.CompletedProcess[str]:
         """Run a command that calls the API."""
         return await asyncio.to_thread(
-            run, *words, HALLHITCH_URL=self.plane.url, HALLHITCH_TOKEN=token or self.plane.token,
-            HALLHITCH_CA=str(self.plane.folder / "tls" / "ca.crt"))
+            run,
+            *words,
+            HALLHITCH_URL=self.plane.url,
+            HALLHITCH_TOKEN=token or self.plane.token,
+            HALLHITCH_CA=str(self.plane.folder / "tls" / "ca.crt"),
+        )
 
     async def test_a_declared_tenant(self) -> None:
         """Guards against an apply that shows one thing and does another, or changes something the second time."""
@@ -92,8 +102,11 @@
         self.assertIn("nothing to change", (await self.hallhitch("tenants", "apply", "--yes", str(path))).stdout)
         self.assertEqual((await self.hallhitch("tenants", "diff", str(path))).returncode, 0)
         self.assertEqual(await self.status(), version)
-        path.write_text(TENANT.replace("rate = 1.5", "rate = 2.5").replace("[hosts", "[clients.press]\n"
-                        'plan = "small-shop"\n[hosts').replace("acme.tenants", "shop.tenants"))
+        path.write_text(
+            TENANT.replace("rate = 1.5", "rate = 2.5")
+            .replace("[hosts", '[clients.press]\nplan = "small-shop"\n[hosts')
+            .replace("acme.tenants", "shop.tenants")
+        )
         told = await self.hallhitch("tenants", "diff", str(path))
         self.assertEqual(sorted(line[0] for line in told.stdout.splitlines()), ["+", "+", "-", "~"], told.stdout)
         self.assertIn("rate: 1.5 -> 2.5", told.stdout)
@@ -107,9 +120,11 @@
         path = self.plane.folder / "acme.toml"
         clients = "".join(f'[clients.c{n}]\nplan = "small-shop"\n' for n in range(1500))
         path.write_text(TENANT.replace("[plans", "[limits]\nclients = 5000\nrate = 9000\n[plans") + clients)
-        first = [{"kind": "tenant", "name": "acme", "value": {"limits": {"clients": 5000, "rate": 9000.0}}},
-                 {"kind": "plan", "name": "small-shop", "value": {"rate": 1.5, "burst": 4.0}},
-                 *({"kind": "client", "name": f"c{n}", "value": {"plan": "small-shop"}} for n in range(400))]
+        first = [
+            {"kind": "tenant", "name": "acme", "value": {"limits": {"clients": 5000, "rate": 9000.0}}},
+            {"kind": "plan", "name": "small-shop", "value": {"rate": 1.5, "burst": 4.0}},
+            *({"kind": "client", "name": f"c{n}", "value": {"plan": "small-shop"}} for n in range(400)),
+        ]
         made = await change(self.root, "POST", "/v1/tenants/acme/changes", {"edits": first})
         self.assertEqual(made.status_code, 200, made.text)
         done = await self.hallhitch("tenants", "apply", "--yes", "--json", str(path))
--- a/tests/cli/test_experiment.py
+++ b/tests/cli/test_experiment.py
@@ -15,8 +15,9 @@
 from tests.cli.test_commands import run
 from tests.stand_ins import ROOT
 
-SCENARIO = (ROOT / "scenarios" / "calm.toml").read_text().replace(
-    "seconds = 30.0", "seconds = 3.0\n[traffic]\nrate = 90.0")
+SCENARIO = (
+    (ROOT / "scenarios" / "calm.toml").read_text().replace("seconds = 30.0", "seconds = 3.0\n[traffic]\nrate = 90.0")
+)
 EXPERIMENT = """
 name = "small"
 scenarios = ["calm.toml"]
@@ -103,7 +104,7 @@
             bad = run("experiment", "try", path, *words)
             self.assertEqual((bad.returncode, len(bad.stderr.splitlines())), (2, 1), bad.stderr)
             self.assertIn(says, bad.stderr)
-        (self.folder / "small.toml").write_text(EXPERIMENT + 'module = { NO_SUCH = 1.0 }\n')
+        (self.folder / "small.toml").write_text(EXPERIMENT + "module = { NO_SUCH = 1.0 }\n")
         bad = run("experiment", "run", str(self.folder / "small.toml"), "--db", self.db)
         self.assertEqual(bad.returncode, 2)
         self.assertIn("NO_SUCH", bad.stderr)
