--- a/tests/control/test_api.py
+++ b/tests/control/test_api.py
@@ -30,8 +30,9 @@
         self.assertEqual((made.status_code, made.json()["rate"]), (201, 10.0))
         self.assertEqual(made.headers["etag"], f'"{made.json()["version"]}"')
         read = await self.root.get(path)
-        self.assertEqual((read.status_code, read.json(), read.headers["etag"]),
-                         (200, made.json(), made.headers["etag"]))
+        self.assertEqual(
+            (read.status_code, read.json(), read.headers["etag"]), (200, made.json(), made.headers["etag"])
+        )
         patched = await change(self.root, "PATCH", path, {"price": 1.8, "burst": None})
         self.assertEqual(patched.status_code, 422, "a burst of nothing does not go with a rate")
         patched = await change(self.root, "PATCH", path, {"price": 1.8, "rate": None})
@@ -62,32 +63,37 @@
         path = f"{ACME}/plans/small-shop"
         for _ in range(8):
             tag = (await self.root.get(path)).headers["etag"]
-            answers = await asyncio.gather(*(
-                change(self.root, "PUT", path, PLAN | {"price": price}, If_Match=tag) for price in (3.0, 4.0)))
+            answers = await asyncio.gather(
+                *(change(self.root, "PUT", path, PLAN | {"price": price}, If_Match=tag) for price in (3.0, 4.0))
+            )
             self.assertEqual(sorted(a.status_code for a in answers), [200, 412])
             won = next(a for a in answers if a.status_code == 200)
             self.assertEqual((await self.root.get(path)).json(), won.json())
-        merged = await asyncio.gather(change(self.root, "PATCH", path, {"price": 5.0}),
-                                      change(self.root, "PATCH", path, {"beyond_cost": 0.8}))
+        merged = await asyncio.gather(
+            change(self.root, "PATCH", path, {"price": 5.0}), change(self.root, "PATCH", path, {"beyond_cost": 0.8})
+        )
         self.assertEqual([a.status_code for a in merged], [200, 200])
         read = (await self.root.get(path)).json()
         self.assertEqual((read["price"], read["beyond_cost"]), (5.0, 0.8), "neither merge loses the other's field")
 
     async def test_a_repeat_gets_the_first_answer(self) -> None:
         """Guards against a repeated call that changes twice, or is told something else than the first was."""
-        cases = [("PUT", f"{ACME}/clients/press-2", {"plan": "small-shop"}, 201),
-                 ("PUT", f"{ACME}/credentials/boss", {"scope": "admin"}, 201),
-                 ("PUT", f"{ACME}/clients/press-3", {"plan": "no-such"}, 409),
-                 ("DELETE", f"{ACME}/clients/press-2", None, 204),
-                 ("DELETE", f"{ACME}/clients/press-9", None, 404)]
+        cases = [
+            ("PUT", f"{ACME}/clients/press-2", {"plan": "small-shop"}, 201),
+            ("PUT", f"{ACME}/credentials/boss", {"scope": "admin"}, 201),
+            ("PUT", f"{ACME}/clients/press-3", {"plan": "no-such"}, 409),
+            ("DELETE", f"{ACME}/clients/press-2", None, 204),
+            ("DELETE", f"{ACME}/clients/press-9", None, 404),
+        ]
         for method, path, body, status in cases:
             key = str(uuid.uuid4())
             first = await change(self.root, method, path, body, key)
             version = await self.status()
             for _ in range(2):
                 again = await change(self.root, method, path, body, key)
-                self.assertEqual((again.status_code, again.content, again.headers), (
-                    status, first.content, first.headers))
+                self.assertEqual(
+                    (again.status_code, again.content, again.headers), (status, first.content, first.headers)
+                )
             self.assertEqual(await self.status(), version)
             other = await change(self.root, method, path + "x", body, key)
             self.assertEqual((other.status_code, other.json()["code"]), (422, "key-reused"))
@@ -100,8 +106,7 @@
         """Guards against a repeat that overtakes its first call, and makes the change by itself."""
         for number in range(10):
             key, path = str(uuid.uuid4()), f"{ACME}/credentials/c{number}"
-            answers = await asyncio.gather(*(
-                change(self.root, "PUT", path, {"scope": "read"}, key) for _ in range(6)))
+            answers = await asyncio.gather(*(change(self.root, "PUT", path, {"scope": "read"}, key) for _ in range(6)))
             self.assertEqual({(a.status_code, a.content) for a in answers}, {(201, answers[0].content)})
 
     async def test_a_key_belongs_to_its_caller(self) -> None:
@@ -139,12 +144,18 @@
 
     async def test_pages_hold_everything_once(self) -> None:
         """Guards against things left out or told twice between pages, and filters that pass others."""
-        edits = [{"kind": "client", "name": f"c{n:03}", "value": {"plan": "small-shop", "on": n % 2 == 0}}
-                 for n in range(40)]
+        edits = [
+            {"kind": "client", "name": f"c{n:03}", "value": {"plan": "small-shop", "on": n % 2 == 0}} for n in range(40)
+        ]
         await change(self.root, "PATCH", ACME, {"limits": {"rate": 500.0}})
         self.assertEqual((await change(self.root, "POST", f"{ACME}/changes", {"edits": edits})).status_code, 200)
-        queries: list[tuple[dict[str, str], int]] = [({}, 41), ({"on": "true"}, 21), ({"on": "false"}, 20),
-                                                      ({"prefix": "c00"}, 10), ({"plan": "none"}, 0)]
+        queries: list[tuple[dict[str, str], int]] = [
+            ({}, 41),
+            ({"on": "true"}, 21),
+            ({"on": "false"}, 20),
+            ({"prefix": "c00"}, 10),
+            ({"plan": "none"}, 0),
+        ]
         for query, want in queries:
             names: list[str] = []
             after: str | None = ""
@@ -227,8 +238,14 @@
                     (await change(caller, "PUT", f"{ACME}/plans/p{number}", PLAN)).status_code,
                     (await change(caller, "PATCH", ACME, {"limits": {"rate": 1e6}})).status_code,
                     (await change(caller, "PUT", f"{ACME}/hosts/new.example.org", {})).status_code,
-                    (await change(caller, "POST", f"{ACME}/changes", {"edits": [
-                        {"kind": "host", "name": "new.example.org", "value": {}}]})).status_code,
+                    (
+                        await change(
+                            caller,
+                            "POST",
+                            f"{ACME}/changes",
+                            {"edits": [{"kind": "host", "name": "new.example.org", "value": {}}]},
+                        )
+                    ).status_code,
                     (await caller.get("/v1/operators")).status_code,
                     (await caller.get("/v1/audit")).status_code,
                 ]
@@ -260,9 +277,11 @@
         host, port = self.plane.url.removeprefix("https://").split(":")
         reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.trust)
         body = json.dumps(PLAN).encode()
-        writer.write(f"PUT {ACME}/plans/late HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {token}\r\n"
-                     f"Idempotency-Key: k\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
-                     "Expect: 100-continue\r\n\r\n".encode())
+        writer.write(
+            f"PUT {ACME}/plans/late HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {token}\r\n"
+            f"Idempotency-Key: k\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n"
+            "Expect: 100-continue\r\n\r\n".encode()
+        )
         # The server asks for the body once it has let the call in: the credential was good at that moment.
         self.assertIn(b"100", await soon(reader.readuntil(b"\r\n\r\n")))
         return reader, writer, body
@@ -291,8 +310,15 @@
 class Bounds(ControlCase):
     """What a caller may not do to others."""
 
-    api = {"calls_per_second": 0.001, "burst": 12.0, "connections": 6, "body_kib": 4, "head_kib": 2,
-           "failures_per_minute": 6.0, "request_seconds": 0.5}
+    api = {
+        "calls_per_second": 0.001,
+        "burst": 12.0,
+        "connections": 6,
+        "body_kib": 4,
+        "head_kib": 2,
+        "failures_per_minute": 6.0,
+        "request_seconds": 0.5,
+    }
 
     async def test_calls_a_second(self) -> None:
         """Guards against one credential taking the service from others."""
@@ -362,11 +388,24 @@
         version = await self.status()
         deep = b'{"a":' * 5000 + b"1" + b"}" * 5000
         cases: list[tuple[bytes, int]] = [
-            (b'{"rate":1,"burst":2,"rate":5}', 400), (b'{"rate":NaN}', 400), (b'{"rate":1e999,"burst":1}', 400),
-            (b'{"rate":Infinity}', 400), (b'{"rate":-1,"burst":1}', 422), (b'{"rate":"1"}', 422), (b"[1]", 422),
-            (b'{"rte":1}', 422), (b'{"rate":\xff}', 400), (b"", 422), (b"{", 400), (deep, 400),
-            (b"9" * 5000, 400), (b'{"open_limit":1.5}', 422), (b'{"rate":true}', 422), (b"null", 422),
-            (b'{"price":1e10}', 422), (b'\xef\xbb\xbf{"rate":1,"burst":1}', 400),
+            (b'{"rate":1,"burst":2,"rate":5}', 400),
+            (b'{"rate":NaN}', 400),
+            (b'{"rate":1e999,"burst":1}', 400),
+            (b'{"rate":Infinity}', 400),
+            (b'{"rate":-1,"burst":1}', 422),
+            (b'{"rate":"1"}', 422),
+            (b"[1]", 422),
+            (b'{"rte":1}', 422),
+            (b'{"rate":\xff}', 400),
+            (b"", 422),
+            (b"{", 400),
+            (deep, 400),
+            (b"9" * 5000, 400),
+            (b'{"open_limit":1.5}', 422),
+            (b'{"rate":true}', 422),
+            (b"null", 422),
+            (b'{"price":1e10}', 422),
+            (b'\xef\xbb\xbf{"rate":1,"burst":1}', 400),
         ]
         for body, status in cases:
             for method in ("PUT", "PATCH"):
@@ -374,13 +413,21 @@
                     continue
                 with self.subTest(body=body[:40], method=method):
                     made = await self.root.request(
-                        method, f"{ACME}/plans/p", content=body,
-                        headers={"Idempotency-Key": str(uuid.uuid4()), "Content-Type": "application/json"})
-                    self.assertEqual((made.status_code, made.headers["content-type"]),
-                                     (status, "application/problem+json"), made.text)
-        for headers, status in [({"Content-Type": "text/plain", "Idempotency-Key": "k"}, 415),
-                                ({"Content-Type": "application/json"}, 400),
-                                ({"Content-Type": "application/json", "Idempotency-Key": "with space"}, 400)]:
+                        method,
+                        f"{ACME}/plans/p",
+                        content=body,
+                        headers={"Idempotency-Key": str(uuid.uuid4()), "Content-Type": "application/json"},
+                    )
+                    self.assertEqual(
+                        (made.status_code, made.headers["content-type"]),
+                        (status, "application/problem+json"),
+                        made.text,
+                    )
+        for headers, status in [
+            ({"Content-Type": "text/plain", "Idempotency-Key": "k"}, 415),
+            ({"Content-Type": "application/json"}, 400),
+            ({"Content-Type": "application/json", "Idempotency-Key": "with space"}, 400),
+        ]:
             made = await self.root.request("PUT", f"{ACME}/plans/p", content=b"{}", headers=headers)
             self.assertEqual(made.status_code, status)
         for name in ("A", "a b", "%00", "x" * 65, "..", "%F0%9F%92%A5"):
--- a/tests/control/test_fuzz.py
+++ b/tests/control/test_fuzz.py
@@ -41,12 +41,18 @@
         for found in schema.get_all_operations():
             operation = found.ok()  # type: ignore[union-attr]
 
-            @hypothesis.settings(max_examples=EXAMPLES, deadline=None, derandomize=True, database=None,
-                                 suppress_health_check=list(hypothesis.HealthCheck))
+            @hypothesis.settings(
+                max_examples=EXAMPLES,
+                deadline=None,
+                derandomize=True,
+                database=None,
+                suppress_health_check=list(hypothesis.HealthCheck),
+            )
             @hypothesis.given(case=operation.as_strategy())
             def one(case: Any) -> None:
-                answer = case.call(base_url=self.plane.url, headers=headers,
-                                   verify=str(self.plane.folder / "tls" / "ca.crt"))
+                answer = case.call(
+                    base_url=self.plane.url, headers=headers, verify=str(self.plane.folder / "tls" / "ca.crt")
+                )
                 case.validate_response(answer, checks=CHECKS)
 
             with self.subTest(operation=operation.label):
--- a/tests/control/test_isolation.py
+++ b/tests/control/test_isolation.py
@@ -32,8 +32,13 @@
         return {name: sample(what, schemas) for name, what in schema.get("properties", {}).items() if name in needed}
     if kind == "array":
         return [sample(schema["items"], schemas)] if schema.get("minItems") else []
-    return {"string": "a" * max(1, schema.get("minLength", 1)), "integer": int(schema.get("minimum", 1)),
-            "number": 1.0, "boolean": True, "null": None}[kind]
+    return {
+        "string": "a" * max(1, schema.get("minLength", 1)),
+        "integer": int(schema.get("minimum", 1)),
+        "number": 1.0,
+        "boolean": True,
+        "null": None,
+    }[kind]
 
 
 class Isolation(ControlCase):
@@ -42,10 +47,18 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         await seed(self.root, "acme", OTHER)
-        await change(self.root, "POST", f"/v1/tenants/{OTHER}/changes", {"edits": [
-            {"kind": "plan", "name": "spy-plan", "value": {}},
-            {"kind": "client", "name": "spy-client", "value": {"plan": "spy-plan"}},
-            {"kind": "host", "name": "spy.example.org", "value": {}}]})
+        await change(
+            self.root,
+            "POST",
+            f"/v1/tenants/{OTHER}/changes",
+            {
+                "edits": [
+                    {"kind": "plan", "name": "spy-plan", "value": {}},
+                    {"kind": "client", "name": "spy-client", "value": {"plan": "spy-plan"}},
+                    {"kind": "host", "name": "spy.example.org", "value": {}},
+                ]
+            },
+        )
         self.boss = await issue(self.root, "acme", "boss")
         await issue(self.root, OTHER, "spy-credential")
         self.described = (await self.root.get("/openapi.json")).json()
@@ -55,8 +68,14 @@
         made = []
         schemas = self.described["components"]["schemas"]
         for path, methods in self.described["paths"].items():
-            names = {"plans": "spy-plan", "clients": "spy-client", "hosts": "spy.example.org",
-                     "credentials": "spy-credential", "operators": "root", "versions": self.version}
+            names = {
+                "plans": "spy-plan",
+                "clients": "spy-client",
+                "hosts": "spy.example.org",
+                "credentials": "spy-credential",
+                "operators": "root",
+                "versions": self.version,
+            }
             last = next((names[part] for part in path.split("/") if part in names), "")
             for method, operation in methods.items():
                 body = operation.get("requestBody", {}).get("content", {}).get("application/json", {}).get("schema")
@@ -74,8 +93,17 @@
     async def _state(self) -> list[Any]:
         """All that the operators see of the other tenant, but for what the audit says of the calls made here."""
         base = f"/v1/tenants/{OTHER}"
-        return [(await self.root.get(place)).json() for place in (
-            base, f"{base}/plans", f"{base}/clients", f"{base}/hosts", f"{base}/credentials", "/v1/operators")]
+        return [
+            (await self.root.get(place)).json()
+            for place in (
+                base,
+                f"{base}/plans",
+                f"{base}/clients",
+                f"{base}/hosts",
+                f"{base}/credentials",
+                "/v1/operators",
+            )
+        ]
 
     async def test_nothing_of_another_is_read_or_changed(self) -> None:
         """Guards against a path where a tenant reaches another's things, or learns that they are there."""
@@ -112,8 +140,9 @@
         before, texts = await self._state(), set()
         for token in (ended, revoked, press, None, "hh_acme.boss." + "y" * 43, "garbage"):
             async with self.plane.client(token) as caller:
-                for call in self.calls("acme", True) if token != "hh_acme.boss." + "y" * 43 else self.calls(
-                        "acme", True)[:3]:
+                for call in (
+                    self.calls("acme", True) if token != "hh_acme.boss." + "y" * 43 else self.calls("acme", True)[:3]
+                ):
                     with self.subTest(token=token and token[:12], call=call[:2]):
                         answer = await self._try(caller, call)
                         self.assertIn(answer.status_code, (401, 429), answer.text)
@@ -125,7 +154,8 @@
         """Guards against edits that slip through a call on the caller's own part."""
         async with self.plane.client(self.boss) as caller:
             for edit, status in [
-                ({"kind": "tenant", "name": OTHER, "value": {}}, 403), ({"kind": "tenant", "name": "acme"}, 403),
+                ({"kind": "tenant", "name": OTHER, "value": {}}, 403),
+                ({"kind": "tenant", "name": "acme"}, 403),
                 ({"kind": "host", "name": "spy.example.org", "value": {}}, 403),
                 ({"kind": "client", "name": f"{OTHER}/press-1", "value": {"plan": "small-shop"}}, 422),
                 ({"kind": "client", "name": "press-1", "value": {"plan": "spy-plan"}}, 409),
--- a/tests/control/test_kill.py
+++ b/tests/control/test_kill.py
@@ -90,16 +90,18 @@
                     Path(mark).touch()
                     first = None
                     with contextlib.suppress(httpx.TransportError):
-                        first = await change(root, "PUT", f"{ACME}/credentials/victim", {"scope": "read"}, "victim",
-                                             If_None_Match="*")
+                        first = await change(
+                            root, "PUT", f"{ACME}/credentials/victim", {"scope": "read"}, "victim", If_None_Match="*"
+                        )
                 await self._ended()
                 self.assertEqual(point == "after the answer was written", first is not None)
                 Path(mark).unlink()
                 await self.plane.start()
                 async with self.plane.client() as root:
                     before = (await root.get("/v1/status")).json()["version"]
-                    again = await change(root, "PUT", f"{ACME}/credentials/victim", {"scope": "read"}, "victim",
-                                         If_None_Match="*")
+                    again = await change(
+                        root, "PUT", f"{ACME}/credentials/victim", {"scope": "read"}, "victim", If_None_Match="*"
+                    )
                     after = (await root.get("/v1/status")).json()["version"]
                     self.assertEqual(again.status_code, 201, again.text)
                     self.assertEqual(before == after, point != "before the commit")
@@ -133,8 +135,9 @@
                     await seed(root, "acme")
                     await change(root, "PATCH", ACME, {"limits": {"clients": 10**6, "rate": 1e9}})
 
-                async def worker(number: int, root: httpx.AsyncClient = root, kill_at: int = kill_at,
-                                 tell: asyncio.Event = tell) -> None:
+                async def worker(
+                    number: int, root: httpx.AsyncClient = root, kill_at: int = kill_at, tell: asyncio.Event = tell
+                ) -> None:
                     nonlocal wanted
                     turn = 0
                     while True:
@@ -146,8 +149,14 @@
                             self.seen.add(f"new {name}")
                             wanted += 1
                         try:
-                            made = await change(root, "PUT", f"{ACME}/clients/{name}", {"plan": "small-shop"},
-                                                f"key-{name}", If_None_Match="*")
+                            made = await change(
+                                root,
+                                "PUT",
+                                f"{ACME}/clients/{name}",
+                                {"plan": "small-shop"},
+                                f"key-{name}",
+                                If_None_Match="*",
+                            )
                         except httpx.TransportError:
                             return
                         self.assertEqual(made.status_code, 201, made.text)
@@ -165,8 +174,9 @@
         async with self.plane.client() as root:
             for name in sorted(self.seen):  # every call that was ever begun, acknowledged or not
                 name = name.removeprefix("new ")
-                made = await change(root, "PUT", f"{ACME}/clients/{name}", {"plan": "small-shop"}, f"key-{name}",
-                                    If_None_Match="*")
+                made = await change(
+                    root, "PUT", f"{ACME}/clients/{name}", {"plan": "small-shop"}, f"key-{name}", If_None_Match="*"
+                )
                 self.assertEqual(made.status_code, 201, made.text)
                 if name in acknowledged:
                     self.assertEqual(made.content, acknowledged[name])
--- a/tests/control/test_trouble.py
+++ b/tests/control/test_trouble.py
@@ -76,8 +76,11 @@
         """Check that `control serve` ends with exit code 2 and one line."""
         call = ["-m", "hallhitch", "control", "serve", str(self.plane.file)]
         if fault:
-            call = ["-c", f"{fault}\nimport sys; sys.argv = ['hallhitch'] + {call[2:]!r}\n"
-                          "from hallhitch.__main__ import main\nraise SystemExit(main())"]
+            call = [
+                "-c",
+                f"{fault}\nimport sys; sys.argv = ['hallhitch'] + {call[2:]!r}\n"
+                "from hallhitch.__main__ import main\nraise SystemExit(main())",
+            ]
         run = subprocess.run([sys.executable, *call], cwd=ROOT, capture_output=True, text=True, timeout=GUARD)
         lines = [line for line in run.stderr.splitlines() if not line.startswith("{")]
         self.assertEqual((run.returncode, len(lines)), (2, 1), run.stderr)
@@ -151,8 +154,10 @@
 
     async def test_a_clock_that_steps_back(self) -> None:
         """Guards against an expired credential that lives again, and against times that run backwards in the audit."""
-        fault = ("import time, os\nreal = time.time\n"
-                 f"time.time = lambda: real() - (86400 if os.path.exists({str(self.plane.folder / 'back')!r}) else 0)")
+        fault = (
+            "import time, os\nreal = time.time\n"
+            f"time.time = lambda: real() - (86400 if os.path.exists({str(self.plane.folder / 'back')!r}) else 0)"
+        )
         await self.plane.start(fault)
         async with self.plane.client() as root:
             await seed(root, "acme")
--- a/tests/control_plane.py
+++ b/tests/control_plane.py
@@ -39,8 +39,10 @@
         self.url = f"https://127.0.0.1:{free_port()}"
         told = {"listen": self.url.removeprefix("https://"), "calls_per_second": 1e6, "burst": 1e6} | api
         lines = "\n".join(f"{name} = {json.dumps(value)}" for name, value in told.items())
-        self.file.write_text(f'[store]\nfolder = "store"\n[api]\n{lines}\n[tls]\nfolder = "tls"\n'
-                             'client_ca = "tls/ca.crt"\nlook_seconds = 0.05\n')
+        self.file.write_text(
+            f'[store]\nfolder = "store"\n[api]\n{lines}\n[tls]\nfolder = "tls"\n'
+            'client_ca = "tls/ca.crt"\nlook_seconds = 0.05\n'
+        )
         authority.make_authority(folder / "tls")
         authority.issue(folder / "tls", "default", ["127.0.0.1", "localhost"])
         self.token = first_operator(read(str(self.file), ControlSettings), str(self.file))
@@ -49,11 +51,18 @@
 
     async def start(self, fault: str = "", expect: str = '"serving"', **environ: str) -> None:
         """Start it; `fault` is code that runs in the process first."""
-        call = ["-c", f"{fault}\nimport sys\nsys.argv = ['hallhitch', 'control', 'serve', {str(self.file)!r}]\n"
-                      "from hallhitch.__main__ import main\nraise SystemExit(main())"]
+        call = [
+            "-c",
+            f"{fault}\nimport sys\nsys.argv = ['hallhitch', 'control', 'serve', {str(self.file)!r}]\n"
+            "from hallhitch.__main__ import main\nraise SystemExit(main())",
+        ]
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *(call if fault else ["-m", "hallhitch", "control", "serve", str(self.file)]),
-            cwd=ROOT, env=dict(os.environ) | environ, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            *(call if fault else ["-m", "hallhitch", "control", "serve", str(self.file)]),
+            cwd=ROOT,
+            env=dict(os.environ) | environ,
+            stderr=asyncio.subprocess.PIPE,
+        )
         if expect:
             await self.logged(expect)
             self._drain = asyncio.create_task(self._read_on())
@@ -82,12 +91,14 @@
     def client(self, token: str | None = "", context: ssl.SSLContext | None = None) -> httpx.AsyncClient:
         """A caller; the first operator unless a token (or None) is told."""
         headers = {} if token is None else {"Authorization": f"Bearer {token or self.token}"}
-        return httpx.AsyncClient(base_url=self.url, verify=context or self.trust, headers=headers, timeout=GUARD,
-                                 trust_env=False)
+        return httpx.AsyncClient(
+            base_url=self.url, verify=context or self.trust, headers=headers, timeout=GUARD, trust_env=False
+        )
 
 
-async def change(client: httpx.AsyncClient, method: str, path: str, body: Any = None, key: str = "",
-                 **headers: str) -> httpx.Response:
+async def change(
+    client: httpx.AsyncClient, method: str, path: str, body: Any = None, key: str = "", **headers: str
+) -> httpx.Response:
     """A call that changes something, under a key."""
     told = {"Idempotency-Key": key or str(uuid.uuid4())}
     told |= {name.replace("_", "-"): value for name, value in headers.items()}
--- a/tests/hosted/test_link.py
+++ b/tests/hosted/test_link.py
@@ -75,8 +75,9 @@
 
     async def rate(self, rate: float) -> str:
         """Change a plan; the version that has it."""
-        made = await change(self.root, "PUT", "/v1/tenants/acme/plans/small-shop", {"rate": rate, "burst": 9.0},
-                            If_Match="*")
+        made = await change(
+            self.root, "PUT", "/v1/tenants/acme/plans/small-shop", {"rate": rate, "burst": 9.0}, If_Match="*"
+        )
         self.assertEqual(made.status_code, 200, made.text)
         return await self.status()
 
@@ -114,12 +115,26 @@
     async def test_the_command_waits_for_all(self) -> None:
         """Guards against a command that ends before the change is everywhere, or that waits for ever."""
         file = self.plane.folder / "acme.toml"
-        file.write_text('tenant = "acme"\n[plans.small-shop]\nrate = 8.0\nburst = 9.0\n'
-                        '[clients.press-1]\nplan = "small-shop"\n[hosts."acme.tenants.example.org"]\n')
+        file.write_text(
+            'tenant = "acme"\n[plans.small-shop]\nrate = 8.0\nburst = 9.0\n'
+            '[clients.press-1]\nplan = "small-shop"\n[hosts."acme.tenants.example.org"]\n'
+        )
         token = self.plane.folder / "token"
         token.write_text(self.plane.token)
-        arguments = ("tenants", "apply", str(file), "--yes", "--wait", "0", "--url", self.plane.url, "--token-file",
-                     str(token), "--ca", str(self.plane.folder / "tls" / "ca.crt"))
+        arguments = (
+            "tenants",
+            "apply",
+            str(file),
+            "--yes",
+            "--wait",
+            "0",
+            "--url",
+            self.plane.url,
+            "--token-file",
+            str(token),
+            "--ca",
+            str(self.plane.folder / "tls" / "ca.crt"),
+        )
         done = await asyncio.to_thread(command, *arguments)
         self.assertEqual(done.returncode, 1, done.stderr)
         self.assertIn("no gateways", done.stderr)
@@ -157,8 +172,16 @@
         context = shown_by(self.plane, self.certificate)
         async with self.plane.client(None, context) as gateway:
             self.assertEqual((await gateway.get("/v1/feed", params=query)).status_code, 200)
-            for path in ("/v1/tenants", "/v1/tenants/acme", "/v1/tenants/acme/clients", "/v1/operators", "/v1/status",
-                         "/v1/gateways", "/v1/audit", "/v1/versions/1"):
+            for path in (
+                "/v1/tenants",
+                "/v1/tenants/acme",
+                "/v1/tenants/acme/clients",
+                "/v1/operators",
+                "/v1/status",
+                "/v1/gateways",
+                "/v1/audit",
+                "/v1/versions/1",
+            ):
                 self.assertEqual((await gateway.get(path)).status_code, 404, path)
             made = await change(gateway, "PUT", "/v1/tenants/evil", {"on": True})
             self.assertEqual(made.status_code, 404)
@@ -172,15 +195,20 @@
         self.assertEqual(drop.status_code, 204)
         async with self.plane.client(None, context) as gateway:
             self.assertEqual((await gateway.get("/v1/feed", params=query)).status_code, 401, "revoked")
-        self.assertEqual((await change(self.root, "PUT", "/v1/tenants/acme/credentials/g", {
-            "scope": "gateway"})).status_code, 422, "no tenant has gateways")
+        self.assertEqual(
+            (await change(self.root, "PUT", "/v1/tenants/acme/credentials/g", {"scope": "gateway"})).status_code,
+            422,
+            "no tenant has gateways",
+        )
 
     async def test_many_that_come_at_once_are_served_in_turn(self) -> None:
         """Guards against a fleet's return that the control plane answers all at once, or not at all."""
         context = shown_by(self.plane, self.certificate)
         limits = httpx.Limits(max_connections=60)
-        async with httpx.AsyncClient(base_url=self.plane.url, verify=context, trust_env=False, limits=limits,
-                                     timeout=30.0) as gateway:
+        async with httpx.AsyncClient(
+            base_url=self.plane.url, verify=context, trust_env=False, limits=limits, timeout=30.0
+        ) as gateway:
+
             async def ask(n: int) -> httpx.Response:
                 return await gateway.get("/v1/feed", params={"gateway": f"g{n}", "instance": "0" * 16})
 
@@ -188,6 +216,6 @@
             late = [one for one in answers if one.status_code != 200]
             self.assertTrue(all(one.status_code == 503 and float(one.headers["retry-after"]) > 0 for one in late))
             self.assertGreater(len(answers) - len(late), 3)
-            self.assertTrue(all(one.text.endswith('}\n') for one in answers if one.status_code == 200))
+            self.assertTrue(all(one.text.endswith("}\n") for one in answers if one.status_code == 200))
             self.assertEqual((await ask(0)).status_code, 200, "places come free again")
         self.assertEqual((await self.root.get("/v1/status")).status_code, 200)
--- a/tests/hosted/test_saved.py
+++ b/tests/hosted/test_saved.py
@@ -80,8 +80,9 @@
         """Guards against a file that is cut off, mixed, or older than what was acknowledged."""
         last = 0
         for turn in range(int(os.environ.get("HALLHITCH_SOAK_ROUNDS", "8")) // 4 + 6):
-            with subprocess.Popen([sys.executable, "-c", WRITER, str(self.path)], cwd=ROOT, text=True,
-                                  stdout=subprocess.PIPE) as process:
+            with subprocess.Popen(
+                [sys.executable, "-c", WRITER, str(self.path)], cwd=ROOT, text=True, stdout=subprocess.PIPE
+            ) as process:
                 assert process.stdout is not None
                 began = int(process.stdout.readline().split()[1])
                 self.assertGreaterEqual(began, last, "what was said to be saved is there")
@@ -99,7 +100,7 @@
         """Guards against a start from a damaged catalogue, and against one that is lost with the evidence."""
         good = b"".join(whole_lines(grown(3)))
         for place in range(0, len(good), 23):
-            for damaged in (good[:place], good[:place] + bytes([good[place] ^ 1]) + good[place + 1:]):
+            for damaged in (good[:place], good[:place] + bytes([good[place] ^ 1]) + good[place + 1 :]):
                 self.path.write_bytes(damaged)
                 found = Saved(self.path).load()
                 if found is None:
--- a/tests/hosting/test_admission.py
+++ b/tests/hosting/test_admission.py
@@ -133,8 +133,16 @@
         late = [one for one in begun if isinstance(one, TurnedAway)]
         self.assertLessEqual(len(late), 2, "whoever was let wait has its turn")
 
-    @given(st.lists(st.tuples(st.sampled_from(["offer", "turn", "gone", "spent", "forget"]),
-                              st.sampled_from(sorted(TENANTS)), st.floats(0, 30)), max_size=80))
+    @given(
+        st.lists(
+            st.tuples(
+                st.sampled_from(["offer", "turn", "gone", "spent", "forget"]),
+                st.sampled_from(sorted(TENANTS)),
+                st.floats(0, 30),
+            ),
+            max_size=80,
+        )
+    )
     def test_each_request_is_told_once(self, ops: list[tuple[str, str, float]]) -> None:
         """Guards against a request that is lost in the queue, begun twice, or begun once its client has gone."""
         turns, now = Turns(0.0), 0.0
--- a/tests/hosting/test_catalogue.py
+++ b/tests/hosting/test_catalogue.py
@@ -41,13 +41,17 @@
 FEW = st.sampled_from(["x", "y", "z"])
 HOSTS = st.sampled_from(["a.example.org", "b.example.org", "x.example.org"])
 VALUES: dict[Kind, st.SearchStrategy[Any]] = {
-    Kind.TENANT: st.builds(Head, st.booleans(), st.builds(
-        Limits, clients=st.integers(1, 3), plans=st.integers(1, 3), rate=st.sampled_from([2, 5.0, 100.0]))),
+    Kind.TENANT: st.builds(
+        Head,
+        st.booleans(),
+        st.builds(Limits, clients=st.integers(1, 3), plans=st.integers(1, 3), rate=st.sampled_from([2, 5.0, 100.0])),
+    ),
     Kind.PLAN: st.builds(Plan, rate=st.sampled_from([0, 1, 2.5]), burst=st.sampled_from([0.0, 3.0])),
     Kind.CLIENT: st.builds(Client, FEW, st.booleans()),
     Kind.HOST: st.builds(Host, st.booleans()),
     Kind.CREDENTIAL: st.builds(
-        Credential, st.sampled_from(list(Scope)), st.just((Verifier("h"),)), st.none() | FEW, st.none() | st.just(5)),
+        Credential, st.sampled_from(list(Scope)), st.just((Verifier("h"),)), st.none() | FEW, st.none() | st.just(5)
+    ),
 }
 
 
@@ -71,9 +75,13 @@
     """A catalogue in which most changes have something to change."""
     made = Catalogue(epoch=3)
     for tenant in "ab":
-        edits_ = (Edit(Kind.TENANT, tenant, Head(limits=Limits(3, 3))), Edit(Kind.PLAN, "x", Plan(1.0, 3.0)),
-                  Edit(Kind.CLIENT, "x", Client("x")), Edit(Kind.HOST, f"{tenant}.example.org", Host()),
-                  Edit(Kind.CREDENTIAL, "x", Credential(Scope.CLIENT, (Verifier("h"),), "x")))
+        edits_ = (
+            Edit(Kind.TENANT, tenant, Head(limits=Limits(3, 3))),
+            Edit(Kind.PLAN, "x", Plan(1.0, 3.0)),
+            Edit(Kind.CLIENT, "x", Client("x")),
+            Edit(Kind.HOST, f"{tenant}.example.org", Host()),
+            Edit(Kind.CREDENTIAL, "x", Credential(Scope.CLIENT, (Verifier("h"),), "x")),
+        )
         made = apply(made, Change(tenant, edits_)).catalogue
     return made
 
@@ -161,12 +169,16 @@
             found = steps(present, wanted.things())
             piece = data.draw(st.integers(1, 4))
             for start in range(0, len(found), piece):
-                part = [Edit(s.kind, s.name, s.wanted, int(s.version or 0)) for s in found[start:start + piece]]
+                part = [Edit(s.kind, s.name, s.wanted, int(s.version or 0)) for s in found[start : start + piece]]
                 catalogue = apply(catalogue, Change("a", tuple(part))).catalogue
             self.assertEqual({(r.kind, r.name): r.value for r in rows_of(catalogue)}, wanted.things())
 
-    @given(st.text("abc/.:@", max_size=6), st.text("abc/.:@", max_size=6), st.text("abc/.:@", max_size=6),
-           st.text("abc/.:@", max_size=6))
+    @given(
+        st.text("abc/.:@", max_size=6),
+        st.text("abc/.:@", max_size=6),
+        st.text("abc/.:@", max_size=6),
+        st.text("abc/.:@", max_size=6),
+    )
     def test_no_two_tenants_share_a_name_on_the_counter(self, a: str, b: str, c: str, d: str) -> None:
         """Guards against one tenant's traffic spending another's quota, whatever the two call their clients."""
         if all(map(names.is_tenant, (a, c))) and all(map(names.is_client, (b, d))) and (a, b) != (c, d):
@@ -177,9 +189,15 @@
     """Changes that must not be made, by code and field."""
 
     def setUp(self) -> None:
-        first = Change("a", (Edit(Kind.TENANT, "a", Head(limits=Limits(clients=2, rate=5.0))),
-                             Edit(Kind.PLAN, "p", Plan(2.0, 4.0)), Edit(Kind.CLIENT, "one", Client("p")),
-                             Edit(Kind.HOST, "a.example.org", Host())))
+        first = Change(
+            "a",
+            (
+                Edit(Kind.TENANT, "a", Head(limits=Limits(clients=2, rate=5.0))),
+                Edit(Kind.PLAN, "p", Plan(2.0, 4.0)),
+                Edit(Kind.CLIENT, "one", Client("p")),
+                Edit(Kind.HOST, "a.example.org", Host()),
+            ),
+        )
         other = Change("b", (Edit(Kind.TENANT, "b", Head()),))
         operator = Change("", (Edit(Kind.CREDENTIAL, "root", Credential(Scope.OPERATOR, (Verifier("h"),))),))
         self.was = Catalogue(epoch=1)
@@ -211,8 +229,12 @@
             ("a", Edit(Kind.CREDENTIAL, "k", Credential(Scope.CLIENT, key)), "invalid", "edits[0].value.client"),
             ("a", Edit(Kind.CREDENTIAL, "k", Credential(Scope.OPERATOR, key)), "invalid", "edits[0].value.scope"),
             ("a", Edit(Kind.CREDENTIAL, "k", Credential(Scope.ADMIN)), "invalid", "edits[0].value.verifiers"),
-            ("a", (Edit(Kind.CLIENT, "two", Client("p")), Edit(Kind.CLIENT, "six", Client("p"))), "over-limit",
-             "limits.clients"),
+            (
+                "a",
+                (Edit(Kind.CLIENT, "two", Client("p")), Edit(Kind.CLIENT, "six", Client("p"))),
+                "over-limit",
+                "limits.clients",
+            ),
             ("a", Edit(Kind.PLAN, "p", Plan(6.0, 9.0)), "over-limit", "limits.rate"),
             ("a", Edit(Kind.TENANT, "a", Head(limits=Limits(rate=1.0))), "over-limit", "limits.rate"),
             ("b", Edit(Kind.HOST, "a.example.org", Host()), "taken", "edits[0].name"),
@@ -227,8 +249,12 @@
 
     def test_a_change_is_checked_whole(self) -> None:
         """Guards against refusing an atomic change for the order of its edits."""
-        made = apply(self.was, Change("a", (Edit(Kind.PLAN, "p"), Edit(Kind.CLIENT, "one", Client("q")),
-                                            Edit(Kind.PLAN, "q", Plan(1.0, 1.0)))))
+        made = apply(
+            self.was,
+            Change(
+                "a", (Edit(Kind.PLAN, "p"), Edit(Kind.CLIENT, "one", Client("q")), Edit(Kind.PLAN, "q", Plan(1.0, 1.0)))
+            ),
+        )
         self.assertEqual(list(made.catalogue.tenants["a"].plans), ["q"])
 
     def test_a_tenant_made_again_is_told_whole(self) -> None:
@@ -285,8 +311,14 @@
         told = token_of("hh_acme.boss." + "x" * 43)
         assert told is not None
         self.assertEqual((told.tenant, told.id, str(told)), ("acme", "boss", "hh_acme.boss." + "x" * 43))
-        for text in ("", "hh_acme.boss.short", "hh_acme.b.oss." + "x" * 43, "xx_acme.boss." + "x" * 43,
-                     "hh_acme.boss." + "x" * 44, "hh_ACME.boss." + "x" * 43):
+        for text in (
+            "",
+            "hh_acme.boss.short",
+            "hh_acme.b.oss." + "x" * 43,
+            "xx_acme.boss." + "x" * 43,
+            "hh_acme.boss." + "x" * 44,
+            "hh_ACME.boss." + "x" * 43,
+        ):
             self.assertIsNone(token_of(text), text)
 
     def test_customers_of_two_tenants_have_two_names(self) -> None:
--- a/tests/hosting/test_feed.py
+++ b/tests/hosting/test_feed.py
@@ -30,10 +30,13 @@
 
 def seen(catalogue: Catalogue) -> tuple[Any, ...]:
     """All that a gateway can tell of a catalogue."""
-    rows = sorted((row.tenant, row.kind, row.name, row.version, repr(row.value)) for row in rows_of(catalogue)
-                  if told(row))
-    parts = {name: (part.born, part.version, dict(part.members), dict(part.active))
-             for name, part in catalogue.tenants.items()}
+    rows = sorted(
+        (row.tenant, row.kind, row.name, row.version, repr(row.value)) for row in rows_of(catalogue) if told(row)
+    )
+    parts = {
+        name: (part.born, part.version, dict(part.members), dict(part.active))
+        for name, part in catalogue.tenants.items()
+    }
     return catalogue.epoch, catalogue.version, rows, parts, dict(catalogue.hosts)
 
 
@@ -49,7 +52,8 @@
     @given(st.lists(st.tuples(changes(), st.booleans(), st.booleans()), max_size=25), st.integers(1, 60))
     @settings(max_examples=150)
     def test_every_follower_ends_where_the_control_plane_is(
-            self, steps: list[tuple[Change, bool, bool]], kept: int) -> None:
+        self, steps: list[tuple[Change, bool, bool]], kept: int
+    ) -> None:
         """Guards against a diff that leaves a follower with something else than the whole would have given it."""
         newest, history = peopled(), History(kept)
         history.start(newest.epoch, newest.version)
@@ -76,18 +80,27 @@
 
     def test_only_what_a_gateway_needs(self) -> None:
         """Guards against verifiers of administrators on every gateway's disk."""
-        newest = apply(peopled(), Change("a", (
-            Edit(Kind.CREDENTIAL, "boss", Credential(Scope.ADMIN, (Verifier("bosshash"),))),))).catalogue
-        newest = apply(newest, Change("", (
-            Edit(Kind.CREDENTIAL, "root", Credential(Scope.OPERATOR, (Verifier("roothash"),))),))).catalogue
+        newest = apply(
+            peopled(), Change("a", (Edit(Kind.CREDENTIAL, "boss", Credential(Scope.ADMIN, (Verifier("bosshash"),))),))
+        ).catalogue
+        newest = apply(
+            newest, Change("", (Edit(Kind.CREDENTIAL, "root", Credential(Scope.OPERATOR, (Verifier("roothash"),))),))
+        ).catalogue
         text = b"".join(whole_lines(newest))
         self.assertNotIn(b"bosshash", text)
         self.assertNotIn(b"root", text)
         history = History()
         history.start(newest.epoch, newest.version)
-        made = apply(newest, Change("a", (
-            Edit(Kind.CREDENTIAL, "x", Credential(Scope.ADMIN, (Verifier("nowboss"),))),
-            Edit(Kind.CREDENTIAL, "boss2", Credential(Scope.READ, (Verifier("reader"),))))))
+        made = apply(
+            newest,
+            Change(
+                "a",
+                (
+                    Edit(Kind.CREDENTIAL, "x", Credential(Scope.ADMIN, (Verifier("nowboss"),))),
+                    Edit(Kind.CREDENTIAL, "boss2", Credential(Scope.READ, (Verifier("reader"),))),
+                ),
+            ),
+        )
         line = diff_line(made.diff)
         self.assertNotIn(b"nowboss", line)
         self.assertNotIn(b"reader", line)
@@ -128,17 +141,32 @@
             with self.assertRaises(FeedError):
                 follower.take(lines[-1])
         for place in range(1, len(lines) - 1):
-            for damaged in ([*lines[:place], *lines[place + 1:]], [*lines[:place], lines[place], *lines[place:]],
-                            [*lines[:place], lines[place].replace(b"h", b"i"), *lines[place + 1:]]):
+            for damaged in (
+                [*lines[:place], *lines[place + 1 :]],
+                [*lines[:place], lines[place], *lines[place:]],
+                [*lines[:place], lines[place].replace(b"h", b"i"), *lines[place + 1 :]],
+            ):
                 if damaged == lines:
                     continue
                 with self.subTest(place=place), self.assertRaises(FeedError):
                     read_whole(iter(damaged))
 
-    @given(st.binary(max_size=40) | st.sampled_from([
-        b"{}", b'{"rows":[]}', b'{"end":{"rows":0,"parts":{},"seal":"0"}}', b'{"diff":{}}', b'{"whole":{"epoch":1}}',
-        b'{"diff":{"epoch":3,"since":99,"version":100,"reset":[],"rows":[],"parts":{}}}',
-        b'{"whole":{"epoch":9,"version":-1}}', b"[" * 2000, b'{"x":1}']))
+    @given(
+        st.binary(max_size=40)
+        | st.sampled_from(
+            [
+                b"{}",
+                b'{"rows":[]}',
+                b'{"end":{"rows":0,"parts":{},"seal":"0"}}',
+                b'{"diff":{}}',
+                b'{"whole":{"epoch":1}}',
+                b'{"diff":{"epoch":3,"since":99,"version":100,"reset":[],"rows":[],"parts":{}}}',
+                b'{"whole":{"epoch":9,"version":-1}}',
+                b"[" * 2000,
+                b'{"x":1}',
+            ]
+        )
+    )
     def test_what_is_no_feed_changes_nothing(self, line: bytes) -> None:
         """Guards against bytes of somebody else's that end a gateway's catalogue or its process."""
         held = read_whole(whole_lines(peopled()))
@@ -155,8 +183,9 @@
             most = min(AGAIN_MOST, AGAIN * 2**attempt)
             self.assertLessEqual(waits[-1], most)
             self.assertGreater(waits[0], 0.2 * most)
-            busiest = max(sum(start <= wait < start + most / 20 for wait in waits)
-                          for start in (n * most / 20 for n in range(20)))
+            busiest = max(
+                sum(start <= wait < start + most / 20 for wait in waits) for start in (n * most / 20 for n in range(20))
+            )
             self.assertLess(busiest, 60, "of 500, in a twentieth of the time")
         newest, history = peopled(), History()
         history.start(newest.epoch, newest.version)
@@ -168,8 +197,9 @@
         newest = Catalogue(epoch=1)
         edits = [Edit(Kind.TENANT, "big", Head()), Edit(Kind.PLAN, "p", Plan(1.0, 1.0))]
         newest = apply(newest, Change("big", tuple(edits))).catalogue
-        newest = apply(newest, Change("big", tuple(
-            Edit(Kind.CLIENT, f"c{n}", Client("p")) for n in range(900)))).catalogue
+        newest = apply(
+            newest, Change("big", tuple(Edit(Kind.CLIENT, f"c{n}", Client("p")) for n in range(900)))
+        ).catalogue
         lines = list(whole_lines(newest))
         self.assertEqual(len(lines), 2 + -(-902 // 200))
         self.assertLess(max(map(len, lines)), 20_000)
--- a/tests/hosting/test_membership.py
+++ b/tests/hosting/test_membership.py
@@ -9,8 +9,12 @@
 
 from hallhitch.hosting.membership import FORGOTTEN, GATEWAYS_MOST, LEASE, Membership, Taken
 
-OPS = st.lists(st.tuples(st.sampled_from(["renew", "leave", "pass"]), st.sampled_from("abc"), st.sampled_from("12"),
-                         st.integers(0, 9)), max_size=60)
+OPS = st.lists(
+    st.tuples(
+        st.sampled_from(["renew", "leave", "pass"]), st.sampled_from("abc"), st.sampled_from("12"), st.integers(0, 9)
+    ),
+    max_size=60,
+)
 
 
 class Leases(unittest.TestCase):
@@ -39,11 +43,14 @@
                 if own:
                     del leases[name]
             alive = {n: told for n, told in leases.items() if told[2] > now}
-            self.assertEqual([(g.name, g.instance, g.holds) for g in table.counted(now)],
-                             [(n, told[0], (1, told[1])) for n, told in sorted(alive.items())])
+            self.assertEqual(
+                [(g.name, g.instance, g.holds) for g in table.counted(now)],
+                [(n, told[0], (1, told[1])) for n, told in sorted(alive.items())],
+            )
             progress = table.progress((1, 5), now)
-            self.assertEqual((progress.applied, progress.counted),
-                             (sum(told[1] >= 5 for told in alive.values()), len(alive)))
+            self.assertEqual(
+                (progress.applied, progress.counted), (sum(told[1] >= 5 for told in alive.values()), len(alive))
+            )
 
     def test_how_far_a_change_has_come(self) -> None:
         """Guards against a change called complete while a gateway that is there has not applied it."""
--- a/tests/hosting/test_sets.py
+++ b/tests/hosting/test_sets.py
@@ -33,7 +33,7 @@
         else:
             self.assertEqual(before, after)
         kept = [gateway for gateway in after if gateway != fresh]
-        self.assertEqual(kept, list(before)[:len(kept)], "the order of those that stay is kept")
+        self.assertEqual(kept, list(before)[: len(kept)], "the order of those that stay is kept")
 
     def test_as_few_move_as_must(self) -> None:
         """Guards against a fleet's change that moves more clients' quotas than the change itself."""
--- a/tests/lab/test_cases.py
+++ b/tests/lab/test_cases.py
@@ -103,8 +103,10 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "cases.toml"
             base = f'base = "{ROOT}/scenarios/calm.toml"\n'
-            for text, field in (('[[case]]\nname = "a"\n[[case]]\nname = "a"\n', "case.1.name"),
-                                ('[[case]]\nname = "a"\nsettings = { "world.shops" = 3 }\n', "case.0.settings")):
+            for text, field in (
+                ('[[case]]\nname = "a"\n[[case]]\nname = "a"\n', "case.1.name"),
+                ('[[case]]\nname = "a"\nsettings = { "world.shops" = 3 }\n', "case.0.settings"),
+            ):
                 path.write_text(base + text)
                 with self.assertRaisesRegex(SettingsError, field):
                     cases(str(path), {})
@@ -122,10 +124,15 @@
 
     async def case(self, name: str) -> None:
         """A case's faults within six seconds."""
-        whole = cases(FILE, {"world.gateways": 3, "world.nodes": 8, "world.list_late": [100.0, 400.0],
-                             "traffic.load": 0.3})[name]
-        faults = tuple(msgspec.structs.replace(f, at_s=1.5, for_s=min(f.for_s, 2.0), part=max(f.part, 0.1),
-                                               size=f.size if f.kind != "burst" else 12.0) for f in whole.faults)
+        whole = cases(
+            FILE, {"world.gateways": 3, "world.nodes": 8, "world.list_late": [100.0, 400.0], "traffic.load": 0.3}
+        )[name]
+        faults = tuple(
+            msgspec.structs.replace(
+                f, at_s=1.5, for_s=min(f.for_s, 2.0), part=max(f.part, 0.1), size=f.size if f.kind != "burst" else 12.0
+            )
+            for f in whole.faults
+        )
         made = SocketRun(self.without_peers(msgspec.structs.replace(whole, seconds=6.0, faults=faults)), 3)
         await made.play()
         self.assertEqual([str(b) for b in check(made.journal.events)], [])
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -14,11 +14,17 @@
 from tests.lab.test_world import short
 from tests.stand_ins import ROOT
 
-CLASSES = {"look": [100.0, 1000.0, 1.0, "safe", 0.0], "mark": [100.0, 1000.0, 5.0, "keyed", 300.0],
-           "pay": [100.0, 1000.0, 5.0, "unsafe", 0.0]}
+CLASSES = {
+    "look": [100.0, 1000.0, 1.0, "safe", 0.0],
+    "mark": [100.0, 1000.0, 5.0, "keyed", 300.0],
+    "pay": [100.0, 1000.0, 5.0, "unsafe", 0.0],
+}
 WORLD: Event = (0.0, "world", CLASSES, {"p": [1.0, 2.0, 1.0, 0.0, 0.0]}, [0.25, 1000.0, 3.0], 10.0)
-NODES: list[Event] = [(0.0, "node", "a", "up", 0, 2.0, 0.0), (0.0, "node", "b", "up", 0, 2.0, 0.0),
-                      (0.0, "node", "c", "up", 1, 2.0, 0.0)]
+NODES: list[Event] = [
+    (0.0, "node", "a", "up", 0, 2.0, 0.0),
+    (0.0, "node", "b", "up", 0, 2.0, 0.0),
+    (0.0, "node", "c", "up", 1, 2.0, 0.0),
+]
 
 
 def ask(id: int, klass: str = "look", at: float = 1.0, gateway: int = 0) -> Event:
@@ -73,8 +79,16 @@
 
     def test_a_good_log(self) -> None:
         """Guards against a checker that calls everything broken."""
-        good = [ask(1), *sent(1, 0, "a", 2.0), (50.0, "done", 1, 0, "ok"), served(1, 50.0),
-                ask(2), (9.0, "answer", 2, "refused", 0), ask(3), (9.0, "leave", 3)]
+        good = [
+            ask(1),
+            *sent(1, 0, "a", 2.0),
+            (50.0, "done", 1, 0, "ok"),
+            served(1, 50.0),
+            ask(2),
+            (9.0, "answer", 2, "refused", 0),
+            ask(3),
+            (9.0, "leave", 3),
+        ]
         self.assertEqual(rules(*good), [])
 
     def test_one_final_answer(self) -> None:
@@ -104,8 +118,13 @@
         """Guards against a resend that its class forbids: by effect, pod and window."""
 
         def again(klass: str, outcome: str, node: str, at: float) -> list[str]:
-            return rules(ask(1, klass), *sent(1, 0, "a", 2.0), (3.0, "done", 1, 0, outcome), *sent(1, 1, node, at),
-                         served(1, 900.0))
+            return rules(
+                ask(1, klass),
+                *sent(1, 0, "a", 2.0),
+                (3.0, "done", 1, 0, outcome),
+                *sent(1, 1, node, at),
+                served(1, 900.0),
+            )
 
         for outcome in ("error", "reset", "timeout", "cancelled"):
             self.assertEqual(again("look", outcome, "c", 900.0), [])
@@ -139,8 +158,16 @@
 
     def test_quotas(self) -> None:
         """Guards against units beyond a quota, through several gateways, that go unseen."""
-        tries = [e for n in range(1, 6) for e in (
-            ask(n, gateway=n % 2), *sent(n, 0, "a", 2.0 + n), (9.0 + n, "done", n, 0, "ok"), served(n, 9.0 + n))]
+        tries = [
+            e
+            for n in range(1, 6)
+            for e in (
+                ask(n, gateway=n % 2),
+                *sent(n, 0, "a", 2.0 + n),
+                (9.0 + n, "done", n, 0, "ok"),
+                served(n, 9.0 + n),
+            )
+        ]
         self.assertEqual(rules(*tries, most=0.6), [])
         self.assertEqual(rules(*tries, most=0.5), ["quotas"])
 
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -56,8 +56,9 @@
 
     def test_twice_as_much_to_one_that_can_do_twice_as_much_is_even(self) -> None:
         """Guards against counting requests where ability counts."""
-        some = [event for second in range(10) for to in ("a", "a", "b")
-                for event in work(second * 1000.0 + 1, to, 990.0)]
+        some = [
+            event for second in range(10) for to in ("a", "a", "b") for event in work(second * 1000.0 + 1, to, 990.0)
+        ]
         found = evenness(log(node("a", 4.0), node("b", 2.0), *some))
         self.assertLess(found.moment_cv + found.second_cv, 1e-9)
         self.assertAlmostEqual(found.run_most, 1.0)
@@ -73,8 +74,10 @@
 
     def test_work_ends_where_the_node_is_done_and_gone_nodes_do_not_count(self) -> None:
         """Guards against idle nodes hidden by answers under way, and dead ones counted as idle."""
-        events = work(0.0, "a", 10_000.0) + [(5_000.0, "run", next(_ids) - 1, "a", "k", False),
-                                             (5_000.0, "node", "b", "down", 0, 0.0, 0.0)]
+        events = work(0.0, "a", 10_000.0) + [
+            (5_000.0, "run", next(_ids) - 1, "a", "k", False),
+            (5_000.0, "node", "b", "down", 0, 0.0, 0.0),
+        ]
         found = evenness(log(node("a"), node("b"), *events))
         self.assertAlmostEqual(found.idle, (0.5 + 1.0) / 2)
         names, moments, shown = heat(log(node("a"), node("b"), *events), 1000.0)
@@ -149,8 +152,9 @@
 
     def test_each_keeps_the_rules_and_knowing_more_is_more_even(self) -> None:
         """Guards against baselines that are none: they choose, and nothing else is changed."""
-        base = replaced(short(ROOT / "scenarios" / "calm.toml"), {
-            "world.gateways": 12, "world.nodes": 20, "seconds": 8.0})
+        base = replaced(
+            short(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 20, "seconds": 8.0}
+        )
         found = {}
         for choice in ("module", "uniform", "round_robin", "two", "least", "informed"):
             told = replaced(base, {"world.choice": choice})
@@ -163,8 +167,9 @@
 
     def test_old_news_of_load_make_herds_and_none_do_not(self) -> None:
         """Guards against load that is told between gateways later than it changes: all go to what was idle."""
-        base = replaced(short(ROOT / "scenarios" / "calm.toml"), {
-            "world.gateways": 12, "world.nodes": 20, "seconds": 8.0})
+        base = replaced(
+            short(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 20, "seconds": 8.0}
+        )
         old = replaced(base, {"world.choice": "informed", "world.choice_late_ms": 500.0})
         told, plain = (evenness(play(scenario, 1).journal.events) for scenario in (old, base))
         self.assertGreater(told.moment_cv, 1.2 * plain.moment_cv)
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -35,9 +35,13 @@
 
     def test_what_cannot_be_is_named(self) -> None:
         """Guards against a time line in which nothing happens."""
-        for body, field in (('kind = "split"\nat_s = 1\n', "parts"), ('kind = "kill"\nat_s = 1\n', "whom"),
-                            ('kind = "cut"\nat_s = 1\nwhom = ["me"]\n', "whom"), ('kind = "burn"\nat_s = 1\n', "kind"),
-                            ('kind = "cut"\nat_s = 1\nfor_s = 3\nevery_s = 2\nuntil_s = 9\n', "every_s")):
+        for body, field in (
+            ('kind = "split"\nat_s = 1\n', "parts"),
+            ('kind = "kill"\nat_s = 1\n', "whom"),
+            ('kind = "cut"\nat_s = 1\nwhom = ["me"]\n', "whom"),
+            ('kind = "burn"\nat_s = 1\n', "kind"),
+            ('kind = "cut"\nat_s = 1\nfor_s = 3\nevery_s = 2\nuntil_s = 9\n', "every_s"),
+        ):
             with self.subTest(field=field), self.assertRaises(SettingsError) as caught:
                 self.read("[[troubles]]\n" + body)
             self.assertIn(field, str(caught.exception))
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -92,8 +92,10 @@
         """Guards against a generator that stops asking while the server stands still, and so hides the delay."""
         server = Stalling(self.loop, (1.0, 3.0))
         hosts = ("", "acme.example.org")
-        asked = [msgspec.structs.replace(line, customer=f"{number:016x}", tenant=hosts[number % 2])
-                 for number, line in enumerate(load.lines(load.times("poisson", 150.0, 5.0, 3), MIX, 3))]
+        asked = [
+            msgspec.structs.replace(line, customer=f"{number:016x}", tenant=hosts[number % 2])
+            for number, line in enumerate(load.lines(load.times("poisson", 150.0, 5.0, 3), MIX, 3))
+        ]
         plan = load.Plan("127.0.0.1:9", "http", asked)
         tally = self.loop.run_until_complete(load.Worker(plan, 0.0, self.loop.time, server.connect).run(asked))
         true = [server.wrote[line.customer] * 1000 - line.at_ms for line in asked]
@@ -185,8 +187,20 @@
         """Guards against parts of a run that are lost between processes."""
         server = Prompt()
         await server.start()
-        done = await asyncio.to_thread(command, "load", server.address, "--rate", "60", "--seconds", "1.5",
-                                       "--workers", "2", "--json", "--shape", "constant")
+        done = await asyncio.to_thread(
+            command,
+            "load",
+            server.address,
+            "--rate",
+            "60",
+            "--seconds",
+            "1.5",
+            "--workers",
+            "2",
+            "--json",
+            "--shape",
+            "constant",
+        )
         self.assertIn('"sent": 90', done.stdout, done.stderr)
         self.assertIn('"served": 90', done.stdout)
         await server.stop()
--- a/tests/lab/test_sockets.py
+++ b/tests/lab/test_sockets.py
@@ -25,11 +25,19 @@
 
     async def short(self, name: str, settings: dict[str, Any] | None = None) -> SocketRun:
         """A scenario's faults within six seconds."""
-        whole = replaced(read(str(ROOT / "scenarios" / f"{name}.toml"), Scenario), {
-            "world.gateways": 2, "world.nodes": 5, "world.list_late": [100.0, 400.0], "traffic.load": 0.35,
-            **(settings or {})})
-        faults = tuple(msgspec.structs.replace(f, at_s=1.5 + n * 0.3, for_s=min(f.for_s, 2.0))
-                       for n, f in enumerate(whole.faults))
+        whole = replaced(
+            read(str(ROOT / "scenarios" / f"{name}.toml"), Scenario),
+            {
+                "world.gateways": 2,
+                "world.nodes": 5,
+                "world.list_late": [100.0, 400.0],
+                "traffic.load": 0.35,
+                **(settings or {}),
+            },
+        )
+        faults = tuple(
+            msgspec.structs.replace(f, at_s=1.5 + n * 0.3, for_s=min(f.for_s, 2.0)) for n, f in enumerate(whole.faults)
+        )
         run = SocketRun(msgspec.structs.replace(whole, seconds=6.0, faults=faults), 3)
         await run.play()
         return run
--- a/tests/lab/test_traces.py
+++ b/tests/lab/test_traces.py
@@ -64,8 +64,10 @@
         tally = await load.Worker(load.Plan(self.recorder.address, "http", asked), 0.0).run(asked)
         self.assertEqual(tally.statuses["served"], len(asked))
         found = self.trace()
-        self.assertEqual(sorted((x.klass, x.customer, x.plan, x.units, x.deadline_ms, x.body) for x in found),
-                         sorted((x.klass, x.customer, x.plan, x.units, x.deadline_ms, x.body) for x in asked))
+        self.assertEqual(
+            sorted((x.klass, x.customer, x.plan, x.units, x.deadline_ms, x.body) for x in found),
+            sorted((x.klass, x.customer, x.plan, x.units, x.deadline_ms, x.body) for x in asked),
+        )
         self.assertEqual((self.recorder.recorded, self.recorder.left, self.recorder.unread), (len(asked), 0, 0))
 
     async def test_pieces_several_at_once_and_what_is_no_request(self) -> None:
@@ -91,8 +93,18 @@
         """Guards against a command that loses its end."""
         with tempfile.TemporaryDirectory() as folder:
             out = Path(folder) / "t"
-            done = await asyncio.to_thread(command, "trace", "record", str(out), "--listen", "127.0.0.1:0", "--to",
-                                           self.gateway.address, "--seconds", "0.2")
+            done = await asyncio.to_thread(
+                command,
+                "trace",
+                "record",
+                str(out),
+                "--listen",
+                "127.0.0.1:0",
+                "--to",
+                self.gateway.address,
+                "--seconds",
+                "0.2",
+            )
             self.assertEqual((done.returncode, out.read_bytes()), (0, b""), done.stderr)
             self.assertIn("0 requests", done.stdout)
         done = await asyncio.to_thread(command, "trace", "record", "/dev/null", "--listen", "10.0.0.1:80", "--to", "x")
@@ -105,10 +117,14 @@
     def test_an_access_log(self) -> None:
         """Guards against requests that move in time, across zones, or are taken for others."""
         found, left = from_access_log(LOG.splitlines(), "small-shop", 3000, 50)
-        self.assertEqual([(x.at_ms, x.klass, x.customer, x.plan, x.deadline_ms, x.body) for x in found], [
-            (0.0, "inspect", "00000000000000ab", "small-shop", 3000, 0),
-            (500.0, "reject", "00000000000000ac", "small-shop", 3000, 50),
-            (2000.0, "inspect", "00000000000000ab", "small-shop", 3000, 0)])
+        self.assertEqual(
+            [(x.at_ms, x.klass, x.customer, x.plan, x.deadline_ms, x.body) for x in found],
+            [
+                (0.0, "inspect", "00000000000000ab", "small-shop", 3000, 0),
+                (500.0, "reject", "00000000000000ac", "small-shop", 3000, 50),
+                (2000.0, "inspect", "00000000000000ab", "small-shop", 3000, 0),
+            ],
+        )
         self.assertEqual(left, 1)
         self.assertEqual(load.read_trace(load.write_trace(found)), found)
         for bad in ("nothing", LOG.splitlines()[0].replace("Dec", "Foo"), '1 - - [x] "GET / HTTP/1.1" 200 1'):
@@ -117,15 +133,25 @@
 
     def test_a_table(self) -> None:
         """Guards against columns that are mixed up, and rows out of order that go back in time."""
-        rows = ["time,class,customer,plan,units,body", "2026-12-01T10:00:01.250+00:00,reject,b,p,2,64",
-                "2026-12-01T10:00:01+00:00,inspect,a,p,,"]
+        rows = [
+            "time,class,customer,plan,units,body",
+            "2026-12-01T10:00:01.250+00:00,reject,b,p,2,64",
+            "2026-12-01T10:00:01+00:00,inspect,a,p,,",
+        ]
         found = from_csv(rows, 900)
-        self.assertEqual([(x.at_ms, x.klass, x.customer, x.units, x.deadline_ms, x.body) for x in found], [
-            (0.0, "inspect", "a", 1.0, 900, 0), (250.0, "reject", "b", 2.0, 900, 64)])
-        for bad, where in ((["class,customer,plan"], "line 1"), ([], "line 1"),
-                           (["at_ms,class,customer,plan,odd"], "line 1"), ([*rows, "x,inspect,a,p,1,1"], "line 4"),
-                           ([*rows, "2026-12-01T10:00:01,inspect"], "line 4"), ([*rows, rows[1] + ",9"], "line 4"),
-                           ([rows[0], rows[2].replace(",,", ",nine,")], "line 2")):
+        self.assertEqual(
+            [(x.at_ms, x.klass, x.customer, x.units, x.deadline_ms, x.body) for x in found],
+            [(0.0, "inspect", "a", 1.0, 900, 0), (250.0, "reject", "b", 2.0, 900, 64)],
+        )
+        for bad, where in (
+            (["class,customer,plan"], "line 1"),
+            ([], "line 1"),
+            (["at_ms,class,customer,plan,odd"], "line 1"),
+            ([*rows, "x,inspect,a,p,1,1"], "line 4"),
+            ([*rows, "2026-12-01T10:00:01,inspect"], "line 4"),
+            ([*rows, rows[1] + ",9"], "line 4"),
+            ([rows[0], rows[2].replace(",,", ",nine,")], "line 2"),
+        ):
             with self.subTest(rows=bad), self.assertRaisesRegex(ValueError, where):
                 from_csv(bad, 900)
 
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -68,15 +68,22 @@
 
     def test_one_seed_one_log_whatever_the_hash_seed(self) -> None:
         """Guards against a result that changes with the order of hash tables or with what ran before."""
-        code = ("import hashlib, structlog, logging\n"
-                "structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))\n"
-                "from tests.lab.test_world import short, ROOT, play\n"
-                "r = play(short(ROOT / 'scenarios' / 'gateways-die.toml'), 7)\n"
-                "print(hashlib.sha256(b''.join(r.journal.lines())).hexdigest())")
+        code = (
+            "import hashlib, structlog, logging\n"
+            "structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))\n"
+            "from tests.lab.test_world import short, ROOT, play\n"
+            "r = play(short(ROOT / 'scenarios' / 'gateways-die.toml'), 7)\n"
+            "print(hashlib.sha256(b''.join(r.journal.lines())).hexdigest())"
+        )
         here = hashlib.sha256(b"".join(play(short(ROOT / "scenarios" / "gateways-die.toml"), 7).journal.lines()))
         for hash_seed in ("0", "4242"):
-            done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True,
-                                  env={"PYTHONHASHSEED": hash_seed})
+            done = subprocess.run(
+                [sys.executable, "-c", code],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                env={"PYTHONHASHSEED": hash_seed},
+            )
             self.assertEqual(done.stdout.strip(), here.hexdigest(), done.stderr)
 
     def test_a_change_in_one_part_leaves_the_draws_of_the_others(self) -> None:
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -30,8 +30,17 @@
 
 def long(number: int, state: State = State.ALIVE) -> Record:
     """A record as long as one may be."""
-    return Record(f"{number:040d}", (1 << 63) - 1 - number, 1 << 47, state, "[" + "f:" * 18 + "f]:65535", (1 << 63) - 1,
-                  "z" * 24, "v" * 24, (1 << 63) - 1)
+    return Record(
+        f"{number:040d}",
+        (1 << 63) - 1 - number,
+        1 << 47,
+        state,
+        "[" + "f:" * 18 + "f]:65535",
+        (1 << 63) - 1,
+        "z" * 24,
+        "v" * 24,
+        (1 << 63) - 1,
+    )
 
 
 def machine(members: int = 64) -> Swim:
@@ -87,7 +96,7 @@
         swim = machine()
         before = view(swim)
         try:
-            message = decode(bytes(data[:len(data) - cut if cut > 30 else None]), CLUSTER)
+            message = decode(bytes(data[: len(data) - cut if cut > 30 else None]), CLUSTER)
         except Unreadable:
             return
         swim.hear(message, NOW)
@@ -97,7 +106,8 @@
     @given(st.lists(st.tuples(st.integers(1, 500), st.sampled_from(State), st.integers(0, 3)), max_size=60))
     @settings(max_examples=60, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
     def test_lies_grow_nothing_past_its_bounds_and_never_end_this_process(
-            self, lies: list[tuple[int, State, int]]) -> None:
+        self, lies: list[tuple[int, State, int]]
+    ) -> None:
         """Guards against memory that datagrams fill, and an accusation that is not answered."""
         swim = machine(members=50)
         for number, state, incarnation in lies:
@@ -116,8 +126,10 @@
         swim = Swim(long(0), CLUSTER, Tuning(), random.Random(1), allowed=lambda address: address.startswith("["))
         swim.start(NOW)
         swim.out.clear()
-        for sender, told in ((Record("a", 1, 0, State.ALIVE, "10.0.0.1:1", 1), long(2)),
-                             (long(1), Record("b", 2, 0, State.ALIVE, "10.0.0.1:1", 2))):
+        for sender, told in (
+            (Record("a", 1, 0, State.ALIVE, "10.0.0.1:1", 1), long(2)),
+            (long(1), Record("b", 2, 0, State.ALIVE, "10.0.0.1:1", 2)),
+        ):
             swim.hear(PingFor(FORM, CLUSTER, sender, 9, (told,), 1, told), NOW)
         self.assertEqual({to for to, _ in swim.out} - {long(1).address}, set())
         self.assertNotIn(("a", 1), swim.members)
--- a/tests/membership/test_models.py
+++ b/tests/membership/test_models.py
@@ -133,9 +133,21 @@
 
     def shape(self) -> tuple[object, ...]:
         """What makes two worlds the same, but for chance."""
-        return (round(self.now), self.losses, self.crashes, tuple(self.pending), tuple(
-            (n, None if m is None else (m.me, tuple(sorted((k, h.record.order) for k, h in m.members.items())),
-                                        m.news, m.health)) for n, m in self.members.items()))
+        return (
+            round(self.now),
+            self.losses,
+            self.crashes,
+            tuple(self.pending),
+            tuple(
+                (
+                    n,
+                    None
+                    if m is None
+                    else (m.me, tuple(sorted((k, h.record.order) for k, h in m.members.items())), m.news, m.health),
+                )
+                for n, m in self.members.items()
+            ),
+        )
 
     def quiet(self) -> None:
         """Lose nothing more, let all end, and see that they agree."""
@@ -239,7 +251,6 @@
         with mock.patch.object(news, "TELL", 1e9), self.assertRaises(AssertionError):
             Small(Swim).quiet()
 
-
     def accused(self, kind: type[Swim]) -> Small:
         """One is accused by mistake."""
         world = Small(kind)
@@ -308,12 +319,19 @@
             else:
                 peer.swim.leave(self.cluster.time.now)
 
-    @rule(kind=st.sampled_from(["split", "drop", "duplicate", "cut", "delay", "stall"]),
-          seconds=st.sampled_from([1.0, 8.0, 25.0]))
+    @rule(
+        kind=st.sampled_from(["split", "drop", "duplicate", "cut", "delay", "stall"]),
+        seconds=st.sampled_from([1.0, 8.0, 25.0]),
+    )
     def trouble(self, kind: str, seconds: float) -> None:
-        told = {"split": {"parts": (0.5, 0.5)}, "drop": {"share": 0.4}, "duplicate": {"share": 0.5},
-                "cut": {"whom": ("g1",), "one_way": True}, "delay": {"delay_ms": (0.0, 300.0)},
-                "stall": {"whom": ("g2",)}}[kind]
+        told = {
+            "split": {"parts": (0.5, 0.5)},
+            "drop": {"share": 0.4},
+            "duplicate": {"share": 0.5},
+            "cut": {"whom": ("g1",), "one_way": True},
+            "delay": {"delay_ms": (0.0, 300.0)},
+            "stall": {"whom": ("g2",)},
+        }[kind]
         self.cluster.begin(Trouble(kind, 0.0, seconds, **told), seconds * 1000)  # type: ignore[arg-type]
 
     @precondition(lambda self: hasattr(self, "cluster"))
@@ -332,6 +350,14 @@
 
     def test_whatever_happens_they_come_to_one_view(self) -> None:
         """Guards against rows of faults that nobody thought of."""
-        run_state_machine_as_test(Members, settings=settings(
-            max_examples=10, stateful_step_count=10, deadline=None, derandomize=True, database=None,
-            suppress_health_check=list(HealthCheck)))
+        run_state_machine_as_test(
+            Members,
+            settings=settings(
+                max_examples=10,
+                stateful_step_count=10,
+                deadline=None,
+                derandomize=True,
+                database=None,
+                suppress_health_check=list(HealthCheck),
+            ),
+        )
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -25,14 +25,18 @@
 from tests.stand_ins import ROOT, Program, free_port, soon
 
 # A third of the usual periods: a busy machine is late by less than the least suspicion, 1.2 s.
-QUICK = ("[periods]\nprobe_s = 0.3\nanswer_s = 0.12\nreach_s = 0.6\nexchange_s = 0.5\n"
-         "[follow]\nsettle_s = 0.5\npause_s = 1.0\nstep_s = 0.3\nhold_s = 30.0\nfade_s = 4.0\n")
+QUICK = (
+    "[periods]\nprobe_s = 0.3\nanswer_s = 0.12\nreach_s = 0.6\nexchange_s = 0.5\n"
+    "[follow]\nsettle_s = 0.5\npause_s = 1.0\nstep_s = 0.3\nhold_s = 30.0\nfade_s = 4.0\n"
+)
 
 
 def fleet(gateways: int, seconds: float = 8.0, kind: type[Fleet] = Fleet, file: str = QUICK, **told: Any) -> Fleet:
     """A fleet among few nodes."""
-    scenario = replaced(read(str(ROOT / "scenarios" / "calm.toml"), Scenario), {
-        "world.gateways": gateways, "world.nodes": 4, "seconds": seconds})
+    scenario = replaced(
+        read(str(ROOT / "scenarios" / "calm.toml"), Scenario),
+        {"world.gateways": gateways, "world.nodes": 4, "seconds": seconds},
+    )
     return kind(scenario, 1, file=file, **told)
 
 
@@ -132,6 +136,7 @@
 
     async def test_a_clock_that_steps_changes_nothing(self) -> None:
         """Guards against suspicions and places that go by the time of day."""
+
         class Stepping(Fleet):
             module = "tests.membership.stepping_gateway"
 
@@ -163,8 +168,13 @@
     """What people see."""
 
     def command(self, *words: str) -> subprocess.Popen[str]:
-        return subprocess.Popen([sys.executable, "-m", "hallhitch", *words], cwd=ROOT, text=True,
-                                stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+        return subprocess.Popen(
+            [sys.executable, "-m", "hallhitch", *words],
+            cwd=ROOT,
+            text=True,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+        )
 
     async def test_the_command_shows_the_view_and_says_where_there_is_none(self) -> None:
         """Guards against operators who see something else than the gateway does."""
@@ -173,8 +183,9 @@
             address = f"{own(1)}:{f.ops_port}"
             out, _ = await asyncio.to_thread(self.command("members", address).communicate)
             self.assertIn("3 alive", out)
-            self.assertEqual([line.split()[:2] for line in out.splitlines()[2:]],
-                             [["n0", "alive"], ["n1", "alive"], ["n2", "alive"]])
+            self.assertEqual(
+                [line.split()[:2] for line in out.splitlines()[2:]], [["n0", "alive"], ["n1", "alive"], ["n2", "alive"]]
+            )
             out, _ = await asyncio.to_thread(self.command("members", address, "--json").communicate)
             self.assertEqual(len(json.loads(out)["members"]), 3)
             watched = self.command("members", address, "--watch", "--every", "0.1")
@@ -218,8 +229,11 @@
             await f.until(lambda views: all(v["places"] == 6 and v["budgets"] == 6 for v in views.values()))
             load = asyncio.create_task(f.drive())
             halves = f.begin(Trouble("split", 0.0, parts=(0.5, 0.5)))
-            await f.until(lambda views: all(
-                sees("n0", "n1", "n2")(v) if n < 3 else sees("n3", "n4", "n5")(v) for n, v in views.items()))
+            await f.until(
+                lambda views: all(
+                    sees("n0", "n1", "n2")(v) if n < 3 else sees("n3", "n4", "n5")(v) for n, v in views.items()
+                )
+            )
             await f.until(lambda views: all(v["view"] == "part" and v["places"] <= 4 for v in views.values()))
             views = await f.views()
             # Places go by who is seen, budgets by who may be there.
@@ -237,8 +251,12 @@
             await f.until(lambda views: all(v["view"] == "whole" for v in views.values()))
             await load
             self.assertEqual(f.statuses.get("broken", 0), 0)
-            turns = [line["event"] for line in f.lines[0] if line["event"] in (
-                "cut off from gateways, or they are gone", "gateways are back", "goes by those that are there")]
+            turns = [
+                line["event"]
+                for line in f.lines[0]
+                if line["event"]
+                in ("cut off from gateways, or they are gone", "gateways are back", "goes by those that are there")
+            ]
             self.assertEqual(turns[::2], ["cut off from gateways, or they are gone"] * (len(turns) // 2), turns)
             self.assertEqual(turns[-1], "gateways are back")
             for number in range(6):
@@ -265,8 +283,11 @@
         async with fleet(5, seconds=12.0) as f:
             await f.agreed()
             load = asyncio.create_task(f.drive())
-            lossy = [f.begin(Trouble("drop", 0.0, share=0.3)), f.begin(Trouble("duplicate", 0.0, share=0.3)),
-                     f.begin(Trouble("delay", 0.0, delay_ms=(0.0, 30.0), share=0.5))]
+            lossy = [
+                f.begin(Trouble("drop", 0.0, share=0.3)),
+                f.begin(Trouble("duplicate", 0.0, share=0.3)),
+                f.begin(Trouble("delay", 0.0, delay_ms=(0.0, 30.0), share=0.5)),
+            ]
             for _ in range(3):
                 flap = f.begin(Trouble("cut", 0.0, whom=("g0", "g1"), to=("g2-g4",)))
                 lost = f.carried["lost"]
@@ -280,8 +301,10 @@
                 f.over(number)
             await f.agreed()
             served = f.statuses.get("served", 0)
-            ends = [f.begin(Trouble("cut", 0.0, whom=(f"g{n}",), to=(party,)))
-                    for n, party in enumerate(("counter", "node-1", "discovery"))]
+            ends = [
+                f.begin(Trouble("cut", 0.0, whom=(f"g{n}",), to=(party,)))
+                for n, party in enumerate(("counter", "node-1", "discovery"))
+            ]
             while f.statuses.get("served", 0) < served + 60:
                 await f.views()
             for number in ends:
@@ -300,13 +323,16 @@
 
     async def test_two_of_one_name_are_told_apart_and_both_serve(self) -> None:
         """Guards against a second process that takes the place of the first in silence."""
+
         class Twins(Fleet):
             def _config(self, number: int) -> dict[str, Any]:
                 return super()._config(number) | ({"name": "n1"} if number == 3 else {})
 
         async with fleet(4, kind=Twins) as f:
-            await f.until(lambda views: len(views) == 4 and all(list(v["conflicts"]) == ["n1"] and v["places"] == 4
-                                                                for v in views.values()))
+            await f.until(
+                lambda views: len(views) == 4
+                and all(list(v["conflicts"]) == ["n1"] and v["places"] == 4 for v in views.values())
+            )
             await f.drive()
             self.sound(f)
             for number in range(4):
@@ -328,16 +354,25 @@
             lie = tuple(Record(f"x{n}", n, 0, State.ALIVE, "192.168.1.1:9", n) for n in range(8))
             good = encode(Ping(FORM, f"fleet-{f.port}", me, 0, (), 1, 1))
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-                for data in (b"", b"\xff" * 1400, good[:-3], b"x" * 4000, encode(Ping(FORM, "other", me, 0, (), 1, 1)),
-                             encode(Ping(FORM + 1, f"fleet-{f.port}", me, 0, (), 1, 1)),
-                             encode(Ping(FORM, f"fleet-{f.port}", lie[0], 0, lie, 1, 1))):
+                for data in (
+                    b"",
+                    b"\xff" * 1400,
+                    good[:-3],
+                    b"x" * 4000,
+                    encode(Ping(FORM, "other", me, 0, (), 1, 1)),
+                    encode(Ping(FORM + 1, f"fleet-{f.port}", me, 0, (), 1, 1)),
+                    encode(Ping(FORM, f"fleet-{f.port}", lie[0], 0, lie, 1, 1)),
+                ):
                     sock.sendto(data, (own(0), f.port))
                 for _ in range(3_000):
                     sock.sendto(os.urandom(64), (own(0), f.port))
 
             def counted(text: str) -> dict[str, int]:
-                return {line.split('"')[1]: int(line.split()[-1]) for line in text.splitlines()
-                        if line.startswith("svc_members_datagrams_dropped{")}
+                return {
+                    line.split('"')[1]: int(line.split()[-1])
+                    for line in text.splitlines()
+                    if line.startswith("svc_members_datagrams_dropped{")
+                }
 
             while not (found := counted(await f.view(0, "/api/telemetry")))["cluster"] or not found["form"]:
                 pass
@@ -386,8 +421,9 @@
         self.assertEqual(len({member["address"] for member in both["members"]}), 2)
         old, self.program = self.program, new
         self.assertEqual((await old.stop())[0], 0)
-        found = await self.wait(new, lambda found: any(m["self"] and m["address"] == self.place
-                                                      for m in found["members"]))
+        found = await self.wait(
+            new, lambda found: any(m["self"] and m["address"] == self.place for m in found["members"])
+        )
         self.assertEqual({m["state"] for m in found["members"] if not m["self"]}, {"left"})
 
 
@@ -402,27 +438,43 @@
         """Guards against talk between instances where the platform allows none, and a file taken by half."""
         from tests.stand_ins import assert_refused
 
-        config = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "counter": "127.0.0.1:1",
-                  "seed": "1", "settings": {"balancers": 1, "index": 0, "classes": [
-                      {"name": "a", "aim": 1, "deadline": 2, "repeat": "pure"}],
-                      "family-info": {"shared-counter": True}}}
+        config = {
+            "name": "n0",
+            "listen": "127.0.0.1:1",
+            "discovery": "127.0.0.1:1",
+            "counter": "127.0.0.1:1",
+            "seed": "1",
+            "settings": {
+                "balancers": 1,
+                "index": 0,
+                "classes": [{"name": "a", "aim": 1, "deadline": 2, "repeat": "pure"}],
+                "family-info": {"shared-counter": True},
+            },
+        }
         path = ROOT / "found"
         path.mkdir(exist_ok=True)
         file = path / f"peers-{os.getpid()}.toml"
         for text, field in (
-                ('cluster = "c"\n', "listen"), ('listen = "x"\ncluster = "c"\n', "listen"),
-                ('listen = "localhost:1"\ncluster = "c"\n', "listen"),
-                ('listen = "10.0.0.1:1"\ncluster = "c"\n', "listen"),
-                ('listen = "127.0.0.1:1"\ncluster = "a b"\n', "cluster"),
-                ('listen = "127.0.0.1:1"\ncluster = "c"\nseeds = ["10.0.0.1:1"]\n', "seeds[0]"),
-                ('listen = "127.0.0.1:1"\ncluster = "c"\nnetworks = ["x"]\n', "networks[0]"),
-                ('listen = "127.0.0.1:1"\ncluster = "c"\n[periods]\nprobe_s = 0.1\n', "periods.answer_s"),
-                ('listen = "127.0.0.1:1"\ncluster = "c"\nmore = 1\n', "more")):
+            ('cluster = "c"\n', "listen"),
+            ('listen = "x"\ncluster = "c"\n', "listen"),
+            ('listen = "localhost:1"\ncluster = "c"\n', "listen"),
+            ('listen = "10.0.0.1:1"\ncluster = "c"\n', "listen"),
+            ('listen = "127.0.0.1:1"\ncluster = "a b"\n', "cluster"),
+            ('listen = "127.0.0.1:1"\ncluster = "c"\nseeds = ["10.0.0.1:1"]\n', "seeds[0]"),
+            ('listen = "127.0.0.1:1"\ncluster = "c"\nnetworks = ["x"]\n', "networks[0]"),
+            ('listen = "127.0.0.1:1"\ncluster = "c"\n[periods]\nprobe_s = 0.1\n', "periods.answer_s"),
+            ('listen = "127.0.0.1:1"\ncluster = "c"\nmore = 1\n', "more"),
+        ):
             file.write_text(text)
             try:
                 assert_refused(self, json.dumps(config), field, "--peers", str(file))
             finally:
                 file.unlink()
-        done = subprocess.run([sys.executable, "-c", "import sys, hallhitch.gateway\nprint(*sys.modules)"], cwd=ROOT,
-                              capture_output=True, text=True, check=True)
+        done = subprocess.run(
+            [sys.executable, "-c", "import sys, hallhitch.gateway\nprint(*sys.modules)"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
+        )
         self.assertNotIn("hallhitch.membership", done.stdout)
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -208,8 +208,14 @@
     """The one event that the module hears."""
 
     def module(self, index: int = 0, gateways: int = 40) -> Gateway:
-        settings_ = api.Settings(gateways, (api.RequestClass("read", 800.0, 2000.0, effect=api.SAFE),), (),
-                                 index=index, cold_time=10_000.0, cold_from=0.2)
+        settings_ = api.Settings(
+            gateways,
+            (api.RequestClass("read", 800.0, 2000.0, effect=api.SAFE),),
+            (),
+            index=index,
+            cold_time=10_000.0,
+            cold_from=0.2,
+        )
         made = Gateway(settings_, 1)
         entries = tuple(api.ServerEntry(server, "up", started=1.0) for server in SERVERS)
         made.handle(20_000.0, [api.ServerList("full", entries)])
@@ -223,8 +229,9 @@
             places = Places(f"g{number}")
             places.follow(names(0, 40))
             made.handle(21_000.0, [api.Peers(40, 40, places.rank)])
-        keepers = {server: sum(any(s.entry.server == server for s in made.near) for made in wrong)
-                   for server in SERVERS}
+        keepers = {
+            server: sum(any(s.entry.server == server for s in made.near) for made in wrong) for server in SERVERS
+        }
         self.assertTrue(all(FEW <= count <= FEW + 3 for count in keepers.values()), keepers)
 
     def test_budgets_go_by_the_larger_number_and_traffic_by_the_smaller(self) -> None:
--- a/tests/net/test_config.py
+++ b/tests/net/test_config.py
@@ -82,12 +82,23 @@
             self.assertEqual(self.read(changed(self.good, at, 4000), self.first).sockets, 1024)
 
     @settings(max_examples=60, deadline=None)
-    @given(st.lists(st.one_of(
-        st.tuples(st.just("good"), st.lists(st.sampled_from("abcd"), min_size=1, unique=True), st.integers(1, 9)),
-        st.tuples(st.just("cut"), st.integers(0, 5000), st.none()),
-        st.tuples(st.just("gone"), st.integers(0, 5000), st.none()),
-        st.tuples(st.just("wrong"), st.sampled_from(("deadline", "aim", "send-cap")),
-                  st.sampled_from((0, -1, None, "", True, math.nan, math.inf)))), max_size=8))
+    @given(
+        st.lists(
+            st.one_of(
+                st.tuples(
+                    st.just("good"), st.lists(st.sampled_from("abcd"), min_size=1, unique=True), st.integers(1, 9)
+                ),
+                st.tuples(st.just("cut"), st.integers(0, 5000), st.none()),
+                st.tuples(st.just("gone"), st.integers(0, 5000), st.none()),
+                st.tuples(
+                    st.just("wrong"),
+                    st.sampled_from(("deadline", "aim", "send-cap")),
+                    st.sampled_from((0, -1, None, "", True, math.nan, math.inf)),
+                ),
+            ),
+            max_size=8,
+        )
+    )
     def test_after_any_files_it_is_as_one_begun_with_the_last_good(self, files: list[tuple[str, Any, Any]]) -> None:
         """Guards against anything that a file turned down, or one before the last, leaves behind."""
         told, last = self.first, json.dumps(self.good)
@@ -108,7 +119,7 @@
                 place = ("limits", which) if which == "send-cap" else ("classes", 0, which)
                 text = changed(new, ("settings", *place), how)
             else:
-                text = last[:which % len(last)]
+                text = last[: which % len(last)]
             with self.assertRaises(WireError):
                 self.read(text, told)
         self.assertEqual(told, self.read(last, None))
@@ -118,5 +129,6 @@
         new = copy.deepcopy(self.good)
         new["settings"]["classes"][0] |= {"name": "inspect-ii", "aim-stretch": 2.0, "new": None}
         del new["settings"]["tiers-of-service"][0]
-        self.assertEqual([c.name for c in self.read(json.dumps(new), self.first).settings.classes],
-                         ["inspect-ii", "reject"])
+        self.assertEqual(
+            [c.name for c in self.read(json.dumps(new), self.first).settings.classes], ["inspect-ii", "reject"]
+        )
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -16,7 +16,7 @@
 
 def chunks(body: bytes, size: int, extension: bytes = b"") -> bytes:
     """A body in chunks of a size, with trailers."""
-    parts = [body[n:n + size] for n in range(0, len(body), size)]
+    parts = [body[n : n + size] for n in range(0, len(body), size)]
     return b"".join(b"%X%s\r\n%s\r\n" % (len(p), extension, p) for p in parts) + b"0\r\nReq-Id: not this\r\n\r\n"
 
 
@@ -38,8 +38,11 @@
     b"HTTP/1.1 200 OK\r\nA: b\r\n" + CHUNKED + chunks(LONG, 70_000): LONG,
 }
 # Answers that have no body, whatever their head says of one.
-BARE = [b"HTTP/1.1 %d X\r\nA: b\r\n%s\r\n" % (status, framing) for status in (204, 304)
-        for framing in (b"", b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n")]
+BARE = [
+    b"HTTP/1.1 %d X\r\nA: b\r\n%s\r\n" % (status, framing)
+    for status in (204, 304)
+    for framing in (b"", b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n")
+]
 
 
 def whole(message: Message) -> bytes:
@@ -66,7 +69,7 @@
         """Guards against a message that depends on how it was cut, and a trailer taken for a header."""
         for data, body in REQUESTS.items():
             reader = RequestReader(long=True, hold=(lambda size: True) if held else (lambda size: False))
-            message, = read(reader, data, cuts)
+            (message,) = read(reader, data, cuts)
             self.assertEqual((path_of(message.target), message.headers[b"a"], whole(message)), (b"/a", b"b", body))
             self.assertNotIn(b"req-id", message.headers)
             self.assertEqual(message.flow is not None, len(body) > BODY_MOST and not held)
@@ -93,13 +96,16 @@
         """Guards against forms that only whole pieces get through."""
         for data, body in REQUESTS.items():
             reader = RequestReader(long=True)
-            message, = [m for n in range(len(data)) for m in reader.feed(data[n:n + 1])]
+            (message,) = [m for n in range(len(data)) for m in reader.feed(data[n : n + 1])]
             self.assertEqual(whole(message), body)
 
     def test_an_end_in_order_ends_only_what_has_no_other_end(self) -> None:
         """Guards against half an answer taken for a whole one."""
-        for data in (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", b"HTTP/1.1 200 OK\r\n",
-                     b"HTTP/1.1 200 OK\r\n" + CHUNKED + b"5\r\nabc"):
+        for data in (
+            b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
+            b"HTTP/1.1 200 OK\r\n",
+            b"HTTP/1.1 200 OK\r\n" + CHUNKED + b"5\r\nabc",
+        ):
             reader = AnswerReader(long=True)
             self.assertEqual((reader.feed(data), reader.end()), ([], []))
 
@@ -120,6 +126,11 @@
 
     def test_targets(self) -> None:
         """Guards against an absolute form passed on, or read for another path."""
-        for target, origin in ((b"/a?b", b"/a?b"), (b"http://h/a?b=/c", b"/a?b=/c"), (b"HTTP://h", b"/"),
-                               (b"http://h?x", b"/?x"), (b"*", b"*")):
+        for target, origin in (
+            (b"/a?b", b"/a?b"),
+            (b"http://h/a?b=/c", b"/a?b=/c"),
+            (b"HTTP://h", b"/"),
+            (b"http://h?x", b"/?x"),
+            (b"*", b"*"),
+        ):
             self.assertEqual(origin_of(target), origin)
--- a/tests/net/test_pacing.py
+++ b/tests/net/test_pacing.py
@@ -15,7 +15,10 @@
 
 
 def watched(
-    gateways: int, work: float, first: Callable[[int], float], again: Callable[[int], float],
+    gateways: int,
+    work: float,
+    first: Callable[[int], float],
+    again: Callable[[int], float],
 ) -> list[float]:
     """When each gateway's watch began, in ms: calls wait in one line, and those given up are worked on all the same."""
     began, free = [float("inf")] * gateways, 0.0
--- a/tests/ops/test_handover.py
+++ b/tests/ops/test_handover.py
@@ -32,8 +32,15 @@
 
 def learner(**changes: object) -> SimpleNamespace:
     """What a module has learned."""
-    base: dict[str, object] = {"work": {"a": 40.0}, "learned": {"a": 900.0}, "failing": {"a": 0.1}, "depth": 6.0,
-                               "asks": 0.8, "customers": {}, "names": {}}
+    base: dict[str, object] = {
+        "work": {"a": 40.0},
+        "learned": {"a": 900.0},
+        "failing": {"a": 0.1},
+        "depth": 6.0,
+        "asks": 0.8,
+        "customers": {},
+        "names": {},
+    }
     return SimpleNamespace(**({"set": SimpleNamespace(plans=())} | base | changes))
 
 
@@ -85,11 +92,11 @@
         plans = (api.Plan("p", rate=2.0, burst=4.0), api.Plan("gone", rate=2.0, burst=4.0))
         old, total = gateway_of(plans), 0.0
         for n in range(3):
-            call, = old.handle(1000.0, [api.Request(n + 1, "k", 0, 0, 1.0, 800.0, 2.0)])[-1:]
+            (call,) = old.handle(1000.0, [api.Request(n + 1, "k", 0, 0, 1.0, 800.0, 2.0)])[-1:]
             assert isinstance(call, api.Count)
             total += call.units
             old.handle(1001.0, [api.CounterAnswer(call.name, "ok", total, 1.0)])
-        call, = old.handle(1001.0, [api.Request(9, "other", 1, 0, 1.0, 800.0, 2.0)])[-1:]
+        (call,) = old.handle(1001.0, [api.Request(9, "other", 1, 0, 1.0, 800.0, 2.0)])[-1:]
         assert isinstance(call, api.Count)
         old.handle(1002.0, [api.CounterAnswer(call.name, "ok", 1.0, 1.0)])
         handover.write(self.folder, old, idle(), 1002.0)
@@ -117,8 +124,14 @@
             self.assertIsNone(handover.read(self.folder, now))
         handover.write(f"{self.folder}/missing", learner(), idle(), 1000.0)
         wrongs: list[dict[str, object]] = [
-            {"work": {"a": 0.0}}, {"work": {"a": float("nan")}}, {"depth": -1.0}, {"asks": 2.0}, {"asks": True},
-            {"failing": {"a": 7.0}}, {"learned": {"a": 5000.0}}]
+            {"work": {"a": 0.0}},
+            {"work": {"a": float("nan")}},
+            {"depth": -1.0},
+            {"asks": 2.0},
+            {"asks": True},
+            {"failing": {"a": 7.0}},
+            {"learned": {"a": 5000.0}},
+        ]
         for wrong in wrongs:
             handover.write(self.folder, learner(**wrong), idle(), 1000.0)
             self.assertIsNone(handover.read(self.folder, 1000.0), wrong)
@@ -132,7 +145,7 @@
         """Guards against a start that fails, or goes on from nonsense, for a damaged file."""
         handover.write(self.folder, learner(), idle(), 1000.0)
         text = self.path.read_bytes()
-        self.path.write_bytes(text[:at] + put + text[at + len(put):] if put else text[:at])
+        self.path.write_bytes(text[:at] + put + text[at + len(put) :] if put else text[:at])
         told = handover.read(self.folder, 1000.0)
         if told is not None:
             handover.take(told, new := learner(), idle())
@@ -150,8 +163,9 @@
             self.addCleanup(mine.close)
             self.assertFalse(mine.other(LIVES))
             for _ in range(2):  # one after the other
-                process = subprocess.Popen([sys.executable, "-c", HOLD, folder], stdin=subprocess.PIPE,
-                                           stdout=subprocess.PIPE, text=True)
+                process = subprocess.Popen(
+                    [sys.executable, "-c", HOLD, folder], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
+                )
                 assert process.stdout is not None and process.stdin is not None
                 self.assertEqual(process.stdout.readline(), "lives\n")
                 self.assertEqual((mine.other(LIVES), mine.other(SERVES)), (True, False))
--- a/tests/ops/test_replacement.py
+++ b/tests/ops/test_replacement.py
@@ -163,8 +163,10 @@
         for n, (reader, writer) in enumerate(held):
             writer.write(self.request(customer=f"{n:016x}"))
             self.assertIn(" 200 ", (await soon(read_http(reader)))[0])
-        served = [f['svc_requests{class="inspect",outcome="served"}']
-                  for f in (await self.program.figures(), await new.figures())]
+        served = [
+            f['svc_requests{class="inspect",outcome="served"}']
+            for f in (await self.program.figures(), await new.figures())
+        ]
         self.assertEqual(sum(served), 60)
         self.assertLessEqual(max(served), 2 * budget(128, True).clients // 2 + 2 * LATE)
         old, self.program = self.program, new
@@ -264,7 +266,14 @@
                 json.dump(self.program.config | {"ops": None}, file)
             for value in ("x", "77", str(other.fileno())):
                 run = await asyncio.to_thread(
-                    subprocess.run, [sys.executable, "-m", "hallhitch"], cwd=ROOT, capture_output=True, text=True,
-                    timeout=GUARD, env={"EDGE_CONFIG": path, "EDGE_FD": value}, pass_fds=(other.fileno(),))
+                    subprocess.run,
+                    [sys.executable, "-m", "hallhitch"],
+                    cwd=ROOT,
+                    capture_output=True,
+                    text=True,
+                    timeout=GUARD,
+                    env={"EDGE_CONFIG": path, "EDGE_FD": value},
+                    pass_fds=(other.fileno(),),
+                )
                 self.assertEqual((run.returncode, len(run.stderr.splitlines())), (2, 1), run.stderr)
                 self.assertIn("EDGE_FD", run.stderr)
--- a/tests/ops/test_second_address.py
+++ b/tests/ops/test_second_address.py
@@ -34,8 +34,14 @@
 
     async def test_the_calls_and_no_others(self) -> None:
         """Guards against a call by another method or name that acts, and against one that hangs unanswered."""
-        cases = [("GET", "/api/ready", 200), ("PUT", "/api/ready", 405), ("GET", "/api/evacuate", 405),
-                 ("GET", "/", 404), ("PUT", "/api/rejoin?x=1", 200), ("GET", "/inspect/1", 404)]
+        cases = [
+            ("GET", "/api/ready", 200),
+            ("PUT", "/api/ready", 405),
+            ("GET", "/api/evacuate", 405),
+            ("GET", "/", 404),
+            ("PUT", "/api/rejoin?x=1", 200),
+            ("GET", "/inspect/1", 404),
+        ]
         for method, path, status in cases:
             self.assertEqual((await self.program.call(path, method))[0], status, path)
         reader, writer = await self.program.connect(self.program.config["ops"])
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -26,8 +26,15 @@
 GUARD = 20.0  # seconds: not a measure of anything, only the end of a wait in vain
 CLASSES = [
     {"name": "inspect", "aim": 1200.0, "deadline": 4000.0, "repeat": "pure", "group": "all", "worth": 1.0},
-    {"name": "reject", "aim": 600.0, "deadline": 1500.0, "repeat": "token", "group": "cell", "worth": 5.0,
-     "window": 1500.0},
+    {
+        "name": "reject",
+        "aim": 600.0,
+        "deadline": 1500.0,
+        "repeat": "token",
+        "group": "cell",
+        "worth": 5.0,
+        "window": 1500.0,
+    },
 ]
 PLANS = [
     {"name": "small-shop", "per-second": 1.0, "peak-units": 3.0, "worth-factor": 1.1, "overrun-cost": 0.8},
@@ -132,8 +139,16 @@
 
     def entry(self) -> dict[str, Any]:
         """Its line in discovery's list."""
-        return {"host": self.name, "dial": self.address, "site": "hall-a", "class": "c2-small",
-                "block": self.block, "health": self.health, "share": 1.0, "born_ms": self.born}
+        return {
+            "host": self.name,
+            "dial": self.address,
+            "site": "hall-a",
+            "class": "c2-small",
+            "block": self.block,
+            "health": self.health,
+            "share": 1.0,
+            "born_ms": self.born,
+        }
 
 
 class Discovery(StandIn):
@@ -260,21 +275,45 @@
     process: asyncio.subprocess.Process
 
     def __init__(
-        self, folder: str, discovery: str, counter: str, known: list[Backend], give_up: float = 50.0,
+        self,
+        folder: str,
+        discovery: str,
+        counter: str,
+        known: list[Backend],
+        give_up: float = 50.0,
         sockets: int = 1024,
     ) -> None:
         port = free_port()
         self.listen, self._folder = f"127.0.0.1:{port}", folder
         family = {"shared-counter": True, "counter-timeout": give_up, "units-top": 1}
-        limits = {"connect-timeout": 250.0, "keepalive": 30000.0, "send-cap": 5, "retry-after": True,
-                  "max-retry-after": 1000.0, "cancel": True}
-        settings = {"balancers": 2, "index": 0, "classes": CLASSES, "tiers-of-service": PLANS,
-                    "zones": ["hall-a", "hall-b"], "discovery": "push", "family-info": family,
-                    "limits": limits}
+        limits = {
+            "connect-timeout": 250.0,
+            "keepalive": 30000.0,
+            "send-cap": 5,
+            "retry-after": True,
+            "max-retry-after": 1000.0,
+            "cancel": True,
+        }
+        settings = {
+            "balancers": 2,
+            "index": 0,
+            "classes": CLASSES,
+            "tiers-of-service": PLANS,
+            "zones": ["hall-a", "hall-b"],
+            "discovery": "push",
+            "family-info": family,
+            "limits": limits,
+        }
         self.config: dict[str, Any] = {
-            "name": "n0", "listen": self.listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-            "counter": counter, "limits": {"sockets": sockets}, "settings": settings,
-            "known": {"seq": 1, "whole": True, "hosts": [b.entry() for b in known]}}
+            "name": "n0",
+            "listen": self.listen,
+            "discovery": discovery,
+            "seed": "8c1f30d27a5be964",
+            "counter": counter,
+            "limits": {"sockets": sockets},
+            "settings": settings,
+            "known": {"seq": 1, "whole": True, "hosts": [b.entry() for b in known]},
+        }
         self.environ: dict[str, str] = {}  # beside what every start sets
         self.inherits: tuple[int, ...] = ()  # descriptors passed on
 
@@ -288,10 +327,15 @@
         path.write_text(json.dumps(self.config))
         environ = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *(["-O"] if optimised else []), *(call if fault else ["-m", module]), *arguments,
+            sys.executable,
+            *(["-O"] if optimised else []),
+            *(call if fault else ["-m", module]),
+            *arguments,
             cwd=ROOT,
             env=environ | {"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": self.config["discovery"]} | self.environ,
-            stderr=asyncio.subprocess.PIPE, pass_fds=self.inherits)
+            stderr=asyncio.subprocess.PIPE,
+            pass_fds=self.inherits,
+        )
 
     async def logged(self, text: str) -> str:
         """Wait for a line of its log."""
@@ -369,8 +413,8 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.program = Program(
-            folder.name, self.discovery.address, self.counter.address, self.nodes, self.give_up,
-            self.sockets)
+            folder.name, self.discovery.address, self.counter.address, self.nodes, self.give_up, self.sockets
+        )
         arguments = []
         if self.ops:
             self.program.config["ops"] = f"127.0.0.1:{free_port()}"
@@ -399,14 +443,16 @@
         self.assertEqual("actor failed" in errors, "1 / 0" in self.fault, errors)
         self.assertNotIn("broken:", errors)
 
-    def request(
-        self, kind: str = "inspect", deadline: int = 4000, customer: str = CUSTOMER, **headers: str
-    ) -> bytes:
+    def request(self, kind: str = "inspect", deadline: int = 4000, customer: str = CUSTOMER, **headers: str) -> bytes:
         """A client's request."""
         method, body = ("GET", b"") if kind == "inspect" else ("POST", b"part")
-        fields = {"Host": "service.internal", "Req-Id": f"{time.monotonic_ns():016x}",
-                  "X-Contract": "full-plant", "Req-Deadline-Ms": str(deadline),
-                  "X-Metering": "units=1,spread=2,first=0"}
+        fields = {
+            "Host": "service.internal",
+            "Req-Id": f"{time.monotonic_ns():016x}",
+            "X-Contract": "full-plant",
+            "Req-Deadline-Ms": str(deadline),
+            "X-Metering": "units=1,spread=2,first=0",
+        }
         fields |= {name.replace("_", "-"): value for name, value in headers.items()}
         if body:
             fields = {"Idempotency-Key": "5c0f6e1a", "Content-Length": str(len(body))} | fields
@@ -429,8 +475,13 @@
         path.write_text(config)
         environ = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
         run = subprocess.run(
-            [sys.executable, "-m", "hallhitch", *arguments], cwd=ROOT, capture_output=True, text=True,
-            timeout=GUARD, env=environ | {"EDGE_CONFIG": str(path)})
+            [sys.executable, "-m", "hallhitch", *arguments],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=GUARD,
+            env=environ | {"EDGE_CONFIG": str(path)},
+        )
     with case.subTest(field=field):
         case.assertEqual((run.returncode, len(run.stderr.splitlines())), (2, 1), run.stderr)
         case.assertIn(field, run.stderr)
--- a/tests/system/data/choice_rig.py
+++ b/tests/system/data/choice_rig.py
@@ -36,8 +36,14 @@
 class Rig:
     """One gateway's decisions; the first of `gateways` is itself, g0 in zone a1 unless told."""
 
-    def __init__(self, *entries: Backend, gateways: tuple[Gateway, ...] = (gateway("g0", "a1"),), seed: int = 1,
-                 slack: float = 1000.0, evacuated: frozenset[str] = frozenset()) -> None:
+    def __init__(
+        self,
+        *entries: Backend,
+        gateways: tuple[Gateway, ...] = (gateway("g0", "a1"),),
+        seed: int = 1,
+        slack: float = 1000.0,
+        evacuated: frozenset[str] = frozenset(),
+    ) -> None:
         own = gateways[0]
         settings = Settings(own.name, own.zone, own.region, ZONES, 0.2, 10_000.0, slack, 1.5, 5.0, 800.0)
         self.choice, self.entries = Choice(settings, Random(seed)), list(entries)
@@ -46,13 +52,25 @@
         self.choice.backends(0.0, self.entries)
         self.choice.begin(0.0, self.ask(0.0))  # the window of the budget begins
 
-    def ask(self, now: float, kind: str = "idempotent", homes: frozenset[str] = frozenset(), priority: int = 1,
-            attempts: int = 2) -> Ask:
+    def ask(
+        self,
+        now: float,
+        kind: str = "idempotent",
+        homes: frozenset[str] = frozenset(),
+        priority: int = 1,
+        attempts: int = 2,
+    ) -> Ask:
         """One try that came just now."""
         return Ask(route(kind, priority, attempts), "s", homes, priority, now, now + 2000.0)
 
-    def open(self, now: float, kind: str = "idempotent", homes: frozenset[str] = frozenset(), priority: int = 1,
-             attempts: int = 2) -> tuple[Run, Step]:
+    def open(
+        self,
+        now: float,
+        kind: str = "idempotent",
+        homes: frozenset[str] = frozenset(),
+        priority: int = 1,
+        attempts: int = 2,
+    ) -> tuple[Run, Step]:
         """A new try and the first step of it."""
         run = self.choice.begin(now, self.ask(now, kind, homes, priority, attempts))
         return run, self.choice.next(now, run)
--- a/tests/system/data/front_rig.py
+++ b/tests/system/data/front_rig.py
@@ -24,25 +24,58 @@
 def node(files: int = 1000) -> Node:
     """Settings of one gateway on loopback."""
     return Node(
-        name="edge-1", role="gateway", machine_class="edge", serves=frozenset(("edge",)), ip="127.0.0.1",
-        zone="a-1", region="a", ports=(0, 0), seeds=(), first_start=True, zones={"a-1": "a"},
-        listen={"frontend": ("127.0.0.1", 0)}, bounds=Bounds(), losses=0, memory=64, files=files, data=Path("/"),
-        cloud=None, cloud_rate=1.0, cloud_lag=0.0, cluster="")
+        name="edge-1",
+        role="gateway",
+        machine_class="edge",
+        serves=frozenset(("edge",)),
+        ip="127.0.0.1",
+        zone="a-1",
+        region="a",
+        ports=(0, 0),
+        seeds=(),
+        first_start=True,
+        zones={"a-1": "a"},
+        listen={"frontend": ("127.0.0.1", 0)},
+        bounds=Bounds(),
+        losses=0,
+        memory=64,
+        files=files,
+        data=Path("/"),
+        cloud=None,
+        cloud_rate=1.0,
+        cloud_lag=0.0,
+        cluster="",
+    )
 
 
 def route(kind: str = "idempotent", **more: Any) -> Route:
     """A route to the service `shop`."""
     given: dict[str, Any] = {
-        "name": "r", "host": "shop.example", "prefix": "/", "kind": kind, "timeout": 5000.0, "target": 500.0,
-        "priority": 1, "split": (("shop", 1.0),), "attempts": 3, "public": False} | more
+        "name": "r",
+        "host": "shop.example",
+        "prefix": "/",
+        "kind": kind,
+        "timeout": 5000.0,
+        "target": 500.0,
+        "priority": 1,
+        "split": (("shop", 1.0),),
+        "attempts": 3,
+        "public": False,
+    } | more
     return Route(**given)
 
 
 def word(*routes: Route, tenants: Sequence[Tenant] = (), limits: Limits | None = None) -> ClusterConfig:
     """A configuration with these routes, all of one host."""
     return ClusterConfig(
-        1, 1, {"shop.example": tuple(routes)}, {"shop": Service("shop", "/health", 40, 0.0, 0.0)},
-        {t.name: t for t in tenants}, {key: t for t in tenants for key in t.keys}, limits or Limits())
+        1,
+        1,
+        {"shop.example": tuple(routes)},
+        {"shop": Service("shop", "/health", 40, 0.0, 0.0)},
+        {t.name: t for t in tenants},
+        {key: t for t in tenants for key in t.keys},
+        limits or Limits(),
+    )
 
 
 class Plain:
@@ -135,11 +168,12 @@
     def write(self, data: bytes) -> None:
         self.writer.write(data)
 
-    def answer(self, status: int = 200, body: bytes = b"", fields: bytes = SEAL,
-               id: bytes | None = None) -> None:
+    def answer(self, status: int = 200, body: bytes = b"", fields: bytes = SEAL, id: bytes | None = None) -> None:
         """Write one answer, with the id of the last request."""
-        self.write(b"HTTP/1.1 %d X\r\nHallhitch-Request-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
-            status, self.id if id is None else id, fields, len(body), body))
+        self.write(
+            b"HTTP/1.1 %d X\r\nHallhitch-Request-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s"
+            % (status, self.id if id is None else id, fields, len(body), body)
+        )
 
     def reset(self) -> None:
         """Break the connection."""
@@ -174,8 +208,13 @@
 class Rig:
     """The data plane with its stand-ins."""
 
-    def __init__(self, patience: float = 60_000.0, files: int = 1000, decisions: Decisions | None = None,
-                 clock: Callable[[], float] = now) -> None:
+    def __init__(
+        self,
+        patience: float = 60_000.0,
+        files: int = 1000,
+        decisions: Decisions | None = None,
+        clock: Callable[[], float] = now,
+    ) -> None:
         """`decisions`: others than the plain ones."""
         self.decisions, self.count = Plain(patience), Count()
         self.plane = DataPlane(node(files), decisions or self.decisions, self.count, clock)
@@ -186,6 +225,7 @@
 
     async def backend(self, name: str, script: Script) -> Backend:
         """A backend of `shop` that runs the script on each connection; its own end closes the connection."""
+
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             peer = Peer(reader, writer)
             self._peers.append(peer)
@@ -229,12 +269,14 @@
 def get(path: str = "/x", id: str = "id-1", more: str = "", method: str = "GET", body: bytes = b"") -> bytes:
     """A request's bytes."""
     length = f"Content-Length: {len(body)}\r\n" if body else ""
-    return (f"{method} {path} HTTP/1.1\r\nHost: shop.example\r\nHallhitch-Request-Id: {id}\r\n{length}{more}\r\n"
-            ).encode() + body
+    return (
+        f"{method} {path} HTTP/1.1\r\nHost: shop.example\r\nHallhitch-Request-Id: {id}\r\n{length}{more}\r\n"
+    ).encode() + body
 
 
 def rigged(**given: Any) -> Callable[[Callable[..., Coroutine[Any, Any, None]]], Callable[..., None]]:
     """Run a test on a loop of its own, with a rig that has a word of one idempotent route."""
+
     def wrap(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
         async def whole(**arguments: Any) -> None:
             rig = Rig(**given)
--- a/tests/system/data/test_attempt_endings.py
+++ b/tests/system/data/test_attempt_endings.py
@@ -116,8 +116,11 @@
     whole("broken-off answer by length", WELL[:-3], Do.END),
     whole("broken-off answer by reset", WELL[:-3], Do.RESET),
     whole("broken-off head", WELL[:40], Do.END),
-    whole("broken-off chunks", b"HTTP/1.1 200 X\r\n" + OURS + SEAL + b"Transfer-Encoding: chunked\r\n\r\n3\r\nran\r\n",
-          Do.END),
+    whole(
+        "broken-off chunks",
+        b"HTTP/1.1 200 X\r\n" + OURS + SEAL + b"Transfer-Encoding: chunked\r\n\r\n3\r\nran\r\n",
+        Do.END,
+    ),
     whole("broken-off refusal", answer(503, OURS + NOT_RUN)[:-3], Do.END),
     whole("half an answer, then silence", WELL[:-3], Do.WAIT, Do.END, status=504),
     whole("an answer without its id", answer(200, SEAL)),
--- a/tests/system/data/test_attempts_connections.py
+++ b/tests/system/data/test_attempts_connections.py
@@ -50,8 +50,10 @@
 @pytest.mark.parametrize("late", [False, True])
 @rigged()
 async def test_bytes_behind_an_answer_belong_to_nobody_and_nothing_follows_them(
-        rig: Rig, behind: bytes, late: bool) -> None:
+    rig: Rig, behind: bytes, late: bool
+) -> None:
     """Nor is anything written to a connection that its backend closed."""
+
     async def script(peer: Peer) -> None:
         await peer.whole()
         answer = HEAD + b"Content-Length: 2\r\n\r\nok"
@@ -92,9 +94,14 @@
 @rigged()
 async def test_early_words_and_answers_without_a_body_are_framed_right(rig: Rig) -> None:
     hint = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-    await rig.backend("b-1", Asked(
-        lambda p: p.write(hint + HEAD + b"Content-Length: 5000000\r\n\r\n"),
-        lambda p: p.write(hint + HEAD.replace(b"200", b"204") + b"\r\n"), says()))
+    await rig.backend(
+        "b-1",
+        Asked(
+            lambda p: p.write(hint + HEAD + b"Content-Length: 5000000\r\n\r\n"),
+            lambda p: p.write(hint + HEAD.replace(b"200", b"204") + b"\r\n"),
+            says(),
+        ),
+    )
     client = await rig.client()
     for method, status, length in (("HEAD", b"200", b"5000000"), ("DELETE", b"204", None), ("GET", b"200", b"2")):
         client.write(get(method=method))
--- a/tests/system/data/test_attempts_outcomes.py
+++ b/tests/system/data/test_attempts_outcomes.py
@@ -21,9 +21,11 @@
 
 def ends(data: bytes) -> Callable[[Peer], None]:
     """What a backend does that writes this and closes the connection."""
+
     def then(peer: Peer) -> None:
         peer.write(data)
         peer.writer.close()
+
     return then
 
 
@@ -45,7 +47,8 @@
 @pytest.mark.parametrize(("then", "outcome"), BAD)
 @rigged()
 async def test_what_may_have_run_is_repeated_only_where_it_may_be(
-        rig: Rig, then: Callable[[Peer], None], outcome: Outcome) -> None:
+    rig: Rig, then: Callable[[Peer], None], outcome: Outcome
+) -> None:
     bad, good = Asked(then), Asked(says(b"well"))
     await rig.backend("b-1", bad)
     await rig.backend("b-2", good)
@@ -58,14 +61,18 @@
     assert b"retry-after" not in fields
 
 
-@pytest.mark.parametrize(("then", "outcome"), [
-    (says(b"", 503, NOT_RUN), Outcome.DECLINED),
-    (says(b"", 429, NOT_RUN), Outcome.DECLINED),
-    (says(b"", 421, b""), Outcome.MOVED),
-])
+@pytest.mark.parametrize(
+    ("then", "outcome"),
+    [
+        (says(b"", 503, NOT_RUN), Outcome.DECLINED),
+        (says(b"", 429, NOT_RUN), Outcome.DECLINED),
+        (says(b"", 421, b""), Outcome.MOVED),
+    ],
+)
 @rigged()
 async def test_what_never_ran_goes_elsewhere_and_then_back_to_its_client(
-        rig: Rig, then: Callable[[Peer], None], outcome: Outcome) -> None:
+    rig: Rig, then: Callable[[Peer], None], outcome: Outcome
+) -> None:
     rig.plane.set_config(word(route("non_idempotent"), tenants=LIMITED))
     declines, good = Asked(then), Asked(says(b"well"))
     await rig.backend("b-1", declines)
@@ -98,6 +105,7 @@
 @rigged()
 async def test_an_answer_of_another_request_is_passed_over(rig: Rig) -> None:
     """One extra answer comes late, in the place of the next; its connection is not used again."""
+
     def extra(peer: Peer) -> None:
         peer.answer(200, b"first again", id=b"id-1")
         peer.answer(200, b"second")
@@ -143,6 +151,7 @@
 
 def long_answer(parts: list[bytes], whole: bool, chunked: bool) -> Script:
     """A backend whose answer comes in parts, perhaps without the last."""
+
     async def script(peer: Peer) -> None:
         await peer.whole()
         size = sum(map(len, parts))
@@ -152,6 +161,7 @@
             await peer.writer.drain()
         if whole and chunked:
             peer.write(b"0\r\n\r\n")
+
     return script
 
 
@@ -159,7 +169,8 @@
 @pytest.mark.parametrize("chunked", [False, True])
 @rigged()
 async def test_a_long_answer_passes_in_pieces_and_never_looks_whole_if_it_breaks(
-        rig: Rig, whole: bool, chunked: bool) -> None:
+    rig: Rig, whole: bool, chunked: bool
+) -> None:
     parts = [bytes([n]) * 100_000 for n in range(40)]
     await rig.backend("b-1", long_answer(parts, whole, chunked))
     if whole:
--- a/tests/system/data/test_budget_bound.py
+++ b/tests/system/data/test_budget_bound.py
@@ -33,8 +33,9 @@
                 further.append(now)
     for start in [t - 1e-6 for t in further] + [t - WINDOW for t in further]:
         mine = sum(1 for t in further if start < t <= start + WINDOW)
-        asked = max(sum(1 for t in firsts if start - back < t <= start - back + WINDOW)
-                    for back in (0.0, WINDOW / 2, WINDOW))
+        asked = max(
+            sum(1 for t in firsts if start - back < t <= start - back + WINDOW) for back in (0.0, WINDOW / 2, WINDOW)
+        )
         assert mine <= RATIO * asked + SLACK
     assert further
 
--- a/tests/system/data/test_choice_places.py
+++ b/tests/system/data/test_choice_places.py
@@ -17,8 +17,9 @@
 
 @pytest.mark.parametrize("kind", [IDEMPOTENT, NON_IDEMPOTENT, DOWNLOAD])
 def test_a_draining_an_evacuated_and_a_homeless_backend_get_nothing(kind: str) -> None:
-    rig = Rig(backend("drains", draining=True), backend("emptied", "a2"), backend("far", "b1"),
-              evacuated=frozenset({"a2"}))
+    rig = Rig(
+        backend("drains", draining=True), backend("emptied", "a2"), backend("far", "b1"), evacuated=frozenset({"a2"})
+    )
     assert chosen(rig, 40, kind=kind, homes=frozenset({"a"})) == set()
     assert chosen(rig, 40, kind=kind) == {"far"}
 
--- a/tests/system/data/test_front_requests.py
+++ b/tests/system/data/test_front_requests.py
@@ -18,9 +18,17 @@
     await rig.backend("b-1", backend)
     client = await rig.client()
     for number in range(3):
-        client.write(get(f"/a%20b?q={number}", f"id-{number}", "X-Own: 1\r\nConnection: X-Two\r\nX-Two: 2\r\n"
-                         "Hallhitch-Deadline-Remaining: 3000\r\nAuthorization: Token k\r\n"
-                         "Hallhitch-Tenant-Name: forged\r\n", "PUT", b"body"))
+        client.write(
+            get(
+                f"/a%20b?q={number}",
+                f"id-{number}",
+                "X-Own: 1\r\nConnection: X-Two\r\nX-Two: 2\r\n"
+                "Hallhitch-Deadline-Remaining: 3000\r\nAuthorization: Token k\r\n"
+                "Hallhitch-Tenant-Name: forged\r\n",
+                "PUT",
+                b"body",
+            )
+        )
         first, fields, body = await client.whole()
         assert (first, body) == (b"HTTP/1.1 200 OK", b"ok")
         assert fields[b"hallhitch-response-seal"] == b"s" and fields[b"x-kind"] == b"y"
@@ -65,17 +73,24 @@
     assert backend.seen[0][2] == b"later" and b"expect" not in backend.seen[0][1]
 
 
-@pytest.mark.parametrize(("request_", "status"), [
-    (b"POST / HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-    (b"POST / HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400),
-    (b"POST / HTTP/1.1\r\nHost: shop.example\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nHost: shop.example\r\nHost: other.example\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nHost: shop.example\r\nHallhitch-Request-Id: a\r\nHallhitch-Request-Id: b\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\n\r\n", 400),
-    (b"nonsense\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nHost: shop.example\r\nX: " + b"y" * 20_000, 431),
-    (b"POST / HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 2000000\r\n\r\n", 413),
-])
+@pytest.mark.parametrize(
+    ("request_", "status"),
+    [
+        (
+            b"POST / HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 3\r\n"
+            b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            400,
+        ),
+        (b"POST / HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400),
+        (b"POST / HTTP/1.1\r\nHost: shop.example\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nHost: shop.example\r\nHost: other.example\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nHost: shop.example\r\nHallhitch-Request-Id: a\r\nHallhitch-Request-Id: b\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\n\r\n", 400),
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nHost: shop.example\r\nX: " + b"y" * 20_000, 431),
+        (b"POST / HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 2000000\r\n\r\n", 413),
+    ],
+)
 @rigged()
 async def test_what_is_not_acceptable_is_refused_and_reaches_no_backend(rig: Rig, request_: bytes, status: int) -> None:
     backend = Asked(says())
@@ -105,9 +120,12 @@
     rig.plane.set_config(word(route(prefix="/open/", public=True), route(), tenants=[TENANT]))
     forged = "Hallhitch-Tenant-Name: other\r\n"
     for path, field, status in [
-        ("/x", "", b"401"), ("/x", "Authorization: Token no\r\n", b"401"),
-        ("/x", "Authorization: Bearer k-1\r\n", b"401"), ("/x", "Authorization: token k-1\r\n", b"200"),
-        ("/open/x", "", b"200"), ("/open/x", "Authorization: Token no\r\n", b"200"),
+        ("/x", "", b"401"),
+        ("/x", "Authorization: Token no\r\n", b"401"),
+        ("/x", "Authorization: Bearer k-1\r\n", b"401"),
+        ("/x", "Authorization: token k-1\r\n", b"200"),
+        ("/open/x", "", b"200"),
+        ("/open/x", "Authorization: Token no\r\n", b"200"),
         ("/open/x", "Authorization: Token k-1\r\n", b"200"),
     ]:
         assert (await rig.ask(get(path, more=forged + field)))[0].split()[1] == status
@@ -134,8 +152,9 @@
     backend = Asked(says())
     await rig.backend("b-1", backend)
     tenant = Tenant("plant", ("k-1",), None, 0.0, 0.0, frozenset("a"))
-    rig.plane.set_config(word(route(prefix="/b/", homes=frozenset("b")), route(homes=frozenset("ab")),
-                            tenants=[tenant]))
+    rig.plane.set_config(
+        word(route(prefix="/b/", homes=frozenset("b")), route(homes=frozenset("ab")), tenants=[tenant])
+    )
     assert (await rig.ask(get("/b/x", more="Authorization: Token k-1\r\n")))[0].split()[1] == b"503"
     await rig.ask(get("/x", more="Authorization: Token k-1\r\n"))
     assert len(backend.seen) == 1 and rig.decisions.asked[0].homes == frozenset("a")
--- a/tests/system/world/test_exchange.py
+++ b/tests/system/world/test_exchange.py
@@ -19,14 +19,20 @@
 from hallhitch.lab.system.shape import Shape
 from hallhitch.lab.system.world import World
 
-SHAPE = Shape(regions=1, edges=1, backends=((Kind("shelf", slots=4, work=1), 1), (Kind("vault", slots=4, work=1), 1)),
-              between=1.0, grace=2000.0)
+SHAPE = Shape(
+    regions=1,
+    edges=1,
+    backends=((Kind("shelf", slots=4, work=1), 1), (Kind("vault", slots=4, work=1), 1)),
+    between=1.0,
+    grace=2000.0,
+)
 GUARD = 120.0  # s
 
 
 def test_a_new_machine_takes_the_place_of_one_that_leaves(tmp_path: Path) -> None:
     """The newcomer, started with no word of being the first, answers for what was acknowledged before it came; the old
     one ends in order and is asked for nothing more; what is acknowledged afterwards is read back from each."""
+
     async def body() -> None:
         async with World(SHAPE, tmp_path, linked=True) as world:
             await world.configured()
@@ -42,8 +48,9 @@
             assert await world.rig.remove(old) == 0
             assert old not in world.rig.of("coordinator") and not old.data.exists()
             assert (await world.operator.replace(sequel.next(), GUARD * 1000)).acked is not None
-            reads = [await world.operator_at([machine]).read_back(GUARD * 1000)
-                     for machine in world.rig.of("coordinator")]
+            reads = [
+                await world.operator_at([machine]).read_back(GUARD * 1000) for machine in world.rig.of("coordinator")
+            ]
             assert [read.config and read.config["configVersion"] for read in reads] == [3, 3, 3]
             assert world.rig.fallen() == []
         # Bounds of time judge nothing here: what a busy machine delays is no breach.
--- a/tests/system/world/test_rules.py
+++ b/tests/system/world/test_rules.py
@@ -26,9 +26,25 @@
     def sent(self, at: float, kind: str = "look", status: int = 200, **told: Any) -> Try:
         """A client's try, answered by a whole success of the backend `b1` unless told otherwise."""
         id = f"{len(self.records.tries) + 1:x}"
-        made = Try(id, at, "region-1", "zone-1a", "edge-1", "GET", HOST, f"/{kind}/1", KEY, 0, 2000.0,
-                   ended=at + 50, status=status, seal=f"b1.{id}" if status == 200 else "",
-                   echo=id if status == 200 else "", answer=7 if status == 200 else 0, whole=True)
+        made = Try(
+            id,
+            at,
+            "region-1",
+            "zone-1a",
+            "edge-1",
+            "GET",
+            HOST,
+            f"/{kind}/1",
+            KEY,
+            0,
+            2000.0,
+            ended=at + 50,
+            status=status,
+            seal=f"b1.{id}" if status == 200 else "",
+            echo=id if status == 200 else "",
+            answer=7 if status == 200 else 0,
+            whole=True,
+        )
         for name, value in told.items():
             setattr(made, name, value)
         self.records.tries.append(made)
@@ -37,8 +53,25 @@
     def ran(self, t: Try, at: float | None = None, instance: str = "b1", **told: Any) -> Arrival:
         """Its arrival at a backend, which runs it."""
         at = t.at + 10 if at is None else at
-        made = Arrival(next(self.records.numbers), t.id, at, instance, "shelf", "zone-1a", "region-1", "edge-1",
-                       t.method, t.path, "red", "", t.body, begun=at, status=200, seal=f"{instance}.{t.id}", answer=7)
+        made = Arrival(
+            next(self.records.numbers),
+            t.id,
+            at,
+            instance,
+            "shelf",
+            "zone-1a",
+            "region-1",
+            "edge-1",
+            t.method,
+            t.path,
+            "red",
+            "",
+            t.body,
+            begun=at,
+            status=200,
+            seal=f"{instance}.{t.id}",
+            answer=7,
+        )
         for name, value in told.items():
             setattr(made, name, value)
         self.records.arrivals.append(made)
@@ -68,6 +101,7 @@
     def fill(log: Log) -> None:
         t = log.sent(100, kind, status=503)
         log.ran(t, begun=begun, status=200 if begun else 503, seal="")
+
     return fill
 
 
@@ -83,6 +117,7 @@
     def fill(log: Log) -> None:
         log.records.shown.append(Shown(1000, "b1"))
         log.ran(log.sent(at - 10), **told)
+
     return fill
 
 
@@ -97,6 +132,7 @@
         if back is not None:
             log.records.orders.append(Order(back, "return", back + 10, zone="zone-1a", status=200))
         log.ran(log.sent(at - 10))
+
     return fill
 
 
@@ -105,22 +141,26 @@
         log.records.colds.append(Cold(0, 60_000, "b1", 3.0))
         for number in range(count):
             log.ran(log.sent(100 + number * apart), 100 + number * apart + late)
+
     return fill
 
 
 def _tenant(count: int, rate: int) -> Fill:
     """So many runs, spread over the borders of whole seconds; the tenant may have `rate` a second, no burst."""
+
     def fill(log: Log) -> None:
         config = copy.deepcopy(dict(FIRST))
         config["tenants"]["red"] |= {"ratePerS": rate, "burstSize": 0}
         log.records.orders = [Order(-100, "config", 0.0, 1, config, status=200)]
         for number in range(count):
             log.ran(log.sent(20_600 + number * 800 / count))
+
     return fill
 
 
 def _lowered(at: float) -> Fill:
     """The limit falls from 20 to 5 a second with a version acknowledged at 0; ten run in a second at `at`."""
+
     def fill(log: Log) -> None:
         for version, rate in ((1, 20), (2, 5)):
             config = copy.deepcopy(dict(FIRST)) | {"configVersion": version}
@@ -129,6 +169,7 @@
         del log.records.orders[0]
         for number in range(10):
             log.ran(log.sent(at + number * 50))
+
     return fill
 
 
@@ -139,14 +180,17 @@
             if number >= requests - count:
                 log.ran(t, instance="b2", begun=None, status=503, seal="")
             log.ran(t, t.at + 20)
+
     return fill
 
 
 def _moved(at: float, service: str = "shelf", **told: Any) -> Fill:
     """Version 2 sends `look` to the vault, acknowledged at 1000; then one request, handled at `service`."""
+
     def fill(log: Log) -> None:
         log.records.orders.append(Order(950, "config", 1000.0, 2, moved(FIRST, "look", "vault", 2), status=200))
         log.ran(log.sent(at), service=service, **told)
+
     return fill
 
 
@@ -155,15 +199,18 @@
         log.records.orders.append(Order(950, "config", 1000.0, 2, moved(FIRST, "look", "vault", 2), status=200))
         log.ran(log.sent(1100), service="vault")
         log.ran(log.sent(1110 + after), service="shelf")
+
     return fill
 
 
 def _added(status: int, at: float) -> Fill:
     """Version 2 adds a route; a request on it is refused."""
+
     def fill(log: Log) -> None:
         more = Path("fresh", "idempotent", (("shelf", 1),), 1, 500, 2000)
         log.records.orders.append(Order(950, "config", 1000.0, 2, configuration(Shape(), 2, [more]), status=200))
         log.sent(at, "fresh", status=status)
+
     return fill
 
 
@@ -175,6 +222,7 @@
     def both(log: Log) -> None:
         log.records.troubles.append(Span(at, ends, whom, "killed"))
         fill(log)
+
     return both
 
 
--- a/tests/system/world/test_stand_ins.py
+++ b/tests/system/world/test_stand_ins.py
@@ -95,6 +95,7 @@
             assert got is not None and (status(got), got[1]["connection"]) == (200, "close")
             assert status(await ask(b, b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n")) == 503
             assert len(b.fleet.records.arrivals) == 5  # probes are no requests
+
     run(body)
 
 
@@ -111,6 +112,7 @@
             assert [a.begun is not None for a in b.fleet.records.arrivals] == [True, False, False]
             first.cancel()
             assert status(await second) == 200  # the slot is free once the first connection closes
+
     run(body)
 
 
@@ -133,6 +135,7 @@
             first.cancel()  # its slot is free
             assert status(await second) == 503
             assert [a.begun is not None for a in b.fleet.records.arrivals] == [True, True, False]
+
     run(body)
 
 
@@ -152,6 +155,7 @@
                     raise ValueError(first)  # what is no answer
             assert b.fleet.records.arrivals[0].broke == (trick not in ("doubled", "late"))
             writer.close()
+
     run(body)
 
 
@@ -164,6 +168,7 @@
             gone = b.fleet.records.shown[0].at
             assert [row[0] for row in b.fleet.listed(gone - b.fleet.lag - 1)] == ["b1"]
             assert b.fleet.listed(gone - b.fleet.lag) == []
+
     run(body)
 
 
@@ -199,6 +204,7 @@
             with pytest.raises((EOFError, OSError)):
                 await read_message(reader)
             platform.close()
+
     run(body)
 
 
@@ -224,24 +230,39 @@
         assert not held.done()
         paths.over(number)
         await held
+
     run(body)
 
 
 GET, POST = Want("look", "GET", "x", "/"), Want("stamp", "POST", "x", "/", repeatable=False)
 
 
-@pytest.mark.parametrize(("want", "code", "unread", "asked", "left", "expected"), [
-    (GET, 200, False, 0, 900, None), (GET, 404, False, 0, 900, None), (GET, 502, False, 0, 900, 20),
-    (GET, 0, False, 0, 900, 20), (GET, 503, False, 600, 900, 300), (GET, 503, False, 100, 900, 100),
-    (GET, 502, False, 0, 10, None), (POST, 502, False, 0, 900, None), (POST, 0, False, 0, 900, None),
-    (POST, 0, True, 0, 900, 20), (POST, 429, False, 0, 900, 20), (POST, 408, False, 0, 900, 20)])
-def test_when_clients_try_again(want: Want, code: int, unread: bool, asked: float, left: float,
-                                expected: float | None) -> None:
+@pytest.mark.parametrize(
+    ("want", "code", "unread", "asked", "left", "expected"),
+    [
+        (GET, 200, False, 0, 900, None),
+        (GET, 404, False, 0, 900, None),
+        (GET, 502, False, 0, 900, 20),
+        (GET, 0, False, 0, 900, 20),
+        (GET, 503, False, 600, 900, 300),
+        (GET, 503, False, 100, 900, 100),
+        (GET, 502, False, 0, 10, None),
+        (POST, 502, False, 0, 900, None),
+        (POST, 0, False, 0, 900, None),
+        (POST, 0, True, 0, 900, 20),
+        (POST, 429, False, 0, 900, 20),
+        (POST, 408, False, 0, 900, 20),
+    ],
+)
+def test_when_clients_try_again(
+    want: Want, code: int, unread: bool, asked: float, left: float, expected: float | None
+) -> None:
     assert after(want, code, unread, asked, left, 20.0) == expected
 
 
 async def scripted(port: int, reply: Callable[[str, dict[str, str], bytes], bytes]) -> asyncio.Server:
     """A server of the test's own at 127.1.1.PORT's loopback host."""
+
     async def serve(reader: Reader, writer: Writer) -> None:
         with contextlib.suppress(OSError, EOFError):
             while True:
@@ -264,13 +285,20 @@
             asked.append(headers)
             if len(asked) == 1:
                 return answer(503, extra="Retry-After: 0.01\r\n")
-            return (b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\nHallhitch-Response-Seal: s\r\n"
-                    b"Hallhitch-Request-Id: " + headers["hallhitch-request-id"].encode() + b"\r\n\r\n"
-                    b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+            return (
+                b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\nHallhitch-Response-Seal: s\r\n"
+                b"Hallhitch-Request-Id: " + headers["hallhitch-request-id"].encode() + b"\r\n\r\n"
+                b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
+            )
 
         servers = [await scripted(base, directory), await scripted(base + 1, gateway)]
-        place = Place(records, Paths(0, 0, {}), {"region-1": [("127.1.1.9", base), ("127.1.1.1", base)]},
-                      {f"127.1.1.1:{base + 1}": "edge-1"}, 5000)
+        place = Place(
+            records,
+            Paths(0, 0, {}),
+            {"region-1": [("127.1.1.9", base), ("127.1.1.1", base)]},
+            {f"127.1.1.1:{base + 1}": "edge-1"},
+            5000,
+        )
         client = Client(place, "region-1", "zone-1a", 1, Streams(1).of("client"))
         outcome = await client.ask(Want("stamp", "POST", "x", "/stamp/1", "k1", b"body", False))
         assert outcome.served and (outcome.tries, outcome.refused) == (2, 1)
@@ -281,6 +309,7 @@
         for server in servers:
             server.close()
         held.close()
+
     run(body)
 
 
@@ -293,8 +322,9 @@
             calls.append(first)
             if first.startswith("POST /moved"):
                 return answer(200, b'{"configVersion":3}')
-            return [answer(503), answer(307, extra=f"Location: http://127.1.1.1:{base}/moved?call=x\r\n"),
-                    answer(400)][min(2, len(calls) - 1)]
+            return [answer(503), answer(307, extra=f"Location: http://127.1.1.1:{base}/moved?call=x\r\n"), answer(400)][
+                min(2, len(calls) - 1)
+            ]
 
         server = await scripted(base, core)
         operator = Operator(records, lambda: [("127.1.1.1", base)], Streams(1).of("operator"))
@@ -306,11 +336,13 @@
         assert (await operator.read_back()).config is None and len(records.reads) == 1
         server.close()
         held.close()
+
     run(body)
 
 
 def test_relay_refuses_delays_and_cuts_as_a_link_does() -> None:
     """Opening goes on only once the link does; a dead port refuses; what a cut holds up comes after it."""
+
     async def body() -> None:
         base, held = reserve()
         loop = asyncio.get_running_loop()
@@ -332,4 +364,5 @@
         relays.close()
         server.close()
         held.close()
+
     run(body)
--- a/tests/system/world/test_whole_path.py
+++ b/tests/system/world/test_whole_path.py
@@ -15,14 +15,19 @@
 from hallhitch.lab.system.shape import Shape, configuration, moved
 from hallhitch.lab.system.world import World
 
-SHAPE = Shape(edges=1, backends=((Kind("shelf", slots=4, work=1), 3), (Kind("vault", slots=4, work=1), 3)),
-              between=1.0, grace=2000.0)
+SHAPE = Shape(
+    edges=1,
+    backends=((Kind("shelf", slots=4, work=1), 3), (Kind("vault", slots=4, work=1), 3)),
+    between=1.0,
+    grace=2000.0,
+)
 GUARD = 120.0  # s
 
 
 def test_configuration_requests_and_losses(tmp_path: Path) -> None:
     """A configuration is taken and requests run as it says; another one is taken and obeyed with a coordinator dead;
     a gateway that is told to leave ends in order; no rule is broken, and what was acknowledged is read back."""
+
     async def body() -> None:
         async with World(SHAPE, tmp_path) as world:
             await world.configured()
@@ -34,6 +39,7 @@
             async def come(client: Client, want: Want) -> None:
                 async def served() -> bool:
                     return (await client.ask(want)).served
+
                 # A deadline of two seconds may pass on a busy machine: then it is asked again, as its user would.
                 await world.until(served, f"{want.path} is served to {client}", GUARD)
 
@@ -47,8 +53,9 @@
 
             async def obeyed() -> bool:
                 at = len(world.records.arrivals)
-                statuses = [await world.clients[0].probe(address, shelf[0].want(1, keys[0]))
-                            for address in world.place.names]
+                statuses = [
+                    await world.clients[0].probe(address, shelf[0].want(1, keys[0])) for address in world.place.names
+                ]
                 return set(statuses) == {200} and {a.service for a in world.records.arrivals[at:]} == {"vault"}
 
             await world.until(obeyed, "every gateway obeys the second configuration", GUARD)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -14,17 +14,36 @@
 from hallhitch.decision.settings import settings_of
 
 PROFILE: dict[str, Any] = {
-    "balancers": 2, "index": 0, "unheard-of": [1],
+    "balancers": 2,
+    "index": 0,
+    "unheard-of": [1],
     "classes": [{"name": "read", "aim": 800.0, "deadline": 2000.0, "repeat": "pure", "group": "all"}],
     "tiers-of-service": [{"name": "p", "per-second": 2.0, "peak-units": 4.0, "worth-factor": 1.0}],
     "family-info": {"shared-counter": True, "counter-timeout": 30.0},
 }
-ENTRY = {"server": "10.0.0.1:80", "condition": "healthy", "campus": 0, "block": 0, "online-since": None,
-         "heft": 1, "model": 0}
+ENTRY = {
+    "server": "10.0.0.1:80",
+    "condition": "healthy",
+    "campus": 0,
+    "block": 0,
+    "online-since": None,
+    "heft": 1,
+    "model": 0,
+}
 LAUNCH = {"cmd": "Launch", "rng-seed": 3, "profile-data": PROFILE}
 LIST = {"cmd": "Discovery", "scope": "Persisted", "seq-no": 1, "entries": [ENTRY]}
-ASK = {"cmd": "NewRequest", "op-id": 5, "quota-units": 2, "qos": 0, "attrs": 1, "patience-left": 500.0,
-       "set-size": 2, "terms": 0, "client-id": "cust/a", "set-from": 1}
+ASK = {
+    "cmd": "NewRequest",
+    "op-id": 5,
+    "quota-units": 2,
+    "qos": 0,
+    "attrs": 1,
+    "patience-left": 500.0,
+    "set-size": 2,
+    "terms": 0,
+    "client-id": "cust/a",
+    "set-from": 1,
+}
 
 
 def batch(ts: float, *events: dict[str, Any]) -> str:
@@ -48,8 +67,18 @@
     answer["entry-name"] = count["entry-name"]
     sent = host.batch(batch(12.0, answer))["groups"][0]["decisions"]
     assert {"cmd": "Assign", "op-id": 5, "server": "10.0.0.1:80", "limit": 0.0} in sent
-    reply = {"cmd": "Reply", "op-id": 5, "send-no": 0, "server": "10.0.0.1:80", "status": "success",
-             "lag": 9.0, "ended": True, "quota-use": None, "true-units": None, "stats": {"waiting": 1}}
+    reply = {
+        "cmd": "Reply",
+        "op-id": 5,
+        "send-no": 0,
+        "server": "10.0.0.1:80",
+        "status": "success",
+        "lag": 9.0,
+        "ended": True,
+        "quota-use": None,
+        "true-units": None,
+        "stats": {"waiting": 1},
+    }
     assert host.batch(batch(30.0, reply, {"cmd": "Aborted", "op-id": 5})) == {"groups": []}
 
 
@@ -60,37 +89,48 @@
         {"cmd": "HeadReceived", "op-id": 1, "send-no": 0, "server": "x", "lag": 1.0},
         {"cmd": "FromPeer", "author": 1, "octets": "hi"},
         {"cmd": "CheckResult", "status": "timed_out", "lag": 3.0, "server": "x", "stats": None},
-        {"cmd": "DeadlineHit", "token": 77}, {"cmd": "Aborted", "op-id": 9},
+        {"cmd": "DeadlineHit", "token": 77},
+        {"cmd": "Aborted", "op-id": 9},
         {"cmd": "CountResult", "status": "overloaded", "level": None, "entry-name": 4, "lag": 1.0},
-        {"cmd": "Discovery", "scope": "Error", "seq-no": 2, "entries": None}, {"cmd": "Unheard"},
+        {"cmd": "Discovery", "scope": "Error", "seq-no": 2, "entries": None},
+        {"cmd": "Unheard"},
     ]
     reply = host.batch(batch(11.0, *events))
     assert "InternalError" not in json.dumps(reply)
 
 
-@pytest.mark.parametrize(("action", "expected"), [
-    (api.Send(1, "s", 5.0), {"cmd": "Assign", "op-id": 1, "server": "s", "limit": 5.0}),
-    (api.Cancel(1, 2), {"cmd": "Withdraw", "op-id": 1, "send-no": 2}),
-    (api.Refuse(1, 9.0), {"cmd": "TurnAway", "op-id": 1, "retry-in": 9.0}),
-    (api.Fail(1), {"cmd": "Abort", "op-id": 1}),
-    (api.Count(7, 2.0, 9.0), {"cmd": "AddAndGet", "amount": 2.0, "expire-in": 9.0, "entry-name": 7}),
-    (api.SetTimer(5.0, 1), {"cmd": "Sleep", "sleep-for": 5.0, "token": 1}),
-    (api.Probe("s"), {"cmd": "Inspect", "server": "s"}),
-    (api.WatchList(), {"cmd": "Track", "enable": True}),
-    (api.FetchList(), {"cmd": "Refresh"}),
-    (api.Log("x"), {"cmd": "Debug", "message": "x"}),
-])
+@pytest.mark.parametrize(
+    ("action", "expected"),
+    [
+        (api.Send(1, "s", 5.0), {"cmd": "Assign", "op-id": 1, "server": "s", "limit": 5.0}),
+        (api.Cancel(1, 2), {"cmd": "Withdraw", "op-id": 1, "send-no": 2}),
+        (api.Refuse(1, 9.0), {"cmd": "TurnAway", "op-id": 1, "retry-in": 9.0}),
+        (api.Fail(1), {"cmd": "Abort", "op-id": 1}),
+        (api.Count(7, 2.0, 9.0), {"cmd": "AddAndGet", "amount": 2.0, "expire-in": 9.0, "entry-name": 7}),
+        (api.SetTimer(5.0, 1), {"cmd": "Sleep", "sleep-for": 5.0, "token": 1}),
+        (api.Probe("s"), {"cmd": "Inspect", "server": "s"}),
+        (api.WatchList(), {"cmd": "Track", "enable": True}),
+        (api.FetchList(), {"cmd": "Refresh"}),
+        (api.Log("x"), {"cmd": "Debug", "message": "x"}),
+    ],
+)
 def test_every_action_is_written(action: api.Action, expected: dict[str, Any]) -> None:
     assert adapter.encode(action) == expected
 
 
-@pytest.mark.parametrize(("line", "field"), [
-    ("{", "JSON"), ("[]", "ts"), ('{"ts":1}', "groups"), ('{"ts":1,"groups":[{"happened":[]}]}', "who"),
-    (batch(1.0, {"cmd": "Launch", "rng-seed": 1, "profile-data": {"balancers": 1, "index": 0}}), "classes"),
-    (batch(1.0, LAUNCH, {**ASK, "op-id": None}), "op-id"),
-    (batch(1.0, LAUNCH, {**LIST, "scope": "Odd"}), "scope"),
-    (batch(1.0, {**LAUNCH, "profile-data": {**PROFILE, "balancers": 0}}), "gateways"),
-])
+@pytest.mark.parametrize(
+    ("line", "field"),
+    [
+        ("{", "JSON"),
+        ("[]", "ts"),
+        ('{"ts":1}', "groups"),
+        ('{"ts":1,"groups":[{"happened":[]}]}', "who"),
+        (batch(1.0, {"cmd": "Launch", "rng-seed": 1, "profile-data": {"balancers": 1, "index": 0}}), "classes"),
+        (batch(1.0, LAUNCH, {**ASK, "op-id": None}), "op-id"),
+        (batch(1.0, LAUNCH, {**LIST, "scope": "Odd"}), "scope"),
+        (batch(1.0, {**LAUNCH, "profile-data": {**PROFILE, "balancers": 0}}), "gateways"),
+    ],
+)
 def test_malformed_input_is_named(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], line: str, field: str
 ) -> None:
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -48,10 +48,14 @@
         self.now = until
 
 
-STEPS = st.lists(st.one_of(
-    st.tuples(st.just("at"), st.floats(0, 100)),
-    st.tuples(st.just("drop"), st.integers(0, 50)),
-    st.tuples(st.just("pass"), st.floats(0, 30))), max_size=80)
+STEPS = st.lists(
+    st.one_of(
+        st.tuples(st.just("at"), st.floats(0, 100)),
+        st.tuples(st.just("drop"), st.integers(0, 50)),
+        st.tuples(st.just("pass"), st.floats(0, 30)),
+    ),
+    max_size=80,
+)
 
 
 class Order(unittest.TestCase):
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -32,12 +32,21 @@
         """Guards against cycles that hold what was read until a collection, of 0.7 s after a flood of bad requests."""
         rude = self.request("unknown") * 20
         good = self.request(customer="0000000000000002")
-        cases = {"good": good, "rude": rude, "unreadable": b"NONSENSE\r\n\r\n", "half": good[:40], "none": b"",
-                 "left": good, "reset by its server": good, "called": b""}
+        cases = {
+            "good": good,
+            "rude": rude,
+            "unreadable": b"NONSENSE\r\n\r\n",
+            "half": good[:40],
+            "none": b"",
+            "left": good,
+            "reset by its server": good,
+            "called": b"",
+        }
         for name, data in cases.items():
             with self.subTest(name):
                 self.nodes[0].reply = {"left": lambda n: None, "reset by its server": lambda n: b""}.get(
-                    name, lambda n: http(200, b"scored", Connection="close"))
+                    name, lambda n: http(200, b"scored", Connection="close")
+                )
                 await self.collected()
                 for _ in range(MANY):
                     if name == "called":
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -51,10 +51,14 @@
     async def test_what_cannot_be_read_is_told_so(self) -> None:
         """Guards against malformed, oversized or unknown requests taking the connection down unanswered."""
         cases = [
-            (b"NONSENSE\r\n\r\n", 400), (self.request(Content_Length="60000000"), 413),
-            (self.request(X_Long="x" * 20_000), 431), (self.request("unknown"), 404),
-            (self.request(customer="me"), 404), (self.request(X_Contract="gold"), 400),
-            (self.request(Req_Deadline_Ms="soon"), 400), (self.request(X_Metering="units=x"), 400),
+            (b"NONSENSE\r\n\r\n", 400),
+            (self.request(Content_Length="60000000"), 413),
+            (self.request(X_Long="x" * 20_000), 431),
+            (self.request("unknown"), 404),
+            (self.request(customer="me"), 404),
+            (self.request(X_Contract="gold"), 400),
+            (self.request(Req_Deadline_Ms="soon"), 400),
+            (self.request(X_Metering="units=x"), 400),
             (b"GET /_health HTTP/1.1\r\n\r\n", 200),
         ]
         for data, status in cases:
@@ -237,7 +241,8 @@
 
     fault = (
         "from hallhitch.decision.policy import Gateway as G; was = G.arrived; "
-        "G.arrived = lambda g, r: 1 / 0 if r.customer[-1] == 'a' else r.customer[-1] == 'b' or was(g, r)")
+        "G.arrived = lambda g, r: 1 / 0 if r.customer[-1] == 'a' else r.customer[-1] == 'b' or was(g, r)"
+    )
 
     async def test_a_failure_costs_its_own_exchange(self) -> None:
         """Guards against an exception in the module ending the program, or leaving a client unanswered."""
@@ -258,8 +263,12 @@
         with tempfile.TemporaryDirectory() as folder:
             good = Program(folder, "127.0.0.1:1", "127.0.0.1:2", []).config
             cases: list[tuple[object, str]] = [
-                (None, "EDGE_CONFIG"), (good | {"listen": "here"}, "listen"), (good | {"seed": "x"}, "seed"),
-                (good | {"settings": {}}, "classes"), (good | {"counter": 5}, "counter"), ([], "settings"),
+                (None, "EDGE_CONFIG"),
+                (good | {"listen": "here"}, "listen"),
+                (good | {"seed": "x"}, "seed"),
+                (good | {"settings": {}}, "classes"),
+                (good | {"counter": 5}, "counter"),
+                ([], "settings"),
                 (good | {"known": {"seq": 1, "hosts": [{"host": "a"}]}}, "dial"),
                 (good | {"limits": {"sockets": 10}}, "sockets"),
             ]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -8,9 +8,24 @@
 
 from tests.stand_ins import ROOT
 
-HOSTED = ("hallhitch.cli", "hallhitch.control", "hallhitch.hosting", "hallhitch.tls", "hallhitch.resp",
-          "hallhitch.settings_file", "msgspec", "click", "litestar", "uvicorn", "cryptography", "sqlite3",
-          "argon2", "immutables", "xxhash", "httpx")
+HOSTED = (
+    "hallhitch.cli",
+    "hallhitch.control",
+    "hallhitch.hosting",
+    "hallhitch.tls",
+    "hallhitch.resp",
+    "hallhitch.settings_file",
+    "msgspec",
+    "click",
+    "litestar",
+    "uvicorn",
+    "cryptography",
+    "sqlite3",
+    "argon2",
+    "immutables",
+    "xxhash",
+    "httpx",
+)
 
 
 class Platform(unittest.TestCase):
@@ -18,10 +33,12 @@
 
     def test_the_gateway_imports_nothing_of_the_hosted_parts(self) -> None:
         """Guards against memory, start-up time and packages that the platform does not give."""
-        code = ("import sys, hallhitch.__main__ as m\n"
-                "sys.argv = ['hallhitch']\n"
-                "code = m.main()\n"  # without EDGE_CONFIG: everything is loaded, then it ends with 2
-                "print(code, *sorted(sys.modules))")
+        code = (
+            "import sys, hallhitch.__main__ as m\n"
+            "sys.argv = ['hallhitch']\n"
+            "code = m.main()\n"  # without EDGE_CONFIG: everything is loaded, then it ends with 2
+            "print(code, *sorted(sys.modules))"
+        )
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, env={})
         code_, *modules = done.stdout.split()
         self.assertEqual(code_, "2", done.stderr)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -63,9 +63,11 @@
 
     async def test_long_answers_of_every_framing_pass_unaltered(self) -> None:
         """Guards against answers taken for spoilt because of their length or their framing."""
-        framed = [b"Content-Length: %d\r\n\r\n%s" % (len(LONG), LONG),
-                  b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX: y\r\n\r\n" % (len(LONG), LONG),
-                  b"\r\n" + LONG]
+        framed = [
+            b"Content-Length: %d\r\n\r\n%s" % (len(LONG), LONG),
+            b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\nX: y\r\n\r\n" % (len(LONG), LONG),
+            b"\r\n" + LONG,
+        ]
         for answer in framed:
             reader, _ = await self.sent(self.request())
             _, _, writer = await soon(self.node.met.get())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -26,9 +26,18 @@
     plan = changes.pop("plan", api.Plan("p", rate=2.0, burst=4.0, beyond_cost=0.5))
     kind = api.RequestClass("c", 800.0, 4000.0, effect=effect, group=group, repeat_window=3000.0)
     base: dict[str, Any] = {
-        "gateways": 2, "classes": (kind,), "plans": (plan,), "attempts": 4,
-        "counter_timeout": 30.0, "can_cancel": True, "can_advise": True, "max_advice": 900.0,
-        "cold_time": 10_000.0, "cold_from": 0.2, "fall_time": 1000.0, "fall_multiple": 2.5,
+        "gateways": 2,
+        "classes": (kind,),
+        "plans": (plan,),
+        "attempts": 4,
+        "counter_timeout": 30.0,
+        "can_cancel": True,
+        "can_advise": True,
+        "max_advice": 900.0,
+        "cold_time": 10_000.0,
+        "cold_from": 0.2,
+        "fall_time": 1000.0,
+        "fall_multiple": 2.5,
     }
     return api.Settings(**(base | changes))
 
@@ -48,7 +57,10 @@
     """A gateway with a clock and a counter that can fail."""
 
     def __init__(
-        self, settings: api.Settings | None = None, listed: api.ServerList | None = None, seed: int = SEED,
+        self,
+        settings: api.Settings | None = None,
+        listed: api.ServerList | None = None,
+        seed: int = SEED,
     ) -> None:
         self.gateway = Gateway(settings or make(), seed)
         self.now = 500_000.0
@@ -241,6 +253,7 @@
 
 def test_a_crowded_counter_is_asked_about_those_near_their_limit() -> None:
     """Guards against calls spent on what is known already, by the full and by those past their quota."""
+
     def calls(store: float, seed: int) -> int:
         bench = Bench(make(plan=api.Plan("p", rate=20.0, burst=40.0, beyond_cost=0.5)), seed=seed)
         made = 0
@@ -410,9 +423,12 @@
 @pytest.mark.parametrize(
     ("effect", "group", "outcome", "sent_again", "answer"),
     [
-        (api.SAFE, "all", "error", True, None), (api.KEYED, "all", "error", True, None),
-        (api.KEYED, "cell", "error", False, api.Fail), (api.UNSAFE, "all", "error", False, api.Fail),
-        (api.UNSAFE, "all", "full", True, None), (api.KEYED, "cell", "unreachable", True, None),
+        (api.SAFE, "all", "error", True, None),
+        (api.KEYED, "all", "error", True, None),
+        (api.KEYED, "cell", "error", False, api.Fail),
+        (api.UNSAFE, "all", "error", False, api.Fail),
+        (api.UNSAFE, "all", "full", True, None),
+        (api.KEYED, "cell", "unreachable", True, None),
     ],
 )
 def test_repeats_follow_the_effect(
@@ -500,10 +516,17 @@
     assert sum(len(only(bench.ask(), api.Send)) for _ in range(8)) == 2
 
 
-@pytest.mark.parametrize("change", [
-    {"classes": ()}, {"gateways": 0}, {"attempts": 0}, {"cold_from": 0.0}, {"keepalive": 0.0},
-    {"plan": api.Plan("p", rate=1.0, burst=0.0)},
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"classes": ()},
+        {"gateways": 0},
+        {"attempts": 0},
+        {"cold_from": 0.0},
+        {"keepalive": 0.0},
+        {"plan": api.Plan("p", rate=1.0, burst=0.0)},
+    ],
+)
 def test_bad_settings_are_named(change: dict[str, Any]) -> None:
     name = "burst" if "plan" in change else next(iter(change))
     with pytest.raises(ValueError, match=name):
@@ -511,15 +534,17 @@
 
 
 def test_same_events_same_actions_in_any_process() -> None:
-    code = (
-        "import tests.test_policy as t\n"
-        "b = t.Bench()\n"
-        "print([b.ask('k%d' % (n % 5)) for n in range(40)])\n"
-    )
+    code = "import tests.test_policy as t\nb = t.Bench()\nprint([b.ask('k%d' % (n % 5)) for n in range(40)])\n"
     root = Path(__file__).parent.parent
     runs = [
-        subprocess.run([sys.executable, "-c", code], cwd=root, env={"PYTHONHASHSEED": seed, "PATH": "/bin"},
-                       capture_output=True, text=True, check=True).stdout
+        subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=root,
+            env={"PYTHONHASHSEED": seed, "PATH": "/bin"},
+            capture_output=True,
+            text=True,
+            check=True,
+        ).stdout
         for seed in ("1", "2")
     ]
     assert runs[0] == runs[1] and "Send" in runs[0]
@@ -649,8 +674,12 @@
     bench.now += 60_000
     bench.ask("other")
     gone: list[api.Event] = [
-        api.AttemptEnded(77, 3, "nowhere", "ok", 1.0, True), api.CounterAnswer(12, "ok", 3.0, 1.0),
-        api.RequestGone(78), api.TimerFired(99), api.TimerFired(1), api.StreamStarted(79, 0, "nowhere"),
+        api.AttemptEnded(77, 3, "nowhere", "ok", 1.0, True),
+        api.CounterAnswer(12, "ok", 3.0, 1.0),
+        api.RequestGone(78),
+        api.TimerFired(99),
+        api.TimerFired(1),
+        api.StreamStarted(79, 0, "nowhere"),
     ]
     assert not [a for a in bench.do(*gone) if not isinstance(a, api.FetchList)]
 
@@ -703,8 +732,7 @@
     assert sum(bool(s.served) or s.linked for s in bench.gateway.servers.values()) <= 8
     gone = tuple(api.ServerEntry(s.entry.server, "gone") for s in bench.gateway.near[:3])
     bench.do(api.ServerList("changes", gone))
-    assert len(bench.gateway.near) == 8 and not {e.server for e in gone} & {
-        s.entry.server for s in bench.gateway.near}
+    assert len(bench.gateway.near) == 8 and not {e.server for e in gone} & {s.entry.server for s in bench.gateway.near}
 
 
 @pytest.mark.parametrize(("gateways", "fleet"), [(2, 40), (8, 34), (30, 100)])
@@ -729,8 +757,7 @@
             now += 40
             ask: list[api.Event] = [api.Request(n + 1, f"k{index}-{n}", 0, 0, 1.0, 2000.0, 100.0)]
             actions = gateway.handle(now, ask)
-            lost: list[api.Event] = [
-                api.CounterAnswer(c.name, "timeout", 0.0, 30.0) for c in only(actions, api.Count)]
+            lost: list[api.Event] = [api.CounterAnswer(c.name, "timeout", 0.0, 30.0) for c in only(actions, api.Count)]
             actions += gateway.handle(now + 30, lost)
             out += len(only(actions, api.Send))
             refused = len(only(actions, api.Refuse))
@@ -964,8 +991,11 @@
 
 def test_only_what_is_avoided_for_more_than_a_moment_is_told_so() -> None:
     """Guards against a figure of excluded servers that flickers with each broken attempt."""
-    bench = Bench(listed=api.ServerList("full", (
-        api.ServerEntry("s0", "up"), api.ServerEntry("s1", "drain"), api.ServerEntry("s2", "up"))))
+    bench = Bench(
+        listed=api.ServerList(
+            "full", (api.ServerEntry("s0", "up"), api.ServerEntry("s1", "drain"), api.ServerEntry("s2", "up"))
+        )
+    )
     assert bench.gateway.avoided() == 1
     told = []
     for n in range(4):
@@ -981,10 +1011,20 @@
     assert bench.gateway.avoided() == 1
 
 
-@given(st.lists(st.tuples(st.lists(st.sampled_from("abcd"), min_size=1, max_size=3, unique=True),
-                          st.integers(1, 5), st.sampled_from((1.0, 3.0))), min_size=1, max_size=6))
+@given(
+    st.lists(
+        st.tuples(
+            st.lists(st.sampled_from("abcd"), min_size=1, max_size=3, unique=True),
+            st.integers(1, 5),
+            st.sampled_from((1.0, 3.0)),
+        ),
+        min_size=1,
+        max_size=6,
+    )
+)
 def test_after_any_settings_it_is_as_one_begun_with_the_last(files: list[tuple[list[str], int, float]]) -> None:
     """Guards against anything of earlier settings that stays, but for what was learned."""
+
     def told(names: list[str], attempts: int, rate: float) -> api.Settings:
         kinds = tuple(api.RequestClass(name, 400.0 + ord(name), 4000.0, effect=api.SAFE) for name in names)
         return make(classes=kinds, attempts=attempts, plan=api.Plan("p", rate=rate, burst=2 * rate))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -108,8 +108,9 @@
         reader, writer = await self.program.connect()
         writer.write(self.request() + self.request(customer="0000000000000002"))  # one behind the other
         while not any(node.taken for node in self.nodes):
-            await asyncio.wait([asyncio.ensure_future(n.came.get()) for n in self.nodes],
-                               return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                [asyncio.ensure_future(n.came.get()) for n in self.nodes], return_when=asyncio.FIRST_COMPLETED
+            )
         settings = self.settings()
         settings["classes"][0] |= {"name": "inspect-ii", "repeat": "token", "window": 1500.0, "group": "cell"}
         await self.retune(settings)
@@ -124,8 +125,9 @@
         keyed = self.request("reject", 1500).replace(b"/reject/", b"/inspect-ii/")
         self.assertEqual((await self.ask(keyed))[2], b"new")
         figures = await self.program.figures()
-        self.assertEqual([figures[f'svc_requests{{class="{c}",outcome="served"}}'] for c in ("inspect", "inspect-ii")],
-                         [2, 1])
+        self.assertEqual(
+            [figures[f'svc_requests{{class="{c}",outcome="served"}}'] for c in ("inspect", "inspect-ii")], [2, 1]
+        )
 
     async def test_fewer_attempts_bind_from_the_next_on(self) -> None:
         """Guards against resends beyond what the settings allow now."""
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -22,8 +22,9 @@
 )
 
 
-def take(customer: str = "shop-1", kind: str = "reject", plan: str = "full-plant", units: str = "1",
-         deadline: str = "1500") -> bytes:
+def take(
+    customer: str = "shop-1", kind: str = "reject", plan: str = "full-plant", units: str = "1", deadline: str = "1500"
+) -> bytes:
     """One TAKE."""
     return command("TAKE", customer, kind, plan, units, deadline)
 
@@ -67,29 +68,50 @@
     async def test_the_usual_commands(self) -> None:
         """Guards against client libraries that cannot connect."""
         hello, name, none, same, proto = await self.say(
-            command("HELLO", "2") + command("CLIENT", "SETNAME", "line-4") + command("CLIENT", "SETINFO",
-            "LIB-NAME", "x") + command("CLIENT", "GETNAME") + command("HELLO", "3"), 5)
+            command("HELLO", "2")
+            + command("CLIENT", "SETNAME", "line-4")
+            + command("CLIENT", "SETINFO", "LIB-NAME", "x")
+            + command("CLIENT", "GETNAME")
+            + command("HELLO", "3"),
+            5,
+        )
         assert isinstance(hello, list)
         self.assertEqual(hello[:2] + hello[4:6], [b"server", b"hallhitch", b"proto", 2])
         self.assertEqual((name, none, same), ("+OK", "+OK", b"line-4"))
         self.assertTrue(str(proto).startswith("-NOPROTO"))
-        self.assertEqual(await self.say(command("ping") + command("PING", "a") + command("QUIT"), 3),
-                         ["+PONG", b"a", "+OK"])
+        self.assertEqual(
+            await self.say(command("ping") + command("PING", "a") + command("QUIT"), 3), ["+PONG", b"a", "+OK"]
+        )
         self.assertEqual(await soon(self.reader.read()), b"")
 
     async def test_a_wrong_command_keeps_the_connection(self) -> None:
         """Guards against one bad command taking its neighbours down."""
-        wrong = [command("TAKE", "x"), take(kind="x"), take(plan="x"), take(units="x"), take(units="nan"),
-                 take(units="-1"), take(deadline="0"), take(deadline="1.5"), take("no space"), command("NO"),
-                 b"*2\r\n$4\r\nPING\r\n:5\r\n"]
+        wrong = [
+            command("TAKE", "x"),
+            take(kind="x"),
+            take(plan="x"),
+            take(units="x"),
+            take(units="nan"),
+            take(units="-1"),
+            take(deadline="0"),
+            take(deadline="1.5"),
+            take("no space"),
+            command("NO"),
+            b"*2\r\n$4\r\nPING\r\n:5\r\n",
+        ]
         answers = await self.say(b"".join(wrong) + command("PING"), len(wrong) + 1)
         self.assertTrue(all(str(a).startswith("-ERR") for a in answers[:-1]), answers)
         self.assertEqual((answers[-1], self.counter.totals), ("+PONG", {}))
 
     async def test_broken_framing_ends_the_connection(self) -> None:
         """Guards against reading on after framing is lost, and heads that promise a billion elements."""
-        for broken in (b"PING\r\n", b":5\r\n", b"*999999999\r\n", b"*1\r\n*88888888\r\n",
-                       b"*2\r\n$4\r\nPING\r\n$70000\r\n" + b"x" * 70_000):
+        for broken in (
+            b"PING\r\n",
+            b":5\r\n",
+            b"*999999999\r\n",
+            b"*1\r\n*88888888\r\n",
+            b"*2\r\n$4\r\nPING\r\n$70000\r\n" + b"x" * 70_000,
+        ):
             reader, writer = await self.program.connect(self.resp_address)
             writer.write(command("PING") + broken)
             with self.subTest(broken=broken[:20]):
@@ -215,9 +237,15 @@
         with tempfile.TemporaryDirectory() as folder, socket.create_server(("127.0.0.1", 0)) as taken:
             path, busy = Path(folder) / "resp.toml", f'listen = "127.0.0.1:{taken.getsockname()[1]}"'
             good = Program(folder, "127.0.0.1:1", "127.0.0.1:2", []).config
-            cases = [("", "listen"), ('listen = "x"', "listen"), (busy, "listen (RESP)"),
-                     ("listen", "resp.toml"), (busy + "\ncounter = 1", "counter"), (busy + "\nport = 1", "port"),
-                     (busy + "\nconnections = 0", "connections")]
+            cases = [
+                ("", "listen"),
+                ('listen = "x"', "listen"),
+                (busy, "listen (RESP)"),
+                ("listen", "resp.toml"),
+                (busy + "\ncounter = 1", "counter"),
+                (busy + "\nport = 1", "port"),
+                (busy + "\nconnections = 0", "connections"),
+            ]
             for text, field in cases:
                 path.write_text(text)
                 assert_refused(self, json.dumps(good), field, "--resp", str(path))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,19 +23,33 @@
         """Guards against bad requests that take quota, teach the module or reach a server."""
         get, post = self.request(), self.request("reject", 1500)
         wrong = [
-            (get.replace(b"GET", b"POST"), 405), (post.replace(b"POST", b"GET"), 405),
+            (get.replace(b"GET", b"POST"), 405),
+            (post.replace(b"POST", b"GET"), 405),
             (get[:-2] + b"Content-Length: 1\r\n\r\nx", 400),
             (self.request("reject", 1500, Idempotency_Key=""), 400),
-            (self.request(Req_Id="me"), 400), (self.request(Req_Id=""), 400),
+            (self.request(Req_Id="me"), 400),
+            (self.request(Req_Id=""), 400),
             (get[:-2] + b"Req-Id: 9b1f03aa5c7e2d41\r\n\r\n", 400),
             (get[:-2] + b"X-Metering: units=1,spread=2,first=0\r\n\r\n", 400),
             (get[:-2] + b"Expect: the-moon\r\n\r\n", 417),
-            (self.request(Req_Deadline_Ms="0"), 400), (self.request(Req_Deadline_Ms="999999999"), 400),
-            (self.request(Req_Deadline_Ms="-5"), 400), (self.request(customer="f" * 16), 404),
-            *((self.request(X_Metering=m), 400) for m in (
-                "units=2,spread=2,first=0", "units=0", "units=nan", "units=-1", "units=1_0",
-                "units=1,units=1",
-                "units=1,spread=3,first=0", "units=1,spread=0,first=0", "units=1,spread=2,first=2")),
+            (self.request(Req_Deadline_Ms="0"), 400),
+            (self.request(Req_Deadline_Ms="999999999"), 400),
+            (self.request(Req_Deadline_Ms="-5"), 400),
+            (self.request(customer="f" * 16), 404),
+            *(
+                (self.request(X_Metering=m), 400)
+                for m in (
+                    "units=2,spread=2,first=0",
+                    "units=0",
+                    "units=nan",
+                    "units=-1",
+                    "units=1_0",
+                    "units=1,units=1",
+                    "units=1,spread=3,first=0",
+                    "units=1,spread=0,first=0",
+                    "units=1,spread=2,first=2",
+                )
+            ),
             (get[:-2] + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 400),
             (get[:-2] + b"Content-Length: 0\r\nContent-Length: 0\r\n\r\n", 400),
             (post.replace(b"Content-Length: 4", b"Content-Length: -4"), 400),
@@ -50,8 +64,10 @@
         """Guards against a body that stands for the next answer, and against a class asked by another method."""
         reader, writer = await self.program.connect()
         self.addCleanup(writer.close)
-        for data, status, length in ((b"HEAD /_health HTTP/1.1\r\n\r\n", "200", 2),
-                                     (self.request().replace(b"GET", b"HEAD"), "405", 28)):
+        for data, status, length in (
+            (b"HEAD /_health HTTP/1.1\r\n\r\n", "200", 2),
+            (self.request().replace(b"GET", b"HEAD"), "405", 28),
+        ):
             writer.write(data)
             first, headers = await soon(read_head(reader))
             self.assertEqual((first.split()[1], int(headers["content-length"])), (status, length))
@@ -95,9 +111,14 @@
         limits[1][1].write(b"*6\r\n$4\r\nTAKE\r\n")
         endless[1].write(b"GET / HTTP/1.1\r\nX: " + b"x" * 20_000)
         for (reader, _), said in (
-                (silent, b""), (half, b"HTTP/1.1 408"), (used, b"HTTP/1.1 408"), (endless, b"HTTP/1.1 431"),
-                (limits[0], b""), (limits[1], b"-ERR")):
-            self.assertEqual((await soon(reader.read()))[:max(1, len(said))], said)
+            (silent, b""),
+            (half, b"HTTP/1.1 408"),
+            (used, b"HTTP/1.1 408"),
+            (endless, b"HTTP/1.1 431"),
+            (limits[0], b""),
+            (limits[1], b"-ERR"),
+        ):
+            self.assertEqual((await soon(reader.read()))[: max(1, len(said))], said)
         for _, writer in (used, silent, half, endless, *limits):
             writer.close()
 
@@ -197,9 +218,13 @@
 
     async def test_a_spoilt_answer_is_repeated_as_its_class_allows_and_sets_nobody_aside(self) -> None:
         """Guards against spoilt answers passed on, waited for, or told as resets."""
-        spoilt = [b"\x00\x01\x02\r\n\r\n", b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20_000,
-                  http(200, b"x" * 9)[:-4], b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nx",
-                  b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 70_000]
+        spoilt = [
+            b"\x00\x01\x02\r\n\r\n",
+            b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20_000,
+            http(200, b"x" * 9)[:-4],
+            b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nx",
+            b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 70_000,
+        ]
         for data in spoilt:
             answers = iter((data, http(200, b"again")))
             self.nodes[0].taken, self.nodes[0].reply = 0, lambda n, a=answers: next(a)  # type: ignore[misc]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -73,8 +73,9 @@
 
     async def test_it_comes_off_the_clients_patience(self) -> None:
         """Guards against an answer that is late by what the request waited to be read."""
-        settings = api.Settings(1, (api.RequestClass("inspect", 1000.0, 2000.0, effect=api.SAFE),),
-                                (api.Plan("p"),), has_counter=False)
+        settings = api.Settings(
+            1, (api.RequestClass("inspect", 1000.0, 2000.0, effect=api.SAFE),), (api.Plan("p"),), has_counter=False
+        )
         begun: asyncio.Queue[float] = asyncio.Queue()
 
         class Noted:
@@ -90,8 +91,10 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         client = socket.create_connection(listener.getsockname())
-        client.sendall(f"GET /inspect/{CUSTOMER} HTTP/1.1\r\nReq-Id: 9b1f03aa5c7e2d41\r\nX-Contract: p\r\n"
-                       "Req-Deadline-Ms: 2000\r\n\r\n".encode())
+        client.sendall(
+            f"GET /inspect/{CUSTOMER} HTTP/1.1\r\nReq-Id: 9b1f03aa5c7e2d41\r\nX-Contract: p\r\n"
+            "Req-Deadline-Ms: 2000\r\n\r\n".encode()
+        )
         ingress.open(listener)
         time.sleep(0.05)  # a processor that stands still, not a wait for anything
         self.assertGreaterEqual(await soon(begun.get()), 50.0)
--- a/tests/tls/test_certificates.py
+++ b/tests/tls/test_certificates.py
@@ -37,8 +37,14 @@
     def test_names(self) -> None:
         """Guards against one host name shown another's certificate."""
         found = Certificates(self.folder)
-        for name, pair in [("acme.example.org", "acme"), ("ACME.example.org", "acme"), ("bolt.example.org", "wild"),
-                           ("a.b.example.org", "default"), ("y.org", "default"), (None, "default")]:
+        for name, pair in [
+            ("acme.example.org", "acme"),
+            ("ACME.example.org", "acme"),
+            ("bolt.example.org", "wild"),
+            ("a.b.example.org", "default"),
+            ("y.org", "default"),
+            (None, "default"),
+        ]:
             self.assertEqual(self.serial(found, name), pair, name)
 
     def test_what_cannot_serve_is_named_and_what_served_goes_on(self) -> None:
@@ -63,8 +69,13 @@
                 certificate.write_bytes(leaf.cert_chain_pems[0].bytes())
                 key.write_bytes(leaf.private_key_pem.bytes())
 
-        for what, says in [("key of another", "not the key of"), ("expired", "expired"), ("garbage", "no certificate"),
-                           ("no key", "no private key"), ("no names", "no host name")]:
+        for what, says in [
+            ("key of another", "not the key of"),
+            ("expired", "expired"),
+            ("garbage", "no certificate"),
+            ("no key", "no private key"),
+            ("no names", "no host name"),
+        ]:
             with self.subTest(what=what):
                 spoil(what)
                 faults = found.reload()
