--- /dev/null
+++ b/tests/system/compatibility/test_earlier_release.py
@@ -0,0 +1,78 @@
+"""Frames and a data folder written by commit 13b2e67, before names changed: read as they were meant, written alike.
+
+`frames.bin` holds one envelope for each kind of body, every field filled, and one that is long enough to be cut in
+pieces. `data_folder` is what a replica of cluster `cluster-a` at 10.0.0.1:7000 kept. What is written byte for byte as
+that commit wrote it can be read by that commit.
+"""
+
+from __future__ import annotations
+
+import shutil
+import zlib
+from pathlib import Path
+
+from hallhitch.messages.frames import FrameQueue, FrameReader, Outgoing
+from hallhitch.messages.system_pb2 import Envelope
+from hallhitch.planes.control.files import Folder, Store
+from hallhitch.planes.control.register import Ballot
+
+HERE = Path(__file__).parent
+ADDRESS, CLUSTER = "10.0.0.1:7000", "cluster-a"
+BODY_NUMBERS = (10, 11, 12, 13, 14, 15, 20, 21, 30, 31, 32, 33)
+
+
+def _earlier_frames() -> bytes:
+    return (HERE / "frames.bin").read_bytes()
+
+
+def test_every_field_of_earlier_frames_is_known() -> None:
+    envelopes = [Envelope.FromString(received.data) for received in FrameReader().feed(_earlier_frames())]
+    numbers = {field.name: field.number for field in Envelope.DESCRIPTOR.oneofs_by_name["body"].fields}
+    bodies = sorted(numbers[str(envelope.WhichOneof("body"))] for envelope in envelopes)
+    assert bodies == sorted([*BODY_NUMBERS, 12])
+    for envelope, received in zip(envelopes, FrameReader().feed(_earlier_frames()), strict=True):
+        envelope.DiscardUnknownFields()  # type: ignore[attr-defined, unused-ignore]
+        assert envelope.SerializeToString(deterministic=True) == received.data
+
+
+def test_frames_are_written_as_before() -> None:
+    queue = FrameQueue()
+    for received in FrameReader().feed(_earlier_frames()):
+        envelope = Envelope.FromString(received.data)
+        queue.put(Outgoing(envelope.SerializeToString(deterministic=True)))
+    written = b""
+    while (frame := queue.next()) is not None:
+        written += frame.data
+    assert written == _earlier_frames()
+
+
+def test_an_earlier_data_folder_is_read(tmp_path: Path) -> None:
+    folder = shutil.copytree(HERE / "data_folder", tmp_path / "data")
+    found = Store(Folder(folder), ADDRESS, CLUSTER).load()
+    assert not found.empty and not found.notes and found.replica is not None
+    replica = found.replica
+    assert replica.promised == Ballot(5, "10.0.0.2:7000 77")
+    assert replica.accepted == Ballot(4, "10.0.0.1:7000 12")
+    assert replica.incarnations == {"10.0.0.3:7000": 2}
+    state = replica.value
+    assert (state.serial, state.version, zlib.decompress(state.content)) == (7, 41, b'{"services":{}}')
+    assert dict(state.zones) == {"hall-1": 5} and dict(state.notes) == {"gateways": "12"}
+    assert list(state.members) == ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"] and state.members_version == 3
+    assert list(state.previous) == ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.4:7000"]
+    assert list(state.lease_previous) == ["10.0.0.4:7000"]
+    assert [(one.version, one.digest) for one in state.accepted] == [(40, b"\x01" * 16), (41, b"\x02" * 16)]
+
+
+def test_a_data_folder_is_written_as_before(tmp_path: Path) -> None:
+    folder = shutil.copytree(HERE / "data_folder", tmp_path / "earlier")
+    found = Store(Folder(folder), ADDRESS, CLUSTER).load()
+    assert found.replica is not None
+    store = Store(Folder(tmp_path / "now"), ADDRESS, CLUSTER)
+    store.load()
+    store.save(found.replica)
+    store.tidy()
+    assert _files(tmp_path / "now") == _files(HERE / "data_folder")
+
+
+def _files(folder: Path) -> dict[str, bytes]:
+    return {file.name: file.read_bytes() for file in folder.iterdir()}
