--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -22,22 +22,29 @@
 from typing import Any
 
 from benchmarks.resident import resident
-from hallhitch.messages.system_pb2 import Backends, ClusterState, Envelope, Gateways, Holders, Pull
-from hallhitch.node.errors import Silent
-from hallhitch.node.settings import Node, read
-from hallhitch.planes.control import changes, check
+from hallhitch.messages.system_pb2 import (
+    BackendUpdate,
+    ClusterState,
+    Envelope,
+    GatewayUpdate,
+    LeaseHolderUpdate,
+    StateRequest,
+)
+from hallhitch.node.errors import RequestTimeout
+from hallhitch.node.settings import NodeSettings, read_settings
+from hallhitch.planes.control import config_validation, state_transitions
 from hallhitch.planes.control.plane import ControlPlane
-from hallhitch.planes.data.choice import Choice, Settings
-from hallhitch.planes.data.ports import Ask, Outcome, Send
+from hallhitch.planes.data.interfaces import Forward, Outcome, RequestInfo
+from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
 from hallhitch.planes.discovery.directory import nearest
-from hallhitch.planes.discovery.listing import Listed, read_page
-from hallhitch.planes.discovery.registry import united
+from hallhitch.planes.discovery.endpoint_list import Listed, read_page
+from hallhitch.planes.discovery.gateway_registry import united
 from hallhitch.planes.distribution.config_compiler import compile_config
-from hallhitch.planes.distribution.feed import Feed
-from hallhitch.planes.distribution.hub import StateHub, entry_of, sent_of
-from hallhitch.planes.quota import wire
+from hallhitch.planes.distribution.state_hub import StateHub, entry_of, sent_of
+from hallhitch.planes.distribution.versioned_map import VersionedMap
+from hallhitch.planes.quota import lease_messages
 from hallhitch.planes.quota.holder import LeaseHolder
-from hallhitch.planes.quota.lease import Account, LeaseClaim
+from hallhitch.planes.quota.lease import LeaseClaim, UsageReport
 from hallhitch.planes.quota.lease_client import ranks
 from hallhitch.planes.quota.limits import Quota
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway, Route, Service
@@ -200,15 +207,15 @@
 def news_of_backends(count: int) -> Row:
     """What a list of so many costs on the wire and at each process that follows it."""
     entries = [backend(n) for n in range(count)]
-    size = len(Backends(entries=[sent_of(e, 0.0) for e in entries]).SerializeToString()) / count
+    size = len(BackendUpdate(entries=[sent_of(e, 0.0) for e in entries]).SerializeToString()) / count
 
     def taken() -> StateHub:
         hub = StateHub(1)
         hub.take_list(1.0, [backend(n) for n in range(count)])
         return hub
 
-    held, hub, pull = traced(taken) / count, taken(), Pull()
-    pull.have["backends"].epoch, pull.have["backends"].number = 1, hub.backends.number
+    held, hub, pull = traced(taken) / count, taken(), StateRequest()
+    pull.known_versions["backends"].epoch, pull.known_versions["backends"].number = 1, hub.backends.number
     moment = [1.0]
 
     def again() -> None:
@@ -216,7 +223,7 @@
         hub.take_list(moment[0], entries)
 
     unchanged = spent(again)
-    whole = spent(lambda: hub.news(Pull()))
+    whole = spent(lambda: hub.news(StateRequest()))
     hub.take_list(moment[0] + 1, [replace(entries[0], draining=True), *entries[1:]])
     changed = hub.news(pull)
     assert changed is not None and len(changed.backends.entries) == 1
@@ -241,7 +248,7 @@
     return (
         count,
         size,
-        len(Envelope(news=changed).SerializeToString()),
+        len(Envelope(state_update=changed).SerializeToString()),
         held,
         unchanged / 1000,
         whole / 1000,
@@ -254,8 +261,8 @@
     """What so many gateways cost on the wire, at a coordinator for each pull, and at a gateway for each change."""
     entries = [gateway(n) for n in range(count)]
     known = {g.address: g for g in entries}
-    size = len(Gateways(entries=[entry_of(g) for g in entries]).SerializeToString()) / count
-    hub: Feed[Gateway] = Feed(1)
+    size = len(GatewayUpdate(entries=[entry_of(g) for g in entries]).SerializeToString()) / count
+    hub: VersionedMap[Gateway] = VersionedMap(1)
     hub.replace(known)
     parts = [{g.address: g for g in entries[n::3]} for n in range(3)]
     return (
@@ -270,7 +277,7 @@
 def map_of_holders(buckets: int) -> Row:
     """Bytes of the map of holders, which goes whole with each change."""
     holders = {bucket: gateway(bucket).address for bucket in range(buckets)}
-    return buckets, len(Holders(holders=holders).SerializeToString())
+    return buckets, len(LeaseHolderUpdate(holders=holders).SerializeToString())
 
 
 def choosing(backends: int, gateways: int) -> Row:
@@ -284,8 +291,8 @@
     here = [replace(gateway(n * 28), zone=f"namaka-{n % 2 * 28}", region="region-0") for n in range(1, gateways)]
     entries = [Backend(f"i-{n}", "s", "10.0.0.1", n, f"namaka-{n % 2 * 28}", "region-0", 3) for n in range(backends)]
 
-    def built() -> Choice:
-        choice = Choice(Settings(own.name, own.zone, own.region, zones), random.Random(1))
+    def built() -> LoadBalancer:
+        choice = LoadBalancer(LoadBalancerSettings(own.name, own.zone, own.region, zones), random.Random(1))
         choice.config(0.0, word)
         choice.gateways(0.0, own.name, [own, *here])
         choice.backends(0.0, entries)
@@ -298,9 +305,9 @@
 
     def one() -> None:
         clock[0] += 1.0
-        run = choice.begin(clock[0], Ask(route, "s", frozenset(), 0, clock[0], clock[0] + 3000.0))
+        run = choice.begin(clock[0], RequestInfo(route, "s", frozenset(), 0, clock[0], clock[0] + 3000.0))
         step = choice.next(clock[0], run)
-        if isinstance(step, Send):
+        if isinstance(step, Forward):
             choice.ended(clock[0], run, step.backend, Outcome.OK, 5.0)
         choice.finish(clock[0], run)
 
@@ -337,24 +344,24 @@
     accounts = {bucket: told for bucket in range(128) if (told := holder.account(bucket, moment[0])) is not None}
     gathered = time.thread_time() - began
     asked = LeaseClaim("10.0.0.1:7560", 1, 1, 1, renew=range(128), accounts=accounts)
-    size = len(wire.claim(asked, 1).SerializeToString())
+    size = len(lease_messages.claim(asked, 1).SerializeToString())
     return tenants, each, held, size / tenants, gathered / tenants * 1e6
 
 
 def accounted(tenants: int) -> Row:
     """The same at a coordinator: reading a claim with accounts of so many tenants."""
     sums = {f"tenant{n}": (1, 0, 0, 0, 0, 0, 0, 0) for n in range(tenants)}
-    data = wire.claim(LeaseClaim("10.0.0.1:7560", 1, 1, 1, renew=(1,), accounts={1: Account(sums)}), 1)
-    return tenants, spent(lambda: wire.asked(data)) / tenants
+    data = lease_messages.claim(LeaseClaim("10.0.0.1:7560", 1, 1, 1, renew=(1,), accounts={1: UsageReport(sums)}), 1)
+    return tenants, spent(lambda: lease_messages.asked(data)) / tenants
 
 
 def checking(routes: int, tenants: int) -> Row:
     """Reading and checking an operator's configuration, and packing it."""
     body = config(1, routes, tenants)
     try:
-        check.read(body)
-        took: object = spent(lambda: check.read(body), least=0.05) / 1000
-    except check.TooLarge:
+        config_validation.read(body)
+        took: object = spent(lambda: config_validation.read(body), least=0.05) / 1000
+    except config_validation.TooLarge:
         took = "413: too large"
     return routes, tenants, len(body) / 1e6, took, spent(lambda: zlib.compress(body, 6), least=0.0) / 1000
 
@@ -369,23 +376,25 @@
         plane = self.planes.get(address)
         answer = plane.handle(envelope) if plane is not None else None
         if answer is None:
-            raise Silent("call", address, "nobody is there")
+            raise RequestTimeout("call", address, "nobody is there")
         return await answer if isinstance(answer, Awaitable) else answer
 
 
-def register_change(routes: int, node: Node) -> Row:
+def register_change(routes: int, node: NodeSettings) -> Row:
     """A change of the word over three replicas with files in a temporary folder: wall and processor time of all."""
     return asyncio.run(_register_change(routes, node))
 
 
-async def _register_change(routes: int, node: Node) -> Row:
+async def _register_change(routes: int, node: NodeSettings) -> Row:
     wall, busy = list[float](), list[float]()
     with tempfile.TemporaryDirectory() as folder:
         links, first = _Direct(), None
-        for address, _ in node.seeds:
+        for address, _ in node.seed_nodes:
             data = Path(folder) / address
             data.mkdir()
-            plane = ControlPlane(replace(node, ip=address, data=data, first_start=True), links, _ignored)
+            plane = ControlPlane(
+                replace(node, ip_address=address, data_directory=data, is_first_start=True), links, _ignored
+            )
             links.planes[plane.address] = plane
             first = first or plane
         await asyncio.gather(*(plane.start() for plane in links.planes.values()))
@@ -393,7 +402,7 @@
         for version in range(1, 6):
             content = zlib.compress(config(version, routes, 10), 6)
             began, used = time.monotonic(), time.process_time()
-            await first.change(changes.put(version, content), 10_000.0)
+            await first.change(state_transitions.put(version, content), 10_000.0)
             wall.append((time.monotonic() - began) * 1000)
             busy.append((time.process_time() - used) * 1000)
         written = sum(file.stat().st_size for file in Path(folder).rglob("*") if file.is_file())
@@ -408,7 +417,7 @@
 
 def slopes(settings: Path) -> None:
     """All tables; `settings` is a coordinator's settings file with three seeds."""
-    node = read(str(settings))
+    node = read_settings(str(settings))
     table(
         "The word: routes and tenants (command: word_size)",
         ["routes", "tenants", "JSON MB", "zlib MB", "read ms", "held MB", "process at most MB"],
--- a/benchmarks/control_repair.py
+++ b/benchmarks/control_repair.py
@@ -12,9 +12,9 @@
 from functools import partial
 
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
-from hallhitch.node.errors import StepError
-from hallhitch.node.settings import Node
-from hallhitch.planes.control import changes
+from hallhitch.node.errors import PeerCallError
+from hallhitch.node.settings import NodeSettings
+from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.register import Membership
 
 CATCH_UP = 4000.0  # ms, as the small sites have it
@@ -49,8 +49,8 @@
                 if machine.plane is None:
                     continue
                 try:
-                    await machine.plane.change(changes.note("probe", f"{number}"), PATIENCE)
-                except StepError:
+                    await machine.plane.change(state_transitions.note("probe", f"{number}"), PATIENCE)
+                except PeerCallError:
                     continue
                 at = self._fleet.clock()
                 self.longest, self.taken = max(self.longest, at - self.taken), at
@@ -62,7 +62,7 @@
     """How long until all members hold what was agreed at this moment (ms)."""
     began = fleet.clock()
     planes = [machine.plane for machine in fleet.machines.values() if machine.plane is not None]
-    serial = max(plane.value.serial for plane in planes)
+    serial = max(plane.committed_state.serial for plane in planes)
     await asyncio.sleep(0.001)
     while not _on_all(fleet, serial):
         await asyncio.sleep(0.01)
@@ -72,10 +72,10 @@
 
 def _on_all(fleet: Fleet, serial: int) -> bool:
     planes = [machine.plane for machine in fleet.machines.values() if machine.plane is not None]
-    newest = max((plane.value for plane in planes), key=lambda value: value.serial)
-    for address in Membership.of(newest).everybody:
+    newest = max((plane.committed_state for plane in planes), key=lambda value: value.serial)
+    for address in Membership.of(newest).all_members:
         plane = fleet.machines[address].plane
-        if plane is None or plane._acceptor.state.recovering or plane._acceptor.state.value.serial < serial:
+        if plane is None or plane._acceptor.state.is_recovering or plane._acceptor.state.state.serial < serial:
             return False
     return True
 
@@ -123,7 +123,7 @@
     await asyncio.sleep(5)
     plane = machines[0].plane
     assert plane is not None
-    await plane.change(changes.note("probe", ""), PATIENCE)
+    await plane.change(state_transitions.note("probe", ""), PATIENCE)
     await asyncio.sleep(2)
     probe = Probe(fleet)
     probing = asyncio.ensure_future(probe.run())
@@ -141,8 +141,8 @@
     probing.cancel()
 
 
-def _quick(node: Node) -> Node:
-    return replace(node, bounds=replace(node.bounds, catch_up=CATCH_UP))
+def _quick(node: NodeSettings) -> NodeSettings:
+    return replace(node, bounds=replace(node.bounds, catch_up_ms=CATCH_UP))
 
 
 def _note(figures: Figures, at: int, gap: float, repair: float) -> None:
--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -15,7 +15,7 @@
 
 from benchmarks.order_latency import Operator, Sample
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
-from hallhitch.planes.control.files import Folder
+from hallhitch.planes.control.state_store import DirectoryStorage
 
 
 class Counted(Fleet):
@@ -33,10 +33,10 @@
     """One line of the table."""
     assert machine.plane is not None
     files = [file.stat().st_size for file in folder.iterdir()]
-    state = machine.plane.value
+    state = machine.plane.committed_state
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0]
-    light = state.ByteSize() - len(state.content)
+    light = state.ByteSize() - len(state.config)
     return (
         f"| {routes} | {changes} | {len(files)} | {sum(files):,} | {state.ByteSize():,} | {light:,} | "
         f"{sent:,.0f} | {memory:,} |"
@@ -50,7 +50,7 @@
         assert isinstance(fleet, Counted)
         with tempfile.TemporaryDirectory() as top:
             for number, machine in enumerate(fleet.machines.values()):
-                machine.disk = Folder(Path(top) / str(number))  # type: ignore[assignment]
+                machine.disk = DirectoryStorage(Path(top) / str(number))  # type: ignore[assignment]
             machines = await fleet.found()
             operator = Operator(fleet, machines, routes, Sample())
             for number in range(1, changes + 1):
--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -33,11 +33,11 @@
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node import logs
 from hallhitch.node.clock import now
-from hallhitch.node.settings import Node, read
+from hallhitch.node.settings import NodeSettings, read_settings
 from hallhitch.node.web import Reply, Web
 from hallhitch.planes.distribution.config_compiler import EMPTY, compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
-from hallhitch.planes.distribution.hub import StateHub
+from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.quota import lease_client
 from hallhitch.planes.quota.limits import BUCKETS
 from hallhitch.planes.quota.plane import QuotaPlane
@@ -123,37 +123,43 @@
 class Hollow:
     """A gateway without its data plane."""
 
-    def __init__(self, number: int, node: Node) -> None:
-        zone, step = f"zone-{number % 6}", int(node.ip.split(".")[2])
+    def __init__(self, number: int, node: NodeSettings) -> None:
+        zone, step = f"zone-{number % 6}", int(node.ip_address.split(".")[2])
         self.node = replace(
             node,
             name=f"edge-{number}",
             role="gateway",
             machine_class="edge",
-            data=None,
-            cloud=None,
+            data_directory=None,
+            cloud_api_address=None,
             zone=zone,
             region=ZONES[zone],
-            ip=f"127.{10 * step + number // 250}.{number % 250 + 1}.1",
-            listen={},
+            ip_address=f"127.{10 * step + number // 250}.{number % 250 + 1}.1",
+            listen_addresses={},
         )
         self.incarnation = random.getrandbits(60) + 1
-        self.links = Links(node.cluster, self._handle)
+        self.links = Links(node.cluster_name, self._handle)
         self.hub = StateHub(self.incarnation)
-        self.follower = GatewaySync(self.links, self.hub, self._own, node.peers)
+        self.follower = GatewaySync(self.links, self.hub, self._own, node.seed_addresses)
         self.quota = QuotaPlane(self.node, self.links)
         self.config, self._gateways = EMPTY, (0, 0)
 
     def _own(self) -> Gateway:
         n = self.node
-        return Gateway(n.name, n.internal, self.incarnation, "edge", n.zone, n.region, f"{n.ip}:{PORT + 8}", True)
+        return Gateway(
+            n.name, n.internal_address, self.incarnation, "edge", n.zone, n.region, f"{n.ip_address}:{PORT + 8}", True
+        )
 
     def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
-        return self.hub.answer(envelope.pull) if envelope.HasField("pull") else self.quota.handle(envelope)
+        return (
+            self.hub.answer(envelope.state_request)
+            if envelope.HasField("state_request")
+            else self.quota.handle(envelope)
+        )
 
     async def start(self) -> None:
         """As the gateway's program does."""
-        await self.links.serve(self.node.internal)
+        await self.links.serve(self.node.internal_address)
         self.hub.on_change.append(self._learn)
         await self.quota.start()
         self.follower.start()
@@ -162,7 +168,7 @@
         hub = self.hub
         if hub.config.serial > self.config.serial:
             w = hub.config
-            self.config = compile_config(w.serial, w.version, w.content, w.evacuated, w.fleet)
+            self.config = compile_config(w.serial, w.config_version, w.config, w.evacuated_zones, w.max_gateways)
             self.quota.set_config(self.config)
         if (version := (hub.gateways.epoch, hub.gateways.number)) != self._gateways:
             self._gateways = version
@@ -232,7 +238,7 @@
     # All gateways here reckon the same order: once in this process, its time is in the table of gateways.
     kept = functools.lru_cache(maxsize=4)(lease_client.ranks)
     lease_client.ranks = lambda gateways: kept(frozenset(gateways))
-    node, reader = read(file), asyncio.StreamReader()
+    node, reader = read_settings(file), asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     hollows, bare = [Hollow(n, node) for n in range(first, first + count)], resident()
     for hollow in hollows:
@@ -245,7 +251,7 @@
             "known": min(len(h.hub.gateways) for h in hollows),
             "held": sum(len(h.quota.held()) for h in hollows),
             "version": min(h.config.version for h in hollows),
-            "evacuated": all("zone-1" in h.config.evacuated for h in hollows),
+            "evacuated": all("zone-1" in h.config.evacuated_zones for h in hollows),
             "drained": all((e := h.hub.backends.get(drains)) is not None and e.draining for h in hollows),
             "own": time.process_time(),
             "sent": sum(one.sent for one in traffic),
--- a/hallhitch/lab/simulation/coordinators.py
+++ b/hallhitch/lab/simulation/coordinators.py
@@ -10,13 +10,13 @@
 
 from hallhitch.lab.simulation.virtual_time import VirtualLoop, close
 from hallhitch.messages.system_pb2 import ClusterState, Envelope
-from hallhitch.node.errors import Silent
-from hallhitch.node.settings import Bounds, Node
-from hallhitch.planes.control.operator import Operator
+from hallhitch.node.errors import RequestTimeout
+from hallhitch.node.settings import NodeSettings, RuleBounds
+from hallhitch.planes.control.operator_api import Operator
 from hallhitch.planes.control.plane import ControlPlane
 
 T = TypeVar("T")
-GRACE = Bounds().grace
+GRACE = RuleBounds().grace_period_ms
 LEASE = 1050.0  # ms for which votes on leases by former members count
 ZONES = {"viti-a": "viti", "viti-b": "viti"}
 
@@ -162,7 +162,7 @@
                 await fleet.way(own, address, len(written))
                 other = fleet.machines.get(address)
                 if other is None or other.plane is None:
-                    raise Silent("connect", address, "nobody there")
+                    raise RequestTimeout("connect", address, "nobody there")
                 answer = other.plane.handle(sent)
                 if isinstance(answer, Awaitable):
                     answer = await answer
@@ -173,7 +173,7 @@
                     await asyncio.shield(fleet.never)
                 return Envelope.FromString(written)
         except TimeoutError:
-            raise Silent("call", address, "silence") from None
+            raise RequestTimeout("call", address, "silence") from None
 
 
 machine_incarnation: dict[Machine, object] = {}
@@ -228,34 +228,36 @@
             await machine.start(first=True)
         return list(self.machines.values())
 
-    def node(self, address: str, first: bool, seeds: tuple[str, ...] = ()) -> Node:
+    def node(self, address: str, first: bool, seeds: tuple[str, ...] = ()) -> NodeSettings:
         """The settings of one machine."""
         return settings(address, first, seeds or self.seeds, self.losses)
 
 
-def settings(address: str, first: bool, seeds: tuple[str, ...], losses: int, data: Path = Path("/nowhere")) -> Node:
+def settings(
+    address: str, first: bool, seeds: tuple[str, ...], losses: int, data: Path = Path("/nowhere")
+) -> NodeSettings:
     """The settings of one coordinator."""
     host, port = address.split(":")
-    return Node(
+    return NodeSettings(
         name=host,
         role="coordinator",
         machine_class="core",
         serves=frozenset({"control_plane"}),
-        ip=host,
+        ip_address=host,
         zone="viti-a",
         region="viti",
-        ports=(int(port), int(port) + 15),
-        seeds=tuple((one.split(":")[0], 9000) for one in seeds),
-        first_start=first,
-        zones=ZONES,
-        listen={},
-        bounds=Bounds(),
-        losses=losses,
-        memory=256,
-        files=1024,
-        data=data,
-        cloud=None,
-        cloud_rate=1.0,
-        cloud_lag=1000.0,
-        cluster="",
+        internal_port_range=(int(port), int(port) + 15),
+        seed_nodes=tuple((one.split(":")[0], 9000) for one in seeds),
+        is_first_start=first,
+        region_by_zone=ZONES,
+        listen_addresses={},
+        bounds=RuleBounds(),
+        tolerated_machine_losses=losses,
+        memory_mb=256,
+        max_open_files=1024,
+        data_directory=data,
+        cloud_api_address=None,
+        cloud_api_rate_per_s=1.0,
+        endpoint_list_lag_ms=1000.0,
+        cluster_name="",
     )
--- a/hallhitch/lab/simulation/world.py
+++ b/hallhitch/lab/simulation/world.py
@@ -27,9 +27,9 @@
 from hallhitch.messages.link import Links
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node import clock as node_clock
-from hallhitch.node.settings import Bounds, Node
+from hallhitch.node.settings import NodeSettings, RuleBounds
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
-from hallhitch.planes.distribution.hub import StateHub
+from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import Gateway
 from hallhitch.programs.coordinator import CoordinatorProgram
 from hallhitch.programs.runtime import Runtime
@@ -47,25 +47,27 @@
 class Follower:
     """A gateway without its data plane: what it knows of the configuration, and from whom."""
 
-    def __init__(self, node: Node, runtime: Runtime) -> None:
+    def __init__(self, node: NodeSettings, runtime: Runtime) -> None:
         incarnation = runtime.random.getrandbits(62) + 1
         self._node, self._incarnation = node, incarnation
-        self._links = runtime.connect(node.cluster, node.internal, incarnation, self._handle)
+        self._links = runtime.connect(node.cluster_name, node.internal_address, incarnation, self._handle)
         self.hub = StateHub(incarnation, runtime.clock)
-        self._sync = GatewaySync(self._links, self.hub, self._own, node.peers, runtime.clock, node.bounds)
+        self._sync = GatewaySync(self._links, self.hub, self._own, node.seed_addresses, runtime.clock, node.bounds)
 
     def _own(self) -> Gateway:
         n = self._node
-        return Gateway(n.name, n.internal, self._incarnation, n.machine_class, n.zone, n.region, f"{n.ip}:80", True)
+        return Gateway(
+            n.name, n.internal_address, self._incarnation, n.machine_class, n.zone, n.region, f"{n.ip_address}:80", True
+        )
 
     def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
-        if envelope.HasField("pull"):
-            return self.hub.answer(envelope.pull)
+        if envelope.HasField("state_request"):
+            return self.hub.answer(envelope.state_request)
         return Envelope(error="a gateway does not answer that")
 
     async def start(self) -> None:
         """Follow."""
-        await self._links.serve(self._node.internal)
+        await self._links.serve(self._node.internal_address)
         self._sync.start()
 
 
@@ -119,9 +121,9 @@
             last[0] = config.serial
             if self.core:
                 world.note_seats(self.program)
-            content = json.loads(zlib.decompress(config.content))["mark"] if config.content else ""
-            zones = frozenset(config.evacuated)
-            sights.append(Sight(process, world.network.now, born, config.serial, config.version, content, zones))
+            content = json.loads(zlib.decompress(config.config))["mark"] if config.config else ""
+            zones = frozenset(config.evacuated_zones)
+            sights.append(Sight(process, world.network.now, born, config.serial, config.config_version, content, zones))
 
         hub.on_change.append(look)
         if not self.core:
@@ -149,7 +151,7 @@
         loop, program = self.loop, self.program
         if loop is None or program is None:
             return self.end()
-        grace = self.world.network.now + Bounds().grace / 1000
+        grace = self.world.network.now + RuleBounds().grace_period_ms / 1000
 
         async def leave() -> None:
             await program.leave()
@@ -185,8 +187,10 @@
     def __init__(self, schedule: Schedule) -> None:
         self.schedule = schedule
         self.network = Network(schedule.seed, schedule.delay)
-        bounds = Bounds()
-        self.history = History(bounds.config / 1000, bounds.ack / 1000, bounds.contact / 1000)
+        bounds = RuleBounds()
+        self.history = History(
+            bounds.config_apply_ms / 1000, bounds.ack_timeout_ms / 1000, bounds.contact_window_ms / 1000
+        )
         self.failures: list[str] = []
         self.seeds = tuple(f"10.0.0.{number}" for number in range(1, schedule.founders + 1))[:3]
         self.slots = [Machine(self, f"10.0.0.{n}", True) for n in range(1, schedule.founders + 1)]
@@ -200,15 +204,17 @@
 
     # --- What processes and operators are told.
 
-    def node(self, host: str, core: bool, first: bool) -> Node:
+    def node(self, host: str, core: bool, first: bool) -> NodeSettings:
         """The settings of a machine."""
         hosts = self.seeds if first else self.listed()[: len(self.seeds)]  # the file was written from a list that lags
         seeds = tuple(f"{one}:{INTERNAL_PORT}" for one in hosts)
         plain = settings(f"{host}:{INTERNAL_PORT}", first, seeds, self.schedule.losses)
-        plain = replace(plain, bounds=replace(plain.bounds, catch_up=self.schedule.catch_up * 1000))
+        plain = replace(plain, bounds=replace(plain.bounds, catch_up_ms=self.schedule.catch_up * 1000))
         if core:
-            return replace(plain, cluster=CLUSTER, listen={"controlPlane": (host, OPERATORS_PORT)})
-        return replace(plain, cluster=CLUSTER, role="gateway", machine_class="edge", data=None, serves=frozenset())
+            return replace(plain, cluster_name=CLUSTER, listen_addresses={"controlPlane": (host, OPERATORS_PORT)})
+        return replace(
+            plain, cluster_name=CLUSTER, role="gateway", machine_class="edge", data_directory=None, serves=frozenset()
+        )
 
     def note_list(self) -> None:
         """The core machines have changed."""
@@ -222,13 +228,13 @@
 
     def note_seats(self, program: CoordinatorProgram) -> None:
         """A coordinator knows a newer state: who has become a member with it?"""
-        for address in program._control.value.members:
+        for address in program._control.committed_state.members:
             host = address.partition(":")[0]
             if host in self._seated:
                 continue
             self._seated.add(host)
             newcomer = self.machines[host].program
-            holds = newcomer is not None and not newcomer._control._acceptor.state.recovering
+            holds = newcomer is not None and not newcomer._control._acceptor.state.is_recovering
             self.history.seats.append(Seat(host, self.network.now, holds))
 
     def add(self, host: str) -> Machine:
--- a/hallhitch/lab/system/clients.py
+++ b/hallhitch/lab/system/clients.py
@@ -21,7 +21,7 @@
 from hallhitch.lab.system.records import Records, Try
 from hallhitch.messages.link import split
 from hallhitch.node.clock import now
-from hallhitch.node.settings import span
+from hallhitch.node.settings import parse_duration_ms
 
 FINAL = (400, 401, 404, 413, 431)
 PROMISES = (408, 421, 429, 503)
@@ -159,7 +159,7 @@
             if first.split()[1] != "200":
                 raise ValueError(first)
             told = json.loads(body)
-            return list(told["addresses"])[:ADDRESSES], min(self._place.ttl_most, span(told["ttl"]))
+            return list(told["addresses"])[:ADDRESSES], min(self._place.ttl_most, parse_duration_ms(told["ttl"]))
         finally:
             writer.close()
 
--- a/hallhitch/lab/system_compare.py
+++ b/hallhitch/lab/system_compare.py
@@ -9,15 +9,25 @@
 
 from hallhitch.lab.system_cases import CASES
 from hallhitch.lab.system_model import Machine, World
-from hallhitch.planes.data.choice import Choice, Settings
-from hallhitch.planes.data.ports import Ask, Decisions, Exchange, Fail, Hold, Outcome, Refuse, Send, Step
+from hallhitch.planes.data.interfaces import (
+    Action,
+    Decisions,
+    Enqueue,
+    Exchange,
+    Fail,
+    Forward,
+    Outcome,
+    Reject,
+    RequestInfo,
+)
+from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
 from hallhitch.planes.values import Backend, ClusterConfig
 
 
 class SeesAll:
     """The chooser to compare with: it sees every backend's queue and health, and never tries twice."""
 
-    def __init__(self, world: World, settings: Settings, rng: Random) -> None:
+    def __init__(self, world: World, settings: LoadBalancerSettings, rng: Random) -> None:
         self._world, self._settings, self._rng = world, settings, rng
         self._sent: Counter[str] = Counter()
 
@@ -30,16 +40,16 @@
     def config(self, now: float, config: ClusterConfig) -> None:
         """Not needed."""
 
-    def begin(self, now: float, ask: Ask) -> Exchange:
+    def begin(self, now: float, ask: RequestInfo) -> Exchange:
         """A try was admitted."""
         return _Seen(ask)
 
-    def next(self, now: float, exchange: Exchange) -> Step:
+    def next(self, now: float, exchange: Exchange) -> Action:
         """The one that would begin it first, near ones among equals."""
         assert isinstance(exchange, _Seen)
         ask = exchange.ask
         if exchange.sent:
-            return Hold(ask.ends - now) if now < ask.ends else Fail(504)
+            return Enqueue(ask.ends - now) if now < ask.ends else Fail(504)
 
         def cost(m: Machine) -> float:
             away = m.entry.zone != self._settings.zone
@@ -59,9 +69,9 @@
             and (not ask.homes or m.entry.region in ask.homes)
         ]
         if not fit:
-            return Refuse(300.0)
+            return Reject(300.0)
         exchange.sent = True
-        return Send(min(fit, key=cost).entry, ask.ends - now)
+        return Forward(min(fit, key=cost).entry, ask.ends - now)
 
     def ended(self, now: float, exchange: Exchange, backend: Backend, outcome: Outcome, lag: float) -> None:
         """Not needed."""
@@ -74,13 +84,13 @@
 
 @dataclass
 class _Seen(Exchange):
-    ask: Ask
+    ask: RequestInfo
     sent: bool = False
 
 
-def thin(world: World, settings: Settings, rng: Random) -> Decisions:
+def thin(world: World, settings: LoadBalancerSettings, rng: Random) -> Decisions:
     """The decisions as they run in a gateway."""
-    return Choice(settings, rng)
+    return LoadBalancer(settings, rng)
 
 
 if __name__ == "__main__":
--- a/hallhitch/lab/system_model.py
+++ b/hallhitch/lab/system_model.py
@@ -18,9 +18,9 @@
 import simpy
 
 from hallhitch.lab.system_cases import MIX, Case, Kind
-from hallhitch.planes.data.choice import Settings
-from hallhitch.planes.data.ports import Ask, Decisions, Fail, Hold, Outcome, Refuse, Send, Step
-from hallhitch.planes.values import Backend, ClusterConfig, Gateway, Limits, Service
+from hallhitch.planes.data.interfaces import Action, Decisions, Enqueue, Fail, Forward, Outcome, Reject, RequestInfo
+from hallhitch.planes.data.load_balancer import LoadBalancerSettings
+from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestLimits, Service
 
 Steps = Generator[Any, Any, None]
 
@@ -65,7 +65,7 @@
 class World:
     """All machines of one case and what happens to them."""
 
-    def __init__(self, case: Case, seed: int, make: Callable[[World, Settings, Random], Decisions]) -> None:
+    def __init__(self, case: Case, seed: int, make: Callable[[World, LoadBalancerSettings, Random], Decisions]) -> None:
         self.case, self.rng = case, Random(seed)
         self.env: Any = simpy.Environment()  # its own types do not hold under strict checking
         self.now = lambda: float(self.env.now)
@@ -86,7 +86,9 @@
         ]
         self.minds = {}
         for node in self.nodes:
-            settings = Settings(node.name, node.zone, node.region, self.zones, 0.2, 10_000.0, 58.0, 1.5, 5.0, 800.0)
+            settings = LoadBalancerSettings(
+                node.name, node.zone, node.region, self.zones, 0.2, 10_000.0, 58.0, 1.5, 5.0, 800.0
+            )
             self.minds[node.name] = make(self, settings, Random(self.rng.random()))
             self.env.process(self._tell(node, self.minds[node.name]))
         for each in MIX:
@@ -108,7 +110,7 @@
     def config(self) -> ClusterConfig:
         """The cluster configuration as it stands."""
         services = {n: Service(n, "/", 100, self.case.cold_time, self.case.cold_rate) for n in ("big", "small")}
-        return ClusterConfig(1, 1, {}, services, {}, {}, Limits(), self.evacuated)
+        return ClusterConfig(1, 1, {}, services, {}, {}, RequestLimits(), self.evacuated)
 
     def _tell(self, node: Gateway, mind: Decisions) -> Steps:
         mind.config(self.now(), self.config())
@@ -118,7 +120,7 @@
             for m in self.machines.values():
                 if m.dead and m.cold_until < self.now() - 6000.0:
                     continue
-                entries.append(replace(m.entry, draining=m.draining, cold_until=m.cold_until))
+                entries.append(replace(m.entry, is_draining=m.draining, warming_until_ms=m.cold_until))
             yield self.env.timeout(800.0 * self.rng.random())
             mind.backends(self.now(), entries)
             mind.gateways(self.now(), node.name, self.nodes)
@@ -153,11 +155,11 @@
             took = self.now() - began
             if answer[0] == "ok":
                 told.count["served"] += 1
-                told.count["late"] += took > each.route.target
-                told.count[f"late {each.route.name}"] += took > each.route.target
-                told.earned += each.worth if took <= each.route.target else each.late
+                told.count["late"] += took > each.route.latency_target_ms
+                told.count[f"late {each.route.name}"] += took > each.route.latency_target_ms
+                told.earned += each.worth if took <= each.route.latency_target_ms else each.late
                 return
-            if answer[0] == "lost" and not each.route.repeatable:
+            if answer[0] == "lost" and not each.route.is_idempotent:
                 break
             pause = float(answer[1]) if answer[0] == "refused" else 20.0
             yield self.env.timeout(min(pause, max(0.0, (ends - self.now()) / 3)))
@@ -167,17 +169,24 @@
 
     def _try(self, each: Kind, node: Gateway, ends: float, answer: list[str]) -> Steps:
         mind, ran = self.minds[node.name], [0]
-        ask = Ask(each.route, each.route.split[0][0], each.route.homes, each.route.priority, self.now(), ends)
+        ask = RequestInfo(
+            each.route,
+            each.route.weighted_services[0][0],
+            each.route.allowed_regions,
+            each.route.priority,
+            self.now(),
+            ends,
+        )
         self.firsts[ask.service].append(self.now())
         exchange = mind.begin(self.now(), ask)
         out: dict[str, tuple[Any, float]] = {}
         done: list[tuple[str, Outcome]] = []
         timers: dict[str, float] = {}
         arrived = 0
-        step: Step = mind.next(self.now(), exchange)
+        step: Action = mind.next(self.now(), exchange)
         while True:
             wake = ends
-            if isinstance(step, Send):
+            if isinstance(step, Forward):
                 machine = self.machines[step.backend.instance]
                 name = step.backend.instance
                 if arrived and not machine.dead:
@@ -186,7 +195,7 @@
                 arrived += not machine.dead
                 out[name] = (self.env.process(self._attempt(each, node, machine, ends, done, ran)), self.now())
                 timers[name] = self.now() + step.patience
-            elif isinstance(step, Hold):
+            elif isinstance(step, Enqueue):
                 wake = self.now() + step.wait
             else:
                 break
@@ -212,10 +221,10 @@
             if process.is_alive:
                 process.interrupt("left")
             mind.ended(self.now(), exchange, self.machines[name].entry, Outcome.VOID, self.now() - began)
-        self.told.count["twice"] += ran[0] > 1 and not each.route.repeatable
-        if isinstance(step, Refuse):
-            self.told.count["late refusal"] += self.now() - ask.came > each.route.target / 4
-            self.told.count["broken promise"] += ran[0] > 0 and not each.route.repeatable
+        self.told.count["twice"] += ran[0] > 1 and not each.route.is_idempotent
+        if isinstance(step, Reject):
+            self.told.count["late refusal"] += self.now() - ask.came > each.route.latency_target_ms / 4
+            self.told.count["broken promise"] += ran[0] > 0 and not each.route.is_idempotent
             answer += ["refused", str(step.after)]
         else:
             answer += ["lost" if isinstance(step, Fail) else "ok"]
--- a/hallhitch/messages/addressing.py
+++ b/hallhitch/messages/addressing.py
@@ -48,7 +48,7 @@
 
 def address_answer(answer: Envelope, call: Envelope, own: Identity) -> None:
     """Write into an answer whose it is; a caller that does not know the incarnation is told the address as well."""
-    answer.call, answer.answer = call.call, True
+    answer.call_id, answer.is_reply = call.call_id, True
     answer.recipient_incarnation = call.sender_incarnation
     answer.sender_incarnation = own.incarnation
     if not call.recipient_incarnation:
@@ -57,14 +57,14 @@
 
 def reject_call(call: Envelope, own: Identity) -> Rejection | None:
     """Why a process may not serve this; None: it is for it."""
-    if call.answer:
+    if call.is_reply:
         return Rejection.NOT_A_CALL
     return own.differs(call.recipient, call.recipient_incarnation)
 
 
 def reject_answer(answer: Envelope, own: Identity, peer: Identity) -> Rejection | None:
     """Why a caller may not take this from the one it called; None: it may."""
-    if not answer.answer:
+    if not answer.is_reply:
         return Rejection.NOT_AN_ANSWER
     if peer.differs(answer.sender, answer.sender_incarnation) is not None:
         return Rejection.OTHER_SENDER
--- a/hallhitch/messages/calls.py
+++ b/hallhitch/messages/calls.py
@@ -35,12 +35,14 @@
         Repetition.ONCE,
         "between two tries the acceptor may have lost its memory and vote in two incarnations",
     ),
-    "recover": CallKind("recovered", Repetition.REPEATABLE, "reads, and raises an incarnation to what it names"),
-    "pull": CallKind("news", Repetition.REPEATABLE, "reads, and is a sign of life"),
+    "acceptor_query": CallKind(
+        "acceptor_report", Repetition.REPEATABLE, "reads, and raises an incarnation to what it names"
+    ),
+    "state_request": CallKind("state_update", Repetition.REPEATABLE, "reads, and is a sign of life"),
     "lease_request": CallKind(
         "lease_response", Repetition.ONCE, "a grant counts from when its request was sent: a later one has a new number"
     ),
-    "count": CallKind("counted", Repetition.ONCE, "adds a unit, or gives one back"),
+    "count_request": CallKind("count_response", Repetition.ONCE, "adds a unit, or gives one back"),
 }
 
 
--- a/hallhitch/messages/link.py
+++ b/hallhitch/messages/link.py
@@ -23,7 +23,7 @@
 from hallhitch.messages.frames import Outgoing, Rejection
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.clock import now
-from hallhitch.node.errors import NotSent, Refused, Silent
+from hallhitch.node.errors import RequestNotSent, RequestRejected, RequestTimeout
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 
 # Ms of unanswered calls without a byte after which the next call tries a new connection: a way that is merely slow
@@ -56,11 +56,11 @@
         """Whether the answer is there, perhaps in the moment in which its time ended."""
         return self.answer.done() and not self.answer.cancelled() and self.answer.exception() is None
 
-    def unanswered(self, address: str, reason: str) -> NotSent | Silent:
+    def unanswered(self, address: str, reason: str) -> RequestNotSent | RequestTimeout:
         """What is known of it if no answer comes."""
         if self.outgoing is not None and self.outgoing.handed_over:
-            return Silent("call", address, reason)
-        return NotSent("call", address, reason)
+            return RequestTimeout("call", address, reason)
+        return RequestNotSent("call", address, reason)
 
 
 class _Caller(Connection):
@@ -80,7 +80,7 @@
         if not self.peer.incarnation:
             self.peer = Identity(self.peer.address, envelope.sender_incarnation)
         self._unanswered_since = None
-        call = self._waiting.pop(envelope.call, None)
+        call = self._waiting.pop(envelope.call_id, None)
         if call is None:
             return self.reject(Rejection.NOBODY_WAITS)
         if not call.answer.done():
@@ -89,9 +89,9 @@
     def begin(self, number: int, envelope: Envelope) -> _Call:
         """Write a call; its future has the answer, or what is known once the connection has ended."""
         if not self.usable():
-            raise NotSent("call", self.peer.address, "the connection has ended")
+            raise RequestNotSent("call", self.peer.address, "the connection has ended")
         call = self._waiting[number] = _Call()
-        envelope.call = number
+        envelope.call_id = number
         address_call(envelope, self.shared.own, self.peer)
         call.outgoing = self.send(envelope)
         if self._unanswered_since is None:
@@ -135,7 +135,7 @@
             self._sender = Identity("", envelope.sender_incarnation)
             self._order = self._links.senders.order(envelope.sender_incarnation)
         self._order.touched = self.shared.clock()
-        if not self._order.accept(envelope.call, in_pieces):
+        if not self._order.accept(envelope.call_id, in_pieces):
             return self.reject(Rejection.REPEATED_CALL)
         self._serve(envelope)
 
@@ -243,15 +243,15 @@
                 raise self._too_late(address, call, wait) from None
             answer = call.answer.result()
         except OSError as error:
-            raise NotSent("connect", address, str(error)) from None
+            raise RequestNotSent("connect", address, str(error)) from None
         if answer.error:
-            raise Refused("call", address, answer.error)
+            raise RequestRejected("call", address, answer.error)
         return answer
 
-    def _too_late(self, address: str, call: _Call | None, wait: float) -> NotSent | Silent:
+    def _too_late(self, address: str, call: _Call | None, wait: float) -> RequestNotSent | RequestTimeout:
         """What is known of a call whose time is over; a connection that is deaf ends, one that answers others stays."""
         reason = f"no answer in {wait:.0f} ms"
-        error = call.unanswered(address, reason) if call is not None else NotSent("connect", address, reason)
+        error = call.unanswered(address, reason) if call is not None else RequestNotSent("connect", address, reason)
         caller = self._callers.get(address)
         if caller is not None and caller.is_deaf():
             caller.abort()
--- a/hallhitch/node/errors.py
+++ b/hallhitch/node/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class StepError(Exception):
+class PeerCallError(Exception):
     """Something failed at a step of ours, towards a peer ("" = none)."""
 
     def __init__(self, step: str, peer: str, reason: str) -> None:
@@ -11,13 +11,13 @@
         self.step, self.peer, self.reason = step, peer, reason
 
 
-class NotSent(StepError):
+class RequestNotSent(PeerCallError):
     """Surely nothing of the call was handed to a connection: it was not done, and may be sent again or elsewhere."""
 
 
-class Silent(StepError):
+class RequestTimeout(PeerCallError):
     """No answer came after the call was handed over, even in part: what was asked may have been done."""
 
 
-class Refused(StepError):
+class RequestRejected(PeerCallError):
     """The peer answered that it would not."""
--- a/hallhitch/node/logs.py
+++ b/hallhitch/node/logs.py
@@ -1,14 +1,24 @@
-"""Logs: short sentences on standard error with a fixed prefix for each part; no line a request."""
+"""Logging of the system's programs: one line an event on standard error, `LEVEL component: event field=value ...`.
+
+An event is a fixed phrase that an operator can search for; whatever varies goes into fields. Levels: INFO asks nothing
+of a person, WARNING may need a look if it lasts, ERROR is a fault of the program or of its configuration. No line is
+written for a single request. docs/operate/system.md lists every event.
+"""
 
 from __future__ import annotations
 
 import sys
+import traceback
+from collections.abc import Mapping
+from typing import Final
 
 import picologging
 
+DEFAULT_LOG_INTERVAL_MS: Final = 1000.0  # between two lines of a rate-limited log: readable, and no flood on a disk
+
 
 def configure(level: int = picologging.INFO) -> None:
-    """Set the log up, once, at the start of a program."""
+    """Set up logging; called once, at the start of a program."""
     handler = picologging.StreamHandler(sys.stderr)
     handler.setFormatter(picologging.Formatter("%(levelname)s %(message)s"))
     root = picologging.getLogger()
@@ -16,34 +26,62 @@
     root.setLevel(level)
 
 
+def format_fields(fields: Mapping[str, object]) -> str:
+    """Return ` name=value` for each field; a value with spaces or quotes is quoted.
+
+    >>> format_fields({"members": ("a", "b"), "reason": "no answer"})
+    ' members=a,b reason="no answer"'
+    """
+    return "".join(f" {name}={_format_value(value)}" for name, value in fields.items())
+
+
+def _format_value(value: object) -> str:
+    if isinstance(value, tuple | list | set | frozenset):
+        items = value if isinstance(value, tuple | list) else sorted(value, key=str)
+        return ",".join(str(item) for item in items) or "-"
+    text = str(value)
+    if not text or any(character in text for character in ' "\n'):
+        return '"' + text.replace('"', "'").replace("\n", " ") + '"'
+    return text
+
+
 class ComponentLogger:
-    """The log of one part: each line begins with its name."""
+    """The log of one component, which each of its lines names."""
+
+    def __init__(self, component: str) -> None:
+        self._component = component
+        self._log = picologging.getLogger()
 
-    def __init__(self, name: str) -> None:
-        self._name, self._log = name, picologging.getLogger()
+    def info(self, event: str, **fields: object) -> None:
+        """Log an event that asks nothing of a person."""
+        self._log.info("%s: %s%s", self._component, event, format_fields(fields))
 
-    def info(self, text: str) -> None:
-        """What an operator may want to know."""
-        self._log.info("%s: %s", self._name, text)
+    def warning(self, event: str, **fields: object) -> None:
+        """Log an event that may need a look if it lasts."""
+        self._log.warning("%s: %s%s", self._component, event, format_fields(fields))
 
-    def warning(self, text: str) -> None:
-        """What an operator may have to look at."""
-        self._log.warning("%s: %s", self._name, text)
+    def error(self, event: str, **fields: object) -> None:
+        """Log a fault that somebody has to mend."""
+        self._log.error("%s: %s%s", self._component, event, format_fields(fields))
 
-    def error(self, text: str) -> None:
-        """What somebody has to mend."""
-        self._log.error("%s: %s", self._name, text)
+    def exception(self, event: str, error: BaseException, **fields: object) -> None:
+        """Log an unexpected exception with its traceback, at level ERROR."""
+        trace = "".join(traceback.format_exception(error)).rstrip()
+        self._log.error("%s: %s%s\n%s", self._component, event, format_fields(fields), trace)
 
 
 class RateLimitedLog:
-    """Counts what may come in floods and lets one line a second through."""
+    """Counts events that may come in floods, and logs at most one line an interval."""
 
-    def __init__(self, part: ComponentLogger, gap: float = 1000.0) -> None:
-        self._part, self._gap, self._last, self.count = part, gap, float("-inf"), 0
+    def __init__(self, logger: ComponentLogger, interval_ms: float = DEFAULT_LOG_INTERVAL_MS) -> None:
+        self._logger = logger
+        self._interval_ms = interval_ms
+        self._logged_at = float("-inf")
+        self.count = 0
 
-    def warning(self, now: float, text: str) -> None:
-        """Log this unless a line went out within the gap; the count goes with it."""
+    def warning(self, now: float, event: str, **fields: object) -> None:
+        """Count the event and log it, with the count so far, unless a line was logged within the interval."""
         self.count += 1
-        if now - self._last >= self._gap:
-            self._last = now
-            self._part.warning(f"{text} ({self.count} in all)")
+        if now - self._logged_at >= self._interval_ms:
+            self._logged_at = now
+            self._logger.warning(event, **fields, count=self.count)
--- a/hallhitch/node/settings.py
+++ b/hallhitch/node/settings.py
@@ -14,11 +14,11 @@
 TIME = re.compile(r"(\d+(?:\.\d+)?)(ms|s)")
 
 
-class Unusable(Exception):
+class SettingsError(Exception):
     """The settings cannot be used; the text names file and field in one line."""
 
 
-def span(text: object) -> float:
+def parse_duration_ms(text: object) -> float:
     """A time as the pages write it, in milliseconds; raises ValueError.
 
     >>> span("1500ms"), span("2.5s")
@@ -31,68 +31,68 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class RuleBounds:
     """The figures of the rules, times in ms."""
 
-    drain: float = 5000.0
-    grace: float = 6000.0
-    config: float = 5000.0
-    ack: float = 10_000.0
-    evacuation: float = 5000.0
-    catch_up: float = 5000.0
-    contact: float = 5000.0
-    seed_lag: float = 3000.0
-    retry_ratio: float = 0.2
-    retry_window: float = 10_000.0
-    retry_slack: float = 0.0
-    quota_window: float = 5000.0
-    quota_over: float = 0.0
+    drain_timeout_ms: float = 5000.0
+    grace_period_ms: float = 6000.0
+    config_apply_ms: float = 5000.0
+    ack_timeout_ms: float = 10_000.0
+    evacuation_ms: float = 5000.0
+    catch_up_ms: float = 5000.0
+    contact_window_ms: float = 5000.0
+    seed_lag_ms: float = 3000.0
+    retry_budget_ratio: float = 0.2
+    retry_window_ms: float = 10_000.0
+    retry_budget_slack: float = 0.0
+    quota_window_ms: float = 5000.0
+    quota_overshoot_ratio: float = 0.0
     quota_slack: float = 0.0
-    cold_over: float = 1.0
-    cold_slack: float = 0.0
-    ttl_most: float = 5000.0
+    slow_start_overshoot_ratio: float = 1.0
+    slow_start_slack: float = 0.0
+    max_ttl_ms: float = 5000.0
 
     @property
-    def serving_lease(self) -> float:
+    def serving_lease_ms(self) -> float:
         """How long (ms) a majority's confirmation lets a coordinator speak for the core; see planes.control.serving."""
-        return min(LEASE_OF_CONFIG * self.config, LEASE_OF_CONTACT * self.contact)
+        return min(LEASE_OF_CONFIG * self.config_apply_ms, LEASE_OF_CONTACT * self.contact_window_ms)
 
 
 @dataclass(frozen=True, slots=True)
-class Node:
+class NodeSettings:
     """What a process was told: who and where it is, what it may use, what must hold."""
 
     name: str
     role: str
     machine_class: str
     serves: frozenset[str]
-    ip: str
+    ip_address: str
     zone: str
     region: str
-    ports: tuple[int, int]
-    seeds: tuple[tuple[str, int], ...]
-    first_start: bool
-    zones: Mapping[str, str]
-    listen: Mapping[str, tuple[str, int]]
-    bounds: Bounds
-    losses: int
-    memory: float  # MB
-    files: int
-    data: Path | None
-    cloud: tuple[str, int] | None
-    cloud_rate: float
-    cloud_lag: float  # ms
-    cluster: str
+    internal_port_range: tuple[int, int]
+    seed_nodes: tuple[tuple[str, int], ...]
+    is_first_start: bool
+    region_by_zone: Mapping[str, str]
+    listen_addresses: Mapping[str, tuple[str, int]]
+    bounds: RuleBounds
+    tolerated_machine_losses: int
+    memory_mb: float  # MB
+    max_open_files: int
+    data_directory: Path | None
+    cloud_api_address: tuple[str, int] | None
+    cloud_api_rate_per_s: float
+    endpoint_list_lag_ms: float  # ms
+    cluster_name: str
 
     @property
-    def internal(self) -> str:
+    def internal_address(self) -> str:
         """The address at which the system's own processes reach this one."""
-        return f"{self.ip}:{self.ports[0]}"
+        return f"{self.ip_address}:{self.internal_port_range[0]}"
 
     @property
-    def peers(self) -> tuple[str, ...]:
+    def seed_addresses(self) -> tuple[str, ...]:
         """The internal addresses of the seeds: ports are alike on all machines."""
-        return tuple(f"{host}:{self.ports[0]}" for host, _ in self.seeds)
+        return tuple(f"{host}:{self.internal_port_range[0]}" for host, _ in self.seed_nodes)
 
 
 class _Reader:
@@ -101,8 +101,8 @@
     def __init__(self, path: str, table: Mapping[str, Any], under: str = "") -> None:
         self._path, self._table, self._under = path, table, under
 
-    def wrong(self, name: str, why: str) -> Unusable:
-        return Unusable(f"{self._path}: {self._under}{name}: {why}")
+    def wrong(self, name: str, why: str) -> SettingsError:
+        return SettingsError(f"{self._path}: {self._under}{name}: {why}")
 
     def get(self, name: str, kind: type | tuple[type, ...], *default: Any) -> Any:
         value = self._table.get(name, *default)
@@ -117,7 +117,7 @@
         if name not in self._table:
             return default
         try:
-            return span(self._table[name])
+            return parse_duration_ms(self._table[name])
         except ValueError as error:
             raise self.wrong(name, str(error)) from None
 
@@ -140,15 +140,15 @@
         return self._table
 
 
-def read(path: str) -> Node:
+def read_settings(path: str) -> NodeSettings:
     """The settings in a file; raises Unusable with one line that names file and field."""
     try:
         with open(path, "rb") as file:
             top = _Reader(path, tomllib.load(file))
     except OSError as error:
-        raise Unusable(f"{path}: cannot be read: {error.strerror}") from None
+        raise SettingsError(f"{path}: cannot be read: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise Unusable(f"{path}: is no TOML: {error}") from None
+        raise SettingsError(f"{path}: is no TOML: {error}") from None
     zones, ports = top.get("zones", dict, {}), top.get("internalPortRange", list)
     if len(ports) != 2 or not all(isinstance(p, int) and 0 < p < 65536 for p in ports) or ports[0] > ports[1]:
         raise top.wrong("internalPortRange", f"{ports!r} is no pair of ports")
@@ -156,48 +156,48 @@
         raise top.wrong("zones", "a zone without the name of a region")
     bounds, limits, cloud = top.table("bounds"), top.table("limits"), top.table("cloudApi")
     data = top.get("dataDirectory", str, "")
-    plain = Bounds()
-    return Node(
+    plain = RuleBounds()
+    return NodeSettings(
         name=top.get("nodeName", str),
         role=top.get("role", str),
         machine_class=top.get("machineClass", str),
         serves=frozenset(top.get("serves", list)),
-        ip=top.get("ipAddress", str),
+        ip_address=top.get("ipAddress", str),
         zone=top.get("zone", str),
         region=top.get("region", str),
-        ports=(ports[0], ports[1]),
-        seeds=tuple(top.address("seedNodes", seed) for seed in top.get("seedNodes", list)),
-        first_start=top.get("firstStart", bool, False),
-        zones=dict(zones),
-        listen={
+        internal_port_range=(ports[0], ports[1]),
+        seed_nodes=tuple(top.address("seedNodes", seed) for seed in top.get("seedNodes", list)),
+        is_first_start=top.get("firstStart", bool, False),
+        region_by_zone=dict(zones),
+        listen_addresses={
             name: top.table("listenAddresses").address(name, value)
             for name, value in top.table("listenAddresses").items().items()
         },
-        bounds=Bounds(
-            drain=bounds.time("drainTimeout", plain.drain),
-            grace=bounds.time("gracePeriod", plain.grace),
-            config=bounds.time("configApply", plain.config),
-            ack=bounds.time("ackTimeout", plain.ack),
-            evacuation=bounds.time("evacuation", plain.evacuation),
-            catch_up=bounds.time("catchUp", plain.catch_up),
-            contact=bounds.time("contactWindow", plain.contact),
-            seed_lag=bounds.time("seedLag", plain.seed_lag),
-            retry_ratio=bounds.number("retryBudgetRatio", plain.retry_ratio),
-            retry_window=bounds.time("retryWindow", plain.retry_window),
-            retry_slack=bounds.number("retryBudgetSlack", plain.retry_slack),
-            quota_window=bounds.time("quotaWindow", plain.quota_window),
-            quota_over=bounds.number("quotaOvershoot", plain.quota_over),
+        bounds=RuleBounds(
+            drain_timeout_ms=bounds.time("drainTimeout", plain.drain_timeout_ms),
+            grace_period_ms=bounds.time("gracePeriod", plain.grace_period_ms),
+            config_apply_ms=bounds.time("configApply", plain.config_apply_ms),
+            ack_timeout_ms=bounds.time("ackTimeout", plain.ack_timeout_ms),
+            evacuation_ms=bounds.time("evacuation", plain.evacuation_ms),
+            catch_up_ms=bounds.time("catchUp", plain.catch_up_ms),
+            contact_window_ms=bounds.time("contactWindow", plain.contact_window_ms),
+            seed_lag_ms=bounds.time("seedLag", plain.seed_lag_ms),
+            retry_budget_ratio=bounds.number("retryBudgetRatio", plain.retry_budget_ratio),
+            retry_window_ms=bounds.time("retryWindow", plain.retry_window_ms),
+            retry_budget_slack=bounds.number("retryBudgetSlack", plain.retry_budget_slack),
+            quota_window_ms=bounds.time("quotaWindow", plain.quota_window_ms),
+            quota_overshoot_ratio=bounds.number("quotaOvershoot", plain.quota_overshoot_ratio),
             quota_slack=bounds.number("quotaSlack", plain.quota_slack),
-            cold_over=bounds.number("coldOvershoot", plain.cold_over),
-            cold_slack=bounds.number("coldSlack", plain.cold_slack),
-            ttl_most=bounds.time("ttl_max", plain.ttl_most),
+            slow_start_overshoot_ratio=bounds.number("coldOvershoot", plain.slow_start_overshoot_ratio),
+            slow_start_slack=bounds.number("coldSlack", plain.slow_start_slack),
+            max_ttl_ms=bounds.time("ttl_max", plain.max_ttl_ms),
         ),
-        losses=int(top.table("faultTolerance").number("machineLosses", 0)),
-        memory=limits.number("memoryMb", 256),
-        files=int(limits.number("maxOpenFiles", 1024)),
-        data=Path(data) if data else None,
-        cloud=cloud.address("address", cloud.items()["address"]) if "address" in cloud.items() else None,
-        cloud_rate=cloud.number("ratePerS", 1.0),
-        cloud_lag=cloud.time("maxLag", 1000.0),
-        cluster=top.get("clusterName", str, ""),
+        tolerated_machine_losses=int(top.table("faultTolerance").number("machineLosses", 0)),
+        memory_mb=limits.number("memoryMb", 256),
+        max_open_files=int(limits.number("maxOpenFiles", 1024)),
+        data_directory=Path(data) if data else None,
+        cloud_api_address=cloud.address("address", cloud.items()["address"]) if "address" in cloud.items() else None,
+        cloud_api_rate_per_s=cloud.number("ratePerS", 1.0),
+        endpoint_list_lag_ms=cloud.time("maxLag", 1000.0),
+        cluster_name=top.get("clusterName", str, ""),
     )
--- a/hallhitch/planes/control/acceptor.py
+++ b/hallhitch/planes/control/acceptor.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from hallhitch.messages.system_pb2 import Accept, Accepted, BallotMessage, ClusterState, Envelope, Promise
-from hallhitch.node.errors import StepError
+from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.planes.control.contention import RivalBallots
-from hallhitch.planes.control.files import Found, Store
 from hallhitch.planes.control.register import AcceptorState, Ballot
+from hallhitch.planes.control.state_store import LoadResult, StateStore
 
 LATE = 1500.0  # ms after which nobody waits for an answer any more
 Run = Callable[[Callable[[], None]], Awaitable[None]]
@@ -71,8 +71,8 @@
 class DurableAcceptor:
     """One replica with its disk; `state` is what is kept, never ahead of it."""
 
-    def __init__(self, address: str, store: Store | None, run: Run, clock: Callable[[], float]) -> None:
-        self.state = AcceptorState(address, recovering=True)
+    def __init__(self, address: str, store: StateStore | None, run: Run, clock: Callable[[], float]) -> None:
+        self.state = AcceptorState(address, is_recovering=True)
         self._store, self._run, self._clock = store, run, clock
         self._lock = asyncio.Lock()
         self.rivals = RivalBallots(address)
@@ -89,9 +89,9 @@
         """Whether there is nothing to keep anything on: such a one never votes."""
         return self._store is None
 
-    async def load(self) -> Found | None:
+    async def load(self) -> LoadResult | None:
         """Read what the disk holds; None without a disk. Raises OSError where it refuses."""
-        store, found = self._store, list[Found]()
+        store, found = self._store, list[LoadResult]()
         if store is None:
             return None
         await self._run(lambda: found.append(store.load()))
@@ -109,14 +109,14 @@
 
     def forget(self) -> None:
         """Use nothing of the folder: it is not what this replica voted last. It recovers by the others."""
-        self.state = AcceptorState(self.state.address, recovering=True)
+        self.state = AcceptorState(self.state.address, is_recovering=True)
 
     async def handle(self, envelope: Envelope) -> Envelope:
         """The answer to a prepare, an accept or a recover; raises StepError where nothing may be said."""
-        if envelope.HasField("recover"):
-            same, read = self.state.recover(envelope.recover)
+        if envelope.HasField("acceptor_query"):
+            same, read = self.state.recover(envelope.acceptor_query)
             if same is self.state:  # nothing to write: readers do not wait for a disk that hangs
-                return Envelope(recovered=read)
+                return Envelope(acceptor_report=read)
         self._note(envelope)
         # Shielded: a caller that leaves must not make us go on before what is being written is known.
         turn = asyncio.ensure_future(self._in_turn(envelope))
@@ -125,7 +125,7 @@
 
     def _note(self, envelope: Envelope) -> None:
         """What arrives counts for whose turn it is, before the disk has it."""
-        if envelope.HasField("prepare") and not envelope.prepare.reading:
+        if envelope.HasField("prepare") and not envelope.prepare.is_read:
             self.rivals.saw_prepare(Ballot.of(envelope.prepare.ballot), self._clock())
         elif envelope.HasField("accept") and self.rivals.saw_accept(Ballot.of(envelope.accept.ballot)):
             self.rival_ended.set()
@@ -149,16 +149,16 @@
             async with asyncio.timeout(LATE / 1000):
                 await self._lock.acquire()
         except TimeoutError:
-            raise StepError("keep", self.state.address, "the disk was too slow") from None
+            raise PeerCallError("keep", self.state.address, "the disk was too slow") from None
         try:
             if self._clock() - came > LATE:
-                raise StepError("keep", self.state.address, "the disk was too slow")
+                raise PeerCallError("keep", self.state.address, "the disk was too slow")
             return await self._decide(envelope)
         finally:
             self._lock.release()
 
     async def _decide(self, envelope: Envelope) -> Envelope:
-        overtaken = None if self.state.recovering else self._overtaken(envelope)
+        overtaken = None if self.state.is_recovering else self._overtaken(envelope)
         if overtaken is not None:
             return overtaken
         answer = Envelope()
@@ -169,18 +169,18 @@
             after, accepted = self.state.accept(envelope.accept)
             answer.accepted.CopyFrom(accepted)
         else:
-            after, recovered = self.state.recover(envelope.recover)
-            answer.recovered.CopyFrom(recovered)
+            after, recovered = self.state.recover(envelope.acceptor_query)
+            answer.acceptor_report.CopyFrom(recovered)
         if after is not self.state:
             try:
                 await self._keep(after)
             except OSError as error:
-                raise StepError("keep", self.state.address, f"the disk refused: {error}") from None
+                raise PeerCallError("keep", self.state.address, f"the disk refused: {error}") from None
         return answer
 
     async def take(self, ballot: BallotMessage, value: ClusterState) -> None:
         """Accept what others hold, as if the accept had come late."""
-        await self.handle(Envelope(accept=Accept(ballot=ballot, value=value)))
+        await self.handle(Envelope(accept=Accept(ballot=ballot, state=value)))
 
     async def _keep(self, replica: AcceptorState) -> None:
         store = self._store
--- a/hallhitch/planes/control/digests.py
+++ b/hallhitch/planes/control/config_digests.py
@@ -43,10 +43,10 @@
 
 def outcome(state: ClusterState, version: int, digest: bytes) -> OrderOutcome:
     """What became of the content with this digest under this number, by a committed state."""
-    if version > state.version:
+    if version > state.config_version:
         return OrderOutcome.ABSENT
-    for entry in reversed(state.accepted):
-        if entry.version == version:
+    for entry in reversed(state.config_digests):
+        if entry.config_version == version:
             return OrderOutcome.RECORDED if entry.digest == digest else OrderOutcome.CONFLICT
     return OrderOutcome.SUPERSEDED
 
@@ -58,8 +58,8 @@
 
 def missing(entries: Sequence[ConfigDigest], whole: Sequence[ConfigDigest]) -> list[ConfigDigest] | None:
     """What makes `whole` out of `entries` by `extended`; None where nothing does."""
-    newest = entries[-1].version if entries else -1
-    newer = [entry for entry in whole if entry.version > newest]
+    newest = entries[-1].config_version if entries else -1
+    newer = [entry for entry in whole if entry.config_version > newest]
     return newer if extended(entries, newer) == list(whole) else None
 
 
--- a/hallhitch/planes/control/check.py
+++ b/hallhitch/planes/control/config_validation.py
@@ -14,8 +14,8 @@
 
 from cerberus import Validator
 
-from hallhitch.node.settings import span
-from hallhitch.planes.control.digests import canonical_digest
+from hallhitch.node.settings import parse_duration_ms
+from hallhitch.planes.control.config_digests import canonical_digest
 from hallhitch.planes.values import DOWNLOAD, IDEMPOTENT, NON_IDEMPOTENT
 
 LARGEST = 32 * 1024 * 1024  # bytes of a configuration
@@ -44,7 +44,7 @@
 def _is_time(field: str, value: object, error: Any) -> None:
     if value is not None:
         try:
-            span(value)
+            parse_duration_ms(value)
         except ValueError as wrong:
             error(field, str(wrong))
 
@@ -179,7 +179,7 @@
         if value is None and not needed:
             continue
         try:
-            length = span(value)
+            length = parse_duration_ms(value)
         except ValueError as error:
             raise Invalid(f"{where}.{name}: {error}") from None
         if name == "timeout" and not 0 < length <= LONGEST:
--- a/hallhitch/planes/control/contention.py
+++ b/hallhitch/planes/control/contention.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from hallhitch.planes.control.register import NEVER, Ballot
+from hallhitch.planes.control.register import INITIAL_BALLOT, Ballot
 
 FIRST_PHASE_MS = 150.0  # how long a phase takes before one was measured: the longest way between regions and back
 SHORTEST_MS, LONGEST_MS = 20.0, 400.0  # bounds of the wait for another proposer: under half of an order's patience
@@ -24,8 +24,8 @@
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self.prepared: Ballot = NEVER
-        self.accepted: Ballot = NEVER  # of any proposer, this one too
+        self.prepared: Ballot = INITIAL_BALLOT
+        self.accepted: Ballot = INITIAL_BALLOT  # of any proposer, this one too
         self._since_ms = float("-inf")
 
     def saw_prepare(self, ballot: Ballot, at_ms: float) -> None:
--- a/hallhitch/planes/control/leaving.py
+++ b/hallhitch/planes/control/graceful_departure.py
@@ -9,19 +9,19 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
 
-from hallhitch.messages.system_pb2 import Accept, Envelope, Recovered
-from hallhitch.node.errors import StepError
+from hallhitch.messages.system_pb2 import Accept, AcceptorReport, Envelope
+from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.planes.control.acceptor import DurableAcceptor
-from hallhitch.planes.control.contacts import Contacts
+from hallhitch.planes.control.membership_reconciler import Upkeep
+from hallhitch.planes.control.peer_observations import Contacts
 from hallhitch.planes.control.proposer import Call, Proposer
 from hallhitch.planes.control.register import Ballot, Membership
-from hallhitch.planes.control.upkeep import Upkeep
 
 GAP = 100.0  # ms between two times that the others are told and looked at
 ANSWER = 400.0  # ms for their answers: one that is silent must not hold up the others
 
-Tell = Callable[[frozenset[str], float], Awaitable[Mapping[str, Recovered]]]
+Tell = Callable[[frozenset[str], float], Awaitable[Mapping[str, AcceptorReport]]]
 
 
 class Departure:
@@ -46,7 +46,7 @@
     def is_out(self) -> bool:
         """Whether others have the seat: this one is known to be no member any more."""
         settled = self._proposer.settled
-        return bool(settled.members) and self._address not in settled.everybody
+        return bool(settled.members) and self._address not in settled.all_members
 
     async def run(self, budget_ms: float) -> None:
         """Hand the seat and the state on; returns when that is done, cannot be done, or the time is over."""
@@ -56,7 +56,7 @@
             if left <= 0:
                 self._log.warning("the time to leave is over: the others may lack what is held here")
                 return
-            others = Membership.of(self._proposer.met[1]).everybody - {self._address}
+            others = Membership.of(self._proposer.met[1]).all_members - {self._address}
             if not others:
                 return
             answers = await self._tell(others, min(ANSWER, left))
@@ -65,32 +65,32 @@
                 return
             await asyncio.sleep(min(GAP, max(left, 0)) / 1000)
 
-    def _membership(self, answers: Mapping[str, Recovered]) -> Membership:
+    def _membership(self, answers: Mapping[str, AcceptorReport]) -> Membership:
         """The newest that is known to be agreed: as met here, or as a majority of it has just answered."""
         met = self._proposer.met
         newer = [answer for answer in answers.values() if answer.ok and Ballot.of(answer.accepted) > met[0]]
         for answer in newer:
-            membership, at = Membership.of(answer.value), answer.accepted
+            membership, at = Membership.of(answer.state), answer.accepted
             if membership.quorum_reached(one for one, other in answers.items() if other.accepted == at):
                 return membership
         return Membership.of(met[1])
 
     def _awaited(self, membership: Membership) -> bool:
         """Whether a change that takes this one out, or the end of its votes on leases, may still come."""
-        if membership.previous or membership.lease_previous:
+        if membership.previous_members or membership.previous_lease_members:
             return True
         if self._address not in membership.members:
             return False
         return self._upkeep.can_hand_on() or self._contacts.arriving(membership, self._clock())
 
-    async def _all_hold(self, answers: Mapping[str, Recovered], left: float) -> bool:
+    async def _all_hold(self, answers: Mapping[str, AcceptorReport], left: float) -> bool:
         """Whether each that answered holds what is held here; those that lack it are given it."""
         state = self._acceptor.state
-        if state.recovering:
+        if state.is_recovering:
             return True  # nothing is held here
         sound = {one: answer for one, answer in answers.items() if answer.ok}
         behind = [one for one, answer in sound.items() if Ballot.of(answer.accepted) < state.accepted]
-        accept = Accept(ballot=state.accepted.message(), value=state.value)
+        accept = Accept(ballot=state.accepted.message(), state=state.state)
         await asyncio.gather(*(self._give(one, accept, min(ANSWER, left)) for one in behind))
         return bool(sound) and not behind
 
@@ -98,5 +98,5 @@
         """The accept that did not reach it: it may come from anybody."""
         try:
             await self._call(address, Envelope(accept=accept), wait)
-        except StepError as error:
+        except PeerCallError as error:
             self._log.info(f"{address} could not be given the state: {error}")
--- a/hallhitch/planes/control/renewal.py
+++ b/hallhitch/planes/control/lease_renewal.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hallhitch.messages.system_pb2 import Envelope, Recover, Recovered
-from hallhitch.node.errors import StepError
+from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport, Envelope
+from hallhitch.node.errors import PeerCallError
 from hallhitch.planes.control.register import Ballot, Membership
-from hallhitch.planes.control.serving import ConfirmingRead, ServingLease
+from hallhitch.planes.control.serving_lease import ConfirmingRead, ServingLease
 
 AGAIN = 50.0  # ms after which a read is asked again that met an order under way
 READ_SHARE = 0.5  # of the lease in which one more full read is tried after such a meeting
@@ -26,7 +26,7 @@
 
     ballot: Ballot
     among: Membership
-    own: Recovered | None
+    own: AcceptorReport | None
     leaving: bool = False  # whether this process is about to end
 
 
@@ -62,16 +62,18 @@
     async def confirm(self, wait: float) -> bool:
         """One read of at most `wait` ms: whether a majority confirmed what is known here. Ends once that is clear."""
         known, asked = self._known(), self._clock()
-        if known is None or not known.among.sets:
+        if known is None or not known.among.quorum_sets:
             return False
         read = ConfirmingRead(known.ballot, known.among)
         if known.own is not None:
             read.add(self._address, Ballot.of(known.own.accepted), known.own.incarnations)
         # `sound` says that this state is on our disk: what is known to be committed need not be.
         on_disk = known.own is not None and Ballot.of(known.own.accepted) >= known.ballot
-        message = Recover(address=self._address, known=known.ballot.message(), sound=on_disk, leaving=known.leaving)
-        others = sorted(known.among.everybody - {self._address})
-        answers: asyncio.Queue[tuple[str, Recovered | None]] = asyncio.Queue()
+        message = AcceptorQuery(
+            address=self._address, known_ballot=known.ballot.message(), can_vote=on_disk, is_leaving=known.leaving
+        )
+        others = sorted(known.among.all_members - {self._address})
+        answers: asyncio.Queue[tuple[str, AcceptorReport | None]] = asyncio.Queue()
         for member in others:
             self._spawn(self._ask(member, message, wait, answers))
         for _ in others:
@@ -85,12 +87,16 @@
         return read.confirmed
 
     async def _ask(
-        self, member: str, message: Recover, wait: float, answers: asyncio.Queue[tuple[str, Recovered | None]]
+        self,
+        member: str,
+        message: AcceptorQuery,
+        wait: float,
+        answers: asyncio.Queue[tuple[str, AcceptorReport | None]],
     ) -> None:
         """One member's answer into the queue; None for silence and from one that lost its memory."""
         try:
-            answer = (await self._call(member, Envelope(recover=message), wait)).recovered
-        except StepError:
+            answer = (await self._call(member, Envelope(acceptor_query=message), wait)).acceptor_report
+        except PeerCallError:
             answers.put_nowait((member, None))
             return
         self._heard(member)
--- a/hallhitch/planes/control/upkeep.py
+++ b/hallhitch/planes/control/membership_reconciler.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass
 
 from hallhitch.messages.system_pb2 import ClusterState
-from hallhitch.node.errors import StepError
+from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
-from hallhitch.planes.control import changes, members
-from hallhitch.planes.control.contacts import Contacts
+from hallhitch.planes.control import membership_policy, state_transitions
+from hallhitch.planes.control.peer_observations import Contacts
 from hallhitch.planes.control.proposer import Proposer
-from hallhitch.planes.control.register import Change, Membership
+from hallhitch.planes.control.register import Membership, StateTransition
 
 TICK = 100.0  # ms between looks: small against any turn
 PATIENCE = 800.0  # ms for one change: others wait behind it, and the next look tries again
@@ -43,7 +43,7 @@
     membership: Membership
 
 
-Duty = Renew | Settle | EndLeaseTransition | members.Target
+Duty = Renew | Settle | EndLeaseTransition | membership_policy.Target
 
 
 class Upkeep:
@@ -75,7 +75,7 @@
                 continue
             try:
                 await self.look()
-            except (StepError, TimeoutError) as error:
+            except (PeerCallError, TimeoutError) as error:
                 self._failing.warning(self._clock(), f"upkeep ended early: {error}")
             except Exception as error:
                 self._log.error(f"upkeep failed: {type(error).__name__}: {error}")
@@ -86,7 +86,7 @@
         membership = Membership.of(self._proposer.met[1])
         self._note_transition(at)
         duty = self._next(membership, at)
-        self.waiting = duty is not None or bool(membership.previous or membership.lease_previous)
+        self.waiting = duty is not None or bool(membership.previous_members or membership.previous_lease_members)
         if duty != self._duty[0]:
             self._duty = duty, at
         if duty is None or at - self._duty[1] < self._turn(duty, membership, at):
@@ -97,15 +97,15 @@
     def can_hand_on(self) -> bool:
         """Whether a change of members is under way, or could be made now."""
         membership = Membership.of(self._proposer.met[1])
-        if membership.previous or membership.lease_previous:
+        if membership.previous_members or membership.previous_lease_members:
             return True
         observed = self._contacts.observe(membership, self._clock())
-        return members.target(membership.members, observed, self.losses) is not None
+        return membership_policy.target(membership.members, observed, self.losses) is not None
 
     def _note_transition(self, at: float) -> None:
         """Counted from the settled state: a joint state that was given up may bear the number of the one chosen."""
         known = self._proposer.settled
-        if known.lease_previous and not known.previous and known.version != self._transition[0]:
+        if known.previous_lease_members and not known.previous_members and known.version != self._transition[0]:
             self._transition = known.version, at
 
     def _next(self, membership: Membership, at: float) -> Duty | None:
@@ -115,31 +115,31 @@
             return Renew(self.missing) if membership.quorum_reached(observed.reachable) else None
         if membership != self._proposer.settled:
             return None
-        if membership.previous:
+        if membership.previous_members:
             return Settle(membership)
-        if membership.lease_previous:
+        if membership.previous_lease_members:
             return EndLeaseTransition(membership) if at - self._transition[1] >= self._lease_ms else None
-        return members.target(membership.members, observed, self.losses)
+        return membership_policy.target(membership.members, observed, self.losses)
 
     def _turn(self, duty: Duty, membership: Membership, at: float) -> float:
         """How long this one is left to others, and for a state that may be on its way to the others at this moment."""
-        turn = members.turn(membership.members, self._address, self._contacts.observe(membership, at))
-        return turn + members.TURN if isinstance(duty, Renew) else turn
+        turn = membership_policy.turn(membership.members, self._address, self._contacts.observe(membership, at))
+        return turn + membership_policy.TURN if isinstance(duty, Renew) else turn
 
     async def _do(self, duty: Duty, membership: Membership) -> None:
         match duty:
             case Renew():
-                await self._change(changes.renew)
+                await self._change(state_transitions.renew)
                 self.missing = None
             case Settle():
-                await self._change(changes.settle)
+                await self._change(state_transitions.settle)
             case EndLeaseTransition():
-                await self._change(changes.end_lease_transition)
-            case members.Target():
+                await self._change(state_transitions.end_lease_transition)
+            case membership_policy.Target():
                 self._log.info(f"members become {', '.join(duty.members)}: {duty.reason.value}")
-                after = await self._change(changes.reconfigure(duty.members, membership))
-                if after.previous:
-                    await self._change(changes.settle)
+                after = await self._change(state_transitions.reconfigure(duty.members, membership))
+                if after.previous_members:
+                    await self._change(state_transitions.settle)
 
-    async def _change(self, change: Change) -> ClusterState:
+    async def _change(self, change: StateTransition) -> ClusterState:
         return await self._proposer.change(change, PATIENCE)
--- a/hallhitch/planes/control/operator.py
+++ b/hallhitch/planes/control/operator_api.py
@@ -14,12 +14,12 @@
 
 from hallhitch.messages.system_pb2 import ClusterState
 from hallhitch.node.clock import now
-from hallhitch.node.errors import StepError
-from hallhitch.node.settings import Node
-from hallhitch.planes.control import changes, check
-from hallhitch.planes.control.digests import OrderOutcome, outcome
+from hallhitch.node.errors import PeerCallError
+from hallhitch.node.settings import NodeSettings
+from hallhitch.planes.control import config_validation, state_transitions
+from hallhitch.planes.control.config_digests import OrderOutcome, outcome
 from hallhitch.planes.control.plane import ControlPlane
-from hallhitch.planes.control.register import Change
+from hallhitch.planes.control.register import StateTransition
 
 PATH = "/hallhitch/rpc"
 PATIENCE = 850.0  # ms for an order: callers move on after a second
@@ -32,10 +32,10 @@
 class Operator:
     """The calls of `control_plane` on one coordinator."""
 
-    def __init__(self, node: Node, plane: ControlPlane, clock: Callable[[], float] = now) -> None:
+    def __init__(self, node: NodeSettings, plane: ControlPlane, clock: Callable[[], float] = now) -> None:
         self._node, self._plane, self._clock = node, plane, clock
 
-    def settings(self, node: Node) -> None:
+    def settings(self, node: NodeSettings) -> None:
         """The settings have changed: zones."""
         self._node = node
 
@@ -61,9 +61,9 @@
             return await self._describe()
         if name == "config.replace":
             return await self._replace(body, began)
-        if of not in self._node.zones:
+        if of not in self._node.region_by_zone:
             return _error(400, f"there is no zone {of!r}" if of else "the zone is missing: of=ZONE")
-        change = changes.evacuate(of) if name == "evacuations.start" else changes.restore(of)
+        change = state_transitions.evacuate(of) if name == "evacuations.start" else state_transitions.restore(of)
         # One turn of the loop: a caller that has left long ago is noticed before its order is taken.
         await asyncio.sleep(0)
         if self._plane.was_suspended:
@@ -72,17 +72,17 @@
 
     async def _replace(self, body: bytes, began: float) -> Answer:
         try:
-            checked = check.read(body)
-        except check.TooLarge as error:
+            checked = config_validation.read(body)
+        except config_validation.TooLarge as error:
             return _error(413, str(error))
-        except check.Invalid as error:
+        except config_validation.Invalid as error:
             return _error(400, str(error))
-        change = changes.put(checked.version, zlib.compress(body, 6), checked.digest)
+        change = state_transitions.put(checked.version, zlib.compress(body, 6), checked.digest)
         patience = PATIENCE + A_ROUTE * checked.routes
         return await self._order(change, began, patience, lambda state: _judged(state, checked))
 
     async def _order(
-        self, change: Change, began: float, patience: float, answer: Callable[[ClusterState], Answer]
+        self, change: StateTransition, began: float, patience: float, answer: Callable[[ClusterState], Answer]
     ) -> Answer:
         """Put an order to the register; the answer is made of the state that a majority holds after it."""
         ends = began + patience
@@ -95,7 +95,7 @@
             return _error(503, "no contact with a majority", {"Retry-After": "0.3"})
         try:
             value = await self._plane.change(change, ends - self._clock())
-        except StepError as error:
+        except PeerCallError as error:
             return _error(503, str(error), {"Retry-After": "0.3"})
         return answer(value)
 
@@ -103,25 +103,25 @@
         # A majority that agrees is enough and needs no disk. What is known here, unconfirmed, may be older than what
         # was acknowledged elsewhere: it is never told.
         if await self._plane.confirm(QUICK):
-            value: ClusterState = self._plane.value
+            value: ClusterState = self._plane.committed_state
         elif not self._plane.has_quorum_contact:
             return _error(503, "no contact with a majority", {"Retry-After": "0.3"})
         else:
             try:
-                value = await self._plane.change(changes.identity, READ)
-            except StepError as error:
+                value = await self._plane.change(state_transitions.identity, READ)
+            except PeerCallError as error:
                 return _error(503, str(error), {"Retry-After": "0.3"})
-        if not value.content:
+        if not value.config:
             return _error(503, "there is no configuration yet", {"Retry-After": "0.3"})
-        return 200, {"Content-Type": "application/json"}, zlib.decompress(value.content)
+        return 200, {"Content-Type": "application/json"}, zlib.decompress(value.config)
 
 
-def _judged(state: ClusterState, checked: check.Checked) -> Answer:
+def _judged(state: ClusterState, checked: config_validation.Checked) -> Answer:
     """The answer to a configuration, by the committed state after its ballot."""
     match outcome(state, checked.version, checked.digest):
         case OrderOutcome.CONFLICT:
-            text = f"configVersion {checked.version} was taken with another content; {state.version} is in force"
-            return _json(409, {"errorMessage": text, "configVersion": state.version})
+            text = f"configVersion {checked.version} was taken with another content; {state.config_version} is in force"
+            return _json(409, {"errorMessage": text, "configVersion": state.config_version})
         case OrderOutcome.ABSENT:
             return _error(503, "the order was not applied: ask again", {"Retry-After": "0.3"})
         case found:
@@ -130,7 +130,7 @@
 
 def _in_force(state: ClusterState, found: OrderOutcome = OrderOutcome.RECORDED) -> Answer:
     """An acknowledgement: what became of the order, and what is in force now."""
-    body = {"configVersion": state.version, "outcome": found.value, "evacuations": sorted(state.zones)}
+    body = {"configVersion": state.config_version, "outcome": found.value, "evacuations": sorted(state.evacuations)}
     return _json(200, body)
 
 
--- a/hallhitch/planes/control/contacts.py
+++ b/hallhitch/planes/control/peer_observations.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass
 
-from hallhitch.messages.system_pb2 import Recover
-from hallhitch.planes.control.members import Observations
+from hallhitch.messages.system_pb2 import AcceptorQuery
+from hallhitch.planes.control.membership_policy import Observations
 from hallhitch.planes.control.register import Ballot, Membership
 
 REMEMBERED = 10.0  # silences after which one that is no member is forgotten
@@ -32,13 +32,13 @@
         self._askers: dict[str, Asker] = {}
         self.leaving = False  # whether this process is about to end
 
-    def asked(self, message: Recover, at: float, newest: Ballot) -> None:
+    def asked(self, message: AcceptorQuery, at: float, newest: Ballot) -> None:
         """Another coordinator reads; `newest` is the ballot of the newest state known here."""
         if not message.address or message.address == self._address:
             return
         asker = self._askers.setdefault(message.address, Asker(at))
-        asker.asked, asker.leaving = at, message.leaving
-        if message.sound and Ballot.of(message.known) >= newest:
+        asker.asked, asker.leaving = at, message.is_leaving
+        if message.can_vote and Ballot.of(message.known_ballot) >= newest:
             asker.current = at
 
     def answers(self, address: str, at: float) -> bool:
@@ -55,11 +55,11 @@
 
     def arriving(self, membership: Membership, at: float) -> bool:
         """Whether one that is no member, and does not leave, may soon be a candidate."""
-        return any(not self._askers[one].leaving for one in self.asking(at) - membership.everybody)
+        return any(not self._askers[one].leaving for one in self.asking(at) - membership.all_members)
 
     def observe(self, membership: Membership, at: float) -> Observations:
         """What counts for a decision on these members."""
-        members = membership.everybody
+        members = membership.all_members
         heard = {one for one in self.heard.keys() | members if self.answers(one, at)}
         return Observations(
             reachable=frozenset(heard),
@@ -79,7 +79,7 @@
     def prune(self, membership: Membership, at: float) -> None:
         """Forget who is no member and was not heard of for long."""
         horizon = at - REMEMBERED * self.silence
-        keep = membership.everybody | {self._address}
+        keep = membership.all_members | {self._address}
         for one in [one for one, heard in self.heard.items() if one not in keep and heard < horizon]:
             del self.heard[one]
         for one in [one for one, asker in self._askers.items() if one not in keep and asker.asked < horizon]:
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -12,29 +12,29 @@
 from contextlib import suppress
 from typing import Protocol
 
-from hallhitch.messages.system_pb2 import ClusterState, Envelope, Recover, Recovered
+from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport, ClusterState, Envelope
 from hallhitch.node.clock import now
-from hallhitch.node.errors import StepError
+from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
-from hallhitch.node.settings import Node
-from hallhitch.planes.control import members
+from hallhitch.node.settings import NodeSettings
+from hallhitch.planes.control import membership_policy
 from hallhitch.planes.control.acceptor import DurableAcceptor, Run, Worker
-from hallhitch.planes.control.contacts import Contacts
-from hallhitch.planes.control.eligibility import Eligibility
-from hallhitch.planes.control.files import Disk, Folder, Store
-from hallhitch.planes.control.leaving import Departure
+from hallhitch.planes.control.graceful_departure import Departure
+from hallhitch.planes.control.lease_renewal import Known, LeaseRenewal
+from hallhitch.planes.control.membership_reconciler import Upkeep
+from hallhitch.planes.control.peer_observations import Contacts
 from hallhitch.planes.control.proposer import Proposer
-from hallhitch.planes.control.recovering import StateRecovery
 from hallhitch.planes.control.register import (
-    NEVER,
+    INITIAL_BALLOT,
     Ballot,
-    Change,
     Membership,
-    Tally,
+    StateTransition,
+    VoteTally,
 )
-from hallhitch.planes.control.renewal import Known, LeaseRenewal
-from hallhitch.planes.control.serving import ServingLease
-from hallhitch.planes.control.upkeep import Upkeep
+from hallhitch.planes.control.serving_lease import ServingLease
+from hallhitch.planes.control.state_recovery import StateRecovery
+from hallhitch.planes.control.state_store import DirectoryStorage, StateStore, Storage
+from hallhitch.planes.control.vote_eligibility import Eligibility
 from hallhitch.planes.values import LeaseMembership
 
 HURRY = 300.0  # ms between rounds at most while something is missing or under way
@@ -60,11 +60,11 @@
 
     def __init__(
         self,
-        node: Node,
+        node: NodeSettings,
         links: Peers,
         told: Callable[[ClusterState], None],
         *,
-        disk: Disk | None = None,
+        disk: Storage | None = None,
         run: Run | None = None,
         clock: Callable[[], float] = now,
         rng: random.Random | None = None,
@@ -72,11 +72,11 @@
     ) -> None:
         self._node, self._links, self._told, self._clock = node, links, told, clock
         self._rng = rng or random.Random()
-        self.address = node.internal
+        self.address = node.internal_address
         self._worker = Worker()
-        if disk is None and node.data is not None:
-            disk = Folder(node.data)
-        store = Store(disk, self.address, node.cluster) if disk is not None else None
+        if disk is None and node.data_directory is not None:
+            disk = DirectoryStorage(node.data_directory)
+        store = StateStore(disk, self.address, node.cluster_name) if disk is not None else None
         self._acceptor = DurableAcceptor(self.address, store, run or self._worker.run, clock)
         self._proposer = Proposer(
             self._acceptor,
@@ -88,9 +88,9 @@
             self._rng,
         )
         self._eligibility = Eligibility(self.address, self._acceptor)
-        self._value = ClusterState(version=-1)
-        self._at: Ballot = NEVER  # the ballot of the newest value that a majority is known to hold
-        self.lease = ServingLease(node.bounds.serving_lease)
+        self._value = ClusterState(config_version=-1)
+        self._at: Ballot = INITIAL_BALLOT  # the ballot of the newest value that a majority is known to hold
+        self.lease = ServingLease(node.bounds.serving_lease_ms)
         self._renewal = LeaseRenewal(
             self.address, self.lease, self._confirmable, links.call, self._hear_from, self._hear_briefly, clock
         )
@@ -99,11 +99,11 @@
         self._loading: asyncio.Task[None] | None = None
         self._told_of: frozenset[str] = frozenset()
         self._began = self._ticked = clock()
-        self._timing = members.Timing.of(node.bounds.catch_up)
+        self._timing = membership_policy.Timing.of(node.bounds.catch_up_ms)
         self._contacts = Contacts(self.address, self._began, self._timing.silence)
         self._heard = self._contacts.heard
         self._upkeep = Upkeep(self._proposer, self._contacts, self.address, clock, lease_ms)
-        self._upkeep.losses = node.losses
+        self._upkeep.losses = node.tolerated_machine_losses
         self._recovery = StateRecovery(self._acceptor, self._others, self._ask, clock)
         self._departure = Departure(
             self._acceptor, self._proposer, self._contacts, self._upkeep, self._tell, links.call, clock
@@ -116,14 +116,14 @@
     # --- What the program sees.
 
     @property
-    def value(self) -> ClusterState:
+    def committed_state(self) -> ClusterState:
         """The newest value known to be committed; serial 0 before any. Not to be changed."""
         return self._value
 
     @property
     def members(self) -> tuple[str, ...]:
         """The internal addresses of the replicas, as far as known."""
-        return tuple(self._value.members or self._proposer.met[1].members or self._acceptor.state.value.members)
+        return tuple(self._value.members or self._proposer.met[1].members or self._acceptor.state.state.members)
 
     @property
     def lease_membership(self) -> LeaseMembership:
@@ -132,8 +132,8 @@
         Accepted ones count at once: who has accepted a change must not vote for claims that know nothing of it. A
         replica that does not know what it accepted holds nothing, and so names nobody until it has met a majority.
         """
-        newest = max(self._value, self._acceptor.state.value, key=lambda state: state.members_version)
-        return LeaseMembership(newest.members_version, tuple(newest.members), tuple(newest.lease_previous))
+        newest = max(self._value, self._acceptor.state.state, key=lambda state: state.membership_version)
+        return LeaseMembership(newest.membership_version, tuple(newest.members), tuple(newest.previous_lease_members))
 
     @property
     def has_quorum_contact(self) -> bool:
@@ -145,7 +145,7 @@
         self._began = self._contacts.since = self._ticked = self._clock()
         self._loading = asyncio.ensure_future(self._load())
         await asyncio.wait([self._loading], timeout=LOAD / 1000)
-        upkeep = self._upkeep.run(lambda: not self._acceptor.state.recovering and not self._refused)
+        upkeep = self._upkeep.run(lambda: not self._acceptor.state.is_recovering and not self._refused)
         self._tasks = [
             asyncio.ensure_future(task) for task in (self._rounds(), self._tick(), self._renewal.run(), upkeep)
         ]
@@ -163,11 +163,11 @@
         self._proposer.stop()
         self._worker.stop()
 
-    def settings(self, node: Node) -> None:
+    def settings(self, node: NodeSettings) -> None:
         """The settings have changed: seeds, losses."""
         self._node = node
-        self._timing = members.Timing.of(node.bounds.catch_up)
-        self._contacts.silence, self._upkeep.losses = self._timing.silence, node.losses
+        self._timing = membership_policy.Timing.of(node.bounds.catch_up_ms)
+        self._contacts.silence, self._upkeep.losses = self._timing.silence, node.tolerated_machine_losses
 
     def coordinators(self, addresses: Sequence[str]) -> None:
         """The internal addresses of the coordinators that live, as discovery tells."""
@@ -184,24 +184,25 @@
 
     def handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope] | None:
         """The answer to another replica's message; None where it is not for the register."""
-        if envelope.HasField("recover"):
-            self._contacts.asked(envelope.recover, self._clock(), self._proposer.met[0])
+        if envelope.HasField("acceptor_query"):
+            self._contacts.asked(envelope.acceptor_query, self._clock(), self._proposer.met[0])
             return self._acceptor.handle(envelope)
         if envelope.HasField("prepare") or envelope.HasField("accept"):
             return self._acceptor.handle(envelope)
         return None
 
-    async def change(self, change: Change, patience: float) -> ClusterState:
+    async def change(self, change: StateTransition, patience: float) -> ClusterState:
         """Put a change to the register; the committed value after it. Raises Silent after `patience` ms."""
         if self._refused:
-            raise StepError("agree", self.address, self._refused)
+            raise PeerCallError("agree", self.address, self._refused)
         return await self._proposer.change(change, patience)
 
     @property
     def is_under_replicated(self) -> bool:
         """Whether more replicas are needed for the losses to be borne, and may still be on their way."""
         return self._clock() - self._began < YOUNG and (
-            not self._known or len(self._proposer.settled.members) < members.needed(self._node.losses)
+            not self._known
+            or len(self._proposer.settled.members) < membership_policy.needed(self._node.tolerated_machine_losses)
         )
 
     @property
@@ -222,9 +223,9 @@
             self._log.warning("there is no data folder: this machine keeps nothing")
         elif found.replica is None:
             self._empty = found.empty
-            if found.empty and self._node.first_start and self.address in self._node.peers:
+            if found.empty and self._node.is_first_start and self.address in self._node.seed_addresses:
                 # Not loaded before it is done: a round would ask the others for a memory that there never was.
-                self._loaded = await self._recovery.found(self._node.peers)
+                self._loaded = await self._recovery.found(self._node.seed_addresses)
                 return
             self._log.warning("nothing usable in the data folder: the others are asked before any vote")
         self._loaded = True
@@ -251,7 +252,11 @@
         if not self._known:
             return None
         state = self._acceptor.state
-        own = None if state.recovering else state.recover(Recover(address=self.address, known=state.accepted.message()))
+        own = (
+            None
+            if state.is_recovering
+            else state.recover(AcceptorQuery(address=self.address, known_ballot=state.accepted.message()))
+        )
         return Known(self._at, self._proposer.settled, own[1] if own is not None else None, self._contacts.leaving)
 
     def _hear_from(self, address: str) -> None:
@@ -272,7 +277,7 @@
         while True:
             try:
                 await self._round()
-            except (StepError, TimeoutError) as error:
+            except (PeerCallError, TimeoutError) as error:
                 self._failing.warning(self._clock(), f"a round ended early: {error}")
             except Exception as error:
                 self._log.error(f"a round failed: {type(error).__name__}: {error}")
@@ -281,7 +286,7 @@
     def _gap(self) -> float:
         """How long to rest between rounds (ms)."""
         under_way = self._upkeep.waiting or self._contacts.leaving or self._contacts.unheard(self._clock())
-        if not self._known or self._acceptor.state.recovering or under_way:
+        if not self._known or self._acceptor.state.is_recovering or under_way:
             return min(HURRY, self._timing.gap)
         return self._timing.gap
 
@@ -289,25 +294,25 @@
         if not self._loaded and (self._loading is None or self._loading.done()):
             self._loading = asyncio.ensure_future(self._load())
             await asyncio.wait([self._loading], timeout=LOAD / 1000)
-        if self._acceptor.state.recovering:
+        if self._acceptor.state.is_recovering:
             await self._recover()
         await self._hear(self._timing.wait)
         self._contacts.prune(self._proposer.settled, self._clock())
 
     def _others(self) -> frozenset[str]:
         """Whom to ask: all who count under any value met; where none is, the seeds and whom discovery tells."""
-        states = self._acceptor.state.value, self._proposer.met[1], self._value
-        known = frozenset[str]().union(*(Membership.of(state).everybody for state in states))
+        states = self._acceptor.state.state, self._proposer.met[1], self._value
+        known = frozenset[str]().union(*(Membership.of(state).all_members for state in states))
         if not self._known or not self.has_quorum_contact or self.address not in known:
-            known |= frozenset(self._node.peers) | self._told_of
+            known |= frozenset(self._node.seed_addresses) | self._told_of
         return (known | self._contacts.asking(self._clock())) - {self.address}
 
-    async def _ask(self, address: str, asked: Recover, wait: float = ANSWER) -> Recovered | None:
+    async def _ask(self, address: str, asked: AcceptorQuery, wait: float = ANSWER) -> AcceptorReport | None:
         """What one of the others holds; None where it does not answer."""
-        asked.leaving = self._contacts.leaving
+        asked.is_leaving = self._contacts.leaving
         try:
-            answer = (await self._links.call(address, Envelope(recover=asked), wait)).recovered
-        except StepError:
+            answer = (await self._links.call(address, Envelope(acceptor_query=asked), wait)).acceptor_report
+        except PeerCallError:
             return None
         self._contacts.heard[address] = self._clock()
         if not self._eligibility.check(address, answer):
@@ -320,13 +325,17 @@
         is_out = self._contacts.leaving and self._departure.is_out
         return self._eligibility.refusal or ("this machine has left the register" if is_out else "")
 
-    async def _tell(self, addresses: frozenset[str], wait: float) -> dict[str, Recovered]:
+    async def _tell(self, addresses: frozenset[str], wait: float) -> dict[str, AcceptorReport]:
         """Say who we are, and what the others hold."""
         state = self._acceptor.state
-        asked = Recover(address=self.address, known=state.accepted.message(), sound=not state.recovering)
+        asked = AcceptorQuery(
+            address=self.address, known_ballot=state.accepted.message(), can_vote=not state.is_recovering
+        )
         return await self._read(addresses, asked, wait)
 
-    async def _read(self, addresses: frozenset[str], asked: Recover, wait: float = ANSWER) -> dict[str, Recovered]:
+    async def _read(
+        self, addresses: frozenset[str], asked: AcceptorQuery, wait: float = ANSWER
+    ) -> dict[str, AcceptorReport]:
         """What the others hold; those who do not answer are left out."""
 
         order = sorted(addresses)
@@ -335,7 +344,7 @@
 
     async def look(self, wait: float) -> None:
         """Ask the others what they hold, within `wait` ms; needs no disk. `value` is newer after it, or as before."""
-        with suppress(StepError, TimeoutError):
+        with suppress(PeerCallError, TimeoutError):
             async with asyncio.timeout(wait / 1000):
                 await self._hear(0.8 * wait)
 
@@ -349,35 +358,39 @@
     async def _hear(self, wait: float = ANSWER) -> None:
         """What do the others hold? Take what is newer, and learn what a majority has."""
         state, began = self._acceptor.state, self._clock()
-        asked = Recover(address=self.address, known=state.accepted.message(), sound=not state.recovering)
+        asked = AcceptorQuery(
+            address=self.address, known_ballot=state.accepted.message(), can_vote=not state.is_recovering
+        )
         answers = {one: answer for one, answer in (await self._read(self._others(), asked, wait)).items() if answer.ok}
         for answer in answers.values():
-            if Ballot.of(answer.accepted) == state.accepted != NEVER:
-                answer.value.CopyFrom(state.value)
-        if not state.recovering:
+            if Ballot.of(answer.accepted) == state.accepted != INITIAL_BALLOT:
+                answer.state.CopyFrom(state.state)
+        if not state.is_recovering:
             self._heard[self.address] = self._clock()
-            answers[self.address] = state.recover(Recover(address=self.address))[1]
+            answers[self.address] = state.recover(AcceptorQuery(address=self.address))[1]
         if not answers:
             return
         newest = max(answers.values(), key=lambda one: Ballot.of(one.accepted))
-        at, value = Ballot.of(newest.accepted), newest.value
+        at, value = Ballot.of(newest.accepted), newest.state
         if at > self._proposer.met[0] or not self._proposer.met[1].members:
             self._proposer.met = at, value
-        tally = Tally(Membership.of(value).sets)
+        tally = VoteTally(Membership.of(value).quorum_sets)
         for member, answer in answers.items():
             tally.add(member, Ballot.of(answer.accepted) == at, answer.incarnations)
         if tally.reached():
             self._learnt(value, at)
             self.lease.confirm(began)
             behind = [
-                one for one in Membership.of(value).everybody & answers.keys() if Ballot.of(answers[one].accepted) < at
+                one
+                for one in Membership.of(value).all_members & answers.keys()
+                if Ballot.of(answers[one].accepted) < at
             ]
             self._wanted(("behind", at) if behind else None)
         elif Membership.of(value).quorum_reached(answers):
             self._wanted(("agree", at))
         else:
             self._wanted(None)  # a ballot would hang now, and an order that comes as a cut ends would wait behind it
-        if at > state.accepted and not state.recovering and not self._acceptor.busy:
+        if at > state.accepted and not state.is_recovering and not self._acceptor.busy:
             # The accept that did not reach this replica, or not yet: it may come from anybody.
             await asyncio.wait_for(self._acceptor.take(newest.accepted, value), ANSWER / 1000)
 
@@ -395,6 +408,6 @@
 
     def _may_found_alone(self) -> bool:
         """A first start on an empty folder, or the settings name this very machine and no other."""
-        if self._node.peers == (self.address,):
+        if self._node.seed_addresses == (self.address,):
             return True
-        return self._node.first_start and self._empty and not self._node.peers
+        return self._node.is_first_start and self._empty and not self._node.seed_addresses
--- a/hallhitch/planes/control/proposer.py
+++ b/hallhitch/planes/control/proposer.py
@@ -15,22 +15,22 @@
 
 from hallhitch.messages.system_pb2 import ClusterState, Envelope, Promise
 from hallhitch.node.clock import now
-from hallhitch.node.errors import Silent, StepError
+from hallhitch.node.errors import PeerCallError, RequestTimeout
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.planes.control.acceptor import DurableAcceptor
-from hallhitch.planes.control.changes import identity
 from hallhitch.planes.control.contention import PhaseTime
 from hallhitch.planes.control.register import (
-    NEVER,
+    INITIAL_BALLOT,
     AlreadyChosen,
     Ballot,
-    Change,
     FoundingConflict,
     Membership,
     MembershipChanged,
     Proposal,
     SendAccepts,
+    StateTransition,
 )
+from hallhitch.planes.control.state_transitions import identity
 
 PREPARE, ACCEPT = 900.0, 2500.0  # ms for one answer; a big word on a thin link takes its time
 ANSWERED = 20.0  # ms before its caller's patience ends in which nothing more is waited for
@@ -42,7 +42,7 @@
 
 @dataclass(eq=False, slots=True)
 class _Order:
-    change: Change
+    change: StateTransition
     asked: float  # ms, when it was asked
     ends: float  # ms, when its caller is answered at the latest
     done: asyncio.Future[ClusterState]
@@ -81,11 +81,11 @@
             ClusterState()
         )  # the newest members that a majority is known to have taken
         self.met: tuple[Ballot, ClusterState] = (
-            NEVER,
+            INITIAL_BALLOT,
             ClusterState(),
         )  # the newest value met anywhere: by its members we ask
 
-    async def change(self, change: Change, patience: float) -> ClusterState:
+    async def change(self, change: StateTransition, patience: float) -> ClusterState:
         """Put a change to the register; the value after it. Raises Silent after `patience` ms: it may come yet."""
         order = _Order(change, self._clock(), self._clock() + patience, asyncio.get_running_loop().create_future())
         self._orders.append(order)
@@ -95,7 +95,7 @@
             async with asyncio.timeout(patience / 1000):
                 return await order.done
         except TimeoutError:
-            raise Silent("agree", "", f"no majority in {patience:.0f} ms") from None
+            raise RequestTimeout("agree", "", f"no majority in {patience:.0f} ms") from None
         finally:
             order.done.cancel()
             self._leave(order)
@@ -161,7 +161,9 @@
     def _propose(self, ask: tuple[Ballot, ClusterState] | None) -> Proposal:
         """The next ballot, above all that were met."""
         held = self._acceptor.state
-        known: tuple[Ballot, ClusterState] = (NEVER, ClusterState()) if held.recovering else (held.accepted, held.value)
+        known: tuple[Ballot, ClusterState] = (
+            (INITIAL_BALLOT, ClusterState()) if held.is_recovering else (held.accepted, held.state)
+        )
         asked = ask or (known if known[0] > self.met[0] or not self.met[1].members else self.met)
         rival = self._acceptor.rivals.prepared
         self._round = max(self._round, held.promised.round, asked[0].round, rival.round) + 1
@@ -237,7 +239,7 @@
         """Ask all for their promises; where their answers come."""
         answers: asyncio.Queue[tuple[str, Envelope]] = asyncio.Queue()
         prepare = proposal.prepare()
-        prepare.reading = all(order.change is identity for order in self._orders)
+        prepare.is_read = all(order.change is identity for order in self._orders)
         self._prepared = self._clock()
         for member in sorted(proposal.to):
             self._ask(member, Envelope(prepare=prepare), PREPARE, answers)
@@ -256,7 +258,7 @@
         answers: asyncio.Queue[tuple[str, Envelope]],
     ) -> ClusterState | MembershipChanged | FoundingConflict | None:
         """One promise or refusal; the value where nothing has to be handed on for it."""
-        if not answer.ok and not answer.recovering:
+        if not answer.ok and not answer.is_recovering:
             self._acceptor.rivals.saw_prepare(Ballot.of(answer.promised), self._clock())
             self._acceptor.rivals.saw_accept(Ballot.of(answer.accepted))
         chosen = proposal.promise(member, answer)
@@ -297,7 +299,7 @@
                     answer = await self._acceptor.handle(envelope)
                 else:
                     answer = await self._call(member, envelope, wait)
-            except StepError:
+            except PeerCallError:
                 answer = Envelope()
             answers.put_nowait((member, answer))
 
@@ -309,5 +311,5 @@
 def _refused(answer: Envelope) -> bool:
     """Whether a replica has met a higher ballot."""
     if answer.HasField("promise"):
-        return not answer.promise.ok and not answer.promise.recovering
-    return answer.HasField("accepted") and not answer.accepted.ok and not answer.accepted.recovering
+        return not answer.promise.ok and not answer.promise.is_recovering
+    return answer.HasField("accepted") and not answer.accepted.ok and not answer.accepted.is_recovering
--- a/hallhitch/planes/control/recovery.py
+++ b/hallhitch/planes/control/recovery_quorum.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hallhitch.messages.system_pb2 import ClusterState, Recovered
+from hallhitch.messages.system_pb2 import AcceptorReport, ClusterState
 from hallhitch.planes.control.register import AcceptorState, Ballot, Membership
 
 
@@ -15,9 +15,9 @@
 
     def __init__(self, address: str, incarnation: int = 0) -> None:
         self.address, self.incarnation = address, incarnation
-        self._answers: dict[str, Recovered] = {}
+        self._answers: dict[str, AcceptorReport] = {}
 
-    def answer(self, member: str, answer: Recovered) -> None:
+    def answer(self, member: str, answer: AcceptorReport) -> None:
         """One answer; those of other recovering replicas do not count."""
         if answer.ok:
             self._answers[member] = answer
@@ -25,11 +25,11 @@
     def newest(self) -> ClusterState:
         """The newest value met, whoever holds it."""
         held = max(self._answers.values(), key=lambda one: Ballot.of(one.accepted), default=None)
-        return held.value if held is not None else ClusterState()
+        return held.state if held is not None else ClusterState()
 
     def enough(self) -> bool:
         """Whether any majority that this replica once was part of has one that answered."""
-        needed = Membership.of(self.newest()).sets
+        needed = Membership.of(self.newest()).quorum_sets
         for one in needed:
             others = one - {self.address}
             if not others:
@@ -51,4 +51,4 @@
                 incarnations[member] = max(incarnations.get(member, 0), incarnation)
         held = max(self._answers.values(), key=lambda one: Ballot.of(one.accepted))
         promised = max(max(Ballot.of(one.promised), Ballot.of(one.accepted)) for one in self._answers.values())
-        return AcceptorState(self.address, promised, Ballot.of(held.accepted), held.value, incarnations)
+        return AcceptorState(self.address, promised, Ballot.of(held.accepted), held.state, incarnations)
--- a/hallhitch/planes/control/register.py
+++ b/hallhitch/planes/control/register.py
@@ -29,16 +29,16 @@
 from hallhitch.messages.system_pb2 import (
     Accept,
     Accepted,
+    AcceptorQuery,
+    AcceptorReport,
     BallotMessage,
     ClusterState,
     Prepare,
     Promise,
-    Recover,
-    Recovered,
 )
-from hallhitch.planes.control import digests
+from hallhitch.planes.control import config_digests
 
-Change = Callable[[ClusterState], ClusterState]  # the same object = nothing to change
+StateTransition = Callable[[ClusterState], ClusterState]  # the same object = nothing to change
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -58,9 +58,9 @@
         return BallotMessage(round=self.round, proposer=self.proposer)
 
 
-NEVER = Ballot()  # lower than any ballot of a proposer
+INITIAL_BALLOT = Ballot()  # lower than any ballot of a proposer
 OTHER_INCARNATIONS = 16  # kept of machines that do not count, such as candidates: more come only one after the other
-Sets = tuple[frozenset[str], ...]
+QuorumSets = tuple[frozenset[str], ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,37 +73,40 @@
 
     version: int = 0
     members: tuple[str, ...] = ()
-    previous: tuple[str, ...] = ()
-    lease_previous: tuple[str, ...] = ()
+    previous_members: tuple[str, ...] = ()
+    previous_lease_members: tuple[str, ...] = ()
 
     @staticmethod
     def of(state: ClusterState) -> Membership:
         """The membership that a state names."""
         return Membership(
-            state.members_version, tuple(state.members), tuple(state.previous), tuple(state.lease_previous)
+            state.membership_version,
+            tuple(state.members),
+            tuple(state.previous_members),
+            tuple(state.previous_lease_members),
         )
 
     @property
-    def sets(self) -> Sets:
+    def quorum_sets(self) -> QuorumSets:
         """The sets of which a majority each is needed; empty where nothing is known."""
-        return tuple(frozenset(one) for one in (self.previous, self.members) if one)
+        return tuple(frozenset(one) for one in (self.previous_members, self.members) if one)
 
     @property
-    def everybody(self) -> frozenset[str]:
+    def all_members(self) -> frozenset[str]:
         """All who count for the register."""
-        return frozenset(self.members) | frozenset(self.previous)
+        return frozenset(self.members) | frozenset(self.previous_members)
 
     def quorum_reached(self, votes: Iterable[str]) -> bool:
         """Whether the votes are a majority of each set."""
-        return majority_of_each(self.sets, votes)
+        return majority_of_each(self.quorum_sets, votes)
 
 
-def founded(seeds: Iterable[str]) -> ClusterState:
+def initial_state(seeds: Iterable[str]) -> ClusterState:
     """The state before any order: nothing configured, the seeds as members."""
-    return ClusterState(version=-1, members=sorted(set(seeds)), members_version=1)
+    return ClusterState(config_version=-1, members=sorted(set(seeds)), membership_version=1)
 
 
-def majority_of_each(needed: Sets, votes: Iterable[str]) -> bool:
+def majority_of_each(needed: QuorumSets, votes: Iterable[str]) -> bool:
     """Whether the votes are a majority of each set; False where no set is known."""
     have = frozenset(votes)
     return bool(needed) and all(2 * len(one & have) > len(one) for one in needed)
@@ -114,16 +117,16 @@
     """What one replica has promised and accepted; a new one for each change, written before anything is answered."""
 
     address: str
-    promised: Ballot = NEVER
-    accepted: Ballot = NEVER
-    value: ClusterState = field(default_factory=ClusterState)
+    promised: Ballot = INITIAL_BALLOT
+    accepted: Ballot = INITIAL_BALLOT
+    state: ClusterState = field(default_factory=ClusterState)
     incarnations: Mapping[str, int] = field(default_factory=dict)
-    recovering: bool = False
+    is_recovering: bool = False
 
     def prepare(self, asked: Prepare) -> tuple[AcceptorState, Promise]:
         """A proposer wants to know the value and to keep older ballots out."""
-        if self.recovering:
-            return self, Promise(recovering=True, incarnations=self.incarnations)
+        if self.is_recovering:
+            return self, Promise(is_recovering=True, incarnations=self.incarnations)
         at = Ballot.of(asked.ballot)
         if at <= self.promised:
             held = self.accepted.message()
@@ -131,14 +134,14 @@
         answer = Promise(
             ok=True, promised=asked.ballot, accepted=self.accepted.message(), incarnations=self.incarnations
         )
-        if self.accepted == NEVER or Ballot.of(asked.known) != self.accepted:
-            answer.value.CopyFrom(self.value)
+        if self.accepted == INITIAL_BALLOT or Ballot.of(asked.known_ballot) != self.accepted:
+            answer.state.CopyFrom(self.state)
         return replace(self, promised=at), answer
 
     def accept(self, asked: Accept) -> tuple[AcceptorState, Accepted]:
         """A proposer with a quorum of promises, or somebody who met its proposal, hands a value on."""
-        if self.recovering:
-            return self, Accepted(recovering=True, incarnations=self.incarnations)
+        if self.is_recovering:
+            return self, Accepted(is_recovering=True, incarnations=self.incarnations)
         at = Ballot.of(asked.ballot)
         refused = Accepted(promised=self.promised.message(), incarnations=self.incarnations)
         if at < self.promised:
@@ -146,31 +149,31 @@
         agreed = Accepted(ok=True, promised=asked.ballot, incarnations=self.incarnations)
         if at == self.accepted:
             return self, agreed
-        value = asked.value
-        if asked.HasField("base"):
-            if Ballot.of(asked.base) != self.accepted:
+        value = asked.state
+        if asked.HasField("base_ballot"):
+            if Ballot.of(asked.base_ballot) != self.accepted:
                 return self, refused
-            value = completed(value, self.value)
-        return replace(self, promised=at, accepted=at, value=value), agreed
+            value = apply_delta(value, self.state)
+        return replace(self, promised=at, accepted=at, state=value), agreed
 
-    def recover(self, asked: Recover) -> tuple[AcceptorState, Recovered]:
+    def recover(self, asked: AcceptorQuery) -> tuple[AcceptorState, AcceptorReport]:
         """Somebody reads; one that lost its memory says with which incarnation it goes on."""
-        if self.recovering:
-            return self, Recovered(incarnations=self.incarnations)
+        if self.is_recovering:
+            return self, AcceptorReport(incarnations=self.incarnations)
         after = self
         if asked.incarnation > self.incarnations.get(asked.address, 0):
             after = replace(self, incarnations=self._with_incarnation(asked.address, asked.incarnation))
-        answer = Recovered(
+        answer = AcceptorReport(
             ok=True, promised=self.promised.message(), accepted=self.accepted.message(), incarnations=after.incarnations
         )
-        if self.accepted == NEVER or Ballot.of(asked.known) != self.accepted:
-            answer.value.CopyFrom(self.value)
+        if self.accepted == INITIAL_BALLOT or Ballot.of(asked.known_ballot) != self.accepted:
+            answer.state.CopyFrom(self.state)
         return after, answer
 
     def _with_incarnation(self, address: str, incarnation: int) -> dict[str, int]:
         """One more that is known; of those that do not count only the latest `OTHER_INCARNATIONS` stay."""
         known = {one: count for one, count in self.incarnations.items() if one != address}
-        counting = Membership.of(self.value).everybody | {self.address}
+        counting = Membership.of(self.state).all_members | {self.address}
         others = [one for one in known if one not in counting]
         for one in others[: max(0, len(others) + 1 - OTHER_INCARNATIONS)]:
             del known[one]
@@ -179,44 +182,44 @@
 
 def founding_conflict(held: ClusterState, at: Ballot, other: ClusterState, other_at: Ballot) -> bool:
     """Whether two states that no ballot ever changed were founded with different members."""
-    founded_twice = at == other_at == NEVER and held.members and other.members
+    founded_twice = at == other_at == INITIAL_BALLOT and held.members and other.members
     return bool(founded_twice) and Membership.of(held) != Membership.of(other)
 
 
-def copied(value: ClusterState) -> ClusterState:
+def copy_state(value: ClusterState) -> ClusterState:
     """A value that may be changed without changing the other."""
     other = ClusterState()
     other.CopyFrom(value)
     return other
 
 
-def completed(light: ClusterState, base: ClusterState) -> ClusterState:
+def apply_delta(light: ClusterState, base: ClusterState) -> ClusterState:
     """The value that a light one stands for, beside the one it is based on."""
-    value = copied(light)
-    value.content = light.content or base.content
-    recorded = digests.extended(base.accepted, light.accepted)
-    del value.accepted[:]
-    value.accepted.extend(recorded)
+    value = copy_state(light)
+    value.config = light.config or base.config
+    recorded = config_digests.extended(base.config_digests, light.config_digests)
+    del value.config_digests[:]
+    value.config_digests.extend(recorded)
     return value
 
 
-def lightened(value: ClusterState, base: ClusterState) -> ClusterState | None:
+def make_delta(value: ClusterState, base: ClusterState) -> ClusterState | None:
     """The value without what who holds the base has already; None where `completed` would not bring it back."""
-    newer = digests.missing(base.accepted, value.accepted)
-    if newer is None or (base.content and not value.content):
+    newer = config_digests.missing(base.config_digests, value.config_digests)
+    if newer is None or (base.config and not value.config):
         return None
-    light = copied(value)
-    if value.content == base.content:
-        light.content = b""
-    del light.accepted[:]
-    light.accepted.extend(newer)
+    light = copy_state(value)
+    if value.config == base.config:
+        light.config = b""
+    del light.config_digests[:]
+    light.config_digests.extend(newer)
     return light
 
 
-class Tally:
+class VoteTally:
     """The votes of one phase; votes of a forgotten incarnation do not count."""
 
-    def __init__(self, needed: Sets) -> None:
+    def __init__(self, needed: QuorumSets) -> None:
         self.needed = needed
         self._yes: dict[str, dict[str, int]] = {}
         self.refusals: set[str] = set()
@@ -289,34 +292,36 @@
         at: Ballot,
         asked: ClusterState,
         known: tuple[Ballot, ClusterState],
-        change: Change,
+        change: StateTransition,
         settled: Membership,
-        asked_at: Ballot = NEVER,
+        asked_at: Ballot = INITIAL_BALLOT,
     ) -> None:
         self.at, self.known, self.change, self.settled = at, known, change, settled
         self.asked = Membership.of(asked)
         self._met: tuple[Ballot, ClusterState] = (asked_at, asked)
-        self.to = Membership.of(asked).everybody
+        self.to = Membership.of(asked).all_members
         self.seen = at.round  # the highest round met
         self.value: ClusterState | None = None  # as proposed, or as found
         self.changed = False
         self.firm = True  # a plain read may set this to False: a majority that agrees is enough for it
-        self.base: tuple[Ballot, ClusterState] = (NEVER, ClusterState())  # what the promises brought
-        self._promises = Tally(Membership.of(asked).sets)
+        self.base: tuple[Ballot, ClusterState] = (INITIAL_BALLOT, ClusterState())  # what the promises brought
+        self._promises = VoteTally(Membership.of(asked).quorum_sets)
         self._found: dict[str, tuple[Ballot, ClusterState]] = {}
-        self._accepts: Tally | None = None
+        self._accepts: VoteTally | None = None
 
     def prepare(self) -> Prepare:
         """What is asked of each of `to`."""
-        return Prepare(ballot=self.at.message(), known=self.known[0].message(), members_version=self.asked.version)
+        return Prepare(
+            ballot=self.at.message(), known_ballot=self.known[0].message(), membership_version=self.asked.version
+        )
 
     def promise(self, member: str, answer: Promise) -> Chosen | None:
         """One answer; what to do next once there are enough, None before that."""
         self.seen = max(self.seen, answer.promised.round)
         if answer.ok:
             held = Ballot.of(answer.accepted)
-            left_out = held == self.known[0] and held != NEVER
-            self._found[member] = held, self.known[1] if left_out else answer.value
+            left_out = held == self.known[0] and held != INITIAL_BALLOT
+            self._found[member] = held, self.known[1] if left_out else answer.state
         if self._accepts is not None:
             if answer.ok:
                 return SendAccepts(frozenset((member,)))
@@ -333,7 +338,7 @@
         # and those before them would be asked in turn for ever.
         newest = max([self._met, *(self._found[one] for one in voters)], key=lambda found: found[0])
         for at, state in self._found.values():
-            if newest[0] == NEVER and founding_conflict(newest[1], newest[0], state, at):
+            if newest[0] == INITIAL_BALLOT and founding_conflict(newest[1], newest[0], state, at):
                 return FoundingConflict(self.asked, Membership.of(state))
         if Membership.of(newest[1]) != self.asked:
             self.value = newest[1]
@@ -349,27 +354,29 @@
             not self.firm
             and not self.changed
             and majority_of_each(
-                Membership.of(self.value).sets, [one for one in voters if self._found[one][0] == newest[0]]
+                Membership.of(self.value).quorum_sets, [one for one in voters if self._found[one][0] == newest[0]]
             )
         ):
             return AlreadyChosen(self.value)
-        self._accepts = Tally(tuple(dict.fromkeys(Membership.of(newest[1]).sets + Membership.of(self.value).sets)))
+        self._accepts = VoteTally(
+            tuple(dict.fromkeys(Membership.of(newest[1]).quorum_sets + Membership.of(self.value).quorum_sets))
+        )
         for refused in self._promises.refusals:
             self._accepts.add(refused, False, {})
-        return SendAccepts(frozenset(self._found) | (Membership.of(self.value).everybody - self.to))
+        return SendAccepts(frozenset(self._found) | (Membership.of(self.value).all_members - self.to))
 
     def accept(self, member: str) -> Accept:
         """What is asked of one of them; what the base holds already stays away from those who hold the base."""
         assert self.value is not None
         held = self._found.get(member)
-        message = Accept(ballot=self.at.message(), members_version=self.value.members_version)
-        if held is not None and held[0] == self.base[0] != NEVER:
-            light = lightened(self.value, self.base[1])
+        message = Accept(ballot=self.at.message(), membership_version=self.value.membership_version)
+        if held is not None and held[0] == self.base[0] != INITIAL_BALLOT:
+            light = make_delta(self.value, self.base[1])
             if light is not None:
-                message.value.CopyFrom(light)
-                message.base.CopyFrom(self.base[0].message())
+                message.state.CopyFrom(light)
+                message.base_ballot.CopyFrom(self.base[0].message())
                 return message
-        message.value.CopyFrom(self.value)
+        message.state.CopyFrom(self.value)
         return message
 
     def accepted(self, member: str, answer: Accepted) -> bool:
--- a/hallhitch/planes/control/serving.py
+++ b/hallhitch/planes/control/serving_lease.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Mapping
 
-from hallhitch.planes.control.register import Ballot, Membership, Tally
+from hallhitch.planes.control.register import Ballot, Membership, VoteTally
 
 NEVER_CONFIRMED = -1.0  # the age of a contact that there never was
 LOST_ROUNDS = 2  # rounds that may go unanswered before a lease ends
@@ -52,7 +52,7 @@
 
     def __init__(self, known: Ballot, among: Membership) -> None:
         self._known = known
-        self._tally = Tally(among.sets)
+        self._tally = VoteTally(among.quorum_sets)
         self.newer = False  # somebody has accepted more: committed or not, it must be looked at
 
     def add(self, member: str, accepted: Ballot, incarnations: Mapping[str, int]) -> None:
--- a/hallhitch/planes/control/recovering.py
+++ b/hallhitch/planes/control/state_recovery.py
@@ -9,15 +9,15 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from hallhitch.messages.system_pb2 import Recover, Recovered
+from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.planes.control.acceptor import DurableAcceptor
-from hallhitch.planes.control.recovery import Recovery
-from hallhitch.planes.control.register import AcceptorState, Membership, founded
+from hallhitch.planes.control.recovery_quorum import Recovery
+from hallhitch.planes.control.register import AcceptorState, Membership, initial_state
 
 GRACE = 50.0  # ms given to more answers once they are enough: they may hold something newer
 
-Ask = Callable[[str, Recover], Awaitable[Recovered | None]]
+Ask = Callable[[str, AcceptorQuery], Awaitable[AcceptorReport | None]]
 
 
 class StateRecovery:
@@ -37,7 +37,7 @@
 
     async def found(self, members: tuple[str, ...]) -> bool:
         """Begin a new register with these members; whether it is on the disk."""
-        return await self._become(AcceptorState(self._address, value=founded(members)))
+        return await self._become(AcceptorState(self._address, state=initial_state(members)))
 
     async def found_alone(self) -> None:
         """Begin a new register with this machine as its only member."""
@@ -52,7 +52,7 @@
             return
         second = Recovery(self._address, first.next_incarnation())
         await self._consult(second)
-        if not second.enough() or not self._acceptor.state.recovering:
+        if not second.enough() or not self._acceptor.state.is_recovering:
             return
         if await self._become(second.replica()):
             self._log.info(f"state read back from the others, incarnation {second.incarnation}")
@@ -68,11 +68,11 @@
     async def _consult(self, recovery: Recovery) -> None:
         """Ask all at once, by the newest members met, until the answers are enough and those met stay the same."""
         asked = frozenset[str]()
-        calls: dict[asyncio.Task[Recovered | None], str] = {}
-        message = Recover(address=self._address, incarnation=recovery.incarnation)
+        calls: dict[asyncio.Task[AcceptorReport | None], str] = {}
+        message = AcceptorQuery(address=self._address, incarnation=recovery.incarnation)
         try:
             while True:
-                known = self._others() | Membership.of(recovery.newest()).everybody
+                known = self._others() | Membership.of(recovery.newest()).all_members
                 for one in sorted(known - asked - {self._address}):
                     calls[asyncio.ensure_future(self._ask(one, message))] = one
                 asked |= known
--- a/hallhitch/planes/control/files.py
+++ b/hallhitch/planes/control/state_store.py
@@ -32,7 +32,7 @@
 from google.protobuf.message import DecodeError
 
 from hallhitch.messages.system_pb2 import ClusterState, Promise
-from hallhitch.planes.control.register import NEVER, AcceptorState, Ballot, copied
+from hallhitch.planes.control.register import INITIAL_BALLOT, AcceptorState, Ballot, copy_state
 
 GENERATION = re.compile(r"state-(\d{12})\.(dat|dir|bak)")
 CONTENT = re.compile(r"word-([0-9a-f]{32})\.(dat|dir|bak)")
@@ -40,11 +40,11 @@
 DIGEST = 16  # bytes before each record
 
 
-class Damaged(Exception):
+class CorruptDatabaseError(Exception):
     """A database cannot be used; the text says which and why."""
 
 
-class Disk(Protocol):
+class Storage(Protocol):
     """The data folder, as far as it is used. All calls block; OSError where the disk refuses."""
 
     def names(self) -> list[str]:
@@ -66,7 +66,7 @@
         """One file less; lasts once the folder is synced."""
 
 
-class _Plain(dumb._Database):
+class AppendOnlyDatabase(dumb._Database):
     """A database that is written once. Its files keep the mode they were created with, as not every disk can set one.
 
     The index is not written anew at the end, by way of a rename: each record's line is appended with the record.
@@ -79,7 +79,7 @@
         pass
 
 
-class Folder:
+class DirectoryStorage:
     """A real folder as `Disk`."""
 
     def __init__(self, path: Path) -> None:
@@ -95,7 +95,7 @@
 
     def write(self, base: str, records: Mapping[bytes, bytes]) -> None:
         """A new database; nothing of it is synced."""
-        database = _Plain(str(self.path / base), MODE, flag="n")
+        database = AppendOnlyDatabase(str(self.path / base), MODE, flag="n")
         try:
             for key, value in records.items():
                 database[key] = value
@@ -104,7 +104,7 @@
 
     def read(self, base: str) -> dict[bytes, bytes]:
         """All records of a database; any error where it is torn."""
-        database = _Plain(str(self.path / base), MODE, flag="r")
+        database = AppendOnlyDatabase(str(self.path / base), MODE, flag="r")
         try:
             return {bytes(key): database[key] for key in database.keys()}  # type: ignore[arg-type]  # noqa: SIM118
         finally:
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class LoadResult:
     """What a start found: a replica to go on from, or None; `empty` where there was nothing at all."""
 
     replica: AcceptorState | None
@@ -140,16 +140,16 @@
     notes: tuple[str, ...] = ()  # what was torn, foreign or left over, a sentence each
 
 
-class Store:
+class StateStore:
     """One replica's generations on a disk. All calls block; one at a time."""
 
-    def __init__(self, disk: Disk, address: str, cluster: str = "") -> None:
+    def __init__(self, disk: Storage, address: str, cluster: str = "") -> None:
         self._disk, self._number = disk, 0
         self._address, self._cluster = address, cluster
         self._synced: set[str] = set()  # contents that are surely on the disk, by digest
         self._kept: tuple[str, str] | None = None  # the generation that counts, and its content
 
-    def load(self) -> Found:
+    def load(self) -> LoadResult:
         """Read the newest generation that is whole; raises OSError where the disk refuses (ask again)."""
         names = self._disk.names()
         numbers = sorted({int(match[1]) for name in names if (match := GENERATION.fullmatch(name))}, reverse=True)
@@ -158,33 +158,33 @@
         for number in numbers:
             try:
                 replica = self._read(number)
-            except Damaged as error:
+            except CorruptDatabaseError as error:
                 notes.append(str(error))
                 continue
-            self._kept = _base(number), _config(replica.value.content)
+            self._kept = _base(number), _config(replica.state.config)
             for base in reversed(self._kept):
                 self._disk.sync(f"{base}.dat")
                 self._disk.sync(f"{base}.dir")
             self._disk.sync_folder()
             self._synced = {self._kept[1]}
-            return Found(replica, False, tuple(notes))
+            return LoadResult(replica, False, tuple(notes))
         empty = set(numbers) <= {1}
         self._number = 0 if empty else self._number
-        return Found(None, empty, tuple(notes))
+        return LoadResult(None, empty, tuple(notes))
 
     def save(self, replica: AcceptorState) -> None:
         """Keep a new generation; on return it lasts. Raises OSError, and then the one before counts on."""
-        founding = replica.promised == NEVER and not replica.incarnations
+        founding = replica.promised == INITIAL_BALLOT and not replica.incarnations
         self._number = max(self._number + 1, 1 if founding else 2)
-        base, word = _base(self._number), _config(replica.value.content)
-        light = copied(replica.value)
-        light.content = b""
+        base, word = _base(self._number), _config(replica.state.config)
+        light = copy_state(replica.state)
+        light.config = b""
         votes = Promise(
             promised=replica.promised.message(), accepted=replica.accepted.message(), incarnations=replica.incarnations
         )
         try:
             if word not in self._synced:
-                self._write(word, {b"content": replica.value.content})
+                self._write(word, {b"content": replica.state.config})
                 self._synced.add(word)
             self._write(
                 base,
@@ -229,26 +229,26 @@
                 self._address, Ballot.of(votes.promised), Ballot.of(votes.accepted), value, dict(votes.incarnations)
             )
         except (KeyError, ValueError, DecodeError) as error:
-            raise Damaged(f"{base} lacks a record: {error}") from None
-        value.content = self._records(word).get(b"content", b"")
-        if _config(value.content) != word:
-            raise Damaged(f"{word} holds something else")
-        return replace(replica, value=value)
+            raise CorruptDatabaseError(f"{base} lacks a record: {error}") from None
+        value.config = self._records(word).get(b"content", b"")
+        if _config(value.config) != word:
+            raise CorruptDatabaseError(f"{word} holds something else")
+        return replace(replica, state=value)
 
     def _records(self, base: str) -> dict[bytes, bytes]:
         try:
             return self._checked(base, self._disk.read(base))
-        except Damaged:
+        except CorruptDatabaseError:
             raise
         except Exception as error:  # its reader raises whatever a torn index makes of it
-            raise Damaged(f"{base} cannot be read: {type(error).__name__}: {error}") from None
+            raise CorruptDatabaseError(f"{base} cannot be read: {type(error).__name__}: {error}") from None
 
     def _checked(self, base: str, records: Mapping[bytes, bytes]) -> dict[bytes, bytes]:
         """The records without their digests; raises Damaged."""
         plain = {}
         for key, value in records.items():
             if value[:DIGEST] != self._digest(base, key, value[DIGEST:]):
-                raise Damaged(f"{base} is torn at {key!r}, or not of this machine and cluster")
+                raise CorruptDatabaseError(f"{base} is torn at {key!r}, or not of this machine and cluster")
             plain[key] = value[DIGEST:]
         return plain
 
--- a/hallhitch/planes/control/changes.py
+++ b/hallhitch/planes/control/state_transitions.py
@@ -18,8 +18,8 @@
 from collections.abc import Iterable
 
 from hallhitch.messages.system_pb2 import ClusterState, ConfigDigest
-from hallhitch.planes.control.digests import content_digest, extended
-from hallhitch.planes.control.register import Change, Membership, copied
+from hallhitch.planes.control.config_digests import content_digest, extended
+from hallhitch.planes.control.register import Membership, StateTransition, copy_state
 
 
 def identity(value: ClusterState) -> ClusterState:
@@ -32,67 +32,67 @@
     return value
 
 
-def put(version: int, content: bytes, digest: bytes | None = None) -> Change:
+def put(version: int, content: bytes, digest: bytes | None = None) -> StateTransition:
     """A whole configuration: the highest version prevails, the first of equal ones stays.
 
     Its digest is recorded with it (without one: that of the content's bytes), by which `digests.outcome` tells later
     whether this content is the one that was taken under its number.
     """
-    entry = ConfigDigest(version=version, digest=content_digest(content) if digest is None else digest)
+    entry = ConfigDigest(config_version=version, digest=content_digest(content) if digest is None else digest)
 
     def change(value: ClusterState) -> ClusterState:
-        if version <= value.version:
+        if version <= value.config_version:
             return value
         after = _next(value)
-        after.version, after.content = version, content
-        recorded = extended(value.accepted, [entry])
-        del after.accepted[:]
-        after.accepted.extend(recorded)
+        after.config_version, after.config = version, content
+        recorded = extended(value.config_digests, [entry])
+        del after.config_digests[:]
+        after.config_digests.extend(recorded)
         return after
 
     return change
 
 
-def evacuate(zone: str) -> Change:
+def evacuate(zone: str) -> StateTransition:
     """Nothing more is sent to the zone's backends."""
 
     def change(value: ClusterState) -> ClusterState:
-        if zone in value.zones:
+        if zone in value.evacuations:
             return value
         after = _next(value)
-        after.zones[zone] = after.serial
+        after.evacuations[zone] = after.serial
         return after
 
     return change
 
 
-def restore(zone: str) -> Change:
+def restore(zone: str) -> StateTransition:
     """The zone is taken back."""
 
     def change(value: ClusterState) -> ClusterState:
-        if zone not in value.zones:
+        if zone not in value.evacuations:
             return value
         after = _next(value)
-        del after.zones[zone]
+        del after.evacuations[zone]
         return after
 
     return change
 
 
-def note(name: str, text: str) -> Change:
+def note(name: str, text: str) -> StateTransition:
     """A mark that must outlive a loss of everything."""
 
     def change(value: ClusterState) -> ClusterState:
-        if value.notes.get(name) == text:
+        if value.annotations.get(name) == text:
             return value
         after = _next(value)
-        after.notes[name] = text
+        after.annotations[name] = text
         return after
 
     return change
 
 
-def reconfigure(members: Iterable[str], among: Membership) -> Change:
+def reconfigure(members: Iterable[str], among: Membership) -> StateTransition:
     """Other members in one joint change, if the members are still those of `among` and no change is under way.
 
     The state names both sets until `settle`. Votes on leases by the old set count until `end_lease_transition`.
@@ -100,51 +100,56 @@
     target = sorted(set(members))
 
     def change(value: ClusterState) -> ClusterState:
-        if Membership.of(value) != among or value.previous or value.lease_previous or target == list(value.members):
+        if (
+            Membership.of(value) != among
+            or value.previous_members
+            or value.previous_lease_members
+            or target == list(value.members)
+        ):
             return value
         if not target:
             return value
         after = _next(value)
-        after.previous[:] = value.members
-        after.lease_previous[:] = value.members
+        after.previous_members[:] = value.members
+        after.previous_lease_members[:] = value.members
         after.members[:] = target
-        after.members_version += 1
+        after.membership_version += 1
         return after
 
     return change
 
 
-def add(address: str, among: Membership) -> Change:
+def add(address: str, among: Membership) -> StateTransition:
     """One more member, if the members are still those."""
     return reconfigure([*among.members, address], among)
 
 
-def remove(address: str, among: Membership) -> Change:
+def remove(address: str, among: Membership) -> StateTransition:
     """One member less, if the members are still those; never the last one."""
     return reconfigure([one for one in among.members if one != address], among)
 
 
 def settle(value: ClusterState) -> ClusterState:
     """The second half of a change of members: only the new ones count from now on."""
-    if not value.previous:
+    if not value.previous_members:
         return value
     after = _next(value)
-    del after.previous[:]
-    after.members_version += 1
+    del after.previous_members[:]
+    after.membership_version += 1
     return after
 
 
 def end_lease_transition(value: ClusterState) -> ClusterState:
     """The end of a change of members for leases: votes of the former members have all ended."""
-    if not value.lease_previous or value.previous:
+    if not value.previous_lease_members or value.previous_members:
         return value
     after = _next(value)
-    del after.lease_previous[:]
-    after.members_version += 1
+    del after.previous_lease_members[:]
+    after.membership_version += 1
     return after
 
 
 def _next(value: ClusterState) -> ClusterState:
-    after = copied(value)
+    after = copy_state(value)
     after.serial += 1
     return after
--- a/hallhitch/planes/control/eligibility.py
+++ b/hallhitch/planes/control/vote_eligibility.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from hallhitch.messages.system_pb2 import Recovered
+from hallhitch.messages.system_pb2 import AcceptorReport
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.planes.control.acceptor import DurableAcceptor
-from hallhitch.planes.control.register import NEVER, Ballot, founding_conflict
+from hallhitch.planes.control.register import INITIAL_BALLOT, Ballot, founding_conflict
 
 FOUNDED_OTHERWISE = "the settings of the first start differ by machine"
 
@@ -21,7 +21,7 @@
         self._conflict = False
         self._log = ComponentLogger("control")
 
-    def check(self, address: str, answer: Recovered) -> bool:
+    def check(self, address: str, answer: AcceptorReport) -> bool:
         """One answer of another replica; False where our own data folder turned out to be old and was dropped."""
         self._check_founding(address, answer)
         return self._check_incarnation(answer)
@@ -29,24 +29,24 @@
     @property
     def refusal(self) -> str:
         """Why this replica puts no change to the register; empty where there is no reason."""
-        return FOUNDED_OTHERWISE if self._conflict and self._acceptor.state.accepted == NEVER else ""
+        return FOUNDED_OTHERWISE if self._conflict and self._acceptor.state.accepted == INITIAL_BALLOT else ""
 
-    def _check_incarnation(self, answer: Recovered) -> bool:
+    def _check_incarnation(self, answer: AcceptorReport) -> bool:
         state = self._acceptor.state
         known, own = answer.incarnations.get(self._address, 0), state.incarnations.get(self._address, 0)
-        if state.recovering or known <= own:
+        if state.is_recovering or known <= own:
             return True
         self._log.warning(f"the data folder is old: incarnation {own}, the others know {known}; nothing of it is used")
         self._acceptor.forget()
         return False
 
-    def _check_founding(self, address: str, answer: Recovered) -> None:
+    def _check_founding(self, address: str, answer: AcceptorReport) -> None:
         """Another that was founded with other members: no order is taken while neither has a ballot."""
         state = self._acceptor.state
         at = Ballot.of(answer.accepted)
-        if not answer.ok or not founding_conflict(state.value, state.accepted, answer.value, at):
+        if not answer.ok or not founding_conflict(state.state, state.accepted, answer.state, at):
             return
         if not self._conflict:
-            own, other = list(state.value.members), list(answer.value.members)
+            own, other = list(state.state.members), list(answer.state.members)
             self._log.error(f"founded with {own}, but {address} with {other}: no order is taken")
         self._conflict = True
--- a/hallhitch/planes/data/backend_connection.py
+++ b/hallhitch/planes/data/backend_connection.py
@@ -11,8 +11,8 @@
 
 from hallhitch.net.flow import Broken, Flow
 from hallhitch.net.http import Malformed, Message
-from hallhitch.planes.data.ports import Outcome
-from hallhitch.planes.data.wire import BackendReader, attempt_head, judge
+from hallhitch.planes.data.http_messages import BackendReader, attempt_head, judge
+from hallhitch.planes.data.interfaces import Outcome
 
 if TYPE_CHECKING:
     from hallhitch.planes.data.connection_pools import Attempt, ConnectionPool
--- a/hallhitch/planes/data/connection_pools.py
+++ b/hallhitch/planes/data/connection_pools.py
@@ -13,9 +13,9 @@
 from hallhitch.net.flow import Flow
 from hallhitch.net.http import Message
 from hallhitch.planes.data.backend_connection import BackendConnection
+from hallhitch.planes.data.http_messages import Room
 from hallhitch.planes.data.idle_reuse import IdleReuse
-from hallhitch.planes.data.ports import Outcome
-from hallhitch.planes.data.wire import Room
+from hallhitch.planes.data.interfaces import Outcome
 from hallhitch.planes.values import Backend, Service
 
 CONNECT_NEAR, CONNECT_FAR = 150.0, 500.0  # ms for a connection to come up, in the own region and in others
@@ -271,7 +271,7 @@
 
     def backends(self, entries: Iterable[Backend]) -> None:
         """All backends there are; connections to others, and to those that leave, are let go once they rest."""
-        there = {entry.instance: entry for entry in entries if not entry.draining}
+        there = {entry.instance: entry for entry in entries if not entry.is_draining}
         for instance, pool in list(self._pools.items()):
             entry = there.get(instance)
             old = pool.backend
--- a/hallhitch/planes/data/candidates.py
+++ b/hallhitch/planes/data/endpoint_set.py
@@ -11,9 +11,9 @@
 from math import exp
 from random import Random
 
-from hallhitch.planes.data.cold import WARMING, Cold
-from hallhitch.planes.data.health import Health, Sight, State
-from hallhitch.planes.data.latency import LatencyEstimate, Ratio
+from hallhitch.planes.data.latency import LatencyEstimate, LatencyRatio
+from hallhitch.planes.data.outlier_detection import Health, State, UnansweredSends
+from hallhitch.planes.data.slow_start import WARMING, SlowStart
 from hallhitch.planes.values import DOWNLOAD, Backend, Service
 
 FAR_RANK = 1 << 20
@@ -35,7 +35,7 @@
 CHANCE = 0.1  # of the usual: what equals are told apart by
 
 
-class Tier(IntEnum):
+class Locality(IntEnum):
     """Where a backend stands, as seen from here."""
 
     ZONE = 0
@@ -44,26 +44,26 @@
 
 
 @dataclass(slots=True, eq=False)
-class Seat:
+class Endpoint:
     """One backend life and what this gateway has there."""
 
     backend: Backend
-    tier: Tier = Tier.FAR
+    tier: Locality = Locality.FAR
     rank: int = FAR_RANK
     near: bool = False  # among those chosen from first
-    sight: Sight = field(default_factory=lambda: Sight(2))
-    zone: Sight = field(default_factory=lambda: Sight(3))  # shared by all of its zone
+    sight: UnansweredSends = field(default_factory=lambda: UnansweredSends(2))
+    zone: UnansweredSends = field(default_factory=lambda: UnansweredSends(3))  # shared by all of its zone
     out: int = 0  # requests of this gateway that are, or may be, there
     health: Health = field(default_factory=Health)
-    ratio: Ratio = field(default_factory=Ratio)
-    late: list[Attempt] = field(default_factory=list)  # silent ones that hold room still
+    ratio: LatencyRatio = field(default_factory=LatencyRatio)
+    late: list[EndpointAttempt] = field(default_factory=list)  # silent ones that hold room still
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class EndpointAttempt:
     """One sending of an exchange."""
 
-    seat: Seat
+    seat: Endpoint
     at: float
     until: float  # the request's end: nothing works on it any longer
     trial: bool = False
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class SelectionCriteria:
     """What is asked of a seat."""
 
     now: float
@@ -99,14 +99,14 @@
     priority: int
 
 
-class Candidates:
+class EndpointSet:
     """All seats of one service."""
 
-    def __init__(self, service: Service, cold: Cold) -> None:
+    def __init__(self, service: Service, cold: SlowStart) -> None:
         self.service, self.pace = service, LatencyEstimate()
-        self.near: list[Seat] = []  # own region, low rank
-        self.rest: list[Seat] = []  # own region otherwise
-        self.far: list[Seat] = []
+        self.near: list[Endpoint] = []  # own region, low rank
+        self.rest: list[Endpoint] = []  # own region otherwise
+        self.far: list[Endpoint] = []
         self.waiting: dict[tuple[int, frozenset[str]], int] = {}  # held exchanges by priority and homes
         self.trials = 0.0  # how many trials are due to this service
         self._cold = cold
@@ -115,10 +115,10 @@
         self._slots = self._widest = 1
         self._gateways = 1
 
-    def place(self, seats: list[Seat], gateways: int) -> None:
+    def place(self, seats: list[Endpoint], gateways: int) -> None:
         """Sort the seats anew (tiers and ranks are set); `gateways` of the own region share them."""
-        region = [s for s in seats if s.tier is not Tier.FAR]
-        self.far = [s for s in seats if s.tier is Tier.FAR]
+        region = [s for s in seats if s.tier is not Locality.FAR]
+        self.far = [s for s in seats if s.tier is Locality.FAR]
         self._gateways = max(gateways, 1)
         few = max(RANK_LEAST, -(-NEAR_LEAST * self._gateways // max(len(region), 1)))
         self.near = [s for s in region if s.rank < few]
@@ -138,13 +138,13 @@
         self._load_at = now
         return self._load
 
-    def others(self, seat: Seat, load: float) -> float:
+    def others(self, seat: Endpoint, load: float) -> float:
         """How many requests of other gateways are likely there."""
-        if seat.rank == 0 and seat.tier is not Tier.FAR:
+        if seat.rank == 0 and seat.tier is not Locality.FAR:
             return 0.0
         return load * seat.backend.slots
 
-    def room(self, seat: Seat, load: float, want: Want, queue: float) -> bool:
+    def room(self, seat: Endpoint, load: float, want: SelectionCriteria, queue: float) -> bool:
         """Whether one more may go there, with `queue` rounds allowed to wait."""
         slots = seat.backend.slots
         if seat.late and seat.late[0].until <= want.now:
@@ -152,17 +152,17 @@
                 attempt.release()
         if self._cold.until(seat.backend) > want.now:
             return seat.out < 2 and self._cold.may(want.now, seat.backend, self.service)
-        if seat.rank == 0 and seat.tier is not Tier.FAR:
+        if seat.rank == 0 and seat.tier is not Locality.FAR:
             most = slots * (1.0 + queue * (0.5 if want.unsafe else 1.0))
         else:
             # What all others may have there as well must not fill it: each has a small part.
-            part = slots / self._gateways if want.unsafe or seat.tier is Tier.FAR else slots * PART
+            part = slots / self._gateways if want.unsafe or seat.tier is Locality.FAR else slots * PART
             most = max(1.0, part)
         if seat.out + 1 > most:
             return False
         return seat.out + 1 + self.others(seat, load) <= slots * (1.0 + queue)
 
-    def cost(self, seat: Seat, load: float, want: Want, rng: Random) -> float:
+    def cost(self, seat: Endpoint, load: float, want: SelectionCriteria, rng: Random) -> float:
         """What one more there is expected to take (ms), places and risks reckoned in."""
         slots, now = seat.backend.slots, want.now
         there = seat.out + self.others(seat, load)
@@ -178,20 +178,20 @@
         crowd = self._cold.crowd(now, seat.backend, self.service)
         if crowd > CROWD:
             cost += want.usual * (crowd - CROWD) * CROWD_COST
-        if seat.tier is Tier.REGION:
+        if seat.tier is Locality.REGION:
             cost += want.target * (ZONE_DOWNLOAD if want.kind == DOWNLOAD else ZONE)
-        elif seat.tier is Tier.FAR:
+        elif seat.tier is Locality.FAR:
             cost += want.target * REGION
         return cost + want.usual * CHANCE * rng.random()
 
-    def _hushed(self, seat: Seat, now: float) -> bool:
-        return self.pace.silent(now, seat.sight, seat.zone, seat.tier is Tier.FAR)
+    def _hushed(self, seat: Endpoint, now: float) -> bool:
+        return self.pace.silent(now, seat.sight, seat.zone, seat.tier is Locality.FAR)
 
-    def _usable(self, seat: Seat, want: Want) -> bool:
+    def _usable(self, seat: Endpoint, want: SelectionCriteria) -> bool:
         backend = seat.backend
         return backend.instance not in want.tried and (not want.homes or backend.region in want.homes)
 
-    def _ready(self, seat: Seat, want: Want) -> bool:
+    def _ready(self, seat: Endpoint, want: SelectionCriteria) -> bool:
         now, health = want.now, seat.health
         if not self._usable(seat, want) or now < health.full_until:
             return False
@@ -208,14 +208,14 @@
             and not seat.near
         )
 
-    def yields(self, seat: Seat, want: Want) -> bool:
+    def yields(self, seat: Endpoint, want: SelectionCriteria) -> bool:
         """Whether this seat's room is due to somebody who waits with a higher priority."""
         return any(
             count and priority < want.priority and (not homes or seat.backend.region in homes)
             for (priority, homes), count in self.waiting.items()
         )
 
-    def choose(self, want: Want, rng: Random) -> Seat | None:
+    def choose(self, want: SelectionCriteria, rng: Random) -> Endpoint | None:
         """The best seat with room now, None if there is none."""
         load = self.reckon(want.now)
         best = self._best(self.near, load, want, 0.0, rng)
@@ -239,7 +239,7 @@
             return self._best(healthy, load, want, QUEUE_LAST, rng)
         return None
 
-    def last_resort(self, want: Want, rng: Random) -> Seat | None:
+    def last_resort(self, want: SelectionCriteria, rng: Random) -> Endpoint | None:
         """Where all are set aside or doubted at once it is rather this gateway's own network: the least bad of all."""
         now = want.now
         usable = [s for s in self.near + self.rest if self._usable(s, want) and not s.health.moved]
@@ -249,7 +249,7 @@
         usable = [s for s in usable if s.out < max(1, s.backend.slots // 2) and self._warm(s, now)]
         return min(usable, key=lambda s: (s.health.bad_at, rng.random())) if usable else None
 
-    def trial(self, want: Want) -> Seat | None:
+    def trial(self, want: SelectionCriteria) -> Endpoint | None:
         """A seat whose pause is over, if a trial is due."""
         if self.trials < 1.0 or want.unsafe or want.kind == DOWNLOAD:
             return None
@@ -264,10 +264,12 @@
                 return seat
         return None
 
-    def _warm(self, seat: Seat, now: float) -> bool:
+    def _warm(self, seat: Endpoint, now: float) -> bool:
         return self._cold.until(seat.backend) <= now or self._cold.may(now, seat.backend, self.service)
 
-    def _best(self, seats: list[Seat], load: float, want: Want, queue: float, rng: Random) -> Seat | None:
+    def _best(
+        self, seats: list[Endpoint], load: float, want: SelectionCriteria, queue: float, rng: Random
+    ) -> Endpoint | None:
         best, least = None, 0.0
         for seat in seats:
             if (
@@ -280,5 +282,5 @@
                     best, least = seat, cost
         return best
 
-    def _some(self, seats: list[Seat], rng: Random) -> list[Seat]:
+    def _some(self, seats: list[Endpoint], rng: Random) -> list[Endpoint]:
         return rng.sample(seats, SAMPLE) if len(seats) > SAMPLE else seats
--- a/hallhitch/planes/data/front.py
+++ b/hallhitch/planes/data/http_listener.py
@@ -13,8 +13,8 @@
 from hallhitch.net.flow import Broken, Flow
 from hallhitch.net.http import Malformed, Message
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
-from hallhitch.planes.data.exchange import Context, Driver
-from hallhitch.planes.data.wire import KEPT, ClientReader, Reply, Room, bodiless, own_reply, reply_head
+from hallhitch.planes.data.http_messages import KEPT, ClientReader, Reply, Room, bodiless, own_reply, reply_head
+from hallhitch.planes.data.request_handler import Context, RequestHandler
 
 AHEAD = 8  # requests of one connection that are read before they are begun
 LINGER = 1000.0  # ms that a connection whose last answer has left waits for its client to close
@@ -24,7 +24,7 @@
 BACKLOG = 4096
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client's connection."""
 
     __slots__ = (
@@ -44,7 +44,7 @@
         "__weakref__",
     )
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: HttpListener) -> None:
         self.front = front
         self.transport: asyncio.Transport | None = None
         self.reader = ClientReader(front.context.limits, self._hold)
@@ -184,7 +184,7 @@
         """Answer one request."""
         context = self.front.context
         try:
-            reply = await Driver(context, message, read, self).run()
+            reply = await RequestHandler(context, message, read, self).run()
         except Exception as error:
             self.front.failed.warning(context.clock(), f"a request failed: {type(error).__name__}: {error}")
             reply = own_reply(502, message)
@@ -280,17 +280,17 @@
             self.transport.resume_reading()
 
 
-class Front:
+class HttpListener:
     """All clients of this gateway."""
 
     def __init__(self, context: Context, address: tuple[str, int], most: int, room: Room) -> None:
         """`most` bounds the connections, `room` the long bodies held whole."""
         self.context, self._address, self._most, self.room = context, address, most, room
-        self.clients: set[Client] = set()
-        self.idle: dict[Client, float] = {}  # at rest, with the moment since; the longest first
-        self.reading: dict[Client, float] = {}  # a request is coming, since
-        self.stuck: dict[Client, float] = {}  # the client takes nothing, since
-        self.lingering: dict[Client, float] = {}  # answered for the last time
+        self.clients: set[ClientConnection] = set()
+        self.idle: dict[ClientConnection, float] = {}  # at rest, with the moment since; the longest first
+        self.reading: dict[ClientConnection, float] = {}  # a request is coming, since
+        self.stuck: dict[ClientConnection, float] = {}  # the client takes nothing, since
+        self.lingering: dict[ClientConnection, float] = {}  # answered for the last time
         self.tasks: set[asyncio.Task[None]] = set()
         self.failed = RateLimitedLog(ComponentLogger("front"))
         self.keep_alive = b""
@@ -301,7 +301,7 @@
     async def start(self) -> None:
         """Listen; raises OSError."""
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Client(self), *self._address, reuse_address=True, backlog=BACKLOG
+            lambda: ClientConnection(self), *self._address, reuse_address=True, backlog=BACKLOG
         )
 
     @property
@@ -312,12 +312,12 @@
 
     def retune(self) -> None:
         """The configuration has changed: tell clients how long their connections may rest."""
-        rest = int(self.context.limits.idle_time / 1000) - 1
+        rest = int(self.context.limits.idle_timeout_ms / 1000) - 1
         self.keep_alive = b"Keep-Alive: timeout=%d\r\n" % rest if rest > 0 else b""
 
     # Called by the clients.
 
-    def admit(self, client: Client) -> bool:
+    def admit(self, client: ClientConnection) -> bool:
         """Whether there is room for one more; the one that rested longest makes room if need be."""
         self.context.count("clients")
         if len(self.clients) >= self._most:
@@ -331,7 +331,7 @@
         self.idle[client] = self.context.clock()
         return True
 
-    def forget(self, client: Client) -> None:
+    def forget(self, client: ClientConnection) -> None:
         """A connection has ended."""
         self.clients.discard(client)
         for table in (self.idle, self.reading, self.stuck, self.lingering):
@@ -339,7 +339,7 @@
         if not self.clients:
             self._gone.set()
 
-    def serve(self, client: Client, message: Message, read: float) -> None:
+    def serve(self, client: ClientConnection, message: Message, read: float) -> None:
         """Begin one request."""
         self.context.count("requests")
         task = asyncio.get_running_loop().create_task(client.serve(message, read))
@@ -351,18 +351,18 @@
     def sweep(self, now: float) -> None:
         """Look after all connections; to be called a few times a second."""
         limits = self.context.limits
-        rest = min(REST_AFTER_LEAVE, limits.idle_time) if self._shut else limits.idle_time
+        rest = min(REST_AFTER_LEAVE, limits.idle_timeout_ms) if self._shut else limits.idle_timeout_ms
         for client, since in list(self.idle.items()):
             if now - since < rest:
                 break
             del self.idle[client]
             client.close()
         for client, since in list(self.reading.items()):
-            if now - since >= (limits.head_time if client.head_is_coming else limits.idle_time):
+            if now - since >= (limits.head_timeout_ms if client.head_is_coming else limits.idle_timeout_ms):
                 del self.reading[client]
                 client.time_out()
         for client, since in [*self.stuck.items()]:
-            if now - since >= limits.idle_time:
+            if now - since >= limits.idle_timeout_ms:
                 client.abort()
         for client, since in list(self.lingering.items()):
             if now - since < LINGER:
--- a/hallhitch/planes/data/wire.py
+++ b/hallhitch/planes/data/http_messages.py
@@ -10,8 +10,8 @@
 
 from hallhitch.net.flow import Flow
 from hallhitch.net.http import AnswerReader, Message, RequestReader, origin_of
-from hallhitch.planes.data.ports import Outcome
-from hallhitch.planes.values import Limits
+from hallhitch.planes.data.interfaces import Outcome
+from hallhitch.planes.values import RequestLimits
 
 HELD = 1024 * 1024  # bytes of an answer that is held whole before any of it goes on, if there is room
 KEPT = 64 * 1024  # bytes of a body that nobody has to make room for
@@ -99,9 +99,15 @@
 class ClientReader(RequestReader):
     """Reads requests off a client's connection, with all their fields."""
 
-    def __init__(self, limits: Limits, hold: Callable[[int], bool]) -> None:
+    def __init__(self, limits: RequestLimits, hold: Callable[[int], bool]) -> None:
         """Bodies past KEPT are whole as long as `hold` makes room; then they pass in pieces."""
-        super().__init__(True, hold, head_most=limits.head, body_most=min(KEPT, limits.body), long_most=limits.body)
+        super().__init__(
+            True,
+            hold,
+            head_most=limits.max_head_bytes,
+            body_most=min(KEPT, limits.max_body_bytes),
+            long_most=limits.max_body_bytes,
+        )
 
     def on_message_begin(self) -> None:
         super().on_message_begin()
--- a/hallhitch/planes/data/ports.py
+++ b/hallhitch/planes/data/interfaces.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Protocol
 
-from hallhitch.planes.values import Backend, ClusterConfig, Gateway, Route, Taken, Tenant
+from hallhitch.planes.values import Backend, ClusterConfig, Gateway, QuotaDecision, Route, Tenant
 
 
 class Outcome(Enum):
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class RequestInfo:
     """One try of a client, admitted: what the decisions need of it."""
 
     route: Route
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class Forward:
     """Send it to this backend. After `patience` ms without an answer ask `next` again, leaving this one out."""
 
     backend: Backend
@@ -53,14 +53,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
+class Enqueue:
     """Nothing has room for it now: ask again after so many ms, or when an attempt of its own ends."""
 
     wait: float
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """It has surely not run and will not: 503 with Retry-After (ms)."""
 
     after: float
@@ -73,13 +73,13 @@
     status: int
 
 
-Step = Send | Hold | Refuse | Fail
+Action = Forward | Enqueue | Reject | Fail
 
 
 class Exchange(Protocol):
     """One try under way, as its driver sees it; the decisions keep their own things in it."""
 
-    ask: Ask
+    ask: RequestInfo
 
 
 class Decisions(Protocol):
@@ -94,10 +94,10 @@
     def config(self, now: float, config: ClusterConfig) -> None:
         """The cluster configuration, whole."""
 
-    def begin(self, now: float, ask: Ask) -> Exchange:
+    def begin(self, now: float, ask: RequestInfo) -> Exchange:
         """A try was admitted."""
 
-    def next(self, now: float, exchange: Exchange) -> Step:
+    def next(self, now: float, exchange: Exchange) -> Action:
         """What to do now: asked at first, after each attempt's end, and when patience or a hold is over."""
 
     def ended(self, now: float, exchange: Exchange, backend: Backend, outcome: Outcome, lag: float) -> None:
@@ -114,8 +114,8 @@
 class Counter(Protocol):
     """One add-and-read a request on the tenant's window count; `planes/quota/caller.py`."""
 
-    async def take(self, tenant: Tenant, wait: float) -> Taken:
+    async def take(self, tenant: Tenant, wait: float) -> QuotaDecision:
         """Add one unit and read, within `wait` ms. Never raises; never passes unchecked."""
 
-    def give_back(self, taken: Taken) -> None:
+    def give_back(self, taken: QuotaDecision) -> None:
         """The request surely never ran: its unit goes back if its name still lives."""
--- a/hallhitch/planes/data/latency.py
+++ b/hallhitch/planes/data/latency.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from hallhitch.planes.data.health import Sight
+from hallhitch.planes.data.outlier_detection import UnansweredSends
 
 GAIN = 1 / 16  # of one answer: some sixteen answers make a mind, so a tail of one in a hundred does not
 RATIO_GAIN = 0.15  # of one answer for one backend: steady enough against work that varies by half
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Usual:
+class LatencyAverage:
     """What one route's answers from one service take: mean, mean deviation and the fastest of late."""
 
     mean: float
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Ratio:
+class LatencyRatio:
     """How one backend's answers compare with the usual: 1 = as all, more = slow or busy with others' requests."""
 
     value: float = 1.0
@@ -68,23 +68,23 @@
     """The usual times of one service, by route."""
 
     def __init__(self) -> None:
-        self._usual: dict[str, Usual] = {}
-        self._all = Usual(0.0, 0.0, 0.0)
+        self._usual: dict[str, LatencyAverage] = {}
+        self._all = LatencyAverage(0.0, 0.0, 0.0)
         self._late = 0.0
 
-    def usual(self, route: str, target: float) -> Usual:
+    def usual(self, route: str, target: float) -> LatencyAverage:
         """What this route's answers take; a guess from its target (ms) before any was seen."""
         usual = self._usual.get(route)
         if usual is None:
-            usual = self._usual[route] = Usual(target * GUESS, target * GUESS, target * GUESS * 0.2)
+            usual = self._usual[route] = LatencyAverage(target * GUESS, target * GUESS, target * GUESS * 0.2)
         return usual
 
-    def took(self, usual: Usual, lag: float) -> None:
+    def took(self, usual: LatencyAverage, lag: float) -> None:
         """One whole answer came after `lag` on the route of `usual`."""
         usual.took(lag)
         self._all.took(lag)
 
-    def silent(self, now: float, seat: Sight, zone: Sight, far: bool) -> bool:
+    def silent(self, now: float, seat: UnansweredSends, zone: UnansweredSends, far: bool) -> bool:
         """Whether it is odd that a backend, or its whole zone, has not answered by now; not told before enough came."""
         if self._all.seen < HUSH_SEEN:
             return False
@@ -106,7 +106,7 @@
         """Whether so many are late that a second attempt would only add to it."""
         return self._late > SLOW
 
-    def patience(self, usual: Usual, target: float, spent: float, left: float) -> float:
+    def patience(self, usual: LatencyAverage, target: float, spent: float, left: float) -> float:
         """After how many ms another backend is worth trying: `spent` ms are over, `left` ms remain."""
         most = max(left * 0.5, 0.0)
         if usual.seen < 3:
--- a/hallhitch/planes/data/choice.py
+++ b/hallhitch/planes/data/load_balancer.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from hallhitch.planes.data.budget import Budget
-from hallhitch.planes.data.candidates import Attempt, Candidates, Seat, Tier, Want
-from hallhitch.planes.data.cold import Cold
-from hallhitch.planes.data.health import SPELL, Sight
-from hallhitch.planes.data.latency import Usual
-from hallhitch.planes.data.ports import Ask, Exchange, Fail, Hold, Outcome, Refuse, Send, Step
-from hallhitch.planes.data.preference import RendezvousWeights, owners
+from hallhitch.planes.data.endpoint_set import Endpoint, EndpointAttempt, EndpointSet, Locality, SelectionCriteria
+from hallhitch.planes.data.interfaces import Action, Enqueue, Exchange, Fail, Forward, Outcome, Reject, RequestInfo
+from hallhitch.planes.data.latency import LatencyAverage
+from hallhitch.planes.data.outlier_detection import SPELL, UnansweredSends
+from hallhitch.planes.data.rendezvous import RendezvousWeights, owners
+from hallhitch.planes.data.retry_budget import RetryBudget
+from hallhitch.planes.data.slow_start import SlowStart
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway
 
 HOLD_PART = 0.22  # of the target: refusals are early within a quarter of it, and the answer takes its way too
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class LoadBalancerSettings:
     """What the decisions need of a gateway's settings; times in ms."""
 
     name: str
@@ -48,47 +48,47 @@
 
 
 @dataclass(slots=True, eq=False)
-class Run(Exchange):
+class RequestState(Exchange):
     """One try under way."""
 
-    ask: Ask
-    attempts: list[Attempt] = field(default_factory=list)
-    waits: Candidates | None = None  # where it is counted as waiting
+    ask: RequestInfo
+    attempts: list[EndpointAttempt] = field(default_factory=list)
+    waits: EndpointSet | None = None  # where it is counted as waiting
     status: int = 502
     done: bool = False  # the client has its answer, or left
 
 
-class Choice:
+class LoadBalancer:
     """Implements `ports.Decisions` for one gateway."""
 
-    def __init__(self, settings: Settings, rng: Random) -> None:
+    def __init__(self, settings: LoadBalancerSettings, rng: Random) -> None:
         self._settings, self._rng = settings, rng
         self._weights = RendezvousWeights()
-        self._cold = Cold(
+        self._cold = SlowStart(
             settings.name, settings.region, settings.cold_over, settings.cold_slack, settings.list_lag, self._weights
         )
         self._config: ClusterConfig | None = None
         self._entries: Sequence[Backend] = ()
-        self._seats: dict[str, Seat] = {}
+        self._seats: dict[str, Endpoint] = {}
         self._shape: Sequence[tuple[object, ...]] = ()
-        self._candidates: dict[str, Candidates] = {}
-        self._sights: dict[str, Sight] = {}
-        self._budgets: dict[str, Budget] = {}
+        self._candidates: dict[str, EndpointSet] = {}
+        self._sights: dict[str, UnansweredSends] = {}
+        self._budgets: dict[str, RetryBudget] = {}
         self._peers: dict[str, tuple[str, str]] = {settings.name: (settings.zone, settings.region)}
 
     def backends(self, now: float, entries: Sequence[Backend]) -> None:
         """All backends there are, as last told."""
         self._entries = entries
         self._cold.backends(now, entries, self._config.services if self._config else {})
-        seats: dict[str, Seat] = {}
+        seats: dict[str, Endpoint] = {}
         for entry in entries:
             seat = self._seats.get(entry.instance)
             if seat is None or (seat.backend.host, seat.backend.port) != (entry.host, entry.port):
-                seat = Seat(entry, zone=self._sights.setdefault(entry.zone, Sight(3)))
+                seat = Endpoint(entry, zone=self._sights.setdefault(entry.zone, UnansweredSends(3)))
             seat.backend = entry
             seats[entry.instance] = seat
         self._seats = seats
-        shape = [(e.instance, e.host, e.port, e.service, e.zone, e.slots, e.draining) for e in entries]
+        shape = [(e.instance, e.host, e.port, e.service, e.zone, e.slots, e.is_draining) for e in entries]
         if shape != self._shape:
             # The list comes often and changes seldom.
             self._shape = shape
@@ -96,7 +96,7 @@
 
     def gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
         """All gateways that live, as last told."""
-        peers = {g.name: (g.zone, g.region) for g in entries if g.frontend and not g.leaving}
+        peers = {g.name: (g.zone, g.region) for g in entries if g.frontend and not g.is_leaving}
         peers[self._settings.name] = (self._settings.zone, self._settings.region)
         self._cold.gateways(now, entries)
         if peers != self._peers:
@@ -108,29 +108,29 @@
         known, self._config = self._config, config
         if known is None:
             self._cold.backends(now, self._entries, config.services)
-        self._cold.evacuated(now, config.evacuated, self._entries, config.services)
+        self._cold.evacuated(now, config.evacuated_zones, self._entries, config.services)
         for name, service in config.services.items():
             if name in self._candidates:
                 self._candidates[name].service = service
         self._place()
 
-    def begin(self, now: float, ask: Ask) -> Run:
+    def begin(self, now: float, ask: RequestInfo) -> RequestState:
         """A try was admitted."""
         self._budget(now, ask.service).first(now)
-        return Run(ask)
+        return RequestState(ask)
 
-    def next(self, now: float, exchange: Exchange) -> Step:
+    def next(self, now: float, exchange: Exchange) -> Action:
         """What to do now."""
-        assert isinstance(exchange, Run)
+        assert isinstance(exchange, RequestState)
         run = exchange
         step = self._step(now, run)
-        if not isinstance(step, Hold):
+        if not isinstance(step, Enqueue):
             self._rest(run)
         return step
 
     def ended(self, now: float, exchange: Exchange, backend: Backend, outcome: Outcome, lag: float) -> None:
         """One attempt has ended, or has outlasted its patience (SILENT)."""
-        assert isinstance(exchange, Run)
+        assert isinstance(exchange, RequestState)
         run = exchange
         attempt = next((a for a in reversed(run.attempts) if a.seat.backend.instance == backend.instance), None)
         if attempt is None:
@@ -156,12 +156,18 @@
 
     def finish(self, now: float, exchange: Exchange) -> None:
         """The client has its answer, or left."""
-        assert isinstance(exchange, Run)
+        assert isinstance(exchange, RequestState)
         exchange.done = True
         self._rest(exchange)
 
     def _learn(
-        self, now: float, run: Run, attempt: Attempt, place: Candidates | None, outcome: Outcome, lag: float
+        self,
+        now: float,
+        run: RequestState,
+        attempt: EndpointAttempt,
+        place: EndpointSet | None,
+        outcome: Outcome,
+        lag: float,
     ) -> None:
         seat, ask = attempt.seat, run.ask
         health, jitter = seat.health, 0.8 + 0.4 * self._rng.random()
@@ -173,10 +179,10 @@
             if spell >= SPELL and place is not None and not self._network(now, place):
                 self._cold.presume(seat.backend.instance, now + 2.0 * self._settings.list_lag + SPELL)
             if place is not None and outcome is Outcome.OK:
-                usual = place.pace.usual(ask.route.name, ask.route.target)
+                usual = place.pace.usual(ask.route.name, ask.route.latency_target_ms)
                 seat.ratio.took(now, lag / max(usual.mean, 1.0))
                 place.pace.took(usual, lag)
-                if ask.route.repeatable and not attempt.silent:
+                if ask.route.is_idempotent and not attempt.silent:
                     place.pace.ended(False)
         elif outcome is Outcome.DECLINED:
             health.full(now, jitter)
@@ -186,36 +192,36 @@
                 health.bad(now, Outcome.SILENT, jitter)
         else:
             health.bad(now, outcome, jitter)
-            if outcome is Outcome.SILENT and place is not None and ask.route.repeatable:
+            if outcome is Outcome.SILENT and place is not None and ask.route.is_idempotent:
                 place.pace.ended(True)
 
-    def _network(self, now: float, place: Candidates) -> bool:
+    def _network(self, now: float, place: EndpointSet) -> bool:
         seats = place.near + place.rest
         return sum(1 for s in seats if s.health.bad_at > now - 2.0 * SPELL) > NETWORK * len(seats) > 0
 
-    def _step(self, now: float, run: Run) -> Step:
+    def _step(self, now: float, run: RequestState) -> Action:
         ask, left = run.ask, run.ask.ends - now
         route = ask.route
         out = [a for a in run.attempts if a.out]
         ran = any(a.ran for a in run.attempts)
-        if not route.repeatable and (out or ran):
+        if not route.is_idempotent and (out or ran):
             # It may be running, or has: there is nothing more to try.
             if left > 0 and any(not a.silent for a in out):
-                return Hold(left)
+                return Enqueue(left)
             return Fail(run.status if left > 0 else 504)
         place = self._candidates.get(ask.service)
         if place is None:
             return self._turn_away(ask, None)
-        usual = place.pace.usual(route.name, route.target)
+        usual = place.pace.usual(route.name, route.latency_target_ms)
         if left <= usual.fastest * STILL:
             if out and left > 0:
-                return Hold(left)
+                return Enqueue(left)
             return Fail(504) if ran or out else self._turn_away(ask, usual)
         arrived = sum(1 for a in run.attempts if a.arrived)
         further = arrived > 0
         budget = self._budget(now, ask.service)
         if (
-            arrived >= max(route.attempts, 1)
+            arrived >= max(route.max_attempts, 1)
             or len(run.attempts) - arrived >= UNREACHABLE_MOST
             or further
             and not budget.room(now, len(self._peers))
@@ -223,18 +229,27 @@
             and place.pace.slow
         ):
             if out:
-                return Hold(left)
+                return Enqueue(left)
             return Fail(run.status) if ran else self._turn_away(ask, usual)
         tried = frozenset(a.seat.backend.instance for a in run.attempts)
-        want = Want(now, route.kind, not route.repeatable, route.target, usual.mean, ask.homes, tried, ask.priority)
+        want = SelectionCriteria(
+            now,
+            route.kind,
+            not route.is_idempotent,
+            route.latency_target_ms,
+            usual.mean,
+            ask.homes,
+            tried,
+            ask.priority,
+        )
         seat, trial = self._seat(place, run, want)
         if seat is not None:
             return self._send(now, run, place, usual, seat, trial)
         if out:
-            return Hold(left)
+            return Enqueue(left)
         return self._wait(now, run, place, usual, ran)
 
-    def _seat(self, place: Candidates, run: Run, want: Want) -> tuple[Seat | None, bool]:
+    def _seat(self, place: EndpointSet, run: RequestState, want: SelectionCriteria) -> tuple[Endpoint | None, bool]:
         if not run.attempts and (seat := place.trial(want)) is not None:
             place.trials -= 1.0
             return seat, True
@@ -247,9 +262,11 @@
             seat = None
         return seat, False
 
-    def _send(self, now: float, run: Run, place: Candidates, usual: Usual, seat: Seat, trial: bool) -> Step:
+    def _send(
+        self, now: float, run: RequestState, place: EndpointSet, usual: LatencyAverage, seat: Endpoint, trial: bool
+    ) -> Action:
         ask = run.ask
-        attempt = Attempt(seat, now, ask.ends, trial)
+        attempt = EndpointAttempt(seat, now, ask.ends, trial)
         if any(a.arrived for a in run.attempts):
             attempt.mark = self._budget(now, ask.service).take(now)
         run.attempts.append(attempt)
@@ -263,23 +280,25 @@
         self._cold.sent(now, seat.backend)
         left = ask.ends - now
         attempt.patience = (
-            left if not ask.route.repeatable else place.pace.patience(usual, ask.route.target, now - ask.came, left)
+            left
+            if not ask.route.is_idempotent
+            else place.pace.patience(usual, ask.route.latency_target_ms, now - ask.came, left)
         )
-        return Send(seat.backend, attempt.patience)
+        return Forward(seat.backend, attempt.patience)
 
-    def _wait(self, now: float, run: Run, place: Candidates, usual: Usual, ran: bool) -> Step:
+    def _wait(self, now: float, run: RequestState, place: EndpointSet, usual: LatencyAverage, ran: bool) -> Action:
         ask = run.ask
         part = HOLD_TRIED if run.attempts else HOLD_PART
-        hold = min(ask.came + part * ask.route.target - now, ask.ends - now - usual.mean)
+        hold = min(ask.came + part * ask.route.latency_target_ms - now, ask.ends - now - usual.mean)
         if hold <= 1.0:
             return Fail(run.status) if ran else self._turn_away(ask, usual)
         if run.waits is None:
             run.waits = place
             key = ask.priority, ask.homes
             place.waiting[key] = place.waiting.get(key, 0) + 1
-        return Hold(min(hold, max(POLL, min(POLL_MOST, usual.mean * POLL_PART)) * (0.75 + 0.5 * self._rng.random())))
+        return Enqueue(min(hold, max(POLL, min(POLL_MOST, usual.mean * POLL_PART)) * (0.75 + 0.5 * self._rng.random())))
 
-    def _rest(self, run: Run) -> None:
+    def _rest(self, run: RequestState) -> None:
         if run.waits is not None:
             key = run.ask.priority, run.ask.homes
             run.waits.waiting[key] -= 1
@@ -287,15 +306,15 @@
                 del run.waits.waiting[key]
             run.waits = None
 
-    def _turn_away(self, ask: Ask, usual: Usual | None) -> Refuse:
+    def _turn_away(self, ask: RequestInfo, usual: LatencyAverage | None) -> Reject:
         spread = AFTER_LEAST + (AFTER_MOST - AFTER_LEAST) * self._rng.random()
-        return Refuse(ask.route.target * spread)
+        return Reject(ask.route.latency_target_ms * spread)
 
-    def _budget(self, now: float, service: str) -> Budget:
+    def _budget(self, now: float, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
             settings = self._settings
-            budget = self._budgets[service] = Budget(
+            budget = self._budgets[service] = RetryBudget(
                 settings.retry_ratio, settings.retry_window, settings.retry_slack, now
             )
         return budget
@@ -308,30 +327,30 @@
         weights.keep(set(self._seats), set(self._peers))
         region = [n for n, (_, r) in self._peers.items() if r == settings.region]
         in_zone = [n for n, (z, _) in self._peers.items() if z == settings.zone]
-        seats: dict[str, list[Seat]] = {name: [] for name in config.services}
+        seats: dict[str, list[Endpoint]] = {name: [] for name in config.services}
         for seat in self._seats.values():
             backend = seat.backend
-            if backend.service in seats and not backend.draining and backend.zone not in config.evacuated:
+            if backend.service in seats and not backend.is_draining and backend.zone not in config.evacuated_zones:
                 seats[backend.service].append(seat)
         for name, service in config.services.items():
             place = self._candidates.get(name)
             if place is None:
-                place = self._candidates[name] = Candidates(service, self._cold)
+                place = self._candidates[name] = EndpointSet(service, self._cold)
             mine = [s.backend.instance for s in seats[name] if s.backend.zone == settings.zone]
             owned = owners(weights, mine, in_zone)
             for seat in seats[name]:
                 instance = seat.backend.instance
                 if seat.backend.zone == settings.zone:
-                    seat.tier = Tier.ZONE
+                    seat.tier = Locality.ZONE
                     rank = weights.rank(instance, settings.name, in_zone)
                     seat.rank = 0 if owned[instance] == settings.name else max(rank, 1)
                 elif seat.backend.region == settings.region:
-                    seat.tier = Tier.REGION
+                    seat.tier = Locality.REGION
                     ahead = [n for n in region if self._peers[n][0] == seat.backend.zone]
                     others = [n for n in region if n not in ahead]
                     seat.rank = len(ahead) + weights.rank(instance, settings.name, others)
                 else:
-                    seat.tier = Tier.FAR
+                    seat.tier = Locality.FAR
                     seat.rank = weights.rank(instance, settings.name, region)
             place.place(seats[name], len(region))
         for name in [n for n in self._candidates if n not in config.services]:
--- a/hallhitch/planes/data/health.py
+++ b/hallhitch/planes/data/outlier_detection.py
@@ -7,7 +7,7 @@
 
 from enum import Enum
 
-from hallhitch.planes.data.ports import Outcome
+from hallhitch.planes.data.interfaces import Outcome
 
 STRIKES = 2  # bad ends in a row that set a backend aside; one alone may be a closed idle connection, or chance
 SAME = 40.0  # ms: bad ends so close together have one cause
@@ -18,7 +18,7 @@
 SPELL = 500.0  # ms of trouble after which a backend that answers again may have been started anew
 
 
-class Sight:
+class UnansweredSends:
     """Whether a backend, or a whole zone, still answers at all: the first few sends since it was last heard."""
 
     __slots__ = ("sends", "_most")
