--- a/hallhitch/planes/data/plane.py
+++ b/hallhitch/planes/data/plane.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Sequence
 
 from hallhitch.node.clock import now as steady
-from hallhitch.node.settings import Node
+from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.data.connection_pools import ConnectionPools
-from hallhitch.planes.data.exchange import Context
-from hallhitch.planes.data.front import Front
-from hallhitch.planes.data.ports import Counter, Decisions
-from hallhitch.planes.data.wire import Room
+from hallhitch.planes.data.http_listener import HttpListener
+from hallhitch.planes.data.http_messages import Room
+from hallhitch.planes.data.interfaces import Counter, Decisions
+from hallhitch.planes.data.request_handler import Context
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway
 
 SWEEP = 0.2  # s between looks at time-outs
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        node: Node,
+        node: NodeSettings,
         decisions: Decisions,
         counter: Counter,
         clock: Callable[[], float] = steady,
@@ -37,12 +37,12 @@
         """`clock` gives steady milliseconds."""
         self.figures: dict[str, int] = {}
         self._decisions, self._clock = decisions, clock
-        descriptors = max(64, node.files - RESERVED)
+        descriptors = max(64, node.max_open_files - RESERVED)
         backends = int(descriptors * BACKEND_SHARE)
-        room = Room(int(node.memory * HELD_SHARE * 1024 * 1024))
+        room = Room(int(node.memory_mb * HELD_SHARE * 1024 * 1024))
         self._pools = ConnectionPools(clock, node.region, backends, self.figures, room)
         self.context = Context(decisions, counter, self._pools, clock, self.figures)
-        self.front = Front(self.context, node.listen["frontend"], descriptors - backends, room)
+        self.front = HttpListener(self.context, node.listen_addresses["frontend"], descriptors - backends, room)
         self.front.retune()
         self._sweeper: asyncio.TimerHandle | None = None
         self._swept, self._stalled = clock(), False
--- a/hallhitch/planes/data/exchange.py
+++ b/hallhitch/planes/data/request_handler.py
@@ -15,17 +15,7 @@
 
 from hallhitch.net.http import Message, path_of
 from hallhitch.planes.data.connection_pools import Attempt, ConnectionPools
-from hallhitch.planes.data.ports import (
-    Ask,
-    Counter,
-    Decisions,
-    Exchange,
-    Hold,
-    Outcome,
-    Refuse,
-    Send,
-)
-from hallhitch.planes.data.wire import (
+from hallhitch.planes.data.http_messages import (
     DEADLINE,
     REQUEST_ID,
     Reply,
@@ -34,7 +24,17 @@
     reply_of,
     request_head,
 )
-from hallhitch.planes.values import ClusterConfig, Limits, Route, Taken, Tenant
+from hallhitch.planes.data.interfaces import (
+    Counter,
+    Decisions,
+    Enqueue,
+    Exchange,
+    Forward,
+    Outcome,
+    Reject,
+    RequestInfo,
+)
+from hallhitch.planes.values import ClusterConfig, QuotaDecision, RequestLimits, Route, Tenant
 
 UNKNOWING = 1000.0  # ms after which a client may ask again a gateway that knows no configuration yet
 LATE_AFTER = 100.0  # and one whose request found no room in its time
@@ -55,10 +55,10 @@
     figures: dict[str, int]
     config: ClusterConfig | None = None
     leaving: bool = False
-    plain: Limits = field(default_factory=Limits)
+    plain: RequestLimits = field(default_factory=RequestLimits)
 
     @property
-    def limits(self) -> Limits:
+    def limits(self) -> RequestLimits:
         """What a client may send and how long it may take."""
         return self.config.limits if self.config is not None else self.plain
 
@@ -73,7 +73,7 @@
     left: bool  # whether it went away
 
 
-class Driver:
+class RequestHandler:
     """One request under way."""
 
     __slots__ = (
@@ -103,7 +103,7 @@
         self._context, self._request, self._read, self._client = context, request, read, client
         self._route: Route | None = None
         self._tenant: Tenant | None = None
-        self._taken: Taken | None = None
+        self._taken: QuotaDecision | None = None
         self._out: list[Attempt] = []  # not yet over
         self._sent = 0  # attempts of which something was written
         self._ran = False  # whether one that is over may have run
@@ -122,7 +122,7 @@
             return reply
         context, route = self._context, self._route
         assert route is not None
-        if self._tenant is not None and self._tenant.rate > 0:
+        if self._tenant is not None and self._tenant.rate_per_s > 0:
             reply = await self._counted(self._tenant)
             if reply is not None:
                 return reply
@@ -149,41 +149,41 @@
         if config is None:
             return own_reply(503, request, UNKNOWING)
         host = headers.get(b"host", b"").decode("latin-1").partition(":")[0].lower()
-        route = config.route(host, path_of(request.target).decode("latin-1"))
+        route = config.find_route(host, path_of(request.target).decode("latin-1"))
         if route is None:
             return own_reply(404, request)
         tenant = None
         if config.tenants:
-            tenant = config.keys.get(key_of(headers.get(b"authorization", b"")))
-            if tenant is None and not route.public:
+            tenant = config.tenants_by_api_key.get(key_of(headers.get(b"authorization", b"")))
+            if tenant is None and not route.is_public:
                 return own_reply(401, request)
-        homes = route.homes
-        if tenant is not None and tenant.homes:
-            homes = homes & tenant.homes if homes else tenant.homes
+        homes = route.allowed_regions
+        if tenant is not None and tenant.allowed_regions:
+            homes = homes & tenant.allowed_regions if homes else tenant.allowed_regions
             if not homes:
                 return own_reply(503, request, UNKNOWING)  # no region is home to both
         priority = route.priority if tenant is None or tenant.priority is None else tenant.priority
-        ends = self._read + min(route.timeout, deadline_of(headers.get(DEADLINE), route.timeout))
+        ends = self._read + min(route.timeout_ms, deadline_of(headers.get(DEADLINE), route.timeout_ms))
         self._route, self._tenant = route, tenant
         service = service_of(route, headers.get(REQUEST_ID, b""))
-        self._ask = Ask(route, service, homes, priority, now, ends)
+        self._ask = RequestInfo(route, service, homes, priority, now, ends)
         return None
 
     async def _counted(self, tenant: Tenant) -> Reply | None:
         """Add one to the tenant's count and read it; None: it is within."""
         left = self._ask.ends - self._context.clock()
         taken = await self._context.counter.take(tenant, max(1.0, min(COUNTING_MOST, left * COUNTING_SHARE)))
-        if taken.passed:
+        if taken.is_admitted:
             self._taken = taken
             return None
-        self._context.count("counter_silent" if taken.silent else "over_quota")
-        return own_reply(503 if taken.silent else 429, self._request, taken.after)
+        self._context.count("counter_silent" if taken.is_counter_unavailable else "over_quota")
+        return own_reply(503 if taken.is_counter_unavailable else 429, self._request, taken.retry_after_ms)
 
     # Attempts.
 
     async def _attempts(self, exchange: Exchange, route: Route) -> Reply:
         context, clock, client = self._context, self._context.clock, self._client
-        unsafe = not route.repeatable
+        unsafe = not route.is_idempotent
         ask = self._ask
         limit = ask.ends - min(MARGIN_MOST, MARGIN_SHARE * (ask.ends - self._read))
         again = 0.0  # when the decisions are asked next, unless something ends before
@@ -203,8 +203,8 @@
                 again = limit
             elif woken or now >= again:
                 step = context.decisions.next(now, exchange)
-                if isinstance(step, Send):
-                    if self._sent + len(self._out) >= max(1, route.attempts) or self._request_is_spent():
+                if isinstance(step, Forward):
+                    if self._sent + len(self._out) >= max(1, route.max_attempts) or self._request_is_spent():
                         if not self._out:
                             return self._no_answer(502, LATE_AFTER)
                         again = limit
@@ -213,18 +213,18 @@
                         again = limit
                         if attempt.over and attempt.written is None:  # it ended at once, and would at once again
                             again, self._woken = now + BREATH, False
-                elif isinstance(step, Hold):
+                elif isinstance(step, Enqueue):
                     again = now + max(1.0, step.wait)
                 elif self._out:
                     again = limit  # what is out may still answer, and may still run
-                elif isinstance(step, Refuse):
+                elif isinstance(step, Reject):
                     return self._no_answer(502, step.after)
                 else:
                     return self._no_answer(step.status)
             until = min([limit, again, *(a.patience for a in self._out if not a.silent)])
             await self._wait(until)
 
-    def _send(self, step: Send, unsafe: bool, now: float) -> Attempt:
+    def _send(self, step: Forward, unsafe: bool, now: float) -> Attempt:
         request = self._request
         request_id = request.headers.get(REQUEST_ID) or None
         attempt = Attempt(
@@ -347,7 +347,7 @@
 
 def service_of(route: Route, request_id: bytes) -> str:
     """The service of a request by the weights of its route's split; the same for the same id."""
-    split = route.split
+    split = route.weighted_services
     if len(split) == 1:
         return split[0][0]
     at = zlib.crc32(request_id) / 2**32 * sum(weight for _, weight in split)
--- a/hallhitch/planes/data/budget.py
+++ b/hallhitch/planes/data/retry_budget.py
@@ -12,7 +12,7 @@
 SLICE = 250.0  # ms: first sends are counted in slices, the oldest one is left out
 
 
-class Budget:
+class RetryBudget:
     """Counts requests and further arrivals; asked before each further send."""
 
     def __init__(self, ratio: float, window: float, slack: float, now: float) -> None:
--- a/hallhitch/planes/data/cold.py
+++ b/hallhitch/planes/data/slow_start.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from hallhitch.planes.data.preference import RendezvousWeights
+from hallhitch.planes.data.rendezvous import RendezvousWeights
 from hallhitch.planes.values import Backend, Gateway, Service
 
 OWNERS = 2  # gateways a cold backend belongs to: one may be gone without anybody knowing
@@ -24,12 +24,12 @@
 
 
 @dataclass(slots=True)
-class _Life:
+class WarmingBackend:
     until: float = 0.0  # steady ms until which it is taken for cold: the latest moment told or presumed
     sent: deque[float] = field(default_factory=deque)
 
 
-class Cold:
+class SlowStart:
     """Answers what is cold and whether one more may go there now."""
 
     def __init__(
@@ -37,7 +37,7 @@
     ) -> None:
         self._own, self._region = own, region
         self._over, self._slack, self._lag, self._weights = over, slack, lag, weights
-        self._lives: dict[str, _Life] = {}
+        self._lives: dict[str, WarmingBackend] = {}
         self._told = False
         self._regions: dict[str, str] = {}
         self._seen: dict[str, float] = {}  # when each gateway was last told
@@ -52,13 +52,13 @@
         for entry in entries:
             life = known.get(entry.instance)
             if life is None:
-                life = _Life()
+                life = WarmingBackend()
                 service = services.get(entry.service)
                 if self._told and service is not None:
-                    part = 1.0 if entry.cold_until > now else NEW
-                    life.until = now + part * service.cold_time
-            if entry.cold_until > now:
-                life.until = max(life.until, entry.cold_until)
+                    part = 1.0 if entry.warming_until_ms > now else NEW
+                    life.until = now + part * service.slow_start_ms
+            if entry.warming_until_ms > now:
+                life.until = max(life.until, entry.warming_until_ms)
             self._lives[entry.instance] = life
         self._told = self._told or bool(entries)
         self._mine.clear()
@@ -87,7 +87,7 @@
         for entry in entries:
             service = services.get(entry.service)
             if entry.zone in back and service is not None:
-                self.presume(entry.instance, now + service.cold_time + 2.0 * self._lag)
+                self.presume(entry.instance, now + service.slow_start_ms + 2.0 * self._lag)
 
     def presume(self, instance: str, until: float) -> None:
         """Take it for cold until then."""
@@ -98,13 +98,13 @@
     def until(self, backend: Backend) -> float:
         """Until when it is cold, or was when last seen so (steady ms); in the past = warm, 0 = never seen cold."""
         life = self._lives.get(backend.instance)
-        return life.until if life is not None else backend.cold_until
+        return life.until if life is not None else backend.warming_until_ms
 
     def part(self, service: Service) -> float:
         """Requests a second that one gateway may send to one cold backend; infinite where no bound was given."""
-        if service.cold_rate <= 0:
+        if service.slow_start_rate_per_s <= 0:
             return float("inf")
-        return (service.cold_rate * self._over + self._slack) // PARTS
+        return (service.slow_start_rate_per_s * self._over + self._slack) // PARTS
 
     def may(self, now: float, backend: Backend, service: Service) -> bool:
         """Whether one more may go to this cold backend now."""
@@ -126,8 +126,8 @@
 
         It may turn cold at any moment and the list tells it late, so the even way is the safe one.
         """
-        life, bound = self._lives.get(backend.instance), service.cold_rate * self._over + self._slack
-        if life is None or service.cold_rate <= 0:
+        life, bound = self._lives.get(backend.instance), service.slow_start_rate_per_s * self._over + self._slack
+        if life is None or service.slow_start_rate_per_s <= 0:
             return 0.0
         sent = life.sent
         while sent and sent[0] <= now - SECOND:
--- a/hallhitch/planes/discovery/directory.py
+++ b/hallhitch/planes/discovery/directory.py
@@ -17,7 +17,7 @@
 def nearest(gateways: Iterable[Gateway], region: str, zone: str, regions: Mapping[str, str]) -> list[Gateway]:
     """The gateways to name to a client of this place: those of its region, and others only where these are few."""
     region = region or regions.get(zone, "")
-    usable = sorted((g for g in gateways if g.frontend and g.ready and not g.leaving), key=lambda g: g.name)
+    usable = sorted((g for g in gateways if g.frontend and g.is_ready and not g.is_leaving), key=lambda g: g.name)
     near = [g for g in usable if g.region == region]
     if len(near) < ENOUGH:
         near += [g for g in usable if g.region != region]
--- a/hallhitch/planes/discovery/listing.py
+++ b/hallhitch/planes/discovery/endpoint_list.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from hallhitch.node.settings import span
+from hallhitch.node.settings import parse_duration_ms
 
 COLD_MOVES = 400.0  # ms by which a foreseen end of coldness may move and be the same: it is read off a relative time
 
@@ -59,7 +59,7 @@
 def entry(row: Mapping[str, Any], now: float) -> Listed:
     """One backend of a page."""
     host, _, port = row["address"].rpartition(":")
-    cold = span(row["coldRemaining"]) if row.get("coldRemaining") else 0.0
+    cold = parse_duration_ms(row["coldRemaining"]) if row.get("coldRemaining") else 0.0
     return Listed(
         row["instanceId"],
         row["targetService"],
--- a/hallhitch/planes/discovery/registry.py
+++ b/hallhitch/planes/discovery/gateway_registry.py
@@ -12,7 +12,7 @@
 SILENCE = 1800.0  # ms without a pull after which a process is taken for gone: three pulls and a round trip
 
 
-class Registry:
+class GatewayRegistry:
     """What one coordinator hears."""
 
     def __init__(self) -> None:
@@ -36,6 +36,6 @@
     for table in others:
         for address, gateway in table.items():
             known = union.get(address)
-            if known is None or gateway.leaving and gateway.incarnation == known.incarnation:
+            if known is None or gateway.is_leaving and gateway.incarnation == known.incarnation:
                 union[address] = gateway
     return union
--- a/hallhitch/planes/discovery/platform.py
+++ b/hallhitch/planes/discovery/platform.py
@@ -8,8 +8,8 @@
 
 from hallhitch.net.http import AnswerReader, Malformed
 from hallhitch.node.clock import now
-from hallhitch.node.errors import Silent
-from hallhitch.planes.discovery.listing import Listed, read_page
+from hallhitch.node.errors import RequestTimeout
+from hallhitch.planes.discovery.endpoint_list import Listed, read_page
 
 CALL_WAIT = 1.0  # s for one page: a platform that takes longer is asked again
 PAGES_MOST = 2000
@@ -31,12 +31,12 @@
                 body = await self._get(f"/instances?pageToken={quote(token)}" if token else "/instances")
                 page = read_page(body, now())
             except ValueError as error:
-                raise Silent("list", "platform", str(error)) from None
+                raise RequestTimeout("list", "platform", str(error)) from None
             entries += page.entries
             if page.following is None:
                 return began, entries
             token = page.following
-        raise Silent("list", "platform", "a list without end")
+        raise RequestTimeout("list", "platform", "a list without end")
 
     def close(self) -> None:
         """Let the connection go."""
@@ -51,18 +51,18 @@
                 return await self._ask(target)
         except TimeoutError:
             self.close()
-            raise Silent("list", "platform", "no answer") from None
+            raise RequestTimeout("list", "platform", "no answer") from None
         except (OSError, Malformed) as error:
             self.close()
             if not kept:
-                raise Silent("list", "platform", str(error)) from None
+                raise RequestTimeout("list", "platform", str(error)) from None
         # A kept connection may have been closed by the other side meanwhile: once more on a new one.
         try:
             async with asyncio.timeout(CALL_WAIT):
                 return await self._ask(target)
         except (OSError, Malformed, TimeoutError) as error:
             self.close()
-            raise Silent("list", "platform", str(error)) from None
+            raise RequestTimeout("list", "platform", str(error)) from None
 
     async def _ask(self, target: str) -> bytes:
         if self._streams is None:
--- a/hallhitch/planes/distribution/config_compiler.py
+++ b/hallhitch/planes/distribution/config_compiler.py
@@ -10,15 +10,15 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from hallhitch.node.settings import span
-from hallhitch.planes.values import IDEMPOTENT, ClusterConfig, Limits, Route, Service, Tenant
+from hallhitch.node.settings import parse_duration_ms
+from hallhitch.planes.values import IDEMPOTENT, ClusterConfig, RequestLimits, Route, Service, Tenant
 
-EMPTY = ClusterConfig(serial=0, version=-1, routes={}, services={}, tenants={}, keys={})
+EMPTY = ClusterConfig(serial=0, version=-1, routes={}, services={}, tenants={}, tenants_by_api_key={})
 
 
 def _time(value: object, default: float) -> float:
     try:
-        return span(value)
+        return parse_duration_ms(value)
     except ValueError:
         return default
 
@@ -36,13 +36,13 @@
         host=str(entry["host"]).lower(),
         prefix=entry.get("pathPrefix", "/"),
         kind=entry.get("routeKind", IDEMPOTENT),
-        timeout=timeout,
-        target=_time(entry.get("targetLatency"), timeout / 4),
+        timeout_ms=timeout,
+        latency_target_ms=_time(entry.get("targetLatency"), timeout / 4),
         priority=int(entry.get("priority", 0)),
-        split=services,
-        attempts=int(entry.get("maxAttempts", 1)),
-        public=bool(entry.get("public", False)),
-        homes=frozenset(entry.get("allowedRegions") or ()),
+        weighted_services=services,
+        max_attempts=int(entry.get("maxAttempts", 1)),
+        is_public=bool(entry.get("public", False)),
+        allowed_regions=frozenset(entry.get("allowedRegions") or ()),
     )
 
 
@@ -50,11 +50,11 @@
     priority = entry.get("priority")
     return Tenant(
         name=name,
-        keys=tuple(entry.get("apiKeys") or ()),
+        api_keys=tuple(entry.get("apiKeys") or ()),
         priority=int(priority) if priority is not None else None,
-        rate=float(entry.get("ratePerS") or 0),
+        rate_per_s=float(entry.get("ratePerS") or 0),
         burst=float(entry.get("burstSize") or 0),
-        homes=frozenset(entry.get("allowedRegions") or ()),
+        allowed_regions=frozenset(entry.get("allowedRegions") or ()),
     )
 
 
@@ -63,7 +63,7 @@
 ) -> ClusterConfig:
     """The configuration that these bytes are (zlib of the configuration's JSON; none = only evacuations)."""
     if not content:
-        return ClusterConfig(serial, version, {}, {}, {}, {}, evacuated=frozenset(evacuated), fleet=fleet)
+        return ClusterConfig(serial, version, {}, {}, {}, {}, evacuated_zones=frozenset(evacuated), max_gateways=fleet)
     table = json.loads(zlib.decompress(content))
     routes: dict[str, list[Route]] = {}
     for name, entry in (table.get("routes") or {}).items():
@@ -81,19 +81,19 @@
     }
     tenants = {name: _tenant(name, entry) for name, entry in (table.get("tenants") or {}).items()}
     limits = table.get("limits") or {}
-    plain = Limits()
+    plain = RequestLimits()
     return ClusterConfig(
         serial,
         version,
         {host: tuple(sorted(of, key=lambda route: (-len(route.prefix), route.prefix))) for host, of in routes.items()},
         services,
         tenants,
-        {key: tenant for tenant in tenants.values() for key in tenant.keys},
-        Limits(
-            int(limits.get("maxHeaderBytes") or plain.head),
-            int(limits.get("maxBodyBytes") or plain.body),
-            _time(limits.get("headerTimeout"), plain.head_time),
-            _time(limits.get("idleTimeout"), plain.idle_time),
+        {key: tenant for tenant in tenants.values() for key in tenant.api_keys},
+        RequestLimits(
+            int(limits.get("maxHeaderBytes") or plain.max_head_bytes),
+            int(limits.get("maxBodyBytes") or plain.max_body_bytes),
+            _time(limits.get("headerTimeout"), plain.head_timeout_ms),
+            _time(limits.get("idleTimeout"), plain.idle_timeout_ms),
         ),
         frozenset(evacuated),
         fleet,
--- a/hallhitch/planes/distribution/gateway_sync.py
+++ b/hallhitch/planes/distribution/gateway_sync.py
@@ -11,13 +11,13 @@
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
 
-from hallhitch.messages.system_pb2 import Envelope, News
+from hallhitch.messages.system_pb2 import Envelope, StateUpdate
 from hallhitch.node.clock import now
-from hallhitch.node.errors import StepError
+from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
-from hallhitch.node.settings import Bounds
-from hallhitch.planes.distribution.hub import StateHub
-from hallhitch.planes.distribution.source import HOLD, Calls, Source, rendezvous
+from hallhitch.node.settings import RuleBounds
+from hallhitch.planes.distribution.peer_replica import HOLD, Calls, PeerReplica, rendezvous
+from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import Gateway, LeaseMembership
 
 FIRST = 800.0  # ms in which a process that has just started hears those it knows
@@ -42,14 +42,14 @@
         own: Callable[[], Gateway],
         seeds: Sequence[str],
         clock: Callable[[], float] = now,
-        bounds: Bounds | None = None,
+        bounds: RuleBounds | None = None,
     ) -> None:
         """`own` tells this gateway's entry of the moment."""
         self._links, self._hub, self._own, self._seeds, self._clock = links, hub, own, tuple(seeds), clock
-        self._bounds = bounds or Bounds()
+        self._bounds = bounds or RuleBounds()
         self._log = ComponentLogger("distribution")
         self._task: asyncio.Task[None] | None = None
-        self._sources: dict[str, Source] = {}
+        self._sources: dict[str, PeerReplica] = {}
         self._pulls: dict[str, tuple[float, asyncio.Task[bool]]] = {}  # under way: address -> since when, its task
         self._followed = ""  # whose answer is waited for
         self.asked_all = False  # whether those known at the start were heard, or had their time
@@ -103,7 +103,7 @@
 
     async def _follow_coordinators(self, addresses: Sequence[str]) -> bool:
         """Pull from the first in contact with the core for as long as it is; False if no coordinator answers."""
-        lapsed: list[Source] = []
+        lapsed: list[PeerReplica] = []
         for address in addresses:
             source = self._source(address)
             if address not in self._pulls and self._beside() >= BESIDE:
@@ -133,13 +133,13 @@
                 return
             hold = HOLD
 
-    def _watched(self) -> list[Source]:
+    def _watched(self) -> list[PeerReplica]:
         """The gateways that this one asks."""
         own = self._own().name
         others = {g.name: g.address for g in self._hub.gateways.values() if g.frontend and g.name != own}
         return [self._source(others[name], coordinator=False) for name in rendezvous(own, others)[:WATCHED]]
 
-    async def _take_newest(self, gateways: Iterable[Source], hold: float) -> bool:
+    async def _take_newest(self, gateways: Iterable[PeerReplica], hold: float) -> bool:
         """Pull from several gateways; the newest configuration first, so that no older one comes into force."""
         pulls = [(source, self._clock(), self._ask(source, hold, self._wait_most(source))) for source in gateways]
         answers = await asyncio.gather(*(pull for _, _, pull in pulls))
@@ -160,22 +160,22 @@
                 return True
         return False
 
-    def _source(self, address: str, *, coordinator: bool = True) -> Source:
+    def _source(self, address: str, *, coordinator: bool = True) -> PeerReplica:
         source = self._sources.get(address)
         if source is None:
-            source = self._sources[address] = Source(address, self._clock, coordinator=coordinator)
+            source = self._sources[address] = PeerReplica(address, self._clock, coordinator=coordinator)
         return source
 
     def _beside(self) -> int:
         """How many pulls are under way that may still be answered soon."""
-        overdue = self._clock() - HOLD - LATEST_SHARE * self._bounds.config
+        overdue = self._clock() - HOLD - LATEST_SHARE * self._bounds.config_apply_ms
         return sum(since > overdue for since, _ in self._pulls.values())
 
-    def _wait_most(self, source: Source) -> float:
+    def _wait_most(self, source: PeerReplica) -> float:
         """How long (ms) an answer of this peer is waited for before somebody else is asked beside it."""
-        return source.patience(PATIENCE_SHARE * self._bounds.config)
+        return source.patience(PATIENCE_SHARE * self._bounds.config_apply_ms)
 
-    async def _pull(self, source: Source, hold: float) -> bool:
+    async def _pull(self, source: PeerReplica, hold: float) -> bool:
         """Wait for the pull to this peer that is under way, or for a new one; whether there was an answer in its time.
 
         One cut short by `say` counts as answered.
@@ -185,7 +185,7 @@
         await asyncio.wait({pull}, timeout=(hold + self._wait_most(source)) / 1000)
         return pull.done() and (pull.cancelled() or pull.result())
 
-    def _begin(self, source: Source, hold: float, *, lists: bool) -> asyncio.Task[bool]:
+    def _begin(self, source: PeerReplica, hold: float, *, lists: bool) -> asyncio.Task[bool]:
         """The pull to this peer that is under way; a new one where there is none."""
         under_way = self._pulls.get(source.address)
         if under_way is not None:
@@ -200,30 +200,30 @@
         if not pull.cancelled() and (error := pull.exception()) is not None:
             self._log.error(f"a pull failed: {type(error).__name__}: {error}")
 
-    async def _exchange(self, source: Source, hold: float, lists: bool) -> bool:
+    async def _exchange(self, source: PeerReplica, hold: float, lists: bool) -> bool:
         """One pull and its answer, taken in however late it comes; whether there was one."""
         asked = self._clock()
-        news = await self._ask(source, hold, self._bounds.config)
+        news = await self._ask(source, hold, self._bounds.config_apply_ms)
         if news is None:
             return False
         self._learn(source, news, asked, lists)
         return True
 
-    async def _ask(self, source: Source, hold: float, wait: float) -> News | None:
+    async def _ask(self, source: PeerReplica, hold: float, wait: float) -> StateUpdate | None:
         """What a peer tells; None for silence."""
-        pull = Envelope(pull=source.pull(self._own(), self._hub, hold, False))
+        pull = Envelope(state_request=source.pull(self._own(), self._hub, hold, False))
         try:
             answer = await self._links.call(source.address, pull, hold + wait)
-        except StepError:
+        except PeerCallError:
             return None
-        return answer.news if answer.HasField("news") else None
+        return answer.state_update if answer.HasField("state_update") else None
 
-    def _learn(self, source: Source, news: News, asked: float, lists: bool) -> None:
+    def _learn(self, source: PeerReplica, news: StateUpdate, asked: float, lists: bool) -> None:
         """Take an answer in. Who the coordinators are is learned from those in contact, and from others at first."""
-        source.answered(news, asked, self._bounds.serving_lease)
-        if news.core and (not source.lapsed or not self._hub.core):
-            self._hub.core = tuple(news.core)
+        source.answered(news, asked, self._bounds.serving_lease_ms)
+        if news.coordinators and (not source.lapsed or not self._hub.core):
+            self._hub.core = tuple(news.coordinators)
         if news.members and (not source.lapsed or not self._hub.members):
             self._hub.members = tuple(news.members)
-        self._hub.set_membership(LeaseMembership.of(news.membership))
+        self._hub.set_membership(LeaseMembership.of(news.lease_membership))
         source.take(news, self._hub, asked, lists)
--- a/hallhitch/planes/distribution/peer_sync.py
+++ b/hallhitch/planes/distribution/peer_sync.py
@@ -10,10 +10,10 @@
 
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.clock import now
-from hallhitch.node.errors import StepError
-from hallhitch.node.settings import Bounds
-from hallhitch.planes.distribution.hub import StateHub
-from hallhitch.planes.distribution.source import HOLD, Calls, Source
+from hallhitch.node.errors import PeerCallError
+from hallhitch.node.settings import RuleBounds
+from hallhitch.planes.distribution.peer_replica import HOLD, Calls, PeerReplica
+from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import Gateway
 
 REST = 200.0  # ms between tries where nobody answers
@@ -31,19 +31,19 @@
         own: Callable[[], Gateway],
         heard: Callable[[], None],
         clock: Callable[[], float] = now,
-        bounds: Bounds | None = None,
+        bounds: RuleBounds | None = None,
     ) -> None:
         """`heard` is told after each answer."""
         self._links, self._hub, self._own, self._heard, self._clock = links, hub, own, heard, clock
-        self._bounds = bounds or Bounds()
-        self.sources: dict[str, Source] = {}
+        self._bounds = bounds or RuleBounds()
+        self.sources: dict[str, PeerReplica] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def meet(self, addresses: Iterable[str]) -> None:
         """Coordinators that there may be; those already known stay until `leave`."""
         for address in addresses:
             if address != self._own().address and address not in self._tasks:
-                self.sources[address] = Source(address, self._clock)
+                self.sources[address] = PeerReplica(address, self._clock)
                 self._tasks[address] = asyncio.ensure_future(self._follow(self.sources[address]))
 
     def leave(self, address: str) -> None:
@@ -55,7 +55,7 @@
 
     def forget_gone(self, named: Collection[str]) -> None:
         """Let those go that were silent for long, but for members and seeds (`named`). One that is back pulls here."""
-        bound = self._clock() - FORGET_AFTER * self._bounds.contact
+        bound = self._clock() - FORGET_AFTER * self._bounds.contact_window_ms
         for address, source in list(self.sources.items()):
             if address not in named and max(source.heard, source.met) < bound:
                 self.leave(address)
@@ -69,26 +69,26 @@
         """Those that answered within so many ms."""
         return [address for address, source in self.sources.items() if self._clock() - source.heard < within]
 
-    async def _follow(self, source: Source) -> None:
+    async def _follow(self, source: PeerReplica) -> None:
         while True:
             if not await self._pull(source):
                 self._heard()
                 await asyncio.sleep(REST / 1000)
 
-    async def _pull(self, source: Source) -> bool:
+    async def _pull(self, source: PeerReplica) -> bool:
         """One pull; whether there was an answer."""
         asked = self._clock()
-        pull = Envelope(pull=source.pull(self._own(), self._hub, HOLD, True))
-        wait = HOLD + source.patience(SLOWEST_SHARE * self._bounds.contact)
+        pull = Envelope(state_request=source.pull(self._own(), self._hub, HOLD, True))
+        wait = HOLD + source.patience(SLOWEST_SHARE * self._bounds.contact_window_ms)
         try:
             answer = await self._links.call(source.address, pull, wait)
-        except StepError:
+        except PeerCallError:
             source.trip.learn(max(1.0, self._clock() - asked - HOLD))
             return False
-        if not answer.HasField("news"):
+        if not answer.HasField("state_update"):
             return False
-        source.answered(answer.news, asked, self._bounds.serving_lease)
-        source.take(answer.news, self._hub, asked, lists=False)
-        self.meet(answer.news.core)
+        source.answered(answer.state_update, asked, self._bounds.serving_lease_ms)
+        source.take(answer.state_update, self._hub, asked, lists=False)
+        self.meet(answer.state_update.coordinators)
         self._heard()
         return True
--- a/hallhitch/planes/distribution/hub.py
+++ b/hallhitch/planes/distribution/state_hub.py
@@ -12,20 +12,20 @@
 from typing import Any
 
 from hallhitch.messages.system_pb2 import (
-    BackendEntry,
-    Backends,
+    BackendMessage,
+    BackendUpdate,
     Envelope,
-    FeedVersion,
-    GatewayEntry,
-    Gateways,
-    Holders,
-    News,
-    Pull,
+    GatewayMessage,
+    GatewayUpdate,
+    LeaseHolderUpdate,
+    MapVersion,
+    StateRequest,
+    StateUpdate,
 )
 from hallhitch.messages.system_pb2 import ConfigSnapshot as ConfigMessage
 from hallhitch.node.clock import now
-from hallhitch.planes.discovery.listing import Listed, settle
-from hallhitch.planes.distribution.feed import Changes, Feed
+from hallhitch.planes.discovery.endpoint_list import Listed, settle
+from hallhitch.planes.distribution.versioned_map import Delta, VersionedMap
 from hallhitch.planes.values import Gateway, LeaseMembership
 
 DRAINED_KEPT = 4096  # backends seen draining that are remembered when they are gone: a list that lags may name them
@@ -33,9 +33,9 @@
 HOLD_MOST = 1000.0  # ms for which a pull is held back at most
 
 
-def entry_of(g: Gateway) -> GatewayEntry:
+def entry_of(g: Gateway) -> GatewayMessage:
     """A gateway as it is sent."""
-    return GatewayEntry(
+    return GatewayMessage(
         name=g.name,
         address=g.address,
         incarnation=g.incarnation,
@@ -43,27 +43,29 @@
         zone=g.zone,
         region=g.region,
         frontend=g.frontend,
-        ready=g.ready,
-        leaving=g.leaving,
+        is_ready=g.is_ready,
+        is_leaving=g.is_leaving,
     )
 
 
-def gateway_of(e: GatewayEntry) -> Gateway:
+def gateway_of(e: GatewayMessage) -> Gateway:
     """And as it is received."""
-    return Gateway(e.name, e.address, e.incarnation, e.machine_class, e.zone, e.region, e.frontend, e.ready, e.leaving)
+    return Gateway(
+        e.name, e.address, e.incarnation, e.machine_class, e.zone, e.region, e.frontend, e.is_ready, e.is_leaving
+    )
 
 
-def sent_of(e: Listed, clock: float) -> BackendEntry:
+def sent_of(e: Listed, clock: float) -> BackendMessage:
     """A backend as it is sent: what is left of its coldness, as clocks are each process's own."""
-    return BackendEntry(
+    return BackendMessage(
         instance=e.instance,
         service=e.service,
         host=e.host,
         port=e.port,
         zone=e.zone,
         slots=e.slots,
-        draining=e.draining,
-        cold_left=max(0.0, e.cold_until - clock),
+        is_draining=e.draining,
+        warmup_remaining_ms=max(0.0, e.cold_until - clock),
     )
 
 
@@ -72,11 +74,11 @@
 
     def __init__(self, incarnation: int, clock: Callable[[], float] = now) -> None:
         self.incarnation, self._clock = incarnation, clock
-        self.config = ConfigMessage(version=-1)
-        self.backends: Feed[Listed] = Feed(incarnation)
+        self.config = ConfigMessage(config_version=-1)
+        self.backends: VersionedMap[Listed] = VersionedMap(incarnation)
         self.read_at = float("-inf")  # when the list of backends was read, by this process's clock
-        self.gateways: Feed[Gateway] = Feed(incarnation)  # all that live, as far as known here
-        self.direct: Feed[Gateway] = Feed(incarnation)  # those that pull from here
+        self.gateways: VersionedMap[Gateway] = VersionedMap(incarnation)  # all that live, as far as known here
+        self.direct: VersionedMap[Gateway] = VersionedMap(incarnation)  # those that pull from here
         self.holders: Mapping[int, str] = {}
         self._holders_number = 0
         self.core: tuple[str, ...] = ()
@@ -114,7 +116,7 @@
         if serial <= self.config.serial:
             return False
         self.config = ConfigMessage(
-            serial=serial, version=version, content=content, evacuated=sorted(evacuated), fleet=fleet
+            serial=serial, config_version=version, config=content, evacuated_zones=sorted(evacuated), max_gateways=fleet
         )
         self.changed()
         return True
@@ -158,68 +160,70 @@
 
     # What is told.
 
-    def news(self, pull: Pull) -> News | None:
+    def news(self, pull: StateRequest) -> StateUpdate | None:
         """What the one that pulls lacks; None if nothing. A configuration goes alone, before lists that may be long."""
-        news, any_news, clock = News(), False, self._clock()
-        had_serial = pull.have["config"].number
+        news, any_news, clock = StateUpdate(), False, self._clock()
+        had_serial = pull.known_versions["config"].number
         if self.config.serial > had_serial and (had_serial or self.hands_first_config()):
             news.config.CopyFrom(self.config)
             return self._signed(news)
         if self.read_at > float("-inf"):
-            had = pull.have["backends"]
+            had = pull.known_versions["backends"]
             changes = self.backends.since(had.epoch, had.number)
             if changes is not None:
                 news.backends.CopyFrom(
-                    Backends(
-                        stamp=_stamp(changes),
-                        whole=changes.whole,
-                        gone=changes.gone,
-                        more=changes.more,
+                    BackendUpdate(
+                        version=_stamp(changes),
+                        is_snapshot=changes.whole,
+                        removed=changes.gone,
+                        has_more_chunks=changes.more,
                         entries=[sent_of(e, clock) for e in changes.entries.values()],
                     )
                 )
                 any_news = True
-        if self.tells_gateways or pull.direct:
-            had = pull.have["gateways"]
-            gateways = (self.direct if pull.direct else self.gateways).since(had.epoch, had.number)
+        if self.tells_gateways or pull.direct_only:
+            had = pull.known_versions["gateways"]
+            gateways = (self.direct if pull.direct_only else self.gateways).since(had.epoch, had.number)
             if gateways is not None:
                 news.gateways.CopyFrom(
-                    Gateways(
-                        stamp=_stamp(gateways),
-                        whole=gateways.whole,
-                        gone=gateways.gone,
-                        more=gateways.more,
+                    GatewayUpdate(
+                        version=_stamp(gateways),
+                        is_snapshot=gateways.whole,
+                        removed=gateways.gone,
+                        has_more_chunks=gateways.more,
                         entries=[entry_of(g) for g in gateways.entries.values()],
                     )
                 )
                 any_news = True
-        had = pull.have["holders"]
+        had = pull.known_versions["holders"]
         if self._holders_number and (had.epoch, had.number) != (self.incarnation, self._holders_number):
             news.holders.CopyFrom(
-                Holders(stamp=FeedVersion(epoch=self.incarnation, number=self._holders_number), holders=self.holders)
+                LeaseHolderUpdate(
+                    version=MapVersion(epoch=self.incarnation, number=self._holders_number), holders=self.holders
+                )
             )
             any_news = True
         return self._signed(news) if any_news else None
 
-    def _signed(self, news: News) -> News:
+    def _signed(self, news: StateUpdate) -> StateUpdate:
         """What goes with every answer."""
-        news.incarnation, news.contact_age = self.incarnation, self.contact_age()
+        news.incarnation, news.quorum_contact_age_ms = self.incarnation, self.contact_age()
         if self.read_at > float("-inf"):
-            news.list_age = max(0.1, self._clock() - self.read_at)
-        news.core.extend(self.core)
+            news.endpoint_list_age_ms = max(0.1, self._clock() - self.read_at)
+        news.coordinators.extend(self.core)
         news.members.extend(self.members)
         if self.membership.version:
-            news.membership.CopyFrom(self.membership.message())
+            news.lease_membership.CopyFrom(self.membership.message())
         return news
 
-    async def answer(self, pull: Pull) -> Envelope:
+    async def answer(self, pull: StateRequest) -> Envelope:
         """The answer to a pull: at once if there is news, else held back until there is or its wait is over."""
         came = self._clock()
-        until = came + min(pull.wait, HOLD_MOST)
+        until = came + min(pull.max_wait_ms, HOLD_MOST)
         while (news := self.news(pull)) is None:
             left = until - self._clock()
             if left <= 0:
-                news = self._signed(News())
+                news = self._signed(StateUpdate())
                 break
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiters.add(waiter)
@@ -230,9 +234,9 @@
                 pass
             finally:
                 self._waiters.discard(waiter)
-        news.held = self._clock() - came
-        return Envelope(news=news)
+        news.held_back_ms = self._clock() - came
+        return Envelope(state_update=news)
 
 
-def _stamp(changes: Changes[Any]) -> FeedVersion:
-    return FeedVersion(epoch=changes.epoch, number=changes.number)
+def _stamp(changes: Delta[Any]) -> MapVersion:
+    return MapVersion(epoch=changes.epoch, number=changes.number)
--- a/hallhitch/planes/distribution/feed.py
+++ b/hallhitch/planes/distribution/versioned_map.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changes(Generic[V]):
+class Delta(Generic[V]):
     """What somebody lacks: all there is (`whole`), or what changed since the version it has."""
 
     epoch: int
@@ -29,7 +29,7 @@
     more: bool = False  # a piece: `number` is as far as it reaches
 
 
-class Feed(Generic[V]):
+class VersionedMap(Generic[V]):
     """One source of news."""
 
     def __init__(self, epoch: int) -> None:
@@ -87,7 +87,7 @@
             changed |= self.put(key, value)
         return changed
 
-    def since(self, epoch: int, number: int) -> Changes[V] | None:
+    def since(self, epoch: int, number: int) -> Delta[V] | None:
         """What one that has this version lacks; None if nothing."""
         if epoch == self.epoch and number >= self.number:
             return None
@@ -100,7 +100,7 @@
         most = max(PIECE, bisect_left(changed, (self._floor, ""))) if whole else PIECE
         more = len(changed) > most
         changed = changed[:most]
-        return Changes(
+        return Delta(
             self.epoch,
             changed[-1][0] if more else self.number,
             whole,
@@ -110,7 +110,7 @@
         )
 
 
-class Followed(Generic[V]):
+class VersionedReplica(Generic[V]):
     """Another process's feed, as far as it was told."""
 
     def __init__(self) -> None:
--- a/hallhitch/planes/quota/caller.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -12,20 +12,20 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from hallhitch.messages.system_pb2 import Count, Envelope
-from hallhitch.node.errors import StepError
+from hallhitch.messages.system_pb2 import CountRequest, Envelope
+from hallhitch.node.errors import PeerCallError
 from hallhitch.node.round_trip import RoundTrip
 from hallhitch.planes.quota.holder import Sum
 from hallhitch.planes.quota.limits import bucket_of
-from hallhitch.planes.quota.local_allowance import LocalAllowance
-from hallhitch.planes.values import Taken, Tenant
+from hallhitch.planes.quota.local_reserve import LocalReserve
+from hallhitch.planes.values import QuotaDecision, Tenant
 
 FIRST, SHORTEST = 800.0, 200.0  # ms that a holder is waited for: where its time is not known yet, and at least
 AWAY = 300.0  # ms for which a silent holder is not asked again, but by one call
 ELSEWHERE = 200.0  # ms for which one that said that it does not hold a bucket is not asked about it
 COME_BACK = 400.0  # ms after which a request may return that nobody could be asked about
 PRESSED = 250.0  # ms after which one may return at the soonest that was over a limit
-PASSED = Taken(True)
+PASSED = QuotaDecision(True)
 
 
 class Calls(Protocol):
@@ -67,9 +67,7 @@
 class CounterClient:
     """The counter as the data plane sees it (ports.Counter)."""
 
-    def __init__(
-        self, own: str, calls: Calls, local: Local, reserve: LocalAllowance, clock: Callable[[], float]
-    ) -> None:
+    def __init__(self, own: str, calls: Calls, local: Local, reserve: LocalReserve, clock: Callable[[], float]) -> None:
         self._own, self._calls, self._local, self._allowance, self._clock = own, calls, local, reserve, clock
         self._holders: Mapping[int, str] = {}
         self._peers: dict[str, _Peer] = {}
@@ -87,12 +85,12 @@
         live = set(holders.values())
         self._peers = {address: peer for address, peer in self._peers.items() if address in live}
 
-    async def take(self, tenant: Tenant, wait: float) -> Taken:
+    async def take(self, tenant: Tenant, wait: float) -> QuotaDecision:
         """Add one unit and read, within `wait` ms; see ports.Counter."""
-        if tenant.rate <= 0:
+        if tenant.rate_per_s <= 0:
             return PASSED
         name, now = tenant.name, self._clock()
-        mine = self._local.count(name, tenant.rate, tenant.burst)
+        mine = self._local.count(name, tenant.rate_per_s, tenant.burst)
         if mine is not None:
             return self._told(now, tenant, self._own, mine.over, mine.over_share, mine.slot, mine.wait)
         bucket = bucket_of(name)
@@ -108,16 +106,18 @@
         peer.trying = trial
         try:
             most = min(wait, max(SHORTEST, peer.trip.mean + peer.trip.bound() + 50) if peer.trip.known else FIRST)
-            answer = (await self._calls.call(address, Envelope(count=Count(tenant=name)), most)).counted
+            answer = (
+                await self._calls.call(address, Envelope(count_request=CountRequest(tenant=name)), most)
+            ).count_response
             came = self._clock()
             peer.away_until, peer.heard = 0.0, came
             peer.trip.learn(came - now)
-            if answer.unknown and came - now < wait:
-                count = Count(tenant=name, rate=tenant.rate, burst=tenant.burst)
+            if answer.is_tenant_unknown and came - now < wait:
+                count = CountRequest(tenant=name, rate_per_s=tenant.rate_per_s, burst=tenant.burst)
                 left = min(most, wait - (came - now))
-                answer = (await self._calls.call(address, Envelope(count=count), left)).counted
+                answer = (await self._calls.call(address, Envelope(count_request=count), left)).count_response
                 came = self._clock()
-        except StepError:
+        except PeerCallError:
             came = self._clock()
             # Not where little time was left, nor where it answered others meanwhile.
             if wait >= SHORTEST and peer.heard <= now:
@@ -126,16 +126,18 @@
             return self._alone(came, tenant)
         finally:
             peer.trying = False
-        if not answer.held:
+        if not answer.is_lease_holder:
             self._elsewhere[bucket] = came + ELSEWHERE
             return self._alone(came, tenant)
-        if answer.unknown:
+        if answer.is_tenant_unknown:
             return self._alone(came, tenant)
-        return self._told(came, tenant, address, answer.over, answer.over_share, answer.slot, answer.wait)
+        return self._told(
+            came, tenant, address, answer.is_over_limit, answer.is_over_share, answer.slot, answer.retry_after_ms
+        )
 
-    def give_back(self, taken: Taken) -> None:
+    def give_back(self, taken: QuotaDecision) -> None:
         """A unit that surely never ran goes back, where its name still lives; nobody waits for it."""
-        token = taken.token
+        token = taken.refund_token
         if not isinstance(token, _Token):
             return
         if not token.address:
@@ -148,9 +150,11 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _return(self, token: _Token) -> None:
-        with contextlib.suppress(StepError):  # then it leaves with the window
+        with contextlib.suppress(PeerCallError):  # then it leaves with the window
             await self._calls.call(
-                token.address, Envelope(count=Count(tenant=token.tenant, units=-1, slot=token.slot)), FIRST
+                token.address,
+                Envelope(count_request=CountRequest(tenant=token.tenant, units=-1, slot=token.slot)),
+                FIRST,
             )
 
     def _told(
@@ -162,18 +166,18 @@
         over_share: bool,
         slot: int,
         wait: float,
-    ) -> Taken:
+    ) -> QuotaDecision:
         if not over:
-            return Taken(True, token=_Token(tenant.name, address, slot))
+            return QuotaDecision(True, refund_token=_Token(tenant.name, address, slot))
         # The reserve is counted apart from the holder's part, so it may be used where the tenant is inside its limit.
-        kept = self._allowance.take(now, tenant.name, tenant.rate, tenant.burst) if over_share else None
+        kept = self._allowance.take(now, tenant.name, tenant.rate_per_s, tenant.burst) if over_share else None
         if kept is not None:
-            return Taken(True, token=_Token(tenant.name, "", kept))
+            return QuotaDecision(True, refund_token=_Token(tenant.name, "", kept))
         # Room comes unit by unit, and as many wait for it: whoever comes back at once is refused once more.
-        return Taken(False, after=max(wait, PRESSED))
+        return QuotaDecision(False, retry_after_ms=max(wait, PRESSED))
 
-    def _alone(self, now: float, tenant: Tenant) -> Taken:
-        kept = self._allowance.take(now, tenant.name, tenant.rate, tenant.burst)
+    def _alone(self, now: float, tenant: Tenant) -> QuotaDecision:
+        kept = self._allowance.take(now, tenant.name, tenant.rate_per_s, tenant.burst)
         if kept is None:
-            return Taken(False, after=COME_BACK, silent=True)
-        return Taken(True, token=_Token(tenant.name, "", kept))
+            return QuotaDecision(False, retry_after_ms=COME_BACK, is_counter_unavailable=True)
+        return QuotaDecision(True, refund_token=_Token(tenant.name, "", kept))
--- a/hallhitch/planes/quota/holder.py
+++ b/hallhitch/planes/quota/holder.py
@@ -12,9 +12,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from hallhitch.planes.quota.lease import LEASE, MARGIN, Account, Left
+from hallhitch.planes.quota.lease import LEASE, MARGIN, PredecessorReport, UsageReport
 from hallhitch.planes.quota.limits import BUCKETS, Quota, bucket_of
-from hallhitch.planes.quota.window import NUMBERS, Window
+from hallhitch.planes.quota.sliding_window import NUMBERS, SlidingWindow
 from hallhitch.planes.values import Tenant
 
 NEVER = float("-inf")
@@ -41,8 +41,8 @@
     fleet: int
     short: int
     held: int
-    window: Window
-    whole: Window  # what was passed or sent to a reserve: the tenant's count over all parts
+    window: SlidingWindow
+    whole: SlidingWindow  # what was passed or sent to a reserve: the tenant's count over all parts
     limits: tuple[int, int]  # of that, in its own window and in the rule's
 
 
@@ -50,7 +50,7 @@
 class _Bucket:
     began: float = NEVER
     others: float = NEVER  # until when others may have counted
-    left: Left | None = None  # what the last of them told
+    left: PredecessorReport | None = None  # what the last of them told
     mark: int = 0  # in the numbers of its units, so that none goes back into another lease's window
     tenants: dict[str, _Tenant] = field(default_factory=dict)
 
@@ -76,7 +76,9 @@
         elif fleet != self._noted:
             self._noted, self._noted_at = fleet, now
 
-    def begin(self, bucket: int, others: float, now: float, left: Left | None = None, ended: float = NEVER) -> None:
+    def begin(
+        self, bucket: int, others: float, now: float, left: PredecessorReport | None = None, ended: float = NEVER
+    ) -> None:
         """A lease begins; no other gateway has counted there since `others`; see LeaseClient for `left`."""
         mine = self._buckets[bucket]
         if others <= mine.began:
@@ -97,7 +99,7 @@
         told = mine.left is not None and mine.left.account.sums and now - mine.others < self._quota.window
         return bool(mine.tenants or told)
 
-    def account(self, bucket: int, now: float) -> Account | None:
+    def account(self, bucket: int, now: float) -> UsageReport | None:
         """What the windows of a bucket hold, None where nothing."""
         mine, sums = self._buckets[bucket], {}
         for name, kept in mine.tenants.items():
@@ -105,12 +107,12 @@
             if kept.window.total > 0:
                 sums[name] = kept.window.cells(now, CELLS, self._quota.window / CELLS)
         partial = now - mine.others < self._quota.window
-        return Account(sums, partial) if sums or partial else None
+        return UsageReport(sums, partial) if sums or partial else None
 
     def limits(self, tenant: str) -> tuple[float, float] | None:
         """Rate and burst as the word has them, where it limits this tenant."""
         known = self._config.get(tenant)
-        return (known.rate, known.burst) if known is not None and known.rate > 0 else None
+        return (known.rate_per_s, known.burst) if known is not None and known.rate_per_s > 0 else None
 
     def add(self, now: float, tenant: str, units: int, rate: float, burst: float) -> Sum:
         """Count units of a tenant against its limits, and read."""
@@ -151,7 +153,7 @@
             kept.window.reshape(now, length)
             kept.whole.reshape(now, own)
             return _Tenant(rate, burst, self._fleet, short, held, kept.window, kept.whole, limits)
-        window = Window(now, self._quota.window, length)
+        window = SlidingWindow(now, self._quota.window, length)
         told = mine.left
         sums = None
         if told is not None:
@@ -170,4 +172,6 @@
             for back, units in enumerate(sums):
                 window.fill(min(told.age - back * self._quota.window / CELLS, now), max(0, min(units, room)))
                 room -= units
-        return _Tenant(rate, burst, self._fleet, short, held, window, Window(now, self._quota.window, own), limits)
+        return _Tenant(
+            rate, burst, self._fleet, short, held, window, SlidingWindow(now, self._quota.window, own), limits
+        )
--- a/hallhitch/planes/quota/lease.py
+++ b/hallhitch/planes/quota/lease.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Account:
+class UsageReport:
     """What a holder's windows held when it sent a claim: units by tenant, in CELLS of a window, newest first.
 
     A tenant that is not named has none, or, where it is `partial`, as much as its limits allow.
@@ -34,11 +34,11 @@
     partial: bool = False
 
 
-_NOTHING = Account({})
+_NOTHING = UsageReport({})
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class PredecessorReport:
     """The newest account that a coordinator has of a bucket's last holder, `age` ms after it came.
 
     `final`: the holder counted nothing after it. Otherwise it counted for no longer than a LEASE after the newest
@@ -48,7 +48,7 @@
     holder: str
     incarnation: int
     number: int
-    account: Account
+    account: UsageReport
     final: bool
     age: float
 
@@ -61,8 +61,8 @@
     incarnation: int
     ends: float
     since: float
-    before: Left | None = None  # what the last other holder left, its `age` being the moment it came
-    left: Left | None = None  # what this one has told since it last took the bucket
+    before: PredecessorReport | None = None  # what the last other holder left, its `age` being the moment it came
+    left: PredecessorReport | None = None  # what this one has told since it last took the bucket
     settled: bool = False  # its holder has said that its lease runs
 
 
@@ -80,7 +80,7 @@
     acquire: Sequence[int] = ()
     release: Sequence[int] = ()
     drop: Sequence[int] = ()
-    accounts: Mapping[int, Account] = field(default_factory=dict)
+    accounts: Mapping[int, UsageReport] = field(default_factory=dict)
     to: int = 0
 
 
@@ -99,7 +99,9 @@
     refused: frozenset[int] = frozenset()
     idle: tuple[int, ...] = ()
     seen: int = 0
-    left: Mapping[int, Left] = field(default_factory=dict)  # by taken bucket, where its last holder is known
+    left: Mapping[int, PredecessorReport] = field(
+        default_factory=dict
+    )  # by taken bucket, where its last holder is known
     membership: LeaseMembership | None = None
 
 
@@ -133,7 +135,7 @@
         if membership.version < known.version or membership == known:
             return
         skipped = membership.version - known.version > JOINT_STATES
-        if skipped or not known.sets or not known.sets <= membership.sets:
+        if skipped or not known.quorum_sets or not known.quorum_sets <= membership.quorum_sets:
             self._set_dropped = now
         self._membership = membership
 
@@ -199,7 +201,9 @@
             self._votes[bucket].settled, self._votes[bucket].left = True, self._left(now, bucket, asked, False)
         return refused
 
-    def _acquire(self, now: float, asked: LeaseClaim, refused: set[int]) -> tuple[list[int], dict[int, Left]]:
+    def _acquire(
+        self, now: float, asked: LeaseClaim, refused: set[int]
+    ) -> tuple[list[int], dict[int, PredecessorReport]]:
         """Vote for leases to be won; for how long nobody else had the votes, and what the last holders left."""
         idle, left = [], {}
         # A newer membership than ours may have dropped a set in between.
@@ -229,12 +233,12 @@
         self._show(now)
         return self.version
 
-    def _left(self, now: float, bucket: int, asked: LeaseClaim, final: bool) -> Left | None:
+    def _left(self, now: float, bucket: int, asked: LeaseClaim, final: bool) -> PredecessorReport | None:
         """What a claimant's account is worth here: while in_grace_period we may have forgotten a later holder."""
         if self.in_grace_period(now):
             return None
         account = asked.accounts.get(bucket, _NOTHING)
-        return Left(asked.holder, asked.incarnation, asked.number, account, final, now)
+        return PredecessorReport(asked.holder, asked.incarnation, asked.number, account, final, now)
 
     def _vote(self, now: float, bucket: int, who: tuple[str, int]) -> bool:
         if not 0 <= bucket < BUCKETS:
--- a/hallhitch/planes/quota/lease_client.py
+++ b/hallhitch/planes/quota/lease_client.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field, replace
 
-from hallhitch.planes.quota.lease import LEASE, MARGIN, Account, LeaseClaim, LeaseVotes, Left
+from hallhitch.planes.quota.lease import LEASE, MARGIN, LeaseClaim, LeaseVotes, PredecessorReport, UsageReport
 from hallhitch.planes.quota.limits import BUCKETS
 from hallhitch.planes.values import LeaseMembership
 
@@ -69,7 +69,9 @@
     seen: float
     ends: float
     others: float  # until when another may have had this vote
-    left: Left | None  # what the last of them told, its `age` turned into the moment at which it came at the latest
+    left: (
+        PredecessorReport | None
+    )  # what the last of them told, its `age` turned into the moment at which it came at the latest
 
 
 @dataclass(slots=True)
@@ -95,7 +97,7 @@
         own: str,
         incarnation: int,
         window: float,
-        begun: Callable[[int, float, float, Left | None, float], None],
+        begun: Callable[[int, float, float, PredecessorReport | None, float], None],
         lease: float = LEASE,
     ) -> None:
         self.own, self.incarnation, self._window, self._begun, self._lease = own, incarnation, window, begun, lease
@@ -129,7 +131,7 @@
         if membership.version <= known.version:
             return False
         self._membership = membership
-        if membership.sets == known.sets:
+        if membership.quorum_sets == known.quorum_sets:
             return True
         self._told_seen = {name: much for name, much in self._told_seen.items() if name in membership.voters}
         self._lapse(now)
@@ -187,7 +189,9 @@
         """The incarnation of a coordinator that a claim to it is for (LeaseClaim.to)."""
         return self._incarnations.get(coordinator, 0)
 
-    def round(self, now: float, busy: Callable[[int], bool], account: Callable[[int], Account | None]) -> LeaseClaim:
+    def round(
+        self, now: float, busy: Callable[[int], bool], account: Callable[[int], UsageReport | None]
+    ) -> LeaseClaim:
         """The claim to send to every member now; `busy` tells whether units of a bucket lie in the window.
 
         `account` tells what the windows of a bucket hold, None where nothing.
@@ -302,7 +306,7 @@
     def _reckon(self, bucket: int, won: _Won) -> None:
         """Until when a quorum's votes run."""
         runs = []
-        for one in self._membership.sets:
+        for one in self._membership.quorum_sets:
             ends = sorted((won.votes[name] for name in one & won.votes.keys()), reverse=True)
             need = len(one) // 2
             runs.append(ends[need] if len(ends) > need else 0.0)
@@ -327,12 +331,12 @@
         self._letting[bucket] = counted, now + self._lease, False
         self._again[bucket] = now + pause
 
-    def _accounts(self, account: Callable[[int], Account | None]) -> dict[int, Account]:
+    def _accounts(self, account: Callable[[int], UsageReport | None]) -> dict[int, UsageReport]:
         told = {bucket: account(bucket) for bucket in self._won}
         for bucket, (counted, _, whole) in self._letting.items():
             if counted:
                 # Others may have counted between an earlier lease of ours and an attempt that failed.
-                told[bucket] = account(bucket) if whole else Account({}, True)
+                told[bucket] = account(bucket) if whole else UsageReport({}, True)
         return {bucket: much for bucket, much in told.items() if much is not None}
 
     def _even_out(self, now: float, busy: Callable[[int], bool]) -> None:
@@ -367,14 +371,14 @@
                 self._attempts[bucket] = _Attempt(now, self._number + 1)
 
 
-def newest(left: Sequence[Left | None]) -> Left | None:
+def newest(left: Sequence[PredecessorReport | None]) -> PredecessorReport | None:
     """The newest of what voters know of a bucket's last holder; None where they do not all mean the same one.
 
     Any holder before us shared a voter with us, or a set of members was dropped after it, and voters name nobody whose
     vote they gave before that (LeaseTable.set_membership). So if all mean the same, no other came after it, and it
     counted no longer than a LEASE after the newest claim of it that any of them has.
     """
-    best: Left | None = None
+    best: PredecessorReport | None = None
     for one in left:
         if one is None or best is not None and (one.holder, one.incarnation) != (best.holder, best.incarnation):
             return None
--- a/hallhitch/planes/quota/wire.py
+++ b/hallhitch/planes/quota/lease_messages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from hallhitch.messages import system_pb2 as messages
-from hallhitch.planes.quota.lease import Account, LeaseClaim, LeaseVotes, Left
+from hallhitch.planes.quota.lease import LeaseClaim, LeaseVotes, PredecessorReport, UsageReport
 from hallhitch.planes.values import LeaseMembership
 
 
@@ -12,15 +12,15 @@
     return messages.LeaseRequest(
         holder=asked.holder,
         incarnation=asked.incarnation,
-        number=asked.number,
+        sequence=asked.number,
         membership_version=asked.membership_version,
         renew=asked.renew,
         acquire=asked.acquire,
         release=asked.release,
         drop=asked.drop,
-        to=to,
-        accounts=[
-            messages.Account(bucket=bucket, partial=account.partial, sums=_sums(account))
+        coordinator_incarnation=to,
+        usage_reports=[
+            messages.UsageReportMessage(bucket=bucket, is_partial=account.partial, tenant_usage=_sums(account))
             for bucket, account in asked.accounts.items()
         ],
     )
@@ -31,14 +31,14 @@
     return LeaseClaim(
         claim.holder,
         claim.incarnation,
-        claim.number,
+        claim.sequence,
         claim.membership_version,
         tuple(claim.renew),
         tuple(claim.acquire),
         tuple(claim.release),
         tuple(claim.drop),
-        {told.bucket: _account(told) for told in claim.accounts},
-        claim.to,
+        {told.bucket: _account(told) for told in claim.usage_reports},
+        claim.coordinator_incarnation,
     )
 
 
@@ -48,20 +48,20 @@
         ok=votes.ok,
         incarnation=votes.incarnation,
         in_grace_period=votes.in_grace_period,
-        refused=sorted(votes.refused),
-        idle=votes.idle,
-        seen=votes.seen,
+        rejected=sorted(votes.refused),
+        idle_ms=votes.idle,
+        gateways_seen=votes.seen,
         membership=votes.membership.message() if votes.membership is not None else None,
-        accounts=[
-            messages.Account(
+        usage_reports=[
+            messages.UsageReportMessage(
                 bucket=bucket,
-                partial=left.account.partial,
-                sums=_sums(left.account),
+                is_partial=left.account.partial,
+                tenant_usage=_sums(left.account),
                 holder=left.holder,
                 incarnation=left.incarnation,
-                number=left.number,
-                age=int(left.age),
-                final=left.final,
+                sequence=left.number,
+                age_ms=int(left.age),
+                is_final=left.final,
             )
             for bucket, left in votes.left.items()
         ],
@@ -74,20 +74,22 @@
         granted.ok,
         granted.incarnation,
         granted.in_grace_period,
-        frozenset(granted.refused),
-        tuple(granted.idle),
-        granted.seen,
+        frozenset(granted.rejected),
+        tuple(granted.idle_ms),
+        granted.gateways_seen,
         {
-            told.bucket: Left(told.holder, told.incarnation, told.number, _account(told), told.final, told.age)
-            for told in granted.accounts
+            told.bucket: PredecessorReport(
+                told.holder, told.incarnation, told.sequence, _account(told), told.is_final, told.age_ms
+            )
+            for told in granted.usage_reports
         },
         LeaseMembership.of(granted.membership) if granted.HasField("membership") else None,
     )
 
 
-def _sums(account: Account) -> list[messages.TenantSum]:
-    return [messages.TenantSum(tenant=tenant, cells=cells) for tenant, cells in account.sums.items()]
+def _sums(account: UsageReport) -> list[messages.TenantUsageMessage]:
+    return [messages.TenantUsageMessage(tenant=tenant, units_by_cell=cells) for tenant, cells in account.sums.items()]
 
 
-def _account(told: messages.Account) -> Account:
-    return Account({one.tenant: tuple(one.cells) for one in told.sums}, told.partial)
+def _account(told: messages.UsageReportMessage) -> UsageReport:
+    return UsageReport({one.tenant: tuple(one.units_by_cell) for one in told.tenant_usage}, told.is_partial)
--- a/hallhitch/planes/quota/local_allowance.py
+++ b/hallhitch/planes/quota/local_reserve.py
@@ -17,7 +17,7 @@
 LATELY = 60_000.0  # ms for which a count of gateways is remembered, at least
 
 
-class LocalAllowance:
+class LocalReserve:
     """The reserve of one incarnation of one gateway; `started` in steady ms."""
 
     def __init__(self, quota: Quota, started: float) -> None:
--- a/hallhitch/planes/quota/plane.py
+++ b/hallhitch/planes/quota/plane.py
@@ -7,18 +7,18 @@
 import secrets
 from collections.abc import Callable, Mapping, Sequence
 
-from hallhitch.messages.system_pb2 import Counted, Envelope
+from hallhitch.messages.system_pb2 import CountResponse, Envelope
 from hallhitch.node.clock import now as steady
-from hallhitch.node.errors import StepError
+from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
-from hallhitch.node.settings import Node
-from hallhitch.planes.quota import wire
-from hallhitch.planes.quota.caller import Calls, CounterClient
+from hallhitch.node.settings import NodeSettings
+from hallhitch.planes.quota import lease_messages
+from hallhitch.planes.quota.counter_client import Calls, CounterClient
 from hallhitch.planes.quota.holder import LeaseHolder, Sum
 from hallhitch.planes.quota.lease import LeaseClaim, LeaseTable
 from hallhitch.planes.quota.lease_client import LeaseClient, wanted
 from hallhitch.planes.quota.limits import Quota, bucket_of
-from hallhitch.planes.quota.local_allowance import LocalAllowance
+from hallhitch.planes.quota.local_reserve import LocalReserve
 from hallhitch.planes.values import ClusterConfig, Gateway, LeaseMembership
 
 EVERY = 300.0  # ms between two claims of one that holds something
@@ -43,7 +43,9 @@
     def handle(self, envelope: Envelope) -> Envelope:
         """A Claim; the answer is Granted."""
         return Envelope(
-            lease_response=wire.granted(self._table.claim(self._clock(), wire.asked(envelope.lease_request)))
+            lease_response=lease_messages.granted(
+                self._table.claim(self._clock(), lease_messages.asked(envelope.lease_request))
+            )
         )
 
     def holders(self, now: float) -> dict[int, str]:
@@ -59,15 +61,15 @@
     """A gateway's side: holds buckets, counts for callers, and is the counter of its own requests."""
 
     def __init__(
-        self, node: Node, links: Calls, clock: Callable[[], float] = steady, incarnation: int | None = None
+        self, node: NodeSettings, links: Calls, clock: Callable[[], float] = steady, incarnation: int | None = None
     ) -> None:
         incarnation = secrets.randbits(48) if incarnation is None else incarnation
         bounds = node.bounds
-        quota = Quota(bounds.quota_window, bounds.quota_over, bounds.quota_slack)
-        self._own, self._links, self._clock = node.internal, links, clock
+        quota = Quota(bounds.quota_window_ms, bounds.quota_overshoot_ratio, bounds.quota_slack)
+        self._own, self._links, self._clock = node.internal_address, links, clock
         self._holder = LeaseHolder(quota, incarnation)
         self._lease_client = LeaseClient(self._own, incarnation, quota.window, self._holder.begin)
-        self._allowance = LocalAllowance(quota, clock())
+        self._allowance = LocalReserve(quota, clock())
         self.counter = CounterClient(self._own, links, self, self._allowance, clock)
         self._serial = -1
         self._log = ComponentLogger("quota")
@@ -81,15 +83,17 @@
         """The cluster configuration; an older one than the last is passed over."""
         if config.serial >= self._serial:
             self._serial = config.serial
-            self._holder.set_tenants(self._clock(), config.tenants, config.fleet)
-            self._allowance.note(config.fleet)
+            self._holder.set_tenants(self._clock(), config.tenants, config.max_gateways)
+            self._allowance.note(config.max_gateways)
 
     def set_gateways(self, own: str, entries: Sequence[Gateway]) -> None:
         """All gateways that live, as last told; `own` is this one's name."""
         doors = [entry for entry in entries if entry.frontend]
         now = self._clock()
         self._allowance.heard(now, len(doors), False)
-        self._lease_client.set_gateways(now, [entry.address for entry in doors if entry.ready and not entry.leaving])
+        self._lease_client.set_gateways(
+            now, [entry.address for entry in doors if entry.is_ready and not entry.is_leaving]
+        )
         self._hurry.set()
 
     def set_holders(self, holders: Mapping[int, str]) -> None:
@@ -124,25 +128,25 @@
 
     def handle(self, envelope: Envelope) -> Envelope:
         """A Count; the answer is Counted."""
-        count, now = envelope.count, self._clock()
+        count, now = envelope.count_request, self._clock()
         name = count.tenant
         if not self._lease_client.holds(now, bucket_of(name)):
-            return Envelope(counted=Counted())
+            return Envelope(count_response=CountResponse())
         if count.units < 0:
             self._holder.give_back(now, name, -count.units, count.slot)
-            return Envelope(counted=Counted(held=True))
-        limits = self._holder.limits(name) or ((count.rate, count.burst) if count.rate > 0 else None)
+            return Envelope(count_response=CountResponse(is_lease_holder=True))
+        limits = self._holder.limits(name) or ((count.rate_per_s, count.burst) if count.rate_per_s > 0 else None)
         if limits is None:
-            return Envelope(counted=Counted(held=True, unknown=True))
+            return Envelope(count_response=CountResponse(is_lease_holder=True, is_tenant_unknown=True))
         told = self._holder.add(now, name, count.units or 1, *limits)
         return Envelope(
-            counted=Counted(
-                held=True,
-                over=told.over,
+            count_response=CountResponse(
+                is_lease_holder=True,
+                is_over_limit=told.over,
                 total=int(told.total),
-                wait=int(told.wait),
+                retry_after_ms=int(told.wait),
                 slot=told.slot,
-                over_share=told.over_share,
+                is_over_share=told.over_share,
             )
         )
 
@@ -195,14 +199,16 @@
         self._asking[member] = self._asking.get(member, 0) + 1
         try:
             answer = await self._links.call(
-                member, Envelope(lease_request=wire.claim(asked, self._lease_client.incarnation_of(member))), ANSWER
+                member,
+                Envelope(lease_request=lease_messages.claim(asked, self._lease_client.incarnation_of(member))),
+                ANSWER,
             )
-        except StepError:
+        except PeerCallError:
             return
         finally:
             self._asking[member] -= 1
         now = self._clock()
-        if self._lease_client.answered(now, member, asked.number, wire.votes(answer.lease_response)):
+        if self._lease_client.answered(now, member, asked.number, lease_messages.votes(answer.lease_response)):
             self._hurry.set()
         self._allowance.heard(now, self._lease_client.seen, True)
 
--- a/hallhitch/planes/quota/window.py
+++ b/hallhitch/planes/quota/sliding_window.py
@@ -12,7 +12,7 @@
 NUMBERS = 1 << 14  # slot numbers are told apart within so many: far more than any window has
 
 
-class Window:
+class SlidingWindow:
     """Units counted within `length` ms, and within the shorter `short` ms."""
 
     __slots__ = ("_head", "_keep", "_ring", "_short_keep", "short", "total")
--- a/hallhitch/planes/values.py
+++ b/hallhitch/planes/values.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from hallhitch.messages.system_pb2 import MembershipMessage
+from hallhitch.messages.system_pb2 import LeaseMembershipMessage
 
 IDEMPOTENT, NON_IDEMPOTENT, DOWNLOAD = "idempotent", "non_idempotent", "download"
-NOWHERE: frozenset[str] = frozenset()
+ANY_REGION: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,16 +23,16 @@
     host: str
     prefix: str
     kind: str
-    timeout: float
-    target: float  # ms within which an answer earns its full worth
+    timeout_ms: float
+    latency_target_ms: float  # ms within which an answer earns its full worth
     priority: int
-    split: tuple[tuple[str, float], ...]
-    attempts: int
-    public: bool
-    homes: frozenset[str] = NOWHERE  # regions it may be served in; empty = anywhere
+    weighted_services: tuple[tuple[str, float], ...]
+    max_attempts: int
+    is_public: bool
+    allowed_regions: frozenset[str] = ANY_REGION  # regions it may be served in; empty = anywhere
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
         return self.kind != NON_IDEMPOTENT
 
@@ -44,8 +44,8 @@
     name: str
     health_path: str
     max_connections: int
-    cold_time: float  # ms for which a backend started during traffic is cold
-    cold_rate: float  # requests a second that a cold backend bears; 0 = no bound given
+    slow_start_ms: float  # ms for which a backend started during traffic is cold
+    slow_start_rate_per_s: float  # requests a second that a cold backend bears; 0 = no bound given
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,21 +53,21 @@
     """One tenant; `rate` requests a second with `burst` on top, 0 = no limit."""
 
     name: str
-    keys: tuple[str, ...]
+    api_keys: tuple[str, ...]
     priority: int | None
-    rate: float
+    rate_per_s: float
     burst: float
-    homes: frozenset[str] = NOWHERE
+    allowed_regions: frozenset[str] = ANY_REGION
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class RequestLimits:
     """What a client may send, and how long it may take or rest (ms)."""
 
-    head: int = 16_384
-    body: int = 64 * 1024 * 1024
-    head_time: float = 3000.0
-    idle_time: float = 15_000.0
+    max_head_bytes: int = 16_384
+    max_body_bytes: int = 64 * 1024 * 1024
+    head_timeout_ms: float = 3000.0
+    idle_timeout_ms: float = 15_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,12 +83,12 @@
     routes: Mapping[str, tuple[Route, ...]]  # by host in lower case, longest prefix first
     services: Mapping[str, Service]
     tenants: Mapping[str, Tenant]
-    keys: Mapping[str, Tenant]
-    limits: Limits = field(default_factory=Limits)
-    evacuated: frozenset[str] = NOWHERE  # zones
-    fleet: int = 0  # as many gateways as there may be, by what all coordinators wrote down; 0 = not known yet
+    tenants_by_api_key: Mapping[str, Tenant]
+    limits: RequestLimits = field(default_factory=RequestLimits)
+    evacuated_zones: frozenset[str] = ANY_REGION  # zones
+    max_gateways: int = 0  # as many gateways as there may be, by what all coordinators wrote down; 0 = not known yet
 
-    def route(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """The route of a request: of its host, the longest prefix that begins the path (no query in `path`)."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
@@ -107,8 +107,8 @@
     zone: str
     region: str
     slots: int
-    draining: bool = False
-    cold_until: float = 0.0  # steady ms at this process; in the past = warm
+    is_draining: bool = False
+    warming_until_ms: float = 0.0  # steady ms at this process; in the past = warm
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,8 +122,8 @@
     zone: str
     region: str
     frontend: str = ""  # empty where it takes no clients
-    ready: bool = False
-    leaving: bool = False
+    is_ready: bool = False
+    is_leaving: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,38 +135,42 @@
 
     version: int = 0
     members: tuple[str, ...] = ()
-    lease_previous: tuple[str, ...] = ()
+    previous_members: tuple[str, ...] = ()
 
     @staticmethod
-    def of(message: MembershipMessage) -> LeaseMembership:
+    def of(message: LeaseMembershipMessage) -> LeaseMembership:
         """The membership that a message carries."""
-        return LeaseMembership(message.version, tuple(message.members), tuple(message.lease_previous))
+        return LeaseMembership(message.version, tuple(message.members), tuple(message.previous_members))
 
-    def message(self) -> MembershipMessage:
+    def message(self) -> LeaseMembershipMessage:
         """This membership as messages carry it."""
-        return MembershipMessage(version=self.version, members=self.members, lease_previous=self.lease_previous)
+        return LeaseMembershipMessage(
+            version=self.version, members=self.members, previous_members=self.previous_members
+        )
 
     @property
-    def sets(self) -> frozenset[frozenset[str]]:
+    def quorum_sets(self) -> frozenset[frozenset[str]]:
         """The sets of which a majority each is needed."""
-        return frozenset(frozenset(one) for one in (self.members, self.lease_previous) if one)
+        return frozenset(frozenset(one) for one in (self.members, self.previous_members) if one)
 
     @property
     def voters(self) -> tuple[str, ...]:
         """All whose votes count for a set."""
-        return tuple(sorted({*self.members, *self.lease_previous}))
+        return tuple(sorted({*self.members, *self.previous_members}))
 
     def quorum_reached(self, votes: Iterable[str]) -> bool:
         """Whether the votes are a majority of each set; False where none is known."""
         have = frozenset(votes)
-        return bool(self.members) and all(2 * len(one & have) > len(one) for one in self.sets)
+        return bool(self.members) and all(2 * len(one & have) > len(one) for one in self.quorum_sets)
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class QuotaDecision:
     """The counter's word on one unit: passed or not, and when to come back (ms). `token` is for giving it back."""
 
-    passed: bool
-    after: float = 0.0
-    token: object = None
-    silent: bool = False  # nobody could be asked, and nothing of this gateway's own was left: not the tenant's fault
+    is_admitted: bool
+    retry_after_ms: float = 0.0
+    refund_token: object = None
+    is_counter_unavailable: bool = (
+        False  # nobody could be asked, and nothing of this gateway's own was left: not the tenant's fault
+    )
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -9,14 +9,14 @@
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.clock import now
 from hallhitch.node.logs import ComponentLogger
-from hallhitch.node.settings import Node
+from hallhitch.node.settings import NodeSettings
 from hallhitch.node.web import Reply, Web
-from hallhitch.planes.data.choice import Choice, Settings
+from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
 from hallhitch.planes.data.plane import DataPlane
 from hallhitch.planes.discovery.directory import Directory
 from hallhitch.planes.distribution.config_compiler import EMPTY, compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
-from hallhitch.planes.distribution.hub import StateHub
+from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.quota.plane import QuotaPlane
 from hallhitch.planes.values import Backend, Gateway
 from hallhitch.programs.running import main
@@ -29,43 +29,45 @@
 class GatewayProgram:
     """All parts of one gateway."""
 
-    def __init__(self, node: Node, runtime: Runtime | None = None) -> None:
+    def __init__(self, node: NodeSettings, runtime: Runtime | None = None) -> None:
         runtime = runtime or Runtime()
         self._node, self._log = node, ComponentLogger("gateway")
         self._incarnation = runtime.random.getrandbits(62) + 1
         self._ready = self._leaving = False
-        self._links = runtime.connect(node.cluster, node.internal, self._incarnation, self._handle)
+        self._links = runtime.connect(node.cluster_name, node.internal_address, self._incarnation, self._handle)
         self._hub = StateHub(self._incarnation, runtime.clock)
-        self._gateway_sync = GatewaySync(self._links, self._hub, self._own, node.peers, runtime.clock, node.bounds)
+        self._gateway_sync = GatewaySync(
+            self._links, self._hub, self._own, node.seed_addresses, runtime.clock, node.bounds
+        )
         self._quota = QuotaPlane(node, self._links, runtime.clock)
         b = node.bounds
-        decisions = Choice(
-            Settings(
+        decisions = LoadBalancer(
+            LoadBalancerSettings(
                 node.name,
                 node.zone,
                 node.region,
-                node.zones,
-                b.retry_ratio,
-                b.retry_window,
-                b.retry_slack,
-                b.cold_over,
-                b.cold_slack,
-                node.cloud_lag,
+                node.region_by_zone,
+                b.retry_budget_ratio,
+                b.retry_window_ms,
+                b.retry_budget_slack,
+                b.slow_start_overshoot_ratio,
+                b.slow_start_slack,
+                node.endpoint_list_lag_ms,
             ),
             random.Random(self._incarnation),
         )
         self._data = DataPlane(node, decisions, self._quota.counter, runtime.clock)
         self._readiness = Web("readiness", self._is_ready)
-        self._directory = Directory(node.zones, b.ttl_most)
+        self._directory = Directory(node.region_by_zone, b.max_ttl_ms)
         self._resolve = Web("directory", self._resolved)
         self._config, self._backends, self._gateways = EMPTY, (0, 0), (0, 0)
 
     def _own(self) -> Gateway:
         n = self._node
-        host, port = n.listen.get("frontend", ("", 0))
+        host, port = n.listen_addresses.get("frontend", ("", 0))
         return Gateway(
             n.name,
-            n.internal,
+            n.internal_address,
             self._incarnation,
             n.machine_class,
             n.zone,
@@ -84,18 +86,18 @@
         return self._directory.call(method, target, self._hub.gateways.values())
 
     def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
-        if envelope.HasField("pull"):
-            return self._hub.answer(envelope.pull)
-        if envelope.HasField("count"):
+        if envelope.HasField("state_request"):
+            return self._hub.answer(envelope.state_request)
+        if envelope.HasField("count_request"):
             return self._quota.handle(envelope)
         return Envelope(error="a gateway does not answer that")
 
     async def start(self) -> None:
         """Listen first, know then, be ready last."""
-        await self._links.serve(self._node.internal)
+        await self._links.serve(self._node.internal_address)
         for name, web in (("readiness", self._readiness), ("directoryApi", self._resolve)):
-            if name in self._node.listen:
-                await web.serve(self._node.listen[name])
+            if name in self._node.listen_addresses:
+                await web.serve(self._node.listen_addresses[name])
         self._hub.on_change.append(self._learn)
         await self._data.start()
         await self._quota.start()
@@ -106,7 +108,7 @@
         hub = self._hub
         if hub.config.serial > self._config.serial:
             w = hub.config
-            self._config = compile_config(w.serial, w.version, w.content, w.evacuated, w.fleet)
+            self._config = compile_config(w.serial, w.config_version, w.config, w.evacuated_zones, w.max_gateways)
             self._quota.set_config(self._config)
             self._data.set_config(self._config)
         if (version := (hub.backends.epoch, hub.backends.number)) != self._backends:
@@ -119,7 +121,7 @@
                         e.host,
                         e.port,
                         e.zone,
-                        self._node.zones.get(e.zone, ""),
+                        self._node.region_by_zone.get(e.zone, ""),
                         e.slots,
                         e.draining,
                         e.cold_until,
@@ -140,13 +142,13 @@
             self._log.info(f"ready with version {self._config.version} and {len(hub.backends)} backends")
             self._gateway_sync.say()
 
-    def settings(self, node: Node) -> None:
+    def settings(self, node: NodeSettings) -> None:
         """Other seeds; the rest holds from the next start on."""
-        self._gateway_sync.set_seeds(node.peers)
+        self._gateway_sync.set_seeds(node.seed_addresses)
 
     async def leave(self) -> None:
         """Out of the directory, then the last answers of connections, then the listener, then the end."""
-        grace, began = self._node.bounds.grace, now()
+        grace, began = self._node.bounds.grace_period_ms, now()
         self._leaving = True
         self._gateway_sync.say()
         self._data.leave()
--- a/hallhitch/programs/running.py
+++ b/hallhitch/programs/running.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from hallhitch.node import logs
-from hallhitch.node.settings import Node, Unusable, read
+from hallhitch.node.settings import NodeSettings, SettingsError, read_settings
 
 SETTINGS = "HALLHITCH_NODE_FILE"
 
@@ -23,22 +23,22 @@
     async def start(self) -> None:
         """Begin to serve."""
 
-    def settings(self, node: Node) -> None:
+    def settings(self, node: NodeSettings) -> None:
         """The settings file has changed."""
 
     async def leave(self) -> None:
         """SIGTERM: end in order, within the grace period."""
 
 
-def main(build: Callable[[Node], Program]) -> None:
+def main(build: Callable[[NodeSettings], Program]) -> None:
     """Run a program until SIGTERM; exit code 2 with one line where the settings cannot be used."""
     logs.configure()
     path = os.environ.get(SETTINGS, "")
     try:
         if not path:
-            raise Unusable(f"{SETTINGS} is not set: it names the settings file")
-        node = read(path)
-    except Unusable as error:
+            raise SettingsError(f"{SETTINGS} is not set: it names the settings file")
+        node = read_settings(path)
+    except SettingsError as error:
         print(error, file=sys.stderr)
         sys.exit(2)
     uvloop.run(_run(build(node), path))
@@ -49,9 +49,9 @@
 
     def again() -> None:
         try:
-            program.settings(read(path))
+            program.settings(read_settings(path))
             log.info("settings read again")
-        except Unusable as error:
+        except SettingsError as error:
             log.error(f"settings kept as they were: {error}")
 
     loop.add_signal_handler(signal.SIGTERM, ending.set)
--- a/hallhitch/programs/runtime.py
+++ b/hallhitch/programs/runtime.py
@@ -14,7 +14,7 @@
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.clock import now
 from hallhitch.planes.control.acceptor import Run
-from hallhitch.planes.control.files import Disk
+from hallhitch.planes.control.state_store import Storage
 
 
 class Transport(Protocol):
@@ -48,5 +48,5 @@
     clock: Callable[[], float] = now  # steady ms
     random: random.Random = field(default_factory=random.SystemRandom)
     connect: Connect = connect
-    disk: Disk | None = None
+    disk: Storage | None = None
     run: Run | None = None
--- a/tests/system/compatibility/test_earlier_release.py
+++ b/tests/system/compatibility/test_earlier_release.py
@@ -13,8 +13,8 @@
 
 from hallhitch.messages.frames import FrameQueue, FrameReader, Outgoing
 from hallhitch.messages.system_pb2 import Envelope
-from hallhitch.planes.control.files import Folder, Store
 from hallhitch.planes.control.register import Ballot
+from hallhitch.planes.control.state_store import DirectoryStorage, StateStore
 
 HERE = Path(__file__).parent
 ADDRESS, CLUSTER = "10.0.0.1:7000", "cluster-a"
@@ -48,26 +48,29 @@
 
 def test_an_earlier_data_folder_is_read(tmp_path: Path) -> None:
     folder = shutil.copytree(HERE / "data_folder", tmp_path / "data")
-    found = Store(Folder(folder), ADDRESS, CLUSTER).load()
+    found = StateStore(DirectoryStorage(folder), ADDRESS, CLUSTER).load()
     assert not found.empty and not found.notes and found.replica is not None
     replica = found.replica
     assert replica.promised == Ballot(5, "10.0.0.2:7000 77")
     assert replica.accepted == Ballot(4, "10.0.0.1:7000 12")
     assert replica.incarnations == {"10.0.0.3:7000": 2}
-    state = replica.value
-    assert (state.serial, state.version, zlib.decompress(state.content)) == (7, 41, b'{"services":{}}')
-    assert dict(state.zones) == {"hall-1": 5} and dict(state.notes) == {"gateways": "12"}
-    assert list(state.members) == ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"] and state.members_version == 3
-    assert list(state.previous) == ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.4:7000"]
-    assert list(state.lease_previous) == ["10.0.0.4:7000"]
-    assert [(one.version, one.digest) for one in state.accepted] == [(40, b"\x01" * 16), (41, b"\x02" * 16)]
+    state = replica.state
+    assert (state.serial, state.config_version, zlib.decompress(state.config)) == (7, 41, b'{"services":{}}')
+    assert dict(state.evacuations) == {"hall-1": 5} and dict(state.annotations) == {"gateways": "12"}
+    assert list(state.members) == ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"] and state.membership_version == 3
+    assert list(state.previous_members) == ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.4:7000"]
+    assert list(state.previous_lease_members) == ["10.0.0.4:7000"]
+    assert [(one.config_version, one.digest) for one in state.config_digests] == [
+        (40, b"\x01" * 16),
+        (41, b"\x02" * 16),
+    ]
 
 
 def test_a_data_folder_is_written_as_before(tmp_path: Path) -> None:
     folder = shutil.copytree(HERE / "data_folder", tmp_path / "earlier")
-    found = Store(Folder(folder), ADDRESS, CLUSTER).load()
+    found = StateStore(DirectoryStorage(folder), ADDRESS, CLUSTER).load()
     assert found.replica is not None
-    store = Store(Folder(tmp_path / "now"), ADDRESS, CLUSTER)
+    store = StateStore(DirectoryStorage(tmp_path / "now"), ADDRESS, CLUSTER)
     store.load()
     store.save(found.replica)
     store.tidy()
--- a/tests/system/control/test_check.py
+++ b/tests/system/control/test_check.py
@@ -10,8 +10,8 @@
 import pytest
 from cerberus import Validator
 
-from hallhitch.planes.control import check
-from hallhitch.planes.control.digests import canonical_digest
+from hallhitch.planes.control import config_validation
+from hallhitch.planes.control.config_digests import canonical_digest
 
 PLAIN: dict[str, Any] = {
     "configVersion": 7,
@@ -116,8 +116,8 @@
 @pytest.mark.parametrize(("path", "values"), WRONG, ids=[path for path, _ in WRONG])
 def test_invalid_ones_are_told_with_their_place(path: str, values: list[Any]) -> None:
     for value in values:
-        with pytest.raises(check.Invalid) as error:
-            check.read(changed(path, value))
+        with pytest.raises(config_validation.Invalid) as error:
+            config_validation.read(changed(path, value))
         assert "\n" not in str(error.value) and str(error.value)
 
 
@@ -144,15 +144,15 @@
         *numbers,
         *short,
     ]:
-        with pytest.raises(check.Invalid):
-            check.read(body)
-    with pytest.raises(check.TooLarge):
-        check.read(whole + b" " * check.LARGEST)
+        with pytest.raises(config_validation.Invalid):
+            config_validation.read(body)
+    with pytest.raises(config_validation.TooLarge):
+        config_validation.read(whole + b" " * config_validation.LARGEST)
 
 
 def test_unknown_fields_and_left_out_ones_are_no_reason_to_refuse() -> None:
     body = json.dumps(PLAIN).encode()
-    assert check.read(body) == check.Checked(7, 2, canonical_digest(body))
+    assert config_validation.read(body) == config_validation.Checked(7, 2, canonical_digest(body))
     for path, value in (
         ("extra", {"a": [1, None]}),
         ("routes.r-1.extra", [1]),
@@ -170,21 +170,21 @@
         ("configVersion", 0),
         ("routes.r-1.host", "ü.example"),
     ):
-        check.read(changed(path, value))
+        config_validation.read(changed(path, value))
 
 
 def test_thousands_of_routes_are_checked_in_a_bounded_number_of_validations(monkeypatch: pytest.MonkeyPatch) -> None:
     """The library that checks shapes takes long for each item: it may see none of what comes by the thousand."""
     validations: list[object] = []
-    whole = check._validate
+    whole = config_validation._validate
 
     def counted(validator: Validator, where: str, table: Mapping[str, Any]) -> None:
         validations.append(table)
         whole(validator, where, table)
 
-    monkeypatch.setattr(check, "_validate", counted)
+    monkeypatch.setattr(config_validation, "_validate", counted)
     config = copy.deepcopy(PLAIN)
     config["routes"] = {f"r-{n}": {**PLAIN["routes"]["r-1"], "pathPrefix": f"/{n}/"} for n in range(5000)}
     config["tenants"] = {f"t-{n}": {"apiKeys": [f"k-{n}"]} for n in range(1000)}
-    assert check.read(json.dumps(config).encode()).routes == 5000
+    assert config_validation.read(json.dumps(config).encode()).routes == 5000
     assert len(validations) == 4
--- a/tests/system/control/test_contention.py
+++ b/tests/system/control/test_contention.py
@@ -11,11 +11,11 @@
 from hallhitch.lab.simulation.coordinators import Memory
 from hallhitch.lab.simulation.virtual_time import VirtualLoop
 from hallhitch.messages.system_pb2 import Accept, Envelope, Prepare
-from hallhitch.planes.control import changes
+from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.acceptor import DurableAcceptor, consume_exception
 from hallhitch.planes.control.contention import LONGEST_MS, SHORTEST_MS, PhaseTime, RivalBallots
-from hallhitch.planes.control.files import Store
-from hallhitch.planes.control.register import AcceptorState, Ballot, founded
+from hallhitch.planes.control.register import AcceptorState, Ballot, initial_state
+from hallhitch.planes.control.state_store import StateStore
 
 
 def test_a_rival_is_let_through_between_its_prepares_and_its_accepts() -> None:
@@ -56,7 +56,7 @@
 
 def test_a_ballot_that_was_overtaken_while_it_waited_for_the_disk_is_not_written() -> None:
     loop = VirtualLoop()
-    value = founded("abc")
+    value = initial_state("abc")
     written: list[AcceptorState] = []
 
     async def slow(call: Callable[[], None]) -> None:
@@ -64,7 +64,7 @@
         call()
 
     async def scene() -> None:
-        store = Store(Memory(), "a")
+        store = StateStore(Memory(), "a")
         save = store.save
 
         def counted(replica: AcceptorState) -> None:
@@ -73,18 +73,18 @@
 
         store.save = counted  # type: ignore[method-assign]
         acceptor = DurableAcceptor("a", store, slow, lambda: loop.time() * 1000)
-        acceptor.state = AcceptorState("a", value=value)
+        acceptor.state = AcceptorState("a", state=value)
         messages = []
         for number in range(1, 9):
             ballot = Ballot(number, f"{'bc'[number % 2]}#1").message()
-            value_then = changes.put(number, b"x")(value)
+            value_then = state_transitions.put(number, b"x")(value)
             messages += [
                 Envelope(prepare=Prepare(ballot=ballot)),
-                Envelope(accept=Accept(ballot=ballot, value=value_then)),
+                Envelope(accept=Accept(ballot=ballot, state=value_then)),
             ]
         answers = await asyncio.gather(*(acceptor.handle(message) for message in messages))
         assert [answer.promise.ok or answer.accepted.ok for answer in answers] == [False] * 14 + [True, True]
-        assert len(written) == 2 and acceptor.state.value.version == 8
+        assert len(written) == 2 and acceptor.state.state.config_version == 8
         assert all(answer.promise.promised.round == 8 for answer in answers[:14:2])
 
     loop.run_until_complete(scene())
@@ -99,8 +99,8 @@
         call()
 
     async def scene() -> None:
-        acceptor = DurableAcceptor("a", Store(Memory(), "a"), hanging, lambda: loop.time() * 1000)
-        acceptor.state = AcceptorState("a", value=founded("abc"))
+        acceptor = DurableAcceptor("a", StateStore(Memory(), "a"), hanging, lambda: loop.time() * 1000)
+        acceptor.state = AcceptorState("a", state=initial_state("abc"))
         most = 0
         for number in range(1, 300):
             prepare = Envelope(prepare=Prepare(ballot=Ballot(number, "b#1").message()))
--- a/tests/system/control/test_exchange.py
+++ b/tests/system/control/test_exchange.py
@@ -150,7 +150,7 @@
             await hit.lose_power()
 
         await lost.wipe()
-        silence = fleet.node(lost.address, False).bounds.catch_up / 2
+        silence = fleet.node(lost.address, False).bounds.catch_up_ms / 2
         await asyncio.sleep(silence / 1000 - 0.1)
         await struck(fleet, step, strike, asyncio.sleep(1.5))
         fleet.strikes = {}
@@ -178,7 +178,7 @@
         await a.leave()
         assert fleet.clock() - began < 1000
         await b.lose_power()  # one more than is to be borne: only c could tell now
-        assert c.plane is not None and c.plane._acceptor.state.value.version == 2
+        assert c.plane is not None and c.plane._acceptor.state.state.config_version == 2
         await b.start()
         await asyncio.sleep(1)
         assert members(b) == {a.address, b.address, c.address}
@@ -196,7 +196,7 @@
         await asyncio.sleep(4)
         for machine in machines:  # the settings ask for less from now on
             assert machine.plane is not None
-            machine.plane.settings(replace(fleet.node(machine.address, False), losses=1))
+            machine.plane.settings(replace(fleet.node(machine.address, False), tolerated_machine_losses=1))
         a, *rest = machines
         await a.leave()
         live = [machine for machine in rest if machine.address in members(rest[0])]
@@ -214,7 +214,7 @@
         for version in range(2, 9):
             await ordered([b], version, 0.5)
         await asyncio.sleep(READY)
-        assert spare.plane is not None and spare.plane._acceptor.state.value.version == 8
+        assert spare.plane is not None and spare.plane._acceptor.state.state.config_version == 8
         await a.leave()
         await a.start()
         await asyncio.sleep(CATCH_UP)
--- a/tests/system/control/test_files.py
+++ b/tests/system/control/test_files.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from hallhitch.planes.control.files import Folder, Store
-from hallhitch.planes.control.register import AcceptorState, Ballot, copied, founded
+from hallhitch.planes.control.register import AcceptorState, Ballot, copy_state, initial_state
+from hallhitch.planes.control.state_store import DirectoryStorage, StateStore
 
 ADDRESS = "10.0.0.1:7000"
 
@@ -19,7 +19,7 @@
     """Nothing is done any more."""
 
 
-class Frail(Folder):
+class Frail(DirectoryStorage):
     """A folder that loses its power before step `last`; knows what surely survives that (and spares this disk)."""
 
     def __init__(self, path: Path, last: int = -1) -> None:
@@ -86,11 +86,11 @@
 
 def states() -> list[AcceptorState]:
     """What a replica goes through: founded, a promise, a word, a promise on it, another word."""
-    value = founded([ADDRESS, "10.0.0.2:7000"])
-    found = [AcceptorState(ADDRESS, value=value), AcceptorState(ADDRESS, Ballot(1, "a"), value=value)]
+    value = initial_state([ADDRESS, "10.0.0.2:7000"])
+    found = [AcceptorState(ADDRESS, state=value), AcceptorState(ADDRESS, Ballot(1, "a"), state=value)]
     for number, content in enumerate((b"one" * 300, b"two" * 3000), start=2):
-        value = copied(value)
-        value.serial, value.content = number, content
+        value = copy_state(value)
+        value.serial, value.config = number, content
         found.append(AcceptorState(ADDRESS, Ballot(number, "a"), Ballot(number, "a"), value, {ADDRESS: 1, "x": number}))
         found.append(AcceptorState(ADDRESS, Ballot(number, "b"), Ballot(number, "a"), value, {ADDRESS: 1, "x": number}))
     return found[:5]
@@ -104,7 +104,7 @@
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir()
         disk = Frail(folder, last)
-        store, kept, tried = Store(disk, ADDRESS), None, None
+        store, kept, tried = StateStore(disk, ADDRESS), None, None
         store.load()
         try:
             for tried in states():
@@ -118,13 +118,13 @@
         if fate != "killed":
             folder = disk.after(fate, rng, tmp_path / "after")
             disk = Frail(folder)
-        found = Store(disk, ADDRESS).load()
+        found = StateStore(disk, ADDRESS).load()
         if kept is None:
             assert found.replica in (None, tried) and (found.replica is not None or found.empty)
         else:
             assert found.replica in (kept, tried), f"step {last}: {found.notes}"
         # Others may have been told of what was found: it lasts from then on, and work goes on from it.
-        again = Store(Frail(disk.after("drop", rng, tmp_path / "again")), ADDRESS)
+        again = StateStore(Frail(disk.after("drop", rng, tmp_path / "again")), ADDRESS)
         assert again.load().replica == found.replica
         again.save(states()[-1])
         again.tidy()
@@ -134,7 +134,7 @@
 
 
 def test_a_kept_generation_that_is_damaged_is_a_lost_memory(tmp_path: Path) -> None:
-    store = Store(Folder(tmp_path), ADDRESS)
+    store = StateStore(DirectoryStorage(tmp_path), ADDRESS)
     store.load()
     for state in states()[:3]:
         store.save(state)
@@ -146,21 +146,21 @@
         whole = file.read_bytes()
         for damaged in (b"", whole[:-1], whole[: len(whole) // 2], rng.randbytes(len(whole)), b"\xff" + whole[1:]):
             file.write_bytes(damaged)
-            found = Store(Folder(tmp_path), ADDRESS).load()
+            found = StateStore(DirectoryStorage(tmp_path), ADDRESS).load()
             # Bytes between the records matter to nobody; everything else does.
             assert found.replica is None and not found.empty and found.notes or found.replica == states()[2]
             assert found.replica is None or damaged == whole[:-1]
         file.unlink()
-        assert Store(Folder(tmp_path), ADDRESS).load().replica is None
+        assert StateStore(DirectoryStorage(tmp_path), ADDRESS).load().replica is None
         file.write_bytes(whole)
     (tmp_path / "README").write_text("not ours")
-    found = Store(Folder(tmp_path), ADDRESS).load()
+    found = StateStore(DirectoryStorage(tmp_path), ADDRESS).load()
     assert found.replica == states()[2] and "README" in found.notes[0]
-    assert Store(Folder(tmp_path), "10.0.0.9:7000").load().replica is None  # another machine's files
+    assert StateStore(DirectoryStorage(tmp_path), "10.0.0.9:7000").load().replica is None  # another machine's files
 
 
 def test_a_disk_that_refuses_loses_nothing_and_fills_no_further(tmp_path: Path) -> None:
-    class Full(Folder):
+    class Full(DirectoryStorage):
         full = False
 
         def sync(self, name: str) -> None:
@@ -169,7 +169,7 @@
             super().sync(name)
 
     disk = Full(tmp_path)
-    store, first, second = Store(disk, ADDRESS), states()[2], states()[4]
+    store, first, second = StateStore(disk, ADDRESS), states()[2], states()[4]
     store.load()
     store.save(first)
     store.tidy()
@@ -179,8 +179,8 @@
             store.save(second)
     assert len(list(tmp_path.iterdir())) <= 6
     disk.full = False
-    assert Store(disk, ADDRESS).load().replica == first
+    assert StateStore(disk, ADDRESS).load().replica == first
     store.save(second)
     store.tidy()
-    assert Store(disk, ADDRESS).load().replica == second
+    assert StateStore(disk, ADDRESS).load().replica == second
     assert len(list(tmp_path.iterdir())) == 4
--- a/tests/system/control/test_forgotten_votes.py
+++ b/tests/system/control/test_forgotten_votes.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from hallhitch.messages.system_pb2 import Prepare, Promise, Recover, Recovered
-from hallhitch.planes.control.register import Tally
+from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport, Prepare, Promise
+from hallhitch.planes.control.register import VoteTally
 from tests.system.control.test_register import Message, World
 
 FLEETS = [(3, 0, 1), (3, 2, 1), (3, 3, 2), (5, 1, 2)]
@@ -49,10 +49,10 @@
     deliver(world, lambda one: one[1] == forgetful and one[2] is ballot and isinstance(one[3], Prepare))
     deliver(world, lambda one: one[0] == forgetful and one[2] is ballot and isinstance(one[3], Promise))
     world.wipe(forgetful)
-    assert world.machines[forgetful].replica.recovering
+    assert world.machines[forgetful].replica.is_recovering
     world.recover(forgetful)
-    deliver(world, lambda one: isinstance(one[3], Recover | Recovered))
-    assert not world.machines[forgetful].replica.recovering
+    deliver(world, lambda one: isinstance(one[3], AcceptorQuery | AcceptorReport))
+    assert not world.machines[forgetful].replica.is_recovering
     world.propose(others[0], "quick")
     deliver(world, of(world.machines[others[0]].proposal, quick))
     assert "quick" in world.acknowledged
@@ -83,5 +83,5 @@
 def test_without_incarnations_each_such_schedule_loses_something(
     founders: int, spares: int, losses: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Tally, "votes", lambda tally: set(tally._yes))
+    monkeypatch.setattr(VoteTally, "votes", lambda tally: set(tally._yes))
     assert broken(founders, spares, losses) == SEEDS
--- a/tests/system/control/test_founding.py
+++ b/tests/system/control/test_founding.py
@@ -8,18 +8,18 @@
 import pytest
 
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
-from hallhitch.messages.system_pb2 import Recover
-from hallhitch.node.logs import ComponentLogger
-from hallhitch.planes.control import changes
+from hallhitch.messages.system_pb2 import AcceptorQuery
+from hallhitch.node.logs import ComponentLogger, format_fields
+from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.register import (
-    NEVER,
+    INITIAL_BALLOT,
     OTHER_INCARNATIONS,
     AcceptorState,
     Ballot,
     FoundingConflict,
     Membership,
     Proposal,
-    founded,
+    initial_state,
 )
 from tests.system.control.test_plane import FOURTH, described, put
 
@@ -31,7 +31,9 @@
     """All warnings and errors."""
     lines: list[str] = []
     for level in ("warning", "error"):
-        monkeypatch.setattr(ComponentLogger, level, lambda _, text: lines.append(text))
+        monkeypatch.setattr(
+            ComponentLogger, level, lambda _, event, **fields: lines.append(event + format_fields(fields))
+        )
     return lines
 
 
@@ -81,10 +83,10 @@
 
 
 def test_a_proposer_that_meets_another_founding_does_not_go_on() -> None:
-    own, other = founded((A, B, C)), founded((B, C, D))
-    proposal = Proposal(Ballot(1, "a"), own, (NEVER, own), changes.put(1, b"x"), Membership.of(own))
+    own, other = initial_state((A, B, C)), initial_state((B, C, D))
+    proposal = Proposal(Ballot(1, "a"), own, (INITIAL_BALLOT, own), state_transitions.put(1, b"x"), Membership.of(own))
     for address, state in ((A, own), (C, other)):
-        _, promise = AcceptorState(address, value=state).prepare(proposal.prepare())
+        _, promise = AcceptorState(address, state=state).prepare(proposal.prepare())
         chosen = proposal.promise(address, promise)
     assert chosen == FoundingConflict(Membership.of(own), Membership.of(other))
 
@@ -102,7 +104,7 @@
         fleet.seeds = seeds
         await a.start(first=False, seeds=seeds)
         await asyncio.sleep(60)
-        assert a.plane is not None and a.plane._acceptor.state.recovering is not founds
+        assert a.plane is not None and a.plane._acceptor.state.is_recovering is not founds
         assert await put(a, 1, "alone") == (200 if founds else 503)
 
     play(scene)
@@ -122,7 +124,7 @@
         await c.lose_power()  # the old folder and b would be a majority
         await a.start()
         await asyncio.sleep(0.1)
-        assert a.plane is not None and a.plane._acceptor.state.recovering
+        assert a.plane is not None and a.plane._acceptor.state.is_recovering
         await c.start()
         await asyncio.sleep(1)
         assert a.plane._acceptor.state.incarnations[A] == 2
@@ -140,7 +142,7 @@
         if cluster:
             node = fleet.node
             fleet.node = lambda address, first, seeds=(): replace(  # type: ignore[method-assign]
-                node(address, first, seeds), cluster=cluster if address == C else ""
+                node(address, first, seeds), cluster_name=cluster if address == C else ""
             )
         else:
             c.disk.files = dict(b.disk.files)
@@ -148,7 +150,7 @@
         fleet.isolate(C)
         await c.start()
         await asyncio.sleep(1)
-        assert c.plane is not None and c.plane._acceptor.state.recovering
+        assert c.plane is not None and c.plane._acceptor.state.is_recovering
         fleet.cut.clear()
         await asyncio.sleep(2)
         assert await described(c) == (2, "two") and c.plane._acceptor.state.incarnations[C] == 1
@@ -160,9 +162,9 @@
 
 
 def test_incarnations_of_machines_that_do_not_count_are_bounded() -> None:
-    state = AcceptorState("a", value=founded("abc"))
+    state = AcceptorState("a", state=initial_state("abc"))
     for one in ("b", "a", *(f"m{n}" for n in range(100))):
-        state, _ = state.recover(Recover(address=one, incarnation=3))
+        state, _ = state.recover(AcceptorQuery(address=one, incarnation=3))
     assert len(state.incarnations) <= OTHER_INCARNATIONS + 3
     assert state.incarnations["a"] == state.incarnations["b"] == state.incarnations["m99"] == 3
 
--- a/tests/system/control/test_lease_membership.py
+++ b/tests/system/control/test_lease_membership.py
@@ -6,7 +6,7 @@
 
 from hallhitch.lab.simulation.coordinators import Fleet, play
 from hallhitch.messages.system_pb2 import Accept, BallotMessage, Envelope
-from hallhitch.planes.control import changes
+from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.register import Membership
 from hallhitch.planes.values import LeaseMembership
 
@@ -17,17 +17,19 @@
         await asyncio.sleep(2)
         plane = a.plane
         assert plane is not None and plane.lease_membership == LeaseMembership(1, fleet.seeds)
-        await plane.change(changes.note("first", "order"), 800)
+        await plane.change(state_transitions.note("first", "order"), 800)
         fleet.isolate(a.address)
-        joint = changes.reconfigure([*fleet.seeds[:2], "10.0.0.9:7000"], Membership.of(plane.value))(plane.value)
-        accept = Accept(ballot=BallotMessage(round=1 << 20, proposer="p"), value=joint)
+        joint = state_transitions.reconfigure(
+            [*fleet.seeds[:2], "10.0.0.9:7000"], Membership.of(plane.committed_state)
+        )(plane.committed_state)
+        accept = Accept(ballot=BallotMessage(round=1 << 20, proposer="p"), state=joint)
         answer = plane.handle(Envelope(accept=accept))
         assert answer is not None and not isinstance(answer, Envelope) and (await answer).accepted.ok
-        assert not plane.value.previous
+        assert not plane.committed_state.previous_members
         assert plane.lease_membership == LeaseMembership(2, tuple(joint.members), fleet.seeds)
         await a.lose_power()
         await a.start()
-        assert a.plane is not None and a.plane.lease_membership.lease_previous == fleet.seeds
+        assert a.plane is not None and a.plane.lease_membership.previous_members == fleet.seeds
 
     play(scene)
 
--- a/tests/system/control/test_many_changes.py
+++ b/tests/system/control/test_many_changes.py
@@ -46,7 +46,7 @@
         await asyncio.sleep(3)
         assert a.plane is not None and c.plane is not None
         held = c.plane._acceptor.state
-        assert not held.recovering and held.value == a.plane._acceptor.state.value
+        assert not held.is_recovering and held.state == a.plane._acceptor.state.state
         assert held.accepted == a.plane._acceptor.state.accepted
         await a.kill()  # a majority needs its vote from now on
         assert await put(c, 400, "led") == 200 and await put(b, 399, "late") == 200
--- a/tests/system/control/test_members.py
+++ b/tests/system/control/test_members.py
@@ -5,10 +5,10 @@
 import itertools
 from collections.abc import Iterator
 
-from hallhitch.messages.system_pb2 import Recover
-from hallhitch.planes.control.contacts import REMEMBERED, Contacts
-from hallhitch.planes.control.members import Observations, Reason, Target, Timing, needed, target, turn
-from hallhitch.planes.control.register import NEVER, Membership
+from hallhitch.messages.system_pb2 import AcceptorQuery
+from hallhitch.planes.control.membership_policy import Observations, Reason, Target, Timing, needed, target, turn
+from hallhitch.planes.control.peer_observations import REMEMBERED, Contacts
+from hallhitch.planes.control.register import INITIAL_BALLOT, Membership
 
 FATES = ("here", "leaving", "silent")
 
@@ -96,7 +96,9 @@
     contacts, members = Contacts("a", 0, 1000), Membership(1, ("a", "b", "c"))
     for at in range(1000):
         one = f"m{at}"
-        contacts.asked(Recover(address=one, sound=True, known=NEVER.message()), at * 100, NEVER)
+        contacts.asked(
+            AcceptorQuery(address=one, can_vote=True, known_ballot=INITIAL_BALLOT.message()), at * 100, INITIAL_BALLOT
+        )
         contacts.heard[one] = at * 100
         contacts.prune(members, at * 100)
         assert len(contacts.heard) <= REMEMBERED * 10 + 1 and len(contacts.asking(at * 100)) <= 11
--- a/tests/system/control/test_one_number_one_content.py
+++ b/tests/system/control/test_one_number_one_content.py
@@ -10,10 +10,10 @@
 
 from hallhitch.lab.simulation.coordinators import Fleet, play
 from hallhitch.messages.system_pb2 import ClusterState
-from hallhitch.planes.control import changes
-from hallhitch.planes.control.digests import REMEMBERED, OrderOutcome, canonical_digest, content_digest, outcome
+from hallhitch.planes.control import state_transitions
+from hallhitch.planes.control.config_digests import REMEMBERED, OrderOutcome, canonical_digest, content_digest, outcome
 from hallhitch.planes.control.proposer import _Order
-from hallhitch.planes.control.register import NEVER, AcceptorState, Ballot, Membership, Proposal, founded
+from hallhitch.planes.control.register import INITIAL_BALLOT, AcceptorState, Ballot, Membership, Proposal, initial_state
 from tests.system.control.test_plane import call, described, put, word, zones
 
 NUMBER, STEPS = 7, 6  # three prepares and three accepts of one ballot
@@ -24,14 +24,14 @@
     """Three replicas and the ballots of two operators' orders, message by message; one message may be lost."""
 
     def __init__(self) -> None:
-        self.replicas = {name: AcceptorState(name, value=founded("abc")) for name in "abc"}
+        self.replicas = {name: AcceptorState(name, state=initial_state("abc")) for name in "abc"}
         self.told: dict[str, set[OrderOutcome]] = {who: set() for who in CONTENTS}
 
     def ballot(self, who: str, at: int) -> Proposal:
         """An order's next try."""
-        change = changes.put(NUMBER, CONTENTS[who])
-        first = founded("abc")
-        return Proposal(Ballot(at, who), first, (NEVER, ClusterState()), change, Membership.of(first))
+        change = state_transitions.put(NUMBER, CONTENTS[who])
+        first = initial_state("abc")
+        return Proposal(Ballot(at, who), first, (INITIAL_BALLOT, ClusterState()), change, Membership.of(first))
 
     def step(self, who: str, proposal: Proposal, step: int, lost: str = "") -> None:
         """One message and its answer: a prepare for the first three steps, an accept for the others."""
@@ -143,14 +143,14 @@
 
 
 def test_what_is_remembered_stays_small_and_travels_once() -> None:
-    state, at = founded("abc"), Ballot(1, "a#1")
+    state, at = initial_state("abc"), Ballot(1, "a#1")
     for version in range(1, 1001):
-        state = changes.put(10**12 + version, b"x" * 100, content_digest(b"%d" % version))(state)
-    assert len(state.accepted) == REMEMBERED and state.ByteSize() < 9000
+        state = state_transitions.put(10**12 + version, b"x" * 100, content_digest(b"%d" % version))(state)
+    assert len(state.config_digests) == REMEMBERED and state.ByteSize() < 9000
     for version, found in ((1000, "recorded"), (745, "recorded"), (744, "superseded"), (1001, "absent")):
         assert outcome(state, 10**12 + version, content_digest(b"%d" % version)).value == found
     assert outcome(state, 10**12 + 745, b"other") is OrderOutcome.CONFLICT
-    for change, most in ((changes.put(10**13, b"y" * 50), 250), (changes.evacuate("z"), 200)):
+    for change, most in ((state_transitions.put(10**13, b"y" * 50), 250), (state_transitions.evacuate("z"), 200)):
         replicas = {name: AcceptorState(name, at, at, state) for name in "ab"}
         proposal = Proposal(Ballot(2, "b#1"), state, (at, state), change, Membership.of(state))
         for name in replicas:
@@ -159,8 +159,8 @@
         for name in replicas:
             assert proposal.accept(name).ByteSize() < most
             replicas[name], accepted = replicas[name].accept(proposal.accept(name))
-            assert accepted.ok and replicas[name].value == proposal.value == change(state)
-        assert proposal.accept("c").value == proposal.value  # nothing was heard of it: it gets the whole
+            assert accepted.ok and replicas[name].state == proposal.value == change(state)
+        assert proposal.accept("c").state == proposal.value  # nothing was heard of it: it gets the whole
 
 
 def test_a_change_of_members_that_may_not_be_made_drops_no_order_beside_it() -> None:
@@ -169,11 +169,11 @@
     async def scene(fleet: Fleet) -> None:
         a, b, _ = await fleet.found()
         assert await put(a, 1) == 200 and a.plane is not None
-        fifth = changes.add("10.0.0.5:7000", a.plane._proposer.settled)
+        fifth = state_transitions.add("10.0.0.5:7000", a.plane._proposer.settled)
         a.plane._proposer.settled = Membership()
-        after, _ = await asyncio.gather(a.plane.change(changes.put(2, b"x"), 800), a.plane.change(fifth, 800))
-        assert after.version == 2 and len(after.members) == 3
-        assert b.plane is not None and (await b.plane.change(changes.identity, 800)).version == 2
+        after, _ = await asyncio.gather(a.plane.change(state_transitions.put(2, b"x"), 800), a.plane.change(fifth, 800))
+        assert after.config_version == 2 and len(after.members) == 3
+        assert b.plane is not None and (await b.plane.change(state_transitions.identity, 800)).config_version == 2
 
     play(scene)
 
@@ -201,10 +201,10 @@
     async def scene(fleet: Fleet) -> None:
         a, *_ = await fleet.found()
         assert a.plane is not None
-        proposer, value = a.plane._proposer, a.plane._acceptor.state.value
+        proposer, value = a.plane._proposer, a.plane._acceptor.state.state
         for ends, zones_then in ((fleet.clock() + 1, ["viti-a"]), (fleet.clock(), [])):
-            proposer._orders = [_Order(changes.evacuate("viti-a"), 0.0, ends, fleet.loop.create_future())]
-            assert list(proposer._apply(proposer._propose(None), value).zones) == zones_then
+            proposer._orders = [_Order(state_transitions.evacuate("viti-a"), 0.0, ends, fleet.loop.create_future())]
+            assert list(proposer._apply(proposer._propose(None), value).evacuations) == zones_then
         proposer._orders = []
 
     play(scene)
--- a/tests/system/control/test_plane.py
+++ b/tests/system/control/test_plane.py
@@ -11,12 +11,12 @@
 
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play, settings
 from hallhitch.messages.system_pb2 import ClusterState, Envelope
-from hallhitch.node.errors import Silent
-from hallhitch.node.settings import Bounds
-from hallhitch.planes.control.operator import Operator
+from hallhitch.node.errors import RequestTimeout
+from hallhitch.node.settings import RuleBounds
+from hallhitch.planes.control.operator_api import Operator
 from hallhitch.planes.control.plane import ControlPlane
 
-CATCH_UP = Bounds().catch_up / 1000  # s, after which a machine that was exchanged is no longer lost
+CATCH_UP = RuleBounds().catch_up_ms / 1000  # s, after which a machine that was exchanged is no longer lost
 FOURTH, FIFTH, SPARE = "10.0.0.4:7000", "10.0.0.5:7000", "10.0.0.6:7000"
 
 
@@ -67,7 +67,7 @@
     """The evacuated zones, as the register has them."""
     assert machine.plane is not None
     value = await machine.plane.change(lambda held: held, 2000)
-    return set(value.zones)
+    return set(value.evacuations)
 
 
 def test_a_calm_day() -> None:
@@ -93,7 +93,7 @@
         assert (await call(c, "evacuations.stop&of=viti-b"))[0] == 200
         await asyncio.sleep(5)
         for machine in (a, b, c):
-            assert machine.plane is not None and machine.plane.value.serial == 5
+            assert machine.plane is not None and machine.plane.committed_state.serial == 5
             serials = [value.serial for value in machine.told]
             assert serials == sorted(set(serials)) and serials[-1] == 5
             assert len(machine.disk.files) == 4
@@ -123,7 +123,7 @@
         machine, *_ = await fleet.found()
         answer, error = await call(machine, name, body, method)
         assert answer == status and error["errorMessage"]
-        assert machine.plane is not None and machine.plane.value.serial == 0
+        assert machine.plane is not None and machine.plane.committed_state.serial == 0
 
     play(scene)
 
@@ -141,7 +141,7 @@
         marks: dict[int, set[bytes]] = {}
         for machine in (a, b, c):
             for value in machine.told:
-                marks.setdefault(value.version, set()).add(value.content)
+                marks.setdefault(value.config_version, set()).add(value.config)
         assert all(len(contents) == 1 for contents in marks.values())
 
     for seed in range(10):
@@ -168,10 +168,10 @@
                 await machine.start()
         await asyncio.sleep(2)
         for machine in machines:  # nobody asked: each has found out by itself
-            assert machine.plane is not None and machine.plane.value.version == 5
+            assert machine.plane is not None and machine.plane.committed_state.config_version == 5
             assert await described(machine) == (5, "kept") and await zones(machine) == {"viti-b"}
         for machine in machines[: fleet.losses]:  # and it votes again: others may go now
-            assert not machine.plane._acceptor.state.recovering  # type: ignore[union-attr]
+            assert not machine.plane._acceptor.state.is_recovering  # type: ignore[union-attr]
 
     for seed in range(4):
         play(scene, seed)
@@ -197,7 +197,7 @@
         await asyncio.sleep(4)
         # What was given up on the one side does not come back from there.
         assert await described(a) == (2, "two") and await zones(a) == set()
-        assert a.plane is not None and a.plane.value == b.plane.value  # type: ignore[union-attr]
+        assert a.plane is not None and a.plane.committed_state == b.plane.committed_state  # type: ignore[union-attr]
 
     play(scene)
 
@@ -255,10 +255,10 @@
         await a.kill()
         a.slow = 3000
         await a.start()
-        assert a.plane is not None and a.plane._acceptor.state.recovering
+        assert a.plane is not None and a.plane._acceptor.state.is_recovering
         assert await described(a) == (6, "six")
         await asyncio.sleep(5)
-        assert not a.plane._acceptor.state.recovering
+        assert not a.plane._acceptor.state.is_recovering
 
     play(scene)
 
@@ -291,7 +291,7 @@
 
     class Nobody:
         async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
-            raise Silent("connect", address, "nobody there")
+            raise RequestTimeout("connect", address, "nobody there")
 
     async def incarnation(version: int, first: bool) -> tuple[int, int]:
         node = settings("10.0.0.1:7000", first, ("10.0.0.1:7000",), 0, tmp_path / "data")
@@ -299,9 +299,9 @@
         plane = ControlPlane(node, Nobody(), heard.append)
         await plane.start()
         await plane.look(1000)
-        found = plane.value.version
+        found = plane.committed_state.config_version
         status, _, _ = await Operator(node, plane).call("POST", "/hallhitch/rpc?call=config.replace", word(version))
-        assert status == 200 and heard[-1].version == version
+        assert status == 200 and heard[-1].config_version == version
         await plane.stop()
         return found, len(list((tmp_path / "data").iterdir()))
 
--- a/tests/system/control/test_reads.py
+++ b/tests/system/control/test_reads.py
@@ -6,7 +6,7 @@
 
 from hallhitch.lab.simulation.coordinators import Fleet, play
 from hallhitch.messages.system_pb2 import Envelope
-from hallhitch.planes.control import changes
+from hallhitch.planes.control import state_transitions
 from tests.system.control.test_plane import put
 
 
@@ -34,14 +34,14 @@
 
         helper.plane.handle = hold  # type: ignore[assignment, method-assign]
         fleet.cut.add(frozenset((reader.address, writer.address)))
-        first = asyncio.ensure_future(reader.plane.change(changes.identity, 800))
+        first = asyncio.ensure_future(reader.plane.change(state_transitions.identity, 800))
         await arrived.wait()
         helper.plane.handle = handle  # type: ignore[method-assign]
         assert await put(writer, 2, "new") == 200
-        second = asyncio.ensure_future(reader.plane.change(changes.identity, 800))
+        second = asyncio.ensure_future(reader.plane.change(state_transitions.identity, 800))
         await asyncio.sleep(0)
         held.set()
-        assert (await first).version in (1, 2)  # it was asked before the change was acknowledged
-        assert (await second).version == 2
+        assert (await first).config_version in (1, 2)  # it was asked before the change was acknowledged
+        assert (await second).config_version == 2
 
     play(scene)
--- a/tests/system/control/test_register.py
+++ b/tests/system/control/test_register.py
@@ -8,33 +8,41 @@
 
 import pytest
 
-from hallhitch.messages.system_pb2 import Accept, Accepted, ClusterState, Prepare, Promise, Recover, Recovered
-from hallhitch.planes.control import changes
-from hallhitch.planes.control.recovery import Recovery
+from hallhitch.messages.system_pb2 import (
+    Accept,
+    Accepted,
+    AcceptorQuery,
+    AcceptorReport,
+    ClusterState,
+    Prepare,
+    Promise,
+)
+from hallhitch.planes.control import state_transitions
+from hallhitch.planes.control.recovery_quorum import Recovery
 from hallhitch.planes.control.register import (
-    NEVER,
+    INITIAL_BALLOT,
     AcceptorState,
     AlreadyChosen,
     Ballot,
-    Change,
     Membership,
     MembershipChanged,
     Proposal,
     SendAccepts,
-    Tally,
-    copied,
-    founded,
+    StateTransition,
+    VoteTally,
+    copy_state,
+    initial_state,
 )
 
 SEEDS, STEPS = 80, 600  # schedules for each kind of fleet, and how long each is
-Message = Prepare | Accept | Recover | Promise | Accepted | Recovered
+Message = Prepare | Accept | AcceptorQuery | Promise | Accepted | AcceptorReport
 
 
 class Machine:
     """One machine: what its disk holds, and what its process is about."""
 
     def __init__(self, name: str, value: ClusterState | None) -> None:
-        self.replica = AcceptorState(name, recovering=True) if value is None else AcceptorState(name, value=value)
+        self.replica = AcceptorState(name, is_recovering=True) if value is None else AcceptorState(name, state=value)
         self.incarnation = 0
         self.end()
 
@@ -44,8 +52,8 @@
         self.proposal: Proposal | None = None
         self.order: str | None = None
         self.recovery: Recovery | None = None
-        self.readers: dict[str, Recovered] = {}
-        self.met: tuple[Ballot, ClusterState] = (NEVER, ClusterState())
+        self.readers: dict[str, AcceptorReport] = {}
+        self.met: tuple[Ballot, ClusterState] = (INITIAL_BALLOT, ClusterState())
         self.ask: tuple[Ballot, ClusterState] | None = None  # by whose members to start over
         self.settled: Membership = Membership.of(ClusterState())
         self.round = 0
@@ -56,7 +64,7 @@
 
     def __init__(self, seed: int, founders: int, spares: int, losses: int) -> None:
         self.rng, self.losses = random.Random(seed), losses
-        first = founded("abcdefg"[:founders])
+        first = initial_state("abcdefg"[:founders])
         self.machines = {
             name: Machine(name, first if name in first.members else None) for name in "abcdefg"[: founders + spares]
         }
@@ -72,37 +80,39 @@
         """A majority is said to hold this value."""
         assert self.committed.setdefault(value.serial, value) == value, "two values in one place"
         later = [other for serial, other in self.committed.items() if serial > value.serial]
-        assert all(set(value.notes) <= set(other.notes) for other in later), "a later value lost something"
+        assert all(set(value.annotations) <= set(other.annotations) for other in later), "a later value lost something"
         if any(value.serial < serial for serial in self.committed):
             return
-        assert self.acknowledged <= set(value.notes), "something acknowledged is gone"
+        assert self.acknowledged <= set(value.annotations), "something acknowledged is gone"
 
     # --- Steps.
 
     def send(self, one: str, other: str, token: object, message: Message) -> None:
         self.bag.append((one, other, token, message))
 
-    def propose(self, name: str, order: str | None, members: Callable[[ClusterState], Change] | None = None) -> None:
+    def propose(
+        self, name: str, order: str | None, members: Callable[[ClusterState], StateTransition] | None = None
+    ) -> None:
         """A ballot of this machine: an order, a change of members, or a read."""
         machine = self.machines[name]
         held = machine.replica
-        known = (NEVER, ClusterState()) if held.recovering else (held.accepted, held.value)
+        known = (INITIAL_BALLOT, ClusterState()) if held.is_recovering else (held.accepted, held.state)
         asked = machine.ask or max(known, machine.met, key=lambda one: (one[0], bool(one[1].members)))
         machine.ask = None
         if not asked[1].members:
-            asked = NEVER, self.first
+            asked = INITIAL_BALLOT, self.first
         machine.round = max(machine.round, held.promised.round, asked[0].round) + 1
 
         def change(value: ClusterState) -> ClusterState:
             if members is not None:
                 return members(value)(value)
-            if order is None or order in value.notes:
+            if order is None or order in value.annotations:
                 return value
-            after = copied(value)
+            after = copy_state(value)
             after.serial += 1
-            after.notes[order] = ""
+            after.annotations[order] = ""
             if self.rng.random() < 0.5:
-                after.content = order.encode()
+                after.config = order.encode()
             return after
 
         machine.proposal = Proposal(
@@ -118,7 +128,9 @@
         if machine.recovery is None:
             machine.recovery = Recovery(name)
         for other in sorted(self.machines.keys() - {name}):
-            self.send(name, other, machine.recovery, Recover(address=name, incarnation=machine.recovery.incarnation))
+            self.send(
+                name, other, machine.recovery, AcceptorQuery(address=name, incarnation=machine.recovery.incarnation)
+            )
 
     def deliver(self, one: str, other: str, token: object, message: Message) -> None:
         """One message arrives."""
@@ -130,7 +142,7 @@
             case Accept():
                 machine.replica, accepted = machine.replica.accept(message)
                 self.send(other, one, token, accepted)
-            case Recover():
+            case AcceptorQuery():
                 machine.replica, recovered = machine.replica.recover(message)
                 self.send(other, one, token, recovered)
             case Promise() if token is machine.proposal and machine.proposal is not None:
@@ -141,7 +153,7 @@
                 if proposal.accepted(one, message):
                     assert proposal.value is not None
                     self.done(machine, proposal.value, proposal.at)
-            case Recovered() if token is machine.recovery and machine.recovery is not None:
+            case AcceptorReport() if token is machine.recovery and machine.recovery is not None:
                 machine.recovery.answer(one, message)
                 if machine.recovery.enough():
                     if machine.recovery.incarnation == 0:
@@ -150,7 +162,7 @@
                     else:
                         machine.replica = machine.recovery.replica()
                         machine.recovery = None
-            case Recovered() if token is machine.readers and message.ok:
+            case AcceptorReport() if token is machine.readers and message.ok:
                 machine.readers[one] = message
                 self.read(machine)
 
@@ -169,7 +181,7 @@
     def done(self, machine: Machine, value: ClusterState, at: Ballot) -> None:
         self.commit(value)
         if machine.order is not None:
-            assert machine.order in value.notes
+            assert machine.order in value.annotations
             self.acknowledged.add(machine.order)
         machine.settled, machine.proposal, machine.order = Membership.of(value), None, None
         machine.met = at, value
@@ -178,35 +190,35 @@
         """A round of the others' states: what a majority has is committed; what is newer is taken."""
         newest = max(machine.readers.values(), key=lambda one: Ballot.of(one.accepted))
         at = Ballot.of(newest.accepted)
-        tally = Tally(Membership.of(newest.value).sets)
+        tally = VoteTally(Membership.of(newest.state).quorum_sets)
         for member, answer in machine.readers.items():
             tally.add(member, Ballot.of(answer.accepted) == at, answer.incarnations)
         if tally.reached():
-            self.commit(newest.value)
-            machine.settled = Membership.of(newest.value)
-        machine.met = max(machine.met, (at, newest.value), key=lambda one: one[0])
-        if at != NEVER:
-            machine.replica, _ = machine.replica.accept(Accept(ballot=at.message(), value=newest.value))
+            self.commit(newest.state)
+            machine.settled = Membership.of(newest.state)
+        machine.met = max(machine.met, (at, newest.state), key=lambda one: one[0])
+        if at != INITIAL_BALLOT:
+            machine.replica, _ = machine.replica.accept(Accept(ballot=at.message(), state=newest.state))
 
-    def members(self, value: ClusterState) -> Change:
+    def members(self, value: ClusterState) -> StateTransition:
         """Some change of members."""
-        if value.previous:
-            return changes.settle
-        if value.lease_previous:
-            return changes.end_lease_transition
-        other = self.rng.choice([one for one, machine in self.machines.items() if not machine.replica.recovering])
+        if value.previous_members:
+            return state_transitions.settle
+        if value.previous_lease_members:
+            return state_transitions.end_lease_transition
+        other = self.rng.choice([one for one, machine in self.machines.items() if not machine.replica.is_recovering])
         if other in value.members:
             spared = len(value.members) > 2 * self.losses + 1
-            return changes.remove(other, Membership.of(value)) if spared else changes.identity
+            return state_transitions.remove(other, Membership.of(value)) if spared else state_transitions.identity
         if self.rng.random() < 0.5:  # an exchange in one step
             leaver = self.rng.choice(list(value.members))
-            return changes.reconfigure({*value.members, other} - {leaver}, Membership.of(value))
-        return changes.add(other, Membership.of(value))
+            return state_transitions.reconfigure({*value.members, other} - {leaver}, Membership.of(value))
+        return state_transitions.add(other, Membership.of(value))
 
     def wipe(self, name: str) -> None:
         """The disk is gone, if so many losses are to be borne and whoever may count now can bear it."""
-        lost = {one for one, machine in self.machines.items() if machine.replica.recovering} | {name}
-        values = [machine.replica.value for machine in self.machines.values()]
+        lost = {one for one, machine in self.machines.items() if machine.replica.is_recovering} | {name}
+        values = [machine.replica.state for machine in self.machines.values()]
         values += [
             machine.proposal.value
             for machine in self.machines.values()
@@ -215,10 +227,10 @@
         if all(
             len(one & lost) <= min(self.losses, (len(one) - 1) // 2)
             for value in values
-            for one in Membership.of(value).sets
+            for one in Membership.of(value).quorum_sets
         ):
             self.machines[name].end()
-            self.machines[name].replica = AcceptorState(name, recovering=True)
+            self.machines[name].replica = AcceptorState(name, is_recovering=True)
 
     def calm(self) -> None:
         """Everybody is back and nothing is lost: the recovering remember, and somebody reads."""
@@ -227,7 +239,7 @@
                 self.bag.remove(message)
                 self.deliver(*message)
             for name, machine in self.machines.items():
-                if machine.replica.recovering and not self.bag:
+                if machine.replica.is_recovering and not self.bag:
                     self.recover(name)
             reader = sorted(self.machines)[turn // 12 % len(self.machines)]
             if not self.bag and self.machines[reader].proposal is None:
@@ -249,12 +261,12 @@
         if what < 0.1:
             machine.readers = {}
             for other in sorted(self.machines):
-                self.send(name, other, machine.readers, Recover())
+                self.send(name, other, machine.readers, AcceptorQuery())
         elif what < 0.15:
             machine.end()
         elif what < 0.3:
             self.wipe(name)
-        elif machine.replica.recovering:
+        elif machine.replica.is_recovering:
             self.recover(name)
         elif machine.proposal is None or what > 0.95:
             kind = rng.random()
@@ -273,12 +285,12 @@
             world.step()
         world.calm()
         for machine in world.machines.values():
-            assert not machine.replica.recovering, "a machine never came back to its memory"
+            assert not machine.replica.is_recovering, "a machine never came back to its memory"
             wiped += machine.replica.incarnations.get(machine.replica.address, 0) > 0
         newest = world.committed[max(world.committed)]
-        assert world.acknowledged <= set(newest.notes)
+        assert world.acknowledged <= set(newest.annotations)
         acknowledged += len(world.acknowledged)
-        moved += newest.members_version > 1
+        moved += newest.membership_version > 1
     assert acknowledged > 2 * SEEDS
     assert losses == 0 or wiped > SEEDS // 2
     assert spares == 0 or moved > SEEDS // 8
@@ -286,13 +298,17 @@
 
 def test_racing_contents_of_one_version_leave_one_and_it_stays() -> None:
     """Two proposers, each with any two replicas for its prepares and any two for its accepts, in every order."""
-    pairs, first, outcomes = list(itertools.combinations("abc", 2)), founded("abc"), set()
+    pairs, first, outcomes = list(itertools.combinations("abc", 2)), initial_state("abc"), set()
     for places in itertools.combinations(range(8), 4):
         for ways in itertools.product(pairs[:1], pairs, pairs, pairs):  # the first by symmetry
-            replicas = {name: AcceptorState(name, value=first) for name in "abc"}
+            replicas = {name: AcceptorState(name, state=first) for name in "abc"}
             proposals = {
                 who: Proposal(
-                    Ballot(1, who), first, (NEVER, ClusterState()), changes.put(7, who.encode()), Membership.of(first)
+                    Ballot(1, who),
+                    first,
+                    (INITIAL_BALLOT, ClusterState()),
+                    state_transitions.put(7, who.encode()),
+                    Membership.of(first),
                 )
                 for who in "AB"
             }
@@ -304,29 +320,33 @@
                 if proposal.value is not None:
                     replicas[name], accepted = replicas[name].accept(proposal.accept(name))
                     if proposal.accepted(name, accepted):
-                        told.add(proposal.value.content)
+                        told.add(proposal.value.config)
                 else:
                     replicas[name], promise = replicas[name].prepare(proposal.prepare())
                     proposal.promise(name, promise)
             assert len(told) <= 1
             for quorum in pairs:
                 later = Proposal(
-                    Ballot(2, "C"), first, (NEVER, ClusterState()), changes.put(7, b"C"), Membership.of(first)
+                    Ballot(2, "C"),
+                    first,
+                    (INITIAL_BALLOT, ClusterState()),
+                    state_transitions.put(7, b"C"),
+                    Membership.of(first),
                 )
                 for name in quorum:
                     later.promise(name, replicas[name].prepare(later.prepare())[1])
                 assert later.value is not None
-                assert not told or {later.value.content} == told
+                assert not told or {later.value.config} == told
             outcomes.add(tuple(sorted(told)))
     assert outcomes == {(b"A",), (b"B",)}  # the higher ballot is never refused by both
 
 
 def test_a_value_is_left_out_for_those_who_hold_it() -> None:
-    held = founded("abc")
-    held.content, held.serial = b"x" * 1000, 1
+    held = initial_state("abc")
+    held.config, held.serial = b"x" * 1000, 1
     at = Ballot(3, "a#1")
     replicas = {name: AcceptorState(name, at, at, held) for name in "abc"}
-    proposal = Proposal(Ballot(4, "b#1"), held, (at, held), changes.evacuate("z"), Membership.of(held))
+    proposal = Proposal(Ballot(4, "b#1"), held, (at, held), state_transitions.evacuate("z"), Membership.of(held))
     for name in "ab":
         replicas[name], promise = replicas[name].prepare(proposal.prepare())
         assert promise.ByteSize() < 200
@@ -334,53 +354,63 @@
     for name in "ab":
         assert proposal.accept(name).ByteSize() < 200
         replicas[name], accepted = replicas[name].accept(proposal.accept(name))
-        assert accepted.ok and replicas[name].value.content == held.content and "z" in replicas[name].value.zones
-    assert proposal.accept("c").value.content == held.content  # nothing was heard of it yet
-    assert Membership.of(held).everybody == set("abc")
+        assert accepted.ok and replicas[name].state.config == held.config and "z" in replicas[name].state.evacuations
+    assert proposal.accept("c").state.config == held.config  # nothing was heard of it yet
+    assert Membership.of(held).all_members == set("abc")
 
 
 def test_a_start_that_was_given_up_does_not_come_after_its_stop() -> None:
     """One replica took the start; the stop finds nothing to change at the two others, and is written all the same."""
-    first = founded("abc")
-    replicas = {name: AcceptorState(name, value=first) for name in "bc"}
-    replicas["a"] = AcceptorState("a", Ballot(1, "x"), Ballot(1, "x"), changes.evacuate("z")(first))
-    for turn, (order, quorum) in enumerate(((changes.restore("z"), "bc"), (changes.renew, "ab")), start=2):
-        proposal = Proposal(Ballot(turn, "y"), first, (NEVER, ClusterState()), order, Membership.of(first))
+    first = initial_state("abc")
+    replicas = {name: AcceptorState(name, state=first) for name in "bc"}
+    replicas["a"] = AcceptorState("a", Ballot(1, "x"), Ballot(1, "x"), state_transitions.evacuate("z")(first))
+    for turn, (order, quorum) in enumerate(
+        ((state_transitions.restore("z"), "bc"), (state_transitions.renew, "ab")), start=2
+    ):
+        proposal = Proposal(Ballot(turn, "y"), first, (INITIAL_BALLOT, ClusterState()), order, Membership.of(first))
         for name in quorum:
             replicas[name], promise = replicas[name].prepare(proposal.prepare())
             proposal.promise(name, promise)
         for name in quorum:
             replicas[name], accepted = replicas[name].accept(proposal.accept(name))
             proposal.accepted(name, accepted)
-        assert proposal.value is not None and not proposal.value.zones
+        assert proposal.value is not None and not proposal.value.evacuations
 
 
 def test_a_vote_of_a_forgotten_life_does_not_count() -> None:
     """`a` promises, is wiped and reads b, c and e before their promises: its old promise may not make the majority."""
-    first = founded("abcde")
-    replicas = {name: AcceptorState(name, value=first) for name in "abcde"}
-    slow = Proposal(Ballot(9, "d#1"), first, (NEVER, ClusterState()), changes.put(1, b"late"), Membership.of(first))
+    first = initial_state("abcde")
+    replicas = {name: AcceptorState(name, state=first) for name in "abcde"}
+    slow = Proposal(
+        Ballot(9, "d#1"),
+        first,
+        (INITIAL_BALLOT, ClusterState()),
+        state_transitions.put(1, b"late"),
+        Membership.of(first),
+    )
     promises = {"a": replicas["a"].prepare(slow.prepare())[1], "d": replicas["d"].prepare(slow.prepare())[1]}
     recovery = Recovery("a", Recovery("a").next_incarnation())
     for name in "bce":
         assert not recovery.enough()
-        replicas[name], recovered = replicas[name].recover(Recover(address="a", incarnation=recovery.incarnation))
+        replicas[name], recovered = replicas[name].recover(AcceptorQuery(address="a", incarnation=recovery.incarnation))
         recovery.answer(name, recovered)
-    assert recovery.enough() and recovery.replica().promised == NEVER
+    assert recovery.enough() and recovery.replica().promised == INITIAL_BALLOT
     promises["b"] = replicas["b"].prepare(slow.prepare())[1]
     assert [slow.promise(name, promises[name]) for name in "adb"] == [None] * 3
     assert isinstance(slow.promise("e", replicas["e"].prepare(slow.prepare())[1]), SendAccepts)
 
 
 def test_members_change_only_on_top_of_members_that_a_majority_took() -> None:
-    half_made = changes.add("d", Membership.of(founded("abc")))(founded("abc"))
-    replicas = {name: AcceptorState(name, value=founded("abc")) for name in "abd"}
+    half_made = state_transitions.add("d", Membership.of(initial_state("abc")))(initial_state("abc"))
+    replicas = {name: AcceptorState(name, state=initial_state("abc")) for name in "abd"}
     replicas["d"] = AcceptorState("d", Ballot(1, "x"), Ballot(1, "x"), half_made)
     for settled, members in (
-        (Membership.of(founded("abc")), Membership.of(half_made)),
+        (Membership.of(initial_state("abc")), Membership.of(half_made)),
         (Membership.of(half_made), Membership(3, ("a", "b", "c", "d"), (), ("a", "b", "c"))),
     ):
-        proposal = Proposal(Ballot(2, "d#1"), half_made, (NEVER, ClusterState()), changes.settle, settled)
+        proposal = Proposal(
+            Ballot(2, "d#1"), half_made, (INITIAL_BALLOT, ClusterState()), state_transitions.settle, settled
+        )
         for name, replica in replicas.items():
             proposal.promise(name, replica.prepare(proposal.prepare())[1])
         assert proposal.value is not None and Membership.of(proposal.value) == members
@@ -388,17 +418,17 @@
 
 def test_a_joint_change_needs_most_of_the_old_set_and_most_of_the_new() -> None:
     """Every choice of who accepts: else the old set could agree on something without the new one knowing."""
-    first, target = founded("abc"), "cde"
+    first, target = initial_state("abc"), "cde"
     for size in range(6):
         for takers in itertools.combinations("abcde", size):
             proposal = Proposal(
                 Ballot(1, "a#1"),
                 first,
-                (NEVER, ClusterState()),
-                changes.reconfigure(target, Membership.of(first)),
+                (INITIAL_BALLOT, ClusterState()),
+                state_transitions.reconfigure(target, Membership.of(first)),
                 Membership.of(first),
             )
-            replicas = {name: AcceptorState(name, value=first) for name in "abcde"}
+            replicas = {name: AcceptorState(name, state=first) for name in "abcde"}
             for name in "abc":
                 replicas[name], promise = replicas[name].prepare(proposal.prepare())
                 proposal.promise(name, promise)
@@ -407,4 +437,4 @@
                 replicas[name], accepted = replicas[name].accept(proposal.accept(name))
                 committed = proposal.accepted(name, accepted)
             assert committed == all(len(set(takers) & set(one)) >= 2 for one in ("abc", target))
-            assert not committed or proposal.value is not None and list(proposal.value.previous) == list("abc")
+            assert not committed or proposal.value is not None and list(proposal.value.previous_members) == list("abc")
--- a/tests/system/control/test_serving.py
+++ b/tests/system/control/test_serving.py
@@ -7,12 +7,12 @@
 import pytest
 
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
-from hallhitch.messages.system_pb2 import Envelope, Recovered
-from hallhitch.planes.control.operator import QUICK
+from hallhitch.messages.system_pb2 import AcceptorReport, Envelope
+from hallhitch.planes.control.lease_renewal import Known, LeaseRenewal
+from hallhitch.planes.control.operator_api import QUICK
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.control.register import Ballot, Membership
-from hallhitch.planes.control.renewal import Known, LeaseRenewal
-from hallhitch.planes.control.serving import NEVER_CONFIRMED, ConfirmingRead, ServingLease
+from hallhitch.planes.control.serving_lease import NEVER_CONFIRMED, ConfirmingRead, ServingLease
 from tests.system.control.test_plane import call, described, put
 
 TURN = 1.0  # ms: what one step of the virtual loop may add
@@ -34,7 +34,7 @@
 
 def test_a_read_confirms_by_a_majority_of_each_set_with_nothing_newer_and_no_void_vote() -> None:
     known, newer = Ballot(3, "a"), Ballot(4, "b")
-    among = Membership(2, members=("a", "b", "d"), previous=("a", "b", "c"))
+    among = Membership(2, members=("a", "b", "d"), previous_members=("a", "b", "c"))
     read = ConfirmingRead(known, among)
     read.add("a", known, {})
     read.add("d", Ballot(1, "a"), {})  # behind: it has accepted nothing newer, which is what is asked
@@ -53,13 +53,13 @@
     async def scene(fleet: Fleet) -> None:
         async def call(address: str, envelope: Envelope, wait: float) -> Envelope:
             await asyncio.sleep(0.7 if address == "b" else 5)
-            return Envelope(recovered=Recovered(ok=True))
+            return Envelope(acceptor_report=AcceptorReport(ok=True))
 
         async def nothing() -> None:
             pass
 
         lease = ServingLease(2000.0)
-        known = Known(Ballot(), Membership(1, members=("a", "b", "c")), Recovered(ok=True))
+        known = Known(Ballot(), Membership(1, members=("a", "b", "c")), AcceptorReport(ok=True))
         renewal = LeaseRenewal("a", lease, lambda: known, call, lambda member: None, nothing, fleet.clock)
         asked = fleet.clock()
         assert await renewal.confirm(2000.0) and fleet.clock() - asked < 700 + TURN
@@ -88,11 +88,11 @@
         acknowledged = fleet.clock()
         spoke = 0.0
         while fleet.clock() < acknowledged + 2 * lease.length:
-            if plane.has_quorum_contact and plane.value.version < 2:
+            if plane.has_quorum_contact and plane.committed_state.config_version < 2:
                 spoke = fleet.clock() - acknowledged
             await asyncio.sleep(0.01)
         assert spoke <= lease.length + TURN
-        assert not plane.has_quorum_contact or ways == "out" and plane.value.version == 2
+        assert not plane.has_quorum_contact or ways == "out" and plane.committed_state.config_version == 2
         assert plane_of(b).has_quorum_contact and plane_of(c).has_quorum_contact
 
     for seed in range(8):
@@ -198,9 +198,9 @@
         await c.kill()
         await a.start()  # its own disk alone: version 1
         await asyncio.sleep(10)
-        assert plane_of(a).value.serial == 0 and not plane_of(a).has_quorum_contact
+        assert plane_of(a).committed_state.serial == 0 and not plane_of(a).has_quorum_contact
         await b.start()
         await asyncio.sleep(1)
-        assert plane_of(a).value.version == 2 and plane_of(a).has_quorum_contact
+        assert plane_of(a).committed_state.config_version == 2 and plane_of(a).has_quorum_contact
 
     play(scene)
--- a/tests/system/data/choice_rig.py
+++ b/tests/system/data/choice_rig.py
@@ -4,9 +4,9 @@
 
 from random import Random
 
-from hallhitch.planes.data.choice import Choice, Run, Settings
-from hallhitch.planes.data.ports import Ask, Outcome, Send, Step
-from hallhitch.planes.values import Backend, ClusterConfig, Gateway, Limits, Route, Service
+from hallhitch.planes.data.interfaces import Action, Forward, Outcome, RequestInfo
+from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings, RequestState
+from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestLimits, Route, Service
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
 START = 20_000.0  # ms: past the first window, so that the slack counts
@@ -30,7 +30,7 @@
 
 def word(evacuated: frozenset[str] = frozenset(), service: Service = SERVICE) -> ClusterConfig:
     """A word with the one service."""
-    return ClusterConfig(1, 1, {}, {"s": service}, {}, {}, Limits(), evacuated)
+    return ClusterConfig(1, 1, {}, {"s": service}, {}, {}, RequestLimits(), evacuated)
 
 
 class Rig:
@@ -45,8 +45,8 @@
         evacuated: frozenset[str] = frozenset(),
     ) -> None:
         own = gateways[0]
-        settings = Settings(own.name, own.zone, own.region, ZONES, 0.2, 10_000.0, slack, 1.5, 5.0, 800.0)
-        self.choice, self.entries = Choice(settings, Random(seed)), list(entries)
+        settings = LoadBalancerSettings(own.name, own.zone, own.region, ZONES, 0.2, 10_000.0, slack, 1.5, 5.0, 800.0)
+        self.choice, self.entries = LoadBalancer(settings, Random(seed)), list(entries)
         self.choice.config(0.0, word(evacuated))
         self.choice.gateways(0.0, own.name, gateways)
         self.choice.backends(0.0, self.entries)
@@ -59,9 +59,9 @@
         homes: frozenset[str] = frozenset(),
         priority: int = 1,
         attempts: int = 2,
-    ) -> Ask:
+    ) -> RequestInfo:
         """One try that came just now."""
-        return Ask(route(kind, priority, attempts), "s", homes, priority, now, now + 2000.0)
+        return RequestInfo(route(kind, priority, attempts), "s", homes, priority, now, now + 2000.0)
 
     def open(
         self,
@@ -70,14 +70,14 @@
         homes: frozenset[str] = frozenset(),
         priority: int = 1,
         attempts: int = 2,
-    ) -> tuple[Run, Step]:
+    ) -> tuple[RequestState, Action]:
         """A new try and the first step of it."""
         run = self.choice.begin(now, self.ask(now, kind, homes, priority, attempts))
         return run, self.choice.next(now, run)
 
-    def end(self, now: float, run: Run, step: Step, outcome: Outcome, lag: float = 50.0) -> None:
+    def end(self, now: float, run: RequestState, step: Action, outcome: Outcome, lag: float = 50.0) -> None:
         """The attempt of that step ends."""
-        assert isinstance(step, Send)
+        assert isinstance(step, Forward)
         self.choice.ended(now, run, step.backend, outcome, lag)
         if outcome is Outcome.OK:
             self.choice.finish(now, run)
@@ -85,7 +85,7 @@
     def fail(self, now: float, outcome: Outcome) -> str | None:
         """One exchange that ends so at its first backend; returns which it was."""
         run, step = self.open(now)
-        if not isinstance(step, Send):
+        if not isinstance(step, Forward):
             return None
         self.end(now, run, step, outcome)
         self.choice.finish(now, run)
--- a/tests/system/data/front_rig.py
+++ b/tests/system/data/front_rig.py
@@ -12,39 +12,58 @@
 import uvloop
 
 from hallhitch.node.clock import now
-from hallhitch.node.settings import Bounds, Node
+from hallhitch.node.settings import NodeSettings, RuleBounds
+from hallhitch.planes.data.interfaces import (
+    Action,
+    Decisions,
+    Enqueue,
+    Exchange,
+    Fail,
+    Forward,
+    Outcome,
+    Reject,
+    RequestInfo,
+)
 from hallhitch.planes.data.plane import DataPlane
-from hallhitch.planes.data.ports import Ask, Decisions, Exchange, Fail, Hold, Outcome, Refuse, Send, Step
-from hallhitch.planes.values import Backend, ClusterConfig, Gateway, Limits, Route, Service, Taken, Tenant
+from hallhitch.planes.values import (
+    Backend,
+    ClusterConfig,
+    Gateway,
+    QuotaDecision,
+    RequestLimits,
+    Route,
+    Service,
+    Tenant,
+)
 
 SEAL = b"Hallhitch-Response-Seal: s\r\n"
 Script = Callable[["Peer"], Awaitable[None]]
 
 
-def node(files: int = 1000) -> Node:
+def node(files: int = 1000) -> NodeSettings:
     """Settings of one gateway on loopback."""
-    return Node(
+    return NodeSettings(
         name="edge-1",
         role="gateway",
         machine_class="edge",
         serves=frozenset(("edge",)),
-        ip="127.0.0.1",
+        ip_address="127.0.0.1",
         zone="a-1",
         region="a",
-        ports=(0, 0),
-        seeds=(),
-        first_start=True,
-        zones={"a-1": "a"},
-        listen={"frontend": ("127.0.0.1", 0)},
-        bounds=Bounds(),
-        losses=0,
-        memory=64,
-        files=files,
-        data=Path("/"),
-        cloud=None,
-        cloud_rate=1.0,
-        cloud_lag=0.0,
-        cluster="",
+        internal_port_range=(0, 0),
+        seed_nodes=(),
+        is_first_start=True,
+        region_by_zone={"a-1": "a"},
+        listen_addresses={"frontend": ("127.0.0.1", 0)},
+        bounds=RuleBounds(),
+        tolerated_machine_losses=0,
+        memory_mb=64,
+        max_open_files=files,
+        data_directory=Path("/"),
+        cloud_api_address=None,
+        cloud_api_rate_per_s=1.0,
+        endpoint_list_lag_ms=0.0,
+        cluster_name="",
     )
 
 
@@ -55,17 +74,17 @@
         "host": "shop.example",
         "prefix": "/",
         "kind": kind,
-        "timeout": 5000.0,
-        "target": 500.0,
+        "timeout_ms": 5000.0,
+        "latency_target_ms": 500.0,
         "priority": 1,
-        "split": (("shop", 1.0),),
-        "attempts": 3,
-        "public": False,
+        "weighted_services": (("shop", 1.0),),
+        "max_attempts": 3,
+        "is_public": False,
     } | more
     return Route(**given)
 
 
-def word(*routes: Route, tenants: Sequence[Tenant] = (), limits: Limits | None = None) -> ClusterConfig:
+def word(*routes: Route, tenants: Sequence[Tenant] = (), limits: RequestLimits | None = None) -> ClusterConfig:
     """A configuration with these routes, all of one host."""
     return ClusterConfig(
         1,
@@ -73,8 +92,8 @@
         {"shop.example": tuple(routes)},
         {"shop": Service("shop", "/health", 40, 0.0, 0.0)},
         {t.name: t for t in tenants},
-        {key: t for t in tenants for key in t.keys},
-        limits or Limits(),
+        {key: t for t in tenants for key in t.api_keys},
+        limits or RequestLimits(),
     )
 
 
@@ -84,13 +103,13 @@
     class Once:
         """One try."""
 
-        def __init__(self, ask: Ask, entries: list[Backend]) -> None:
+        def __init__(self, ask: RequestInfo, entries: list[Backend]) -> None:
             self.ask, self.entries, self.out, self.ran, self.finished = ask, list(entries), 0, False, False
 
     def __init__(self, patience: float = 60_000.0) -> None:
         self.patience, self.entries = patience, list[Backend]()
         self.told: list[tuple[str, Outcome]] = []
-        self.asked: list[Ask] = []
+        self.asked: list[RequestInfo] = []
 
     def backends(self, now: float, entries: Sequence[Backend]) -> None:
         self.entries = list(entries)
@@ -101,18 +120,18 @@
     def config(self, now: float, config: ClusterConfig) -> None:
         pass
 
-    def begin(self, now: float, ask: Ask) -> Exchange:
+    def begin(self, now: float, ask: RequestInfo) -> Exchange:
         self.asked.append(ask)
         return self.Once(ask, self.entries)
 
-    def next(self, now: float, exchange: Exchange) -> Step:
+    def next(self, now: float, exchange: Exchange) -> Action:
         assert isinstance(exchange, Plain.Once)
         if exchange.entries:
             exchange.out += 1
-            return Send(exchange.entries.pop(0), self.patience)
+            return Forward(exchange.entries.pop(0), self.patience)
         if exchange.out:
-            return Hold(60_000.0)
-        return Fail(502) if exchange.ran else Refuse(250.0)
+            return Enqueue(60_000.0)
+        return Fail(502) if exchange.ran else Reject(250.0)
 
     def ended(self, now: float, exchange: Exchange, backend: Backend, outcome: Outcome, lag: float) -> None:
         assert isinstance(exchange, Plain.Once)
@@ -130,13 +149,13 @@
     """A counter that answers as told."""
 
     def __init__(self) -> None:
-        self.answer, self.back, self.asked = Taken(True, token=1), list[Taken](), 0
+        self.answer, self.back, self.asked = QuotaDecision(True, refund_token=1), list[QuotaDecision](), 0
 
-    async def take(self, tenant: Tenant, wait: float) -> Taken:
+    async def take(self, tenant: Tenant, wait: float) -> QuotaDecision:
         self.asked += 1
         return self.answer
 
-    def give_back(self, taken: Taken) -> None:
+    def give_back(self, taken: QuotaDecision) -> None:
         self.back.append(taken)
 
 
--- a/tests/system/data/test_attempt_endings.py
+++ b/tests/system/data/test_attempt_endings.py
@@ -17,8 +17,8 @@
 
 import pytest
 
-from hallhitch.planes.data.choice import Choice, Settings
-from hallhitch.planes.data.ports import Decisions
+from hallhitch.planes.data.interfaces import Decisions
+from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
 from hallhitch.planes.values import Tenant
 from tests.system.data.front_rig import SEAL, Peer, Rig, get, route, word
 from tests.system.data.skipping_loop import SkippingLoop
@@ -182,9 +182,11 @@
         self.ran[peer.id] += 1
 
 
-def choice(seed: int) -> Choice:
+def choice(seed: int) -> LoadBalancer:
     """The choice in service, with a budget that lets requests be tried again from the first moment on."""
-    return Choice(Settings("edge-1", "a-1", "a", {"a-1": "a"}, retry_window=0.0, retry_slack=100.0), Random(seed))
+    return LoadBalancer(
+        LoadBalancerSettings("edge-1", "a-1", "a", {"a-1": "a"}, retry_window=0.0, retry_slack=100.0), Random(seed)
+    )
 
 
 def played(test: Callable[[Rig], object], decisions: Decisions | None) -> None:
@@ -223,7 +225,7 @@
 def test_what_follows_each_ending(ending: Ending, unsafe: bool, attempts: int, chosen: bool) -> None:
     async def test(rig: Rig) -> None:
         kind = "non_idempotent" if unsafe else "idempotent"
-        rig.plane.set_config(word(route(kind, attempts=attempts), tenants=[TENANT]))
+        rig.plane.set_config(word(route(kind, max_attempts=attempts), tenants=[TENANT]))
         backends = StandIn(ending)
         for name in ("b-1", "b-2"):
             await rig.backend(name, backends)
@@ -257,7 +259,7 @@
 
     async def test(rig: Rig) -> None:
         kind = "non_idempotent" if unsafe else "idempotent"
-        rig.plane.set_config(word(route(kind, attempts=1), tenants=[TENANT]))
+        rig.plane.set_config(word(route(kind, max_attempts=1), tenants=[TENANT]))
         backends = StandIn(Ending("none", (Do.RUN, WELL), 200))
         await rig.backend("b-1", backends)
         rig._servers[0].close()
--- a/tests/system/data/test_attempts_connections.py
+++ b/tests/system/data/test_attempts_connections.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hallhitch.planes.data.idle_reuse import LESSON, UNTOLD, IdleReuse
-from hallhitch.planes.data.ports import Outcome
+from hallhitch.planes.data.interfaces import Outcome
 from hallhitch.planes.values import Service
 from tests.system.data.front_rig import SEAL, Asked, Peer, Rig, get, rigged, route, says, word
 
--- a/tests/system/data/test_attempts_outcomes.py
+++ b/tests/system/data/test_attempts_outcomes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hallhitch.planes.data.ports import Outcome
+from hallhitch.planes.data.interfaces import Outcome
 from hallhitch.planes.values import Tenant
 from tests.system.data.front_rig import SEAL, Asked, Peer, Rig, Script, get, rigged, route, says, word
 
@@ -87,7 +87,7 @@
 
 @rigged()
 async def test_a_dead_port_is_no_attempt(rig: Rig) -> None:
-    rig.plane.set_config(word(route("non_idempotent", attempts=1)))
+    rig.plane.set_config(word(route("non_idempotent", max_attempts=1)))
     await rig.backend("b-1", Asked(says(b"well")))
     rig._servers[0].close()
     await rig.backend("b-2", Asked(says(b"well")))
--- a/tests/system/data/test_budget_bound.py
+++ b/tests/system/data/test_budget_bound.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hallhitch.planes.data.budget import Budget
+from hallhitch.planes.data.retry_budget import RetryBudget
 
 RATIO, WINDOW, SLACK = 0.2, 10_000.0, 58.0
 
@@ -15,7 +15,7 @@
 def test_every_window_of_all_gateways_is_within_the_rule(seed: int) -> None:
     rng = Random(seed)
     count = rng.randint(1, 6)
-    budgets = [Budget(RATIO, WINDOW, SLACK, 0.0) for _ in range(count)]
+    budgets = [RetryBudget(RATIO, WINDOW, SLACK, 0.0) for _ in range(count)]
     firsts: list[float] = []
     further: list[float] = []
     now = 0.0
@@ -41,14 +41,14 @@
 
 
 def test_a_fresh_process_has_no_slack_for_a_window() -> None:
-    budget = Budget(RATIO, WINDOW, SLACK, 0.0)
+    budget = RetryBudget(RATIO, WINDOW, SLACK, 0.0)
     assert not budget.room(9000.0, 1)
     assert budget.room(10_000.0, 1)
     assert not budget.room(10_000.0, 1000)
 
 
 def test_what_never_arrived_is_given_back() -> None:
-    budget = Budget(RATIO, WINDOW, 0.0, 0.0)
+    budget = RetryBudget(RATIO, WINDOW, 0.0, 0.0)
     for at in range(10):
         budget.first(float(at))
     mark = budget.take(20.0)
--- a/tests/system/data/test_choice_places.py
+++ b/tests/system/data/test_choice_places.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hallhitch.planes.data.ports import Fail, Hold, Outcome, Refuse, Send
+from hallhitch.planes.data.interfaces import Enqueue, Fail, Forward, Outcome, Reject
 from hallhitch.planes.values import DOWNLOAD, IDEMPOTENT, NON_IDEMPOTENT
 from tests.system.data.choice_rig import START, Rig, backend, gateway
 
@@ -12,7 +12,7 @@
 def chosen(rig: Rig, count: int, **how: object) -> set[str]:
     """The backends that so many requests at once go to."""
     steps = [rig.open(START, **how)[1] for _ in range(count)]  # type: ignore[arg-type]
-    return {step.backend.instance for step in steps if isinstance(step, Send)}
+    return {step.backend.instance for step in steps if isinstance(step, Forward)}
 
 
 @pytest.mark.parametrize("kind", [IDEMPOTENT, NON_IDEMPOTENT, DOWNLOAD])
@@ -40,7 +40,7 @@
         rig = Rig(*(backend(f"i{n}") for n in range(4)), seed=seed)
         run, step = rig.open(START, attempts=4)
         seen = []
-        while isinstance(step, Send):
+        while isinstance(step, Forward):
             seen.append(step.backend.instance)
             rig.end(START, run, step, Outcome.FAILED)
             step = rig.choice.next(START, run)
@@ -54,11 +54,11 @@
         rig.open(START)
     run, step = rig.open(START)
     now = START
-    while isinstance(step, Hold):
+    while isinstance(step, Enqueue):
         assert step.wait > 0
         now += step.wait
         step = rig.choice.next(now, run)
-    assert isinstance(step, Refuse)
+    assert isinstance(step, Reject)
     assert START < now <= START + 100.0
     assert 0 < step.after < 1000.0
 
@@ -68,18 +68,18 @@
     busy = []
     for _ in range(20):
         run, step = rig.open(START, NON_IDEMPOTENT)
-        if isinstance(step, Send):
+        if isinstance(step, Forward):
             busy.append((run, step))
         else:
             rig.choice.finish(START, run)
     low, step = rig.open(START, NON_IDEMPOTENT, priority=2)
     high, other = rig.open(START, NON_IDEMPOTENT, priority=0)
-    assert isinstance(step, Hold) and isinstance(other, Hold)
+    assert isinstance(step, Enqueue) and isinstance(other, Enqueue)
     rig.end(START + 9, *busy[0], Outcome.OK)
-    assert isinstance(rig.choice.next(START + 10, low), Hold)
-    assert isinstance(rig.choice.next(START + 10, high), Send)
+    assert isinstance(rig.choice.next(START + 10, low), Enqueue)
+    assert isinstance(rig.choice.next(START + 10, high), Forward)
     rig.end(START + 11, *busy[1], Outcome.OK)
-    assert isinstance(rig.choice.next(START + 12, low), Send)
+    assert isinstance(rig.choice.next(START + 12, low), Forward)
 
 
 def test_unsafe_requests_of_all_gateways_together_never_fill_a_queue() -> None:
@@ -91,7 +91,7 @@
         rig = Rig(*entries, gateways=(*fleet[own:], *fleet[:own]), seed=own)
         for _ in range(60):
             _, step = rig.open(START, NON_IDEMPOTENT)
-            if isinstance(step, Send):
+            if isinstance(step, Forward):
                 there[step.backend.instance] += 1
     assert max(there.values()) <= 3 * 3  # its slots over three times: a queue holds more than twice the slots
     assert min(there.values()) >= 3
--- a/tests/system/data/test_choice_trouble.py
+++ b/tests/system/data/test_choice_trouble.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hallhitch.planes.data.ports import Fail, Hold, Outcome, Refuse, Send
+from hallhitch.planes.data.interfaces import Enqueue, Fail, Forward, Outcome, Reject
 from hallhitch.planes.values import NON_IDEMPOTENT
 from tests.system.data.choice_rig import START, Rig, backend
 
@@ -13,8 +13,8 @@
 def test_unsafe_never_again_after_it_may_have_run(outcome: Outcome) -> None:
     rig = Rig(*(backend(f"i{n}") for n in range(4)))
     run, step = rig.open(START, NON_IDEMPOTENT)
-    assert isinstance(step, Send) and step.patience == 2000.0
-    assert rig.choice.next(START + 100, run) == Hold(1900.0)
+    assert isinstance(step, Forward) and step.patience == 2000.0
+    assert rig.choice.next(START + 100, run) == Enqueue(1900.0)
     rig.end(START + 200, run, step, outcome)
     assert rig.choice.next(START + 200, run) == Fail(504 if outcome is Outcome.SILENT else 502)
 
@@ -25,14 +25,14 @@
     run, step = rig.open(START, NON_IDEMPOTENT)
     rig.end(START + 5, run, step, outcome)
     again = rig.choice.next(START + 5, run)
-    assert isinstance(step, Send) and isinstance(again, Send) and again.backend != step.backend
+    assert isinstance(step, Forward) and isinstance(again, Forward) and again.backend != step.backend
 
 
 def test_without_time_what_never_ran_is_refused_and_what_may_have_run_fails() -> None:
     rig = Rig(backend("i0"), backend("i1"))
     run, step = rig.open(START)
     rig.end(START + 1, run, step, Outcome.UNREACHABLE)
-    assert isinstance(rig.choice.next(START + 1999, run), Refuse)
+    assert isinstance(rig.choice.next(START + 1999, run), Reject)
     run, step = rig.open(START)
     rig.end(START + 1, run, step, Outcome.LOST)
     assert rig.choice.next(START + 1999, run) == Fail(504)
@@ -41,12 +41,12 @@
 def test_a_repeatable_one_is_not_failed_while_an_attempt_is_out() -> None:
     rig = Rig(*(backend(f"i{n}") for n in range(4)))
     run, first = rig.open(START)
-    assert isinstance(first, Send) and first.patience < 400.0
+    assert isinstance(first, Forward) and first.patience < 400.0
     rig.end(START + first.patience, run, first, Outcome.SILENT)
     second = rig.choice.next(START + first.patience, run)
-    assert isinstance(second, Send) and second.backend != first.backend
+    assert isinstance(second, Forward) and second.backend != first.backend
     rig.end(START + 300, run, second, Outcome.LOST)
-    assert isinstance(rig.choice.next(START + 300, run), Hold)
+    assert isinstance(rig.choice.next(START + 300, run), Enqueue)
     rig.end(START + 400, run, first, Outcome.OK)
 
 
@@ -59,13 +59,13 @@
     for step in range(200):  # three seconds of requests, the dead one still dead
         now = START + 15.0 * (step + 1)
         run, at = rig.open(now)
-        assert isinstance(at, Send)
+        assert isinstance(at, Forward)
         taken.append(at.backend.instance)
         rig.end(now, run, at, Outcome.UNREACHABLE if at.backend.instance == "dead" else Outcome.OK)
     assert 1 <= taken.count("dead") <= 6
     for step in range(600):  # it is back: trials find it, and it gets its part again
         run, at = rig.open(now + 10.0 * step)
-        assert isinstance(at, Send)
+        assert isinstance(at, Forward)
         taken.append(at.backend.instance)
         rig.end(now + 10.0 * step, run, at, Outcome.OK)
     assert taken[-100:].count("dead") >= 20
@@ -77,7 +77,7 @@
     for _ in range(60):
         now += 20.0
         run, step = rig.open(now)
-        assert isinstance(step, Send)
+        assert isinstance(step, Forward)
         if step.backend.instance == "dark":
             void += 1
             now += step.patience
@@ -95,17 +95,17 @@
         rig.end(START + 10, run, step, Outcome.LOST)
         rig.choice.finish(START + 10, run)
     run, step = rig.open(START + 20)
-    assert isinstance(step, Send)
+    assert isinstance(step, Forward)
     rig.end(START + 30, run, step, Outcome.OK)
-    assert isinstance(rig.open(START + 31, NON_IDEMPOTENT)[1], Send)
+    assert isinstance(rig.open(START + 31, NON_IDEMPOTENT)[1], Forward)
 
 
 def test_all_set_aside_at_once_still_serves() -> None:
     rig = Rig(*(backend(f"i{n}") for n in range(3)))
     for _ in range(12):
         rig.fail(START, Outcome.UNREACHABLE)
-    assert isinstance(rig.open(START + 1)[1], Send)
-    assert isinstance(rig.open(START + 1, NON_IDEMPOTENT)[1], Send)
+    assert isinstance(rig.open(START + 1)[1], Forward)
+    assert isinstance(rig.open(START + 1, NON_IDEMPOTENT)[1], Forward)
 
 
 def test_unsafe_avoids_a_backend_whose_last_end_was_bad() -> None:
@@ -113,7 +113,7 @@
         rig = Rig(backend("i0"), backend("i1"), seed=seed)
         bad = rig.fail(START, Outcome.SPOILT)
         _, step = rig.open(START + 100, NON_IDEMPOTENT)
-        assert isinstance(step, Send) and step.backend.instance != bad
+        assert isinstance(step, Forward) and step.backend.instance != bad
 
 
 def test_a_full_backend_is_left_alone_for_a_moment() -> None:
--- a/tests/system/data/test_cold_bound.py
+++ b/tests/system/data/test_cold_bound.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from hallhitch.planes.data.cold import Cold
-from hallhitch.planes.data.preference import RendezvousWeights
+from hallhitch.planes.data.rendezvous import RendezvousWeights
+from hallhitch.planes.data.slow_start import SlowStart
 from hallhitch.planes.values import Backend, Gateway, Service
 from tests.system.data.choice_rig import START, ZONES, backend, gateway
 
@@ -21,9 +21,9 @@
     return max((sum(1 for t in times[i:] if t < at + 1000.0) for i, at in enumerate(times)), default=0)
 
 
-def gate(own: Gateway, view: list[Gateway], entries: list[Backend]) -> Cold:
+def gate(own: Gateway, view: list[Gateway], entries: list[Backend]) -> SlowStart:
     """What one gateway knows of cold backends, settled."""
-    cold = Cold(own.name, own.region, OVER, SLACK, 800.0, RendezvousWeights())
+    cold = SlowStart(own.name, own.region, OVER, SLACK, 800.0, RendezvousWeights())
     cold.gateways(0.0, view)
     cold.backends(0.0, entries, {"s": SERVICE})
     return cold
--- a/tests/system/data/test_front_requests.py
+++ b/tests/system/data/test_front_requests.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hallhitch.planes.values import Limits, Taken, Tenant
+from hallhitch.planes.values import QuotaDecision, RequestLimits, Tenant
 from tests.system.data.front_rig import SEAL, Asked, Rig, get, rigged, route, says, word
 
 TENANT = Tenant("plant", ("k-1",), 0, 100.0, 10.0)
@@ -95,7 +95,7 @@
 async def test_what_is_not_acceptable_is_refused_and_reaches_no_backend(rig: Rig, request_: bytes, status: int) -> None:
     backend = Asked(says())
     await rig.backend("b-1", backend)
-    rig.plane.set_config(word(route(), limits=Limits(body=1_000_000)))
+    rig.plane.set_config(word(route(), limits=RequestLimits(max_body_bytes=1_000_000)))
     client = await rig.client()
     client.write(request_)
     first, fields, _ = await client.whole()
@@ -117,7 +117,7 @@
 async def test_keys_name_their_tenants_and_go_no_further(rig: Rig) -> None:
     backend = Asked(says())
     await rig.backend("b-1", backend)
-    rig.plane.set_config(word(route(prefix="/open/", public=True), route(), tenants=[TENANT]))
+    rig.plane.set_config(word(route(prefix="/open/", is_public=True), route(), tenants=[TENANT]))
     forged = "Hallhitch-Tenant-Name: other\r\n"
     for path, field, status in [
         ("/x", "", b"401"),
@@ -139,10 +139,10 @@
     backend = Asked(says())
     await rig.backend("b-1", backend)
     rig.plane.set_config(word(route(), tenants=[TENANT]))
-    rig.count.answer = Taken(False, 1250.0)
+    rig.count.answer = QuotaDecision(False, 1250.0)
     first, fields, _ = await rig.ask(get(more="Authorization: Token k-1\r\n"))
     assert first.split()[1] == b"429" and fields[b"retry-after"] == b"1.250"
-    rig.count.answer = Taken(False, 50.0, silent=True)
+    rig.count.answer = QuotaDecision(False, 50.0, is_counter_unavailable=True)
     assert (await rig.ask(get(more="Authorization: Token k-1\r\n")))[0].split()[1] == b"503"
     assert not backend.seen and not rig.count.back
 
@@ -153,7 +153,11 @@
     await rig.backend("b-1", backend)
     tenant = Tenant("plant", ("k-1",), None, 0.0, 0.0, frozenset("a"))
     rig.plane.set_config(
-        word(route(prefix="/b/", homes=frozenset("b")), route(homes=frozenset("ab")), tenants=[tenant])
+        word(
+            route(prefix="/b/", allowed_regions=frozenset("b")),
+            route(allowed_regions=frozenset("ab")),
+            tenants=[tenant],
+        )
     )
     assert (await rig.ask(get("/b/x", more="Authorization: Token k-1\r\n")))[0].split()[1] == b"503"
     await rig.ask(get("/x", more="Authorization: Token k-1\r\n"))
--- a/tests/system/data/test_last_answer.py
+++ b/tests/system/data/test_last_answer.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from hallhitch.node.clock import now
-from hallhitch.planes.data.front import LINGER, Client
+from hallhitch.planes.data.http_listener import LINGER, ClientConnection
 from tests.system.data.front_rig import Asked, Rig, get, rigged, says
 
 
@@ -44,7 +44,7 @@
     """All of it is written, part of it waits in this process, and seconds pass; its time begins when it has left."""
     await rig.backend("b-1", Asked(says(b"whole")))
     front, link = rig.plane.front, FullLink()
-    client = Client(front)
+    client = ClientConnection(front)
     client.connection_made(link)
     client.data_received(get(more="Connection: close\r\n"))
     await link.ended.wait()
--- a/tests/system/distribution/test_coordinator_speaks.py
+++ b/tests/system/distribution/test_coordinator_speaks.py
@@ -10,10 +10,10 @@
 
 from hallhitch.lab.simulation.coordinators import Memory, settings
 from hallhitch.messages.link import Handler
-from hallhitch.messages.system_pb2 import Envelope, Pull
-from hallhitch.node.errors import Silent
-from hallhitch.planes.control import changes
-from hallhitch.planes.distribution.hub import StateHub, entry_of
+from hallhitch.messages.system_pb2 import Envelope, StateRequest
+from hallhitch.node.errors import RequestTimeout
+from hallhitch.planes.control import state_transitions
+from hallhitch.planes.distribution.state_hub import StateHub, entry_of
 from hallhitch.programs.coordinator import CoordinatorProgram
 from hallhitch.programs.runtime import Runtime
 from tests.system.distribution.ways import Ways, gateway, play
@@ -37,13 +37,13 @@
             async with asyncio.timeout(wait / 1000):
                 await self._world.ways.way(self._address, address)
                 if address not in self._world.links:
-                    raise Silent("connect", address, "nobody there")
+                    raise RequestTimeout("connect", address, "nobody there")
                 answer = self._world.links[address].handler(Envelope.FromString(envelope.SerializeToString()))
                 answer = await answer if isinstance(answer, Awaitable) else answer
                 await self._world.ways.way(address, self._address)
                 return Envelope.FromString(answer.SerializeToString())
         except TimeoutError:
-            raise Silent("call", address, "silence") from None
+            raise RequestTimeout("call", address, "silence") from None
 
     def close(self) -> None:
         """Be gone."""
@@ -69,7 +69,7 @@
             disk=Memory(),
             run=run,
         )
-        return CoordinatorProgram(replace(settings(address, True, SEEDS, 1), listen={}), runtime)
+        return CoordinatorProgram(replace(settings(address, True, SEEDS, 1), listen_addresses={}), runtime)
 
     async def start(self) -> None:
         """The first start of all."""
@@ -79,12 +79,12 @@
     async def pull(self, address: str, name: str, serial: int) -> tuple[int, float]:
         """A gateway pulls: the serial that it is handed (0 = none) and the age of the contact that it is told."""
         hub = StateHub(5, self.ways.clock)
-        pull = Pull(self=entry_of(gateway(name)), wait=0.0)
-        pull.have["config"].number = serial
-        answer = self.links[address].handler(Envelope(pull=pull))
-        news = (await answer if isinstance(answer, Awaitable) else answer).news
+        pull = StateRequest(requester=entry_of(gateway(name)), max_wait_ms=0.0)
+        pull.known_versions["config"].number = serial
+        answer = self.links[address].handler(Envelope(state_request=pull))
+        news = (await answer if isinstance(answer, Awaitable) else answer).state_update
         assert hub.config.serial == 0
-        return news.config.serial, news.contact_age
+        return news.config.serial, news.quorum_contact_age_ms
 
 
 def test_a_coordinator_without_contact_says_only_what_it_hears_itself() -> None:
@@ -93,13 +93,13 @@
         await core.start()
         await asyncio.sleep(1)
         one, two, _ = (core.programs[address] for address in SEEDS)
-        await two._control.change(changes.put(1, b"x"), 800)
+        await two._control.change(state_transitions.put(1, b"x"), 800)
         for _ in range(12):
             await core.pull(SEEDS[0], "near", 0)
             await core.pull(SEEDS[1], "far", 0)
             await asyncio.sleep(0.3)
         serial, age = await core.pull(SEEDS[0], "new", 0)
-        assert serial == one._control.value.serial and 0 <= age <= one._control.lease.length
+        assert serial == one._control.committed_state.serial and 0 <= age <= one._control.lease.length
         assert {"near:80", "far:80"} <= named(one)
         others = SEEDS[1:]
         ways.cut = {(one, SEEDS[0]) for one in others} | {(SEEDS[0], one) for one in others}
--- a/tests/system/distribution/test_feed.py
+++ b/tests/system/distribution/test_feed.py
@@ -2,11 +2,11 @@
 
 import random
 
-from hallhitch.planes.distribution import feed as module
-from hallhitch.planes.distribution.feed import Feed, Followed
+from hallhitch.planes.distribution import versioned_map as module
+from hallhitch.planes.distribution.versioned_map import VersionedMap, VersionedReplica
 
 
-def follow(feed: Feed[int], follower: Followed[int]) -> None:
+def follow(feed: VersionedMap[int], follower: VersionedReplica[int]) -> None:
     changes = feed.since(follower.epoch, follower.number)
     if changes is not None:
         assert follower.take(changes.epoch, changes.number, changes.whole, changes.entries.items(), changes.gone)
@@ -17,12 +17,12 @@
     wholes = 0
     for seed in range(300):
         rng = random.Random(seed)
-        feed: Feed[int] = Feed(1)
-        followers: list[Followed[int]] = [Followed() for _ in range(3)]
+        feed: VersionedMap[int] = VersionedMap(1)
+        followers: list[VersionedReplica[int]] = [VersionedReplica() for _ in range(3)]
         for step in range(60):
             key = f"k{rng.randrange(12)}"
             if rng.random() < 0.1:  # the process starts again and numbers anew
-                feed = Feed(feed.epoch + 1)
+                feed = VersionedMap(feed.epoch + 1)
             if rng.random() < 0.6:
                 feed.put(key, step)
             else:
@@ -37,7 +37,7 @@
 
 
 def test_what_did_not_change_is_no_news() -> None:
-    feed: Feed[int] = Feed(7)
+    feed: VersionedMap[int] = VersionedMap(7)
     assert feed.replace({"a": 1, "b": 2})
     number = feed.number
     assert not feed.replace({"a": 1, "b": 2})
@@ -47,7 +47,7 @@
 
 
 def test_changes_of_another_life_are_not_taken_for_this_ones() -> None:
-    follower: Followed[int] = Followed()
+    follower: VersionedReplica[int] = VersionedReplica()
     assert follower.take(1, 5, True, [("a", 1)], ())
     assert not follower.take(2, 6, False, [("b", 2)], ())
     assert follower.epoch == 0  # asks for the whole next time
--- a/tests/system/distribution/test_gateway_sync.py
+++ b/tests/system/distribution/test_gateway_sync.py
@@ -4,11 +4,11 @@
 
 import asyncio
 
-from hallhitch.messages.system_pb2 import News, Pull
-from hallhitch.planes.distribution.feed import PIECE
-from hallhitch.planes.distribution.hub import StateHub
+from hallhitch.messages.system_pb2 import StateRequest, StateUpdate
+from hallhitch.planes.distribution.peer_replica import PeerReplica
 from hallhitch.planes.distribution.peer_sync import FORGET_AFTER, PeerSync
-from hallhitch.planes.distribution.source import Source
+from hallhitch.planes.distribution.state_hub import StateHub
+from hallhitch.planes.distribution.versioned_map import PIECE
 from tests.system.distribution.ways import BOUNDS, Ways, _Wire, gateway, listed, play
 
 CORE = ["c1:1", "c2:1", "c3:1"]
@@ -36,7 +36,7 @@
 def test_a_coordinator_that_says_its_contact_is_old_founds_nobody_whatever_it_hands_out() -> None:
     async def scene(ways: Ways) -> None:
         hub = ways.core("c1:1", serial=3)
-        ways.contact["c1:1"] = -BOUNDS.serving_lease - 1
+        ways.contact["c1:1"] = -BOUNDS.serving_lease_ms - 1
         hub.hands_first_config = lambda: True
         me = ways.edge("me", CORE[:1])
         me.start()
@@ -63,7 +63,7 @@
         ways.contact[first] = ways.clock()
         ways.hubs[first].set_gateways({"g0:1": gateway("g0")})
         ways.hubs[first].set_holders({})
-        await asyncio.sleep(BOUNDS.serving_lease / 1000 + 1)
+        await asyncio.sleep(BOUNDS.serving_lease_ms / 1000 + 1)
         asked = ways.pulls[first]
         for address in CORE:
             if address != first:
@@ -93,7 +93,7 @@
             ways.cut = cut
             for hub in map(ways.hubs.__getitem__, CORE):
                 hub.take_config(serial, serial, b"", [])
-            await asyncio.sleep(BOUNDS.config / 1000)
+            await asyncio.sleep(BOUNDS.config_apply_ms / 1000)
             assert me._hub.config.serial == serial
 
     play(scene)
@@ -103,20 +103,20 @@
     async def scene(ways: Ways) -> None:
         frozen, fresh, me = ways.core("c1:1", 1), ways.core("c2:1", 1), StateHub(9, ways.clock)
         frozen.take_list(ways.clock(), [listed(1), listed(2)])
-        slow, source = Source("c1:1", ways.clock), Source("c2:1", ways.clock)
+        slow, source = PeerReplica("c1:1", ways.clock), PeerReplica("c2:1", ways.clock)
         pull = slow.pull(gateway("me"), me, 0.0, False)
-        pull.have["config"].number = 1
-        asked, late = ways.clock(), frozen.news(Pull.FromString(pull.SerializeToString()))
+        pull.known_versions["config"].number = 1
+        asked, late = ways.clock(), frozen.news(StateRequest.FromString(pull.SerializeToString()))
         assert late is not None
         await asyncio.sleep(20)
         fresh.take_list(ways.clock(), [listed(1, draining=True)])
         pull = source.pull(gateway("me"), me, 0.0, False)
-        pull.have["config"].number = 1
-        news = fresh.news(Pull.FromString(pull.SerializeToString()))
+        pull.known_versions["config"].number = 1
+        news = fresh.news(StateRequest.FromString(pull.SerializeToString()))
         assert news is not None
         for one, told, since in ((source, news, ways.clock()), (slow, late, asked)):
             await asyncio.sleep(0.1)
-            one.answered(told, since, BOUNDS.serving_lease)
+            one.answered(told, since, BOUNDS.serving_lease_ms)
             one.take(told, me, since, lists=True)
         assert [(e.instance, e.draining) for e in me.backends.values()] == [("i-1", True)]
         assert slow.contact_at <= asked < source.contact_at
@@ -142,10 +142,10 @@
             acknowledged = ways.clock()
             for hub in map(ways.hubs.__getitem__, CORE):
                 hub.take_config(serial, serial, b"", [])
-            while me._hub.config.serial < serial and ways.clock() - acknowledged < BOUNDS.config:
+            while me._hub.config.serial < serial and ways.clock() - acknowledged < BOUNDS.config_apply_ms:
                 await asyncio.sleep(0.02)
             worst = max(worst, ways.clock() - acknowledged)
-        assert worst < BOUNDS.config
+        assert worst < BOUNDS.config_apply_ms
         assert max(ways.whole.values()) == 1 and len(me._hub.backends) == 300
 
     for seed in range(6):
@@ -183,7 +183,7 @@
         other.core = ("c2:1",)
         peers = PeerSync(_Wire(ways, "c1:1"), hub, lambda: gateway("c1"), lambda: None, ways.clock, BOUNDS)
         peers.meet(["c2:1", "c3:1", "gone:1"])
-        await asyncio.sleep(FORGET_AFTER * BOUNDS.contact / 1000 + 1)
+        await asyncio.sleep(FORGET_AFTER * BOUNDS.contact_window_ms / 1000 + 1)
         peers.forget_gone({"c3:1"})
         assert set(peers.sources) == {"c2:1", "c3:1"} and peers.alive(1800) == ["c2:1"]
         asked = ways.pulls["gone:1"]
@@ -199,10 +199,10 @@
     async def scene(ways: Ways) -> None:
         hub, ways.contact["c1:1"] = ways.core("c1:1", 1), 0.0
         await asyncio.sleep(1)
-        pull = Source("c1:1", ways.clock).pull(gateway("me"), StateHub(2, ways.clock), 300.0, False)
-        pull.have["config"].number, pull.have["gateways"].epoch = 1, hub.incarnation
-        news: News = (await hub.answer(pull)).news
-        assert abs(news.contact_age - 1300) < 1 and abs(news.held - 300) < 1
-        assert StateHub(3)._signed(News()).contact_age == -1
+        pull = PeerReplica("c1:1", ways.clock).pull(gateway("me"), StateHub(2, ways.clock), 300.0, False)
+        pull.known_versions["config"].number, pull.known_versions["gateways"].epoch = 1, hub.incarnation
+        news: StateUpdate = (await hub.answer(pull)).state_update
+        assert abs(news.quorum_contact_age_ms - 1300) < 1 and abs(news.held_back_ms - 300) < 1
+        assert StateHub(3)._signed(StateUpdate()).quorum_contact_age_ms == -1
 
     play(scene)
