--- a/tests/system/distribution/test_knowledge.py
+++ b/tests/system/distribution/test_knowledge.py
@@ -5,31 +5,33 @@
 import random
 import zlib
 
-from hallhitch.messages.system_pb2 import Envelope, News, Pull
+from hallhitch.messages.system_pb2 import Envelope, StateRequest, StateUpdate
 from hallhitch.node.clock import now
-from hallhitch.node.errors import Silent
+from hallhitch.node.errors import RequestTimeout
 from hallhitch.planes.discovery.directory import nearest
-from hallhitch.planes.discovery.listing import Listed, due, read_page, settle, turn
-from hallhitch.planes.discovery.registry import SILENCE, Registry, united
+from hallhitch.planes.discovery.endpoint_list import Listed, due, read_page, settle, turn
+from hallhitch.planes.discovery.gateway_registry import SILENCE, GatewayRegistry, united
 from hallhitch.planes.distribution.config_compiler import compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
-from hallhitch.planes.distribution.hub import StateHub
-from hallhitch.planes.distribution.source import Source, rendezvous
+from hallhitch.planes.distribution.peer_replica import PeerReplica, rendezvous
+from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import Gateway, LeaseMembership
 
 
 def gateway(name: str, region: str = "r", **more: object) -> Gateway:
-    return Gateway(name, f"{name}:1", 1, "edge", f"{region}-z", region, f"{name}:80", **{"ready": True, **more})  # type: ignore[arg-type]
+    return Gateway(name, f"{name}:1", 1, "edge", f"{region}-z", region, f"{name}:80", **{"is_ready": True, **more})  # type: ignore[arg-type]
 
 
 def listed(instance: str, draining: bool = False, cold: float = 0.0) -> Listed:
     return Listed(instance, "s", "10.0.0.1", 80, "z", 3, draining, cold)
 
 
-def hear(hub: StateHub, source: Source, me: StateHub, asked: float | None = None) -> None:
+def hear(hub: StateHub, source: PeerReplica, me: StateHub, asked: float | None = None) -> None:
     """One pull and its answer; `asked`: when, if not just now."""
     pull = source.pull(gateway("me"), me, 0.0, False)
-    news = hub.news(Pull.FromString(pull.SerializeToString())) or News(incarnation=hub.incarnation, list_age=1.0)
+    news = hub.news(StateRequest.FromString(pull.SerializeToString())) or StateUpdate(
+        incarnation=hub.incarnation, endpoint_list_age_ms=1.0
+    )
     asked = now() if asked is None else asked
     source.answered(news, asked, 2000.0)
     source.take(news, me, asked, lists=True)
@@ -46,7 +48,7 @@
     for seed in range(200):
         rng = random.Random(seed)
         hubs = [core_hub(n + 1) for n in range(3)]
-        me, sources = StateHub(9), [Source(str(n)) for n in range(3)]
+        me, sources = StateHub(9), [PeerReplica(str(n)) for n in range(3)]
         seen = 0
         for serial in range(1, 30):
             for hub in hubs:  # each hears of a change, or is cut off and does not
@@ -63,7 +65,7 @@
     fresh, stale, me = StateHub(1), StateHub(2), StateHub(3)
     fresh.take_list(now() - 50, [listed("a", draining=True)])
     stale.take_list(now() - 5000, [listed("a"), listed("b")])
-    one, two = Source("1"), Source("2")
+    one, two = PeerReplica("1"), PeerReplica("2")
     hear(fresh, one, me)
     hear(stale, two, me)
     assert [(e.instance, e.draining) for e in me.backends.values()] == [("a", True)]
@@ -107,13 +109,13 @@
 
 
 def test_silent_processes_go_and_the_leaving_are_leaving_for_all() -> None:
-    registry = Registry()
+    registry = GatewayRegistry()
     registry.hear(0.0, gateway("a"))
     registry.hear(1000.0, gateway("b"))
     registry.forget_silent(SILENCE + 1)
     assert set(registry.entries) == {"b:1"}
-    union = united(registry.entries, [{"b:1": gateway("b", leaving=True)}, {"c:1": gateway("c")}])
-    assert union["b:1"].leaving and "c:1" in union
+    union = united(registry.entries, [{"b:1": gateway("b", is_leaving=True)}, {"c:1": gateway("c")}])
+    assert union["b:1"].is_leaving and "c:1" in union
 
 
 def test_clients_are_sent_to_gateways_of_their_region_and_further_only_where_these_are_few() -> None:
@@ -121,8 +123,8 @@
         gateway("a1", "a"),
         gateway("a2", "a"),
         gateway("b1", "b"),
-        gateway("a3", "a", leaving=True),
-        gateway("a4", "a", ready=False),
+        gateway("a3", "a", is_leaving=True),
+        gateway("a4", "a", is_ready=False),
     ]
     assert [g.name for g in nearest(there, "a", "", {})] == ["a1", "a2"]
     assert [g.name for g in nearest(there, "b", "", {})] == ["b1", "a1", "a2"]
@@ -163,12 +165,21 @@
         "tenants": {"n": {"apiKeys": ["k1", "k2"], "ratePerS": 5, "burstSize": 7, "allowedRegions": ["a"]}},
     }
     word = compile_config(1, 3, zlib.compress(json.dumps(table).encode()), ["z"])
-    found = word.route("h.example", "/a/b/c")
-    assert found is not None and found.name == "q" and found.split == (("s", 9.0), ("t", 1.0)) and found.repeatable
-    found = word.route("h.example", "/a/c")
-    assert found is not None and found.name == "r" and not found.repeatable and found.timeout == 2000.0
-    assert word.route("h.example", "/b/") is None and word.route("other", "/a/") is None
-    assert word.keys["k2"].name == "n" and word.services["s"].cold_time == 3000.0 and word.evacuated == {"z"}
+    found = word.find_route("h.example", "/a/b/c")
+    assert (
+        found is not None
+        and found.name == "q"
+        and found.weighted_services == (("s", 9.0), ("t", 1.0))
+        and found.is_idempotent
+    )
+    found = word.find_route("h.example", "/a/c")
+    assert found is not None and found.name == "r" and not found.is_idempotent and found.timeout_ms == 2000.0
+    assert word.find_route("h.example", "/b/") is None and word.find_route("other", "/a/") is None
+    assert (
+        word.tenants_by_api_key["k2"].name == "n"
+        and word.services["s"].slow_start_ms == 3000.0
+        and word.evacuated_zones == {"z"}
+    )
 
 
 class Peers:
@@ -180,9 +191,11 @@
     async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
         hub = self.hubs.get(address)
         if hub is None:
-            raise Silent("call", address, "nobody there")
-        news = hub.news(Pull.FromString(envelope.pull.SerializeToString())) or hub._signed(News())
-        return Envelope(news=news)
+            raise RequestTimeout("call", address, "nobody there")
+        news = hub.news(StateRequest.FromString(envelope.state_request.SerializeToString())) or hub._signed(
+            StateUpdate()
+        )
+        return Envelope(state_update=news)
 
 
 def test_a_gateway_takes_the_word_from_another_where_the_core_has_no_majority() -> None:
@@ -199,14 +212,14 @@
         ["core:1"],
     )
     assert asyncio.run(follower._follow_coordinators(["gone:1", "core:1"]))
-    assert me.config.serial == 7 and list(me.config.evacuated) == ["z"] and len(me.backends) == 1
+    assert me.config.serial == 7 and list(me.config.evacuated_zones) == ["z"] and len(me.backends) == 1
 
 
 def test_the_membership_of_leases_travels_with_every_answer_and_never_back() -> None:
     coordinator, hub = StateHub(1), StateHub(2)
     newest = LeaseMembership(3, ("a", "d"), ("a", "b"))
     coordinator.set_membership(newest)
-    hub.set_membership(LeaseMembership.of(coordinator._signed(News()).membership))
+    hub.set_membership(LeaseMembership.of(coordinator._signed(StateUpdate()).lease_membership))
     hub.set_membership(LeaseMembership(2, ("a", "b")))
-    hub.set_membership(LeaseMembership.of(News().membership))  # who knows none
+    hub.set_membership(LeaseMembership.of(StateUpdate().lease_membership))  # who knows none
     assert hub.membership == newest
--- a/tests/system/distribution/ways.py
+++ b/tests/system/distribution/ways.py
@@ -9,20 +9,20 @@
 from typing import Any
 
 from hallhitch.lab.simulation.virtual_time import VirtualLoop
-from hallhitch.messages.system_pb2 import Envelope, Pull
-from hallhitch.node.errors import Silent
-from hallhitch.node.settings import Bounds
-from hallhitch.planes.discovery.listing import Listed
+from hallhitch.messages.system_pb2 import Envelope, StateRequest
+from hallhitch.node.errors import RequestTimeout
+from hallhitch.node.settings import RuleBounds
+from hallhitch.planes.discovery.endpoint_list import Listed
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
-from hallhitch.planes.distribution.hub import StateHub
+from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import Gateway
 
-BOUNDS = Bounds()
+BOUNDS = RuleBounds()
 
 
 def gateway(name: str, **more: Any) -> Gateway:
     """A gateway that is ready."""
-    return Gateway(name, f"{name}:1", 1, "edge", "z", "r", f"{name}:80", **{"ready": True, **more})
+    return Gateway(name, f"{name}:1", 1, "edge", "z", "r", f"{name}:80", **{"is_ready": True, **more})
 
 
 def listed(number: int, draining: bool = False) -> Listed:
@@ -51,7 +51,7 @@
         """One more coordinator, in contact unless `contact` says otherwise."""
         hub = self.hubs[address] = StateHub(len(self.hubs) + 1, self.clock)
         hub.contact_age = lambda: self.clock() - self.contact.get(address, self.clock())
-        hub.hands_first_config = lambda: hub.contact_age() <= BOUNDS.serving_lease
+        hub.hands_first_config = lambda: hub.contact_age() <= BOUNDS.serving_lease_ms
         hub.take_config(serial, serial, b"", [])
         return hub
 
@@ -75,18 +75,18 @@
 
     async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
         """One call."""
-        ways, pull = self._ways, Pull.FromString(envelope.pull.SerializeToString())
+        ways, pull = self._ways, StateRequest.FromString(envelope.state_request.SerializeToString())
         ways.pulls[address] += 1
         try:
             async with asyncio.timeout(wait / 1000):
                 await ways.way(self._own, address)
                 if address not in ways.hubs:
-                    raise Silent("connect", address, "nobody there")
+                    raise RequestTimeout("connect", address, "nobody there")
                 answer = await ways.hubs[address].answer(pull)
-                ways.whole[address, self._own] += answer.news.backends.whole
+                ways.whole[address, self._own] += answer.state_update.backends.is_snapshot
                 await ways.way(address, self._own)
         except TimeoutError:
-            raise Silent("call", address, "silence") from None
+            raise RequestTimeout("call", address, "silence") from None
         return Envelope.FromString(answer.SerializeToString())
 
 
--- a/tests/system/node/test_link.py
+++ b/tests/system/node/test_link.py
@@ -10,9 +10,17 @@
 from hallhitch.messages.calls import CALLS, Repetition, repeatable
 from hallhitch.messages.frames import HEADER, PIECE_MOST, FrameQueue, FrameReader, Outgoing, Rejection
 from hallhitch.messages.link import DEAF, Links, cluster_number
-from hallhitch.messages.system_pb2 import Accept, ClusterState, Count, Counted, Envelope, News, Pull
-from hallhitch.node.errors import NotSent, Refused, Silent, StepError
-from hallhitch.node.logs import ComponentLogger
+from hallhitch.messages.system_pb2 import (
+    Accept,
+    ClusterState,
+    CountRequest,
+    CountResponse,
+    Envelope,
+    StateRequest,
+    StateUpdate,
+)
+from hallhitch.node.errors import PeerCallError, RequestNotSent, RequestRejected, RequestTimeout
+from hallhitch.node.logs import ComponentLogger, format_fields
 
 HERE, THERE = 11, 22  # incarnations of a caller and of a server
 LONG = bytes(20 * PIECE_MOST)
@@ -43,13 +51,13 @@
         self.served: Counter[str] = Counter()
 
     def __call__(self, envelope: Envelope) -> Envelope:
-        self.served[envelope.count.tenant] += 1
-        return Envelope(counted=Counted(held=True))
+        self.served[envelope.count_request.tenant] += 1
+        return Envelope(count_response=CountResponse(is_lease_holder=True))
 
 
 def frame(**fields: object) -> bytes:
     """One frame of the cluster "x" with a call of the caller."""
-    envelope = Envelope(cluster=cluster_number("x"), sender_incarnation=HERE, count=Count(tenant="t"))
+    envelope = Envelope(cluster=cluster_number("x"), sender_incarnation=HERE, count_request=CountRequest(tenant="t"))
     for name, value in fields.items():
         setattr(envelope, name, value)
     data = envelope.SerializeToString()
@@ -75,15 +83,15 @@
             held.append(future)
             if len(held) == 3:  # the last comes first
                 for n, waiting in reversed(list(enumerate(held))):
-                    waiting.set_result(Envelope(counted=Counted(held=True, total=n)))
+                    waiting.set_result(Envelope(count_response=CountResponse(is_lease_holder=True, total=n)))
             return future
 
         server, caller = Links("x", handle), Links("x")
         address = await serving(server)
         answers = await asyncio.gather(
-            *(caller.call(address, Envelope(count=Count(tenant=str(n))), 10_000) for n in range(3))
+            *(caller.call(address, Envelope(count_request=CountRequest(tenant=str(n))), 10_000) for n in range(3))
         )
-        assert [a.counted.total for a in answers] == [0, 1, 2]
+        assert [a.count_response.total for a in answers] == [0, 1, 2]
         assert len(server.incoming) == 1
         ours, theirs = caller.traffic, server.traffic
         assert (ours.sent, ours.received) == (theirs.received, theirs.sent) and ours.sent > 0 < ours.received
@@ -97,20 +105,20 @@
 def test_failures_say_what_is_known(run: Run) -> None:
     async def test() -> None:
         def handle(envelope: Envelope) -> Envelope:
-            if envelope.HasField("pull"):
+            if envelope.HasField("state_request"):
                 raise ValueError("no")
             return Envelope(error="would not")
 
         server, caller = Links("x", handle), Links("x")
         address = await serving(server)
-        for ask in (Envelope(pull=Pull()), Envelope(count=Count())):
-            with pytest.raises(Refused):
+        for ask in (Envelope(state_request=StateRequest()), Envelope(count_request=CountRequest())):
+            with pytest.raises(RequestRejected):
                 await caller.call(address, ask, 10_000)
         server.close()
-        with pytest.raises(Silent):  # written before the end of the connection is seen
-            await caller.call(address, Envelope(count=Count()), 10_000)
-        with pytest.raises(NotSent):  # nobody listens any more
-            await caller.call(address, Envelope(count=Count()), 10_000)
+        with pytest.raises(RequestTimeout):  # written before the end of the connection is seen
+            await caller.call(address, Envelope(count_request=CountRequest()), 10_000)
+        with pytest.raises(RequestNotSent):  # nobody listens any more
+            await caller.call(address, Envelope(count_request=CountRequest()), 10_000)
         caller.close()
 
     run(test())
@@ -128,8 +136,8 @@
                 if not await reader.read(1):
                     raise ConnectionError
             writer.close()
-        with pytest.raises(Silent):
-            await other.call(address, Envelope(count=Count()), 10_000)
+        with pytest.raises(RequestTimeout):
+            await other.call(address, Envelope(count_request=CountRequest()), 10_000)
         assert server.traffic.rejected.total() == 4
         other.close()
         server.close()
@@ -144,10 +152,10 @@
     ([{"recipient": "10.0.0.9:7000"}], 0, Rejection.OTHER_ADDRESS, True),
     ([{"recipient_incarnation": THERE - 1}], 0, Rejection.OTHER_INCARNATION, True),
     ([{"cluster": 5}], 0, Rejection.OTHER_CLUSTER, True),
-    ([{"answer": True}], 0, Rejection.NOT_A_CALL, True),
-    ([{}, {"call": 2, "sender_incarnation": HERE + 1}], 1, Rejection.OTHER_SENDER, True),
+    ([{"is_reply": True}], 0, Rejection.NOT_A_CALL, True),
+    ([{}, {"call_id": 2, "sender_incarnation": HERE + 1}], 1, Rejection.OTHER_SENDER, True),
     ([{}, {}], 1, Rejection.REPEATED_CALL, False),  # doubled
-    ([{"call": 2}, {"call": 1}], 1, Rejection.REPEATED_CALL, False),  # late
+    ([{"call_id": 2}, {"call_id": 1}], 1, Rejection.REPEATED_CALL, False),  # late
 ]
 
 
@@ -161,14 +169,14 @@
         address = await serving(server)
         host, port = address.rsplit(":", 1)
         reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(b"".join(frame(**{"call": 1} | fields) for fields in frames))
+        writer.write(b"".join(frame(**{"call_id": 1} | fields) for fields in frames))
         await until(lambda: server.traffic.frames_received == len(frames))
         assert recorder.served.total() == served
         assert server.traffic.rejected == (Counter({reason: 1}) if reason else Counter())
         if ends:
             await until(lambda: not server.incoming)
         else:
-            writer.write(frame(call=9))
+            writer.write(frame(call_id=9))
             await until(lambda: recorder.served.total() == served + 1)
         writer.close()
         server.close()
@@ -181,7 +189,7 @@
         recorder = Recorder()
         server = Links("x", recorder, "10.0.0.2:7000", THERE)
         host, port = (await serving(server)).rsplit(":", 1)
-        for data, frames in ((frame(call=1), 1), (frame(call=1), 2), (frame(call=2)[:-1], 2)):
+        for data, frames in ((frame(call_id=1), 1), (frame(call_id=1), 2), (frame(call_id=2)[:-1], 2)):
             _, writer = await asyncio.open_connection(host, int(port))
             writer.write(data)
             await until(lambda frames=frames: server.traffic.frames_received == frames)  # type: ignore[misc]
@@ -199,12 +207,14 @@
         at = [0.0]
         server = Links("x", Recorder(), "10.0.0.2:7000", THERE, lambda: at[0])
         lines: list[str] = []
-        monkeypatch.setattr(ComponentLogger, "warning", lambda logger, text: lines.append(text))
+        monkeypatch.setattr(
+            ComponentLogger, "warning", lambda logger, event, **fields: lines.append(event + format_fields(fields))
+        )
         host, port = (await serving(server)).rsplit(":", 1)
         _, writer = await asyncio.open_connection(host, int(port))
         for moment, count in ((0.0, 101), (1000.0, 201)):
             at[0] = moment
-            writer.write(frame(call=1) * (101 if not moment else 100))
+            writer.write(frame(call_id=1) * (101 if not moment else 100))
             await until(lambda count=count: server.traffic.frames_received == count)  # type: ignore[misc]
         assert server.traffic.rejected == {Rejection.REPEATED_CALL: 200} and len(lines) == 2
         writer.close()
@@ -220,7 +230,7 @@
     ({"recipient_incarnation": HERE + 1}, Rejection.OTHER_INCARNATION),
     ({"sender": "10.0.0.9:7000"}, Rejection.OTHER_SENDER),
     ({"cluster": 5}, Rejection.OTHER_CLUSTER),
-    ({"answer": False}, Rejection.NOT_AN_ANSWER),
+    ({"is_reply": False}, Rejection.NOT_AN_ANSWER),
 ]
 
 
@@ -233,9 +243,9 @@
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             calls.append(await read_frame(reader))
-            writer.write(frame(**{"call": 1, "answer": True, "sender_incarnation": THERE} | fields))
+            writer.write(frame(**{"call_id": 1, "is_reply": True, "sender_incarnation": THERE} | fields))
             calls.append(await read_frame(reader))
-            writer.write(frame(call=2, answer=True, sender_incarnation=THERE + 1))
+            writer.write(frame(call_id=2, is_reply=True, sender_incarnation=THERE + 1))
             await reader.read()
             writer.close()
 
@@ -243,9 +253,9 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         caller = Links("x", None, "10.0.0.1:7000", HERE)
         if reason is None:
-            await caller.call(address, Envelope(count=Count()), 10_000)
-        with pytest.raises(Silent):
-            await caller.call(address, Envelope(count=Count()), 10_000)
+            await caller.call(address, Envelope(count_request=CountRequest()), 10_000)
+        with pytest.raises(RequestTimeout):
+            await caller.call(address, Envelope(count_request=CountRequest()), 10_000)
         # Where the first answer is good, the second comes from another incarnation on the same connection.
         assert caller.traffic.rejected == {reason or Rejection.OTHER_SENDER: 1} and not caller._callers
         assert (calls[0].recipient, calls[0].recipient_incarnation, calls[0].sender_incarnation) == (address, 0, HERE)
@@ -260,22 +270,22 @@
     async def test() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_frame(reader)
-            writer.write(frame(call=1, answer=True))
+            writer.write(frame(call_id=1, is_reply=True))
             await read_frame(reader)
             await read_frame(reader)
-            writer.write(frame(call=2, answer=True) + frame(call=3, answer=True) * 2)
+            writer.write(frame(call_id=2, is_reply=True) + frame(call_id=3, is_reply=True) * 2)
             await read_frame(reader)
-            writer.write(frame(call=4, answer=True, error="fourth"))
+            writer.write(frame(call_id=4, is_reply=True, error="fourth"))
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         caller = Links("x")
-        await caller.call(address, Envelope(count=Count()), 10_000)
-        with pytest.raises(Silent):
-            await caller.call(address, Envelope(count=Count()), 5)
-        assert not (await caller.call(address, Envelope(count=Count()), 10_000)).error
-        with pytest.raises(Refused, match="fourth"):
-            await caller.call(address, Envelope(count=Count()), 10_000)
+        await caller.call(address, Envelope(count_request=CountRequest()), 10_000)
+        with pytest.raises(RequestTimeout):
+            await caller.call(address, Envelope(count_request=CountRequest()), 5)
+        assert not (await caller.call(address, Envelope(count_request=CountRequest()), 10_000)).error
+        with pytest.raises(RequestRejected, match="fourth"):
+            await caller.call(address, Envelope(count_request=CountRequest()), 10_000)
         assert caller.traffic.rejected == {Rejection.NOBODY_WAITS: 2}
         caller.close()
         server.close()
@@ -293,17 +303,17 @@
         server = Links("x", lambda e: held)
         address = await serving(server)
         caller = Links("x", clock=lambda: at[0])
-        other = asyncio.ensure_future(caller.call(address, Envelope(pull=Pull()), 10_000))
+        other = asyncio.ensure_future(caller.call(address, Envelope(state_request=StateRequest()), 10_000))
         await until(lambda: server.traffic.frames_received == 1)
         at[0] += DEAF if deaf else DEAF - 1
-        with pytest.raises(Silent):
-            await caller.call(address, Envelope(count=Count()), 5)
+        with pytest.raises(RequestTimeout):
+            await caller.call(address, Envelope(count_request=CountRequest()), 5)
         if deaf:
-            with pytest.raises(Silent, match="the connection ended"):
+            with pytest.raises(RequestTimeout, match="the connection ended"):
                 await other
         else:
-            held.set_result(Envelope(news=News(list_age=1.0)))
-            assert (await other).news.list_age == 1.0
+            held.set_result(Envelope(state_update=StateUpdate(endpoint_list_age_ms=1.0)))
+            assert (await other).state_update.endpoint_list_age_ms == 1.0
         caller.close()
         server.close()
 
@@ -319,26 +329,26 @@
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_frame(reader)
-            writer.write(frame(call=1, answer=True))
+            writer.write(frame(call_id=1, is_reply=True))
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             connected.set_result(writer)
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=1024)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         caller = Links("x")
-        await caller.call(address, Envelope(count=Count()), 10_000)
+        await caller.call(address, Envelope(count_request=CountRequest()), 10_000)
         writer = await connected
-        content = ClusterState(content=bytes(32 * 1024 * 1024))
+        content = ClusterState(config=bytes(32 * 1024 * 1024))
         wait = 10_000 if ends else 5
         calls = [
-            asyncio.ensure_future(caller.call(address, Envelope(accept=Accept(value=content)), wait)),
-            asyncio.ensure_future(caller.call(address, Envelope(accept=Accept(value=content)), wait)),
+            asyncio.ensure_future(caller.call(address, Envelope(accept=Accept(state=content)), wait)),
+            asyncio.ensure_future(caller.call(address, Envelope(accept=Accept(state=content)), wait)),
         ]
         if ends:
             await until(lambda: caller._callers[address]._paused)
             writer.transport.abort()
         errors = await asyncio.gather(*calls, return_exceptions=True)
-        assert [type(error) for error in errors] == [Silent, NotSent]
+        assert [type(error) for error in errors] == [RequestTimeout, RequestNotSent]
         caller.close()
         writer.transport.abort()
         server.close()
@@ -352,15 +362,16 @@
 
         def handle(envelope: Envelope) -> Envelope:
             order.append(envelope.WhichOneof("body") or "")
-            return Envelope(counted=Counted(held=True))
+            return Envelope(count_response=CountResponse(is_lease_holder=True))
 
         server, caller = Links("x", handle), Links("x")
         address = await serving(server)
-        long = Envelope(accept=Accept(value=ClusterState(content=bytes(16 * 1024 * 1024))))
+        long = Envelope(accept=Accept(state=ClusterState(config=bytes(16 * 1024 * 1024))))
         await asyncio.gather(
-            caller.call(address, long, 10_000), caller.call(address, Envelope(count=Count(tenant="t")), 10_000)
+            caller.call(address, long, 10_000),
+            caller.call(address, Envelope(count_request=CountRequest(tenant="t")), 10_000),
         )
-        assert order == ["count", "accept"]
+        assert order == ["count_request", "accept"]
         caller.close()
         server.close()
 
@@ -402,9 +413,9 @@
     assert {name for name, kind in CALLS.items() if kind.repetition is Repetition.ONCE} == {
         "accept",
         "lease_request",
-        "count",
+        "count_request",
     }
-    assert repeatable("pull") and not repeatable("count")
+    assert repeatable("state_request") and not repeatable("count_request")
 
 
 @pytest.mark.parametrize("kind", list(CALLS))
@@ -423,11 +434,11 @@
         caller = Links("x")
         call = Envelope()
         getattr(call, kind).SetInParent()
-        with pytest.raises(StepError) as told:
+        with pytest.raises(PeerCallError) as told:
             await caller.call(address, call, 10_000)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert come == [kind] and isinstance(told.value, Silent)
+        assert come == [kind] and isinstance(told.value, RequestTimeout)
         caller.close()
         server.close()
 
--- a/tests/system/node/test_settings.py
+++ b/tests/system/node/test_settings.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hallhitch.node.settings import Unusable, read
+from hallhitch.node.settings import SettingsError, read_settings
 
 GOOD = """
 nodeName = "edge-1"
@@ -40,10 +40,14 @@
 def test_a_file_is_read(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text(GOOD)
-    node = read(str(path))
-    assert node.internal == "127.1.0.13:7560" and node.peers == ("127.1.0.15:7560",)
-    assert node.bounds.drain == 2500.0 and node.cloud == ("127.9.0.1", 8382) and node.cloud_lag == 800.0
-    assert node.listen["frontend"] == ("127.1.0.13", 8388) and node.data is None
+    node = read_settings(str(path))
+    assert node.internal_address == "127.1.0.13:7560" and node.seed_addresses == ("127.1.0.15:7560",)
+    assert (
+        node.bounds.drain_timeout_ms == 2500.0
+        and node.cloud_api_address == ("127.9.0.1", 8382)
+        and node.endpoint_list_lag_ms == 800.0
+    )
+    assert node.listen_addresses["frontend"] == ("127.1.0.13", 8388) and node.data_directory is None
 
 
 @pytest.mark.parametrize(
@@ -64,6 +68,6 @@
 def test_what_cannot_be_used_is_named_with_its_file(tmp_path: Path, old: str, new: str, names: str) -> None:
     path = tmp_path / "s.toml"
     path.write_text(GOOD.replace(old, new))
-    with pytest.raises(Unusable) as error:
-        read(str(path))
+    with pytest.raises(SettingsError) as error:
+        read_settings(str(path))
     assert str(path) in str(error.value) and names in str(error.value) and "\n" not in str(error.value)
--- a/tests/system/quota/fleet.py
+++ b/tests/system/quota/fleet.py
@@ -18,7 +18,7 @@
 from hallhitch.planes.quota.lease import LeaseClaim, LeaseTable
 from hallhitch.planes.quota.lease_client import LeaseClient
 from hallhitch.planes.quota.limits import Quota, bucket_of
-from hallhitch.planes.quota.local_allowance import LocalAllowance
+from hallhitch.planes.quota.local_reserve import LocalReserve
 from hallhitch.planes.values import LeaseMembership
 from tests.system.quota.register import Register
 
@@ -50,7 +50,7 @@
     table: LeaseTable | None = None
     lease_client: LeaseClient | None = None
     holder: LeaseHolder | None = None
-    reserve: LocalAllowance | None = None
+    reserve: LocalReserve | None = None
 
 
 def most(times: list[float], window: float) -> int:
@@ -99,7 +99,7 @@
             process.table.set_membership(now, self.register.accepted[process.name])
             return
         process.holder = LeaseHolder(QUOTA, process.incarnation)
-        process.reserve = LocalAllowance(QUOTA, now)
+        process.reserve = LocalReserve(QUOTA, now)
         process.reserve.note(self._noted)
         if self.calm or self.seed % 3:  # else nothing is noted yet
             process.reserve.note(math.ceil(len(self.doors) * 1.1))
--- a/tests/system/quota/register.py
+++ b/tests/system/quota/register.py
@@ -54,7 +54,7 @@
         self._put(joint, joint, lambda: self._settle(joint))
 
     def _settle(self, joint: LeaseMembership) -> None:
-        settled = LeaseMembership(joint.version + 1, joint.members, joint.lease_previous)
+        settled = LeaseMembership(joint.version + 1, joint.members, joint.previous_members)
         self._put(settled, joint, lambda: self.fleet.later(LEASE + MARGIN, lambda: self._end(settled)))
 
     def _end(self, settled: LeaseMembership) -> None:
--- a/tests/system/quota/test_lease.py
+++ b/tests/system/quota/test_lease.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from hallhitch.planes.quota.lease import LEASE, Account, LeaseClaim, LeaseTable, Left
+from hallhitch.planes.quota.lease import LEASE, LeaseClaim, LeaseTable, PredecessorReport, UsageReport
 from hallhitch.planes.quota.lease_client import SETTLING, LeaseClient, newest
 from hallhitch.planes.values import LeaseMembership
 
@@ -27,14 +27,14 @@
     """A lease_client of one bucket that talks to whichever tables it is let."""
 
     def __init__(self, name: str, now: float) -> None:
-        self.begun: list[tuple[int, float, Left | None]] = []
+        self.begun: list[tuple[int, float, PredecessorReport | None]] = []
         self.lease_client = LeaseClient(
             name, 1, 5000.0, lambda bucket, others, _, left, __: self.begun.append((bucket, others, left))
         )
         self.lease_client.set_membership(now, MEMBERS)
         self.lease_client.set_gateways(now - SETTLING, [name])
 
-    def claim(self, now: float, tables: dict[str, LeaseTable], accounts: Account | None = None) -> None:
+    def claim(self, now: float, tables: dict[str, LeaseTable], accounts: UsageReport | None = None) -> None:
         asked = self.lease_client.round(now, lambda _: True, lambda _: accounts)
         for name, one in tables.items():
             votes = one.claim(now, replace(asked, to=self.lease_client.incarnation_of(name)))
@@ -92,7 +92,7 @@
 
 def test_who_lets_go_in_order_leaves_its_account_to_the_next() -> None:
     tables = {name: table(0.0, number + 1) for number, name in enumerate(MEMBERS.members)}
-    x, y, counted = Gateway("x", START), Gateway("y", START), Account({"t": (3, 1)})
+    x, y, counted = Gateway("x", START), Gateway("y", START), UsageReport({"t": (3, 1)})
     for step in (0, 10, 20):
         x.claim(START + step, tables, counted)
     x.lease_client.leave(START + 100)
@@ -106,6 +106,6 @@
 
 
 def test_accounts_count_only_where_all_voters_mean_the_same_holder() -> None:
-    one, newer = (Left("x", 1, number, Account({}), False, 0.0) for number in (4, 5))
+    one, newer = (PredecessorReport("x", 1, number, UsageReport({}), False, 0.0) for number in (4, 5))
     assert newest([one, newer]) is newer
     assert newest([one, None]) is None and newest([one, replace(newer, incarnation=2)]) is None
--- a/tests/system/quota/test_membership.py
+++ b/tests/system/quota/test_membership.py
@@ -12,7 +12,7 @@
 
 BEFORE = LeaseMembership(1, ("a", "b", "c"))
 JOINT = LeaseMembership(2, ("a", "b", "d"), ("a", "b", "c"))
-SETTLED = LeaseMembership(3, JOINT.members, JOINT.lease_previous)
+SETTLED = LeaseMembership(3, JOINT.members, JOINT.previous_members)
 AFTER = LeaseMembership(4, ("a", "b", "d"))
 AT_ONCE = LeaseMembership(2, ("a", "b", "d"))  # the rule before: the new members count as soon as they are known
 TURNS = (0, 10, 20, 30)  # who are you; votes; confirmed; and once more
--- a/tests/system/quota/test_plane.py
+++ b/tests/system/quota/test_plane.py
@@ -4,40 +4,40 @@
 
 import asyncio
 
-from hallhitch.messages.system_pb2 import Count, Envelope
-from hallhitch.node.settings import Bounds, Node
+from hallhitch.messages.system_pb2 import CountRequest, Envelope
+from hallhitch.node.settings import NodeSettings, RuleBounds
 from hallhitch.planes.quota.limits import BUCKETS, bucket_of
 from hallhitch.planes.quota.plane import LeaseKeeper, QuotaPlane
-from hallhitch.planes.values import ClusterConfig, Gateway, LeaseMembership, Limits, Tenant
+from hallhitch.planes.values import ClusterConfig, Gateway, LeaseMembership, RequestLimits, Tenant
 from tests.system.quota.virtual import VirtualLoop, Wires, run
 
 TENANT = Tenant("t", ("k",), None, 50.0, 50.0)
-WORD = ClusterConfig(1, 1, {}, {}, {"t": TENANT}, {"k": TENANT}, Limits())
+WORD = ClusterConfig(1, 1, {}, {}, {"t": TENANT}, {"k": TENANT}, RequestLimits())
 
 
-def node(number: int) -> Node:
-    return Node(
+def node(number: int) -> NodeSettings:
+    return NodeSettings(
         name=f"edge-{number}",
         role="gateway",
         machine_class="edge",
         serves=frozenset(),
-        ip=f"10.0.0.{number}",
+        ip_address=f"10.0.0.{number}",
         zone="z",
         region="r",
-        ports=(7000, 7000),
-        seeds=(),
-        first_start=True,
-        zones={},
-        listen={},
-        bounds=Bounds(quota_window=5000.0, quota_over=0.1, quota_slack=20.0),
-        losses=1,
-        memory=300.0,
-        files=1000,
-        data=None,
-        cloud=None,
-        cloud_rate=1.0,
-        cloud_lag=0.0,
-        cluster="",
+        internal_port_range=(7000, 7000),
+        seed_nodes=(),
+        is_first_start=True,
+        region_by_zone={},
+        listen_addresses={},
+        bounds=RuleBounds(quota_window_ms=5000.0, quota_overshoot_ratio=0.1, quota_slack=20.0),
+        tolerated_machine_losses=1,
+        memory_mb=300.0,
+        max_open_files=1000,
+        data_directory=None,
+        cloud_api_address=None,
+        cloud_api_rate_per_s=1.0,
+        endpoint_list_lag_ms=0.0,
+        cluster_name="",
     )
 
 
@@ -56,7 +56,7 @@
         for one, plane in zip(self.nodes, self.planes, strict=True):
             plane.set_config(WORD)
             plane.set_membership(members)
-            self.wires.handlers[one.internal] = plane.handle
+            self.wires.handlers[one.internal_address] = plane.handle
 
     async def news(self) -> None:
         while True:
@@ -65,7 +65,7 @@
                 plane.set_gateways(
                     one.name,
                     [
-                        Gateway(told.name, told.internal, 1, "edge", "z", "r", f"{told.ip}:80", True)
+                        Gateway(told.name, told.internal_address, 1, "edge", "z", "r", f"{told.ip_address}:80", True)
                         for told in self.nodes
                     ],
                 )
@@ -81,7 +81,7 @@
     async def takes(self, number: int, gap: float) -> int:
         passed = 0
         for at in range(number):
-            passed += (await self.planes[1 + at % 3].counter.take(TENANT, 500.0)).passed
+            passed += (await self.planes[1 + at % 3].counter.take(TENANT, 500.0)).is_admitted
             await asyncio.sleep(gap)
         return passed
 
@@ -94,12 +94,14 @@
         assert sorted(bucket for buckets in held for bucket in buckets) == list(range(BUCKETS)) and all(held)
         assert await fleet.takes(60, 0.01) == 60
         before = len(fleet.wires.calls)
-        holder = next(one.internal for one, buckets in zip(fleet.nodes, held, strict=True) if bucket_of("t") in buckets)
+        holder = next(
+            one.internal_address for one, buckets in zip(fleet.nodes, held, strict=True) if bucket_of("t") in buckets
+        )
         await fleet.takes(3, 0.0)
-        assert {address for address, asked in fleet.wires.calls[before:] if asked.HasField("count")} <= {holder}
-        stranger = Envelope(count=Count(tenant="unheard of"))
-        answers = [plane.handle(stranger).counted for plane in fleet.planes]
-        assert sum(answer.held and answer.unknown for answer in answers) == 1
+        assert {address for address, asked in fleet.wires.calls[before:] if asked.HasField("count_request")} <= {holder}
+        stranger = Envelope(count_request=CountRequest(tenant="unheard of"))
+        answers = [plane.handle(stranger).count_response for plane in fleet.planes]
+        assert sum(answer.is_lease_holder and answer.is_tenant_unknown for answer in answers) == 1
 
     run(main)
 
--- a/tests/system/quota/test_window.py
+++ b/tests/system/quota/test_window.py
@@ -6,14 +6,14 @@
 from hypothesis import strategies as st
 
 from hallhitch.planes.quota.holder import CELLS
-from hallhitch.planes.quota.window import SLOT, Window
+from hallhitch.planes.quota.sliding_window import SLOT, SlidingWindow
 
 STEPS = st.lists(st.tuples(st.floats(0, 1500), st.integers(0, 3), st.booleans()), max_size=60)
 
 
 @given(st.floats(0, 1e9), STEPS)
 def test_a_window_never_counts_less_than_was_added(start: float, steps: list[tuple[float, int, bool]]) -> None:
-    now, window = start, Window(start, 5000.0, 700.0)
+    now, window = start, SlidingWindow(start, 5000.0, 700.0)
     added: list[tuple[float, int, int]] = []
     for step, units, back in steps:
         now += step
@@ -31,7 +31,7 @@
 
 
 def test_room_comes_back_when_it_says() -> None:
-    window = Window(1000.0, 5000.0, 500.0)
+    window = SlidingWindow(1000.0, 5000.0, 500.0)
     window.add(1000.0, 4)
     window.advance(1900.0)
     wait = window.room_in(1900.0, 1, 4, 4)
@@ -42,7 +42,7 @@
 
 
 def test_a_unit_goes_back_once_its_slot_is_alive_and_not_after() -> None:
-    window = Window(0.0, 5000.0, 500.0)
+    window = SlidingWindow(0.0, 5000.0, 500.0)
     slot = window.add(0.0, 1)
     assert window.give_back(4000.0, slot, 1) and window.total == 0
     assert not window.give_back(4000.0, slot, 1)
--- a/tests/system/quota/virtual.py
+++ b/tests/system/quota/virtual.py
@@ -9,7 +9,7 @@
 from hallhitch.lab.simulation.virtual_time import VirtualLoop as VirtualLoop
 from hallhitch.lab.simulation.virtual_time import close
 from hallhitch.messages.system_pb2 import Envelope
-from hallhitch.node.errors import Silent
+from hallhitch.node.errors import RequestTimeout
 
 T = TypeVar("T")
 
@@ -46,4 +46,4 @@
                 await asyncio.sleep(self.trip / 1000)
                 return Envelope.FromString(answer.SerializeToString())
         except TimeoutError:
-            raise Silent("call", address, "no answer") from None
+            raise RequestTimeout("call", address, "no answer") from None
--- a/tests/system/simulation/scenes.py
+++ b/tests/system/simulation/scenes.py
@@ -11,8 +11,8 @@
 from hallhitch.lab.simulation.network import Blocks
 from hallhitch.lab.simulation.operators import A_ROUTE, SILENCE, attempt, configuration, settle
 from hallhitch.lab.simulation.world import INTERNAL_PORT, OPERATORS_PORT, Machine, World
-from hallhitch.node.errors import StepError
-from hallhitch.planes.control import changes
+from hallhitch.node.errors import PeerCallError
+from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.register import Membership
 
 PATIENCE = 800.0  # ms for a change of members
@@ -62,8 +62,10 @@
 
         async def change() -> None:
             control = proposer.program._control
-            with suppress(StepError):
-                await control.change(changes.reconfigure(addresses, Membership.of(control.value)), PATIENCE)
+            with suppress(PeerCallError):
+                await control.change(
+                    state_transitions.reconfigure(addresses, Membership.of(control.committed_state)), PATIENCE
+                )
 
         self.at(moment, lambda: proposer.loop.begin(change()) if proposer.loop is not None else None)
 
--- a/tests/system/simulation/test_mechanisms.py
+++ b/tests/system/simulation/test_mechanisms.py
@@ -16,12 +16,12 @@
 from hallhitch.lab.simulation.history import Violation, rules
 from hallhitch.lab.simulation.world import play
 from hallhitch.messages.addressing import Identity
-from hallhitch.messages.system_pb2 import Recover
-from hallhitch.planes.control import operator
-from hallhitch.planes.control.contacts import Contacts
-from hallhitch.planes.control.digests import OrderOutcome
-from hallhitch.planes.control.register import Ballot, Membership, Tally
-from hallhitch.planes.control.serving import ServingLease
+from hallhitch.messages.system_pb2 import AcceptorQuery
+from hallhitch.planes.control import operator_api
+from hallhitch.planes.control.config_digests import OrderOutcome
+from hallhitch.planes.control.peer_observations import Contacts
+from hallhitch.planes.control.register import Ballot, Membership, VoteTally
+from hallhitch.planes.control.serving_lease import ServingLease
 from tests.system.simulation import scenes
 from tests.system.simulation.scenes import perform
 
@@ -30,7 +30,7 @@
 
 def _without_incarnations(patch: pytest.MonkeyPatch) -> None:
     """Votes of ended incarnations count."""
-    patch.setattr(Tally, "votes", lambda tally: set(tally._yes))
+    patch.setattr(VoteTally, "votes", lambda tally: set(tally._yes))
 
 
 def _without_sync_of_folder(patch: pytest.MonkeyPatch) -> None:
@@ -50,14 +50,14 @@
 
 def _without_joint_change(patch: pytest.MonkeyPatch) -> None:
     """While members change, a majority of the new ones is enough."""
-    patch.setattr(Membership, "sets", property(lambda one: (frozenset(one.members),) if one.members else ()))
+    patch.setattr(Membership, "quorum_sets", property(lambda one: (frozenset(one.members),) if one.members else ()))
 
 
 def _without_state_of_candidates(patch: pytest.MonkeyPatch) -> None:
     """Who asks for a seat gets it, whatever it holds."""
     asked = Contacts.asked
 
-    def taken(contacts: Contacts, message: Recover, at: float, newest: Ballot) -> None:
+    def taken(contacts: Contacts, message: AcceptorQuery, at: float, newest: Ballot) -> None:
         asked(contacts, message, at, newest)
         for asker in contacts._askers.values():
             asker.current = asker.asked
@@ -67,7 +67,7 @@
 
 def _without_digests(patch: pytest.MonkeyPatch) -> None:
     """An order is confirmed by its version alone."""
-    patch.setattr(operator, "outcome", lambda state, version, digest: OrderOutcome.RECORDED)
+    patch.setattr(operator_api, "outcome", lambda state, version, digest: OrderOutcome.RECORDED)
 
 
 def _without_addressees(patch: pytest.MonkeyPatch) -> None:
