--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -293,9 +293,9 @@
 
     def built() -> LoadBalancer:
         choice = LoadBalancer(LoadBalancerSettings(own.name, own.zone, own.region, zones), random.Random(1))
-        choice.config(0.0, word)
-        choice.gateways(0.0, own.name, [own, *here])
-        choice.backends(0.0, entries)
+        choice.set_config(0.0, word)
+        choice.set_gateways(0.0, own.name, [own, *here])
+        choice.set_backends(0.0, entries)
         return choice
 
     began = time.thread_time()
@@ -305,17 +305,17 @@
 
     def one() -> None:
         clock[0] += 1.0
-        run = choice.begin(clock[0], RequestInfo(route, "s", frozenset(), 0, clock[0], clock[0] + 3000.0))
-        step = choice.next(clock[0], run)
+        run = choice.begin_request(clock[0], RequestInfo(route, "s", frozenset(), 0, clock[0], clock[0] + 3000.0))
+        step = choice.next_action(clock[0], run)
         if isinstance(step, Forward):
-            choice.ended(clock[0], run, step.backend, Outcome.OK, 5.0)
-        choice.finish(clock[0], run)
+            choice.on_attempt_ended(clock[0], run, step.backend, Outcome.OK, 5.0)
+        choice.finish_request(clock[0], run)
 
     each = spent(one)
 
     def changed() -> None:
         clock[0] += 1.0
-        choice.backends(clock[0], entries if int(clock[0]) % 2 else entries[1:])
+        choice.set_backends(clock[0], entries if int(clock[0]) % 2 else entries[1:])
 
     again = spent(changed)
     return backends, gateways, each, first * 1000, again / 1000, traced(built) / 1e6
--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -298,7 +298,7 @@
         while time.monotonic() < ends and tenants:
             await asyncio.sleep(random.uniform(0, 2 / RATE))
             began = now()
-            await hollow.quota.counter.take(random.choice(tenants), 500.0)
+            await hollow.quota.counter.admit(random.choice(tenants), 500.0)
             took.append(now() - began)
 
     await asyncio.gather(*(one(hollow) for hollow in hollows))
--- a/hallhitch/lab/system_compare.py
+++ b/hallhitch/lab/system_compare.py
@@ -11,16 +11,15 @@
 from hallhitch.lab.system_model import Machine, World
 from hallhitch.planes.data.interfaces import (
     Action,
-    Decisions,
     Enqueue,
-    Exchange,
     Fail,
     Forward,
+    LoadBalancingPolicy,
     Outcome,
     Reject,
     RequestInfo,
 )
-from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
+from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings, RequestState
 from hallhitch.planes.values import Backend, ClusterConfig
 
 
@@ -31,25 +30,24 @@
         self._world, self._settings, self._rng = world, settings, rng
         self._sent: Counter[str] = Counter()
 
-    def backends(self, now: float, entries: object) -> None:
+    def set_backends(self, now: float, entries: object) -> None:
         """Not needed."""
 
-    def gateways(self, now: float, own: str, entries: object) -> None:
+    def set_gateways(self, now: float, own: str, entries: object) -> None:
         """Not needed."""
 
-    def config(self, now: float, config: ClusterConfig) -> None:
+    def set_config(self, now: float, config: ClusterConfig) -> None:
         """Not needed."""
 
-    def begin(self, now: float, ask: RequestInfo) -> Exchange:
+    def begin_request(self, now: float, ask: RequestInfo) -> _Seen:
         """A try was admitted."""
         return _Seen(ask)
 
-    def next(self, now: float, exchange: Exchange) -> Action:
+    def next_action(self, now: float, exchange: _Seen) -> Action:
         """The one that would begin it first, near ones among equals."""
-        assert isinstance(exchange, _Seen)
-        ask = exchange.ask
+        ask = exchange.request
         if exchange.sent:
-            return Enqueue(ask.ends - now) if now < ask.ends else Fail(504)
+            return Enqueue(ask.deadline_ms - now) if now < ask.deadline_ms else Fail(504)
 
         def cost(m: Machine) -> float:
             away = m.entry.zone != self._settings.zone
@@ -66,29 +64,28 @@
             and not m.draining
             and m.cold_until <= now
             and m.entry.zone not in self._world.evacuated
-            and (not ask.homes or m.entry.region in ask.homes)
+            and (not ask.allowed_regions or m.entry.region in ask.allowed_regions)
         ]
         if not fit:
             return Reject(300.0)
         exchange.sent = True
-        return Forward(min(fit, key=cost).entry, ask.ends - now)
+        return Forward(min(fit, key=cost).entry, ask.deadline_ms - now)
 
-    def ended(self, now: float, exchange: Exchange, backend: Backend, outcome: Outcome, lag: float) -> None:
+    def on_attempt_ended(self, now: float, exchange: _Seen, backend: Backend, outcome: Outcome, lag: float) -> None:
         """Not needed."""
-        assert isinstance(exchange, _Seen)
-        exchange.sent = outcome.ran
+        exchange.sent = outcome.may_have_run
 
-    def finish(self, now: float, exchange: Exchange) -> None:
+    def finish_request(self, now: float, exchange: _Seen) -> None:
         """Not needed."""
 
 
 @dataclass
-class _Seen(Exchange):
-    ask: RequestInfo
+class _Seen:
+    request: RequestInfo
     sent: bool = False
 
 
-def thin(world: World, settings: LoadBalancerSettings, rng: Random) -> Decisions:
+def thin(world: World, settings: LoadBalancerSettings, rng: Random) -> LoadBalancingPolicy[RequestState]:
     """The decisions as they run in a gateway."""
     return LoadBalancer(settings, rng)
 
--- a/hallhitch/lab/system_model.py
+++ b/hallhitch/lab/system_model.py
@@ -18,7 +18,16 @@
 import simpy
 
 from hallhitch.lab.system_cases import MIX, Case, Kind
-from hallhitch.planes.data.interfaces import Action, Decisions, Enqueue, Fail, Forward, Outcome, Reject, RequestInfo
+from hallhitch.planes.data.interfaces import (
+    Action,
+    Enqueue,
+    Fail,
+    Forward,
+    LoadBalancingPolicy,
+    Outcome,
+    Reject,
+    RequestInfo,
+)
 from hallhitch.planes.data.load_balancer import LoadBalancerSettings
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestLimits, Service
 
@@ -65,7 +74,9 @@
 class World:
     """All machines of one case and what happens to them."""
 
-    def __init__(self, case: Case, seed: int, make: Callable[[World, LoadBalancerSettings, Random], Decisions]) -> None:
+    def __init__(
+        self, case: Case, seed: int, make: Callable[[World, LoadBalancerSettings, Random], LoadBalancingPolicy[Any]]
+    ) -> None:
         self.case, self.rng = case, Random(seed)
         self.env: Any = simpy.Environment()  # its own types do not hold under strict checking
         self.now = lambda: float(self.env.now)
@@ -112,8 +123,8 @@
         services = {n: Service(n, "/", 100, self.case.cold_time, self.case.cold_rate) for n in ("big", "small")}
         return ClusterConfig(1, 1, {}, services, {}, {}, RequestLimits(), self.evacuated)
 
-    def _tell(self, node: Gateway, mind: Decisions) -> Steps:
-        mind.config(self.now(), self.config())
+    def _tell(self, node: Gateway, mind: LoadBalancingPolicy[Any]) -> Steps:
+        mind.set_config(self.now(), self.config())
         seen = self.evacuated
         while True:
             entries = []
@@ -122,11 +133,11 @@
                     continue
                 entries.append(replace(m.entry, is_draining=m.draining, warming_until_ms=m.cold_until))
             yield self.env.timeout(800.0 * self.rng.random())
-            mind.backends(self.now(), entries)
-            mind.gateways(self.now(), node.name, self.nodes)
+            mind.set_backends(self.now(), entries)
+            mind.set_gateways(self.now(), node.name, self.nodes)
             if seen != self.evacuated:
                 seen = self.evacuated
-                mind.config(self.now(), self.config())
+                mind.set_config(self.now(), self.config())
             yield self.env.timeout(500.0)
 
     def delay(self, a: str, b: str) -> float:
@@ -178,12 +189,12 @@
             ends,
         )
         self.firsts[ask.service].append(self.now())
-        exchange = mind.begin(self.now(), ask)
+        exchange = mind.begin_request(self.now(), ask)
         out: dict[str, tuple[Any, float]] = {}
         done: list[tuple[str, Outcome]] = []
         timers: dict[str, float] = {}
         arrived = 0
-        step: Action = mind.next(self.now(), exchange)
+        step: Action = mind.next_action(self.now(), exchange)
         while True:
             wake = ends
             if isinstance(step, Forward):
@@ -194,9 +205,9 @@
                     self.told.count["further"] += 1
                 arrived += not machine.dead
                 out[name] = (self.env.process(self._attempt(each, node, machine, ends, done, ran)), self.now())
-                timers[name] = self.now() + step.patience
+                timers[name] = self.now() + step.hedge_delay_ms
             elif isinstance(step, Enqueue):
-                wake = self.now() + step.wait
+                wake = self.now() + step.recheck_after_ms
             else:
                 break
             wake = min([wake, *(t for n, t in timers.items() if n in out)])
@@ -207,25 +218,29 @@
             for name, outcome in done:
                 began = out.pop(name)[1]
                 timers.pop(name, None)
-                mind.ended(self.now(), exchange, self.machines[name].entry, outcome, self.now() - began)
+                mind.on_attempt_ended(self.now(), exchange, self.machines[name].entry, outcome, self.now() - began)
                 ok = ok or outcome is Outcome.OK
             done.clear()
             for name in [n for n, t in timers.items() if t <= self.now() + 0.02]:
                 del timers[name]
-                mind.ended(self.now(), exchange, self.machines[name].entry, Outcome.SILENT, self.now() - out[name][1])
+                mind.on_attempt_ended(
+                    self.now(), exchange, self.machines[name].entry, Outcome.TIMED_OUT, self.now() - out[name][1]
+                )
             if ok:
                 break
-            step = mind.next(self.now(), exchange)
-        mind.finish(self.now(), exchange)
+            step = mind.next_action(self.now(), exchange)
+        mind.finish_request(self.now(), exchange)
         for name, (process, began) in out.items():
             if process.is_alive:
                 process.interrupt("left")
-            mind.ended(self.now(), exchange, self.machines[name].entry, Outcome.VOID, self.now() - began)
+            mind.on_attempt_ended(
+                self.now(), exchange, self.machines[name].entry, Outcome.CANCELLED, self.now() - began
+            )
         self.told.count["twice"] += ran[0] > 1 and not each.route.is_idempotent
         if isinstance(step, Reject):
-            self.told.count["late refusal"] += self.now() - ask.came > each.route.latency_target_ms / 4
+            self.told.count["late refusal"] += self.now() - ask.arrived_at_ms > each.route.latency_target_ms / 4
             self.told.count["broken promise"] += ran[0] > 0 and not each.route.is_idempotent
-            answer += ["refused", str(step.after)]
+            answer += ["refused", str(step.retry_after_ms)]
         else:
             answer += ["lost" if isinstance(step, Fail) else "ok"]
 
@@ -238,7 +253,7 @@
             self.told.far_mb += mb
         elif machine.entry.zone != node.zone:
             self.told.near_mb += mb
-        work, outcome = self.env.active_process, Outcome.LOST
+        work, outcome = self.env.active_process, Outcome.CONNECTION_LOST
         assert work is not None
         try:
             yield self.env.timeout(way)
@@ -253,7 +268,7 @@
                 if len(machine.room.queue) >= self.case.queue:
                     self.told.count["reset"] += self.case.resets
                     yield self.env.timeout(way)
-                    outcome = Outcome.LOST if self.case.resets else Outcome.DECLINED
+                    outcome = Outcome.CONNECTION_LOST if self.case.resets else Outcome.DECLINED
                 else:
                     machine.works.add(work)
                     with machine.room.request() as slot:
--- a/hallhitch/planes/data/backend_connection.py
+++ b/hallhitch/planes/data/backend_connection.py
@@ -88,13 +88,13 @@
         """Close it, whatever it carries."""
         if not self._closed and self.transport is not None:
             self.transport.abort()
-            self._over(Outcome.LOST)
+            self._over(Outcome.CONNECTION_LOST)
 
     def give_up(self) -> None:
         """What it carries never ends."""
         if self.transport is not None:
             self.transport.abort()
-        self._over(Outcome.SILENT)
+        self._over(Outcome.TIMED_OUT)
 
     # Called by the loop.
 
@@ -138,13 +138,13 @@
             if self.idle_since and not self._spoilt:
                 now = self.pool.pools.clock()
                 self.pool.trust.closed(now, self.pool.backend.instance, now - self.idle_since)
-            return self._over(Outcome.LOST)
+            return self._over(Outcome.CONNECTION_LOST)
         if error is None and self.flow is None:
             for answer in self.reader.end():  # a body that went on to the end of the connection
                 if answer.status >= 200 and self._take(answer, True):
                     return
         begun = self.flow is not None or self.reader.partial
-        self._over(Outcome.SPOILT if begun else Outcome.LOST)
+        self._over(Outcome.INVALID_RESPONSE if begun else Outcome.CONNECTION_LOST)
 
     def pause_writing(self) -> None:
         self._drained = asyncio.get_running_loop().create_future()
@@ -167,7 +167,7 @@
                 answer.flow.abandon()
             return False
         if answer.flow is not None:
-            if outcome is Outcome.SPOILT or answer.flow.broken:
+            if outcome is Outcome.INVALID_RESPONSE or answer.flow.broken:
                 self.close_spoilt()
                 return True
             self.flow, self._verdict = answer.flow, outcome
@@ -235,7 +235,7 @@
         """What came is no answer, or not all of one."""
         if self.transport is not None:
             self.transport.abort()
-        self._over(Outcome.SPOILT)
+        self._over(Outcome.INVALID_RESPONSE)
 
     def _over(self, outcome: Outcome) -> None:
         """The connection has ended; so has what it carried."""
@@ -244,7 +244,7 @@
         if (
             attempt is not None
             and attempt.written is not None
-            and outcome is Outcome.LOST
+            and outcome is Outcome.CONNECTION_LOST
             and not self._closed
             and now - attempt.written < AT_ONCE
         ):
@@ -275,7 +275,7 @@
                 while self._drained is not None:
                     await self._drained
         except Broken:
-            self._over(Outcome.LOST)
+            self._over(Outcome.CONNECTION_LOST)
 
 
 def head_is_chunked(attempt: Attempt) -> bool:
--- a/hallhitch/planes/data/connection_pools.py
+++ b/hallhitch/planes/data/connection_pools.py
@@ -109,7 +109,7 @@
     def send(self, attempt: Attempt) -> None:
         """Carry it on a connection that rests, or on a new one; it may be over when this returns."""
         if self.retired:
-            return attempt.end(self.pools.clock(), Outcome.VOID)
+            return attempt.end(self.pools.clock(), Outcome.CANCELLED)
         connection = self._pick(attempt.unsafe)
         if connection is not None:
             return connection.carry(attempt)
@@ -130,7 +130,7 @@
         """Let it go if nothing of it was written; whether so."""
         if attempt.written is None and not attempt.over and attempt in self.waiting:
             self.waiting.remove(attempt)
-            attempt.end(self.pools.clock(), Outcome.VOID)
+            attempt.end(self.pools.clock(), Outcome.CANCELLED)
             return True
         return False
 
@@ -194,7 +194,7 @@
         while self.waiting:
             attempt = self.waiting.popleft()
             if self.retired or attempt.ends - now < 1:
-                attempt.end(now, Outcome.VOID)
+                attempt.end(now, Outcome.CANCELLED)
                 continue
             return connection.carry(attempt)
         if self.retired:
@@ -220,7 +220,7 @@
             connection.close()
         now = self.pools.clock()
         while self.waiting:
-            self.waiting.popleft().end(now, Outcome.VOID)
+            self.waiting.popleft().end(now, Outcome.CANCELLED)
         self.pools.drop_if_done(self)
 
     def sweep(self, now: float) -> None:
@@ -289,7 +289,7 @@
         """Carry an attempt to its backend; VOID where there is no such backend any more."""
         pool = self._pools.get(attempt.backend.instance)
         if pool is None:
-            attempt.end(self.clock(), Outcome.VOID)
+            attempt.end(self.clock(), Outcome.CANCELLED)
         else:
             pool.send(attempt)
 
--- a/hallhitch/planes/data/http_messages.py
+++ b/hallhitch/planes/data/http_messages.py
@@ -244,13 +244,13 @@
         and not fresh
         or headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked"
     ):
-        return Outcome.SPOILT
+        return Outcome.INVALID_RESPONSE
     if status == 421:
-        return Outcome.MOVED
+        return Outcome.MISDIRECTED
     if NOT_EXECUTED in headers and status >= 400:
         return Outcome.DECLINED
     if status >= 500 or status in (408, 429):  # the last two promise what this backend does not
-        return Outcome.FAILED
+        return Outcome.SERVER_ERROR
     if 200 <= status < 300:
         framed = answer.length is not None or b"transfer-encoding" in headers or status == 204
         if (
@@ -262,7 +262,7 @@
             and request_id is not None
             or not framed
         ):
-            return Outcome.SPOILT
+            return Outcome.INVALID_RESPONSE
     return Outcome.OK
 
 
--- a/hallhitch/planes/data/interfaces.py
+++ b/hallhitch/planes/data/interfaces.py
@@ -1,6 +1,8 @@
-"""Where the data plane's parts meet: what is asked of the decisions, of the counter, and what they answer.
+"""Interfaces between the parts of the data plane: request handler, load balancer and quota counter.
 
-Decisions know no socket and no clock: every call brings the moment (steady ms).
+The request handler owns sockets and timers and drives one state machine a request: it asks `next_action`, carries the
+action out and reports how each attempt ended. A load-balancing policy knows no socket and no clock: every call brings
+the time. Times are steady milliseconds, durations milliseconds.
 """
 
 from __future__ import annotations
@@ -8,67 +10,75 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import Enum
-from typing import Protocol
+from typing import Protocol, TypeVar
 
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway, QuotaDecision, Route, Tenant
 
+RequestStateT = TypeVar("RequestStateT")
+
 
 class Outcome(Enum):
     """How one attempt ended."""
 
-    OK = "ok"  # a whole answer of the backend with its seal, below 500
-    FAILED = "failed"  # a whole answer of 500 or more without the config that it never ran: it ran
-    DECLINED = "declined"  # the backend said that it did not run it (full, late, 429)
-    MOVED = "moved"  # 421: another backend has the address; it did not run
-    UNREACHABLE = "unreachable"  # no connection, or nothing of it was written: it never ran
-    LOST = "lost"  # the connection ended after it was written: it may have run
-    SPOILT = "spoilt"  # the answer was cut short, of another id, without seal, or no answer: it may have run
-    SILENT = "silent"  # nothing came until its time was over: it may have run, and may be running still
-    VOID = "void"  # taken back before anything was written: it never ran
+    OK = "ok"  # a complete, authenticated response below 500
+    SERVER_ERROR = "server_error"  # a complete response of 500 or more that does not say that the request never ran
+    DECLINED = "declined"  # the backend says that it did not run the request (queue full, too late, 429)
+    MISDIRECTED = "misdirected"  # 421: another backend has the address; the request did not run
+    UNREACHABLE = "unreachable"  # no connection, or nothing was written to it: the request never ran
+    CONNECTION_LOST = "connection_lost"  # the connection ended after the request was written: it may have run
+    INVALID_RESPONSE = "invalid_response"  # truncated, of another request, not authenticated, no HTTP: it may have run
+    TIMED_OUT = "timed_out"  # no response within its time: the request may have run, and may still be running
+    CANCELLED = "cancelled"  # withdrawn before anything was written: the request never ran
 
     @property
-    def ran(self) -> bool:
-        """Whether the request may have run there."""
-        return self in (Outcome.OK, Outcome.FAILED, Outcome.LOST, Outcome.SPOILT, Outcome.SILENT)
+    def may_have_run(self) -> bool:
+        """Whether the backend may have run the request."""
+        return self in (
+            Outcome.OK,
+            Outcome.SERVER_ERROR,
+            Outcome.CONNECTION_LOST,
+            Outcome.INVALID_RESPONSE,
+            Outcome.TIMED_OUT,
+        )
 
 
 @dataclass(slots=True)
 class RequestInfo:
-    """One try of a client, admitted: what the decisions need of it."""
+    """What a load-balancing policy needs to know of one admitted request."""
 
     route: Route
-    service: str  # chosen by the route's split
-    homes: frozenset[str]  # regions it may be served in; empty = any
-    priority: int  # 0 highest
-    came: float  # when it was read whole
-    ends: float  # when its client or its route gives up
+    service: str  # chosen by the route's weights
+    allowed_regions: frozenset[str]  # regions it may be served in; empty = any
+    priority: int  # 0 is the highest
+    arrived_at_ms: float  # when it was read completely
+    deadline_ms: float  # when its client or its route gives up
 
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """Send it to this backend. After `patience` ms without an answer ask `next` again, leaving this one out."""
+    """Send the request to this backend; without a response after the delay ask `next_action` again."""
 
     backend: Backend
-    patience: float
+    hedge_delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Enqueue:
-    """Nothing has room for it now: ask again after so many ms, or when an attempt of its own ends."""
+    """No endpoint has capacity now: ask again after this time, or when one of the request's attempts ends."""
 
-    wait: float
+    recheck_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """It has surely not run and will not: 503 with Retry-After (ms)."""
+    """The request has certainly not run and will not: 503 with Retry-After."""
 
-    after: float
+    retry_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """It may have run, or its time is over: 502 or 504."""
+    """The request may have run, or its deadline has passed: 502 or 504."""
 
     status: int
 
@@ -76,46 +86,45 @@
 Action = Forward | Enqueue | Reject | Fail
 
 
-class Exchange(Protocol):
-    """One try under way, as its driver sees it; the decisions keep their own things in it."""
-
-    ask: RequestInfo
-
+class LoadBalancingPolicy(Protocol[RequestStateT]):
+    """Select backends for requests, decide on retries and hedges, and shed load.
 
-class Decisions(Protocol):
-    """Which backend, whether again, what to turn away. One a gateway; `planes/data/choice.py`."""
+    `RequestStateT` is what the policy keeps for one request; its caller passes it back unread.
+    """
 
-    def backends(self, now: float, entries: Sequence[Backend]) -> None:
-        """All backends there are, as last told (draining ones among them)."""
+    def set_backends(self, now: float, entries: Sequence[Backend]) -> None:
+        """Replace the list of all backends, draining ones included."""
 
-    def gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
-        """All gateways that live, as last told."""
+    def set_gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
+        """Replace the list of all live gateways; `own` is the name of this one."""
 
-    def config(self, now: float, config: ClusterConfig) -> None:
-        """The cluster configuration, whole."""
+    def set_config(self, now: float, config: ClusterConfig) -> None:
+        """Replace the cluster configuration."""
 
-    def begin(self, now: float, ask: RequestInfo) -> Exchange:
-        """A try was admitted."""
+    def begin_request(self, now: float, request: RequestInfo) -> RequestStateT:
+        """Start the state of an admitted request."""
 
-    def next(self, now: float, exchange: Exchange) -> Action:
-        """What to do now: asked at first, after each attempt's end, and when patience or a hold is over."""
+    def next_action(self, now: float, state: RequestStateT) -> Action:
+        """Decide what to do now: first, after each attempt's end, and when a hedge delay or a wait is over."""
 
-    def ended(self, now: float, exchange: Exchange, backend: Backend, outcome: Outcome, lag: float) -> None:
-        """One attempt has ended `lag` ms after it was written (or begun, where it never was).
+    def on_attempt_ended(
+        self, now: float, state: RequestStateT, backend: Backend, outcome: Outcome, latency_ms: float
+    ) -> None:
+        """Record how an attempt ended, `latency_ms` after it was written (or begun, where nothing was written).
 
-        SILENT is told once patience is over, and the true end again later if it comes: room at the backend is held
-        until then.
+        TIMED_OUT is reported once the hedge delay is over, and the real end later if there is one: the attempt holds
+        capacity at the endpoint until then.
         """
 
-    def finish(self, now: float, exchange: Exchange) -> None:
-        """The client has its answer, or left. Attempts still out are reported by `ended` all the same."""
+    def finish_request(self, now: float, state: RequestStateT) -> None:
+        """End the request: its client has the response, or is gone. Attempts in flight are still reported."""
 
 
-class Counter(Protocol):
-    """One add-and-read a request on the tenant's window count; `planes/quota/caller.py`."""
+class QuotaCounter(Protocol):
+    """One add-and-read a request on the tenant's quota window."""
 
-    async def take(self, tenant: Tenant, wait: float) -> QuotaDecision:
-        """Add one unit and read, within `wait` ms. Never raises; never passes unchecked."""
+    async def admit(self, tenant: Tenant, timeout_ms: float) -> QuotaDecision:
+        """Add one unit and read the count within the time-out; a failure is a decision too, and never admits."""
 
-    def give_back(self, taken: QuotaDecision) -> None:
-        """The request surely never ran: its unit goes back if its name still lives."""
+    def refund(self, decision: QuotaDecision) -> None:
+        """Return the unit of a request that certainly never ran, if its lease still exists."""
--- a/hallhitch/planes/data/load_balancer.py
+++ b/hallhitch/planes/data/load_balancer.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from hallhitch.planes.data.endpoint_set import Endpoint, EndpointAttempt, EndpointSet, Locality, SelectionCriteria
-from hallhitch.planes.data.interfaces import Action, Enqueue, Exchange, Fail, Forward, Outcome, Reject, RequestInfo
+from hallhitch.planes.data.interfaces import Action, Enqueue, Fail, Forward, Outcome, Reject, RequestInfo
 from hallhitch.planes.data.latency import LatencyAverage
 from hallhitch.planes.data.outlier_detection import SPELL, UnansweredSends
 from hallhitch.planes.data.rendezvous import RendezvousWeights, owners
@@ -48,10 +48,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class RequestState(Exchange):
+class RequestState:
     """One try under way."""
 
-    ask: RequestInfo
+    request: RequestInfo
     attempts: list[EndpointAttempt] = field(default_factory=list)
     waits: EndpointSet | None = None  # where it is counted as waiting
     status: int = 502
@@ -76,7 +76,7 @@
         self._budgets: dict[str, RetryBudget] = {}
         self._peers: dict[str, tuple[str, str]] = {settings.name: (settings.zone, settings.region)}
 
-    def backends(self, now: float, entries: Sequence[Backend]) -> None:
+    def set_backends(self, now: float, entries: Sequence[Backend]) -> None:
         """All backends there are, as last told."""
         self._entries = entries
         self._cold.backends(now, entries, self._config.services if self._config else {})
@@ -94,7 +94,7 @@
             self._shape = shape
             self._place()
 
-    def gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
+    def set_gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
         """All gateways that live, as last told."""
         peers = {g.name: (g.zone, g.region) for g in entries if g.frontend and not g.is_leaving}
         peers[self._settings.name] = (self._settings.zone, self._settings.region)
@@ -103,7 +103,7 @@
             self._peers = peers
             self._place()
 
-    def config(self, now: float, config: ClusterConfig) -> None:
+    def set_config(self, now: float, config: ClusterConfig) -> None:
         """The cluster configuration, whole."""
         known, self._config = self._config, config
         if known is None:
@@ -114,30 +114,30 @@
                 self._candidates[name].service = service
         self._place()
 
-    def begin(self, now: float, ask: RequestInfo) -> RequestState:
+    def begin_request(self, now: float, ask: RequestInfo) -> RequestState:
         """A try was admitted."""
         self._budget(now, ask.service).first(now)
         return RequestState(ask)
 
-    def next(self, now: float, exchange: Exchange) -> Action:
+    def next_action(self, now: float, exchange: RequestState) -> Action:
         """What to do now."""
-        assert isinstance(exchange, RequestState)
         run = exchange
         step = self._step(now, run)
         if not isinstance(step, Enqueue):
             self._rest(run)
         return step
 
-    def ended(self, now: float, exchange: Exchange, backend: Backend, outcome: Outcome, lag: float) -> None:
+    def on_attempt_ended(
+        self, now: float, exchange: RequestState, backend: Backend, outcome: Outcome, lag: float
+    ) -> None:
         """One attempt has ended, or has outlasted its patience (SILENT)."""
-        assert isinstance(exchange, RequestState)
         run = exchange
         attempt = next((a for a in reversed(run.attempts) if a.seat.backend.instance == backend.instance), None)
         if attempt is None:
             return
         seat, place = attempt.seat, self._candidates.get(backend.service)
-        attempt.ran = attempt.ran or outcome.ran
-        if outcome is Outcome.SILENT and not attempt.silent:
+        attempt.ran = attempt.ran or outcome.may_have_run
+        if outcome is Outcome.TIMED_OUT and not attempt.silent:
             attempt.silent = True
             run.status = 504
             if attempt.out:
@@ -145,18 +145,17 @@
         elif attempt.out:
             attempt.release()
         # What is taken back after the answer has come, or after it was silent, may have arrived.
-        if outcome in (Outcome.UNREACHABLE, Outcome.VOID) and not attempt.silent and not run.done:
+        if outcome in (Outcome.UNREACHABLE, Outcome.CANCELLED) and not attempt.silent and not run.done:
             attempt.arrived = False
             if attempt.mark is not None:
-                self._budget(now, run.ask.service).give_back(attempt.mark)
+                self._budget(now, run.request.service).give_back(attempt.mark)
                 attempt.mark = None
-        if not run.done or outcome not in (Outcome.SILENT, Outcome.LOST):
+        if not run.done or outcome not in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST):
             # Once nobody waits for it, its silence or its cut may be this gateway's doing.
             self._learn(now, run, attempt, place, outcome, lag)
 
-    def finish(self, now: float, exchange: Exchange) -> None:
+    def finish_request(self, now: float, exchange: RequestState) -> None:
         """The client has its answer, or left."""
-        assert isinstance(exchange, RequestState)
         exchange.done = True
         self._rest(exchange)
 
@@ -169,11 +168,11 @@
         outcome: Outcome,
         lag: float,
     ) -> None:
-        seat, ask = attempt.seat, run.ask
+        seat, ask = attempt.seat, run.request
         health, jitter = seat.health, 0.8 + 0.4 * self._rng.random()
-        if outcome not in (Outcome.VOID, Outcome.SILENT, Outcome.UNREACHABLE):
+        if outcome not in (Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.UNREACHABLE):
             seat.zone.heard()
-        if outcome in (Outcome.OK, Outcome.FAILED):
+        if outcome in (Outcome.OK, Outcome.SERVER_ERROR):
             spell = health.good(now, attempt.at)
             seat.sight.heard()
             if spell >= SPELL and place is not None and not self._network(now, place):
@@ -186,13 +185,13 @@
                     place.pace.ended(False)
         elif outcome is Outcome.DECLINED:
             health.full(now, jitter)
-        elif outcome is Outcome.VOID:
+        elif outcome is Outcome.CANCELLED:
             if not run.done and now - attempt.at >= attempt.patience:
                 # Not even a connection came up in that time: a backend that is dark, as good as silent.
-                health.bad(now, Outcome.SILENT, jitter)
+                health.bad(now, Outcome.TIMED_OUT, jitter)
         else:
             health.bad(now, outcome, jitter)
-            if outcome is Outcome.SILENT and place is not None and ask.route.is_idempotent:
+            if outcome is Outcome.TIMED_OUT and place is not None and ask.route.is_idempotent:
                 place.pace.ended(True)
 
     def _network(self, now: float, place: EndpointSet) -> bool:
@@ -200,7 +199,7 @@
         return sum(1 for s in seats if s.health.bad_at > now - 2.0 * SPELL) > NETWORK * len(seats) > 0
 
     def _step(self, now: float, run: RequestState) -> Action:
-        ask, left = run.ask, run.ask.ends - now
+        ask, left = run.request, run.request.deadline_ms - now
         route = ask.route
         out = [a for a in run.attempts if a.out]
         ran = any(a.ran for a in run.attempts)
@@ -238,7 +237,7 @@
             not route.is_idempotent,
             route.latency_target_ms,
             usual.mean,
-            ask.homes,
+            ask.allowed_regions,
             tried,
             ask.priority,
         )
@@ -265,8 +264,8 @@
     def _send(
         self, now: float, run: RequestState, place: EndpointSet, usual: LatencyAverage, seat: Endpoint, trial: bool
     ) -> Action:
-        ask = run.ask
-        attempt = EndpointAttempt(seat, now, ask.ends, trial)
+        ask = run.request
+        attempt = EndpointAttempt(seat, now, ask.deadline_ms, trial)
         if any(a.arrived for a in run.attempts):
             attempt.mark = self._budget(now, ask.service).take(now)
         run.attempts.append(attempt)
@@ -278,29 +277,29 @@
         seat.health.trial = seat.health.trial or trial
         place.trials = min(place.trials + TRIAL_SHARE, TRIALS_MOST)
         self._cold.sent(now, seat.backend)
-        left = ask.ends - now
+        left = ask.deadline_ms - now
         attempt.patience = (
             left
             if not ask.route.is_idempotent
-            else place.pace.patience(usual, ask.route.latency_target_ms, now - ask.came, left)
+            else place.pace.patience(usual, ask.route.latency_target_ms, now - ask.arrived_at_ms, left)
         )
         return Forward(seat.backend, attempt.patience)
 
     def _wait(self, now: float, run: RequestState, place: EndpointSet, usual: LatencyAverage, ran: bool) -> Action:
-        ask = run.ask
+        ask = run.request
         part = HOLD_TRIED if run.attempts else HOLD_PART
-        hold = min(ask.came + part * ask.route.latency_target_ms - now, ask.ends - now - usual.mean)
+        hold = min(ask.arrived_at_ms + part * ask.route.latency_target_ms - now, ask.deadline_ms - now - usual.mean)
         if hold <= 1.0:
             return Fail(run.status) if ran else self._turn_away(ask, usual)
         if run.waits is None:
             run.waits = place
-            key = ask.priority, ask.homes
+            key = ask.priority, ask.allowed_regions
             place.waiting[key] = place.waiting.get(key, 0) + 1
         return Enqueue(min(hold, max(POLL, min(POLL_MOST, usual.mean * POLL_PART)) * (0.75 + 0.5 * self._rng.random())))
 
     def _rest(self, run: RequestState) -> None:
         if run.waits is not None:
-            key = run.ask.priority, run.ask.homes
+            key = run.request.priority, run.request.allowed_regions
             run.waits.waiting[key] -= 1
             if not run.waits.waiting[key]:
                 del run.waits.waiting[key]
--- a/hallhitch/planes/data/outlier_detection.py
+++ b/hallhitch/planes/data/outlier_detection.py
@@ -95,7 +95,7 @@
 
     def bad(self, now: float, outcome: Outcome, jitter: float) -> None:
         """A bad end; `jitter` about 1 spreads the trials of many gateways."""
-        if outcome is Outcome.MOVED:
+        if outcome is Outcome.MISDIRECTED:
             self.moved = True
             self._strikes, self._pause = STRIKES, PAUSE_MOST
             self.until = now + GONE
--- a/hallhitch/planes/data/plane.py
+++ b/hallhitch/planes/data/plane.py
@@ -7,13 +7,14 @@
 
 import asyncio
 from collections.abc import Callable, Sequence
+from typing import Any
 
 from hallhitch.node.clock import now as steady
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.data.connection_pools import ConnectionPools
 from hallhitch.planes.data.http_listener import HttpListener
 from hallhitch.planes.data.http_messages import Room
-from hallhitch.planes.data.interfaces import Counter, Decisions
+from hallhitch.planes.data.interfaces import LoadBalancingPolicy, QuotaCounter
 from hallhitch.planes.data.request_handler import Context
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway
 
@@ -30,8 +31,8 @@
     def __init__(
         self,
         node: NodeSettings,
-        decisions: Decisions,
-        counter: Counter,
+        decisions: LoadBalancingPolicy[Any],
+        counter: QuotaCounter,
         clock: Callable[[], float] = steady,
     ) -> None:
         """`clock` gives steady milliseconds."""
@@ -54,19 +55,19 @@
 
     def set_config(self, config: ClusterConfig) -> None:
         """The cluster configuration, whole; in force for each request that is read from now on."""
-        self._decisions.config(self._clock(), config)
+        self._decisions.set_config(self._clock(), config)
         self._pools.services(config.services)
         self.context.config = config
         self.front.retune()
 
     def set_backends(self, entries: Sequence[Backend]) -> None:
         """All backends there are."""
-        self._decisions.backends(self._clock(), entries)
+        self._decisions.set_backends(self._clock(), entries)
         self._pools.backends(entries)
 
     def set_gateways(self, own: str, entries: Sequence[Gateway]) -> None:
         """All gateways that live."""
-        self._decisions.gateways(self._clock(), own, entries)
+        self._decisions.set_gateways(self._clock(), own, entries)
         self._pools.gateways(sum(1 for entry in entries if entry.frontend))
 
     def leave(self) -> None:
--- a/hallhitch/planes/data/request_handler.py
+++ b/hallhitch/planes/data/request_handler.py
@@ -11,7 +11,7 @@
 import zlib
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import Any, Protocol
 
 from hallhitch.net.http import Message, path_of
 from hallhitch.planes.data.connection_pools import Attempt, ConnectionPools
@@ -25,12 +25,11 @@
     request_head,
 )
 from hallhitch.planes.data.interfaces import (
-    Counter,
-    Decisions,
     Enqueue,
-    Exchange,
     Forward,
+    LoadBalancingPolicy,
     Outcome,
+    QuotaCounter,
     Reject,
     RequestInfo,
 )
@@ -48,8 +47,8 @@
 class Context:
     """What all requests of this gateway share."""
 
-    decisions: Decisions
-    counter: Counter
+    decisions: LoadBalancingPolicy[Any]
+    counter: QuotaCounter
     pools: ConnectionPools
     clock: Callable[[], float]
     figures: dict[str, int]
@@ -128,14 +127,14 @@
                 return reply
         now = context.clock()
         self._shared = request_head(self._request, self._tenant.name if self._tenant is not None else None)
-        exchange = self._exchange = context.decisions.begin(now, self._ask)
+        exchange = self._exchange = context.decisions.begin_request(now, self._ask)
         try:
             return await self._attempts(exchange, route)
         finally:
             self._finished = True
             for attempt in list(self._out):
                 context.pools.take_back(attempt)
-            context.decisions.finish(context.clock(), exchange)
+            context.decisions.finish_request(context.clock(), exchange)
             self._settle()
 
     # Admission.
@@ -171,8 +170,8 @@
 
     async def _counted(self, tenant: Tenant) -> Reply | None:
         """Add one to the tenant's count and read it; None: it is within."""
-        left = self._ask.ends - self._context.clock()
-        taken = await self._context.counter.take(tenant, max(1.0, min(COUNTING_MOST, left * COUNTING_SHARE)))
+        left = self._ask.deadline_ms - self._context.clock()
+        taken = await self._context.counter.admit(tenant, max(1.0, min(COUNTING_MOST, left * COUNTING_SHARE)))
         if taken.is_admitted:
             self._taken = taken
             return None
@@ -181,11 +180,11 @@
 
     # Attempts.
 
-    async def _attempts(self, exchange: Exchange, route: Route) -> Reply:
+    async def _attempts(self, exchange: Any, route: Route) -> Reply:
         context, clock, client = self._context, self._context.clock, self._client
         unsafe = not route.is_idempotent
         ask = self._ask
-        limit = ask.ends - min(MARGIN_MOST, MARGIN_SHARE * (ask.ends - self._read))
+        limit = ask.deadline_ms - min(MARGIN_MOST, MARGIN_SHARE * (ask.deadline_ms - self._read))
         again = 0.0  # when the decisions are asked next, unless something ends before
         while True:
             now = clock()
@@ -202,7 +201,7 @@
                     return self._no_answer(502)  # it may have run, and may not run again
                 again = limit
             elif woken or now >= again:
-                step = context.decisions.next(now, exchange)
+                step = context.decisions.next_action(now, exchange)
                 if isinstance(step, Forward):
                     if self._sent + len(self._out) >= max(1, route.max_attempts) or self._request_is_spent():
                         if not self._out:
@@ -214,11 +213,11 @@
                         if attempt.over and attempt.written is None:  # it ended at once, and would at once again
                             again, self._woken = now + BREATH, False
                 elif isinstance(step, Enqueue):
-                    again = now + max(1.0, step.wait)
+                    again = now + max(1.0, step.recheck_after_ms)
                 elif self._out:
                     again = limit  # what is out may still answer, and may still run
                 elif isinstance(step, Reject):
-                    return self._no_answer(502, step.after)
+                    return self._no_answer(502, step.retry_after_ms)
                 else:
                     return self._no_answer(step.status)
             until = min([limit, again, *(a.patience for a in self._out if not a.silent)])
@@ -231,14 +230,14 @@
             self,
             step.backend,
             unsafe=unsafe,
-            ends=self._ask.ends,
+            ends=self._ask.deadline_ms,
             method=request.method,
             request_id=request_id,
             shared=self._shared,
             body=request.body,
             flow=request.flow,
             began=now,
-            patience=now + step.patience,
+            patience=now + step.hedge_delay_ms,
         )
         self._out.append(attempt)
         self._context.pools.send(attempt)
@@ -250,7 +249,7 @@
             self._sent > 0 or any(attempt.written is not None for attempt in self._out)
         )
 
-    def _lose_patience(self, exchange: Exchange, now: float) -> None:
+    def _lose_patience(self, exchange: Any, now: float) -> None:
         """Tell the decisions of attempts that have been silent for too long; take back what was not even written."""
         for attempt in [a for a in self._out if not a.silent and now >= a.patience]:
             if attempt.written is None and self._context.pools.take_back(attempt):
@@ -258,7 +257,9 @@
             attempt.silent = True
             self._woken = True
             if attempt.written is not None:
-                self._context.decisions.ended(now, exchange, attempt.backend, Outcome.SILENT, now - attempt.written)
+                self._context.decisions.on_attempt_ended(
+                    now, exchange, attempt.backend, Outcome.TIMED_OUT, now - attempt.written
+                )
 
     def _no_answer(self, status: int, after: float = LATE_AFTER) -> Reply:
         """The reply where no backend's good answer is there, and nothing more is sent: 503 only if it never runs."""
@@ -309,15 +310,15 @@
         self._out.remove(attempt)
         self._sent += attempt.written is not None
         context.count(f"attempt_{outcome.value}")
-        self._ran = self._ran or outcome.ran
+        self._ran = self._ran or outcome.may_have_run
         if answer is not None and not self._finished:
             if outcome is Outcome.OK:
                 self._good = self._good or answer
-            elif outcome is Outcome.FAILED:
+            elif outcome is Outcome.SERVER_ERROR:
                 self._own = answer
             elif outcome is Outcome.DECLINED and 400 <= answer.status < 500 and answer.status not in (408, 421, 429):
                 self._good = self._good or answer  # the request itself is at fault: no other backend would run it
-        context.decisions.ended(context.clock(), self._exchange, attempt.backend, outcome, attempt.lag)
+        context.decisions.on_attempt_ended(context.clock(), self._exchange, attempt.backend, outcome, attempt.lag)
         if self._finished:
             self._settle()
         self._woken = True
@@ -326,7 +327,7 @@
     def _settle(self) -> None:
         """Give the tenant's unit back once it is sure that the request never ran."""
         if self._taken is not None and self._finished and not self._out and not self._ran:
-            self._context.counter.give_back(self._taken)
+            self._context.counter.refund(self._taken)
             self._taken = None
 
 
--- a/hallhitch/planes/quota/counter_client.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -85,7 +85,7 @@
         live = set(holders.values())
         self._peers = {address: peer for address, peer in self._peers.items() if address in live}
 
-    async def take(self, tenant: Tenant, wait: float) -> QuotaDecision:
+    async def admit(self, tenant: Tenant, wait: float) -> QuotaDecision:
         """Add one unit and read, within `wait` ms; see ports.Counter."""
         if tenant.rate_per_s <= 0:
             return PASSED
@@ -135,7 +135,7 @@
             came, tenant, address, answer.is_over_limit, answer.is_over_share, answer.slot, answer.retry_after_ms
         )
 
-    def give_back(self, taken: QuotaDecision) -> None:
+    def refund(self, taken: QuotaDecision) -> None:
         """A unit that surely never ran goes back, where its name still lives; nobody waits for it."""
         token = taken.refund_token
         if not isinstance(token, _Token):
--- a/tests/system/data/choice_rig.py
+++ b/tests/system/data/choice_rig.py
@@ -47,10 +47,10 @@
         own = gateways[0]
         settings = LoadBalancerSettings(own.name, own.zone, own.region, ZONES, 0.2, 10_000.0, slack, 1.5, 5.0, 800.0)
         self.choice, self.entries = LoadBalancer(settings, Random(seed)), list(entries)
-        self.choice.config(0.0, word(evacuated))
-        self.choice.gateways(0.0, own.name, gateways)
-        self.choice.backends(0.0, self.entries)
-        self.choice.begin(0.0, self.ask(0.0))  # the window of the budget begins
+        self.choice.set_config(0.0, word(evacuated))
+        self.choice.set_gateways(0.0, own.name, gateways)
+        self.choice.set_backends(0.0, self.entries)
+        self.choice.begin_request(0.0, self.ask(0.0))  # the window of the budget begins
 
     def ask(
         self,
@@ -72,15 +72,15 @@
         attempts: int = 2,
     ) -> tuple[RequestState, Action]:
         """A new try and the first step of it."""
-        run = self.choice.begin(now, self.ask(now, kind, homes, priority, attempts))
-        return run, self.choice.next(now, run)
+        run = self.choice.begin_request(now, self.ask(now, kind, homes, priority, attempts))
+        return run, self.choice.next_action(now, run)
 
     def end(self, now: float, run: RequestState, step: Action, outcome: Outcome, lag: float = 50.0) -> None:
         """The attempt of that step ends."""
         assert isinstance(step, Forward)
-        self.choice.ended(now, run, step.backend, outcome, lag)
+        self.choice.on_attempt_ended(now, run, step.backend, outcome, lag)
         if outcome is Outcome.OK:
-            self.choice.finish(now, run)
+            self.choice.finish_request(now, run)
 
     def fail(self, now: float, outcome: Outcome) -> str | None:
         """One exchange that ends so at its first backend; returns which it was."""
@@ -88,5 +88,5 @@
         if not isinstance(step, Forward):
             return None
         self.end(now, run, step, outcome)
-        self.choice.finish(now, run)
+        self.choice.finish_request(now, run)
         return step.backend.instance
--- a/tests/system/data/front_rig.py
+++ b/tests/system/data/front_rig.py
@@ -15,11 +15,10 @@
 from hallhitch.node.settings import NodeSettings, RuleBounds
 from hallhitch.planes.data.interfaces import (
     Action,
-    Decisions,
     Enqueue,
-    Exchange,
     Fail,
     Forward,
+    LoadBalancingPolicy,
     Outcome,
     Reject,
     RequestInfo,
@@ -104,28 +103,27 @@
         """One try."""
 
         def __init__(self, ask: RequestInfo, entries: list[Backend]) -> None:
-            self.ask, self.entries, self.out, self.ran, self.finished = ask, list(entries), 0, False, False
+            self.request, self.entries, self.out, self.ran, self.finished = ask, list(entries), 0, False, False
 
     def __init__(self, patience: float = 60_000.0) -> None:
         self.patience, self.entries = patience, list[Backend]()
         self.told: list[tuple[str, Outcome]] = []
         self.asked: list[RequestInfo] = []
 
-    def backends(self, now: float, entries: Sequence[Backend]) -> None:
+    def set_backends(self, now: float, entries: Sequence[Backend]) -> None:
         self.entries = list(entries)
 
-    def gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
+    def set_gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
         pass
 
-    def config(self, now: float, config: ClusterConfig) -> None:
+    def set_config(self, now: float, config: ClusterConfig) -> None:
         pass
 
-    def begin(self, now: float, ask: RequestInfo) -> Exchange:
+    def begin_request(self, now: float, ask: RequestInfo) -> Once:
         self.asked.append(ask)
         return self.Once(ask, self.entries)
 
-    def next(self, now: float, exchange: Exchange) -> Action:
-        assert isinstance(exchange, Plain.Once)
+    def next_action(self, now: float, exchange: Once) -> Action:
         if exchange.entries:
             exchange.out += 1
             return Forward(exchange.entries.pop(0), self.patience)
@@ -133,15 +131,13 @@
             return Enqueue(60_000.0)
         return Fail(502) if exchange.ran else Reject(250.0)
 
-    def ended(self, now: float, exchange: Exchange, backend: Backend, outcome: Outcome, lag: float) -> None:
-        assert isinstance(exchange, Plain.Once)
+    def on_attempt_ended(self, now: float, exchange: Once, backend: Backend, outcome: Outcome, lag: float) -> None:
         self.told.append((backend.instance, outcome))
-        if outcome is not Outcome.SILENT:
+        if outcome is not Outcome.TIMED_OUT:
             exchange.out -= 1
-        exchange.ran = exchange.ran or outcome.ran
+        exchange.ran = exchange.ran or outcome.may_have_run
 
-    def finish(self, now: float, exchange: Exchange) -> None:
-        assert isinstance(exchange, Plain.Once)
+    def finish_request(self, now: float, exchange: Once) -> None:
         exchange.finished = True
 
 
@@ -151,11 +147,11 @@
     def __init__(self) -> None:
         self.answer, self.back, self.asked = QuotaDecision(True, refund_token=1), list[QuotaDecision](), 0
 
-    async def take(self, tenant: Tenant, wait: float) -> QuotaDecision:
+    async def admit(self, tenant: Tenant, wait: float) -> QuotaDecision:
         self.asked += 1
         return self.answer
 
-    def give_back(self, taken: QuotaDecision) -> None:
+    def refund(self, taken: QuotaDecision) -> None:
         self.back.append(taken)
 
 
@@ -231,7 +227,7 @@
         self,
         patience: float = 60_000.0,
         files: int = 1000,
-        decisions: Decisions | None = None,
+        decisions: LoadBalancingPolicy[Any] | None = None,
         clock: Callable[[], float] = now,
     ) -> None:
         """`decisions`: others than the plain ones."""
--- a/tests/system/data/test_attempt_endings.py
+++ b/tests/system/data/test_attempt_endings.py
@@ -14,10 +14,11 @@
 from dataclasses import dataclass
 from enum import Enum
 from random import Random
+from typing import Any
 
 import pytest
 
-from hallhitch.planes.data.interfaces import Decisions
+from hallhitch.planes.data.interfaces import LoadBalancingPolicy
 from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
 from hallhitch.planes.values import Tenant
 from tests.system.data.front_rig import SEAL, Peer, Rig, get, route, word
@@ -189,7 +190,7 @@
     )
 
 
-def played(test: Callable[[Rig], object], decisions: Decisions | None) -> None:
+def played(test: Callable[[Rig], object], decisions: LoadBalancingPolicy[Any] | None) -> None:
     """Run in virtual time."""
     loop = SkippingLoop()
 
--- a/tests/system/data/test_attempts_outcomes.py
+++ b/tests/system/data/test_attempts_outcomes.py
@@ -30,17 +30,17 @@
 
 
 BAD: list[tuple[Callable[[Peer], None], Outcome]] = [
-    (Peer.reset, Outcome.LOST),
-    (ends(b""), Outcome.LOST),
-    (ends(HEAD + b"Content-Length: 9\r\n\r\npart"), Outcome.SPOILT),
-    (ends(HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n"), Outcome.SPOILT),
-    (ends(HEAD + b"\r\npart"), Outcome.SPOILT),
-    (says(fields=b""), Outcome.SPOILT),
-    (says(fields=SEAL + b"Content-Encoding: gzip\r\n"), Outcome.SPOILT),
-    (lambda p: p.write(b"\x00\x01 no answer\r\n\r\n"), Outcome.SPOILT),
-    (lambda p: p.write(b"HTTP/1.1 200 OK\r\n" + SEAL + b"Content-Length: 0\r\n\r\n"), Outcome.SPOILT),
-    (says(b"own", 500), Outcome.FAILED),
-    (says(b"own", 503), Outcome.FAILED),
+    (Peer.reset, Outcome.CONNECTION_LOST),
+    (ends(b""), Outcome.CONNECTION_LOST),
+    (ends(HEAD + b"Content-Length: 9\r\n\r\npart"), Outcome.INVALID_RESPONSE),
+    (ends(HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n"), Outcome.INVALID_RESPONSE),
+    (ends(HEAD + b"\r\npart"), Outcome.INVALID_RESPONSE),
+    (says(fields=b""), Outcome.INVALID_RESPONSE),
+    (says(fields=SEAL + b"Content-Encoding: gzip\r\n"), Outcome.INVALID_RESPONSE),
+    (lambda p: p.write(b"\x00\x01 no answer\r\n\r\n"), Outcome.INVALID_RESPONSE),
+    (lambda p: p.write(b"HTTP/1.1 200 OK\r\n" + SEAL + b"Content-Length: 0\r\n\r\n"), Outcome.INVALID_RESPONSE),
+    (says(b"own", 500), Outcome.SERVER_ERROR),
+    (says(b"own", 503), Outcome.SERVER_ERROR),
 ]
 
 
@@ -66,7 +66,7 @@
     [
         (says(b"", 503, NOT_RUN), Outcome.DECLINED),
         (says(b"", 429, NOT_RUN), Outcome.DECLINED),
-        (says(b"", 421, b""), Outcome.MOVED),
+        (says(b"", 421, b""), Outcome.MISDIRECTED),
     ],
 )
 @rigged()
@@ -131,7 +131,7 @@
     slow.go.set()
     while ("b-1", Outcome.OK) not in rig.decisions.told:
         await asyncio.sleep(0)
-    assert rig.decisions.told == [("b-1", Outcome.SILENT), ("b-2", Outcome.OK), ("b-1", Outcome.OK)]
+    assert rig.decisions.told == [("b-1", Outcome.TIMED_OUT), ("b-2", Outcome.OK), ("b-1", Outcome.OK)]
     client.write(get(id="id-2"))
     assert (await client.whole())[2] == b"next" and slow.connections == 1
 
@@ -146,7 +146,7 @@
     rig.plane._pools.most = 1  # its only connection is out still
     first, fields, _ = await rig.ask(get(method="POST", id="id-2", more=more))
     assert first.split()[1] == b"503" and b"retry-after" in fields and len(rig.count.back) == 1
-    assert rig.decisions.told[-1] == ("b-1", Outcome.VOID)
+    assert rig.decisions.told[-1] == ("b-1", Outcome.CANCELLED)
 
 
 def long_answer(parts: list[bytes], whole: bool, chunked: bool) -> Script:
@@ -178,7 +178,7 @@
     else:
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await rig.ask(get())
-    assert rig.decisions.told == [("b-1", Outcome.OK if whole else Outcome.SPOILT)]
+    assert rig.decisions.told == [("b-1", Outcome.OK if whole else Outcome.INVALID_RESPONSE)]
 
 
 @rigged()
--- a/tests/system/data/test_choice_places.py
+++ b/tests/system/data/test_choice_places.py
@@ -42,8 +42,8 @@
         seen = []
         while isinstance(step, Forward):
             seen.append(step.backend.instance)
-            rig.end(START, run, step, Outcome.FAILED)
-            step = rig.choice.next(START, run)
+            rig.end(START, run, step, Outcome.SERVER_ERROR)
+            step = rig.choice.next_action(START, run)
         assert step == Fail(502)
         assert len(seen) == len(set(seen)) == 4
 
@@ -55,12 +55,12 @@
     run, step = rig.open(START)
     now = START
     while isinstance(step, Enqueue):
-        assert step.wait > 0
-        now += step.wait
-        step = rig.choice.next(now, run)
+        assert step.recheck_after_ms > 0
+        now += step.recheck_after_ms
+        step = rig.choice.next_action(now, run)
     assert isinstance(step, Reject)
     assert START < now <= START + 100.0
-    assert 0 < step.after < 1000.0
+    assert 0 < step.retry_after_ms < 1000.0
 
 
 def test_a_slot_that_comes_free_goes_to_the_higher_priority() -> None:
@@ -71,15 +71,15 @@
         if isinstance(step, Forward):
             busy.append((run, step))
         else:
-            rig.choice.finish(START, run)
+            rig.choice.finish_request(START, run)
     low, step = rig.open(START, NON_IDEMPOTENT, priority=2)
     high, other = rig.open(START, NON_IDEMPOTENT, priority=0)
     assert isinstance(step, Enqueue) and isinstance(other, Enqueue)
     rig.end(START + 9, *busy[0], Outcome.OK)
-    assert isinstance(rig.choice.next(START + 10, low), Enqueue)
-    assert isinstance(rig.choice.next(START + 10, high), Forward)
+    assert isinstance(rig.choice.next_action(START + 10, low), Enqueue)
+    assert isinstance(rig.choice.next_action(START + 10, high), Forward)
     rig.end(START + 11, *busy[1], Outcome.OK)
-    assert isinstance(rig.choice.next(START + 12, low), Forward)
+    assert isinstance(rig.choice.next_action(START + 12, low), Forward)
 
 
 def test_unsafe_requests_of_all_gateways_together_never_fill_a_queue() -> None:
--- a/tests/system/data/test_choice_trouble.py
+++ b/tests/system/data/test_choice_trouble.py
@@ -9,22 +9,24 @@
 from tests.system.data.choice_rig import START, Rig, backend
 
 
-@pytest.mark.parametrize("outcome", [Outcome.LOST, Outcome.SPOILT, Outcome.FAILED, Outcome.SILENT])
+@pytest.mark.parametrize(
+    "outcome", [Outcome.CONNECTION_LOST, Outcome.INVALID_RESPONSE, Outcome.SERVER_ERROR, Outcome.TIMED_OUT]
+)
 def test_unsafe_never_again_after_it_may_have_run(outcome: Outcome) -> None:
     rig = Rig(*(backend(f"i{n}") for n in range(4)))
     run, step = rig.open(START, NON_IDEMPOTENT)
-    assert isinstance(step, Forward) and step.patience == 2000.0
-    assert rig.choice.next(START + 100, run) == Enqueue(1900.0)
+    assert isinstance(step, Forward) and step.hedge_delay_ms == 2000.0
+    assert rig.choice.next_action(START + 100, run) == Enqueue(1900.0)
     rig.end(START + 200, run, step, outcome)
-    assert rig.choice.next(START + 200, run) == Fail(504 if outcome is Outcome.SILENT else 502)
+    assert rig.choice.next_action(START + 200, run) == Fail(504 if outcome is Outcome.TIMED_OUT else 502)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.DECLINED, Outcome.MOVED, Outcome.UNREACHABLE, Outcome.VOID])
+@pytest.mark.parametrize("outcome", [Outcome.DECLINED, Outcome.MISDIRECTED, Outcome.UNREACHABLE, Outcome.CANCELLED])
 def test_unsafe_goes_elsewhere_after_it_surely_never_ran(outcome: Outcome) -> None:
     rig = Rig(*(backend(f"i{n}") for n in range(4)))
     run, step = rig.open(START, NON_IDEMPOTENT)
     rig.end(START + 5, run, step, outcome)
-    again = rig.choice.next(START + 5, run)
+    again = rig.choice.next_action(START + 5, run)
     assert isinstance(step, Forward) and isinstance(again, Forward) and again.backend != step.backend
 
 
@@ -32,21 +34,21 @@
     rig = Rig(backend("i0"), backend("i1"))
     run, step = rig.open(START)
     rig.end(START + 1, run, step, Outcome.UNREACHABLE)
-    assert isinstance(rig.choice.next(START + 1999, run), Reject)
+    assert isinstance(rig.choice.next_action(START + 1999, run), Reject)
     run, step = rig.open(START)
-    rig.end(START + 1, run, step, Outcome.LOST)
-    assert rig.choice.next(START + 1999, run) == Fail(504)
+    rig.end(START + 1, run, step, Outcome.CONNECTION_LOST)
+    assert rig.choice.next_action(START + 1999, run) == Fail(504)
 
 
 def test_a_repeatable_one_is_not_failed_while_an_attempt_is_out() -> None:
     rig = Rig(*(backend(f"i{n}") for n in range(4)))
     run, first = rig.open(START)
-    assert isinstance(first, Forward) and first.patience < 400.0
-    rig.end(START + first.patience, run, first, Outcome.SILENT)
-    second = rig.choice.next(START + first.patience, run)
+    assert isinstance(first, Forward) and first.hedge_delay_ms < 400.0
+    rig.end(START + first.hedge_delay_ms, run, first, Outcome.TIMED_OUT)
+    second = rig.choice.next_action(START + first.hedge_delay_ms, run)
     assert isinstance(second, Forward) and second.backend != first.backend
-    rig.end(START + 300, run, second, Outcome.LOST)
-    assert isinstance(rig.choice.next(START + 300, run), Enqueue)
+    rig.end(START + 300, run, second, Outcome.CONNECTION_LOST)
+    assert isinstance(rig.choice.next_action(START + 300, run), Enqueue)
     rig.end(START + 400, run, first, Outcome.OK)
 
 
@@ -80,9 +82,9 @@
         assert isinstance(step, Forward)
         if step.backend.instance == "dark":
             void += 1
-            now += step.patience
-            rig.end(now, run, step, Outcome.VOID, step.patience)
-            rig.choice.finish(now, run)
+            now += step.hedge_delay_ms
+            rig.end(now, run, step, Outcome.CANCELLED, step.hedge_delay_ms)
+            rig.choice.finish_request(now, run)
         else:
             rig.end(now, run, step, Outcome.OK, 50.0)
     assert 1 <= void <= 8
@@ -92,8 +94,8 @@
     rig = Rig(backend("only", slots=8))
     lost = [rig.open(START) for _ in range(5)]
     for run, step in lost:
-        rig.end(START + 10, run, step, Outcome.LOST)
-        rig.choice.finish(START + 10, run)
+        rig.end(START + 10, run, step, Outcome.CONNECTION_LOST)
+        rig.choice.finish_request(START + 10, run)
     run, step = rig.open(START + 20)
     assert isinstance(step, Forward)
     rig.end(START + 30, run, step, Outcome.OK)
@@ -111,7 +113,7 @@
 def test_unsafe_avoids_a_backend_whose_last_end_was_bad() -> None:
     for seed in range(30):
         rig = Rig(backend("i0"), backend("i1"), seed=seed)
-        bad = rig.fail(START, Outcome.SPOILT)
+        bad = rig.fail(START, Outcome.INVALID_RESPONSE)
         _, step = rig.open(START + 100, NON_IDEMPOTENT)
         assert isinstance(step, Forward) and step.backend.instance != bad
 
--- a/tests/system/data/test_front_requests.py
+++ b/tests/system/data/test_front_requests.py
@@ -161,7 +161,7 @@
     )
     assert (await rig.ask(get("/b/x", more="Authorization: Token k-1\r\n")))[0].split()[1] == b"503"
     await rig.ask(get("/x", more="Authorization: Token k-1\r\n"))
-    assert len(backend.seen) == 1 and rig.decisions.asked[0].homes == frozenset("a")
+    assert len(backend.seen) == 1 and rig.decisions.asked[0].allowed_regions == frozenset("a")
 
 
 @rigged()
--- a/tests/system/quota/test_caller.py
+++ b/tests/system/quota/test_caller.py
@@ -47,9 +47,9 @@
         wires = Wires()
         counter, own = client(loop, wires)
         wires.handlers["holder"] = lambda _: Envelope(count_response=CountResponse(is_lease_holder=True, slot=7))
-        taken = await counter.take(TENANT, 1000.0)
+        taken = await counter.admit(TENANT, 1000.0)
         assert taken.is_admitted and not wires.calls[0][1].count_request.rate_per_s
-        counter.give_back(taken)
+        counter.refund(taken)
         await asyncio.sleep(1)
         assert (wires.calls[1][1].count_request.units, wires.calls[1][1].count_request.slot) == (-1, 7)
         wires.handlers["holder"] = lambda _: Envelope(
@@ -57,18 +57,18 @@
                 is_lease_holder=True, is_over_limit=True, is_over_share=True, retry_after_ms=420
             )
         )
-        told = [await counter.take(TENANT, 1000.0) for _ in range(own + 1)]
+        told = [await counter.admit(TENANT, 1000.0) for _ in range(own + 1)]
         assert [one.is_admitted for one in told] == [True] * own + [False]  # its own reserve on top, no more
         assert told[-1].retry_after_ms == 420 and not told[-1].is_counter_unavailable
         wires.handlers["holder"] = lambda _: Envelope(
             count_response=CountResponse(is_lease_holder=True, is_over_limit=True, retry_after_ms=20)
         )
         await asyncio.sleep(6)
-        again = await counter.take(TENANT, 1000.0)
+        again = await counter.admit(TENANT, 1000.0)
         assert (
             not again.is_admitted and again.retry_after_ms == 250
         )  # over its limit: no reserve, and no way back at once
-        assert (await counter.take(FREE, 1000.0)).is_admitted
+        assert (await counter.admit(FREE, 1000.0)).is_admitted
 
     run(main)
 
@@ -82,7 +82,7 @@
                 is_lease_holder=True, is_tenant_unknown=not asked.count_request.rate_per_s, slot=1
             )
         )
-        assert (await counter.take(TENANT, 1000.0)).is_admitted
+        assert (await counter.admit(TENANT, 1000.0)).is_admitted
         assert [asked.count_request.rate_per_s for _, asked in wires.calls] == [0.0, 10.0]
 
     run(main)
@@ -94,7 +94,7 @@
         counter, own = client(loop, wires)
         wires.silent.add("holder")
         began = loop.now()
-        told = [await counter.take(TENANT, 1000.0) for _ in range(own + 3)]
+        told = [await counter.admit(TENANT, 1000.0) for _ in range(own + 3)]
         assert [one.is_admitted for one in told] == [True] * own + [False] * 3
         assert (
             told[-1].is_counter_unavailable
@@ -102,14 +102,14 @@
             and len(wires.calls) == 1
             and loop.now() - began <= FIRST
         )
-        counter.give_back(told[0])
-        assert (await counter.take(TENANT, 1000.0)).is_admitted
+        counter.refund(told[0])
+        assert (await counter.admit(TENANT, 1000.0)).is_admitted
         await asyncio.sleep(AWAY / 1000 + 0.01)
         wires.silent.clear()
         wires.handlers["holder"] = lambda _: Envelope(count_response=CountResponse(is_lease_holder=True))
-        both = await asyncio.gather(counter.take(TENANT, 1000.0), counter.take(TENANT, 1000.0))
+        both = await asyncio.gather(counter.admit(TENANT, 1000.0), counter.admit(TENANT, 1000.0))
         assert sorted(one.is_admitted for one in both) == [False, True] and len(wires.calls) == 2  # one call tries
-        assert (await counter.take(TENANT, 1000.0)).is_admitted and len(wires.calls) == 3
+        assert (await counter.admit(TENANT, 1000.0)).is_admitted and len(wires.calls) == 3
 
     run(main)
 
@@ -119,12 +119,12 @@
         wires = Wires()
         counter, _ = client(loop, wires)
         wires.handlers["holder"] = lambda _: Envelope(count_response=CountResponse())
-        await counter.take(TENANT, 1000.0)
-        await counter.take(TENANT, 1000.0)
+        await counter.admit(TENANT, 1000.0)
+        await counter.admit(TENANT, 1000.0)
         assert len(wires.calls) == 1
         counter.set_holders(dict.fromkeys(range(BUCKETS), "other"))
         wires.handlers["other"] = lambda _: Envelope(count_response=CountResponse(is_lease_holder=True))
-        assert (await counter.take(TENANT, 1000.0)).is_admitted and len(wires.calls) == 2
+        assert (await counter.admit(TENANT, 1000.0)).is_admitted and len(wires.calls) == 2
 
     run(main)
 
--- a/tests/system/quota/test_plane.py
+++ b/tests/system/quota/test_plane.py
@@ -81,7 +81,7 @@
     async def takes(self, number: int, gap: float) -> int:
         passed = 0
         for at in range(number):
-            passed += (await self.planes[1 + at % 3].counter.take(TENANT, 500.0)).is_admitted
+            passed += (await self.planes[1 + at % 3].counter.admit(TENANT, 500.0)).is_admitted
             await asyncio.sleep(gap)
         return passed
 
