--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -47,7 +47,7 @@
 from hallhitch.planes.quota.lease import LeaseClaim, UsageReport
 from hallhitch.planes.quota.lease_client import ranks
 from hallhitch.planes.quota.limits import Quota
-from hallhitch.planes.values import Backend, ClusterConfig, Gateway, Route, Service
+from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestKind, Route, Service
 
 LETTERS = "abcdefghijkmnpqrstuvwxyz23456789"
 LARGE = 1e7  # bytes of a configuration from which the kernel tells what it holds; tracing takes too long
@@ -284,7 +284,7 @@
     """One decision over so many backends of one service, and sorting their seats anew, seen from one gateway."""
     service, route = (
         Service("s", "/health", 100, 0.0, 0.0),
-        Route("r", "h", "/", "idempotent", 3000.0, 800.0, 0, (("s", 1.0),), 2, True),
+        Route("r", "h", "/", RequestKind.IDEMPOTENT, 3000.0, 800.0, 0, (("s", 1.0),), 2, True),
     )
     own, zones = gateway(0), {f"namaka-{z}": f"region-{z % 28}" for z in range(58)}
     word = ClusterConfig(1, 1, {"h": (route,)}, {"s": service}, {}, {})
--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -35,7 +35,7 @@
 from hallhitch.node.clock import now
 from hallhitch.node.settings import NodeSettings, read_settings
 from hallhitch.node.web import Reply, Web
-from hallhitch.planes.distribution.config_compiler import EMPTY, compile_config
+from hallhitch.planes.distribution.config_compiler import EMPTY_CONFIG, compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.quota import lease_client
@@ -142,7 +142,7 @@
         self.hub = StateHub(self.incarnation)
         self.follower = GatewaySync(self.links, self.hub, self._own, node.seed_addresses)
         self.quota = QuotaPlane(self.node, self.links)
-        self.config, self._gateways = EMPTY, (0, 0)
+        self.config, self._gateways = EMPTY_CONFIG, (0, 0)
 
     def _own(self) -> Gateway:
         n = self.node
--- a/hallhitch/lab/system_cases.py
+++ b/hallhitch/lab/system_cases.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from hallhitch.planes.values import Route
+from hallhitch.planes.values import RequestKind, Route
 
 
 @dataclass(frozen=True)
@@ -36,7 +36,7 @@
     homes: frozenset[str] = frozenset(),
 ) -> Kind:
     """A kind of request with a route of its own."""
-    route = Route(name, "h", f"/{name}/", how, 4 * aim, aim, priority, ((service, 1.0),), 2, False, homes)
+    route = Route(name, "h", f"/{name}/", RequestKind(how), 4 * aim, aim, priority, ((service, 1.0),), 2, False, homes)
     return Kind(route, rate, work, spread, 4 * aim, worth, late, size)
 
 
--- a/hallhitch/planes/control/config_validation.py
+++ b/hallhitch/planes/control/config_validation.py
@@ -16,12 +16,12 @@
 
 from hallhitch.node.settings import parse_duration_ms
 from hallhitch.planes.control.config_digests import canonical_digest
-from hallhitch.planes.values import DOWNLOAD, IDEMPOTENT, NON_IDEMPOTENT
+from hallhitch.planes.values import RequestKind
 
 LARGEST = 32 * 1024 * 1024  # bytes of a configuration
 LONGEST = 600_000.0  # ms a route's timeout may be
 HIGHEST = 2**63 - 1
-KINDS = (IDEMPOTENT, NON_IDEMPOTENT, DOWNLOAD)
+KINDS = tuple(RequestKind)
 
 
 class Invalid(Exception):
--- a/hallhitch/planes/data/endpoint_set.py
+++ b/hallhitch/planes/data/endpoint_set.py
@@ -14,7 +14,7 @@
 from hallhitch.planes.data.latency import LatencyEstimate, LatencyRatio
 from hallhitch.planes.data.outlier_detection import Health, State, UnansweredSends
 from hallhitch.planes.data.slow_start import WARMING, SlowStart
-from hallhitch.planes.values import DOWNLOAD, Backend, Service
+from hallhitch.planes.values import Backend, RequestKind, Service
 
 FAR_RANK = 1 << 20
 NEAR_LEAST = 6  # backends of its own region that a gateway chooses from first: enough to find an idle one
@@ -90,7 +90,7 @@
     """What is asked of a seat."""
 
     now: float
-    kind: str
+    kind: RequestKind
     unsafe: bool
     target: float
     usual: float
@@ -179,7 +179,7 @@
         if crowd > CROWD:
             cost += want.usual * (crowd - CROWD) * CROWD_COST
         if seat.tier is Locality.REGION:
-            cost += want.target * (ZONE_DOWNLOAD if want.kind == DOWNLOAD else ZONE)
+            cost += want.target * (ZONE_DOWNLOAD if want.kind == RequestKind.DOWNLOAD else ZONE)
         elif seat.tier is Locality.FAR:
             cost += want.target * REGION
         return cost + want.usual * CHANCE * rng.random()
@@ -227,7 +227,7 @@
             best = self._best(self.near, load, want, QUEUE, rng)
         if best is not None:
             return best
-        download = want.kind == DOWNLOAD
+        download = want.kind == RequestKind.DOWNLOAD
         region = [s for s in self.near + self.rest if self._usable(s, want)]
         healthy = [s for s in region if self._ready(s, want)]
         if not (download and healthy):
@@ -251,7 +251,7 @@
 
     def trial(self, want: SelectionCriteria) -> Endpoint | None:
         """A seat whose pause is over, if a trial is due."""
-        if self.trials < 1.0 or want.unsafe or want.kind == DOWNLOAD:
+        if self.trials < 1.0 or want.unsafe or want.kind == RequestKind.DOWNLOAD:
             return None
         for seat in self.near:
             if (
--- a/hallhitch/planes/distribution/config_compiler.py
+++ b/hallhitch/planes/distribution/config_compiler.py
@@ -1,6 +1,7 @@
-"""The cluster configuration out of its bytes: made once for each version, looked up by each request.
+"""Compiles a cluster configuration from its stored bytes for look-ups by each request.
 
-It was checked before it was agreed on, so that what is unknown here is passed over, not judged again.
+Runs once for each change. The configuration was validated before it was committed (planes/control),
+by this release or by a newer one: a value that this release does not know counts as absent, and nothing is rejected.
 """
 
 from __future__ import annotations
@@ -8,45 +9,83 @@
 import json
 import zlib
 from collections.abc import Iterable, Mapping
-from typing import Any
+from typing import Any, Final
 
 from hallhitch.node.settings import parse_duration_ms
-from hallhitch.planes.values import IDEMPOTENT, ClusterConfig, RequestLimits, Route, Service, Tenant
+from hallhitch.planes.values import ClusterConfig, RequestKind, RequestLimits, Route, Service, Tenant
 
-EMPTY = ClusterConfig(serial=0, version=-1, routes={}, services={}, tenants={}, tenants_by_api_key={})
+EMPTY_CONFIG: Final = ClusterConfig(serial=0, version=-1, routes={}, services={}, tenants={}, tenants_by_api_key={})
+DEFAULT_TIMEOUT_MS: Final = 30_000.0  # of a route without `timeout`
+DEFAULT_TARGET_SHARE: Final = 1 / 4  # of the timeout, for a route without `targetLatency`
+DEFAULT_HEALTH_PATH: Final = "/health"
 
 
-def _time(value: object, default: float) -> float:
-    try:
-        return parse_duration_ms(value)
-    except ValueError:
-        return default
+def compile_config(
+    serial: int, version: int, content: bytes, evacuated_zones: Iterable[str], max_gateways: int = 0
+) -> ClusterConfig:
+    """Compile a configuration from `content`, the zlib of its JSON; empty if only zones were evacuated so far."""
+    table = json.loads(zlib.decompress(content)) if content else {}
+    tenants = {name: _compile_tenant(name, entry) for name, entry in (table.get("tenants") or {}).items()}
+    return ClusterConfig(
+        serial=serial,
+        version=version,
+        routes=_compile_routes(table.get("routes") or {}),
+        services={name: _compile_service(name, entry) for name, entry in (table.get("services") or {}).items()},
+        tenants=tenants,
+        tenants_by_api_key={api_key: tenant for tenant in tenants.values() for api_key in tenant.api_keys},
+        limits=_compile_limits(table.get("limits") or {}),
+        evacuated_zones=frozenset(evacuated_zones),
+        max_gateways=max_gateways,
+    )
 
 
-def _route(name: str, entry: Mapping[str, Any]) -> Route:
-    split = entry.get("trafficSplit")
-    services = (
-        tuple((part["targetService"], float(part.get("weight", 1))) for part in split)
-        if split
-        else ((entry["targetService"], 1.0),)
-    )
-    timeout = _time(entry.get("timeout"), 30_000.0)
+def _compile_routes(entries: Mapping[str, Mapping[str, Any]]) -> dict[str, tuple[Route, ...]]:
+    """Return the routes by host in lower case, the longest prefix first."""
+    by_host: dict[str, list[Route]] = {}
+    for name, entry in entries.items():
+        route = _compile_route(name, entry)
+        by_host.setdefault(route.host, []).append(route)
+    return {
+        host: tuple(sorted(routes, key=lambda route: (-len(route.prefix), route.prefix)))
+        for host, routes in by_host.items()
+    }
+
+
+def _compile_route(name: str, entry: Mapping[str, Any]) -> Route:
+    timeout_ms = _parse_duration_ms(entry.get("timeout"), DEFAULT_TIMEOUT_MS)
     return Route(
         name=name,
         host=str(entry["host"]).lower(),
         prefix=entry.get("pathPrefix", "/"),
-        kind=entry.get("routeKind", IDEMPOTENT),
-        timeout_ms=timeout,
-        latency_target_ms=_time(entry.get("targetLatency"), timeout / 4),
+        kind=_parse_kind(entry.get("routeKind")),
+        timeout_ms=timeout_ms,
+        latency_target_ms=_parse_duration_ms(entry.get("targetLatency"), timeout_ms * DEFAULT_TARGET_SHARE),
         priority=int(entry.get("priority", 0)),
-        weighted_services=services,
+        weighted_services=_weighted_services(entry),
         max_attempts=int(entry.get("maxAttempts", 1)),
         is_public=bool(entry.get("public", False)),
         allowed_regions=frozenset(entry.get("allowedRegions") or ()),
     )
 
 
-def _tenant(name: str, entry: Mapping[str, Any]) -> Tenant:
+def _weighted_services(entry: Mapping[str, Any]) -> tuple[tuple[str, float], ...]:
+    split = entry.get("trafficSplit")
+    if not split:
+        return ((entry["targetService"], 1.0),)
+    return tuple((target["targetService"], float(target.get("weight", 1))) for target in split)
+
+
+def _compile_service(name: str, entry: Mapping[str, Any]) -> Service:
+    return Service(
+        name=name,
+        health_path=entry.get("healthPath", DEFAULT_HEALTH_PATH),
+        max_connections=int(entry.get("maxConnections") or 0),
+        slow_start_ms=_parse_duration_ms(entry.get("coldStart"), 0.0),
+        slow_start_rate_per_s=float(entry.get("coldPerS") or 0),
+    )
+
+
+def _compile_tenant(name: str, entry: Mapping[str, Any]) -> Tenant:
     priority = entry.get("priority")
     return Tenant(
         name=name,
@@ -58,43 +97,25 @@
     )
 
 
-def compile_config(
-    serial: int, version: int, content: bytes, evacuated: Iterable[str], fleet: int = 0
-) -> ClusterConfig:
-    """The configuration that these bytes are (zlib of the configuration's JSON; none = only evacuations)."""
-    if not content:
-        return ClusterConfig(serial, version, {}, {}, {}, {}, evacuated_zones=frozenset(evacuated), max_gateways=fleet)
-    table = json.loads(zlib.decompress(content))
-    routes: dict[str, list[Route]] = {}
-    for name, entry in (table.get("routes") or {}).items():
-        route = _route(name, entry)
-        routes.setdefault(route.host, []).append(route)
-    services = {
-        name: Service(
-            name,
-            entry.get("healthPath", "/health"),
-            int(entry.get("maxConnections") or 0),
-            _time(entry.get("coldStart"), 0.0),
-            float(entry.get("coldPerS") or 0),
-        )
-        for name, entry in (table.get("services") or {}).items()
-    }
-    tenants = {name: _tenant(name, entry) for name, entry in (table.get("tenants") or {}).items()}
-    limits = table.get("limits") or {}
-    plain = RequestLimits()
-    return ClusterConfig(
-        serial,
-        version,
-        {host: tuple(sorted(of, key=lambda route: (-len(route.prefix), route.prefix))) for host, of in routes.items()},
-        services,
-        tenants,
-        {key: tenant for tenant in tenants.values() for key in tenant.api_keys},
-        RequestLimits(
-            int(limits.get("maxHeaderBytes") or plain.max_head_bytes),
-            int(limits.get("maxBodyBytes") or plain.max_body_bytes),
-            _time(limits.get("headerTimeout"), plain.head_timeout_ms),
-            _time(limits.get("idleTimeout"), plain.idle_timeout_ms),
-        ),
-        frozenset(evacuated),
-        fleet,
+def _compile_limits(entry: Mapping[str, Any]) -> RequestLimits:
+    defaults = RequestLimits()
+    return RequestLimits(
+        max_head_bytes=int(entry.get("maxHeaderBytes") or defaults.max_head_bytes),
+        max_body_bytes=int(entry.get("maxBodyBytes") or defaults.max_body_bytes),
+        head_timeout_ms=_parse_duration_ms(entry.get("headerTimeout"), defaults.head_timeout_ms),
+        idle_timeout_ms=_parse_duration_ms(entry.get("idleTimeout"), defaults.idle_timeout_ms),
     )
+
+
+def _parse_kind(value: object) -> RequestKind:
+    try:
+        return RequestKind(value)  # type: ignore[arg-type]  # any other value raises ValueError
+    except ValueError:
+        return RequestKind.IDEMPOTENT
+
+
+def _parse_duration_ms(value: object, default_ms: float) -> float:
+    try:
+        return parse_duration_ms(value)
+    except ValueError:
+        return default_ms
--- a/hallhitch/planes/distribution/gateway_sync.py
+++ b/hallhitch/planes/distribution/gateway_sync.py
@@ -225,5 +225,5 @@
             self._hub.core = tuple(news.coordinators)
         if news.members and (not source.lapsed or not self._hub.members):
             self._hub.members = tuple(news.members)
-        self._hub.set_membership(LeaseMembership.of(news.lease_membership))
+        self._hub.set_membership(LeaseMembership.from_message(news.lease_membership))
         source.take(news, self._hub, asked, lists)
--- a/hallhitch/planes/distribution/state_hub.py
+++ b/hallhitch/planes/distribution/state_hub.py
@@ -213,7 +213,7 @@
         news.coordinators.extend(self.core)
         news.members.extend(self.members)
         if self.membership.version:
-            news.lease_membership.CopyFrom(self.membership.message())
+            news.lease_membership.CopyFrom(self.membership.to_message())
         return news
 
     async def answer(self, pull: StateRequest) -> Envelope:
--- a/hallhitch/planes/quota/lease_client.py
+++ b/hallhitch/planes/quota/lease_client.py
@@ -233,7 +233,7 @@
         ends = sent + self._lease - MARGIN
         if votes.seen:
             self._told_seen[coordinator] = votes.seen
-        if self._membership.quorum_reached(self._told_seen):
+        if self._membership.has_quorum(self._told_seen):
             self.seen = max(self._told_seen.values())
         for bucket in asked.renew:
             if bucket not in votes.refused:
@@ -269,7 +269,7 @@
         """A vote against an attempt; True where it was given up and others hold votes of it."""
         attempt.votes.pop(coordinator, None)
         attempt.against.add(coordinator)
-        if self._membership.quorum_reached(frozenset(self._membership.voters) - attempt.against):
+        if self._membership.has_quorum(frozenset(self._membership.voters) - attempt.against):
             return False
         order = self._order[bucket]
         self._abandon(now, bucket, 300.0 + 100.0 * order.index(self.own) if self.own in order else 500.0)
@@ -281,7 +281,7 @@
         had = attempt.votes.get(coordinator)
         if had is None or had.incarnation != vote.incarnation:
             attempt.votes[coordinator] = vote
-            return self._membership.quorum_reached(attempt.votes)
+            return self._membership.has_quorum(attempt.votes)
         had.seen, had.ends = max(had.seen, vote.seen), max(had.ends, vote.ends)
         return self._decide(now, bucket, attempt)
 
@@ -289,7 +289,7 @@
         """Whether there was a moment at which a majority's tables had our votes: then the lease begins."""
         for moment in [vote.since for vote in attempt.votes.values()]:
             stood = {name: vote for name, vote in attempt.votes.items() if vote.since <= moment <= vote.seen}
-            if self._membership.quorum_reached(stood) and all(now < vote.ends for vote in stood.values()):
+            if self._membership.has_quorum(stood) and all(now < vote.ends for vote in stood.values()):
                 del self._attempts[bucket]
                 won = self._won[bucket] = _Won(self._number + 1, {name: vote.ends for name, vote in stood.items()}, now)
                 self._reckon(bucket, won)
--- a/hallhitch/planes/quota/lease_messages.py
+++ b/hallhitch/planes/quota/lease_messages.py
@@ -51,7 +51,7 @@
         rejected=sorted(votes.refused),
         idle_ms=votes.idle,
         gateways_seen=votes.seen,
-        membership=votes.membership.message() if votes.membership is not None else None,
+        membership=votes.membership.to_message() if votes.membership is not None else None,
         usage_reports=[
             messages.UsageReportMessage(
                 bucket=bucket,
@@ -83,7 +83,7 @@
             )
             for told in granted.usage_reports
         },
-        LeaseMembership.of(granted.membership) if granted.HasField("membership") else None,
+        LeaseMembership.from_message(granted.membership) if granted.HasField("membership") else None,
     )
 
 
--- a/hallhitch/planes/values.py
+++ b/hallhitch/planes/values.py
@@ -1,56 +1,65 @@
-"""What the planes tell each other: plain values, no I/O, no clock.
+"""Values that the planes exchange. No I/O and no clock; all of them are immutable.
 
-Times are milliseconds of the process's steady clock (`hallhitch.node.clock.now`) where they are moments, plain
-milliseconds where they are lengths. Names are those of docs/design/system.md.
+A field that ends in `_ms` is a duration in milliseconds, with one exception: `Backend.warming_until_ms` is a point in
+time of this process's steady clock (`hallhitch.node.clock.now`). Wire names and meanings: docs/design/system.md.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import Final
 
 from hallhitch.messages.system_pb2 import LeaseMembershipMessage
 
-IDEMPOTENT, NON_IDEMPOTENT, DOWNLOAD = "idempotent", "non_idempotent", "download"
-ANY_REGION: frozenset[str] = frozenset()
+ANY_REGION: Final[frozenset[str]] = frozenset()  # an empty `allowedRegions` restricts nothing
+
+
+class RequestKind(StrEnum):
+    """The `routeKind` of a route, spelled as in the configuration."""
+
+    IDEMPOTENT = "idempotent"
+    NON_IDEMPOTENT = "non_idempotent"
+    DOWNLOAD = "download"
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route of the configuration; `split` holds the services with their weights, one at least."""
+    """One route of the configuration; `weighted_services` has at least one (service, weight)."""
 
     name: str
     host: str
     prefix: str
-    kind: str
+    kind: RequestKind
     timeout_ms: float
-    latency_target_ms: float  # ms within which an answer earns its full worth
+    latency_target_ms: float  # a response within it has its full value
     priority: int
     weighted_services: tuple[tuple[str, float], ...]
     max_attempts: int
     is_public: bool
-    allowed_regions: frozenset[str] = ANY_REGION  # regions it may be served in; empty = anywhere
+    allowed_regions: frozenset[str] = ANY_REGION  # where backends and gateways may serve it; empty = anywhere
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
-        return self.kind != NON_IDEMPOTENT
+        """Whether a request may be processed more than once."""
+        return self.kind is not RequestKind.NON_IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service of the configuration."""
+    """One service of the configuration. How its backends warm up: planes/data/slow_start.py."""
 
     name: str
     health_path: str
     max_connections: int
-    slow_start_ms: float  # ms for which a backend started during traffic is cold
-    slow_start_rate_per_s: float  # requests a second that a cold backend bears; 0 = no bound given
+    slow_start_ms: float  # for which a backend that starts during traffic is warming
+    slow_start_rate_per_s: float  # requests that a warming backend can take; 0 = not configured
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant; `rate` requests a second with `burst` on top, 0 = no limit."""
+    """One tenant of the configuration with its quota: `rate_per_s` requests and a `burst` on top, 0 = no limit."""
 
     name: str
     api_keys: tuple[str, ...]
@@ -62,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What a client may send, and how long it may take or rest (ms)."""
+    """Limits on a client's request and on its idle connection."""
 
     max_head_bytes: int = 16_384
     max_body_bytes: int = 64 * 1024 * 1024
@@ -72,10 +81,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterConfig:
-    """The cluster configuration, compiled for look-ups; swapped whole, never changed.
+    """The cluster configuration, compiled for look-ups and replaced as a whole.
 
-    `serial` grows by one with each change that was agreed (configuration or evacuation); `version` is the
-    operator's configVersion, -1 while none was given.
+    `serial` is incremented by each committed change (of configuration or evacuation); `version` is the operator's
+    `configVersion`, -1 as long as there is no configuration.
     """
 
     serial: int
@@ -85,11 +94,11 @@
     tenants: Mapping[str, Tenant]
     tenants_by_api_key: Mapping[str, Tenant]
     limits: RequestLimits = field(default_factory=RequestLimits)
-    evacuated_zones: frozenset[str] = ANY_REGION  # zones
-    max_gateways: int = 0  # as many gateways as there may be, by what all coordinators wrote down; 0 = not known yet
+    evacuated_zones: frozenset[str] = frozenset()
+    max_gateways: int = 0  # upper bound on gateways, committed by the coordinators; 0 = not known yet
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The route of a request: of its host, the longest prefix that begins the path (no query in `path`)."""
+        """Return the host's route with the longest prefix of `path`, which has no query; None if there is none."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -98,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One incarnation of a backend, as the platform's list shows it."""
+    """One incarnation of a backend, as the endpoint list of the platform shows it."""
 
     instance: str
     service: str
@@ -108,12 +117,12 @@
     region: str
     slots: int
     is_draining: bool = False
-    warming_until_ms: float = 0.0  # steady ms at this process; in the past = warm
+    warming_until_ms: float = 0.0  # when its slow start ends, by this process's clock; a time in the past = warm
 
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """One process of the system, as the others know it; `incarnation` is drawn anew at each start."""
+    """One process of the system as its peers know it; `incarnation` is a new random number at each start."""
 
     name: str
     address: str  # "ip:port" of its internal port
@@ -121,16 +130,17 @@
     machine_class: str
     zone: str
     region: str
-    frontend: str = ""  # empty where it takes no clients
+    frontend: str = ""  # "ip:port" for clients; empty if it serves none, as a coordinator
     is_ready: bool = False
     is_leaving: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseMembership:
-    """Whose votes on leases count, by internal address: a majority of `members` and, unless empty, of `lease_previous`.
+    """The voters on quota leases, by internal address.
 
-    `version` is that of the register's membership; 0 = none is known, and nothing is voted or counted.
+    A lease needs a majority of `members` and, unless it is empty, of `previous_members` (joint consensus). `version` is
+    that of the membership in the cluster state; with version 0 none is known, and no vote is given or counted.
     """
 
     version: int = 0
@@ -138,39 +148,37 @@
     previous_members: tuple[str, ...] = ()
 
     @staticmethod
-    def of(message: LeaseMembershipMessage) -> LeaseMembership:
-        """The membership that a message carries."""
+    def from_message(message: LeaseMembershipMessage) -> LeaseMembership:
+        """Decode a membership."""
         return LeaseMembership(message.version, tuple(message.members), tuple(message.previous_members))
 
-    def message(self) -> LeaseMembershipMessage:
-        """This membership as messages carry it."""
+    def to_message(self) -> LeaseMembershipMessage:
+        """Encode this membership."""
         return LeaseMembershipMessage(
             version=self.version, members=self.members, previous_members=self.previous_members
         )
 
     @property
     def quorum_sets(self) -> frozenset[frozenset[str]]:
-        """The sets of which a majority each is needed."""
-        return frozenset(frozenset(one) for one in (self.members, self.previous_members) if one)
+        """The sets of voters of which each has to give a majority."""
+        return frozenset(frozenset(members) for members in (self.members, self.previous_members) if members)
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """All whose votes count for a set."""
+        """All voters, in the order of their addresses."""
         return tuple(sorted({*self.members, *self.previous_members}))
 
-    def quorum_reached(self, votes: Iterable[str]) -> bool:
-        """Whether the votes are a majority of each set; False where none is known."""
-        have = frozenset(votes)
-        return bool(self.members) and all(2 * len(one & have) > len(one) for one in self.quorum_sets)
+    def has_quorum(self, votes: Iterable[str]) -> bool:
+        """Return whether `votes` contain a majority of each quorum set; False if no membership is known."""
+        voted = frozenset(votes)
+        return bool(self.members) and all(2 * len(members & voted) > len(members) for members in self.quorum_sets)
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaDecision:
-    """The counter's word on one unit: passed or not, and when to come back (ms). `token` is for giving it back."""
+    """The counter's decision on one unit of a tenant's quota."""
 
     is_admitted: bool
-    retry_after_ms: float = 0.0
-    refund_token: object = None
-    is_counter_unavailable: bool = (
-        False  # nobody could be asked, and nothing of this gateway's own was left: not the tenant's fault
-    )
+    retry_after_ms: float = 0.0  # of a rejected unit
+    refund_token: object = None  # of an admitted unit; opaque to the data plane
+    is_counter_unavailable: bool = False  # rejected as no holder replied and the local reserve is used up
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -14,7 +14,7 @@
 from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
 from hallhitch.planes.data.plane import DataPlane
 from hallhitch.planes.discovery.directory import Directory
-from hallhitch.planes.distribution.config_compiler import EMPTY, compile_config
+from hallhitch.planes.distribution.config_compiler import EMPTY_CONFIG, compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.quota.plane import QuotaPlane
@@ -60,7 +60,7 @@
         self._readiness = Web("readiness", self._is_ready)
         self._directory = Directory(node.region_by_zone, b.max_ttl_ms)
         self._resolve = Web("directory", self._resolved)
-        self._config, self._backends, self._gateways = EMPTY, (0, 0), (0, 0)
+        self._config, self._backends, self._gateways = EMPTY_CONFIG, (0, 0), (0, 0)
 
     def _own(self) -> Gateway:
         n = self._node
--- a/tests/system/data/choice_rig.py
+++ b/tests/system/data/choice_rig.py
@@ -6,7 +6,7 @@
 
 from hallhitch.planes.data.interfaces import Action, Forward, Outcome, RequestInfo
 from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings, RequestState
-from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestLimits, Route, Service
+from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestKind, RequestLimits, Route, Service
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
 START = 20_000.0  # ms: past the first window, so that the slack counts
@@ -15,7 +15,7 @@
 
 def route(kind: str = "idempotent", priority: int = 1, attempts: int = 2) -> Route:
     """A route to the service with a target of 400 ms."""
-    return Route("r", "h", "/", kind, 2000.0, 400.0, priority, (("s", 1.0),), attempts, False)
+    return Route("r", "h", "/", RequestKind(kind), 2000.0, 400.0, priority, (("s", 1.0),), attempts, False)
 
 
 def backend(instance: str, zone: str = "a1", slots: int = 3, draining: bool = False, cold: float = 0.0) -> Backend:
--- a/tests/system/data/test_choice_places.py
+++ b/tests/system/data/test_choice_places.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hallhitch.planes.data.interfaces import Enqueue, Fail, Forward, Outcome, Reject
-from hallhitch.planes.values import DOWNLOAD, IDEMPOTENT, NON_IDEMPOTENT
+from hallhitch.planes.values import RequestKind
 from tests.system.data.choice_rig import START, Rig, backend, gateway
 
 
@@ -15,7 +15,7 @@
     return {step.backend.instance for step in steps if isinstance(step, Forward)}
 
 
-@pytest.mark.parametrize("kind", [IDEMPOTENT, NON_IDEMPOTENT, DOWNLOAD])
+@pytest.mark.parametrize("kind", [RequestKind.IDEMPOTENT, RequestKind.NON_IDEMPOTENT, RequestKind.DOWNLOAD])
 def test_a_draining_an_evacuated_and_a_homeless_backend_get_nothing(kind: str) -> None:
     rig = Rig(
         backend("drains", draining=True), backend("emptied", "a2"), backend("far", "b1"), evacuated=frozenset({"a2"})
@@ -32,7 +32,7 @@
 
 def test_a_download_stays_in_its_region_however_full() -> None:
     rig = Rig(backend("near"), backend("far", "b1"))
-    assert chosen(rig, 30, kind=DOWNLOAD) == {"near"}
+    assert chosen(rig, 30, kind=RequestKind.DOWNLOAD) == {"near"}
 
 
 def test_never_a_backend_tried_before() -> None:
@@ -67,13 +67,13 @@
     rig = Rig(backend("near"))
     busy = []
     for _ in range(20):
-        run, step = rig.open(START, NON_IDEMPOTENT)
+        run, step = rig.open(START, RequestKind.NON_IDEMPOTENT)
         if isinstance(step, Forward):
             busy.append((run, step))
         else:
             rig.choice.finish_request(START, run)
-    low, step = rig.open(START, NON_IDEMPOTENT, priority=2)
-    high, other = rig.open(START, NON_IDEMPOTENT, priority=0)
+    low, step = rig.open(START, RequestKind.NON_IDEMPOTENT, priority=2)
+    high, other = rig.open(START, RequestKind.NON_IDEMPOTENT, priority=0)
     assert isinstance(step, Enqueue) and isinstance(other, Enqueue)
     rig.end(START + 9, *busy[0], Outcome.OK)
     assert isinstance(rig.choice.next_action(START + 10, low), Enqueue)
@@ -90,7 +90,7 @@
     for own in range(6):
         rig = Rig(*entries, gateways=(*fleet[own:], *fleet[:own]), seed=own)
         for _ in range(60):
-            _, step = rig.open(START, NON_IDEMPOTENT)
+            _, step = rig.open(START, RequestKind.NON_IDEMPOTENT)
             if isinstance(step, Forward):
                 there[step.backend.instance] += 1
     assert max(there.values()) <= 3 * 3  # its slots over three times: a queue holds more than twice the slots
--- a/tests/system/data/test_choice_trouble.py
+++ b/tests/system/data/test_choice_trouble.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hallhitch.planes.data.interfaces import Enqueue, Fail, Forward, Outcome, Reject
-from hallhitch.planes.values import NON_IDEMPOTENT
+from hallhitch.planes.values import RequestKind
 from tests.system.data.choice_rig import START, Rig, backend
 
 
@@ -14,7 +14,7 @@
 )
 def test_unsafe_never_again_after_it_may_have_run(outcome: Outcome) -> None:
     rig = Rig(*(backend(f"i{n}") for n in range(4)))
-    run, step = rig.open(START, NON_IDEMPOTENT)
+    run, step = rig.open(START, RequestKind.NON_IDEMPOTENT)
     assert isinstance(step, Forward) and step.hedge_delay_ms == 2000.0
     assert rig.choice.next_action(START + 100, run) == Enqueue(1900.0)
     rig.end(START + 200, run, step, outcome)
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.DECLINED, Outcome.MISDIRECTED, Outcome.UNREACHABLE, Outcome.CANCELLED])
 def test_unsafe_goes_elsewhere_after_it_surely_never_ran(outcome: Outcome) -> None:
     rig = Rig(*(backend(f"i{n}") for n in range(4)))
-    run, step = rig.open(START, NON_IDEMPOTENT)
+    run, step = rig.open(START, RequestKind.NON_IDEMPOTENT)
     rig.end(START + 5, run, step, outcome)
     again = rig.choice.next_action(START + 5, run)
     assert isinstance(step, Forward) and isinstance(again, Forward) and again.backend != step.backend
@@ -99,7 +99,7 @@
     run, step = rig.open(START + 20)
     assert isinstance(step, Forward)
     rig.end(START + 30, run, step, Outcome.OK)
-    assert isinstance(rig.open(START + 31, NON_IDEMPOTENT)[1], Forward)
+    assert isinstance(rig.open(START + 31, RequestKind.NON_IDEMPOTENT)[1], Forward)
 
 
 def test_all_set_aside_at_once_still_serves() -> None:
@@ -107,14 +107,14 @@
     for _ in range(12):
         rig.fail(START, Outcome.UNREACHABLE)
     assert isinstance(rig.open(START + 1)[1], Forward)
-    assert isinstance(rig.open(START + 1, NON_IDEMPOTENT)[1], Forward)
+    assert isinstance(rig.open(START + 1, RequestKind.NON_IDEMPOTENT)[1], Forward)
 
 
 def test_unsafe_avoids_a_backend_whose_last_end_was_bad() -> None:
     for seed in range(30):
         rig = Rig(backend("i0"), backend("i1"), seed=seed)
         bad = rig.fail(START, Outcome.INVALID_RESPONSE)
-        _, step = rig.open(START + 100, NON_IDEMPOTENT)
+        _, step = rig.open(START + 100, RequestKind.NON_IDEMPOTENT)
         assert isinstance(step, Forward) and step.backend.instance != bad
 
 
--- a/tests/system/distribution/test_knowledge.py
+++ b/tests/system/distribution/test_knowledge.py
@@ -219,7 +219,7 @@
     coordinator, hub = StateHub(1), StateHub(2)
     newest = LeaseMembership(3, ("a", "d"), ("a", "b"))
     coordinator.set_membership(newest)
-    hub.set_membership(LeaseMembership.of(coordinator._signed(StateUpdate()).lease_membership))
+    hub.set_membership(LeaseMembership.from_message(coordinator._signed(StateUpdate()).lease_membership))
     hub.set_membership(LeaseMembership(2, ("a", "b")))
-    hub.set_membership(LeaseMembership.of(StateUpdate().lease_membership))  # who knows none
+    hub.set_membership(LeaseMembership.from_message(StateUpdate().lease_membership))  # who knows none
     assert hub.membership == newest
--- a/tests/system/quota/register.py
+++ b/tests/system/quota/register.py
@@ -68,7 +68,7 @@
 
     def _put(self, state: LeaseMembership, needed: LeaseMembership, then: Callable[[], None]) -> None:
         """Hand a state on until quorums of `needed` have accepted it."""
-        if needed.quorum_reached(name for name, held in self.accepted.items() if held.version >= state.version):
+        if needed.has_quorum(name for name, held in self.accepted.items() if held.version >= state.version):
             self.committed = state
             return then()
         fleet = self.fleet
