--- a/tests/system/control/test_exchange.py
+++ b/tests/system/control/test_exchange.py
@@ -11,7 +11,7 @@
 import pytest
 
 from hallhitch.lab.simulation.coordinators import LEASE, Fleet, Machine, play
-from tests.system.control.test_plane import CATCH_UP, FIFTH, FOURTH, SPARE, described, put
+from tests.system.control.control_fleet import CATCH_UP_S, FIFTH, FOURTH, SPARE, describe_config, replace_config
 
 READY = 1.0  # s in which a machine that comes is to be a candidate
 STEPS = range(0, 72, 3)  # messages: an exchange takes some fifty
@@ -22,7 +22,7 @@
     ends = machines[0].fleet.clock() + within * 1000
     while machines[0].fleet.clock() < ends:
         for machine in machines:
-            if machine.operator is not None and await put(machine, version, f"v{version}") == 200:
+            if machine.operator is not None and await replace_config(machine, version, f"v{version}") == 200:
                 return
         await asyncio.sleep(0.05)
     raise AssertionError(f"version {version} was not taken within {within} s")
@@ -58,7 +58,7 @@
         for machine in stay[:losses]:
             await machine.lose_power()
         await ordered([stay[-1], spare], 2, 0.5)
-        assert await described(spare) == (2, "v2")
+        assert await describe_config(spare) == (2, "v2")
 
     for seed in range(3):
         play(scene, seed, losses=losses)
@@ -74,14 +74,14 @@
         for machine in lost:
             await machine.wipe()
         kept = [machine for machine in (*stay, spare) if machine not in lost]
-        assert await described(kept[0]) == (2, "v2")
+        assert await describe_config(kept[0]) == (2, "v2")
         for machine in lost:
             await machine.start(seeds=tuple(machine.address for machine in kept))
         await asyncio.sleep(READY)
         await ordered(lost, 3, 0.5)
         for machine in kept[:losses]:  # those that came back hold it and vote
             await machine.lose_power()
-        assert await described(lost[0]) == (3, "v3")
+        assert await describe_config(lost[0]) == (3, "v3")
 
     for seed in range(3):
         play(scene, seed, losses=losses)
@@ -114,7 +114,7 @@
         for machine in victims:
             await machine.lose_power()
             await machine.start()
-        await asyncio.sleep(CATCH_UP)
+        await asyncio.sleep(CATCH_UP_S)
         await ordered([*victims, *live], 4, 0.5)
         assert members(live[0]) >= {machine.address for machine in stay}
         assert len(members(live[0])) == 2 * losses + 1
@@ -129,11 +129,11 @@
         (leaver, *stay), spare = await founded(fleet)
         leaving = struck(fleet, step, leaver.lose_power, leaver.leave())
         await ordered([*stay, spare], 2, 1.0)
-        await asyncio.sleep(CATCH_UP)
+        await asyncio.sleep(CATCH_UP_S)
         await asyncio.wait([leaving])
         assert members(spare) == {machine.address for machine in (*stay, spare)}
         await stay[0].lose_power()
-        assert await described(spare) == (2, "v2")
+        assert await describe_config(spare) == (2, "v2")
         await ordered([spare], 3, 0.5)
 
     for step in STEPS:
@@ -156,10 +156,10 @@
         fleet.strikes = {}
         if hit.plane is None:
             await hit.start()
-        await asyncio.sleep(CATCH_UP)
+        await asyncio.sleep(CATCH_UP_S)
         assert members(spare) == {machine.address for machine in (*stay, spare)}
         await stay[victim % 2].lose_power()
-        assert await described(spare) == (2, "v2")
+        assert await describe_config(spare) == (2, "v2")
         await ordered([spare], 3, 0.5)
 
     for step in STEPS:
@@ -182,7 +182,7 @@
         await b.start()
         await asyncio.sleep(1)
         assert members(b) == {a.address, b.address, c.address}
-        assert await described(c) == (2, "v2")
+        assert await describe_config(c) == (2, "v2")
         await a.start()
         await asyncio.sleep(1)
         await ordered([a], 3, 0.5)
@@ -217,12 +217,12 @@
         assert spare.plane is not None and spare.plane._acceptor.state.state.config_version == 8
         await a.leave()
         await a.start()
-        await asyncio.sleep(CATCH_UP)
+        await asyncio.sleep(CATCH_UP_S)
         assert members(a) == members(spare) == {b.address, c.address, SPARE}
         await c.wipe()
-        await asyncio.sleep(CATCH_UP)
+        await asyncio.sleep(CATCH_UP_S)
         assert members(a) == {a.address, b.address, SPARE}
-        assert await described(a) == (8, "v8")
+        assert await describe_config(a) == (8, "v8")
 
     play(scene)
 
@@ -233,8 +233,8 @@
         leaving = asyncio.ensure_future(a.leave())
         await asyncio.sleep(0.6)
         assert a.address not in members(b) and a.operator is not None
-        assert await put(a, 2, "out") == 503 and await put(spare, 3, "in") == 200
-        assert (await described(a))[0] == 3  # it still answers what it can confirm
+        assert await replace_config(a, 2, "out") == 503 and await replace_config(spare, 3, "in") == 200
+        assert (await describe_config(a))[0] == 3  # it still answers what it can confirm
         await leaving
 
     play(scene)
--- a/tests/system/control/test_founding.py
+++ b/tests/system/control/test_founding.py
@@ -21,7 +21,7 @@
     Proposal,
     initial_state,
 )
-from tests.system.control.test_plane import FOURTH, described, put
+from tests.system.control.control_fleet import FOURTH, describe_config, replace_config
 
 A, B, C, D = "10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000", FOURTH
 
@@ -54,9 +54,9 @@
         await asyncio.sleep(3)
         for machine in machines:
             assert machine.plane is not None and set(machine.plane.members) == {A, B, C}
-        assert await put(machines[2], 1, "one") == 200
+        assert await replace_config(machines[2], 1, "one") == 200
         await machines[0].wipe()
-        assert await described(machines[1]) == (1, "one")
+        assert await describe_config(machines[1]) == (1, "one")
 
     play(scene)
 
@@ -74,8 +74,8 @@
     async def scene(fleet: Fleet) -> None:
         machines = await first_start(fleet, lists)
         await asyncio.sleep(5)
-        taken = {await put(machine, 1, machine.address) for machine in machines}
-        assert 200 not in taken or len({await described(machine) for machine in machines}) == 1
+        taken = {await replace_config(machine, 1, machine.address) for machine in machines}
+        assert 200 not in taken or len({await describe_config(machine) for machine in machines}) == 1
 
     play(scene)
     lines = [line for line in logged if "founded with" in line]
@@ -105,7 +105,7 @@
         await a.start(first=False, seeds=seeds)
         await asyncio.sleep(60)
         assert a.plane is not None and a.plane._acceptor.state.is_recovering is not founds
-        assert await put(a, 1, "alone") == (200 if founds else 503)
+        assert await replace_config(a, 1, "alone") == (200 if founds else 503)
 
     play(scene)
 
@@ -113,12 +113,12 @@
 def test_a_folder_older_than_what_the_others_know_has_no_vote(logged: list[str]) -> None:
     async def scene(fleet: Fleet) -> None:
         a, b, c = await fleet.found()
-        assert await put(a, 1, "one") == 200
+        assert await replace_config(a, 1, "one") == 200
         old = dict(a.disk.files)
         await a.wipe()
         await a.start()
         await asyncio.sleep(1)
-        assert await put(b, 2, "two") == 200
+        assert await replace_config(b, 2, "two") == 200
         await a.kill()
         a.disk.files = old
         await c.lose_power()  # the old folder and b would be a majority
@@ -128,7 +128,7 @@
         await c.start()
         await asyncio.sleep(1)
         assert a.plane._acceptor.state.incarnations[A] == 2
-        assert await described(a) == (2, "two")
+        assert await describe_config(a) == (2, "two")
 
     play(scene)
     assert sum("folder is old" in line for line in logged) == 1
@@ -137,7 +137,7 @@
 def test_a_folder_of_another_machine_or_cluster_has_no_vote(logged: list[str]) -> None:
     async def scene(fleet: Fleet, cluster: str) -> None:
         a, b, c = await fleet.found()
-        assert await put(a, 1, "one") == 200
+        assert await replace_config(a, 1, "one") == 200
         await c.kill()
         if cluster:
             node = fleet.node
@@ -146,14 +146,14 @@
             )
         else:
             c.disk.files = dict(b.disk.files)
-        assert await put(a, 2, "two") == 200
+        assert await replace_config(a, 2, "two") == 200
         fleet.isolate(C)
         await c.start()
         await asyncio.sleep(1)
         assert c.plane is not None and c.plane._acceptor.state.is_recovering
         fleet.cut.clear()
         await asyncio.sleep(2)
-        assert await described(c) == (2, "two") and c.plane._acceptor.state.incarnations[C] == 1
+        assert await describe_config(c) == (2, "two") and c.plane._acceptor.state.incarnations[C] == 1
 
     for cluster in ("", "another"):
         play(lambda fleet, cluster=cluster: scene(fleet, cluster))  # type: ignore[misc]
@@ -175,11 +175,11 @@
         await a.start(first=True, seeds=(A,))
         await b.start(first=False, seeds=(A,))
         await asyncio.sleep(2)
-        assert await put(a, 1, "one") == 200
+        assert await replace_config(a, 1, "one") == 200
         await asyncio.sleep(2)
         await a.wipe()
         await a.start(first=False, seeds=(B,))
         await asyncio.sleep(2)
-        assert await described(a) == (1, "one")
+        assert await describe_config(a) == (1, "one")
 
     play(scene, losses=0)
--- a/tests/system/control/test_many_changes.py
+++ b/tests/system/control/test_many_changes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
-from tests.system.control.test_plane import described, put
+from tests.system.control.control_fleet import describe_config, replace_config
 
 MOST_FILES = 8  # two generations and two contents, two files each, while the older ones are being removed
 
@@ -35,10 +35,10 @@
 def test_a_replica_that_missed_hundreds_of_changes_catches_up_and_may_lead(trouble) -> None:  # type: ignore[no-untyped-def]
     async def scene(fleet: Fleet) -> None:
         a, b, c = await fleet.found()
-        assert await put(a, 1) == 200
+        assert await replace_config(a, 1) == 200
         for version in range(2, 302):
             await trouble(fleet, c)
-            assert await put((a, b)[version % 2], version, str(version)) == 200
+            assert await replace_config((a, b)[version % 2], version, str(version)) == 200
             assert all(len(machine.disk.files) <= MOST_FILES for machine in (a, b, c))
         c.slow, c.disk.refuses = 2.0, False
         if c.plane is None:
@@ -49,7 +49,7 @@
         assert not held.is_recovering and held.state == a.plane._acceptor.state.state
         assert held.accepted == a.plane._acceptor.state.accepted
         await a.kill()  # a majority needs its vote from now on
-        assert await put(c, 400, "led") == 200 and await put(b, 399, "late") == 200
-        assert await described(b) == await described(c) == (400, "led")
+        assert await replace_config(c, 400, "led") == 200 and await replace_config(b, 399, "late") == 200
+        assert await describe_config(b) == await describe_config(c) == (400, "led")
 
     play(scene)
--- a/tests/system/control/test_one_number_one_content.py
+++ b/tests/system/control/test_one_number_one_content.py
@@ -14,7 +14,13 @@
 from hallhitch.planes.control.config_digests import REMEMBERED, OrderOutcome, canonical_digest, content_digest, outcome
 from hallhitch.planes.control.proposer import _Order
 from hallhitch.planes.control.register import INITIAL_BALLOT, AcceptorState, Ballot, Membership, Proposal, initial_state
-from tests.system.control.test_plane import call, described, put, word, zones
+from tests.system.control.control_fleet import (
+    call_operator,
+    config_body,
+    describe_config,
+    evacuated_zones,
+    replace_config,
+)
 
 NUMBER, STEPS = 7, 6  # three prepares and three accepts of one ballot
 CONTENTS = {"A": b"a", "B": b"b"}
@@ -82,7 +88,7 @@
     async def scene(fleet: Fleet) -> None:
         machines = await fleet.found()
         for version in (3, 5, 9, 12):
-            assert await put(machines[version % 3], version, f"first {version}") == 200
+            assert await replace_config(machines[version % 3], version, f"first {version}") == 200
         for restarted in (False, True):
             for machine in machines:
                 if restarted:
@@ -90,13 +96,13 @@
                     await machine.start()
                     await asyncio.sleep(3)
                 for version in (3, 5, 9, 12):
-                    status, answer = await call(machine, "config.replace", _sent(version, f"first {version}"))
+                    status, answer = await call_operator(machine, "config.replace", _sent(version, f"first {version}"))
                     assert (status, answer["outcome"], answer["configVersion"]) == (200, "recorded", 12)
-                    status, answer = await call(machine, "config.replace", _sent(version, "another"))
+                    status, answer = await call_operator(machine, "config.replace", _sent(version, "another"))
                     assert status == 409 and answer["configVersion"] == 12
-                status, answer = await call(machine, "config.replace", _sent(7, "never seen"))
+                status, answer = await call_operator(machine, "config.replace", _sent(7, "never seen"))
                 assert (status, answer["outcome"], answer["configVersion"]) == (200, "superseded", 12)
-                assert await described(machine) == (12, "first 12")
+                assert await describe_config(machine) == (12, "first 12")
 
     play(scene)
 
@@ -107,13 +113,15 @@
     async def scene(fleet: Fleet) -> None:
         machines = await fleet.found()
         for version in range(1, 30):
-            first = asyncio.ensure_future(put(machines[version % 3], version, "mine"))
+            first = asyncio.ensure_future(replace_config(machines[version % 3], version, "mine"))
             await asyncio.sleep(fleet.rng.random() / 80)
             first.cancel()
-            other = put(machines[(version + 1) % 3], version, "other")
-            statuses = await asyncio.gather(put(machines[(version + 2) % 3], version, "mine"), other)
+            other = replace_config(machines[(version + 1) % 3], version, "other")
+            statuses = await asyncio.gather(replace_config(machines[(version + 2) % 3], version, "mine"), other)
             assert sorted(statuses) == [200, 409]
-            repeated = [await put(machine, version, mark) for mark in ("mine", "other") for machine in machines]
+            repeated = [
+                await replace_config(machine, version, mark) for mark in ("mine", "other") for machine in machines
+            ]
             assert repeated == [statuses[0]] * 3 + [statuses[1]] * 3
 
     for seed in range(4):
@@ -122,7 +130,7 @@
 
 def _sent(version: int, mark: str) -> bytes:
     """What `put` sends, written another way."""
-    return json.dumps(json.loads(word(version, mark)), indent=version % 3, sort_keys=True).encode()
+    return json.dumps(json.loads(config_body(version, mark)), indent=version % 3, sort_keys=True).encode()
 
 
 @pytest.mark.parametrize(
@@ -168,7 +176,7 @@
 
     async def scene(fleet: Fleet) -> None:
         a, b, _ = await fleet.found()
-        assert await put(a, 1) == 200 and a.plane is not None
+        assert await replace_config(a, 1) == 200 and a.plane is not None
         fifth = state_transitions.add("10.0.0.5:7000", a.plane._proposer.settled)
         a.plane._proposer.settled = Membership()
         after, _ = await asyncio.gather(a.plane.change(state_transitions.put(2, b"x"), 800), a.plane.change(fifth, 800))
@@ -185,14 +193,14 @@
     async def scene(fleet: Fleet) -> None:
         a, b, _ = await fleet.found()
         await asyncio.sleep(1)
-        started = asyncio.ensure_future(call(a, "evacuations.start&of=viti-a"))
+        started = asyncio.ensure_future(call_operator(a, "evacuations.start&of=viti-a"))
         await asyncio.sleep(step * 0.0004)
         fleet.loop.skip.at += 30
-        while (await call(b, "evacuations.stop&of=viti-a"))[0] != 200:
+        while (await call_operator(b, "evacuations.stop&of=viti-a"))[0] != 200:
             await asyncio.sleep(0.1)
         assert (await started)[0] in (200, 503)
         await asyncio.sleep(3)
-        assert await zones(a) == await zones(b) == set()
+        assert await evacuated_zones(a) == await evacuated_zones(b) == set()
 
     play(scene)
 
@@ -218,18 +226,20 @@
         for turn in range(10):
             for name, expected in (("start", {"viti-a"}), ("stop", set[str]())):
                 given_up = [
-                    asyncio.ensure_future(call(machine, f"evacuations.{name}&of=viti-a")) for machine in machines[:2]
+                    asyncio.ensure_future(call_operator(machine, f"evacuations.{name}&of=viti-a"))
+                    for machine in machines[:2]
                 ]
                 await asyncio.sleep(fleet.rng.random() / 100)
                 for one in given_up:
                     one.cancel()
                 again = (
-                    call(machine, f"evacuations.{name}&of=viti-a") for machine in (machines[2], machines[turn % 2])
+                    call_operator(machine, f"evacuations.{name}&of=viti-a")
+                    for machine in (machines[2], machines[turn % 2])
                 )
                 assert [status for status, _ in await asyncio.gather(*again)] == [200, 200]
-                assert await zones(machines[turn % 3]) == expected
+                assert await evacuated_zones(machines[turn % 3]) == expected
             await asyncio.sleep(3)
-            assert await zones(machines[turn % 3]) == set()
+            assert await evacuated_zones(machines[turn % 3]) == set()
 
     for seed in range(4):
         play(scene, seed)
--- a/tests/system/control/test_plane.py
+++ b/tests/system/control/test_plane.py
@@ -3,77 +3,32 @@
 from __future__ import annotations
 
 import asyncio
-import json
 from pathlib import Path
-from typing import Any
 
 import pytest
 
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play, settings
 from hallhitch.messages.system_pb2 import ClusterState, Envelope
 from hallhitch.node.errors import RequestTimeout
-from hallhitch.node.settings import RuleBounds
 from hallhitch.planes.control.operator_api import Operator
 from hallhitch.planes.control.plane import ControlPlane
-
-CATCH_UP = RuleBounds().catch_up_ms / 1000  # s, after which a machine that was exchanged is no longer lost
-FOURTH, FIFTH, SPARE = "10.0.0.4:7000", "10.0.0.5:7000", "10.0.0.6:7000"
-
-
-def word(version: int, mark: str = "", routes: int = 1) -> bytes:
-    """A configuration."""
-    return json.dumps(
-        {
-            "configVersion": version,
-            "mark": mark,
-            "services": {"s": {}},
-            "limits": {},
-            "routes": {
-                f"r-{n}": {
-                    "host": "a.example",
-                    "pathPrefix": f"/{n}/",
-                    "routeKind": "idempotent",
-                    "timeout": "3s",
-                    "maxAttempts": 1,
-                    "targetService": "s",
-                }
-                for n in range(routes)
-            },
-        }
-    ).encode()
-
-
-async def call(machine: Machine, name: str, body: bytes = b"", method: str = "POST") -> tuple[int, Any]:
-    """Status and body of one call."""
-    assert machine.operator is not None
-    status, headers, answer = await machine.operator.call(method, f"/hallhitch/rpc?call={name}", body)
-    assert headers["Content-Type"] == "application/json"
-    return status, json.loads(answer)
-
-
-async def put(machine: Machine, version: int, mark: str = "", routes: int = 1) -> int:
-    """The status of an order."""
-    return (await call(machine, "config.replace", word(version, mark, routes)))[0]
-
-
-async def described(machine: Machine) -> tuple[int, str]:
-    """What is read back."""
-    status, body = await call(machine, "config.describe")
-    assert status == 200, body
-    return body["configVersion"], body["mark"]
-
-
-async def zones(machine: Machine) -> set[str]:
-    """The evacuated zones, as the register has them."""
-    assert machine.plane is not None
-    value = await machine.plane.change(lambda held: held, 2000)
-    return set(value.evacuations)
+from tests.system.control.control_fleet import (
+    CATCH_UP_S,
+    FIFTH,
+    FOURTH,
+    SPARE,
+    call_operator,
+    config_body,
+    describe_config,
+    evacuated_zones,
+    replace_config,
+)
 
 
 def test_a_calm_day() -> None:
     async def scene(fleet: Fleet) -> None:
         a, b, c = await fleet.found()
-        assert (await call(a, "config.describe"))[0] == 503
+        assert (await call_operator(a, "config.describe"))[0] == 503
         for machine, version, mark, status in (
             (a, 7, "first", 200),
             (b, 7, "second", 409),
@@ -81,23 +36,23 @@
             (c, 6, "old", 200),
             (b, 9, "new", 200),
         ):
-            assert await put(machine, version, mark) == status
+            assert await replace_config(machine, version, mark) == status
         began = fleet.clock()
-        assert await put(c, 12, "newest", routes=50) == 200
+        assert await replace_config(c, 12, "newest", routes=50) == 200
         assert fleet.clock() - began < 40
         for machine in (a, b, c):
-            assert await described(machine) == (12, "newest")
-        assert (await call(a, "evacuations.start&of=viti-a"))[1]["evacuations"] == ["viti-a"]
-        assert (await call(b, "evacuations.start&of=viti-a"))[0] == 200
-        assert (await call(c, "evacuations.stop&of=viti-a"))[1]["evacuations"] == []
-        assert (await call(c, "evacuations.stop&of=viti-b"))[0] == 200
+            assert await describe_config(machine) == (12, "newest")
+        assert (await call_operator(a, "evacuations.start&of=viti-a"))[1]["evacuations"] == ["viti-a"]
+        assert (await call_operator(b, "evacuations.start&of=viti-a"))[0] == 200
+        assert (await call_operator(c, "evacuations.stop&of=viti-a"))[1]["evacuations"] == []
+        assert (await call_operator(c, "evacuations.stop&of=viti-b"))[0] == 200
         await asyncio.sleep(5)
         for machine in (a, b, c):
             assert machine.plane is not None and machine.plane.committed_state.serial == 5
             serials = [value.serial for value in machine.told]
             assert serials == sorted(set(serials)) and serials[-1] == 5
             assert len(machine.disk.files) == 4
-        assert await put(a, 13, "x", routes=3000) == 200
+        assert await replace_config(a, 13, "x", routes=3000) == 200
 
     play(scene)
 
@@ -121,7 +76,7 @@
 def test_what_is_no_proper_call(name: str, body: bytes, method: str, status: int) -> None:
     async def scene(fleet: Fleet) -> None:
         machine, *_ = await fleet.found()
-        answer, error = await call(machine, name, body, method)
+        answer, error = await call_operator(machine, name, body, method)
         assert answer == status and error["errorMessage"]
         assert machine.plane is not None and machine.plane.committed_state.serial == 0
 
@@ -131,12 +86,14 @@
 def test_two_operators_race_with_one_version() -> None:
     async def scene(fleet: Fleet) -> None:
         a, b, c = await fleet.found()
-        assert await put(a, 1) == 200
+        assert await replace_config(a, 1) == 200
         for version in range(2, 7):
-            answers = await asyncio.gather(put(a, version, "a"), put(b, version, "b"), put(c, version - 1, "old"))
+            answers = await asyncio.gather(
+                replace_config(a, version, "a"), replace_config(b, version, "b"), replace_config(c, version - 1, "old")
+            )
             assert sorted(answers[:2]) == [200, 409] and answers[2] == 409  # that number was taken by another as well
             winner = "ab"[answers.index(200)]
-            assert {await described(machine) for machine in (a, b, c)} == {(version, winner)}
+            assert {await describe_config(machine) for machine in (a, b, c)} == {(version, winner)}
         await asyncio.sleep(5)
         marks: dict[int, set[bytes]] = {}
         for machine in (a, b, c):
@@ -152,10 +109,12 @@
 def test_disks_lost_right_after_an_acknowledgement(power: bool) -> None:
     async def scene(fleet: Fleet) -> None:
         machines = await fleet.found(*([FOURTH, FIFTH] if fleet.losses == 2 else []))
-        assert await put(fleet.rng.choice(machines), 1) == 503 or fleet.losses == 1  # not before there are five
+        assert (
+            await replace_config(fleet.rng.choice(machines), 1) == 503 or fleet.losses == 1
+        )  # not before there are five
         await asyncio.sleep(3)
         fleet.rng.shuffle(machines)
-        calls = put(machines[0], 5, "kept"), call(machines[1], "evacuations.start&of=viti-b")
+        calls = replace_config(machines[0], 5, "kept"), call_operator(machines[1], "evacuations.start&of=viti-b")
         assert await calls[0] == 200 and (await calls[1])[0] == 200
         for at, machine in enumerate(machines):
             if at < fleet.losses:
@@ -169,7 +128,7 @@
         await asyncio.sleep(2)
         for machine in machines:  # nobody asked: each has found out by itself
             assert machine.plane is not None and machine.plane.committed_state.config_version == 5
-            assert await described(machine) == (5, "kept") and await zones(machine) == {"viti-b"}
+            assert await describe_config(machine) == (5, "kept") and await evacuated_zones(machine) == {"viti-b"}
         for machine in machines[: fleet.losses]:  # and it votes again: others may go now
             assert not machine.plane._acceptor.state.is_recovering  # type: ignore[union-attr]
 
@@ -181,22 +140,22 @@
 def test_a_cut_core_acknowledges_on_the_side_of_the_majority_alone() -> None:
     async def scene(fleet: Fleet) -> None:
         a, b, c = await fleet.found()
-        assert await put(a, 1, "one") == 200
+        assert await replace_config(a, 1, "one") == 200
         fleet.isolate(a.address)
         began = fleet.clock()
-        assert await put(a, 9, "never") == 503 and fleet.clock() - began < 900
+        assert await replace_config(a, 9, "never") == 503 and fleet.clock() - began < 900
         began = fleet.clock()
-        assert (await call(a, "config.describe"))[0] == 503 and fleet.clock() - began < 900
-        assert (await call(a, "evacuations.start&of=viti-a"))[0] == 503
-        assert await put(b, 2, "two") == 200
-        assert (await call(a, "config.describe"))[0] == 503  # it would tell what is no longer in force
-        assert await described(b) == (2, "two")
-        assert (await call(b, "evacuations.start&of=viti-a"))[0] == 200
-        assert (await call(c, "evacuations.stop&of=viti-a"))[0] == 200
+        assert (await call_operator(a, "config.describe"))[0] == 503 and fleet.clock() - began < 900
+        assert (await call_operator(a, "evacuations.start&of=viti-a"))[0] == 503
+        assert await replace_config(b, 2, "two") == 200
+        assert (await call_operator(a, "config.describe"))[0] == 503  # it would tell what is no longer in force
+        assert await describe_config(b) == (2, "two")
+        assert (await call_operator(b, "evacuations.start&of=viti-a"))[0] == 200
+        assert (await call_operator(c, "evacuations.stop&of=viti-a"))[0] == 200
         fleet.cut.clear()
         await asyncio.sleep(4)
         # What was given up on the one side does not come back from there.
-        assert await described(a) == (2, "two") and await zones(a) == set()
+        assert await describe_config(a) == (2, "two") and await evacuated_zones(a) == set()
         assert a.plane is not None and a.plane.committed_state == b.plane.committed_state  # type: ignore[union-attr]
 
     play(scene)
@@ -207,9 +166,9 @@
         a, *_ = await fleet.found()
         await asyncio.sleep(1)
         fleet.loop.skip.at += 30
-        assert (await call(a, "evacuations.start&of=viti-a"))[0] == 503
+        assert (await call_operator(a, "evacuations.start&of=viti-a"))[0] == 503
         await asyncio.sleep(2)
-        assert (await call(a, "evacuations.start&of=viti-a"))[0] == 200
+        assert (await call_operator(a, "evacuations.start&of=viti-a"))[0] == 200
 
     play(scene)
 
@@ -219,12 +178,12 @@
         a, b, _ = await fleet.found()
         await asyncio.sleep(1)
         fleet.isolate(a.address)
-        order = asyncio.ensure_future(call(a, "evacuations.start&of=viti-a"))
+        order = asyncio.ensure_future(call_operator(a, "evacuations.start&of=viti-a"))
         await asyncio.sleep(0.2)
         order.cancel()
         fleet.cut.clear()
         await asyncio.sleep(3)
-        assert await zones(b) == set()
+        assert await evacuated_zones(b) == set()
 
     play(scene)
 
@@ -232,23 +191,23 @@
 def test_disks_in_trouble() -> None:
     async def scene(fleet: Fleet) -> None:
         a, b, c = await fleet.found()
-        assert await put(a, 1, "one") == 200
+        assert await replace_config(a, 1, "one") == 200
         a.slow = 6000
-        assert await put(a, 2, "two") == 200 and await put(b, 3, "three") == 200
+        assert await replace_config(a, 2, "two") == 200 and await replace_config(b, 3, "three") == 200
         b.slow = 6000
         began = fleet.clock()
-        assert await put(c, 4, "four") == 503 and fleet.clock() - began < 900
+        assert await replace_config(c, 4, "four") == 503 and fleet.clock() - began < 900
         for machine in (a, b, c):
-            assert (await described(machine))[0] == 3  # reading goes on
+            assert (await describe_config(machine))[0] == 3  # reading goes on
         a.slow = b.slow = 2
         await asyncio.sleep(15)
         a.disk.refuses = b.disk.refuses = True
-        assert await put(c, 5, "five") == 503
-        assert (await described(a))[0] >= 3
+        assert await replace_config(c, 5, "five") == 503
+        assert (await describe_config(a))[0] >= 3
         a.disk.refuses = False
         await asyncio.sleep(1)
-        assert await put(b, 6, "six") == 200
-        assert await described(a) == (6, "six")
+        assert await replace_config(b, 6, "six") == 200
+        assert await describe_config(a) == (6, "six")
         b.disk.refuses = False
         await asyncio.sleep(3)
         # A start on a disk that hangs: nothing is promised, and nothing is lost.
@@ -256,7 +215,7 @@
         a.slow = 3000
         await a.start()
         assert a.plane is not None and a.plane._acceptor.state.is_recovering
-        assert await described(a) == (6, "six")
+        assert await describe_config(a) == (6, "six")
         await asyncio.sleep(5)
         assert not a.plane._acceptor.state.is_recovering
 
@@ -266,22 +225,22 @@
 def test_machines_are_exchanged() -> None:
     async def scene(fleet: Fleet) -> None:
         a, b, c = await fleet.found()
-        assert await put(a, 1, "one") == 200
+        assert await replace_config(a, 1, "one") == 200
         await a.wipe()
         spare = fleet.add(SPARE)
         await spare.start(seeds=(b.address, c.address, SPARE))
-        await asyncio.sleep(CATCH_UP)
+        await asyncio.sleep(CATCH_UP_S)
         assert spare.plane is not None and set(spare.plane.members) == {b.address, c.address, SPARE}
-        assert await put(spare, 2, "two") == 200
+        assert await replace_config(spare, 2, "two") == 200
         await b.wipe()  # the second loss, as soon as the first no longer counts
-        assert await described(spare) == (2, "two") and await put(c, 3, "three") == 200
+        assert await describe_config(spare) == (2, "two") and await replace_config(c, 3, "three") == 200
         await asyncio.sleep(60)
         assert b.address in spare.plane.members  # no fewer than the losses to be borne need
         await a.start(seeds=(c.address, SPARE))  # comes back after all, with nothing
-        await asyncio.sleep(CATCH_UP)
+        await asyncio.sleep(CATCH_UP_S)
         assert set(spare.plane.members) == {a.address, c.address, SPARE}
         await c.wipe()
-        assert await described(a) == (3, "three")
+        assert await describe_config(a) == (3, "three")
 
     play(scene)
 
@@ -300,7 +259,9 @@
         await plane.start()
         await plane.look(1000)
         found = plane.committed_state.config_version
-        status, _, _ = await Operator(node, plane).call("POST", "/hallhitch/rpc?call=config.replace", word(version))
+        status, _, _ = await Operator(node, plane).call(
+            "POST", "/hallhitch/rpc?call=config.replace", config_body(version)
+        )
         assert status == 200 and heard[-1].config_version == version
         await plane.stop()
         return found, len(list((tmp_path / "data").iterdir()))
@@ -321,7 +282,7 @@
             version += rng.randrange(2)
             live = [machine for machine in machines if machine.plane is not None]
             orders = [(version + rng.randrange(2), f"{turn}.{n}", rng.choice(live)) for n in range(2)]
-            tasks = [asyncio.ensure_future(put(machine, number, mark)) for number, mark, machine in orders]
+            tasks = [asyncio.ensure_future(replace_config(machine, number, mark)) for number, mark, machine in orders]
             await asyncio.sleep(rng.random() / 20)
             if spoilt is None and rng.random() < 0.4:
                 spoilt = rng.choice(machines)
@@ -349,7 +310,7 @@
                 await asyncio.sleep(8)
                 spoilt = None
             reader = rng.choice([machine for machine in machines if machine.plane and machine is not spoilt])
-            status, body = await call(reader, "config.describe")
+            status, body = await call_operator(reader, "config.describe")
             if acknowledged:
                 assert status == 200 and body["configVersion"] >= acknowledged
                 contents.setdefault(body["configVersion"], set()).add(body["mark"])
--- a/tests/system/control/test_reads.py
+++ b/tests/system/control/test_reads.py
@@ -7,7 +7,7 @@
 from hallhitch.lab.simulation.coordinators import Fleet, play
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.planes.control import state_transitions
-from tests.system.control.test_plane import put
+from tests.system.control.control_fleet import replace_config
 
 
 def test_a_read_does_not_join_a_ballot_whose_promises_may_be_older() -> None:
@@ -15,7 +15,7 @@
 
     async def scene(fleet: Fleet) -> None:
         reader, helper, writer = await fleet.found()
-        assert await put(writer, 1, "old") == 200
+        assert await replace_config(writer, 1, "old") == 200
         await asyncio.sleep(1)
         assert reader.plane is not None and helper.plane is not None
         handle, arrived, held = helper.plane.handle, asyncio.Event(), asyncio.Event()
@@ -37,7 +37,7 @@
         first = asyncio.ensure_future(reader.plane.change(state_transitions.identity, 800))
         await arrived.wait()
         helper.plane.handle = handle  # type: ignore[method-assign]
-        assert await put(writer, 2, "new") == 200
+        assert await replace_config(writer, 2, "new") == 200
         second = asyncio.ensure_future(reader.plane.change(state_transitions.identity, 800))
         await asyncio.sleep(0)
         held.set()
--- a/tests/system/control/test_serving.py
+++ b/tests/system/control/test_serving.py
@@ -13,7 +13,7 @@
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.control.register import Ballot, Membership
 from hallhitch.planes.control.serving_lease import NEVER_CONFIRMED, ConfirmingRead, ServingLease
-from tests.system.control.test_plane import call, described, put
+from tests.system.control.control_fleet import call_operator, describe_config, replace_config
 
 TURN = 1.0  # ms: what one step of the virtual loop may add
 
@@ -75,7 +75,7 @@
 
     async def scene(fleet: Fleet) -> None:
         a, b, c = await fleet.found()
-        assert await put(a, 1) == 200
+        assert await replace_config(a, 1) == 200
         await asyncio.sleep(fleet.rng.uniform(1, 3))
         plane, lease = plane_of(a), plane_of(a).lease
         others = {one for one in fleet.machines if one != a.address}
@@ -84,7 +84,7 @@
         if ways != "in":
             fleet.one_way |= {(a.address, one) for one in others}
         await asyncio.sleep(fleet.rng.uniform(0, 0.05))
-        assert await put(b, 2) == 200
+        assert await replace_config(b, 2) == 200
         acknowledged = fleet.clock()
         spoke = 0.0
         while fleet.clock() < acknowledged + 2 * lease.length:
@@ -102,13 +102,13 @@
 def test_one_that_was_frozen_and_speaks_first_finds_itself_out_of_date() -> None:
     async def scene(fleet: Fleet) -> None:
         a, *_ = await fleet.found()
-        assert await put(a, 1) == 200
+        assert await replace_config(a, 1) == 200
         await asyncio.sleep(3)
         assert plane_of(a).has_quorum_contact
         fleet.isolate(a.address)
         fleet.loop.skip.at += 20  # no task has run since
         assert not plane_of(a).has_quorum_contact and plane_of(a).lease.age(fleet.clock()) >= 20_000
-        assert (await call(a, "config.describe"))[0] == 503
+        assert (await call_operator(a, "config.describe"))[0] == 503
 
     play(scene)
 
@@ -116,15 +116,19 @@
 def test_without_contact_callers_are_sent_on_at_once() -> None:
     async def scene(fleet: Fleet) -> None:
         a, b, _ = await fleet.found()
-        assert await put(a, 1) == 200
+        assert await replace_config(a, 1) == 200
         fleet.isolate(a.address)
         await asyncio.sleep(5)
-        for order in (put(a, 9), call(a, "config.describe"), call(a, "evacuations.start&of=viti-a")):
+        for order in (
+            replace_config(a, 9),
+            call_operator(a, "config.describe"),
+            call_operator(a, "evacuations.start&of=viti-a"),
+        ):
             began = fleet.clock()
             answer = await order
             assert (answer if isinstance(answer, int) else answer[0]) == 503
             assert fleet.clock() - began <= QUICK + TURN
-        assert await described(b) == (1, "")
+        assert await describe_config(b) == (1, "")
 
     play(scene)
 
@@ -133,12 +137,12 @@
     async def scene(fleet: Fleet) -> None:
         a, *_ = await fleet.found()
         await asyncio.sleep(3)
-        assert await put(a, 1) == 200
+        assert await replace_config(a, 1) == 200
         fleet.isolate(a.address)
         await asyncio.sleep(fleet.rng.uniform(1, 6))
         fleet.cut.clear()
         began = fleet.clock()
-        assert (await call(a, "evacuations.start&of=viti-a"))[0] == 200 and fleet.clock() - began < 100
+        assert (await call_operator(a, "evacuations.start&of=viti-a"))[0] == 200 and fleet.clock() - began < 100
 
     for seed in range(30):
         play(scene, seed)
@@ -147,15 +151,15 @@
 def test_a_cut_that_ends_with_two_orders_at_once() -> None:
     async def scene(fleet: Fleet) -> None:
         a, b, _ = await fleet.found()
-        assert await put(a, 1, "one") == 200
+        assert await replace_config(a, 1, "one") == 200
         fleet.isolate(a.address)
-        assert await put(b, 2, "two") == 200
+        assert await replace_config(b, 2, "two") == 200
         await asyncio.sleep(fleet.rng.uniform(0.5, 20))
         fleet.cut.clear()
         began = fleet.clock()
-        answers = await asyncio.gather(put(a, 3, "three"), call(b, "evacuations.start&of=viti-a"))
+        answers = await asyncio.gather(replace_config(a, 3, "three"), call_operator(b, "evacuations.start&of=viti-a"))
         assert answers[0] == 200 and answers[1][0] == 200 and fleet.clock() - began < 1000
-        assert await described(a) == await described(b) == (3, "three")
+        assert await describe_config(a) == await describe_config(b) == (3, "three")
 
     for seed in range(8):
         play(scene, seed)
@@ -174,7 +178,7 @@
         watching = asyncio.ensure_future(watch(fleet, machines))
         if delay < 100:  # an order takes four ways, and its caller waits for less than a second
             for version in range(1, 40):
-                assert await put(fleet.rng.choice(machines), version) == 200
+                assert await replace_config(fleet.rng.choice(machines), version) == 200
         await asyncio.sleep(5)
         if delay < 100:  # two rounds of one machine are lost, and the answers come over long ways
             fleet.isolate(machines[0].address)
@@ -191,9 +195,9 @@
 def test_a_process_that_has_just_started_speaks_only_after_a_confirmed_read() -> None:
     async def scene(fleet: Fleet) -> None:
         a, b, c = await fleet.found()
-        assert await put(a, 1) == 200
+        assert await replace_config(a, 1) == 200
         await a.kill()
-        assert await put(b, 2) == 200
+        assert await replace_config(b, 2) == 200
         await b.kill()
         await c.kill()
         await a.start()  # its own disk alone: version 1
