--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -372,7 +372,7 @@
     def __init__(self) -> None:
         self.planes: dict[str, ControlPlane] = {}
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         plane = self.planes.get(address)
         answer = plane.handle(envelope) if plane is not None else None
         if answer is None:
--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -29,7 +29,7 @@
 
 from benchmarks.capacity_slopes import backend, config, slopes, table
 from benchmarks.resident import resident
-from hallhitch.messages.link import Links
+from hallhitch.messages.peer_links import PeerLinks
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node import logs
 from hallhitch.node.clock import now
@@ -138,7 +138,7 @@
             listen_addresses={},
         )
         self.incarnation = random.getrandbits(60) + 1
-        self.links = Links(node.cluster_name, self._handle)
+        self.links = PeerLinks(node.cluster_name, self._handle)
         self.hub = StateHub(self.incarnation)
         self.follower = GatewaySync(self.links, self.hub, self._own, node.seed_addresses)
         self.quota = QuotaPlane(self.node, self.links)
@@ -254,8 +254,8 @@
             "evacuated": all("zone-1" in h.config.evacuated_zones for h in hollows),
             "drained": all((e := h.hub.backends.get(drains)) is not None and e.draining for h in hollows),
             "own": time.process_time(),
-            "sent": sum(one.sent for one in traffic),
-            "received": sum(one.received for one in traffic),
+            "sent": sum(one.bytes_sent for one in traffic),
+            "received": sum(one.bytes_received for one in traffic),
             "grown": resident() - bare,
             "frames": sum(one.frames_sent + one.frames_received for one in traffic),
         }
--- a/hallhitch/lab/simulation/coordinators.py
+++ b/hallhitch/lab/simulation/coordinators.py
@@ -150,7 +150,7 @@
         self._incarnation = object()
         machine_incarnation[machine] = self._incarnation
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         """One call over ways that may be cut."""
         fleet, own = self._fleet, self._machine.address
         written = envelope.SerializeToString()
@@ -158,7 +158,7 @@
         fleet.calls += 1
         fleet.bytes += len(written)
         try:
-            async with asyncio.timeout(wait / 1000):
+            async with asyncio.timeout(timeout_ms / 1000):
                 await fleet.way(own, address, len(written))
                 other = fleet.machines.get(address)
                 if other is None or other.plane is None:
--- a/hallhitch/lab/simulation/network.py
+++ b/hallhitch/lab/simulation/network.py
@@ -16,7 +16,7 @@
 
 from hallhitch.lab.simulation.process_loop import ProcessLoop
 
-UNHEARD = 2.5  # s without an acknowledgement after which a kernel gives a connection up, as messages.link asks for
+UNHEARD = 2.5  # s without an acknowledgement after which a kernel gives a connection up (messages.connection)
 SYN_AGAIN = 1.0  # s between tries of a kernel to connect
 Blocks = Callable[[str, str], bool]  # whether nothing gets from this host to that one
 
--- a/hallhitch/lab/simulation/world.py
+++ b/hallhitch/lab/simulation/world.py
@@ -24,7 +24,7 @@
 from hallhitch.lab.simulation.network import Network
 from hallhitch.lab.simulation.operators import Operator, Versions
 from hallhitch.lab.simulation.process_loop import ProcessLoop
-from hallhitch.messages.link import Links
+from hallhitch.messages.peer_links import PeerLinks
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node import clock as node_clock
 from hallhitch.node.settings import NodeSettings, RuleBounds
@@ -176,9 +176,9 @@
     return lambda: loop.time() * 1000
 
 
-def connect(cluster: str, address: str, incarnation: int, handler: Any) -> Links:
+def connect(cluster: str, address: str, incarnation: int, handler: Any) -> PeerLinks:
     """The links of service."""
-    return Links(cluster, handler, address, incarnation)
+    return PeerLinks(cluster, handler, address, incarnation)
 
 
 class World:
--- a/hallhitch/lab/system/clients.py
+++ b/hallhitch/lab/system/clients.py
@@ -19,7 +19,7 @@
 from hallhitch.lab.system.owners import Address
 from hallhitch.lab.system.paths import CLIENTS, Paths, region_of
 from hallhitch.lab.system.records import Records, Try
-from hallhitch.messages.link import split
+from hallhitch.messages.addressing import split_address
 from hallhitch.node.clock import now
 from hallhitch.node.settings import parse_duration_ms
 
@@ -211,7 +211,7 @@
         return None
 
     async def _open(self, address: str) -> _Kept | None:
-        host, port = split(address)
+        host, port = split_address(address)
         try:
             async with asyncio.timeout(COMES_UP / 1000):
                 await self._way(address, True, 0.0)
--- a/hallhitch/lab/system/world.py
+++ b/hallhitch/lab/system/world.py
@@ -27,7 +27,7 @@
 from hallhitch.lab.system.relay import End, Relays
 from hallhitch.lab.system.rig import BACKEND, CONTROL, DIRECTORY, FRONT, INTERNAL, LIST, PORTS, READY, Machine, Rig
 from hallhitch.lab.system.shape import Shape, configuration
-from hallhitch.messages.link import split
+from hallhitch.messages.addressing import split_address
 from hallhitch.node.clock import now
 
 FIRST_PORT, LAST_PORT = 12_000, 31_000
@@ -284,7 +284,7 @@
 
 async def get(address: Address | str, target: str) -> tuple[int, bytes]:
     """One GET on a connection of its own: status and body."""
-    host, port = split(address) if isinstance(address, str) else address
+    host, port = split_address(address) if isinstance(address, str) else address
     reader, writer = await asyncio.open_connection(host, port)
     try:
         writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n\r\n".encode())
--- a/hallhitch/messages/__init__.py
+++ b/hallhitch/messages/__init__.py
@@ -1,1 +1,1 @@
-"""What the system's own processes say to each other: the schema, and its framing over TCP."""
+"""Messages between the processes of the system: the protobuf schema, framing, and calls over TCP."""
--- a/hallhitch/messages/addressing.py
+++ b/hallhitch/messages/addressing.py
@@ -1,117 +1,83 @@
-"""For whom an envelope is, from whom, and whether it came before: decisions without I/O and without a clock.
+"""Sender and recipient of an envelope: how they are written, and which envelopes a process accepts. No I/O, no clock.
 
 Invariants:
-- Addressee. A process serves only what names no other address and no other incarnation than its own.
-- Answerer. A caller takes an answer only from the process that it called, on the connection of the call.
-- Once. Of one sender's calls a process serves each number at most once: a sender's numbers grow, in each lane of the
-  stream (whole envelopes, envelopes in pieces), and only what is above all that came before is served.
+- RECIPIENT: a process handles a call only if it names no address and no incarnation other than the process's own.
+- REPLIER: a caller accepts a reply only from the process that it called, on the connection of the call.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+import hashlib
 from dataclasses import dataclass
 
-from hallhitch.messages.frames import Rejection
+from hallhitch.messages.errors import Rejection
 from hallhitch.messages.system_pb2 import Envelope
 
-REMEMBERED = 60_000.0  # ms for which a silent sender's numbers are kept: no machine sends a given-up frame for so long
+
+def cluster_id(cluster_name: str) -> int:
+    """Return the number by which envelopes name their cluster, derived from its name."""
+    return int.from_bytes(hashlib.sha256(b"hallhitch 1 " + cluster_name.encode()).digest()[:8], "big") >> 1
+
+
+def split_address(address: str) -> tuple[str, int]:
+    """Return host and port of `host:port`.
+
+    Raises:
+        ValueError: the port is no number.
+    """
+    host, _, port = address.rpartition(":")
+    return host, int(port)
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """One process. An address of "" or an incarnation of 0 is not known, and agrees with any."""
+    """Address and incarnation of one process. An address of "" or an incarnation of 0 is unknown and matches any."""
 
     address: str = ""
     incarnation: int = 0
 
-    def differs(self, address: str, incarnation: int) -> Rejection | None:
-        """Why this process cannot be the one named; None: it can."""
+    def mismatch(self, address: str, incarnation: int) -> Rejection | None:
+        """Return why this process is not the one that is named, None if it may be."""
         if address and self.address and address != self.address:
-            return Rejection.OTHER_ADDRESS
+            return Rejection.WRONG_RECIPIENT_ADDRESS
         if incarnation and self.incarnation and incarnation != self.incarnation:
-            return Rejection.OTHER_INCARNATION
+            return Rejection.WRONG_RECIPIENT_INCARNATION
         return None
 
 
-def address_call(envelope: Envelope, own: Identity, peer: Identity) -> None:
-    """Write into a call for whom it is and from whom: the address until the incarnation is known, which says more.
+def address_call(call: Envelope, own: Identity, peer: Identity) -> None:
+    """Set sender and recipient of a call: the recipient's incarnation, its address while that is unknown.
 
-    A caller that means one incarnation in particular has named it already.
+    A recipient incarnation that the caller has set already is kept.
     """
-    envelope.sender_incarnation = own.incarnation
-    if not envelope.recipient_incarnation:
-        envelope.recipient_incarnation = peer.incarnation
-    if not envelope.recipient_incarnation:
-        envelope.recipient = peer.address
-
-
-def address_answer(answer: Envelope, call: Envelope, own: Identity) -> None:
-    """Write into an answer whose it is; a caller that does not know the incarnation is told the address as well."""
-    answer.call_id, answer.is_reply = call.call_id, True
-    answer.recipient_incarnation = call.sender_incarnation
-    answer.sender_incarnation = own.incarnation
+    call.sender_incarnation = own.incarnation
     if not call.recipient_incarnation:
-        answer.sender = own.address
-
-
-def reject_call(call: Envelope, own: Identity) -> Rejection | None:
-    """Why a process may not serve this; None: it is for it."""
-    if call.is_reply:
-        return Rejection.NOT_A_CALL
-    return own.differs(call.recipient, call.recipient_incarnation)
-
-
-def reject_answer(answer: Envelope, own: Identity, peer: Identity) -> Rejection | None:
-    """Why a caller may not take this from the one it called; None: it may."""
-    if not answer.is_reply:
-        return Rejection.NOT_AN_ANSWER
-    if peer.differs(answer.sender, answer.sender_incarnation) is not None:
-        return Rejection.OTHER_SENDER
-    return own.differs(answer.recipient, answer.recipient_incarnation)
-
-
-class CallOrder:
-    """The newest numbers of one sender, by lane."""
-
-    __slots__ = ("_whole", "_pieces", "touched")
+        call.recipient_incarnation = peer.incarnation
+    if not call.recipient_incarnation:
+        call.recipient = peer.address
 
-    def __init__(self) -> None:
-        self._whole = self._pieces = 0
-        self.touched = 0.0
 
-    def accept(self, number: int, in_pieces: bool) -> bool:
-        """Whether this number is new; from now on it is not."""
-        if number <= (self._pieces if in_pieces else self._whole):
-            return False
-        if in_pieces:
-            self._pieces = number
-        else:
-            self._whole = number
-        return True
+def address_reply(reply: Envelope, call: Envelope, own: Identity) -> None:
+    """Set call, sender and recipient of a reply: also the sender's address where the call named no incarnation."""
+    reply.call_id = call.call_id
+    reply.is_reply = True
+    reply.recipient_incarnation = call.sender_incarnation
+    reply.sender_incarnation = own.incarnation
+    if not call.recipient_incarnation:
+        reply.sender = own.address
 
 
-class Senders:
-    """The order of the calls of each sender, over all its connections: also a replay on another one is known.
+def check_call(call: Envelope, own: Identity) -> Rejection | None:
+    """Return why a process must not handle this envelope as a call, None if it may."""
+    if call.is_reply:
+        return Rejection.UNEXPECTED_REPLY
+    return own.mismatch(call.recipient, call.recipient_incarnation)
 
-    Bounded by the senders that were heard within REMEMBERED, as others are forgotten when a new one comes.
-    """
 
-    def __init__(self, clock: Callable[[], float]) -> None:
-        self._clock = clock
-        self._orders: dict[int, CallOrder] = {}
-
-    def order(self, incarnation: int) -> CallOrder:
-        """The order of one sender; one without an incarnation has one for each connection."""
-        order = self._orders.get(incarnation)
-        if order is None:
-            order = CallOrder()
-            if incarnation:
-                self._forget()
-                self._orders[incarnation] = order
-        order.touched = self._clock()
-        return order
-
-    def _forget(self) -> None:
-        limit = self._clock() - REMEMBERED
-        self._orders = {sender: order for sender, order in self._orders.items() if order.touched >= limit}
+def check_reply(reply: Envelope, own: Identity, peer: Identity) -> Rejection | None:
+    """Return why a caller must not accept this envelope as a reply of the peer that it called, None if it may."""
+    if not reply.is_reply:
+        return Rejection.UNEXPECTED_CALL
+    if peer.mismatch(reply.sender, reply.sender_incarnation) is not None:
+        return Rejection.WRONG_SENDER
+    return own.mismatch(reply.recipient, reply.recipient_incarnation)
--- a/hallhitch/messages/calls.py
+++ b/hallhitch/messages/calls.py
@@ -1,6 +1,7 @@
-"""Which calls there are, what answers each, and whether it may be sent again after silence.
+"""The kinds of calls: the reply to each, and whether it may be retried after a time-out.
 
-The links repeat nothing by themselves: this table says what their callers may do. NotSent frees every call.
+The links retry nothing themselves: this table says what their callers may do. After `RequestNotSent` every call may be
+sent again, as the peer has seen nothing of it.
 """
 
 from __future__ import annotations
@@ -8,44 +9,48 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
+from typing import Final
 
 
-class Repetition(Enum):
-    """What may follow a Silent call of one kind."""
+class Idempotency(Enum):
+    """Whether a call may be sent again after `RequestTimeout`."""
 
-    REPEATABLE = "repeatable"  # the same content again has the effect of one
-    ONCE = (
-        "once"  # a repetition might count, grant or accept twice: only a new call, with a number of its own, may follow
+    IDEMPOTENT = "idempotent"  # the same content twice has the effect of once
+    NOT_IDEMPOTENT = (
+        "not idempotent"  # might count, grant or accept twice: only a call with a number of its own may follow
     )
 
 
 @dataclass(frozen=True, slots=True)
 class CallKind:
-    """One kind of call: a field of the envelope's body, the field of its answer, and why it may be repeated or not."""
+    """One kind of call: the field of its reply in the envelope's body, its idempotency and the reason for it."""
 
-    answer: str
-    repetition: Repetition
+    reply: str
+    idempotency: Idempotency
     reason: str
 
 
-CALLS: Mapping[str, CallKind] = {
-    "prepare": CallKind("promise", Repetition.REPEATABLE, "a promise of the same ballot changes nothing"),
+# By field of the envelope's body.
+CALL_KINDS: Final[Mapping[str, CallKind]] = {
+    "prepare": CallKind("promise", Idempotency.IDEMPOTENT, "a second promise of the same ballot changes nothing"),
     "accept": CallKind(
         "accepted",
-        Repetition.ONCE,
-        "between two tries the acceptor may have lost its memory and vote in two incarnations",
+        Idempotency.NOT_IDEMPOTENT,
+        "between two attempts the acceptor may have lost its state and would vote in two incarnations",
     ),
     "acceptor_query": CallKind(
-        "acceptor_report", Repetition.REPEATABLE, "reads, and raises an incarnation to what it names"
+        "acceptor_report", Idempotency.IDEMPOTENT, "reads, and raises an incarnation to the one that it names"
     ),
-    "state_request": CallKind("state_update", Repetition.REPEATABLE, "reads, and is a sign of life"),
+    "state_request": CallKind("state_update", Idempotency.IDEMPOTENT, "reads, and is a heartbeat of its sender"),
     "lease_request": CallKind(
-        "lease_response", Repetition.ONCE, "a grant counts from when its request was sent: a later one has a new number"
+        "lease_response",
+        Idempotency.NOT_IDEMPOTENT,
+        "a lease runs from when its request was sent: a later request has a new number",
     ),
-    "count_request": CallKind("count_response", Repetition.ONCE, "adds a unit, or gives one back"),
+    "count_request": CallKind("count_response", Idempotency.NOT_IDEMPOTENT, "adds a unit or refunds one"),
 }
 
 
-def repeatable(kind: str) -> bool:
-    """Whether a call of this kind may be sent again after silence."""
-    return CALLS[kind].repetition is Repetition.REPEATABLE
+def is_idempotent(kind: str) -> bool:
+    """Return whether a call of this kind may be sent again after a time-out."""
+    return CALL_KINDS[kind].idempotency is Idempotency.IDEMPOTENT
--- a/hallhitch/messages/connection.py
+++ b/hallhitch/messages/connection.py
@@ -1,6 +1,6 @@
-"""One TCP connection between two of the system's processes: frames in, frames out, and what ends it.
+"""One TCP connection between two processes of the system: envelopes in, envelopes out, and what closes it.
 
-Owns the sockets' options and the queue before the transport. Whoever inherits says what an envelope is for.
+Owns the options of the socket and the queue in front of the transport. Subclasses handle the envelopes.
 """
 
 from __future__ import annotations
@@ -10,139 +10,154 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import cast
+from typing import Final, cast
 
 from google.protobuf.message import DecodeError
 
 from hallhitch.messages.addressing import Identity
-from hallhitch.messages.frames import PIECE_MOST, FrameError, FrameQueue, FrameReader, Outgoing, Rejection
+from hallhitch.messages.errors import FrameError, Rejection
+from hallhitch.messages.frames import MAX_CHUNK_BYTES, FrameQueue, FrameReader, OutgoingFrame
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 
-UNHEARD = 2500  # ms without an acknowledgement by the peer's machine after which a connection is given up
+# Time without an acknowledgement by the peer's kernel after which a connection is closed (TCP_USER_TIMEOUT): above the
+# 1.5 s and more that a segment takes over a full link, each way.
+ACKNOWLEDGEMENT_TIMEOUT_MS: Final = 2500
 
 
 @dataclass(slots=True)
-class Traffic:
-    """What went over all connections of a process, and what was not served of it."""
+class TrafficCounters:
+    """What a process sent, received and dropped over all its connections."""
 
-    sent: int = 0  # bytes
-    received: int = 0
-    frames_sent: int = 0  # envelopes
+    bytes_sent: int = 0
+    bytes_received: int = 0
+    frames_sent: int = 0
     frames_received: int = 0
     rejected: Counter[Rejection] = field(default_factory=Counter)
 
 
-class Shared:
-    """What all connections of one process have in common."""
+class ConnectionContext:
+    """What all connections of one process share: cluster, identity, clock (steady ms), counters and log."""
 
     def __init__(self, cluster: int, own: Identity, clock: Callable[[], float]) -> None:
-        self.cluster, self.own, self.clock = cluster, own, clock
-        self.traffic = Traffic()
-        self._rejections = RateLimitedLog(ComponentLogger("link"))
-
-    def reject(self, reason: Rejection, peer: object) -> None:
-        """Count what is not served, and log it at most once a second; late answers are ordinary, and not logged."""
+        self.cluster = cluster
+        self.own = own
+        self.clock = clock
+        self.traffic = TrafficCounters()
+        self._rejection_log = RateLimitedLog(ComponentLogger("link"))
+
+    def count_rejection(self, reason: Rejection, peer: object) -> None:
+        """Count what was dropped and log it at most once a second; late replies are ordinary and not logged."""
         self.traffic.rejected[reason] += 1
-        if reason is not Rejection.NOBODY_WAITS:
-            self._rejections.warning(self.clock(), f"dropped {reason.value} from {peer}")
+        if reason is not Rejection.UNMATCHED_REPLY:
+            self._rejection_log.warning(self.clock(), "message dropped", reason=reason.value, peer=peer)
 
 
 class Connection(asyncio.Protocol):
-    """One connection; envelopes of another cluster and bytes that are none end it."""
+    """A connection that encodes and decodes envelopes.
+
+    An envelope of another cluster and bytes that cannot be decoded close it.
+    """
 
-    def __init__(self, shared: Shared) -> None:
-        self.shared = shared
+    def __init__(self, context: ConnectionContext) -> None:
+        self.context = context
         self.transport: asyncio.Transport | None = None
-        self.heard = shared.clock()
-        self._reader, self._queue = FrameReader(), FrameQueue()
-        self._paused = False
+        self.last_received_ms = context.clock()
+        self._reader = FrameReader()
+        self._queue = FrameQueue()
+        self._is_paused = False
 
-    # Called by the loop.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own are none by name
-        self.transport.set_write_buffer_limits(high=PIECE_MOST)
+        """Set the options of the socket."""
+        self.transport = cast(asyncio.Transport, transport)  # the transports of uvloop don't derive from asyncio's
+        self.transport.set_write_buffer_limits(high=MAX_CHUNK_BYTES)
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNHEARD)
-            # What the kernel holds cannot be overtaken by a short frame any more.
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, PIECE_MOST)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGEMENT_TIMEOUT_MS)
+            # A short frame cannot overtake what the kernel has buffered.
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, MAX_CHUNK_BYTES)
 
     def data_received(self, data: bytes) -> None:
-        self.heard = self.shared.clock()
-        self.shared.traffic.received += len(data)
+        """Decode received bytes into envelopes."""
+        self.last_received_ms = self.context.clock()
+        self.context.traffic.bytes_received += len(data)
         try:
-            complete = self._reader.feed(data)
+            frames = self._reader.feed(data)
         except FrameError as error:
-            return self.end(error.reason)
-        for received in complete:
-            if not self.usable():
+            return self.close_rejecting(error.reason)
+        for frame in frames:
+            if not self.is_open():
                 return
-            self._read(received.data, received.in_pieces)
+            self._decode(frame.data, frame.is_chunked)
 
     def pause_writing(self) -> None:
-        self._paused = True
+        """Stop writing: the transport's buffer is full."""
+        self._is_paused = True
 
     def resume_writing(self) -> None:
-        self._paused = False
+        """Write on: the transport's buffer has room."""
+        self._is_paused = False
         self._flush()
 
-    # For whoever inherits.
+    # For subclasses.
 
-    def take(self, envelope: Envelope, in_pieces: bool) -> None:
-        """An envelope of this cluster has come."""
+    def on_envelope(self, envelope: Envelope, is_chunked: bool) -> None:
+        """Handle an envelope of this cluster."""
         raise NotImplementedError
 
-    def usable(self) -> bool:
-        """Whether it is open, as far as this side knows."""
+    def is_open(self) -> bool:
+        """Return whether the connection is open, as far as this side knows."""
         return self.transport is not None and not self.transport.is_closing()
 
-    def send(self, envelope: Envelope) -> Outgoing:
-        """Write one envelope, or let it wait for room; what waits when the connection ends was not handed over."""
-        envelope.cluster = self.shared.cluster
-        outgoing = Outgoing(envelope.SerializeToString())
-        if self.usable():
-            self._queue.put(outgoing)
+    def send(self, envelope: Envelope) -> OutgoingFrame:
+        """Write an envelope, or queue it until the transport has room; what is queued at the end is not sent."""
+        envelope.cluster = self.context.cluster
+        frame = OutgoingFrame(envelope.SerializeToString())
+        if self.is_open():
+            self._queue.put(frame)
             self._flush()
-        return outgoing
+        return frame
 
-    def take_back(self, outgoing: Outgoing) -> None:
-        """What nobody waits for any more is not sent, unless a part of it is out."""
-        self._queue.discard(outgoing)
+    def withdraw(self, frame: OutgoingFrame) -> None:
+        """Remove a frame from the queue, unless a part of it was handed over."""
+        self._queue.discard(frame)
 
     def reject(self, reason: Rejection) -> None:
-        """Drop one envelope."""
-        self.shared.reject(reason, self.transport.get_extra_info("peername") if self.transport else "")
+        """Count and log an envelope that is dropped."""
+        self.context.count_rejection(reason, self.transport.get_extra_info("peername") if self.transport else "")
 
-    def end(self, reason: Rejection) -> None:
-        """What came is not ours, or the other side is not who we mean: the connection ends."""
+    def close_rejecting(self, reason: Rejection) -> None:
+        """Drop an envelope and close the connection, as the peer is not the one that is meant."""
         self.reject(reason)
         self.abort()
 
     def abort(self) -> None:
-        """End it at once; what waits is not sent."""
+        """Close the connection at once; what is queued is not sent."""
         if self.transport is not None:
             self.transport.abort()
 
-    def _read(self, data: bytes, in_pieces: bool) -> None:
+    def _decode(self, data: bytes, is_chunked: bool) -> None:
         try:
             envelope = Envelope.FromString(data)
         except DecodeError:
-            return self.end(Rejection.UNREADABLE)
-        self.shared.traffic.frames_received += 1
-        if envelope.cluster != self.shared.cluster:
-            return self.end(Rejection.OTHER_CLUSTER)
-        self.take(envelope, in_pieces)
+            return self.close_rejecting(Rejection.MALFORMED_ENVELOPE)
+        self.context.traffic.frames_received += 1
+        if envelope.cluster != self.context.cluster:
+            return self.close_rejecting(Rejection.WRONG_CLUSTER)
+        self.on_envelope(envelope, is_chunked)
 
     def _flush(self) -> None:
-        assert self.transport is not None
-        traffic = self.shared.traffic
-        while not self._paused and self.usable():
-            frame = self._queue.next()
-            if frame is None:
+        """Write queued chunks while the transport has room."""
+        if self.transport is None:
+            return
+        traffic = self.context.traffic
+        while not self._is_paused and self.is_open():
+            chunk = self._queue.next()
+            if chunk is None:
                 return
-            self.transport.write(frame.data)
-            traffic.sent += len(frame.data)
-            traffic.frames_sent += frame.last
+            self.transport.write(chunk.data)
+            traffic.bytes_sent += len(chunk.data)
+            traffic.frames_sent += chunk.is_final
--- a/hallhitch/messages/frames.py
+++ b/hallhitch/messages/frames.py
@@ -1,160 +1,152 @@
-"""How envelopes lie in a stream of bytes: whole, or in pieces where they are long. No I/O and no clock.
+"""Framing of envelopes in a byte stream. No I/O and no clock.
 
-A frame is four bytes (big-endian) and its content. The two highest bits say what it is: a whole envelope, a piece of a
-long one, or the last piece; the rest is the content's size, PIECE_MOST at most. One long envelope at a time is under
-way in each direction, and whole ones go between its pieces: a long one never holds up short ones for more than a piece.
+A frame holds one serialized envelope and is written as one chunk, or as several where it is long. A chunk is a header
+of four bytes (big-endian) and its content. The two highest bits of the header tell a complete frame (00), a chunk of a
+long frame (10) and its final chunk (11); the others hold the size of the content.
+
+Invariants:
+- The content of a chunk has at most MAX_CHUNK_BYTES; a frame has at most MAX_FRAME_BYTES.
+- At most one long frame is in transit in each direction; short frames go between its chunks, so that a long frame
+  delays a short one by one chunk at most.
+- Short frames keep their order among themselves, and so do long ones.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass
-from enum import Enum
-
-FRAME_MOST = 64 * 1024 * 1024  # bytes of an envelope: twice the longest order an operator may send
-PIECE_MOST = 16 * 1024  # bytes of a frame: some 60 ms of the thinnest links (2 Mbit/s), the wait of what comes behind
-HEADER = 4  # bytes
-_PIECE, _LAST = 1 << 31, 1 << 30
-_SIZE = _LAST - 1
-
-
-class Rejection(Enum):
-    """Why bytes or an envelope are not served; the text goes into the log."""
-
-    FRAME_TOO_LONG = "a frame too long"
-    UNREADABLE = "bytes that are no message"
-    OTHER_CLUSTER = "a message of another cluster"
-    OTHER_ADDRESS = "a message for another address"
-    OTHER_INCARNATION = "a message for another incarnation"
-    OTHER_SENDER = "a message of another process than the connection's"
-    REPEATED_CALL = "a call that came before"
-    NOT_A_CALL = "an answer where none was asked for"
-    NOT_AN_ANSWER = "a call where only answers come"
-    NOBODY_WAITS = "an answer that nobody waits for"
-
+from typing import Final
 
-class FrameError(Exception):
-    """The stream cannot be read on."""
+from hallhitch.messages.errors import FrameError, Rejection
 
-    def __init__(self, reason: Rejection) -> None:
-        super().__init__(reason.value)
-        self.reason = reason
+MAX_FRAME_BYTES: Final = 64 * 1024 * 1024  # twice the longest request body that the operator's API accepts
+MAX_CHUNK_BYTES: Final = 16 * 1024  # some 60 ms on the slowest links (2 Mbit/s): the delay of a short frame behind it
+HEADER_BYTES: Final = 4
+_CHUNKED_FLAG: Final = 1 << 31
+_FINAL_CHUNK_FLAG: Final = 1 << 30
+_SIZE_MASK: Final = _FINAL_CHUNK_FLAG - 1
 
 
 @dataclass(slots=True)
-class Received:
-    """The bytes of one envelope; `in_pieces`: it came among others."""
+class ReceivedFrame:
+    """The bytes of one envelope; `is_chunked` where they came in several chunks."""
 
     data: bytes
-    in_pieces: bool
+    is_chunked: bool
 
 
 class FrameReader:
-    """Cuts a stream into envelopes. A size is checked before anything of its content is kept."""
+    """Decodes a byte stream into frames. A size is checked before any of its content is buffered."""
 
     def __init__(self) -> None:
-        self._rest = b""  # of a frame that is not complete: less than one piece
-        self._pieces = bytearray()
-
-    def feed(self, data: bytes) -> list[Received]:
-        """The envelopes that are complete with this; raises FrameError."""
-        if self._rest:
-            data = self._rest + data
-        at, there, complete = 0, len(data), []
-        while there - at >= HEADER:
-            header = int.from_bytes(data[at : at + HEADER], "big")
-            size = header & _SIZE
-            if size > PIECE_MOST or header & (_PIECE | _LAST) == _LAST:
-                raise FrameError(Rejection.FRAME_TOO_LONG)
-            end = at + HEADER + size
-            if there < end:
+        self._incomplete_chunk = b""
+        self._long_frame = bytearray()
+
+    def feed(self, data: bytes) -> list[ReceivedFrame]:
+        """Return the frames that `data` completes.
+
+        Raises:
+            FrameError: a chunk or a frame is too large, or a header is invalid.
+        """
+        if self._incomplete_chunk:
+            data = self._incomplete_chunk + data
+        frames = []
+        start, available = 0, len(data)
+        while available - start >= HEADER_BYTES:
+            header = int.from_bytes(data[start : start + HEADER_BYTES], "big")
+            size = header & _SIZE_MASK
+            if size > MAX_CHUNK_BYTES or header & (_CHUNKED_FLAG | _FINAL_CHUNK_FLAG) == _FINAL_CHUNK_FLAG:
+                raise FrameError(Rejection.FRAME_TOO_LARGE)
+            end = start + HEADER_BYTES + size
+            if available < end:
                 break
-            received = self._took(header, data[at + HEADER : end])
-            if received is not None:
-                complete.append(received)
-            at = end
-        self._rest = data[at:]
-        return complete
-
-    def _took(self, header: int, content: bytes) -> Received | None:
-        if not header & _PIECE:
-            return Received(content, False)
-        if len(self._pieces) + len(content) > FRAME_MOST:
-            raise FrameError(Rejection.FRAME_TOO_LONG)
-        self._pieces += content
-        if not header & _LAST:
+            frame = self._add_chunk(header, data[start + HEADER_BYTES : end])
+            if frame is not None:
+                frames.append(frame)
+            start = end
+        self._incomplete_chunk = data[start:]
+        return frames
+
+    def _add_chunk(self, header: int, content: bytes) -> ReceivedFrame | None:
+        """Return the frame that this chunk completes, None while chunks are missing."""
+        if not header & _CHUNKED_FLAG:
+            return ReceivedFrame(content, False)
+        if len(self._long_frame) + len(content) > MAX_FRAME_BYTES:
+            raise FrameError(Rejection.FRAME_TOO_LARGE)
+        self._long_frame += content
+        if not header & _FINAL_CHUNK_FLAG:
             return None
-        whole = bytes(self._pieces)
-        self._pieces.clear()
-        return Received(whole, True)
+        data = bytes(self._long_frame)
+        self._long_frame.clear()
+        return ReceivedFrame(data, True)
 
 
-class Outgoing:
-    """One envelope on its way out. `handed_over`: at least a part of it was given to the connection."""
+class OutgoingFrame:
+    """One envelope to be written; `is_handed_over` once any part of it was given to the transport."""
 
-    __slots__ = ("data", "handed_over")
+    __slots__ = ("data", "is_handed_over")
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.handed_over = False
+        self.is_handed_over = False
 
 
 @dataclass(slots=True)
-class Frame:
-    """What is written at once; `last`: its envelope is complete with it."""
+class Chunk:
+    """Header and content that are written at once; `is_final` completes the frame."""
 
     data: bytes
-    last: bool
+    is_final: bool
 
 
 class FrameQueue:
-    """Envelopes that wait for room on a connection: short ones in order, long ones in order, in turn by bytes."""
+    """Frames that wait to be written, short and long ones in queues of their own that take turns by bytes."""
 
     def __init__(self) -> None:
-        self._short: deque[Outgoing] = deque()
-        self._long: deque[Outgoing] = deque()
-        self._at = 0  # bytes of the first long one that are out
-        self._since_piece = 0  # bytes of short ones that went out since the last piece
-
-    def put(self, outgoing: Outgoing) -> None:
-        """Let it wait for its turn."""
-        if len(outgoing.data) > PIECE_MOST:
-            self._long.append(outgoing)
+        self._short_frames: deque[OutgoingFrame] = deque()
+        self._long_frames: deque[OutgoingFrame] = deque()
+        self._long_frame_offset = 0  # bytes of the first long frame that were handed over
+        self._short_bytes_since_chunk = 0  # bytes of short frames handed over since the last chunk of a long one
+
+    def put(self, frame: OutgoingFrame) -> None:
+        """Append a frame to the queue of its length."""
+        if len(frame.data) > MAX_CHUNK_BYTES:
+            self._long_frames.append(frame)
         else:
-            self._short.append(outgoing)
+            self._short_frames.append(frame)
 
-    def discard(self, outgoing: Outgoing) -> bool:
-        """Take one back of which nothing was handed over; whether so."""
-        if outgoing.handed_over:
+    def discard(self, frame: OutgoingFrame) -> bool:
+        """Remove a frame of which nothing was handed over; return whether it was removed."""
+        if frame.is_handed_over:
             return False
-        lane = self._long if len(outgoing.data) > PIECE_MOST else self._short
-        if outgoing not in lane:
+        queue = self._long_frames if len(frame.data) > MAX_CHUNK_BYTES else self._short_frames
+        if frame not in queue:
             return False
-        lane.remove(outgoing)
+        queue.remove(frame)
         return True
 
-    def next(self) -> Frame | None:
-        """The next frame to write; None: nothing waits."""
-        if self._short and (not self._long or self._since_piece < PIECE_MOST):
-            return self._whole(self._short.popleft())
-        if self._long:
-            return self._piece(self._long[0])
+    def next(self) -> Chunk | None:
+        """Return the next chunk to write, None if the queue is empty."""
+        if self._short_frames and (not self._long_frames or self._short_bytes_since_chunk < MAX_CHUNK_BYTES):
+            return self._next_short(self._short_frames.popleft())
+        if self._long_frames:
+            return self._next_long(self._long_frames[0])
         return None
 
-    def _whole(self, outgoing: Outgoing) -> Frame:
-        outgoing.handed_over = True
-        self._since_piece += HEADER + len(outgoing.data)
-        return Frame(len(outgoing.data).to_bytes(HEADER, "big") + outgoing.data, True)
-
-    def _piece(self, outgoing: Outgoing) -> Frame:
-        outgoing.handed_over = True
-        content = outgoing.data[self._at : self._at + PIECE_MOST]
-        self._at += len(content)
-        self._since_piece = 0
-        header = _PIECE | len(content)
-        last = self._at == len(outgoing.data)
-        if last:
-            header |= _LAST
-            self._long.popleft()
-            self._at = 0
-        return Frame(header.to_bytes(HEADER, "big") + content, last)
+    def _next_short(self, frame: OutgoingFrame) -> Chunk:
+        frame.is_handed_over = True
+        self._short_bytes_since_chunk += HEADER_BYTES + len(frame.data)
+        return Chunk(len(frame.data).to_bytes(HEADER_BYTES, "big") + frame.data, True)
+
+    def _next_long(self, frame: OutgoingFrame) -> Chunk:
+        frame.is_handed_over = True
+        content = frame.data[self._long_frame_offset : self._long_frame_offset + MAX_CHUNK_BYTES]
+        self._long_frame_offset += len(content)
+        self._short_bytes_since_chunk = 0
+        header = _CHUNKED_FLAG | len(content)
+        is_final = self._long_frame_offset == len(frame.data)
+        if is_final:
+            header |= _FINAL_CHUNK_FLAG
+            self._long_frames.popleft()
+            self._long_frame_offset = 0
+        return Chunk(header.to_bytes(HEADER_BYTES, "big") + content, is_final)
--- /dev/null
+++ b/hallhitch/messages/peer_links.py
@@ -0,0 +1,130 @@
+"""Calls between the processes of the system over TCP: one connection to each peer, kept open, replies in any order.
+
+Invariants:
+- Nothing is sent twice: a call that fails raises what is known of it (RequestNotSent, RequestTimeout,
+  RequestRejected), and `calls.CALL_KINDS` says whether its caller may retry it.
+- At most one connection to a peer is open or being opened, as the numbers of one incarnation's calls have to reach a
+  peer in order (`call_sequence`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from hallhitch.messages.addressing import Identity, cluster_id, split_address
+from hallhitch.messages.connection import ACKNOWLEDGEMENT_TIMEOUT_MS, ConnectionContext
+from hallhitch.messages.inbound_link import CallHandler, CallServer, InboundLink
+from hallhitch.messages.outbound_link import OutboundLink, PendingCall
+from hallhitch.messages.system_pb2 import Envelope
+from hallhitch.node.clock import now
+from hallhitch.node.errors import RequestNotSent, RequestRejected, RequestTimeout
+
+LISTEN_BACKLOG = 512  # connections: every gateway of a large fleet may connect to a restarted process at once
+
+
+class PeerLinks:
+    """All connections between this process and the other processes of the system; one object per incarnation."""
+
+    def __init__(
+        self,
+        cluster_name: str,
+        handler: CallHandler | None = None,
+        address: str = "",
+        incarnation: int = 0,
+        clock: Callable[[], float] = now,
+    ) -> None:
+        self._context = ConnectionContext(cluster_id(cluster_name), Identity(address, incarnation), clock)
+        self.traffic = self._context.traffic
+        self._call_server = CallServer(self._context, handler)
+        self._outbound: dict[str, OutboundLink] = {}
+        self._connecting: dict[str, asyncio.Task[OutboundLink]] = {}
+        self._last_call_id = 0
+        self._server: asyncio.Server | None = None
+
+    @property
+    def inbound(self) -> set[InboundLink]:
+        """The open connections of peers."""
+        return self._call_server.links
+
+    async def serve(self, address: str) -> None:
+        """Listen at this process's internal address."""
+        host, port = split_address(address)
+        self._server = await asyncio.get_running_loop().create_server(
+            lambda: InboundLink(self._call_server), host, port, reuse_address=True, backlog=LISTEN_BACKLOG
+        )
+
+    def close(self) -> None:
+        """Close all connections and stop listening."""
+        if self._server is not None:
+            self._server.close()
+        for link in [*self._outbound.values(), *self.inbound]:
+            link.abort()
+
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
+        """Call a peer and return its reply; the time-out includes connecting.
+
+        Raises:
+            RequestNotSent: no part of the call was handed to a connection.
+            RequestTimeout: a part of it was, and no reply came; the peer may have handled it.
+            RequestRejected: the peer replied with an error.
+        """
+        call: PendingCall | None = None
+        try:
+            async with asyncio.timeout(timeout_ms / 1000):
+                link = await self._link_to(address)
+                self._last_call_id += 1
+                call_id = self._last_call_id
+                call = link.begin_call(call_id, envelope)
+                try:
+                    reply = await call.reply
+                finally:
+                    link.end_call(call_id, call)
+        except TimeoutError:
+            if call is None or not call.has_reply():
+                raise self._timed_out(address, call, timeout_ms) from None
+            reply = call.reply.result()
+        except OSError as error:
+            raise RequestNotSent("connect", address, str(error)) from None
+        if reply.error:
+            raise RequestRejected("call", address, reply.error)
+        return reply
+
+    def _timed_out(self, address: str, call: PendingCall | None, timeout_ms: float) -> RequestNotSent | RequestTimeout:
+        """Return the error of a call that timed out; close its connection only if that is unresponsive as a whole."""
+        reason = f"no answer in {timeout_ms:.0f} ms"
+        error = call.failure(address, reason) if call is not None else RequestNotSent("connect", address, reason)
+        link = self._outbound.get(address)
+        if link is not None and link.is_unresponsive():
+            link.abort()
+        return error
+
+    async def _link_to(self, address: str) -> OutboundLink:
+        """Return the open connection to a peer, or connect; concurrent callers share the attempt."""
+        link = self._outbound.get(address)
+        if link is not None and link.is_open():
+            return link
+        task = self._connecting.get(address)
+        if task is None:
+            task = self._connecting[address] = asyncio.ensure_future(self._connect(address))
+            task.add_done_callback(lambda done: self._on_connect_done(address, done))
+        return await asyncio.shield(task)
+
+    def _on_connect_done(self, address: str, task: asyncio.Task[OutboundLink]) -> None:
+        self._connecting.pop(address, None)
+        if not task.cancelled():
+            task.exception()  # mark as retrieved: those that wait for the connection have got it
+
+    async def _connect(self, address: str) -> OutboundLink:
+        host, port = split_address(address)
+        async with asyncio.timeout(ACKNOWLEDGEMENT_TIMEOUT_MS / 1000):
+            _, link = await asyncio.get_running_loop().create_connection(
+                lambda: OutboundLink(self._context, address, self._on_closed), host, port
+            )
+        if link.is_open():
+            self._outbound[address] = link
+        return link
+
+    def _on_closed(self, link: OutboundLink) -> None:
+        if self._outbound.get(link.peer.address) is link:
+            del self._outbound[link.peer.address]
--- a/hallhitch/node/logs.py
+++ b/hallhitch/node/logs.py
@@ -64,7 +64,7 @@
         """Log a fault that somebody has to mend."""
         self._log.error("%s: %s%s", self._component, event, format_fields(fields))
 
-    def exception(self, event: str, error: BaseException, **fields: object) -> None:
+    def exception(self, event: str, error: BaseException, /, **fields: object) -> None:
         """Log an unexpected exception with its traceback, at level ERROR."""
         trace = "".join(traceback.format_exception(error)).rstrip()
         self._log.error("%s: %s%s\n%s", self._component, event, format_fields(fields), trace)
@@ -85,3 +85,10 @@
         if now - self._logged_at >= self._interval_ms:
             self._logged_at = now
             self._logger.warning(event, **fields, count=self.count)
+
+    def exception(self, now: float, event: str, error: BaseException, /, **fields: object) -> None:
+        """Count an unexpected exception and log it with its traceback, unless a line was logged within the interval."""
+        self.count += 1
+        if now - self._logged_at >= self._interval_ms:
+            self._logged_at = now
+            self._logger.exception(event, error, **fields, count=self.count)
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -46,9 +46,9 @@
 
 
 class Peers(Protocol):
-    """What is used of `messages.link.Links`."""
+    """What is used of `messages.peer_links.PeerLinks`."""
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         """One call; raises StepError."""
 
 
--- a/hallhitch/planes/distribution/peer_replica.py
+++ b/hallhitch/planes/distribution/peer_replica.py
@@ -26,10 +26,10 @@
 
 
 class Calls(Protocol):
-    """What is used of messages.link.Links."""
+    """What is used of messages.peer_links.PeerLinks."""
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
-        """See Links.call."""
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
+        """See PeerLinks.call."""
 
 
 def rendezvous(own: str, others: Iterable[str]) -> list[str]:
--- a/hallhitch/planes/quota/counter_client.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -29,10 +29,10 @@
 
 
 class Calls(Protocol):
-    """What is used of messages.link.Links."""
+    """What is used of messages.peer_links.PeerLinks."""
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
-        """See Links.call."""
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
+        """See PeerLinks.call."""
 
 
 class Local(Protocol):
--- a/hallhitch/programs/runtime.py
+++ b/hallhitch/programs/runtime.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from hallhitch.messages.link import Handler, Links
+from hallhitch.messages.inbound_link import CallHandler
+from hallhitch.messages.peer_links import PeerLinks
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.clock import now
 from hallhitch.planes.control.acceptor import Run
@@ -18,24 +19,24 @@
 
 
 class Transport(Protocol):
-    """Calls between the system's own processes, as `messages.link.Links` makes them."""
+    """Calls between the system's own processes, as `messages.peer_links.PeerLinks` makes them."""
 
     async def serve(self, address: str) -> None:
         """Take calls at our internal address."""
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
-        """Ask a peer and wait `wait` ms at most; raises StepError."""
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
+        """Ask a peer and wait `timeout_ms` at most; raises PeerCallError."""
 
     def close(self) -> None:
         """End all connections."""
 
 
-Connect = Callable[[str, str, int, Handler], Transport]
+Connect = Callable[[str, str, int, CallHandler], Transport]
 
 
-def connect(cluster: str, address: str, incarnation: int, handler: Handler) -> Transport:
-    """Links over TCP."""
-    return Links(cluster, handler, address, incarnation)
+def connect(cluster: str, address: str, incarnation: int, handler: CallHandler) -> Transport:
+    """Return the links of a process over TCP."""
+    return PeerLinks(cluster, handler, address, incarnation)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/system/compatibility/test_earlier_release.py
+++ b/tests/system/compatibility/test_earlier_release.py
@@ -11,7 +11,7 @@
 import zlib
 from pathlib import Path
 
-from hallhitch.messages.frames import FrameQueue, FrameReader, Outgoing
+from hallhitch.messages.frames import FrameQueue, FrameReader, OutgoingFrame
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.planes.control.register import Ballot
 from hallhitch.planes.control.state_store import DirectoryStorage, StateStore
@@ -39,7 +39,7 @@
     queue = FrameQueue()
     for received in FrameReader().feed(_earlier_frames()):
         envelope = Envelope.FromString(received.data)
-        queue.put(Outgoing(envelope.SerializeToString(deterministic=True)))
+        queue.put(OutgoingFrame(envelope.SerializeToString(deterministic=True)))
     written = b""
     while (frame := queue.next()) is not None:
         written += frame.data
--- a/tests/system/control/test_plane.py
+++ b/tests/system/control/test_plane.py
@@ -249,7 +249,7 @@
     """The thread and the files as they are in service; the loop's own clock."""
 
     class Nobody:
-        async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
+        async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
             raise RequestTimeout("connect", address, "nobody there")
 
     async def incarnation(version: int, first: bool) -> tuple[int, int]:
--- a/tests/system/control/test_serving.py
+++ b/tests/system/control/test_serving.py
@@ -51,7 +51,7 @@
 
 def test_a_round_counts_from_when_it_was_asked_however_long_the_answers_take() -> None:
     async def scene(fleet: Fleet) -> None:
-        async def call(address: str, envelope: Envelope, wait: float) -> Envelope:
+        async def call(address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
             await asyncio.sleep(0.7 if address == "b" else 5)
             return Envelope(acceptor_report=AcceptorReport(ok=True))
 
--- a/tests/system/distribution/test_coordinator_speaks.py
+++ b/tests/system/distribution/test_coordinator_speaks.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from hallhitch.lab.simulation.coordinators import Memory, settings
-from hallhitch.messages.link import Handler
+from hallhitch.messages.inbound_link import CallHandler
 from hallhitch.messages.system_pb2 import Envelope, StateRequest
 from hallhitch.node.errors import RequestTimeout
 from hallhitch.planes.control import state_transitions
@@ -24,17 +24,17 @@
 class _Links:
     """A program's links to the others of its kind."""
 
-    def __init__(self, world: Core, address: str, handler: Handler) -> None:
+    def __init__(self, world: Core, address: str, handler: CallHandler) -> None:
         self._world, self._address, self.handler = world, address, handler
 
     async def serve(self, address: str) -> None:
         """Be reachable."""
         self._world.links[address] = self
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         """One call."""
         try:
-            async with asyncio.timeout(wait / 1000):
+            async with asyncio.timeout(timeout_ms / 1000):
                 await self._world.ways.way(self._address, address)
                 if address not in self._world.links:
                     raise RequestTimeout("connect", address, "nobody there")
--- a/tests/system/distribution/test_knowledge.py
+++ b/tests/system/distribution/test_knowledge.py
@@ -188,7 +188,7 @@
     def __init__(self, hubs: dict[str, StateHub]) -> None:
         self.hubs = hubs
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         hub = self.hubs.get(address)
         if hub is None:
             raise RequestTimeout("call", address, "nobody there")
--- a/tests/system/distribution/ways.py
+++ b/tests/system/distribution/ways.py
@@ -73,12 +73,12 @@
     def __init__(self, ways: Ways, own: str) -> None:
         self._ways, self._own = ways, own
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         """One call."""
         ways, pull = self._ways, StateRequest.FromString(envelope.state_request.SerializeToString())
         ways.pulls[address] += 1
         try:
-            async with asyncio.timeout(wait / 1000):
+            async with asyncio.timeout(timeout_ms / 1000):
                 await ways.way(self._own, address)
                 if address not in ways.hubs:
                     raise RequestTimeout("connect", address, "nobody there")
--- a/tests/system/quota/virtual.py
+++ b/tests/system/quota/virtual.py
@@ -34,11 +34,11 @@
         self.handlers: dict[str, Callable[[Envelope], Envelope]] = {}
         self.calls: list[tuple[str, Envelope]] = []
 
-    async def call(self, address: str, envelope: Envelope, wait: float) -> Envelope:
-        """As Links.call."""
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
+        """As PeerLinks.call."""
         self.calls.append((address, envelope))
         try:
-            async with asyncio.timeout(wait / 1000):
+            async with asyncio.timeout(timeout_ms / 1000):
                 await asyncio.sleep(self.trip / 1000)
                 if address in self.silent or address not in self.handlers:
                     await asyncio.sleep(3600)
--- a/tests/system/simulation/test_mechanisms.py
+++ b/tests/system/simulation/test_mechanisms.py
@@ -72,7 +72,7 @@
 
 def _without_addressees(patch: pytest.MonkeyPatch) -> None:
     """Whoever is reached serves a frame, and whoever answers is taken for the one that was asked."""
-    patch.setattr(Identity, "differs", lambda identity, address, incarnation: None)
+    patch.setattr(Identity, "mismatch", lambda identity, address, incarnation: None)
 
 
 def _all_lose_power(seed: int) -> list[Violation]:
