--- a/benchmarks/control_repair.py
+++ b/benchmarks/control_repair.py
@@ -15,7 +15,7 @@
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import state_transitions
-from hallhitch.planes.control.register import Membership
+from hallhitch.planes.control.membership import Membership
 
 CATCH_UP = 4000.0  # ms, as the small sites have it
 BACK = 1.0  # s until a machine that was lost is back, or its successor starts
@@ -73,7 +73,7 @@
 def _on_all(fleet: Fleet, serial: int) -> bool:
     planes = [machine.plane for machine in fleet.machines.values() if machine.plane is not None]
     newest = max((plane.committed_state for plane in planes), key=lambda value: value.serial)
-    for address in Membership.of(newest).all_members:
+    for address in Membership.from_state(newest).all_members:
         plane = fleet.machines[address].plane
         if plane is None or plane._acceptor.state.is_recovering or plane._acceptor.state.state.serial < serial:
             return False
--- a/hallhitch/planes/control/acceptor.py
+++ b/hallhitch/planes/control/acceptor.py
@@ -1,4 +1,4 @@
-"""One replica at work: decisions of `register`, one after the other, each on the disk before its answer.
+"""One replica at work: the decisions of `acceptor_state`, one after the other, each on the disk before its answer.
 
 Owns the thread that waits for the disk. Must never answer what is not kept, and never wait for the disk on the loop.
 """
@@ -14,8 +14,9 @@
 from hallhitch.messages.system_pb2 import Accept, Accepted, BallotMessage, ClusterState, Envelope, Promise
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
+from hallhitch.planes.control.acceptor_state import AcceptorState
+from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.contention import RivalBallots
-from hallhitch.planes.control.register import AcceptorState, Ballot
 from hallhitch.planes.control.state_store import LoadResult, StateStore
 
 LATE = 1500.0  # ms after which nobody waits for an answer any more
@@ -114,7 +115,7 @@
     async def handle(self, envelope: Envelope) -> Envelope:
         """The answer to a prepare, an accept or a recover; raises StepError where nothing may be said."""
         if envelope.HasField("acceptor_query"):
-            same, read = self.state.recover(envelope.acceptor_query)
+            same, read = self.state.report(envelope.acceptor_query)
             if same is self.state:  # nothing to write: readers do not wait for a disk that hangs
                 return Envelope(acceptor_report=read)
         self._note(envelope)
@@ -126,18 +127,18 @@
     def _note(self, envelope: Envelope) -> None:
         """What arrives counts for whose turn it is, before the disk has it."""
         if envelope.HasField("prepare") and not envelope.prepare.is_read:
-            self.rivals.saw_prepare(Ballot.of(envelope.prepare.ballot), self._clock())
-        elif envelope.HasField("accept") and self.rivals.saw_accept(Ballot.of(envelope.accept.ballot)):
+            self.rivals.saw_prepare(Ballot.from_message(envelope.prepare.ballot), self._clock())
+        elif envelope.HasField("accept") and self.rivals.saw_accept(Ballot.from_message(envelope.accept.ballot)):
             self.rival_ended.set()
 
     def _overtaken(self, envelope: Envelope) -> Envelope | None:
         """A refusal for a ballot that waited here while the accept of a higher one came: nothing is written for it."""
         newest = self.rivals.accepted
         answer = Envelope()
-        if envelope.HasField("prepare") and Ballot.of(envelope.prepare.ballot) < newest:
-            answer.promise.CopyFrom(Promise(promised=newest.message(), accepted=newest.message()))
-        elif envelope.HasField("accept") and Ballot.of(envelope.accept.ballot) < newest:
-            answer.accepted.CopyFrom(Accepted(promised=newest.message()))
+        if envelope.HasField("prepare") and Ballot.from_message(envelope.prepare.ballot) < newest:
+            answer.promise.CopyFrom(Promise(promised=newest.to_message(), accepted=newest.to_message()))
+        elif envelope.HasField("accept") and Ballot.from_message(envelope.accept.ballot) < newest:
+            answer.accepted.CopyFrom(Accepted(promised=newest.to_message()))
         else:
             return None
         return answer
@@ -169,7 +170,7 @@
             after, accepted = self.state.accept(envelope.accept)
             answer.accepted.CopyFrom(accepted)
         else:
-            after, recovered = self.state.recover(envelope.acceptor_query)
+            after, recovered = self.state.report(envelope.acceptor_query)
             answer.acceptor_report.CopyFrom(recovered)
         if after is not self.state:
             try:
--- a/hallhitch/planes/control/contention.py
+++ b/hallhitch/planes/control/contention.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from hallhitch.planes.control.register import INITIAL_BALLOT, Ballot
+from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot
 
 FIRST_PHASE_MS = 150.0  # how long a phase takes before one was measured: the longest way between regions and back
 SHORTEST_MS, LONGEST_MS = 20.0, 400.0  # bounds of the wait for another proposer: under half of an order's patience
--- a/hallhitch/planes/control/graceful_departure.py
+++ b/hallhitch/planes/control/graceful_departure.py
@@ -13,10 +13,11 @@
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.planes.control.acceptor import DurableAcceptor
+from hallhitch.planes.control.ballot import Ballot
+from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_reconciler import Upkeep
 from hallhitch.planes.control.peer_observations import Contacts
 from hallhitch.planes.control.proposer import Call, Proposer
-from hallhitch.planes.control.register import Ballot, Membership
 
 GAP = 100.0  # ms between two times that the others are told and looked at
 ANSWER = 400.0  # ms for their answers: one that is silent must not hold up the others
@@ -45,7 +46,7 @@
     @property
     def is_out(self) -> bool:
         """Whether others have the seat: this one is known to be no member any more."""
-        settled = self._proposer.settled
+        settled = self._proposer.committed_membership
         return bool(settled.members) and self._address not in settled.all_members
 
     async def run(self, budget_ms: float) -> None:
@@ -56,7 +57,7 @@
             if left <= 0:
                 self._log.warning("the time to leave is over: the others may lack what is held here")
                 return
-            others = Membership.of(self._proposer.met[1]).all_members - {self._address}
+            others = Membership.from_state(self._proposer.newest_seen.state).all_members - {self._address}
             if not others:
                 return
             answers = await self._tell(others, min(ANSWER, left))
@@ -67,13 +68,15 @@
 
     def _membership(self, answers: Mapping[str, AcceptorReport]) -> Membership:
         """The newest that is known to be agreed: as met here, or as a majority of it has just answered."""
-        met = self._proposer.met
-        newer = [answer for answer in answers.values() if answer.ok and Ballot.of(answer.accepted) > met[0]]
+        met = self._proposer.newest_seen
+        newer = [
+            answer for answer in answers.values() if answer.ok and Ballot.from_message(answer.accepted) > met.ballot
+        ]
         for answer in newer:
-            membership, at = Membership.of(answer.state), answer.accepted
-            if membership.quorum_reached(one for one, other in answers.items() if other.accepted == at):
+            membership, at = Membership.from_state(answer.state), answer.accepted
+            if membership.has_quorum(one for one, other in answers.items() if other.accepted == at):
                 return membership
-        return Membership.of(met[1])
+        return Membership.from_state(met.state)
 
     def _awaited(self, membership: Membership) -> bool:
         """Whether a change that takes this one out, or the end of its votes on leases, may still come."""
@@ -89,8 +92,8 @@
         if state.is_recovering:
             return True  # nothing is held here
         sound = {one: answer for one, answer in answers.items() if answer.ok}
-        behind = [one for one, answer in sound.items() if Ballot.of(answer.accepted) < state.accepted]
-        accept = Accept(ballot=state.accepted.message(), state=state.state)
+        behind = [one for one, answer in sound.items() if Ballot.from_message(answer.accepted) < state.accepted]
+        accept = Accept(ballot=state.accepted.to_message(), state=state.state)
         await asyncio.gather(*(self._give(one, accept, min(ANSWER, left)) for one in behind))
         return bool(sound) and not behind
 
--- a/hallhitch/planes/control/lease_renewal.py
+++ b/hallhitch/planes/control/lease_renewal.py
@@ -13,7 +13,8 @@
 
 from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport, Envelope
 from hallhitch.node.errors import PeerCallError
-from hallhitch.planes.control.register import Ballot, Membership
+from hallhitch.planes.control.ballot import Ballot
+from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.serving_lease import ConfirmingRead, ServingLease
 
 AGAIN = 50.0  # ms after which a read is asked again that met an order under way
@@ -66,11 +67,11 @@
             return False
         read = ConfirmingRead(known.ballot, known.among)
         if known.own is not None:
-            read.add(self._address, Ballot.of(known.own.accepted), known.own.incarnations)
+            read.add(self._address, Ballot.from_message(known.own.accepted), known.own.incarnations)
         # `sound` says that this state is on our disk: what is known to be committed need not be.
-        on_disk = known.own is not None and Ballot.of(known.own.accepted) >= known.ballot
+        on_disk = known.own is not None and Ballot.from_message(known.own.accepted) >= known.ballot
         message = AcceptorQuery(
-            address=self._address, known_ballot=known.ballot.message(), can_vote=on_disk, is_leaving=known.leaving
+            address=self._address, known_ballot=known.ballot.to_message(), can_vote=on_disk, is_leaving=known.leaving
         )
         others = sorted(known.among.all_members - {self._address})
         answers: asyncio.Queue[tuple[str, AcceptorReport | None]] = asyncio.Queue()
@@ -81,7 +82,7 @@
                 break
             member, answer = await answers.get()
             if answer is not None:
-                read.add(member, Ballot.of(answer.accepted), answer.incarnations)
+                read.add(member, Ballot.from_message(answer.accepted), answer.incarnations)
         if read.confirmed:
             self._lease.confirm(asked)
         return read.confirmed
--- /dev/null
+++ b/hallhitch/planes/control/membership.py
@@ -0,0 +1,73 @@
+"""The members of the consensus: which replicas vote on the cluster state, and what is a majority of them.
+
+Members are part of the state that is agreed on. They change by joint consensus: a state names the former and the new
+members together, for which a majority of each set is needed, until a second state ends the change.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from hallhitch.messages.system_pb2 import ClusterState
+from hallhitch.planes.control.ballot import INITIAL_BALLOT, BallotedState
+
+QuorumSets = tuple[frozenset[str], ...]  # sets of replicas; a quorum is a majority of each of them
+
+
+@dataclass(frozen=True, slots=True)
+class Membership:
+    """The replicas that vote under a state. While `previous_members` is not empty, a joint change is under way.
+
+    `previous_lease_members` are former members whose votes on leases may still be counted: a lease needs a majority
+    of them as well. The consensus on the state does not ask them.
+    """
+
+    version: int = 0
+    members: tuple[str, ...] = ()
+    previous_members: tuple[str, ...] = ()
+    previous_lease_members: tuple[str, ...] = ()
+
+    @staticmethod
+    def from_state(state: ClusterState) -> Membership:
+        """Return the membership that a state names."""
+        return Membership(
+            state.membership_version,
+            tuple(state.members),
+            tuple(state.previous_members),
+            tuple(state.previous_lease_members),
+        )
+
+    @property
+    def quorum_sets(self) -> QuorumSets:
+        """The sets of which a majority each is needed; empty where no member is known."""
+        return tuple(frozenset(members) for members in (self.previous_members, self.members) if members)
+
+    @property
+    def all_members(self) -> frozenset[str]:
+        """Every replica that votes on the state."""
+        return frozenset(self.members) | frozenset(self.previous_members)
+
+    def has_quorum(self, votes: Iterable[str]) -> bool:
+        """Return whether the votes are a majority of each set."""
+        return majority_of_each(self.quorum_sets, votes)
+
+
+def majority_of_each(quorum_sets: QuorumSets, votes: Iterable[str]) -> bool:
+    """Return whether the votes are a majority of each set; False where there is no set."""
+    voters = frozenset(votes)
+    return bool(quorum_sets) and all(2 * len(members & voters) > len(members) for members in quorum_sets)
+
+
+def initial_state(seeds: Iterable[str]) -> ClusterState:
+    """Return the founding state: nothing configured, the seeds as members."""
+    return ClusterState(config_version=-1, members=sorted(set(seeds)), membership_version=1)
+
+
+def has_founding_conflict(own: BallotedState, peer: BallotedState) -> bool:
+    """Return whether two states that no ballot ever changed were founded with different members."""
+    if not own.ballot == peer.ballot == INITIAL_BALLOT:
+        return False
+    if not own.state.members or not peer.state.members:
+        return False
+    return Membership.from_state(own.state) != Membership.from_state(peer.state)
--- a/hallhitch/planes/control/membership_reconciler.py
+++ b/hallhitch/planes/control/membership_reconciler.py
@@ -14,9 +14,10 @@
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.planes.control import membership_policy, state_transitions
+from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.peer_observations import Contacts
 from hallhitch.planes.control.proposer import Proposer
-from hallhitch.planes.control.register import Membership, StateTransition
+from hallhitch.planes.control.state_transitions import StateTransition
 
 TICK = 100.0  # ms between looks: small against any turn
 PATIENCE = 800.0  # ms for one change: others wait behind it, and the next look tries again
@@ -83,7 +84,7 @@
     async def look(self) -> None:
         """Do what is to be done, if it is this member's turn."""
         at = self._clock()
-        membership = Membership.of(self._proposer.met[1])
+        membership = Membership.from_state(self._proposer.newest_seen.state)
         self._note_transition(at)
         duty = self._next(membership, at)
         self.waiting = duty is not None or bool(membership.previous_members or membership.previous_lease_members)
@@ -96,7 +97,7 @@
 
     def can_hand_on(self) -> bool:
         """Whether a change of members is under way, or could be made now."""
-        membership = Membership.of(self._proposer.met[1])
+        membership = Membership.from_state(self._proposer.newest_seen.state)
         if membership.previous_members or membership.previous_lease_members:
             return True
         observed = self._contacts.observe(membership, self._clock())
@@ -104,7 +105,7 @@
 
     def _note_transition(self, at: float) -> None:
         """Counted from the settled state: a joint state that was given up may bear the number of the one chosen."""
-        known = self._proposer.settled
+        known = self._proposer.committed_membership
         if known.previous_lease_members and not known.previous_members and known.version != self._transition[0]:
             self._transition = known.version, at
 
@@ -112,8 +113,8 @@
         """What is to be done first."""
         observed = self._contacts.observe(membership, at)
         if self.missing is not None:
-            return Renew(self.missing) if membership.quorum_reached(observed.reachable) else None
-        if membership != self._proposer.settled:
+            return Renew(self.missing) if membership.has_quorum(observed.reachable) else None
+        if membership != self._proposer.committed_membership:
             return None
         if membership.previous_members:
             return Settle(membership)
--- a/hallhitch/planes/control/operator_api.py
+++ b/hallhitch/planes/control/operator_api.py
@@ -19,7 +19,7 @@
 from hallhitch.planes.control import config_validation, state_transitions
 from hallhitch.planes.control.config_digests import OrderOutcome, outcome
 from hallhitch.planes.control.plane import ControlPlane
-from hallhitch.planes.control.register import StateTransition
+from hallhitch.planes.control.state_transitions import StateTransition
 
 PATH = "/hallhitch/rpc"
 PATIENCE = 850.0  # ms for an order: callers move on after a second
--- a/hallhitch/planes/control/peer_observations.py
+++ b/hallhitch/planes/control/peer_observations.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass
 
 from hallhitch.messages.system_pb2 import AcceptorQuery
+from hallhitch.planes.control.ballot import Ballot
+from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_policy import Observations
-from hallhitch.planes.control.register import Ballot, Membership
 
 REMEMBERED = 10.0  # silences after which one that is no member is forgotten
 
@@ -38,7 +39,7 @@
             return
         asker = self._askers.setdefault(message.address, Asker(at))
         asker.asked, asker.leaving = at, message.is_leaving
-        if message.can_vote and Ballot.of(message.known_ballot) >= newest:
+        if message.can_vote and Ballot.from_message(message.known_ballot) >= newest:
             asker.current = at
 
     def answers(self, address: str, at: float) -> bool:
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -19,22 +19,19 @@
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import membership_policy
 from hallhitch.planes.control.acceptor import DurableAcceptor, Run, Worker
+from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot, BallotedState
 from hallhitch.planes.control.graceful_departure import Departure
 from hallhitch.planes.control.lease_renewal import Known, LeaseRenewal
+from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_reconciler import Upkeep
 from hallhitch.planes.control.peer_observations import Contacts
 from hallhitch.planes.control.proposer import Proposer
-from hallhitch.planes.control.register import (
-    INITIAL_BALLOT,
-    Ballot,
-    Membership,
-    StateTransition,
-    VoteTally,
-)
 from hallhitch.planes.control.serving_lease import ServingLease
 from hallhitch.planes.control.state_recovery import StateRecovery
 from hallhitch.planes.control.state_store import DirectoryStorage, StateStore, Storage
+from hallhitch.planes.control.state_transitions import StateTransition
 from hallhitch.planes.control.vote_eligibility import Eligibility
+from hallhitch.planes.control.vote_tally import VoteTally
 from hallhitch.planes.values import LeaseMembership
 
 HURRY = 300.0  # ms between rounds at most while something is missing or under way
@@ -123,7 +120,9 @@
     @property
     def members(self) -> tuple[str, ...]:
         """The internal addresses of the replicas, as far as known."""
-        return tuple(self._value.members or self._proposer.met[1].members or self._acceptor.state.state.members)
+        return tuple(
+            self._value.members or self._proposer.newest_seen.state.members or self._acceptor.state.state.members
+        )
 
     @property
     def lease_membership(self) -> LeaseMembership:
@@ -185,7 +184,7 @@
     def handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope] | None:
         """The answer to another replica's message; None where it is not for the register."""
         if envelope.HasField("acceptor_query"):
-            self._contacts.asked(envelope.acceptor_query, self._clock(), self._proposer.met[0])
+            self._contacts.asked(envelope.acceptor_query, self._clock(), self._proposer.newest_seen.ballot)
             return self._acceptor.handle(envelope)
         if envelope.HasField("prepare") or envelope.HasField("accept"):
             return self._acceptor.handle(envelope)
@@ -202,7 +201,8 @@
         """Whether more replicas are needed for the losses to be borne, and may still be on their way."""
         return self._clock() - self._began < YOUNG and (
             not self._known
-            or len(self._proposer.settled.members) < membership_policy.needed(self._node.tolerated_machine_losses)
+            or len(self._proposer.committed_membership.members)
+            < membership_policy.needed(self._node.tolerated_machine_losses)
         )
 
     @property
@@ -237,9 +237,9 @@
         """A majority holds this value under this ballot."""
         if at >= self._at:
             self._at, self._known = at, True
-            self._proposer.settled = Membership.of(value)
-        if at > self._proposer.met[0]:
-            self._proposer.met = at, value
+            self._proposer.committed_membership = Membership.from_state(value)
+        if at > self._proposer.newest_seen.ballot:
+            self._proposer.newest_seen = BallotedState(at, value)
         self.adopt(value)
 
     def _committed(self, value: ClusterState, at: Ballot) -> None:
@@ -255,9 +255,11 @@
         own = (
             None
             if state.is_recovering
-            else state.recover(AcceptorQuery(address=self.address, known_ballot=state.accepted.message()))
+            else state.report(AcceptorQuery(address=self.address, known_ballot=state.accepted.to_message()))
+        )
+        return Known(
+            self._at, self._proposer.committed_membership, own[1] if own is not None else None, self._contacts.leaving
         )
-        return Known(self._at, self._proposer.settled, own[1] if own is not None else None, self._contacts.leaving)
 
     def _hear_from(self, address: str) -> None:
         self._heard[address] = self._clock()
@@ -297,12 +299,12 @@
         if self._acceptor.state.is_recovering:
             await self._recover()
         await self._hear(self._timing.wait)
-        self._contacts.prune(self._proposer.settled, self._clock())
+        self._contacts.prune(self._proposer.committed_membership, self._clock())
 
     def _others(self) -> frozenset[str]:
         """Whom to ask: all who count under any value met; where none is, the seeds and whom discovery tells."""
-        states = self._acceptor.state.state, self._proposer.met[1], self._value
-        known = frozenset[str]().union(*(Membership.of(state).all_members for state in states))
+        states = self._acceptor.state.state, self._proposer.newest_seen.state, self._value
+        known = frozenset[str]().union(*(Membership.from_state(state).all_members for state in states))
         if not self._known or not self.has_quorum_contact or self.address not in known:
             known |= frozenset(self._node.seed_addresses) | self._told_of
         return (known | self._contacts.asking(self._clock())) - {self.address}
@@ -329,7 +331,7 @@
         """Say who we are, and what the others hold."""
         state = self._acceptor.state
         asked = AcceptorQuery(
-            address=self.address, known_ballot=state.accepted.message(), can_vote=not state.is_recovering
+            address=self.address, known_ballot=state.accepted.to_message(), can_vote=not state.is_recovering
         )
         return await self._read(addresses, asked, wait)
 
@@ -359,34 +361,34 @@
         """What do the others hold? Take what is newer, and learn what a majority has."""
         state, began = self._acceptor.state, self._clock()
         asked = AcceptorQuery(
-            address=self.address, known_ballot=state.accepted.message(), can_vote=not state.is_recovering
+            address=self.address, known_ballot=state.accepted.to_message(), can_vote=not state.is_recovering
         )
         answers = {one: answer for one, answer in (await self._read(self._others(), asked, wait)).items() if answer.ok}
         for answer in answers.values():
-            if Ballot.of(answer.accepted) == state.accepted != INITIAL_BALLOT:
+            if Ballot.from_message(answer.accepted) == state.accepted != INITIAL_BALLOT:
                 answer.state.CopyFrom(state.state)
         if not state.is_recovering:
             self._heard[self.address] = self._clock()
-            answers[self.address] = state.recover(AcceptorQuery(address=self.address))[1]
+            answers[self.address] = state.report(AcceptorQuery(address=self.address))[1]
         if not answers:
             return
-        newest = max(answers.values(), key=lambda one: Ballot.of(one.accepted))
-        at, value = Ballot.of(newest.accepted), newest.state
-        if at > self._proposer.met[0] or not self._proposer.met[1].members:
-            self._proposer.met = at, value
-        tally = VoteTally(Membership.of(value).quorum_sets)
+        newest = max(answers.values(), key=lambda one: Ballot.from_message(one.accepted))
+        at, value = Ballot.from_message(newest.accepted), newest.state
+        if at > self._proposer.newest_seen.ballot or not self._proposer.newest_seen.state.members:
+            self._proposer.newest_seen = BallotedState(at, value)
+        tally = VoteTally(Membership.from_state(value).quorum_sets)
         for member, answer in answers.items():
-            tally.add(member, Ballot.of(answer.accepted) == at, answer.incarnations)
-        if tally.reached():
+            tally.add(member, Ballot.from_message(answer.accepted) == at, answer.incarnations)
+        if tally.has_quorum():
             self._learnt(value, at)
             self.lease.confirm(began)
             behind = [
                 one
-                for one in Membership.of(value).all_members & answers.keys()
-                if Ballot.of(answers[one].accepted) < at
+                for one in Membership.from_state(value).all_members & answers.keys()
+                if Ballot.from_message(answers[one].accepted) < at
             ]
             self._wanted(("behind", at) if behind else None)
-        elif Membership.of(value).quorum_reached(answers):
+        elif Membership.from_state(value).has_quorum(answers):
             self._wanted(("agree", at))
         else:
             self._wanted(None)  # a ballot would hang now, and an order that comes as a cut ends would wait behind it
--- a/hallhitch/planes/control/proposer.py
+++ b/hallhitch/planes/control/proposer.py
@@ -18,19 +18,11 @@
 from hallhitch.node.errors import PeerCallError, RequestTimeout
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.planes.control.acceptor import DurableAcceptor
+from hallhitch.planes.control.ballot import Ballot, BallotedState
 from hallhitch.planes.control.contention import PhaseTime
-from hallhitch.planes.control.register import (
-    INITIAL_BALLOT,
-    AlreadyChosen,
-    Ballot,
-    FoundingConflict,
-    Membership,
-    MembershipChanged,
-    Proposal,
-    SendAccepts,
-    StateTransition,
-)
-from hallhitch.planes.control.state_transitions import identity
+from hallhitch.planes.control.membership import Membership
+from hallhitch.planes.control.proposal import AlreadyChosen, FoundingConflict, MembershipChanged, Proposal, SendAccepts
+from hallhitch.planes.control.state_transitions import StateTransition, identity
 
 PREPARE, ACCEPT = 900.0, 2500.0  # ms for one answer; a big word on a thin link takes its time
 ANSWERED = 20.0  # ms before its caller's patience ends in which nothing more is waited for
@@ -77,13 +69,10 @@
         )
         self._log = ComponentLogger("register")
         self._founding = RateLimitedLog(self._log)
-        self.settled: Membership = Membership.of(
+        self.committed_membership: Membership = Membership.from_state(
             ClusterState()
         )  # the newest members that a majority is known to have taken
-        self.met: tuple[Ballot, ClusterState] = (
-            INITIAL_BALLOT,
-            ClusterState(),
-        )  # the newest value met anywhere: by its members we ask
+        self.newest_seen = BallotedState()  # the newest value met anywhere: by its members we ask
 
     async def change(self, change: StateTransition, patience: float) -> ClusterState:
         """Put a change to the register; the value after it. Raises Silent after `patience` ms: it may come yet."""
@@ -113,7 +102,7 @@
 
     async def _serve(self) -> None:
         pause, moves = FIRST_PAUSE, 0
-        ask: tuple[Ballot, ClusterState] | None = None
+        ask: BallotedState | None = None
         while self._orders:
             await self._give_way()
             self._taken, result = [], None
@@ -129,7 +118,7 @@
                 self._log.error(f"a ballot failed: {type(error).__name__}: {error}")
             finally:
                 self._ballot = None
-            ask = result.held if isinstance(result, MembershipChanged) else None
+            ask = result.found_state if isinstance(result, MembershipChanged) else None
             if isinstance(result, ClusterState):
                 pause, moves = FIRST_PAUSE, 0
                 for order in self._taken:
@@ -158,23 +147,27 @@
                 async with asyncio.timeout(left / 1000):
                     await ended.wait()
 
-    def _propose(self, ask: tuple[Ballot, ClusterState] | None) -> Proposal:
+    def _propose(self, restart_from: BallotedState | None) -> Proposal:
         """The next ballot, above all that were met."""
-        held = self._acceptor.state
-        known: tuple[Ballot, ClusterState] = (
-            (INITIAL_BALLOT, ClusterState()) if held.is_recovering else (held.accepted, held.state)
-        )
-        asked = ask or (known if known[0] > self.met[0] or not self.met[1].members else self.met)
+        replica = self._acceptor.state
+        local_state = replica.accepted_state
+        basis = restart_from or self._newest_known(local_state)
         rival = self._acceptor.rivals.prepared
-        self._round = max(self._round, held.promised.round, asked[0].round, rival.round) + 1
+        self._round = max(self._round, replica.promised.round, basis.ballot.round, rival.round) + 1
 
-        def change(value: ClusterState) -> ClusterState:
-            return self._apply(proposal, value)
+        def apply_orders(state: ClusterState) -> ClusterState:
+            return self._apply(proposal, state)
 
-        proposal = Proposal(Ballot(self._round, self._name), asked[1], known, change, self.settled, asked[0])
-        proposal.firm = False
+        ballot = Ballot(self._round, self._name)
+        proposal = Proposal(ballot, basis, local_state, apply_orders, self.committed_membership)
+        proposal.requires_commit = False
         return proposal
 
+    def _newest_known(self, local_state: BallotedState) -> BallotedState:
+        """Return the state by whose members to prepare."""
+        is_local_newer = local_state.ballot > self.newest_seen.ballot or not self.newest_seen.state.members
+        return local_state if is_local_newer else self.newest_seen
+
     def _apply(self, proposal: Proposal, value: ClusterState) -> ClusterState:
         """All orders that wait, one after the other, on the newest value among the promises.
 
@@ -182,26 +175,26 @@
         stood still finds the end of an order by the clock before its time-out has run. A change of members that may
         not be made on top of these leaves the other orders alone.
         """
-        members_may_change = proposal.asked == self.settled
+        members_may_change = proposal.membership == self.committed_membership
         for order in self._orders:
             if order.done.done() or self._clock() >= order.ends:
                 continue
             if order.change is identity and order.asked > self.began:
                 continue  # a promise may be older than this read, and no accept will show what came between
             after = order.change(value)
-            if Membership.of(after) == Membership.of(value) or members_may_change:
+            if Membership.from_state(after) == Membership.from_state(value) or members_may_change:
                 value = after
             self._taken.append(order)
-            proposal.firm |= order.change is not identity
+            proposal.requires_commit |= order.change is not identity
         return value
 
-    async def _one(self, ask: tuple[Ballot, ClusterState] | None) -> ClusterState | MembershipChanged | None:
+    async def _one(self, ask: BallotedState | None) -> ClusterState | MembershipChanged | None:
         """One ballot: the value that a majority holds, by whose members to start over, or None."""
         proposal = self._propose(ask)
-        if not proposal.to:
+        if not proposal.recipients:
             return None
         answers = self._send_prepares(proposal)
-        missing, committed = set(proposal.to), False
+        missing, committed = set(proposal.recipients), False
         ends = math.inf  # when a ballot that somebody refused is given up
         while not committed:
             try:
@@ -212,7 +205,7 @@
             if answer.HasField("promise"):
                 chosen = self._promised(proposal, member, answer.promise, missing, answers)
                 if isinstance(chosen, FoundingConflict):
-                    lists = f"{chosen.own.members} and {chosen.other.members}"
+                    lists = f"{chosen.own.members} and {chosen.peer.members}"
                     self._founding.warning(self._clock(), f"founded with different members, {lists}: not going on")
                     return None
                 if isinstance(chosen, MembershipChanged | ClusterState):
@@ -220,34 +213,34 @@
             else:
                 missing.discard(member)
                 if answer.HasField("accepted"):
-                    committed = proposal.accepted(member, answer.accepted)
+                    committed = proposal.on_accepted(member, answer.accepted)
                 else:
-                    proposal.refused(member)
-            self._round = max(self._round, proposal.seen)
-            if not committed and (proposal.hopeless() or (_refused(answer) and self._is_overtaken(proposal))):
+                    proposal.on_failure(member)
+            self._round = max(self._round, proposal.highest_round_seen)
+            if not committed and (proposal.has_failed() or (_refused(answer) and self._is_overtaken(proposal))):
                 return None
             if _refused(answer):
                 ends = min(ends, self._clock() + self._phase.patience_ms)
-        value = proposal.value
+        value = proposal.state
         assert value is not None
-        self._learnt(value, proposal.at)
-        if proposal.changed:
+        self._learnt(value, proposal.ballot)
+        if proposal.is_changed:
             await self._linger(proposal, missing, answers)
         return value
 
     def _send_prepares(self, proposal: Proposal) -> asyncio.Queue[tuple[str, Envelope]]:
         """Ask all for their promises; where their answers come."""
         answers: asyncio.Queue[tuple[str, Envelope]] = asyncio.Queue()
-        prepare = proposal.prepare()
+        prepare = proposal.prepare_message()
         prepare.is_read = all(order.change is identity for order in self._orders)
         self._prepared = self._clock()
-        for member in sorted(proposal.to):
+        for member in sorted(proposal.recipients):
             self._ask(member, Envelope(prepare=prepare), PREPARE, answers)
         return answers
 
     def _is_overtaken(self, proposal: Proposal) -> bool:
         """Whether a ballot without a majority of promises has met a higher one that is on its way to the others too."""
-        return proposal.value is None and self._rival_wait() > 0
+        return proposal.state is None and self._rival_wait() > 0
 
     def _promised(
         self,
@@ -259,19 +252,19 @@
     ) -> ClusterState | MembershipChanged | FoundingConflict | None:
         """One promise or refusal; the value where nothing has to be handed on for it."""
         if not answer.ok and not answer.is_recovering:
-            self._acceptor.rivals.saw_prepare(Ballot.of(answer.promised), self._clock())
-            self._acceptor.rivals.saw_accept(Ballot.of(answer.accepted))
-        chosen = proposal.promise(member, answer)
+            self._acceptor.rivals.saw_prepare(Ballot.from_message(answer.promised), self._clock())
+            self._acceptor.rivals.saw_accept(Ballot.from_message(answer.accepted))
+        chosen = proposal.on_promise(member, answer)
         if isinstance(chosen, AlreadyChosen):
-            self._learnt(chosen.value, proposal.base[0])
-            return chosen.value
+            self._learnt(chosen.state, proposal.newest_state.ballot)
+            return chosen.state
         if isinstance(chosen, SendAccepts):
             if self._prepared is not None:
                 self._phase.measured(self._clock() - self._prepared)
                 self._prepared = None
-            missing |= chosen.to
-            for one in sorted(chosen.to):
-                self._ask(one, Envelope(accept=proposal.accept(one)), ACCEPT, answers)
+            missing |= chosen.recipients
+            for one in sorted(chosen.recipients):
+                self._ask(one, Envelope(accept=proposal.accept_message(one)), ACCEPT, answers)
             return None
         return chosen
 
@@ -285,8 +278,8 @@
                 while any(self._likely(one) for one in missing):
                     member, answer = await answers.get()
                     if answer.HasField("promise") and answer.promise.ok:
-                        proposal.promise(member, answer.promise)
-                        self._ask(member, Envelope(accept=proposal.accept(member)), ACCEPT, answers)
+                        proposal.on_promise(member, answer.promise)
+                        self._ask(member, Envelope(accept=proposal.accept_message(member)), ACCEPT, answers)
                     else:
                         missing.discard(member)
         except TimeoutError:
--- a/hallhitch/planes/control/recovery_quorum.py
+++ b/hallhitch/planes/control/recovery_quorum.py
@@ -1,9 +1,11 @@
-"""Which answers of others are enough for a replica that lost its memory. No clock, no I/O; see `register` on memory."""
+"""Which answers suffice for a replica that lost its memory: no clock, no I/O. See `acceptor_state` on incarnations."""
 
 from __future__ import annotations
 
 from hallhitch.messages.system_pb2 import AcceptorReport, ClusterState
-from hallhitch.planes.control.register import AcceptorState, Ballot, Membership
+from hallhitch.planes.control.acceptor_state import AcceptorState
+from hallhitch.planes.control.ballot import Ballot
+from hallhitch.planes.control.membership import Membership
 
 
 class Recovery:
@@ -24,12 +26,12 @@
 
     def newest(self) -> ClusterState:
         """The newest value met, whoever holds it."""
-        held = max(self._answers.values(), key=lambda one: Ballot.of(one.accepted), default=None)
+        held = max(self._answers.values(), key=lambda one: Ballot.from_message(one.accepted), default=None)
         return held.state if held is not None else ClusterState()
 
     def enough(self) -> bool:
         """Whether any majority that this replica once was part of has one that answered."""
-        needed = Membership.of(self.newest()).quorum_sets
+        needed = Membership.from_state(self.newest()).quorum_sets
         for one in needed:
             others = one - {self.address}
             if not others:
@@ -49,6 +51,8 @@
         for one in self._answers.values():
             for member, incarnation in one.incarnations.items():
                 incarnations[member] = max(incarnations.get(member, 0), incarnation)
-        held = max(self._answers.values(), key=lambda one: Ballot.of(one.accepted))
-        promised = max(max(Ballot.of(one.promised), Ballot.of(one.accepted)) for one in self._answers.values())
-        return AcceptorState(self.address, promised, Ballot.of(held.accepted), held.state, incarnations)
+        held = max(self._answers.values(), key=lambda one: Ballot.from_message(one.accepted))
+        promised = max(
+            max(Ballot.from_message(one.promised), Ballot.from_message(one.accepted)) for one in self._answers.values()
+        )
+        return AcceptorState(self.address, promised, Ballot.from_message(held.accepted), held.state, incarnations)
--- a/hallhitch/planes/control/serving_lease.py
+++ b/hallhitch/planes/control/serving_lease.py
@@ -12,7 +12,9 @@
 
 from collections.abc import Mapping
 
-from hallhitch.planes.control.register import Ballot, Membership, VoteTally
+from hallhitch.planes.control.ballot import Ballot
+from hallhitch.planes.control.membership import Membership
+from hallhitch.planes.control.vote_tally import VoteTally
 
 NEVER_CONFIRMED = -1.0  # the age of a contact that there never was
 LOST_ROUNDS = 2  # rounds that may go unanswered before a lease ends
@@ -63,4 +65,4 @@
     @property
     def confirmed(self) -> bool:
         """Whether the majority is there."""
-        return self._tally.reached()
+        return self._tally.has_quorum()
--- a/hallhitch/planes/control/state_recovery.py
+++ b/hallhitch/planes/control/state_recovery.py
@@ -12,8 +12,9 @@
 from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.planes.control.acceptor import DurableAcceptor
+from hallhitch.planes.control.acceptor_state import AcceptorState
+from hallhitch.planes.control.membership import Membership, initial_state
 from hallhitch.planes.control.recovery_quorum import Recovery
-from hallhitch.planes.control.register import AcceptorState, Membership, initial_state
 
 GRACE = 50.0  # ms given to more answers once they are enough: they may hold something newer
 
@@ -72,7 +73,7 @@
         message = AcceptorQuery(address=self._address, incarnation=recovery.incarnation)
         try:
             while True:
-                known = self._others() | Membership.of(recovery.newest()).all_members
+                known = self._others() | Membership.from_state(recovery.newest()).all_members
                 for one in sorted(known - asked - {self._address}):
                     calls[asyncio.ensure_future(self._ask(one, message))] = one
                 asked |= known
--- a/hallhitch/planes/control/state_store.py
+++ b/hallhitch/planes/control/state_store.py
@@ -32,7 +32,9 @@
 from google.protobuf.message import DecodeError
 
 from hallhitch.messages.system_pb2 import ClusterState, Promise
-from hallhitch.planes.control.register import INITIAL_BALLOT, AcceptorState, Ballot, copy_state
+from hallhitch.planes.control.acceptor_state import AcceptorState
+from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot
+from hallhitch.planes.control.state_delta import copy_state
 
 GENERATION = re.compile(r"state-(\d{12})\.(dat|dir|bak)")
 CONTENT = re.compile(r"word-([0-9a-f]{32})\.(dat|dir|bak)")
@@ -180,7 +182,9 @@
         light = copy_state(replica.state)
         light.config = b""
         votes = Promise(
-            promised=replica.promised.message(), accepted=replica.accepted.message(), incarnations=replica.incarnations
+            promised=replica.promised.to_message(),
+            accepted=replica.accepted.to_message(),
+            incarnations=replica.incarnations,
         )
         try:
             if word not in self._synced:
@@ -226,7 +230,11 @@
             word = records[b"content"].decode()
             votes = Promise.FromString(records[b"votes"])
             replica = AcceptorState(
-                self._address, Ballot.of(votes.promised), Ballot.of(votes.accepted), value, dict(votes.incarnations)
+                self._address,
+                Ballot.from_message(votes.promised),
+                Ballot.from_message(votes.accepted),
+                value,
+                dict(votes.incarnations),
             )
         except (KeyError, ValueError, DecodeError) as error:
             raise CorruptDatabaseError(f"{base} lacks a record: {error}") from None
--- a/hallhitch/planes/control/state_transitions.py
+++ b/hallhitch/planes/control/state_transitions.py
@@ -15,11 +15,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 
 from hallhitch.messages.system_pb2 import ClusterState, ConfigDigest
 from hallhitch.planes.control.config_digests import content_digest, extended
-from hallhitch.planes.control.register import Membership, StateTransition, copy_state
+from hallhitch.planes.control.membership import Membership
+from hallhitch.planes.control.state_delta import copy_state
+
+StateTransition = Callable[[ClusterState], ClusterState]  # returns the same object where it changes nothing
 
 
 def identity(value: ClusterState) -> ClusterState:
@@ -101,7 +104,7 @@
 
     def change(value: ClusterState) -> ClusterState:
         if (
-            Membership.of(value) != among
+            Membership.from_state(value) != among
             or value.previous_members
             or value.previous_lease_members
             or target == list(value.members)
--- a/hallhitch/planes/control/vote_eligibility.py
+++ b/hallhitch/planes/control/vote_eligibility.py
@@ -8,7 +8,8 @@
 from hallhitch.messages.system_pb2 import AcceptorReport
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.planes.control.acceptor import DurableAcceptor
-from hallhitch.planes.control.register import INITIAL_BALLOT, Ballot, founding_conflict
+from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot, BallotedState
+from hallhitch.planes.control.membership import has_founding_conflict
 
 FOUNDED_OTHERWISE = "the settings of the first start differ by machine"
 
@@ -43,8 +44,10 @@
     def _check_founding(self, address: str, answer: AcceptorReport) -> None:
         """Another that was founded with other members: no order is taken while neither has a ballot."""
         state = self._acceptor.state
-        at = Ballot.of(answer.accepted)
-        if not answer.ok or not founding_conflict(state.state, state.accepted, answer.state, at):
+        at = Ballot.from_message(answer.accepted)
+        if not answer.ok:
+            return
+        if not has_founding_conflict(BallotedState(state.accepted, state.state), BallotedState(at, answer.state)):
             return
         if not self._conflict:
             own, other = list(state.state.members), list(answer.state.members)
--- a/tests/system/compatibility/test_earlier_release.py
+++ b/tests/system/compatibility/test_earlier_release.py
@@ -13,7 +13,7 @@
 
 from hallhitch.messages.frames import FrameQueue, FrameReader, OutgoingFrame
 from hallhitch.messages.system_pb2 import Envelope
-from hallhitch.planes.control.register import Ballot
+from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.state_store import DirectoryStorage, StateStore
 
 HERE = Path(__file__).parent
--- a/tests/system/control/test_contention.py
+++ b/tests/system/control/test_contention.py
@@ -13,8 +13,10 @@
 from hallhitch.messages.system_pb2 import Accept, Envelope, Prepare
 from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.acceptor import DurableAcceptor, consume_exception
+from hallhitch.planes.control.acceptor_state import AcceptorState
+from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.contention import LONGEST_MS, SHORTEST_MS, PhaseTime, RivalBallots
-from hallhitch.planes.control.register import AcceptorState, Ballot, initial_state
+from hallhitch.planes.control.membership import initial_state
 from hallhitch.planes.control.state_store import StateStore
 
 
@@ -76,7 +78,7 @@
         acceptor.state = AcceptorState("a", state=value)
         messages = []
         for number in range(1, 9):
-            ballot = Ballot(number, f"{'bc'[number % 2]}#1").message()
+            ballot = Ballot(number, f"{'bc'[number % 2]}#1").to_message()
             value_then = state_transitions.put(number, b"x")(value)
             messages += [
                 Envelope(prepare=Prepare(ballot=ballot)),
@@ -103,7 +105,7 @@
         acceptor.state = AcceptorState("a", state=initial_state("abc"))
         most = 0
         for number in range(1, 300):
-            prepare = Envelope(prepare=Prepare(ballot=Ballot(number, "b#1").message()))
+            prepare = Envelope(prepare=Prepare(ballot=Ballot(number, "b#1").to_message()))
             asyncio.ensure_future(acceptor.handle(prepare)).add_done_callback(consume_exception)
             await asyncio.sleep(0.1)
             most = max(most, len(asyncio.all_tasks()))
--- a/tests/system/control/test_files.py
+++ b/tests/system/control/test_files.py
@@ -9,7 +9,10 @@
 
 import pytest
 
-from hallhitch.planes.control.register import AcceptorState, Ballot, copy_state, initial_state
+from hallhitch.planes.control.acceptor_state import AcceptorState
+from hallhitch.planes.control.ballot import Ballot
+from hallhitch.planes.control.membership import initial_state
+from hallhitch.planes.control.state_delta import copy_state
 from hallhitch.planes.control.state_store import DirectoryStorage, StateStore
 
 ADDRESS = "10.0.0.1:7000"
--- a/tests/system/control/test_forgotten_votes.py
+++ b/tests/system/control/test_forgotten_votes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport, Prepare, Promise
-from hallhitch.planes.control.register import VoteTally
+from hallhitch.planes.control.vote_tally import VoteTally
 from tests.system.control.test_register import Message, World
 
 FLEETS = [(3, 0, 1), (3, 2, 1), (3, 3, 2), (5, 1, 2)]
@@ -83,5 +83,5 @@
 def test_without_incarnations_each_such_schedule_loses_something(
     founders: int, spares: int, losses: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(VoteTally, "votes", lambda tally: set(tally._yes))
+    monkeypatch.setattr(VoteTally, "valid_votes", lambda tally: set(tally._granted))
     assert broken(founders, spares, losses) == SEEDS
--- a/tests/system/control/test_founding.py
+++ b/tests/system/control/test_founding.py
@@ -11,16 +11,10 @@
 from hallhitch.messages.system_pb2 import AcceptorQuery
 from hallhitch.node.logs import ComponentLogger, format_fields
 from hallhitch.planes.control import state_transitions
-from hallhitch.planes.control.register import (
-    INITIAL_BALLOT,
-    OTHER_INCARNATIONS,
-    AcceptorState,
-    Ballot,
-    FoundingConflict,
-    Membership,
-    Proposal,
-    initial_state,
-)
+from hallhitch.planes.control.acceptor_state import MAX_NON_MEMBER_INCARNATIONS, AcceptorState
+from hallhitch.planes.control.ballot import Ballot, BallotedState
+from hallhitch.planes.control.membership import Membership, initial_state
+from hallhitch.planes.control.proposal import FoundingConflict, Proposal
 from tests.system.control.control_fleet import FOURTH, describe_config, replace_config
 
 A, B, C, D = "10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000", FOURTH
@@ -84,11 +78,17 @@
 
 def test_a_proposer_that_meets_another_founding_does_not_go_on() -> None:
     own, other = initial_state((A, B, C)), initial_state((B, C, D))
-    proposal = Proposal(Ballot(1, "a"), own, (INITIAL_BALLOT, own), state_transitions.put(1, b"x"), Membership.of(own))
+    proposal = Proposal(
+        Ballot(1, "a"),
+        BallotedState(state=own),
+        BallotedState(state=own),
+        state_transitions.put(1, b"x"),
+        Membership.from_state(own),
+    )
     for address, state in ((A, own), (C, other)):
-        _, promise = AcceptorState(address, state=state).prepare(proposal.prepare())
-        chosen = proposal.promise(address, promise)
-    assert chosen == FoundingConflict(Membership.of(own), Membership.of(other))
+        _, promise = AcceptorState(address, state=state).prepare(proposal.prepare_message())
+        chosen = proposal.on_promise(address, promise)
+    assert chosen == FoundingConflict(Membership.from_state(own), Membership.from_state(other))
 
 
 @pytest.mark.parametrize(
@@ -164,8 +164,8 @@
 def test_incarnations_of_machines_that_do_not_count_are_bounded() -> None:
     state = AcceptorState("a", state=initial_state("abc"))
     for one in ("b", "a", *(f"m{n}" for n in range(100))):
-        state, _ = state.recover(AcceptorQuery(address=one, incarnation=3))
-    assert len(state.incarnations) <= OTHER_INCARNATIONS + 3
+        state, _ = state.report(AcceptorQuery(address=one, incarnation=3))
+    assert len(state.incarnations) <= MAX_NON_MEMBER_INCARNATIONS + 3
     assert state.incarnations["a"] == state.incarnations["b"] == state.incarnations["m99"] == 3
 
 
--- a/tests/system/control/test_lease_membership.py
+++ b/tests/system/control/test_lease_membership.py
@@ -7,7 +7,7 @@
 from hallhitch.lab.simulation.coordinators import Fleet, play
 from hallhitch.messages.system_pb2 import Accept, BallotMessage, Envelope
 from hallhitch.planes.control import state_transitions
-from hallhitch.planes.control.register import Membership
+from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.values import LeaseMembership
 
 
@@ -20,7 +20,7 @@
         await plane.change(state_transitions.note("first", "order"), 800)
         fleet.isolate(a.address)
         joint = state_transitions.reconfigure(
-            [*fleet.seeds[:2], "10.0.0.9:7000"], Membership.of(plane.committed_state)
+            [*fleet.seeds[:2], "10.0.0.9:7000"], Membership.from_state(plane.committed_state)
         )(plane.committed_state)
         accept = Accept(ballot=BallotMessage(round=1 << 20, proposer="p"), state=joint)
         answer = plane.handle(Envelope(accept=accept))
--- a/tests/system/control/test_members.py
+++ b/tests/system/control/test_members.py
@@ -6,9 +6,10 @@
 from collections.abc import Iterator
 
 from hallhitch.messages.system_pb2 import AcceptorQuery
+from hallhitch.planes.control.ballot import INITIAL_BALLOT
+from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_policy import Observations, Reason, Target, Timing, needed, target, turn
 from hallhitch.planes.control.peer_observations import REMEMBERED, Contacts
-from hallhitch.planes.control.register import INITIAL_BALLOT, Membership
 
 FATES = ("here", "leaving", "silent")
 
@@ -97,7 +98,9 @@
     for at in range(1000):
         one = f"m{at}"
         contacts.asked(
-            AcceptorQuery(address=one, can_vote=True, known_ballot=INITIAL_BALLOT.message()), at * 100, INITIAL_BALLOT
+            AcceptorQuery(address=one, can_vote=True, known_ballot=INITIAL_BALLOT.to_message()),
+            at * 100,
+            INITIAL_BALLOT,
         )
         contacts.heard[one] = at * 100
         contacts.prune(members, at * 100)
--- a/tests/system/control/test_one_number_one_content.py
+++ b/tests/system/control/test_one_number_one_content.py
@@ -9,11 +9,13 @@
 import pytest
 
 from hallhitch.lab.simulation.coordinators import Fleet, play
-from hallhitch.messages.system_pb2 import ClusterState
 from hallhitch.planes.control import state_transitions
+from hallhitch.planes.control.acceptor_state import AcceptorState
+from hallhitch.planes.control.ballot import Ballot, BallotedState
 from hallhitch.planes.control.config_digests import REMEMBERED, OrderOutcome, canonical_digest, content_digest, outcome
+from hallhitch.planes.control.membership import Membership, initial_state
+from hallhitch.planes.control.proposal import Proposal
 from hallhitch.planes.control.proposer import _Order
-from hallhitch.planes.control.register import INITIAL_BALLOT, AcceptorState, Ballot, Membership, Proposal, initial_state
 from tests.system.control.control_fleet import (
     call_operator,
     config_body,
@@ -37,21 +39,23 @@
         """An order's next try."""
         change = state_transitions.put(NUMBER, CONTENTS[who])
         first = initial_state("abc")
-        return Proposal(Ballot(at, who), first, (INITIAL_BALLOT, ClusterState()), change, Membership.of(first))
+        return Proposal(
+            Ballot(at, who), BallotedState(state=first), BallotedState(), change, Membership.from_state(first)
+        )
 
     def step(self, who: str, proposal: Proposal, step: int, lost: str = "") -> None:
         """One message and its answer: a prepare for the first three steps, an accept for the others."""
         name, accepting = "abc"[step % 3], step >= 3
-        if lost == "request" or (accepting and proposal.value is None):
+        if lost == "request" or (accepting and proposal.state is None):
             return
         if not accepting:
-            self.replicas[name], promise = self.replicas[name].prepare(proposal.prepare())
+            self.replicas[name], promise = self.replicas[name].prepare(proposal.prepare_message())
             if not lost:
-                proposal.promise(name, promise)
+                proposal.on_promise(name, promise)
             return
-        self.replicas[name], accepted = self.replicas[name].accept(proposal.accept(name))
-        if not lost and proposal.accepted(name, accepted) and proposal.value is not None:
-            self.told[who].add(outcome(proposal.value, NUMBER, content_digest(CONTENTS[who])))
+        self.replicas[name], accepted = self.replicas[name].accept(proposal.accept_message(name))
+        if not lost and proposal.on_accepted(name, accepted) and proposal.state is not None:
+            self.told[who].add(outcome(proposal.state, NUMBER, content_digest(CONTENTS[who])))
 
     def again(self, who: str, at: int, quorum: tuple[str, ...]) -> None:
         """The order is sent again, by another machine that reaches these."""
@@ -160,15 +164,17 @@
     assert outcome(state, 10**12 + 745, b"other") is OrderOutcome.CONFLICT
     for change, most in ((state_transitions.put(10**13, b"y" * 50), 250), (state_transitions.evacuate("z"), 200)):
         replicas = {name: AcceptorState(name, at, at, state) for name in "ab"}
-        proposal = Proposal(Ballot(2, "b#1"), state, (at, state), change, Membership.of(state))
+        proposal = Proposal(
+            Ballot(2, "b#1"), BallotedState(state=state), BallotedState(at, state), change, Membership.from_state(state)
+        )
         for name in replicas:
-            replicas[name], promise = replicas[name].prepare(proposal.prepare())
-            proposal.promise(name, promise)
+            replicas[name], promise = replicas[name].prepare(proposal.prepare_message())
+            proposal.on_promise(name, promise)
         for name in replicas:
-            assert proposal.accept(name).ByteSize() < most
-            replicas[name], accepted = replicas[name].accept(proposal.accept(name))
-            assert accepted.ok and replicas[name].state == proposal.value == change(state)
-        assert proposal.accept("c").state == proposal.value  # nothing was heard of it: it gets the whole
+            assert proposal.accept_message(name).ByteSize() < most
+            replicas[name], accepted = replicas[name].accept(proposal.accept_message(name))
+            assert accepted.ok and replicas[name].state == proposal.state == change(state)
+        assert proposal.accept_message("c").state == proposal.state  # nothing was heard of it: it gets the whole
 
 
 def test_a_change_of_members_that_may_not_be_made_drops_no_order_beside_it() -> None:
@@ -177,8 +183,8 @@
     async def scene(fleet: Fleet) -> None:
         a, b, _ = await fleet.found()
         assert await replace_config(a, 1) == 200 and a.plane is not None
-        fifth = state_transitions.add("10.0.0.5:7000", a.plane._proposer.settled)
-        a.plane._proposer.settled = Membership()
+        fifth = state_transitions.add("10.0.0.5:7000", a.plane._proposer.committed_membership)
+        a.plane._proposer.committed_membership = Membership()
         after, _ = await asyncio.gather(a.plane.change(state_transitions.put(2, b"x"), 800), a.plane.change(fifth, 800))
         assert after.config_version == 2 and len(after.members) == 3
         assert b.plane is not None and (await b.plane.change(state_transitions.identity, 800)).config_version == 2
--- a/tests/system/control/test_register.py
+++ b/tests/system/control/test_register.py
@@ -18,21 +18,14 @@
     Promise,
 )
 from hallhitch.planes.control import state_transitions
+from hallhitch.planes.control.acceptor_state import AcceptorState
+from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot, BallotedState
+from hallhitch.planes.control.membership import Membership, initial_state
+from hallhitch.planes.control.proposal import AlreadyChosen, MembershipChanged, Proposal, SendAccepts
 from hallhitch.planes.control.recovery_quorum import Recovery
-from hallhitch.planes.control.register import (
-    INITIAL_BALLOT,
-    AcceptorState,
-    AlreadyChosen,
-    Ballot,
-    Membership,
-    MembershipChanged,
-    Proposal,
-    SendAccepts,
-    StateTransition,
-    VoteTally,
-    copy_state,
-    initial_state,
-)
+from hallhitch.planes.control.state_delta import copy_state
+from hallhitch.planes.control.state_transitions import StateTransition
+from hallhitch.planes.control.vote_tally import VoteTally
 
 SEEDS, STEPS = 80, 600  # schedules for each kind of fleet, and how long each is
 Message = Prepare | Accept | AcceptorQuery | Promise | Accepted | AcceptorReport
@@ -53,9 +46,9 @@
         self.order: str | None = None
         self.recovery: Recovery | None = None
         self.readers: dict[str, AcceptorReport] = {}
-        self.met: tuple[Ballot, ClusterState] = (INITIAL_BALLOT, ClusterState())
-        self.ask: tuple[Ballot, ClusterState] | None = None  # by whose members to start over
-        self.settled: Membership = Membership.of(ClusterState())
+        self.met: BallotedState = BallotedState()
+        self.ask: BallotedState | None = None  # by whose members to start over
+        self.settled: Membership = Membership.from_state(ClusterState())
         self.round = 0
 
 
@@ -96,12 +89,12 @@
         """A ballot of this machine: an order, a change of members, or a read."""
         machine = self.machines[name]
         held = machine.replica
-        known = (INITIAL_BALLOT, ClusterState()) if held.is_recovering else (held.accepted, held.state)
-        asked = machine.ask or max(known, machine.met, key=lambda one: (one[0], bool(one[1].members)))
+        known = held.accepted_state
+        asked = machine.ask or max(known, machine.met, key=lambda one: (one.ballot, bool(one.state.members)))
         machine.ask = None
-        if not asked[1].members:
-            asked = INITIAL_BALLOT, self.first
-        machine.round = max(machine.round, held.promised.round, asked[0].round) + 1
+        if not asked.state.members:
+            asked = BallotedState(state=self.first)
+        machine.round = max(machine.round, held.promised.round, asked.ballot.round) + 1
 
         def change(value: ClusterState) -> ClusterState:
             if members is not None:
@@ -116,11 +109,11 @@
             return after
 
         machine.proposal = Proposal(
-            Ballot(machine.round, f"{name}#{machine.incarnation}"), asked[1], known, change, machine.settled, asked[0]
+            Ballot(machine.round, f"{name}#{machine.incarnation}"), asked, known, change, machine.settled
         )
         machine.order = order
-        for other in sorted(machine.proposal.to):
-            self.send(name, other, machine.proposal, machine.proposal.prepare())
+        for other in sorted(machine.proposal.recipients):
+            self.send(name, other, machine.proposal, machine.proposal.prepare_message())
 
     def recover(self, name: str) -> None:
         """The recovering machine asks (again), in its first pass or in its second."""
@@ -143,16 +136,16 @@
                 machine.replica, accepted = machine.replica.accept(message)
                 self.send(other, one, token, accepted)
             case AcceptorQuery():
-                machine.replica, recovered = machine.replica.recover(message)
+                machine.replica, recovered = machine.replica.report(message)
                 self.send(other, one, token, recovered)
             case Promise() if token is machine.proposal and machine.proposal is not None:
-                self.promised(other, machine, machine.proposal.promise(one, message))
-                machine.round = max(machine.round, machine.proposal.seen if machine.proposal else 0)
+                self.promised(other, machine, machine.proposal.on_promise(one, message))
+                machine.round = max(machine.round, machine.proposal.highest_round_seen if machine.proposal else 0)
             case Accepted() if token is machine.proposal and machine.proposal is not None:
                 proposal = machine.proposal
-                if proposal.accepted(one, message):
-                    assert proposal.value is not None
-                    self.done(machine, proposal.value, proposal.at)
+                if proposal.on_accepted(one, message):
+                    assert proposal.state is not None
+                    self.done(machine, proposal.state, proposal.ballot)
             case AcceptorReport() if token is machine.recovery and machine.recovery is not None:
                 machine.recovery.answer(one, message)
                 if machine.recovery.enough():
@@ -172,33 +165,33 @@
                 machine.proposal, machine.ask = None, held
             case AlreadyChosen(value):
                 assert machine.proposal is not None
-                self.done(machine, value, machine.proposal.base[0])
+                self.done(machine, value, machine.proposal.newest_state.ballot)
             case SendAccepts(to):
                 assert machine.proposal is not None
                 for other in sorted(to):
-                    self.send(name, other, machine.proposal, machine.proposal.accept(other))
+                    self.send(name, other, machine.proposal, machine.proposal.accept_message(other))
 
     def done(self, machine: Machine, value: ClusterState, at: Ballot) -> None:
         self.commit(value)
         if machine.order is not None:
             assert machine.order in value.annotations
             self.acknowledged.add(machine.order)
-        machine.settled, machine.proposal, machine.order = Membership.of(value), None, None
-        machine.met = at, value
+        machine.settled, machine.proposal, machine.order = Membership.from_state(value), None, None
+        machine.met = BallotedState(at, value)
 
     def read(self, machine: Machine) -> None:
         """A round of the others' states: what a majority has is committed; what is newer is taken."""
-        newest = max(machine.readers.values(), key=lambda one: Ballot.of(one.accepted))
-        at = Ballot.of(newest.accepted)
-        tally = VoteTally(Membership.of(newest.state).quorum_sets)
+        newest = max(machine.readers.values(), key=lambda one: Ballot.from_message(one.accepted))
+        at = Ballot.from_message(newest.accepted)
+        tally = VoteTally(Membership.from_state(newest.state).quorum_sets)
         for member, answer in machine.readers.items():
-            tally.add(member, Ballot.of(answer.accepted) == at, answer.incarnations)
-        if tally.reached():
+            tally.add(member, Ballot.from_message(answer.accepted) == at, answer.incarnations)
+        if tally.has_quorum():
             self.commit(newest.state)
-            machine.settled = Membership.of(newest.state)
-        machine.met = max(machine.met, (at, newest.state), key=lambda one: one[0])
+            machine.settled = Membership.from_state(newest.state)
+        machine.met = max(machine.met, BallotedState(at, newest.state), key=lambda one: one.ballot)
         if at != INITIAL_BALLOT:
-            machine.replica, _ = machine.replica.accept(Accept(ballot=at.message(), state=newest.state))
+            machine.replica, _ = machine.replica.accept(Accept(ballot=at.to_message(), state=newest.state))
 
     def members(self, value: ClusterState) -> StateTransition:
         """Some change of members."""
@@ -209,25 +202,27 @@
         other = self.rng.choice([one for one, machine in self.machines.items() if not machine.replica.is_recovering])
         if other in value.members:
             spared = len(value.members) > 2 * self.losses + 1
-            return state_transitions.remove(other, Membership.of(value)) if spared else state_transitions.identity
+            return (
+                state_transitions.remove(other, Membership.from_state(value)) if spared else state_transitions.identity
+            )
         if self.rng.random() < 0.5:  # an exchange in one step
             leaver = self.rng.choice(list(value.members))
-            return state_transitions.reconfigure({*value.members, other} - {leaver}, Membership.of(value))
-        return state_transitions.add(other, Membership.of(value))
+            return state_transitions.reconfigure({*value.members, other} - {leaver}, Membership.from_state(value))
+        return state_transitions.add(other, Membership.from_state(value))
 
     def wipe(self, name: str) -> None:
         """The disk is gone, if so many losses are to be borne and whoever may count now can bear it."""
         lost = {one for one, machine in self.machines.items() if machine.replica.is_recovering} | {name}
         values = [machine.replica.state for machine in self.machines.values()]
         values += [
-            machine.proposal.value
+            machine.proposal.state
             for machine in self.machines.values()
-            if machine.proposal is not None and machine.proposal.value is not None
+            if machine.proposal is not None and machine.proposal.state is not None
         ]
         if all(
             len(one & lost) <= min(self.losses, (len(one) - 1) // 2)
             for value in values
-            for one in Membership.of(value).quorum_sets
+            for one in Membership.from_state(value).quorum_sets
         ):
             self.machines[name].end()
             self.machines[name].replica = AcceptorState(name, is_recovering=True)
@@ -305,10 +300,10 @@
             proposals = {
                 who: Proposal(
                     Ballot(1, who),
-                    first,
-                    (INITIAL_BALLOT, ClusterState()),
+                    BallotedState(state=first),
+                    BallotedState(),
                     state_transitions.put(7, who.encode()),
-                    Membership.of(first),
+                    Membership.from_state(first),
                 )
                 for who in "AB"
             }
@@ -317,26 +312,26 @@
             for place in range(8):
                 proposal = proposals["A" if place in places else "B"]
                 name = next(targets["A" if place in places else "B"])
-                if proposal.value is not None:
-                    replicas[name], accepted = replicas[name].accept(proposal.accept(name))
-                    if proposal.accepted(name, accepted):
-                        told.add(proposal.value.config)
+                if proposal.state is not None:
+                    replicas[name], accepted = replicas[name].accept(proposal.accept_message(name))
+                    if proposal.on_accepted(name, accepted):
+                        told.add(proposal.state.config)
                 else:
-                    replicas[name], promise = replicas[name].prepare(proposal.prepare())
-                    proposal.promise(name, promise)
+                    replicas[name], promise = replicas[name].prepare(proposal.prepare_message())
+                    proposal.on_promise(name, promise)
             assert len(told) <= 1
             for quorum in pairs:
                 later = Proposal(
                     Ballot(2, "C"),
-                    first,
-                    (INITIAL_BALLOT, ClusterState()),
+                    BallotedState(state=first),
+                    BallotedState(),
                     state_transitions.put(7, b"C"),
-                    Membership.of(first),
+                    Membership.from_state(first),
                 )
                 for name in quorum:
-                    later.promise(name, replicas[name].prepare(later.prepare())[1])
-                assert later.value is not None
-                assert not told or {later.value.config} == told
+                    later.on_promise(name, replicas[name].prepare(later.prepare_message())[1])
+                assert later.state is not None
+                assert not told or {later.state.config} == told
             outcomes.add(tuple(sorted(told)))
     assert outcomes == {(b"A",), (b"B",)}  # the higher ballot is never refused by both
 
@@ -346,17 +341,23 @@
     held.config, held.serial = b"x" * 1000, 1
     at = Ballot(3, "a#1")
     replicas = {name: AcceptorState(name, at, at, held) for name in "abc"}
-    proposal = Proposal(Ballot(4, "b#1"), held, (at, held), state_transitions.evacuate("z"), Membership.of(held))
+    proposal = Proposal(
+        Ballot(4, "b#1"),
+        BallotedState(state=held),
+        BallotedState(at, held),
+        state_transitions.evacuate("z"),
+        Membership.from_state(held),
+    )
     for name in "ab":
-        replicas[name], promise = replicas[name].prepare(proposal.prepare())
+        replicas[name], promise = replicas[name].prepare(proposal.prepare_message())
         assert promise.ByteSize() < 200
-        proposal.promise(name, promise)
+        proposal.on_promise(name, promise)
     for name in "ab":
-        assert proposal.accept(name).ByteSize() < 200
-        replicas[name], accepted = replicas[name].accept(proposal.accept(name))
+        assert proposal.accept_message(name).ByteSize() < 200
+        replicas[name], accepted = replicas[name].accept(proposal.accept_message(name))
         assert accepted.ok and replicas[name].state.config == held.config and "z" in replicas[name].state.evacuations
-    assert proposal.accept("c").state.config == held.config  # nothing was heard of it yet
-    assert Membership.of(held).all_members == set("abc")
+    assert proposal.accept_message("c").state.config == held.config  # nothing was heard of it yet
+    assert Membership.from_state(held).all_members == set("abc")
 
 
 def test_a_start_that_was_given_up_does_not_come_after_its_stop() -> None:
@@ -367,14 +368,16 @@
     for turn, (order, quorum) in enumerate(
         ((state_transitions.restore("z"), "bc"), (state_transitions.renew, "ab")), start=2
     ):
-        proposal = Proposal(Ballot(turn, "y"), first, (INITIAL_BALLOT, ClusterState()), order, Membership.of(first))
+        proposal = Proposal(
+            Ballot(turn, "y"), BallotedState(state=first), BallotedState(), order, Membership.from_state(first)
+        )
         for name in quorum:
-            replicas[name], promise = replicas[name].prepare(proposal.prepare())
-            proposal.promise(name, promise)
+            replicas[name], promise = replicas[name].prepare(proposal.prepare_message())
+            proposal.on_promise(name, promise)
         for name in quorum:
-            replicas[name], accepted = replicas[name].accept(proposal.accept(name))
-            proposal.accepted(name, accepted)
-        assert proposal.value is not None and not proposal.value.evacuations
+            replicas[name], accepted = replicas[name].accept(proposal.accept_message(name))
+            proposal.on_accepted(name, accepted)
+        assert proposal.state is not None and not proposal.state.evacuations
 
 
 def test_a_vote_of_a_forgotten_life_does_not_count() -> None:
@@ -383,37 +386,40 @@
     replicas = {name: AcceptorState(name, state=first) for name in "abcde"}
     slow = Proposal(
         Ballot(9, "d#1"),
-        first,
-        (INITIAL_BALLOT, ClusterState()),
+        BallotedState(state=first),
+        BallotedState(),
         state_transitions.put(1, b"late"),
-        Membership.of(first),
+        Membership.from_state(first),
     )
-    promises = {"a": replicas["a"].prepare(slow.prepare())[1], "d": replicas["d"].prepare(slow.prepare())[1]}
+    promises = {
+        "a": replicas["a"].prepare(slow.prepare_message())[1],
+        "d": replicas["d"].prepare(slow.prepare_message())[1],
+    }
     recovery = Recovery("a", Recovery("a").next_incarnation())
     for name in "bce":
         assert not recovery.enough()
-        replicas[name], recovered = replicas[name].recover(AcceptorQuery(address="a", incarnation=recovery.incarnation))
+        replicas[name], recovered = replicas[name].report(AcceptorQuery(address="a", incarnation=recovery.incarnation))
         recovery.answer(name, recovered)
     assert recovery.enough() and recovery.replica().promised == INITIAL_BALLOT
-    promises["b"] = replicas["b"].prepare(slow.prepare())[1]
-    assert [slow.promise(name, promises[name]) for name in "adb"] == [None] * 3
-    assert isinstance(slow.promise("e", replicas["e"].prepare(slow.prepare())[1]), SendAccepts)
+    promises["b"] = replicas["b"].prepare(slow.prepare_message())[1]
+    assert [slow.on_promise(name, promises[name]) for name in "adb"] == [None] * 3
+    assert isinstance(slow.on_promise("e", replicas["e"].prepare(slow.prepare_message())[1]), SendAccepts)
 
 
 def test_members_change_only_on_top_of_members_that_a_majority_took() -> None:
-    half_made = state_transitions.add("d", Membership.of(initial_state("abc")))(initial_state("abc"))
+    half_made = state_transitions.add("d", Membership.from_state(initial_state("abc")))(initial_state("abc"))
     replicas = {name: AcceptorState(name, state=initial_state("abc")) for name in "abd"}
     replicas["d"] = AcceptorState("d", Ballot(1, "x"), Ballot(1, "x"), half_made)
     for settled, members in (
-        (Membership.of(initial_state("abc")), Membership.of(half_made)),
-        (Membership.of(half_made), Membership(3, ("a", "b", "c", "d"), (), ("a", "b", "c"))),
+        (Membership.from_state(initial_state("abc")), Membership.from_state(half_made)),
+        (Membership.from_state(half_made), Membership(3, ("a", "b", "c", "d"), (), ("a", "b", "c"))),
     ):
         proposal = Proposal(
-            Ballot(2, "d#1"), half_made, (INITIAL_BALLOT, ClusterState()), state_transitions.settle, settled
+            Ballot(2, "d#1"), BallotedState(state=half_made), BallotedState(), state_transitions.settle, settled
         )
         for name, replica in replicas.items():
-            proposal.promise(name, replica.prepare(proposal.prepare())[1])
-        assert proposal.value is not None and Membership.of(proposal.value) == members
+            proposal.on_promise(name, replica.prepare(proposal.prepare_message())[1])
+        assert proposal.state is not None and Membership.from_state(proposal.state) == members
 
 
 def test_a_joint_change_needs_most_of_the_old_set_and_most_of_the_new() -> None:
@@ -423,18 +429,18 @@
         for takers in itertools.combinations("abcde", size):
             proposal = Proposal(
                 Ballot(1, "a#1"),
-                first,
-                (INITIAL_BALLOT, ClusterState()),
-                state_transitions.reconfigure(target, Membership.of(first)),
-                Membership.of(first),
+                BallotedState(state=first),
+                BallotedState(),
+                state_transitions.reconfigure(target, Membership.from_state(first)),
+                Membership.from_state(first),
             )
             replicas = {name: AcceptorState(name, state=first) for name in "abcde"}
             for name in "abc":
-                replicas[name], promise = replicas[name].prepare(proposal.prepare())
-                proposal.promise(name, promise)
+                replicas[name], promise = replicas[name].prepare(proposal.prepare_message())
+                proposal.on_promise(name, promise)
             committed = False
             for name in takers:
-                replicas[name], accepted = replicas[name].accept(proposal.accept(name))
-                committed = proposal.accepted(name, accepted)
+                replicas[name], accepted = replicas[name].accept(proposal.accept_message(name))
+                committed = proposal.on_accepted(name, accepted)
             assert committed == all(len(set(takers) & set(one)) >= 2 for one in ("abc", target))
-            assert not committed or proposal.value is not None and list(proposal.value.previous_members) == list("abc")
+            assert not committed or proposal.state is not None and list(proposal.state.previous_members) == list("abc")
--- a/tests/system/control/test_serving.py
+++ b/tests/system/control/test_serving.py
@@ -8,10 +8,11 @@
 
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
 from hallhitch.messages.system_pb2 import AcceptorReport, Envelope
+from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.lease_renewal import Known, LeaseRenewal
+from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.operator_api import QUICK
 from hallhitch.planes.control.plane import ControlPlane
-from hallhitch.planes.control.register import Ballot, Membership
 from hallhitch.planes.control.serving_lease import NEVER_CONFIRMED, ConfirmingRead, ServingLease
 from tests.system.control.control_fleet import call_operator, describe_config, replace_config
 
--- a/tests/system/simulation/scenes.py
+++ b/tests/system/simulation/scenes.py
@@ -13,7 +13,7 @@
 from hallhitch.lab.simulation.world import INTERNAL_PORT, OPERATORS_PORT, Machine, World
 from hallhitch.node.errors import PeerCallError
 from hallhitch.planes.control import state_transitions
-from hallhitch.planes.control.register import Membership
+from hallhitch.planes.control.membership import Membership
 
 PATIENCE = 800.0  # ms for a change of members
 Act = Callable[[], None]
@@ -64,7 +64,7 @@
             control = proposer.program._control
             with suppress(PeerCallError):
                 await control.change(
-                    state_transitions.reconfigure(addresses, Membership.of(control.committed_state)), PATIENCE
+                    state_transitions.reconfigure(addresses, Membership.from_state(control.committed_state)), PATIENCE
                 )
 
         self.at(moment, lambda: proposer.loop.begin(change()) if proposer.loop is not None else None)
--- a/tests/system/simulation/test_mechanisms.py
+++ b/tests/system/simulation/test_mechanisms.py
@@ -18,10 +18,12 @@
 from hallhitch.messages.addressing import Identity
 from hallhitch.messages.system_pb2 import AcceptorQuery
 from hallhitch.planes.control import operator_api
+from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.config_digests import OrderOutcome
+from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.peer_observations import Contacts
-from hallhitch.planes.control.register import Ballot, Membership, VoteTally
 from hallhitch.planes.control.serving_lease import ServingLease
+from hallhitch.planes.control.vote_tally import VoteTally
 from tests.system.simulation import scenes
 from tests.system.simulation.scenes import perform
 
@@ -30,7 +32,7 @@
 
 def _without_incarnations(patch: pytest.MonkeyPatch) -> None:
     """Votes of ended incarnations count."""
-    patch.setattr(VoteTally, "votes", lambda tally: set(tally._yes))
+    patch.setattr(VoteTally, "valid_votes", lambda tally: set(tally._granted))
 
 
 def _without_sync_of_folder(patch: pytest.MonkeyPatch) -> None:
