--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -31,7 +31,8 @@
     StateRequest,
 )
 from hallhitch.node.errors import RequestTimeout
-from hallhitch.node.settings import NodeSettings, read_settings
+from hallhitch.node.settings import NodeSettings
+from hallhitch.node.settings_file import read_settings
 from hallhitch.planes.control import config_validation, state_transitions
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.data.interfaces import Forward, Outcome, RequestInfo
--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -33,8 +33,9 @@
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node import logs
 from hallhitch.node.clock import now
-from hallhitch.node.settings import NodeSettings, read_settings
-from hallhitch.node.web import Reply, Web
+from hallhitch.node.http_server import HttpReply, HttpServer
+from hallhitch.node.settings import NodeSettings
+from hallhitch.node.settings_file import read_settings
 from hallhitch.planes.distribution.config_compiler import EMPTY_CONFIG, compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
 from hallhitch.planes.distribution.state_hub import StateHub
@@ -94,7 +95,7 @@
         self.draining: set[str] = set()
         self.calls = 0
 
-    def call(self, method: str, target: str, body: bytes) -> Reply:
+    def call(self, method: str, target: str, body: bytes) -> HttpReply:
         """One page."""
         self.calls += 1
         begin = int(target.partition("pageToken=")[2] or 0)
@@ -117,7 +118,7 @@
             },
             "nextPageToken": more,
         }
-        return 200, {"Content-Type": "application/json"}, json.dumps(page).encode()
+        return HttpReply(200, {"Content-Type": "application/json"}, json.dumps(page).encode())
 
 
 class Hollow:
@@ -337,7 +338,7 @@
 
     async def run(self) -> tuple[list[object], list[object]]:
         """The rows of both tables."""
-        web = Web("list", self._listing.call)
+        web = HttpServer("list", self._listing.call)
         await web.serve((f"127.1.{self._number}.9", PORT + 9))
         try:
             return await self._measure()
--- a/hallhitch/lab/system/clients.py
+++ b/hallhitch/lab/system/clients.py
@@ -21,7 +21,7 @@
 from hallhitch.lab.system.records import Records, Try
 from hallhitch.messages.addressing import split_address
 from hallhitch.node.clock import now
-from hallhitch.node.settings import parse_duration_ms
+from hallhitch.node.durations import parse_duration_ms
 
 FINAL = (400, 401, 404, 413, 431)
 PROMISES = (408, 421, 429, 503)
--- a/hallhitch/node/__init__.py
+++ b/hallhitch/node/__init__.py
@@ -1,1 +1,1 @@
-"""What every process of the system has: settings, steady clock, logs, errors, a small web server."""
+"""Foundations of every process of the system: settings, steady clock, logs, errors, a small HTTP server."""
--- a/hallhitch/node/clock.py
+++ b/hallhitch/node/clock.py
@@ -1,4 +1,4 @@
-"""The one clock that decides anything: steady, in milliseconds. The time of day jumps and decides nothing."""
+"""The clock of all decisions: monotonic, in milliseconds. Wall-clock time is used by no decision, as it may jump."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now() -> float:
-    """Steady milliseconds since some moment before this process began."""
+    """Return monotonic milliseconds since an arbitrary moment before the process started."""
     return time.monotonic() * 1000.0
--- a/hallhitch/node/round_trip.py
+++ b/hallhitch/node/round_trip.py
@@ -1,36 +1,39 @@
-"""How long one peer takes to answer, learned from its answers: Jacobson's estimate, as for TCP retransmissions.
+"""Estimate of the time in which a peer replies, from its earlier replies: Jacobson's algorithm as in RFC 6298.
 
-Values in, values out; times in ms. Owns no clock: whoever measures says what it measured.
+Plain values and no clock: the caller measures. Times in ms.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Final
 
-MEAN_GAIN, DEVIATION_GAIN = 1 / 8, 1 / 4  # RFC 6298, 2.3
-DEVIATIONS = 4  # of them beyond the mean, in which nearly every answer comes (RFC 6298, 2.3)
+MEAN_GAIN: Final = 1 / 8  # alpha of RFC 6298, 2.3
+DEVIATION_GAIN: Final = 1 / 4  # beta of RFC 6298, 2.3
+DEVIATIONS_IN_BOUND: Final = 4  # K of RFC 6298, 2.3: nearly all replies come within mean + K * deviation
 
 
 @dataclass(slots=True)
-class RoundTrip:
-    """Smoothed time of an answer and by how much it varies; 0 = nothing measured yet."""
+class RoundTripEstimate:
+    """Smoothed round-trip time and its mean deviation; both are 0 before the first sample."""
 
-    mean: float = 0.0
-    deviation: float = 0.0
+    mean_ms: float = 0.0
+    deviation_ms: float = 0.0
 
     @property
-    def known(self) -> bool:
+    def has_samples(self) -> bool:
         """Whether anything was measured."""
-        return self.mean > 0
+        return self.mean_ms > 0
 
-    def learn(self, took: float) -> None:
-        """One answer took so many ms, or was given up after them."""
-        if not self.known:
-            self.mean, self.deviation = took, took / 2
+    def observe(self, sample_ms: float) -> None:
+        """Add the time that a reply took, or after which it was given up."""
+        if not self.has_samples:
+            self.mean_ms = sample_ms
+            self.deviation_ms = sample_ms / 2
             return
-        self.deviation += (abs(took - self.mean) - self.deviation) * DEVIATION_GAIN
-        self.mean += (took - self.mean) * MEAN_GAIN
+        self.deviation_ms += (abs(sample_ms - self.mean_ms) - self.deviation_ms) * DEVIATION_GAIN
+        self.mean_ms += (sample_ms - self.mean_ms) * MEAN_GAIN
 
-    def bound(self) -> float:
-        """The time (ms) in which the next answer comes, but for rare ones."""
-        return self.mean + DEVIATIONS * self.deviation
+    def upper_bound_ms(self) -> float:
+        """Return the time within which the next reply comes, but for rare ones."""
+        return self.mean_ms + DEVIATIONS_IN_BOUND * self.deviation_ms
--- a/hallhitch/planes/control/config_validation.py
+++ b/hallhitch/planes/control/config_validation.py
@@ -14,7 +14,7 @@
 
 from cerberus import Validator
 
-from hallhitch.node.settings import parse_duration_ms
+from hallhitch.node.durations import parse_duration_ms
 from hallhitch.planes.control.config_digests import canonical_digest
 from hallhitch.planes.values import RequestKind
 
--- a/hallhitch/planes/control/operator_api.py
+++ b/hallhitch/planes/control/operator_api.py
@@ -15,6 +15,7 @@
 from hallhitch.messages.system_pb2 import ClusterState
 from hallhitch.node.clock import now
 from hallhitch.node.errors import PeerCallError
+from hallhitch.node.http_server import HttpReply
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import config_validation, state_transitions
 from hallhitch.planes.control.config_digests import OrderOutcome, outcome
@@ -26,7 +27,6 @@
 A_ROUTE = 1.0  # ms more for each route of a configuration: bigger ones are given more time
 READ = 600.0  # ms for a read that has to settle what an order under way has left open
 QUICK = 250.0  # ms for one read of the others without disks: twice the way between regions, and a slowed machine
-Answer = tuple[int, dict[str, str], bytes]
 
 
 class Operator:
@@ -39,7 +39,7 @@
         """The settings have changed: zones."""
         self._node = node
 
-    async def call(self, method: str, target: str, body: bytes) -> Answer:
+    async def call(self, method: str, target: str, body: bytes) -> HttpReply:
         """Answer one request: status, headers, body. Never raises but for its own cancellation."""
         began = self._clock()
         try:
@@ -70,7 +70,7 @@
             return _error(503, "this machine stood still: ask again", {"Retry-After": "0.5"})
         return await self._order(change, began, PATIENCE, _in_force)
 
-    async def _replace(self, body: bytes, began: float) -> Answer:
+    async def _replace(self, body: bytes, began: float) -> HttpReply:
         try:
             checked = config_validation.read(body)
         except config_validation.TooLarge as error:
@@ -82,8 +82,8 @@
         return await self._order(change, began, patience, lambda state: _judged(state, checked))
 
     async def _order(
-        self, change: StateTransition, began: float, patience: float, answer: Callable[[ClusterState], Answer]
-    ) -> Answer:
+        self, change: StateTransition, began: float, patience: float, answer: Callable[[ClusterState], HttpReply]
+    ) -> HttpReply:
         """Put an order to the register; the answer is made of the state that a majority holds after it."""
         ends = began + patience
         while self._plane.is_under_replicated:
@@ -99,7 +99,7 @@
             return _error(503, str(error), {"Retry-After": "0.3"})
         return answer(value)
 
-    async def _describe(self) -> Answer:
+    async def _describe(self) -> HttpReply:
         # A majority that agrees is enough and needs no disk. What is known here, unconfirmed, may be older than what
         # was acknowledged elsewhere: it is never told.
         if await self._plane.confirm(QUICK):
@@ -113,10 +113,10 @@
                 return _error(503, str(error), {"Retry-After": "0.3"})
         if not value.config:
             return _error(503, "there is no configuration yet", {"Retry-After": "0.3"})
-        return 200, {"Content-Type": "application/json"}, zlib.decompress(value.config)
+        return HttpReply(200, {"Content-Type": "application/json"}, zlib.decompress(value.config))
 
 
-def _judged(state: ClusterState, checked: config_validation.Checked) -> Answer:
+def _judged(state: ClusterState, checked: config_validation.Checked) -> HttpReply:
     """The answer to a configuration, by the committed state after its ballot."""
     match outcome(state, checked.version, checked.digest):
         case OrderOutcome.CONFLICT:
@@ -128,15 +128,15 @@
             return _in_force(state, found)
 
 
-def _in_force(state: ClusterState, found: OrderOutcome = OrderOutcome.RECORDED) -> Answer:
+def _in_force(state: ClusterState, found: OrderOutcome = OrderOutcome.RECORDED) -> HttpReply:
     """An acknowledgement: what became of the order, and what is in force now."""
     body = {"configVersion": state.config_version, "outcome": found.value, "evacuations": sorted(state.evacuations)}
     return _json(200, body)
 
 
-def _json(status: int, body: object, headers: dict[str, str] | None = None) -> Answer:
-    return status, {"Content-Type": "application/json", **(headers or {})}, json.dumps(body).encode()
+def _json(status: int, body: object, headers: dict[str, str] | None = None) -> HttpReply:
+    return HttpReply(status, {"Content-Type": "application/json", **(headers or {})}, json.dumps(body).encode())
 
 
-def _error(status: int, text: str, headers: dict[str, str] | None = None) -> Answer:
+def _error(status: int, text: str, headers: dict[str, str] | None = None) -> HttpReply:
     return _json(status, {"errorMessage": text}, headers)
--- a/hallhitch/planes/discovery/directory.py
+++ b/hallhitch/planes/discovery/directory.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 from urllib.parse import parse_qs, urlsplit
 
-from hallhitch.node.web import Reply
+from hallhitch.node.http_server import HttpReply
 from hallhitch.planes.values import Gateway
 
 MOST = 64  # addresses in an answer
@@ -33,16 +33,16 @@
     def __init__(self, regions: Mapping[str, str], ttl_most: float) -> None:
         self._regions, self._ttl = regions, max(1000.0, ttl_most * TTL_SHARE)
 
-    def call(self, method: str, target: str, gateways: Iterable[Gateway]) -> Reply:
+    def call(self, method: str, target: str, gateways: Iterable[Gateway]) -> HttpReply:
         """The answer to a call on the directory's address."""
         parts = urlsplit(target)
         if parts.path != "/hallhitch/resolve":
-            return 404, {}, b'{"errorMessage":"no such call"}'
+            return HttpReply(404, {}, b'{"errorMessage":"no such call"}')
         if method not in ("GET", "HEAD"):
-            return 405, {}, b'{"errorMessage":"only GET"}'
+            return HttpReply(405, {}, b'{"errorMessage":"only GET"}')
         query = parse_qs(parts.query)
         named = nearest(gateways, query.get("region", [""])[0], query.get("zone", [""])[0], self._regions)
         if not named:
-            return 503, {"Retry-After": "0.5"}, b'{"errorMessage":"no gateway is known to be ready"}'
+            return HttpReply(503, {"Retry-After": "0.5"}, b'{"errorMessage":"no gateway is known to be ready"}')
         body = json.dumps({"addresses": [g.frontend for g in named], "ttl": f"{self._ttl:.0f}ms"})
-        return 200, {"Content-Type": "application/json"}, body.encode()
+        return HttpReply(200, {"Content-Type": "application/json"}, body.encode())
--- a/hallhitch/planes/discovery/endpoint_list.py
+++ b/hallhitch/planes/discovery/endpoint_list.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from hallhitch.node.settings import parse_duration_ms
+from hallhitch.node.durations import parse_duration_ms
 
 COLD_MOVES = 400.0  # ms by which a foreseen end of coldness may move and be the same: it is read off a relative time
 
--- a/hallhitch/planes/distribution/config_compiler.py
+++ b/hallhitch/planes/distribution/config_compiler.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, Final
 
-from hallhitch.node.settings import parse_duration_ms
+from hallhitch.node.durations import parse_duration_ms
 from hallhitch.planes.values import ClusterConfig, RequestKind, RequestLimits, Route, Service, Tenant
 
 EMPTY_CONFIG: Final = ClusterConfig(serial=0, version=-1, routes={}, services={}, tenants={}, tenants_by_api_key={})
--- a/hallhitch/planes/distribution/peer_replica.py
+++ b/hallhitch/planes/distribution/peer_replica.py
@@ -13,7 +13,7 @@
 
 from hallhitch.messages.system_pb2 import BackendMessage, Envelope, StateRequest, StateUpdate
 from hallhitch.node.clock import now
-from hallhitch.node.round_trip import RoundTrip
+from hallhitch.node.round_trip import RoundTripEstimate
 from hallhitch.planes.discovery.endpoint_list import Listed
 from hallhitch.planes.distribution.state_hub import StateHub, entry_of, gateway_of
 from hallhitch.planes.distribution.versioned_map import VersionedReplica
@@ -61,7 +61,7 @@
         self.contact_at = NEVER  # when a majority last confirmed this peer, at the latest
         self.lapsed = True  # whether that was too long ago when it answered last
         self.lease = 0.0  # ms for which a contact lets a coordinator speak for the core
-        self.trip = RoundTrip()
+        self.trip = RoundTripEstimate()
         self.backends: VersionedReplica[Listed] = VersionedReplica()
         self.gateways: VersionedReplica[Gateway] = VersionedReplica()
         self.holders: dict[int, str] = {}
@@ -81,16 +81,16 @@
 
     def patience(self, most: float) -> float:
         """How long (ms) beyond a pull's hold an answer is waited for, by what the way took so far."""
-        if not self.trip.known:
+        if not self.trip.has_samples:
             return min(FIRST_ANSWER, most)
-        return min(max(LEAST_ANSWER, self.trip.bound()), most)
+        return min(max(LEAST_ANSWER, self.trip.upper_bound_ms()), most)
 
     def answered(self, news: StateUpdate, asked: float, lease: float) -> None:
         """An answer came: learn the way, and how old the peer's contact with the core is. `lease` in ms."""
         clock = self._clock()
         told_at = min(clock, asked + max(0.0, news.held_back_ms))
         self.heard, self.incarnation = clock, news.incarnation
-        self.trip.learn(max(1.0, clock - told_at))
+        self.trip.observe(max(1.0, clock - told_at))
         self.lease = lease
         self.lapsed = not 0 <= news.quorum_contact_age_ms <= lease
         if news.quorum_contact_age_ms >= 0:
--- a/hallhitch/planes/distribution/peer_sync.py
+++ b/hallhitch/planes/distribution/peer_sync.py
@@ -83,7 +83,7 @@
         try:
             answer = await self._links.call(source.address, pull, wait)
         except PeerCallError:
-            source.trip.learn(max(1.0, self._clock() - asked - HOLD))
+            source.trip.observe(max(1.0, self._clock() - asked - HOLD))
             return False
         if not answer.HasField("state_update"):
             return False
--- a/hallhitch/planes/quota/counter_client.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -14,7 +14,7 @@
 
 from hallhitch.messages.system_pb2 import CountRequest, Envelope
 from hallhitch.node.errors import PeerCallError
-from hallhitch.node.round_trip import RoundTrip
+from hallhitch.node.round_trip import RoundTripEstimate
 from hallhitch.planes.quota.holder import Sum
 from hallhitch.planes.quota.limits import bucket_of
 from hallhitch.planes.quota.local_reserve import LocalReserve
@@ -49,7 +49,8 @@
 class _Peer:
     """A holder as its callers see it."""
 
-    trip: RoundTrip = field(default_factory=RoundTrip)  # links that carry long answers hold short ones up
+    # Links that carry long answers hold short ones up.
+    trip: RoundTripEstimate = field(default_factory=RoundTripEstimate)
     heard: float = float("-inf")
     away_until: float = 0.0
     trying: bool = False
@@ -105,13 +106,16 @@
             return self._alone(now, tenant)
         peer.trying = trial
         try:
-            most = min(wait, max(SHORTEST, peer.trip.mean + peer.trip.bound() + 50) if peer.trip.known else FIRST)
+            most = min(
+                wait,
+                max(SHORTEST, peer.trip.mean_ms + peer.trip.upper_bound_ms() + 50) if peer.trip.has_samples else FIRST,
+            )
             answer = (
                 await self._calls.call(address, Envelope(count_request=CountRequest(tenant=name)), most)
             ).count_response
             came = self._clock()
             peer.away_until, peer.heard = 0.0, came
-            peer.trip.learn(came - now)
+            peer.trip.observe(came - now)
             if answer.is_tenant_unknown and came - now < wait:
                 count = CountRequest(tenant=name, rate_per_s=tenant.rate_per_s, burst=tenant.burst)
                 left = min(most, wait - (came - now))
@@ -122,7 +126,7 @@
             # Not where little time was left, nor where it answered others meanwhile.
             if wait >= SHORTEST and peer.heard <= now:
                 peer.away_until = came + AWAY
-            peer.trip.learn(came - now)
+            peer.trip.observe(came - now)
             return self._alone(came, tenant)
         finally:
             peer.trying = False
--- a/hallhitch/programs/coordinator.py
+++ b/hallhitch/programs/coordinator.py
@@ -13,9 +13,9 @@
 
 from hallhitch.messages.system_pb2 import ClusterState, Envelope
 from hallhitch.node.errors import PeerCallError
+from hallhitch.node.http_server import HttpReply, HttpServer
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.node.settings import NodeSettings
-from hallhitch.node.web import Reply, Web
 from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.operator_api import Operator
 from hallhitch.planes.control.plane import ControlPlane
@@ -73,8 +73,8 @@
         self._directory = Directory(node.region_by_zone, node.bounds.max_ttl_ms)
         self._platform = Platform(node.cloud_api_address) if node.cloud_api_address is not None else None
         self._rarely = RateLimitedLog(ComponentLogger("list"))
-        self._operator = Web("operator", self._orders.call, BODY_MOST)
-        self._resolve = Web("directory", self._resolved)
+        self._operator = HttpServer("operator", self._orders.call, BODY_MOST)
+        self._resolve = HttpServer("directory", self._resolved)
         self._every = min(LIST_MOST, node.bounds.drain_timeout_ms * LIST_SHARE)
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -82,7 +82,7 @@
         n = self._node
         return Gateway(n.name, n.internal_address, self._incarnation, n.machine_class, n.zone, n.region)
 
-    def _resolved(self, method: str, target: str, body: bytes) -> Reply:
+    def _resolved(self, method: str, target: str, body: bytes) -> HttpReply:
         """Where clients go: without contact with the core, only to gateways that this process hears itself."""
         gateways = self._hub.gateways if self._control.has_quorum_contact else self._hub.direct
         return self._directory.call(method, target, gateways.values())
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -8,9 +8,9 @@
 
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.clock import now
+from hallhitch.node.http_server import HttpReply, HttpServer
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.node.settings import NodeSettings
-from hallhitch.node.web import Reply, Web
 from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
 from hallhitch.planes.data.plane import DataPlane
 from hallhitch.planes.discovery.directory import Directory
@@ -57,9 +57,9 @@
             random.Random(self._incarnation),
         )
         self._data = DataPlane(node, decisions, self._quota.counter, runtime.clock)
-        self._readiness = Web("readiness", self._is_ready)
+        self._readiness = HttpServer("readiness", self._is_ready)
         self._directory = Directory(node.region_by_zone, b.max_ttl_ms)
-        self._resolve = Web("directory", self._resolved)
+        self._resolve = HttpServer("directory", self._resolved)
         self._config, self._backends, self._gateways = EMPTY_CONFIG, (0, 0), (0, 0)
 
     def _own(self) -> Gateway:
@@ -77,12 +77,12 @@
             self._leaving,
         )
 
-    def _is_ready(self, method: str, target: str, body: bytes) -> Reply:
+    def _is_ready(self, method: str, target: str, body: bytes) -> HttpReply:
         if target.partition("?")[0] != "/hallhitch/readiness":
-            return 404, {}, b""
-        return (200 if self._ready and not self._leaving else 503), {}, b""
+            return HttpReply(404, {}, b"")
+        return HttpReply(200 if self._ready and not self._leaving else 503, {}, b"")
 
-    def _resolved(self, method: str, target: str, body: bytes) -> Reply:
+    def _resolved(self, method: str, target: str, body: bytes) -> HttpReply:
         return self._directory.call(method, target, self._hub.gateways.values())
 
     def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
--- a/hallhitch/programs/running.py
+++ b/hallhitch/programs/running.py
@@ -12,7 +12,9 @@
 import uvloop
 
 from hallhitch.node import logs
-from hallhitch.node.settings import NodeSettings, SettingsError, read_settings
+from hallhitch.node.errors import SettingsError
+from hallhitch.node.settings import NodeSettings
+from hallhitch.node.settings_file import read_settings
 
 SETTINGS = "HALLHITCH_NODE_FILE"
 
@@ -50,9 +52,9 @@
     def again() -> None:
         try:
             program.settings(read_settings(path))
-            log.info("settings read again")
+            log.info("settings reloaded")
         except SettingsError as error:
-            log.error(f"settings kept as they were: {error}")
+            log.error("settings rejected", error=error)
 
     loop.add_signal_handler(signal.SIGTERM, ending.set)
     loop.add_signal_handler(signal.SIGINT, ending.set)
@@ -60,6 +62,6 @@
     starting: Awaitable[None] = program.start()
     await starting
     await ending.wait()
-    log.info("leaving")
+    log.info("shutting down")
     await program.leave()
-    log.info("ended")
+    log.info("stopped")
--- a/tests/system/messages/conftest.py
+++ b/tests/system/conftest.py
@@ -5,7 +5,7 @@
 import pytest
 import uvloop
 
-from tests.system.messages.loopback import TEST_TIMEOUT_S, RunTest, TestCoroutine
+from tests.system.event_loops import TEST_TIMEOUT_S, RunTest, TestCoroutine
 
 
 @pytest.fixture(params=[asyncio.new_event_loop, uvloop.new_event_loop], ids=["asyncio", "uvloop"])
--- a/tests/system/messages/loopback.py
+++ b/tests/system/messages/loopback.py
@@ -4,7 +4,7 @@
 
 import asyncio
 from collections import Counter
-from collections.abc import Awaitable, Callable, Coroutine
+from collections.abc import Awaitable, Callable
 
 from hallhitch.messages.addressing import cluster_id
 from hallhitch.messages.frames import HEADER_BYTES
@@ -16,10 +16,7 @@
 CALLER_ADDRESS, SERVER_ADDRESS = "10.0.0.1:7000", "10.0.0.2:7000"
 LONG_TIMEOUT_MS = 10_000  # a reply or an error comes long before
 SHORT_TIMEOUT_MS = 5  # no reply comes at all
-TEST_TIMEOUT_S = 20
 
-TestCoroutine = Coroutine[None, None, None]
-RunTest = Callable[[TestCoroutine], None]
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
--- a/tests/system/messages/test_inbound_link.py
+++ b/tests/system/messages/test_inbound_link.py
@@ -9,6 +9,7 @@
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.errors import RequestTimeout
 from hallhitch.node.logs import ComponentLogger, format_fields
+from tests.system.event_loops import RunTest
 from tests.system.messages.loopback import (
     CALLER_INCARNATION,
     CLUSTER,
@@ -16,7 +17,6 @@
     SERVER_ADDRESS,
     SERVER_INCARNATION,
     CountingHandler,
-    RunTest,
     connect,
     count_call,
     encode_frame,
--- a/tests/system/messages/test_outbound_link.py
+++ b/tests/system/messages/test_outbound_link.py
@@ -10,6 +10,7 @@
 from hallhitch.messages.peer_links import PeerLinks
 from hallhitch.messages.system_pb2 import Accept, ClusterState, Envelope, StateRequest, StateUpdate
 from hallhitch.node.errors import PeerCallError, RequestNotSent, RequestRejected, RequestTimeout
+from tests.system.event_loops import RunTest
 from tests.system.messages.loopback import (
     CALLER_ADDRESS,
     CALLER_INCARNATION,
@@ -17,7 +18,6 @@
     LONG_TIMEOUT_MS,
     SERVER_INCARNATION,
     SHORT_TIMEOUT_MS,
-    RunTest,
     count_call,
     encode_frame,
     read_frame,
--- a/tests/system/messages/test_peer_links.py
+++ b/tests/system/messages/test_peer_links.py
@@ -8,7 +8,8 @@
 from hallhitch.messages.system_pb2 import Accept, ClusterState, CountRequest, CountResponse, Envelope, StateRequest
 from hallhitch.node.errors import RequestNotSent, RequestRejected, RequestTimeout
 from hallhitch.node.logs import ComponentLogger, format_fields
-from tests.system.messages.loopback import CLUSTER, LONG_TIMEOUT_MS, RunTest, count_call, start
+from tests.system.event_loops import RunTest
+from tests.system.messages.loopback import CLUSTER, LONG_TIMEOUT_MS, count_call, start
 
 
 def test_replies_in_any_order_reach_their_callers(run_test: RunTest) -> None:
--- a/tests/system/node/test_settings.py
+++ b/tests/system/node/test_settings.py
@@ -1,12 +1,13 @@
-"""The settings file: what is missing or wrong is named in one line; what nobody knows is passed over."""
+"""The settings file: a field that is missing or cannot be used is named in one line; unknown fields are ignored."""
 
 from pathlib import Path
 
 import pytest
 
-from hallhitch.node.settings import SettingsError, read_settings
+from hallhitch.node.errors import SettingsError
+from hallhitch.node.settings_file import read_settings
 
-GOOD = """
+VALID = """
 nodeName = "edge-1"
 role = "gateway"
 machineClass = "edge"
@@ -37,10 +38,14 @@
 """
 
 
-def test_a_file_is_read(tmp_path: Path) -> None:
-    path = tmp_path / "s.toml"
-    path.write_text(GOOD)
-    node = read_settings(str(path))
+@pytest.fixture
+def settings_path(tmp_path: Path) -> Path:
+    return tmp_path / "s.toml"
+
+
+def test_a_valid_file_is_read(settings_path: Path) -> None:
+    settings_path.write_text(VALID)
+    node = read_settings(str(settings_path))
     assert node.internal_address == "127.1.0.13:7560" and node.seed_addresses == ("127.1.0.15:7560",)
     assert (
         node.bounds.drain_timeout_ms == 2500.0
@@ -48,10 +53,12 @@
         and node.endpoint_list_lag_ms == 800.0
     )
     assert node.listen_addresses["frontend"] == ("127.1.0.13", 8388) and node.data_directory is None
+    assert node.region_by_zone == {"z1": "a"} and node.serves == {"edge"} and node.is_first_start
+    assert (node.memory_mb, node.max_open_files, node.tolerated_machine_losses) == (300, 4100, 1)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "names"),
+    ("old", "new", "named"),
     [
         ('nodeName = "edge-1"', "", "nodeName"),
         ('nodeName = "edge-1"', "nodeName = 7", "nodeName"),
@@ -65,9 +72,28 @@
         ("[zones]", "[zones", "TOML"),
     ],
 )
-def test_what_cannot_be_used_is_named_with_its_file(tmp_path: Path, old: str, new: str, names: str) -> None:
-    path = tmp_path / "s.toml"
-    path.write_text(GOOD.replace(old, new))
+def test_an_unusable_field_is_named_with_its_file_in_one_line(
+    settings_path: Path, old: str, new: str, named: str
+) -> None:
+    settings_path.write_text(VALID.replace(old, new))
     with pytest.raises(SettingsError) as error:
-        read_settings(str(path))
-    assert str(path) in str(error.value) and names in str(error.value) and "\n" not in str(error.value)
+        read_settings(str(settings_path))
+    assert str(settings_path) in str(error.value) and named in str(error.value) and "\n" not in str(error.value)
+
+
+@pytest.mark.parametrize(
+    ("old", "new", "field", "reason"),
+    [
+        ('nodeName = "edge-1"', "", "nodeName", "is missing"),
+        ("memoryMb = 300", "memoryMb = true", "limits.memoryMb", "True cannot be used"),
+        ('"2.5s"', '"2.5 s"', "bounds.drainTimeout", "'2.5 s' is no time such as 1500ms or 2.5s"),
+        ('z1 = "a"', "z1 = 1", "zones", "a zone without the name of a region"),
+    ],
+)
+def test_the_error_has_file_field_and_reason(settings_path: Path, old: str, new: str, field: str, reason: str) -> None:
+    settings_path.write_text(VALID.replace(old, new))
+    with pytest.raises(SettingsError) as raised:
+        read_settings(str(settings_path))
+    error = raised.value
+    assert (error.path, error.field, error.reason) == (str(settings_path), field, reason)
+    assert str(error) == f"{settings_path}: {field}: {reason}"
