--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -360,9 +360,9 @@
     """Reading and checking an operator's configuration, and packing it."""
     body = config(1, routes, tenants)
     try:
-        config_validation.read(body)
-        took: object = spent(lambda: config_validation.read(body), least=0.05) / 1000
-    except config_validation.TooLarge:
+        config_validation.validate_config(body)
+        took: object = spent(lambda: config_validation.validate_config(body), least=0.05) / 1000
+    except config_validation.ConfigTooLargeError:
         took = "413: too large"
     return routes, tenants, len(body) / 1e6, took, spent(lambda: zlib.compress(body, 6), least=0.0) / 1000
 
@@ -403,7 +403,7 @@
         for version in range(1, 6):
             content = zlib.compress(config(version, routes, 10), 6)
             began, used = time.monotonic(), time.process_time()
-            await first.change(state_transitions.put(version, content), 10_000.0)
+            await first.propose(state_transitions.replace_config(version, content), 10_000.0)
             wall.append((time.monotonic() - began) * 1000)
             busy.append((time.process_time() - used) * 1000)
         written = sum(file.stat().st_size for file in Path(folder).rglob("*") if file.is_file())
--- a/benchmarks/control_repair.py
+++ b/benchmarks/control_repair.py
@@ -49,7 +49,7 @@
                 if machine.plane is None:
                     continue
                 try:
-                    await machine.plane.change(state_transitions.note("probe", f"{number}"), PATIENCE)
+                    await machine.plane.propose(state_transitions.annotate("probe", f"{number}"), PATIENCE)
                 except PeerCallError:
                     continue
                 at = self._fleet.clock()
@@ -123,7 +123,7 @@
     await asyncio.sleep(5)
     plane = machines[0].plane
     assert plane is not None
-    await plane.change(state_transitions.note("probe", ""), PATIENCE)
+    await plane.propose(state_transitions.annotate("probe", ""), PATIENCE)
     await asyncio.sleep(2)
     probe = Probe(fleet)
     probing = asyncio.ensure_future(probe.run())
--- a/benchmarks/order_latency.py
+++ b/benchmarks/order_latency.py
@@ -76,7 +76,7 @@
             assert operator is not None
             try:
                 async with asyncio.timeout(silence):
-                    status, _, _ = await operator.call("POST", f"/hallhitch/rpc?call={call}", body)
+                    status, _, _ = await operator.handle("POST", f"/hallhitch/rpc?call={call}", body)
             except TimeoutError:
                 status = 0
             if status == 200:
--- a/hallhitch/lab/simulation/coordinators.py
+++ b/hallhitch/lab/simulation/coordinators.py
@@ -12,7 +12,7 @@
 from hallhitch.messages.system_pb2 import ClusterState, Envelope
 from hallhitch.node.errors import RequestTimeout
 from hallhitch.node.settings import NodeSettings, RuleBounds
-from hallhitch.planes.control.operator_api import Operator
+from hallhitch.planes.control.operator_api import OperatorApi
 from hallhitch.planes.control.plane import ControlPlane
 
 T = TypeVar("T")
@@ -89,7 +89,7 @@
         self.fleet, self.address = fleet, address
         self.disk, self.slow = Memory(), 2.0  # ms for a write
         self.plane: ControlPlane | None = None
-        self.operator: Operator | None = None
+        self.operator: OperatorApi | None = None
         self.told: list[ClusterState] = []
 
     async def start(self, first: bool = False, seeds: tuple[str, ...] = ()) -> None:
@@ -106,7 +106,7 @@
             rng=random.Random(self.fleet.rng.random()),
             lease_ms=LEASE,
         )
-        self.plane, self.operator = plane, Operator(node, plane, self.fleet.clock)
+        self.plane, self.operator = plane, OperatorApi(node, plane, self.fleet.clock)
         await plane.start()
 
     async def _run(self, call: Callable[[], None]) -> None:
--- a/hallhitch/planes/control/graceful_departure.py
+++ b/hallhitch/planes/control/graceful_departure.py
@@ -15,8 +15,8 @@
 from hallhitch.planes.control.acceptor import DurableAcceptor
 from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.membership import Membership
-from hallhitch.planes.control.membership_reconciler import Upkeep
-from hallhitch.planes.control.peer_observations import Contacts
+from hallhitch.planes.control.membership_reconciler import MembershipReconciler
+from hallhitch.planes.control.peer_observations import PeerObservations
 from hallhitch.planes.control.proposer import Call, Proposer
 
 GAP = 100.0  # ms between two times that the others are told and looked at
@@ -25,15 +25,15 @@
 Tell = Callable[[frozenset[str], float], Awaitable[Mapping[str, AcceptorReport]]]
 
 
-class Departure:
+class GracefulDeparture:
     """One ending. `tell` says to others that this one leaves, and what they hold in return."""
 
     def __init__(
         self,
         acceptor: DurableAcceptor,
         proposer: Proposer,
-        contacts: Contacts,
-        upkeep: Upkeep,
+        contacts: PeerObservations,
+        upkeep: MembershipReconciler,
         tell: Tell,
         call: Call,
         clock: Callable[[], float],
@@ -44,7 +44,7 @@
         self._log = ComponentLogger("leaving")
 
     @property
-    def is_out(self) -> bool:
+    def has_left(self) -> bool:
         """Whether others have the seat: this one is known to be no member any more."""
         settled = self._proposer.committed_membership
         return bool(settled.members) and self._address not in settled.all_members
@@ -62,7 +62,9 @@
                 return
             answers = await self._tell(others, min(ANSWER, left))
             if await self._all_hold(answers, left) and not self._awaited(self._membership(answers)):
-                self._log.info("seat handed on" if self.is_out else "no other has this seat; what is held is with all")
+                self._log.info(
+                    "seat handed on" if self.has_left else "no other has this seat; what is held is with all"
+                )
                 return
             await asyncio.sleep(min(GAP, max(left, 0)) / 1000)
 
@@ -84,7 +86,7 @@
             return True
         if self._address not in membership.members:
             return False
-        return self._upkeep.can_hand_on() or self._contacts.arriving(membership, self._clock())
+        return self._upkeep.can_hand_over() or self._contacts.has_prospective_candidate(membership, self._clock())
 
     async def _all_hold(self, answers: Mapping[str, AcceptorReport], left: float) -> bool:
         """Whether each that answered holds what is held here; those that lack it are given it."""
--- a/hallhitch/planes/control/lease_renewal.py
+++ b/hallhitch/planes/control/lease_renewal.py
@@ -22,13 +22,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class LeaseBasis:
     """What this process knows to be committed, and how its own replica answers (None: it has no vote now)."""
 
     ballot: Ballot
-    among: Membership
-    own: AcceptorReport | None
-    leaving: bool = False  # whether this process is about to end
+    membership: Membership
+    own_report: AcceptorReport | None
+    is_leaving: bool = False  # whether this process is about to end
 
 
 class LeaseRenewal:
@@ -38,7 +38,7 @@
         self,
         address: str,
         lease: ServingLease,
-        known: Callable[[], Known | None],
+        known: Callable[[], LeaseBasis | None],
         call: Callable[[str, Envelope, float], Awaitable[Envelope]],
         heard: Callable[[str], None],
         read_all: Callable[[], Awaitable[None]],
@@ -53,7 +53,7 @@
         """A round every while; never ends."""
         while True:
             self._spawn(self._renew())
-            await asyncio.sleep(self._lease.renewal_gap / 1000)
+            await asyncio.sleep(self._lease.renewal_interval_ms / 1000)
 
     def stop(self) -> None:
         """No more reads."""
@@ -63,29 +63,29 @@
     async def confirm(self, wait: float) -> bool:
         """One read of at most `wait` ms: whether a majority confirmed what is known here. Ends once that is clear."""
         known, asked = self._known(), self._clock()
-        if known is None or not known.among.quorum_sets:
+        if known is None or not known.membership.quorum_sets:
             return False
-        read = ConfirmingRead(known.ballot, known.among)
-        if known.own is not None:
-            read.add(self._address, Ballot.from_message(known.own.accepted), known.own.incarnations)
+        read = ConfirmingRead(known.ballot, known.membership)
+        if known.own_report is not None:
+            read.record(self._address, Ballot.from_message(known.own_report.accepted), known.own_report.incarnations)
         # `sound` says that this state is on our disk: what is known to be committed need not be.
-        on_disk = known.own is not None and Ballot.from_message(known.own.accepted) >= known.ballot
+        on_disk = known.own_report is not None and Ballot.from_message(known.own_report.accepted) >= known.ballot
         message = AcceptorQuery(
-            address=self._address, known_ballot=known.ballot.to_message(), can_vote=on_disk, is_leaving=known.leaving
+            address=self._address, known_ballot=known.ballot.to_message(), can_vote=on_disk, is_leaving=known.is_leaving
         )
-        others = sorted(known.among.all_members - {self._address})
+        others = sorted(known.membership.all_members - {self._address})
         answers: asyncio.Queue[tuple[str, AcceptorReport | None]] = asyncio.Queue()
         for member in others:
             self._spawn(self._ask(member, message, wait, answers))
         for _ in others:
-            if read.confirmed or read.newer:
+            if read.is_confirmed or read.found_newer:
                 break
             member, answer = await answers.get()
             if answer is not None:
-                read.add(member, Ballot.from_message(answer.accepted), answer.incarnations)
-        if read.confirmed:
+                read.record(member, Ballot.from_message(answer.accepted), answer.incarnations)
+        if read.is_confirmed:
             self._lease.confirm(asked)
-        return read.confirmed
+        return read.is_confirmed
 
     async def _ask(
         self,
@@ -106,9 +106,9 @@
     async def _renew(self) -> None:
         """One round; where somebody holds more than is known here, that is learned at once."""
         asked = self._clock()
-        if self._known() is None or await self.confirm(self._lease.length):
+        if self._known() is None or await self.confirm(self._lease.length_ms):
             return
-        while self._clock() - asked < READ_SHARE * self._lease.length and self._lease.confirmed < asked:
+        while self._clock() - asked < READ_SHARE * self._lease.length_ms and self._lease.confirmed_at_ms < asked:
             await self._read_all()
             await asyncio.sleep(AGAIN / 1000)
 
--- a/hallhitch/planes/control/operator_api.py
+++ b/hallhitch/planes/control/operator_api.py
@@ -22,24 +22,25 @@
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.control.state_transitions import StateTransition
 
-PATH = "/hallhitch/rpc"
-PATIENCE = 850.0  # ms for an order: callers move on after a second
-A_ROUTE = 1.0  # ms more for each route of a configuration: bigger ones are given more time
-READ = 600.0  # ms for a read that has to settle what an order under way has left open
-QUICK = 250.0  # ms for one read of the others without disks: twice the way between regions, and a slowed machine
+OPERATOR_PATH = "/hallhitch/rpc"
+ORDER_TIMEOUT_MS = 850.0  # ms for an order: callers move on after a second
+ORDER_TIMEOUT_PER_ROUTE_MS = 1.0  # ms more for each route of a configuration: bigger ones are given more time
+READ_TIMEOUT_MS = 600.0  # ms for a read that has to settle what an order under way has left open
+# One read of the others without disks: twice the way between regions, and a slowed machine.
+CONFIRM_TIMEOUT_MS = 250.0
 
 
-class Operator:
+class OperatorApi:
     """The calls of `control_plane` on one coordinator."""
 
     def __init__(self, node: NodeSettings, plane: ControlPlane, clock: Callable[[], float] = now) -> None:
         self._node, self._plane, self._clock = node, plane, clock
 
-    def settings(self, node: NodeSettings) -> None:
+    def apply_settings(self, node: NodeSettings) -> None:
         """The settings have changed: zones."""
         self._node = node
 
-    async def call(self, method: str, target: str, body: bytes) -> HttpReply:
+    async def handle(self, method: str, target: str, body: bytes) -> HttpReply:
         """Answer one request: status, headers, body. Never raises but for its own cancellation."""
         began = self._clock()
         try:
@@ -48,7 +49,7 @@
         except ValueError as error:
             return _error(400, f"{target[:200]!r} cannot be read: {error}")
         name, of = query.get("call", [""])[0], query.get("of", [""])[0]
-        if url.path != PATH or name not in (
+        if url.path != OPERATOR_PATH or name not in (
             "config.replace",
             "config.describe",
             "evacuations.start",
@@ -63,22 +64,24 @@
             return await self._replace(body, began)
         if of not in self._node.region_by_zone:
             return _error(400, f"there is no zone {of!r}" if of else "the zone is missing: of=ZONE")
-        change = state_transitions.evacuate(of) if name == "evacuations.start" else state_transitions.restore(of)
+        change = (
+            state_transitions.evacuate_zone(of) if name == "evacuations.start" else state_transitions.restore_zone(of)
+        )
         # One turn of the loop: a caller that has left long ago is noticed before its order is taken.
         await asyncio.sleep(0)
         if self._plane.was_suspended:
             return _error(503, "this machine stood still: ask again", {"Retry-After": "0.5"})
-        return await self._order(change, began, PATIENCE, _in_force)
+        return await self._order(change, began, ORDER_TIMEOUT_MS, _in_force)
 
     async def _replace(self, body: bytes, began: float) -> HttpReply:
         try:
-            checked = config_validation.read(body)
-        except config_validation.TooLarge as error:
+            checked = config_validation.validate_config(body)
+        except config_validation.ConfigTooLargeError as error:
             return _error(413, str(error))
-        except config_validation.Invalid as error:
+        except config_validation.InvalidConfigError as error:
             return _error(400, str(error))
-        change = state_transitions.put(checked.version, zlib.compress(body, 6), checked.digest)
-        patience = PATIENCE + A_ROUTE * checked.routes
+        change = state_transitions.replace_config(checked.version, zlib.compress(body, 6), checked.digest)
+        patience = ORDER_TIMEOUT_MS + ORDER_TIMEOUT_PER_ROUTE_MS * checked.route_count
         return await self._order(change, began, patience, lambda state: _judged(state, checked))
 
     async def _order(
@@ -87,14 +90,14 @@
         """Put an order to the register; the answer is made of the state that a majority holds after it."""
         ends = began + patience
         while self._plane.is_under_replicated:
-            if ends - self._clock() < PATIENCE / 2:
+            if ends - self._clock() < ORDER_TIMEOUT_MS / 2:
                 return _error(503, "not enough replicas yet", {"Retry-After": "0.3"})
             await asyncio.sleep(0.05)
         # Without contact one short try, as it may just have come back; then the caller is sent on at once.
-        if not self._plane.has_quorum_contact and not await self._plane.confirm(QUICK):
+        if not self._plane.has_quorum_contact and not await self._plane.confirm(CONFIRM_TIMEOUT_MS):
             return _error(503, "no contact with a majority", {"Retry-After": "0.3"})
         try:
-            value = await self._plane.change(change, ends - self._clock())
+            value = await self._plane.propose(change, ends - self._clock())
         except PeerCallError as error:
             return _error(503, str(error), {"Retry-After": "0.3"})
         return answer(value)
@@ -102,13 +105,13 @@
     async def _describe(self) -> HttpReply:
         # A majority that agrees is enough and needs no disk. What is known here, unconfirmed, may be older than what
         # was acknowledged elsewhere: it is never told.
-        if await self._plane.confirm(QUICK):
+        if await self._plane.confirm(CONFIRM_TIMEOUT_MS):
             value: ClusterState = self._plane.committed_state
         elif not self._plane.has_quorum_contact:
             return _error(503, "no contact with a majority", {"Retry-After": "0.3"})
         else:
             try:
-                value = await self._plane.change(state_transitions.identity, READ)
+                value = await self._plane.propose(state_transitions.identity, READ_TIMEOUT_MS)
             except PeerCallError as error:
                 return _error(503, str(error), {"Retry-After": "0.3"})
         if not value.config:
@@ -116,7 +119,7 @@
         return HttpReply(200, {"Content-Type": "application/json"}, zlib.decompress(value.config))
 
 
-def _judged(state: ClusterState, checked: config_validation.Checked) -> HttpReply:
+def _judged(state: ClusterState, checked: config_validation.ValidatedConfig) -> HttpReply:
     """The answer to a configuration, by the committed state after its ballot."""
     match outcome(state, checked.version, checked.digest):
         case OrderOutcome.CONFLICT:
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -20,11 +20,11 @@
 from hallhitch.planes.control import membership_policy
 from hallhitch.planes.control.acceptor import DurableAcceptor, Run, Worker
 from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot, BallotedState
-from hallhitch.planes.control.graceful_departure import Departure
-from hallhitch.planes.control.lease_renewal import Known, LeaseRenewal
+from hallhitch.planes.control.graceful_departure import GracefulDeparture
+from hallhitch.planes.control.lease_renewal import LeaseBasis, LeaseRenewal
 from hallhitch.planes.control.membership import Membership
-from hallhitch.planes.control.membership_reconciler import Upkeep
-from hallhitch.planes.control.peer_observations import Contacts
+from hallhitch.planes.control.membership_reconciler import MembershipReconciler
+from hallhitch.planes.control.peer_observations import PeerObservations
 from hallhitch.planes.control.proposer import Proposer
 from hallhitch.planes.control.serving_lease import ServingLease
 from hallhitch.planes.control.state_recovery import StateRecovery
@@ -96,13 +96,13 @@
         self._loading: asyncio.Task[None] | None = None
         self._told_of: frozenset[str] = frozenset()
         self._began = self._ticked = clock()
-        self._timing = membership_policy.Timing.of(node.bounds.catch_up_ms)
-        self._contacts = Contacts(self.address, self._began, self._timing.silence)
-        self._heard = self._contacts.heard
-        self._upkeep = Upkeep(self._proposer, self._contacts, self.address, clock, lease_ms)
-        self._upkeep.losses = node.tolerated_machine_losses
+        self._timing = membership_policy.ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
+        self._contacts = PeerObservations(self.address, self._began, self._timing.unresponsive_after_ms)
+        self._heard = self._contacts.last_reply_ms
+        self._upkeep = MembershipReconciler(self._proposer, self._contacts, self.address, clock, lease_ms)
+        self._upkeep.tolerated_losses = node.tolerated_machine_losses
         self._recovery = StateRecovery(self._acceptor, self._others, self._ask, clock)
-        self._departure = Departure(
+        self._departure = GracefulDeparture(
             self._acceptor, self._proposer, self._contacts, self._upkeep, self._tell, links.call, clock
         )
         self._stood = float("-inf")
@@ -137,11 +137,11 @@
     @property
     def has_quorum_contact(self) -> bool:
         """Whether a majority has confirmed this process within the serving lease, at this very moment."""
-        return self.lease.valid(self._clock())
+        return self.lease.is_valid(self._clock())
 
     async def start(self) -> None:
         """Read the disk and begin; a disk in trouble is asked again in the background. Never raises for it."""
-        self._began = self._contacts.since = self._ticked = self._clock()
+        self._began = self._contacts.listening_since_ms = self._ticked = self._clock()
         self._loading = asyncio.ensure_future(self._load())
         await asyncio.wait([self._loading], timeout=LOAD / 1000)
         upkeep = self._upkeep.run(lambda: not self._acceptor.state.is_recovering and not self._refused)
@@ -151,7 +151,7 @@
 
     async def leave(self, budget_ms: float) -> None:
         """Hand the seat and the state on, within that time; orders and other members are answered meanwhile."""
-        self._contacts.leaving = True
+        self._contacts.is_leaving = True
         await self._departure.run(budget_ms)
 
     async def stop(self) -> None:
@@ -162,13 +162,16 @@
         self._proposer.stop()
         self._worker.stop()
 
-    def settings(self, node: NodeSettings) -> None:
+    def apply_settings(self, node: NodeSettings) -> None:
         """The settings have changed: seeds, losses."""
         self._node = node
-        self._timing = membership_policy.Timing.of(node.bounds.catch_up_ms)
-        self._contacts.silence, self._upkeep.losses = self._timing.silence, node.tolerated_machine_losses
+        self._timing = membership_policy.ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
+        self._contacts.unresponsive_after_ms, self._upkeep.tolerated_losses = (
+            self._timing.unresponsive_after_ms,
+            node.tolerated_machine_losses,
+        )
 
-    def coordinators(self, addresses: Sequence[str]) -> None:
+    def set_live_coordinators(self, addresses: Sequence[str]) -> None:
         """The internal addresses of the coordinators that live, as discovery tells."""
         self._told_of = frozenset(addresses)
 
@@ -184,13 +187,13 @@
     def handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope] | None:
         """The answer to another replica's message; None where it is not for the register."""
         if envelope.HasField("acceptor_query"):
-            self._contacts.asked(envelope.acceptor_query, self._clock(), self._proposer.newest_seen.ballot)
+            self._contacts.record_query(envelope.acceptor_query, self._clock(), self._proposer.newest_seen.ballot)
             return self._acceptor.handle(envelope)
         if envelope.HasField("prepare") or envelope.HasField("accept"):
             return self._acceptor.handle(envelope)
         return None
 
-    async def change(self, change: StateTransition, patience: float) -> ClusterState:
+    async def propose(self, change: StateTransition, patience: float) -> ClusterState:
         """Put a change to the register; the committed value after it. Raises Silent after `patience` ms."""
         if self._refused:
             raise PeerCallError("agree", self.address, self._refused)
@@ -202,7 +205,7 @@
         return self._clock() - self._began < YOUNG and (
             not self._known
             or len(self._proposer.committed_membership.members)
-            < membership_policy.needed(self._node.tolerated_machine_losses)
+            < membership_policy.replicas_needed(self._node.tolerated_machine_losses)
         )
 
     @property
@@ -231,7 +234,7 @@
         self._loaded = True
 
     def _likely(self, address: str) -> bool:
-        return self._contacts.answers(address, self._clock())
+        return self._contacts.is_responsive(address, self._clock())
 
     def _learnt(self, value: ClusterState, at: Ballot) -> None:
         """A majority holds this value under this ballot."""
@@ -247,7 +250,7 @@
         self._learnt(value, at)
         self.lease.confirm(self._proposer.began)
 
-    def _confirmable(self) -> Known | None:
+    def _confirmable(self) -> LeaseBasis | None:
         """What a majority may confirm."""
         if not self._known:
             return None
@@ -257,22 +260,25 @@
             if state.is_recovering
             else state.report(AcceptorQuery(address=self.address, known_ballot=state.accepted.to_message()))
         )
-        return Known(
-            self._at, self._proposer.committed_membership, own[1] if own is not None else None, self._contacts.leaving
+        return LeaseBasis(
+            self._at,
+            self._proposer.committed_membership,
+            own[1] if own is not None else None,
+            self._contacts.is_leaving,
         )
 
     def _hear_from(self, address: str) -> None:
         self._heard[address] = self._clock()
 
     async def _hear_briefly(self) -> None:
-        await self.look(ANSWER)
+        await self.read_committed(ANSWER)
 
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK / 1000)
             at = self._clock()
             if at - self._ticked > STANDSTILL:
-                self._stood = self._contacts.since = at  # it was this process that was silent
+                self._stood = self._contacts.listening_since_ms = at  # it was this process that was silent
             self._ticked = at
 
     async def _rounds(self) -> None:
@@ -287,10 +293,14 @@
 
     def _gap(self) -> float:
         """How long to rest between rounds (ms)."""
-        under_way = self._upkeep.waiting or self._contacts.leaving or self._contacts.unheard(self._clock())
+        under_way = (
+            self._upkeep.has_pending_work
+            or self._contacts.is_leaving
+            or self._contacts.has_unheard_querier(self._clock())
+        )
         if not self._known or self._acceptor.state.is_recovering or under_way:
-            return min(HURRY, self._timing.gap)
-        return self._timing.gap
+            return min(HURRY, self._timing.round_interval_ms)
+        return self._timing.round_interval_ms
 
     async def _round(self) -> None:
         if not self._loaded and (self._loading is None or self._loading.done()):
@@ -298,7 +308,7 @@
             await asyncio.wait([self._loading], timeout=LOAD / 1000)
         if self._acceptor.state.is_recovering:
             await self._recover()
-        await self._hear(self._timing.wait)
+        await self._hear(self._timing.reply_timeout_ms)
         self._contacts.prune(self._proposer.committed_membership, self._clock())
 
     def _others(self) -> frozenset[str]:
@@ -307,16 +317,16 @@
         known = frozenset[str]().union(*(Membership.from_state(state).all_members for state in states))
         if not self._known or not self.has_quorum_contact or self.address not in known:
             known |= frozenset(self._node.seed_addresses) | self._told_of
-        return (known | self._contacts.asking(self._clock())) - {self.address}
+        return (known | self._contacts.recent_queriers(self._clock())) - {self.address}
 
     async def _ask(self, address: str, asked: AcceptorQuery, wait: float = ANSWER) -> AcceptorReport | None:
         """What one of the others holds; None where it does not answer."""
-        asked.is_leaving = self._contacts.leaving
+        asked.is_leaving = self._contacts.is_leaving
         try:
             answer = (await self._links.call(address, Envelope(acceptor_query=asked), wait)).acceptor_report
         except PeerCallError:
             return None
-        self._contacts.heard[address] = self._clock()
+        self._contacts.last_reply_ms[address] = self._clock()
         if not self._eligibility.check(address, answer):
             self._known = False
         return answer
@@ -324,7 +334,7 @@
     @property
     def _refused(self) -> str:
         """Why no change is put to the register by this process; empty where there is no reason."""
-        is_out = self._contacts.leaving and self._departure.is_out
+        is_out = self._contacts.is_leaving and self._departure.has_left
         return self._eligibility.refusal or ("this machine has left the register" if is_out else "")
 
     async def _tell(self, addresses: frozenset[str], wait: float) -> dict[str, AcceptorReport]:
@@ -344,7 +354,7 @@
         answers = await asyncio.gather(*(self._ask(address, asked, wait) for address in order))
         return {address: answer for address, answer in zip(order, answers, strict=True) if answer is not None}
 
-    async def look(self, wait: float) -> None:
+    async def read_committed(self, wait: float) -> None:
         """Ask the others what they hold, within `wait` ms; needs no disk. `value` is newer after it, or as before."""
         with suppress(PeerCallError, TimeoutError):
             async with asyncio.timeout(wait / 1000):
@@ -354,8 +364,8 @@
         """Whether a majority confirms within `wait` ms, asked from now on, that `value` is the newest one."""
         asked, ends = self._clock(), self._clock() + wait
         if not await self._renewal.confirm(wait):
-            await self.look(ends - self._clock())
-        return self.lease.confirmed >= asked
+            await self.read_committed(ends - self._clock())
+        return self.lease.confirmed_at_ms >= asked
 
     async def _hear(self, wait: float = ANSWER) -> None:
         """What do the others hold? Take what is newer, and learn what a majority has."""
@@ -397,7 +407,7 @@
             await asyncio.wait_for(self._acceptor.take(newest.accepted, value), ANSWER / 1000)
 
     def _wanted(self, what: object) -> None:
-        self._upkeep.missing = what
+        self._upkeep.replication_gap = what
 
     async def _recover(self) -> None:
         """This replica does not know what it voted, or there never was anything."""
--- a/hallhitch/planes/control/serving_lease.py
+++ b/hallhitch/planes/control/serving_lease.py
@@ -24,25 +24,25 @@
     """When a majority last confirmed this process, by its own steady clock (ms)."""
 
     def __init__(self, length: float) -> None:
-        self.length = length
-        self.confirmed = float("-inf")
+        self.length_ms = length
+        self.confirmed_at_ms = float("-inf")
 
     @property
-    def renewal_gap(self) -> float:
+    def renewal_interval_ms(self) -> float:
         """Ms between two renewals: the last of three still has as long for its answer when two were lost."""
-        return self.length / (LOST_ROUNDS + 2)
+        return self.length_ms / (LOST_ROUNDS + 2)
 
     def confirm(self, asked: float) -> None:
         """A majority confirmed what is known here, and was asked for it at this moment."""
-        self.confirmed = max(self.confirmed, asked)
+        self.confirmed_at_ms = max(self.confirmed_at_ms, asked)
 
-    def valid(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether this process may speak for the core at this moment."""
-        return now - self.confirmed <= self.length
+        return now - self.confirmed_at_ms <= self.length_ms
 
-    def age(self, now: float) -> float:
+    def age_ms(self, now: float) -> float:
         """Ms since the confirmation; NEVER_CONFIRMED if there was none."""
-        return now - self.confirmed if self.confirmed > float("-inf") else NEVER_CONFIRMED
+        return now - self.confirmed_at_ms if self.confirmed_at_ms > float("-inf") else NEVER_CONFIRMED
 
 
 class ConfirmingRead:
@@ -55,14 +55,14 @@
     def __init__(self, known: Ballot, among: Membership) -> None:
         self._known = known
         self._tally = VoteTally(among.quorum_sets)
-        self.newer = False  # somebody has accepted more: committed or not, it must be looked at
+        self.found_newer = False  # somebody has accepted more: committed or not, it must be looked at
 
-    def add(self, member: str, accepted: Ballot, incarnations: Mapping[str, int]) -> None:
+    def record(self, member: str, accepted: Ballot, incarnations: Mapping[str, int]) -> None:
         """The answer of a member that knows what it voted."""
-        self.newer |= accepted > self._known
+        self.found_newer |= accepted > self._known
         self._tally.add(member, accepted <= self._known, incarnations)
 
     @property
-    def confirmed(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether the majority is there."""
         return self._tally.has_quorum()
--- a/hallhitch/planes/control/state_transitions.py
+++ b/hallhitch/planes/control/state_transitions.py
@@ -30,12 +30,12 @@
     return value
 
 
-def renew(value: ClusterState) -> ClusterState:
+def recommit(value: ClusterState) -> ClusterState:
     """The same value under a new ballot, for those who are behind."""
     return value
 
 
-def put(version: int, content: bytes, digest: bytes | None = None) -> StateTransition:
+def replace_config(version: int, content: bytes, digest: bytes | None = None) -> StateTransition:
     """A whole configuration: the highest version prevails, the first of equal ones stays.
 
     Its digest is recorded with it (without one: that of the content's bytes), by which `digests.outcome` tells later
@@ -56,7 +56,7 @@
     return change
 
 
-def evacuate(zone: str) -> StateTransition:
+def evacuate_zone(zone: str) -> StateTransition:
     """Nothing more is sent to the zone's backends."""
 
     def change(value: ClusterState) -> ClusterState:
@@ -69,7 +69,7 @@
     return change
 
 
-def restore(zone: str) -> StateTransition:
+def restore_zone(zone: str) -> StateTransition:
     """The zone is taken back."""
 
     def change(value: ClusterState) -> ClusterState:
@@ -82,7 +82,7 @@
     return change
 
 
-def note(name: str, text: str) -> StateTransition:
+def annotate(name: str, text: str) -> StateTransition:
     """A mark that must outlive a loss of everything."""
 
     def change(value: ClusterState) -> ClusterState:
@@ -95,7 +95,7 @@
     return change
 
 
-def reconfigure(members: Iterable[str], among: Membership) -> StateTransition:
+def reconfigure_members(members: Iterable[str], among: Membership) -> StateTransition:
     """Other members in one joint change, if the members are still those of `among` and no change is under way.
 
     The state names both sets until `settle`. Votes on leases by the old set count until `end_lease_transition`.
@@ -122,17 +122,17 @@
     return change
 
 
-def add(address: str, among: Membership) -> StateTransition:
+def add_member(address: str, among: Membership) -> StateTransition:
     """One more member, if the members are still those."""
-    return reconfigure([*among.members, address], among)
+    return reconfigure_members([*among.members, address], among)
 
 
-def remove(address: str, among: Membership) -> StateTransition:
+def remove_member(address: str, among: Membership) -> StateTransition:
     """One member less, if the members are still those; never the last one."""
-    return reconfigure([one for one in among.members if one != address], among)
+    return reconfigure_members([one for one in among.members if one != address], among)
 
 
-def settle(value: ClusterState) -> ClusterState:
+def finish_reconfiguration(value: ClusterState) -> ClusterState:
     """The second half of a change of members: only the new ones count from now on."""
     if not value.previous_members:
         return value
@@ -142,7 +142,7 @@
     return after
 
 
-def end_lease_transition(value: ClusterState) -> ClusterState:
+def finish_lease_transition(value: ClusterState) -> ClusterState:
     """The end of a change of members for leases: votes of the former members have all ended."""
     if not value.previous_lease_members or value.previous_members:
         return value
--- a/hallhitch/programs/coordinator.py
+++ b/hallhitch/programs/coordinator.py
@@ -17,7 +17,7 @@
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import state_transitions
-from hallhitch.planes.control.operator_api import Operator
+from hallhitch.planes.control.operator_api import OperatorApi
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.discovery.directory import Directory
 from hallhitch.planes.discovery.endpoint_list import due, turn
@@ -69,11 +69,11 @@
         self._hub.contact_age = self._contact_age
         self._hub.hands_first_config = self._has_contact
         self._leases = LeaseKeeper(self._clock, runtime.random.getrandbits(48))
-        self._orders = Operator(node, self._control, self._clock)
+        self._orders = OperatorApi(node, self._control, self._clock)
         self._directory = Directory(node.region_by_zone, node.bounds.max_ttl_ms)
         self._platform = Platform(node.cloud_api_address) if node.cloud_api_address is not None else None
         self._rarely = RateLimitedLog(ComponentLogger("list"))
-        self._operator = HttpServer("operator", self._orders.call, BODY_MOST)
+        self._operator = HttpServer("operator", self._orders.handle, BODY_MOST)
         self._resolve = HttpServer("directory", self._resolved)
         self._every = min(LIST_MOST, node.bounds.drain_timeout_ms * LIST_SHARE)
         self._tasks: list[asyncio.Task[None]] = []
@@ -88,7 +88,7 @@
         return self._directory.call(method, target, gateways.values())
 
     def _contact_age(self) -> float:
-        return self._control.lease.age(self._clock())
+        return self._control.lease.age_ms(self._clock())
 
     def _has_contact(self) -> bool:
         return self._control.has_quorum_contact
@@ -153,7 +153,7 @@
             self._registry.forget_silent(clock)
             self._unite()
             alive = self._peer_sync.alive(ALIVE)
-            self._control.coordinators(alive)
+            self._control.set_live_coordinators(alive)
             self._hub.core = (self._node.internal_address, *alive)
             self._peer_sync.forget_gone({*self._control.members, *self._node.seed_addresses})
             if self._contact != self._control.has_quorum_contact:
@@ -170,8 +170,8 @@
             mine = turn(self._node.internal_address, self._peer_sync.alive(ALIVE)) == 0
             if seen > noted and mine and self._control.has_quorum_contact:
                 with contextlib.suppress(PeerCallError, TimeoutError):
-                    await self._control.change(
-                        state_transitions.note(FLEET, str(math.ceil(seen * FLEET_ROOM))), NOTE_EVERY
+                    await self._control.propose(
+                        state_transitions.annotate(FLEET, str(math.ceil(seen * FLEET_ROOM))), NOTE_EVERY
                     )
 
     async def _read(self) -> None:
@@ -179,7 +179,7 @@
         while self._platform is not None:
             await asyncio.sleep(TICK / 2000)
             place = turn(self._node.internal_address, self._peer_sync.alive(ALIVE))
-            confirmed = self._control.lease.confirmed > float("-inf")
+            confirmed = self._control.lease.confirmed_at_ms > float("-inf")
             if confirmed and due(self._clock() - self._hub.read_at, place, self._every):
                 try:
                     self._hub.take_list(*await self._platform.read())
@@ -189,8 +189,8 @@
 
     def settings(self, node: NodeSettings) -> None:
         """Other seeds; the rest holds from the next start on."""
-        self._control.settings(node)
-        self._orders.settings(node)
+        self._control.apply_settings(node)
+        self._orders.apply_settings(node)
         self._peer_sync.meet(node.seed_addresses)
 
     async def leave(self) -> None:
--- a/tests/system/control/control_fleet.py
+++ b/tests/system/control/control_fleet.py
@@ -44,7 +44,7 @@
 async def call_operator(machine: Machine, name: str, body: bytes = b"", method: str = "POST") -> tuple[int, Any]:
     """Make one call of the operator API and return the status and the decoded body."""
     assert machine.operator is not None
-    status, headers, answer_body = await machine.operator.call(method, f"/hallhitch/rpc?call={name}", body)
+    status, headers, answer_body = await machine.operator.handle(method, f"/hallhitch/rpc?call={name}", body)
     assert headers["Content-Type"] == "application/json"
     return status, json.loads(answer_body)
 
@@ -64,5 +64,5 @@
 async def evacuated_zones(machine: Machine) -> set[str]:
     """Return the evacuated zones of the committed state, read through a ballot."""
     assert machine.plane is not None
-    committed = await machine.plane.change(lambda state: state, 2000)
+    committed = await machine.plane.propose(lambda state: state, 2000)
     return set(committed.evacuations)
--- a/tests/system/control/test_check.py
+++ b/tests/system/control/test_check.py
@@ -116,8 +116,8 @@
 @pytest.mark.parametrize(("path", "values"), WRONG, ids=[path for path, _ in WRONG])
 def test_invalid_ones_are_told_with_their_place(path: str, values: list[Any]) -> None:
     for value in values:
-        with pytest.raises(config_validation.Invalid) as error:
-            config_validation.read(changed(path, value))
+        with pytest.raises(config_validation.InvalidConfigError) as error:
+            config_validation.validate_config(changed(path, value))
         assert "\n" not in str(error.value) and str(error.value)
 
 
@@ -144,15 +144,15 @@
         *numbers,
         *short,
     ]:
-        with pytest.raises(config_validation.Invalid):
-            config_validation.read(body)
-    with pytest.raises(config_validation.TooLarge):
-        config_validation.read(whole + b" " * config_validation.LARGEST)
+        with pytest.raises(config_validation.InvalidConfigError):
+            config_validation.validate_config(body)
+    with pytest.raises(config_validation.ConfigTooLargeError):
+        config_validation.validate_config(whole + b" " * config_validation.MAX_CONFIG_BYTES)
 
 
 def test_unknown_fields_and_left_out_ones_are_no_reason_to_refuse() -> None:
     body = json.dumps(PLAIN).encode()
-    assert config_validation.read(body) == config_validation.Checked(7, 2, canonical_digest(body))
+    assert config_validation.validate_config(body) == config_validation.ValidatedConfig(7, 2, canonical_digest(body))
     for path, value in (
         ("extra", {"a": [1, None]}),
         ("routes.r-1.extra", [1]),
@@ -170,7 +170,7 @@
         ("configVersion", 0),
         ("routes.r-1.host", "ü.example"),
     ):
-        config_validation.read(changed(path, value))
+        config_validation.validate_config(changed(path, value))
 
 
 def test_thousands_of_routes_are_checked_in_a_bounded_number_of_validations(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -186,5 +186,5 @@
     config = copy.deepcopy(PLAIN)
     config["routes"] = {f"r-{n}": {**PLAIN["routes"]["r-1"], "pathPrefix": f"/{n}/"} for n in range(5000)}
     config["tenants"] = {f"t-{n}": {"apiKeys": [f"k-{n}"]} for n in range(1000)}
-    assert config_validation.read(json.dumps(config).encode()).routes == 5000
+    assert config_validation.validate_config(json.dumps(config).encode()).route_count == 5000
     assert len(validations) == 4
--- a/tests/system/control/test_contention.py
+++ b/tests/system/control/test_contention.py
@@ -79,7 +79,7 @@
         messages = []
         for number in range(1, 9):
             ballot = Ballot(number, f"{'bc'[number % 2]}#1").to_message()
-            value_then = state_transitions.put(number, b"x")(value)
+            value_then = state_transitions.replace_config(number, b"x")(value)
             messages += [
                 Envelope(prepare=Prepare(ballot=ballot)),
                 Envelope(accept=Accept(ballot=ballot, state=value_then)),
--- a/tests/system/control/test_exchange.py
+++ b/tests/system/control/test_exchange.py
@@ -196,7 +196,7 @@
         await asyncio.sleep(4)
         for machine in machines:  # the settings ask for less from now on
             assert machine.plane is not None
-            machine.plane.settings(replace(fleet.node(machine.address, False), tolerated_machine_losses=1))
+            machine.plane.apply_settings(replace(fleet.node(machine.address, False), tolerated_machine_losses=1))
         a, *rest = machines
         await a.leave()
         live = [machine for machine in rest if machine.address in members(rest[0])]
--- a/tests/system/control/test_founding.py
+++ b/tests/system/control/test_founding.py
@@ -82,7 +82,7 @@
         Ballot(1, "a"),
         BallotedState(state=own),
         BallotedState(state=own),
-        state_transitions.put(1, b"x"),
+        state_transitions.replace_config(1, b"x"),
         Membership.from_state(own),
     )
     for address, state in ((A, own), (C, other)):
--- a/tests/system/control/test_lease_membership.py
+++ b/tests/system/control/test_lease_membership.py
@@ -17,9 +17,9 @@
         await asyncio.sleep(2)
         plane = a.plane
         assert plane is not None and plane.lease_membership == LeaseMembership(1, fleet.seeds)
-        await plane.change(state_transitions.note("first", "order"), 800)
+        await plane.propose(state_transitions.annotate("first", "order"), 800)
         fleet.isolate(a.address)
-        joint = state_transitions.reconfigure(
+        joint = state_transitions.reconfigure_members(
             [*fleet.seeds[:2], "10.0.0.9:7000"], Membership.from_state(plane.committed_state)
         )(plane.committed_state)
         accept = Accept(ballot=BallotMessage(round=1 << 20, proposer="p"), state=joint)
--- a/tests/system/control/test_one_number_one_content.py
+++ b/tests/system/control/test_one_number_one_content.py
@@ -37,7 +37,7 @@
 
     def ballot(self, who: str, at: int) -> Proposal:
         """An order's next try."""
-        change = state_transitions.put(NUMBER, CONTENTS[who])
+        change = state_transitions.replace_config(NUMBER, CONTENTS[who])
         first = initial_state("abc")
         return Proposal(
             Ballot(at, who), BallotedState(state=first), BallotedState(), change, Membership.from_state(first)
@@ -157,12 +157,15 @@
 def test_what_is_remembered_stays_small_and_travels_once() -> None:
     state, at = initial_state("abc"), Ballot(1, "a#1")
     for version in range(1, 1001):
-        state = state_transitions.put(10**12 + version, b"x" * 100, content_digest(b"%d" % version))(state)
+        state = state_transitions.replace_config(10**12 + version, b"x" * 100, content_digest(b"%d" % version))(state)
     assert len(state.config_digests) == REMEMBERED and state.ByteSize() < 9000
     for version, found in ((1000, "recorded"), (745, "recorded"), (744, "superseded"), (1001, "absent")):
         assert outcome(state, 10**12 + version, content_digest(b"%d" % version)).value == found
     assert outcome(state, 10**12 + 745, b"other") is OrderOutcome.CONFLICT
-    for change, most in ((state_transitions.put(10**13, b"y" * 50), 250), (state_transitions.evacuate("z"), 200)):
+    for change, most in (
+        (state_transitions.replace_config(10**13, b"y" * 50), 250),
+        (state_transitions.evacuate_zone("z"), 200),
+    ):
         replicas = {name: AcceptorState(name, at, at, state) for name in "ab"}
         proposal = Proposal(
             Ballot(2, "b#1"), BallotedState(state=state), BallotedState(at, state), change, Membership.from_state(state)
@@ -183,11 +186,13 @@
     async def scene(fleet: Fleet) -> None:
         a, b, _ = await fleet.found()
         assert await replace_config(a, 1) == 200 and a.plane is not None
-        fifth = state_transitions.add("10.0.0.5:7000", a.plane._proposer.committed_membership)
+        fifth = state_transitions.add_member("10.0.0.5:7000", a.plane._proposer.committed_membership)
         a.plane._proposer.committed_membership = Membership()
-        after, _ = await asyncio.gather(a.plane.change(state_transitions.put(2, b"x"), 800), a.plane.change(fifth, 800))
+        after, _ = await asyncio.gather(
+            a.plane.propose(state_transitions.replace_config(2, b"x"), 800), a.plane.propose(fifth, 800)
+        )
         assert after.config_version == 2 and len(after.members) == 3
-        assert b.plane is not None and (await b.plane.change(state_transitions.identity, 800)).config_version == 2
+        assert b.plane is not None and (await b.plane.propose(state_transitions.identity, 800)).config_version == 2
 
     play(scene)
 
@@ -217,7 +222,9 @@
         assert a.plane is not None
         proposer, value = a.plane._proposer, a.plane._acceptor.state.state
         for ends, zones_then in ((fleet.clock() + 1, ["viti-a"]), (fleet.clock(), [])):
-            proposer._orders = [_Order(state_transitions.evacuate("viti-a"), 0.0, ends, fleet.loop.create_future())]
+            proposer._orders = [
+                _Order(state_transitions.evacuate_zone("viti-a"), 0.0, ends, fleet.loop.create_future())
+            ]
             assert list(proposer._apply(proposer._propose(None), value).evacuations) == zones_then
         proposer._orders = []
 
--- a/tests/system/control/test_plane.py
+++ b/tests/system/control/test_plane.py
@@ -10,7 +10,7 @@
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play, settings
 from hallhitch.messages.system_pb2 import ClusterState, Envelope
 from hallhitch.node.errors import RequestTimeout
-from hallhitch.planes.control.operator_api import Operator
+from hallhitch.planes.control.operator_api import OperatorApi
 from hallhitch.planes.control.plane import ControlPlane
 from tests.system.control.control_fleet import (
     CATCH_UP_S,
@@ -257,9 +257,9 @@
         heard: list[ClusterState] = []
         plane = ControlPlane(node, Nobody(), heard.append)
         await plane.start()
-        await plane.look(1000)
+        await plane.read_committed(1000)
         found = plane.committed_state.config_version
-        status, _, _ = await Operator(node, plane).call(
+        status, _, _ = await OperatorApi(node, plane).handle(
             "POST", "/hallhitch/rpc?call=config.replace", config_body(version)
         )
         assert status == 200 and heard[-1].config_version == version
--- a/tests/system/control/test_reads.py
+++ b/tests/system/control/test_reads.py
@@ -34,11 +34,11 @@
 
         helper.plane.handle = hold  # type: ignore[assignment, method-assign]
         fleet.cut.add(frozenset((reader.address, writer.address)))
-        first = asyncio.ensure_future(reader.plane.change(state_transitions.identity, 800))
+        first = asyncio.ensure_future(reader.plane.propose(state_transitions.identity, 800))
         await arrived.wait()
         helper.plane.handle = handle  # type: ignore[method-assign]
         assert await replace_config(writer, 2, "new") == 200
-        second = asyncio.ensure_future(reader.plane.change(state_transitions.identity, 800))
+        second = asyncio.ensure_future(reader.plane.propose(state_transitions.identity, 800))
         await asyncio.sleep(0)
         held.set()
         assert (await first).config_version in (1, 2)  # it was asked before the change was acknowledged
--- a/tests/system/control/test_register.py
+++ b/tests/system/control/test_register.py
@@ -196,19 +196,23 @@
     def members(self, value: ClusterState) -> StateTransition:
         """Some change of members."""
         if value.previous_members:
-            return state_transitions.settle
+            return state_transitions.finish_reconfiguration
         if value.previous_lease_members:
-            return state_transitions.end_lease_transition
+            return state_transitions.finish_lease_transition
         other = self.rng.choice([one for one, machine in self.machines.items() if not machine.replica.is_recovering])
         if other in value.members:
             spared = len(value.members) > 2 * self.losses + 1
             return (
-                state_transitions.remove(other, Membership.from_state(value)) if spared else state_transitions.identity
+                state_transitions.remove_member(other, Membership.from_state(value))
+                if spared
+                else state_transitions.identity
             )
         if self.rng.random() < 0.5:  # an exchange in one step
             leaver = self.rng.choice(list(value.members))
-            return state_transitions.reconfigure({*value.members, other} - {leaver}, Membership.from_state(value))
-        return state_transitions.add(other, Membership.from_state(value))
+            return state_transitions.reconfigure_members(
+                {*value.members, other} - {leaver}, Membership.from_state(value)
+            )
+        return state_transitions.add_member(other, Membership.from_state(value))
 
     def wipe(self, name: str) -> None:
         """The disk is gone, if so many losses are to be borne and whoever may count now can bear it."""
@@ -302,7 +306,7 @@
                     Ballot(1, who),
                     BallotedState(state=first),
                     BallotedState(),
-                    state_transitions.put(7, who.encode()),
+                    state_transitions.replace_config(7, who.encode()),
                     Membership.from_state(first),
                 )
                 for who in "AB"
@@ -325,7 +329,7 @@
                     Ballot(2, "C"),
                     BallotedState(state=first),
                     BallotedState(),
-                    state_transitions.put(7, b"C"),
+                    state_transitions.replace_config(7, b"C"),
                     Membership.from_state(first),
                 )
                 for name in quorum:
@@ -345,7 +349,7 @@
         Ballot(4, "b#1"),
         BallotedState(state=held),
         BallotedState(at, held),
-        state_transitions.evacuate("z"),
+        state_transitions.evacuate_zone("z"),
         Membership.from_state(held),
     )
     for name in "ab":
@@ -364,9 +368,9 @@
     """One replica took the start; the stop finds nothing to change at the two others, and is written all the same."""
     first = initial_state("abc")
     replicas = {name: AcceptorState(name, state=first) for name in "bc"}
-    replicas["a"] = AcceptorState("a", Ballot(1, "x"), Ballot(1, "x"), state_transitions.evacuate("z")(first))
+    replicas["a"] = AcceptorState("a", Ballot(1, "x"), Ballot(1, "x"), state_transitions.evacuate_zone("z")(first))
     for turn, (order, quorum) in enumerate(
-        ((state_transitions.restore("z"), "bc"), (state_transitions.renew, "ab")), start=2
+        ((state_transitions.restore_zone("z"), "bc"), (state_transitions.recommit, "ab")), start=2
     ):
         proposal = Proposal(
             Ballot(turn, "y"), BallotedState(state=first), BallotedState(), order, Membership.from_state(first)
@@ -388,7 +392,7 @@
         Ballot(9, "d#1"),
         BallotedState(state=first),
         BallotedState(),
-        state_transitions.put(1, b"late"),
+        state_transitions.replace_config(1, b"late"),
         Membership.from_state(first),
     )
     promises = {
@@ -407,7 +411,7 @@
 
 
 def test_members_change_only_on_top_of_members_that_a_majority_took() -> None:
-    half_made = state_transitions.add("d", Membership.from_state(initial_state("abc")))(initial_state("abc"))
+    half_made = state_transitions.add_member("d", Membership.from_state(initial_state("abc")))(initial_state("abc"))
     replicas = {name: AcceptorState(name, state=initial_state("abc")) for name in "abd"}
     replicas["d"] = AcceptorState("d", Ballot(1, "x"), Ballot(1, "x"), half_made)
     for settled, members in (
@@ -415,7 +419,11 @@
         (Membership.from_state(half_made), Membership(3, ("a", "b", "c", "d"), (), ("a", "b", "c"))),
     ):
         proposal = Proposal(
-            Ballot(2, "d#1"), BallotedState(state=half_made), BallotedState(), state_transitions.settle, settled
+            Ballot(2, "d#1"),
+            BallotedState(state=half_made),
+            BallotedState(),
+            state_transitions.finish_reconfiguration,
+            settled,
         )
         for name, replica in replicas.items():
             proposal.on_promise(name, replica.prepare(proposal.prepare_message())[1])
@@ -431,7 +439,7 @@
                 Ballot(1, "a#1"),
                 BallotedState(state=first),
                 BallotedState(),
-                state_transitions.reconfigure(target, Membership.from_state(first)),
+                state_transitions.reconfigure_members(target, Membership.from_state(first)),
                 Membership.from_state(first),
             )
             replicas = {name: AcceptorState(name, state=first) for name in "abcde"}
--- a/tests/system/control/test_serving.py
+++ b/tests/system/control/test_serving.py
@@ -9,9 +9,9 @@
 from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
 from hallhitch.messages.system_pb2 import AcceptorReport, Envelope
 from hallhitch.planes.control.ballot import Ballot
-from hallhitch.planes.control.lease_renewal import Known, LeaseRenewal
+from hallhitch.planes.control.lease_renewal import LeaseBasis, LeaseRenewal
 from hallhitch.planes.control.membership import Membership
-from hallhitch.planes.control.operator_api import QUICK
+from hallhitch.planes.control.operator_api import CONFIRM_TIMEOUT_MS
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.control.serving_lease import NEVER_CONFIRMED, ConfirmingRead, ServingLease
 from tests.system.control.control_fleet import call_operator, describe_config, replace_config
@@ -26,28 +26,28 @@
 
 def test_a_lease_counts_from_the_question_and_is_judged_when_answering() -> None:
     lease = ServingLease(2000.0)
-    assert not lease.valid(0.0) and lease.age(0.0) == NEVER_CONFIRMED
+    assert not lease.is_valid(0.0) and lease.age_ms(0.0) == NEVER_CONFIRMED
     lease.confirm(100.0)
     lease.confirm(50.0)  # an answer that was overtaken takes nothing back
-    assert lease.age(600.0) == 500.0 and lease.valid(2100.0) and not lease.valid(2100.1)
-    assert 3 * lease.renewal_gap < lease.length  # two lost rounds, and time for the answer of the third
+    assert lease.age_ms(600.0) == 500.0 and lease.is_valid(2100.0) and not lease.is_valid(2100.1)
+    assert 3 * lease.renewal_interval_ms < lease.length_ms  # two lost rounds, and time for the answer of the third
 
 
 def test_a_read_confirms_by_a_majority_of_each_set_with_nothing_newer_and_no_void_vote() -> None:
     known, newer = Ballot(3, "a"), Ballot(4, "b")
     among = Membership(2, members=("a", "b", "d"), previous_members=("a", "b", "c"))
     read = ConfirmingRead(known, among)
-    read.add("a", known, {})
-    read.add("d", Ballot(1, "a"), {})  # behind: it has accepted nothing newer, which is what is asked
-    assert not read.confirmed and not read.newer
-    read.add("c", known, {"d": 1})  # d voted in an incarnation that is over
-    assert not read.confirmed
-    read.add("b", known, {})
-    assert read.confirmed
+    read.record("a", known, {})
+    read.record("d", Ballot(1, "a"), {})  # behind: it has accepted nothing newer, which is what is asked
+    assert not read.is_confirmed and not read.found_newer
+    read.record("c", known, {"d": 1})  # d voted in an incarnation that is over
+    assert not read.is_confirmed
+    read.record("b", known, {})
+    assert read.is_confirmed
     read = ConfirmingRead(known, Membership(1, members=("a", "b", "c")))
-    read.add("a", known, {})
-    read.add("b", newer, {})
-    assert read.newer and not read.confirmed
+    read.record("a", known, {})
+    read.record("b", newer, {})
+    assert read.found_newer and not read.is_confirmed
 
 
 def test_a_round_counts_from_when_it_was_asked_however_long_the_answers_take() -> None:
@@ -60,11 +60,11 @@
             pass
 
         lease = ServingLease(2000.0)
-        known = Known(Ballot(), Membership(1, members=("a", "b", "c")), AcceptorReport(ok=True))
+        known = LeaseBasis(Ballot(), Membership(1, members=("a", "b", "c")), AcceptorReport(ok=True))
         renewal = LeaseRenewal("a", lease, lambda: known, call, lambda member: None, nothing, fleet.clock)
         asked = fleet.clock()
         assert await renewal.confirm(2000.0) and fleet.clock() - asked < 700 + TURN
-        assert lease.confirmed == asked
+        assert lease.confirmed_at_ms == asked
         renewal.stop()
 
     play(scene)
@@ -88,11 +88,11 @@
         assert await replace_config(b, 2) == 200
         acknowledged = fleet.clock()
         spoke = 0.0
-        while fleet.clock() < acknowledged + 2 * lease.length:
+        while fleet.clock() < acknowledged + 2 * lease.length_ms:
             if plane.has_quorum_contact and plane.committed_state.config_version < 2:
                 spoke = fleet.clock() - acknowledged
             await asyncio.sleep(0.01)
-        assert spoke <= lease.length + TURN
+        assert spoke <= lease.length_ms + TURN
         assert not plane.has_quorum_contact or ways == "out" and plane.committed_state.config_version == 2
         assert plane_of(b).has_quorum_contact and plane_of(c).has_quorum_contact
 
@@ -108,7 +108,7 @@
         assert plane_of(a).has_quorum_contact
         fleet.isolate(a.address)
         fleet.loop.skip.at += 20  # no task has run since
-        assert not plane_of(a).has_quorum_contact and plane_of(a).lease.age(fleet.clock()) >= 20_000
+        assert not plane_of(a).has_quorum_contact and plane_of(a).lease.age_ms(fleet.clock()) >= 20_000
         assert (await call_operator(a, "config.describe"))[0] == 503
 
     play(scene)
@@ -128,7 +128,7 @@
             began = fleet.clock()
             answer = await order
             assert (answer if isinstance(answer, int) else answer[0]) == 503
-            assert fleet.clock() - began <= QUICK + TURN
+            assert fleet.clock() - began <= CONFIRM_TIMEOUT_MS + TURN
         assert await describe_config(b) == (1, "")
 
     play(scene)
@@ -183,7 +183,7 @@
         await asyncio.sleep(5)
         if delay < 100:  # two rounds of one machine are lost, and the answers come over long ways
             fleet.isolate(machines[0].address)
-            await asyncio.sleep(2 * plane_of(machines[0]).lease.renewal_gap / 1000 - 3 * delay / 1000)
+            await asyncio.sleep(2 * plane_of(machines[0]).lease.renewal_interval_ms / 1000 - 3 * delay / 1000)
             fleet.cut.clear()
             await asyncio.sleep(3)
         if watching.done():
--- a/tests/system/distribution/test_coordinator_speaks.py
+++ b/tests/system/distribution/test_coordinator_speaks.py
@@ -93,13 +93,13 @@
         await core.start()
         await asyncio.sleep(1)
         one, two, _ = (core.programs[address] for address in SEEDS)
-        await two._control.change(state_transitions.put(1, b"x"), 800)
+        await two._control.propose(state_transitions.replace_config(1, b"x"), 800)
         for _ in range(12):
             await core.pull(SEEDS[0], "near", 0)
             await core.pull(SEEDS[1], "far", 0)
             await asyncio.sleep(0.3)
         serial, age = await core.pull(SEEDS[0], "new", 0)
-        assert serial == one._control.committed_state.serial and 0 <= age <= one._control.lease.length
+        assert serial == one._control.committed_state.serial and 0 <= age <= one._control.lease.length_ms
         assert {"near:80", "far:80"} <= named(one)
         others = SEEDS[1:]
         ways.cut = {(one, SEEDS[0]) for one in others} | {(SEEDS[0], one) for one in others}
@@ -107,7 +107,7 @@
         assert "near:80" in named(one) and "far:80" not in named(one)
         assert (await core.pull(SEEDS[0], "newer", 0))[0] == 0  # nothing for one that has none
         serial, age = await core.pull(SEEDS[0], "near", 0)
-        assert age > one._control.lease.length
+        assert age > one._control.lease.length_ms
         assert (await core.pull(SEEDS[0], "near", 1))[0] >= serial
         await asyncio.sleep(1)
         assert (await core.pull(SEEDS[1], "newer", 0))[0] > 0
--- a/tests/system/simulation/scenes.py
+++ b/tests/system/simulation/scenes.py
@@ -63,8 +63,9 @@
         async def change() -> None:
             control = proposer.program._control
             with suppress(PeerCallError):
-                await control.change(
-                    state_transitions.reconfigure(addresses, Membership.from_state(control.committed_state)), PATIENCE
+                await control.propose(
+                    state_transitions.reconfigure_members(addresses, Membership.from_state(control.committed_state)),
+                    PATIENCE,
                 )
 
         self.at(moment, lambda: proposer.loop.begin(change()) if proposer.loop is not None else None)
--- a/tests/system/simulation/test_mechanisms.py
+++ b/tests/system/simulation/test_mechanisms.py
@@ -21,7 +21,7 @@
 from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.config_digests import OrderOutcome
 from hallhitch.planes.control.membership import Membership
-from hallhitch.planes.control.peer_observations import Contacts
+from hallhitch.planes.control.peer_observations import PeerObservations
 from hallhitch.planes.control.serving_lease import ServingLease
 from hallhitch.planes.control.vote_tally import VoteTally
 from tests.system.simulation import scenes
@@ -44,10 +44,10 @@
     """A confirmation by a majority lasts for ever."""
 
     def confirmed(lease: ServingLease) -> bool:
-        return lease.confirmed > float("-inf")
+        return lease.confirmed_at_ms > float("-inf")
 
-    patch.setattr(ServingLease, "valid", lambda lease, now: confirmed(lease))
-    patch.setattr(ServingLease, "age", lambda lease, now: 0.0 if confirmed(lease) else -1.0)
+    patch.setattr(ServingLease, "is_valid", lambda lease, now: confirmed(lease))
+    patch.setattr(ServingLease, "age_ms", lambda lease, now: 0.0 if confirmed(lease) else -1.0)
 
 
 def _without_joint_change(patch: pytest.MonkeyPatch) -> None:
@@ -57,14 +57,14 @@
 
 def _without_state_of_candidates(patch: pytest.MonkeyPatch) -> None:
     """Who asks for a seat gets it, whatever it holds."""
-    asked = Contacts.asked
+    asked = PeerObservations.record_query
 
-    def taken(contacts: Contacts, message: AcceptorQuery, at: float, newest: Ballot) -> None:
+    def taken(contacts: PeerObservations, message: AcceptorQuery, at: float, newest: Ballot) -> None:
         asked(contacts, message, at, newest)
         for asker in contacts._askers.values():
-            asker.current = asker.asked
+            asker.last_current_ms = asker.last_query_ms
 
-    patch.setattr(Contacts, "asked", taken)
+    patch.setattr(PeerObservations, "record_query", taken)
 
 
 def _without_digests(patch: pytest.MonkeyPatch) -> None:
