--- a/benchmarks/control_repair.py
+++ b/benchmarks/control_repair.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
+from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, CoordinatorMachine, run_scenario
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import state_transitions
@@ -37,7 +37,7 @@
 class Probe:
     """A caller that goes round the machines, and the longest time in which no order of it was taken."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: CoordinatorCluster) -> None:
         self._fleet, self.taken, self.longest = fleet, fleet.clock(), 0.0
 
     async def run(self) -> None:
@@ -58,7 +58,7 @@
             await asyncio.sleep(0.01)
 
 
-async def repaired(fleet: Fleet) -> float:
+async def repaired(fleet: CoordinatorCluster) -> float:
     """How long until all members hold what was agreed at this moment (ms)."""
     began = fleet.clock()
     planes = [machine.plane for machine in fleet.machines.values() if machine.plane is not None]
@@ -70,7 +70,7 @@
     return fleet.clock() - began
 
 
-def _on_all(fleet: Fleet, serial: int) -> bool:
+def _on_all(fleet: CoordinatorCluster, serial: int) -> bool:
     planes = [machine.plane for machine in fleet.machines.values() if machine.plane is not None]
     newest = max((plane.committed_state for plane in planes), key=lambda value: value.serial)
     for address in Membership.from_state(newest).all_members:
@@ -80,46 +80,50 @@
     return True
 
 
-async def crash(fleet: Fleet, lost: Machine) -> None:
+async def crash(fleet: CoordinatorCluster, lost: CoordinatorMachine) -> None:
     """The process ends and comes back."""
     await lost.kill()
     await asyncio.sleep(BACK)
     await lost.start()
 
 
-async def wipe(fleet: Fleet, lost: Machine) -> None:
+async def wipe(fleet: CoordinatorCluster, lost: CoordinatorMachine) -> None:
     """The machine comes back without its disk."""
     await lost.wipe()
     await asyncio.sleep(BACK)
     await lost.start()
 
 
-async def exchange(fleet: Fleet, lost: Machine) -> None:
+async def exchange(fleet: CoordinatorCluster, lost: CoordinatorMachine) -> None:
     """The machine is gone for good; an empty one comes at another address."""
     await lost.wipe()
     await asyncio.sleep(BACK)
-    await fleet.add(SPARE).start()
+    await fleet.add_machine(SPARE).start()
 
 
-async def planned(fleet: Fleet, lost: Machine) -> None:
+async def planned(fleet: CoordinatorCluster, lost: CoordinatorMachine) -> None:
     """An empty one comes at another address, then SIGTERM."""
-    await fleet.add(SPARE).start()
+    await fleet.add_machine(SPARE).start()
     await asyncio.sleep(BACK)
-    await lost.leave()
+    await lost.terminate()
 
 
-async def leave(fleet: Fleet, lost: Machine) -> None:
+async def leave(fleet: CoordinatorCluster, lost: CoordinatorMachine) -> None:
     """SIGTERM where no other is there; the machine comes back."""
-    await lost.leave()
+    await lost.terminate()
     await asyncio.sleep(BACK)
     await lost.start()
 
 
-async def run(fleet: Fleet, event: Callable[[Fleet, Machine], Awaitable[None]], figures: Figures) -> None:
+async def run(
+    fleet: CoordinatorCluster,
+    event: Callable[[CoordinatorCluster, CoordinatorMachine], Awaitable[None]],
+    figures: Figures,
+) -> None:
     """One run: the event, its repair, the second loss, its repair."""
-    plain = fleet.node
-    fleet.node = lambda *asked: _quick(plain(*asked))  # type: ignore[method-assign]
-    machines = await fleet.found(*(EXTRA if fleet.losses == 2 else ()))
+    plain = fleet.node_settings
+    fleet.node_settings = lambda *asked: _quick(plain(*asked))  # type: ignore[method-assign]
+    machines = await fleet.bootstrap(*(EXTRA if fleet.tolerated_losses == 2 else ()))
     await asyncio.sleep(5)
     plane = machines[0].plane
     assert plane is not None
@@ -159,7 +163,7 @@
         for event in (crash, exchange, planned, leave, wipe):
             figures = Figures()
             for seed in range(SEEDS):
-                play(partial(run, event=event, figures=figures), seed, losses=losses)
+                run_scenario(partial(run, event=event, figures=figures), seed, tolerated_losses=losses)
             print(
                 f"{losses} losses, {event.__name__:9} {figures.first_gap:14.0f} {figures.first_repair:13.0f}"
                 f" {figures.second_gap:20.0f} {figures.second_repair:13.0f}"
--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -14,22 +14,22 @@
 from pathlib import Path
 
 from benchmarks.order_latency import Operator, Sample
-from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
+from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, CoordinatorMachine, run_scenario
 from hallhitch.planes.control.state_store import DirectoryStorage
 
 
-class Counted(Fleet):
+class Counted(CoordinatorCluster):
     """A fleet that counts what its links carry."""
 
     sent_bytes = 0
 
-    async def way(self, one: str, other: str, size: int = 0) -> None:
-        """As in the fleet."""
-        self.sent_bytes += size
-        await super().way(one, other, size)
+    async def traverse_link(self, source: str, target: str, size_bytes: int = 0) -> None:
+        """Count the bytes, then wait as the cluster does."""
+        self.sent_bytes += size_bytes
+        await super().traverse_link(source, target, size_bytes)
 
 
-def row(machine: Machine, folder: Path, changes: int, routes: int, sent: float) -> str:
+def row(machine: CoordinatorMachine, folder: Path, changes: int, routes: int, sent: float) -> str:
     """One line of the table."""
     assert machine.plane is not None
     files = [file.stat().st_size for file in folder.iterdir()]
@@ -46,24 +46,24 @@
 def measure(changes: int, routes: int) -> None:
     """Print the rows of one size."""
 
-    async def scene(fleet: Fleet) -> None:
+    async def scene(fleet: CoordinatorCluster) -> None:
         assert isinstance(fleet, Counted)
         with tempfile.TemporaryDirectory() as top:
             for number, machine in enumerate(fleet.machines.values()):
                 machine.disk = DirectoryStorage(Path(top) / str(number))  # type: ignore[assignment]
-            machines = await fleet.found()
+            machines = await fleet.bootstrap()
             operator = Operator(fleet, machines, routes, Sample())
             for number in range(1, changes + 1):
                 before = fleet.sent_bytes
                 await operator.configure()
                 for machine in machines:
-                    machine.told.clear()  # the fleet's own record
+                    machine.committed_states.clear()
                 if number in (1, 2, changes):
                     print(row(machines[0], Path(top) / "0", number, routes, fleet.sent_bytes - before), flush=True)
             for machine in machines:
                 await machine.kill()
 
-    play(scene, fleet_type=Counted)
+    run_scenario(scene, cluster_type=Counted)
 
 
 def main() -> None:
--- a/benchmarks/order_latency.py
+++ b/benchmarks/order_latency.py
@@ -1,8 +1,9 @@
 """How long an operator waits for an acknowledgement: calm, eight orders at once, many in a row, a slow disk, a cut.
 
-The real coordinators run in virtual time over simulated links and disks (`lab/simulation/coordinators.py`): waiting is
-counted, processor time is not. An order is sent again to the next coordinator after a 503 or a second of silence, with
-a pause that grows, as an operator does. Prints one table row for each case; the same seed gives the same table.
+The real coordinators run in virtual time over simulated links and disks (`lab.simulation.coordinator_cluster`):
+waiting is counted, processor time is not. An order is sent again to the next coordinator after a 503 or a second of
+silence, with a pause that grows, as an operator does. Prints one table row for each case;
+the same seed gives the same table.
 
     python -m benchmarks.order_latency [--seeds 5] [--routes 20 2000] [--bytes-per-ms 250]
 """
@@ -16,7 +17,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
+from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, CoordinatorMachine, run_scenario
 
 SILENCE_S = 1.0  # after which a caller moves on
 A_ROUTE_S = 0.001  # more silence that is borne for each route
@@ -53,7 +54,9 @@
 class Operator:
     """Sends orders to some coordinators until they are acknowledged, and keeps the time that took."""
 
-    def __init__(self, fleet: Fleet, machines: list[Machine], routes: int, sample: Sample) -> None:
+    def __init__(
+        self, fleet: CoordinatorCluster, machines: list[CoordinatorMachine], routes: int, sample: Sample
+    ) -> None:
         self._fleet, self._machines, self._routes, self._sample = fleet, machines, routes, sample
         self._version = 0
 
@@ -109,34 +112,34 @@
         await operator.configure()
 
 
-async def slow_disk(fleet: Fleet, machines: list[Machine]) -> list[Machine]:
+async def slow_disk(fleet: CoordinatorCluster, machines: list[CoordinatorMachine]) -> list[CoordinatorMachine]:
     """One disk 30 times slower."""
-    machines[0].slow = SLOW_DISK_MS
+    machines[0].write_duration_ms = SLOW_DISK_MS
     return machines
 
 
-async def cut_member(fleet: Fleet, machines: list[Machine]) -> list[Machine]:
+async def cut_member(fleet: CoordinatorCluster, machines: list[CoordinatorMachine]) -> list[CoordinatorMachine]:
     """One member cut off; orders come to the others."""
     fleet.isolate(machines[0].address)
     await asyncio.sleep(0.5)
     return machines[1:]
 
 
-async def deaf_member(fleet: Fleet, machines: list[Machine]) -> list[Machine]:
+async def deaf_member(fleet: CoordinatorCluster, machines: list[CoordinatorMachine]) -> list[CoordinatorMachine]:
     """One member that still sends and hears nothing: it has orders of its own, whose ballots are in the way."""
-    fleet.deaf.add(machines[0].address)
+    fleet.inbound_blocked.add(machines[0].address)
     await asyncio.sleep(0.5)
     hopeless = Operator(fleet, machines[:1], 5, Sample())
-    fleet.kept = [asyncio.ensure_future(hopeless.configure()) for _ in range(3)]
+    fleet.background_tasks = [asyncio.ensure_future(hopeless.configure()) for _ in range(3)]
     return machines[1:]
 
 
-async def sound(fleet: Fleet, machines: list[Machine]) -> list[Machine]:
+async def sound(fleet: CoordinatorCluster, machines: list[CoordinatorMachine]) -> list[CoordinatorMachine]:
     """Nothing is wrong."""
     return machines
 
 
-Trouble = Callable[[Fleet, list[Machine]], Awaitable[list[Machine]]]
+Trouble = Callable[[CoordinatorCluster, list[CoordinatorMachine]], Awaitable[list[CoordinatorMachine]]]
 Orders = Callable[[Operator], Awaitable[None]]
 CASES: dict[str, tuple[Orders, Trouble]] = {
     "calm": (calm, sound),
@@ -164,13 +167,13 @@
     """One case with one seed."""
     sample = Sample()
 
-    async def scene(world: Fleet) -> None:
-        machines = await world.found()
+    async def scene(world: CoordinatorCluster) -> None:
+        machines = await world.bootstrap()
         await asyncio.sleep(4)
         world.bytes_per_ms = bytes_per_ms
         await orders(Operator(world, await trouble(world, machines), routes, sample))
 
-    play(scene, seed, founders=founders, losses=losses, delay=delay)
+    run_scenario(scene, seed, initial_members=founders, tolerated_losses=losses, link_delay_ms=delay)
     return sample
 
 
--- /dev/null
+++ b/hallhitch/lab/simulation/coordinator_cluster.py
@@ -0,0 +1,222 @@
+"""Control planes of several coordinators on one event loop in virtual time.
+
+Links carry encoded envelopes without sockets, data directories are in memory, and the loop's clock jumps to the next
+timer. For whole processes over simulated TCP see `simulation`. Times are steady ms unless the name says otherwise.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Awaitable, Callable, Coroutine
+from typing import Any, Final, TypeVar
+
+from hallhitch.lab.simulation.in_memory_storage import InMemoryStorage
+from hallhitch.lab.simulation.node_settings import coordinator_settings
+from hallhitch.lab.simulation.virtual_time import VirtualLoop, close
+from hallhitch.messages.system_pb2 import ClusterState, Envelope
+from hallhitch.node.errors import RequestTimeout
+from hallhitch.node.settings import NodeSettings, RuleBounds
+from hallhitch.planes.control.operator_api import OperatorApi
+from hallhitch.planes.control.plane import ControlPlane
+
+T = TypeVar("T")
+GRACE_PERIOD_MS: Final = RuleBounds().grace_period_ms
+FORMER_LEASE_MS: Final = 1050.0  # votes on leases by former members count for so long: a lease of 1 s and its margin
+INITIAL_DISK_WRITE_MS: Final = 2.0
+
+
+class CoordinatorMachine:
+    """One coordinator with its disk, across restarts of its process."""
+
+    def __init__(self, cluster: CoordinatorCluster, address: str) -> None:
+        self.cluster = cluster
+        self.address = address
+        self.disk = InMemoryStorage()
+        self.write_duration_ms = INITIAL_DISK_WRITE_MS
+        self.plane: ControlPlane | None = None
+        self.operator: OperatorApi | None = None
+        self.links: _SimulatedLinks | None = None  # of the newest incarnation
+        self.committed_states: list[ClusterState] = []  # that this incarnation was notified of
+
+    async def start(self, is_first_start: bool = False, seed_addresses: tuple[str, ...] = ()) -> None:
+        """Start a new incarnation on what the disk holds."""
+        node = self.cluster.node_settings(self.address, is_first_start, seed_addresses)
+        self.committed_states = []
+        self.links = _SimulatedLinks(self.cluster, self)
+        plane = ControlPlane(
+            node,
+            self.links,
+            lambda state: self.committed_states.append(state),
+            disk=self.disk,
+            run=self._run_on_disk,
+            clock=self.cluster.clock,
+            rng=random.Random(self.cluster.rng.random()),
+            lease_ms=FORMER_LEASE_MS,
+        )
+        self.plane = plane
+        self.operator = OperatorApi(node, plane, self.cluster.clock)
+        await plane.start()
+
+    async def kill(self) -> None:
+        """End the process at once; its files stay."""
+        plane = self.plane
+        self.plane = self.operator = None
+        if plane is not None:
+            await plane.stop()
+
+    async def terminate(self) -> None:
+        """Hand the membership over, as on SIGTERM, then end the process."""
+        plane = self.plane
+        assert plane is not None
+        await plane.leave(GRACE_PERIOD_MS / 2)
+        if self.plane is plane:
+            await self.kill()
+
+    async def wipe(self) -> None:
+        """End the process and lose the disk."""
+        await self.kill()
+        self.disk = InMemoryStorage()
+
+    async def lose_power(self) -> None:
+        """End the process and lose what was not synced."""
+        await self.kill()
+        self.disk.lose_power()
+
+    async def _run_on_disk(self, call: Callable[[], None]) -> None:
+        """Run a blocking call after the disk's delay, unless its incarnation has ended by then."""
+        plane = self.plane
+        await asyncio.sleep(self.write_duration_ms / 1000)
+        if self.plane is not plane:
+            await asyncio.shield(self.cluster.never)
+        call()
+
+
+class _SimulatedLinks:
+    """The calls that one incarnation of a machine sends to its peers."""
+
+    def __init__(self, cluster: CoordinatorCluster, machine: CoordinatorMachine) -> None:
+        self._cluster = cluster
+        self._machine = machine
+
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
+        """Call a peer and wait up to `timeout_ms`.
+
+        Raises:
+            RequestTimeout: No response came, or nobody runs at the address.
+        """
+        cluster, own_address = self._cluster, self._machine.address
+        encoded = envelope.SerializeToString()
+        request = Envelope.FromString(encoded)
+        cluster.call_count += 1
+        cluster.request_bytes += len(encoded)
+        try:
+            async with asyncio.timeout(timeout_ms / 1000):
+                await cluster.traverse_link(own_address, address, len(encoded))
+                peer = cluster.machines.get(address)
+                if peer is None or peer.plane is None:
+                    raise RequestTimeout("connect", address, "nobody there")
+                response = peer.plane.handle(request)
+                if isinstance(response, Awaitable):
+                    response = await response
+                assert response is not None
+                encoded = response.SerializeToString()
+                await cluster.traverse_link(address, own_address, len(encoded))
+                if self._machine.links is not self:
+                    await asyncio.shield(cluster.never)
+                return Envelope.FromString(encoded)
+        except TimeoutError:
+            raise RequestTimeout("call", address, "silence") from None
+
+
+class CoordinatorCluster:
+    """All machines and the links between them."""
+
+    def __init__(
+        self,
+        loop: VirtualLoop,
+        seed: int,
+        tolerated_losses: int = 1,
+        initial_members: int = 3,
+        link_delay_ms: float = 1.0,
+    ) -> None:
+        self.loop = loop
+        self.rng = random.Random(seed)
+        self.tolerated_losses = tolerated_losses
+        self.link_delay_ms = link_delay_ms
+        self.bytes_per_ms = float("inf")  # of each message by itself: messages do not queue behind each other
+        self.never: asyncio.Future[None] = loop.create_future()
+        self.seeds = tuple(f"10.0.0.{number}:7000" for number in range(1, initial_members + 1))
+        self.machines: dict[str, CoordinatorMachine] = {}
+        self.background_tasks: list[asyncio.Future[None]] = []  # tasks of a scenario that run until its end
+        self.partitions: set[frozenset[str]] = set()  # pairs of addresses that cannot reach each other
+        self.inbound_blocked: set[str] = set()  # nothing reaches these addresses; what they send arrives
+        self.blocked_links: set[tuple[str, str]] = set()  # (source, target), one way
+        self.message_faults: dict[int, Callable[[], Coroutine[Any, Any, None]]] = {}  # by number of the message
+        self.message_count = self.call_count = self.request_bytes = 0
+        for address in self.seeds:
+            self.add_machine(address)
+
+    def add_machine(self, address: str) -> CoordinatorMachine:
+        """Add a machine without starting it."""
+        self.machines[address] = CoordinatorMachine(self, address)
+        return self.machines[address]
+
+    def clock(self) -> float:
+        """Return steady ms."""
+        return self.loop.time() * 1000
+
+    async def traverse_link(self, source: str, target: str, size_bytes: int = 0) -> None:
+        """Wait as long as a message takes; never return where the link is blocked."""
+        self.message_count += 1
+        if inject := self.message_faults.pop(self.message_count, None):
+            await inject()
+        delay_ms = self.rng.uniform(0.5, 1.5) * self.link_delay_ms + size_bytes / self.bytes_per_ms
+        await asyncio.sleep(delay_ms / 1000)
+        if self._is_blocked(source, target):
+            await asyncio.shield(self.never)
+
+    def _is_blocked(self, source: str, target: str) -> bool:
+        return (
+            frozenset((source, target)) in self.partitions
+            or target in self.inbound_blocked
+            or (source, target) in self.blocked_links
+        )
+
+    def isolate(self, *addresses: str) -> None:
+        """Partition these addresses from all others."""
+        self.partitions |= {
+            frozenset((address, peer)) for address in addresses for peer in self.machines if peer not in addresses
+        }
+
+    async def bootstrap(self, *additional_addresses: str) -> list[CoordinatorMachine]:
+        """Start all machines for the first time, these addresses included."""
+        for address in additional_addresses:
+            self.add_machine(address)
+        for machine in self.machines.values():
+            await machine.start(is_first_start=True)
+        return list(self.machines.values())
+
+    def node_settings(self, address: str, is_first_start: bool, seed_addresses: tuple[str, ...] = ()) -> NodeSettings:
+        """Return the settings of one machine; without seed addresses those of the initial members."""
+        return coordinator_settings(address, is_first_start, seed_addresses or self.seeds, self.tolerated_losses)
+
+
+def run_scenario(
+    scenario: Callable[[CoordinatorCluster], Coroutine[Any, Any, T]],
+    seed: int = 1,
+    *,
+    cluster_type: type[CoordinatorCluster] = CoordinatorCluster,
+    tolerated_losses: int = 1,
+    initial_members: int = 3,
+    link_delay_ms: float = 1.0,
+) -> T:
+    """Run a scenario in virtual time and return its result."""
+    loop = VirtualLoop()
+    asyncio.set_event_loop(loop)
+    try:
+        cluster = cluster_type(loop, seed, tolerated_losses, initial_members, link_delay_ms)
+        return loop.run_until_complete(scenario(cluster))
+    finally:
+        asyncio.set_event_loop(None)
+        close(loop)
--- a/hallhitch/lab/simulation/troubles.py
+++ b/hallhitch/lab/simulation/fault_injection.py
@@ -10,7 +10,7 @@
 from hallhitch.lab.simulation.network import Blocks
 
 if TYPE_CHECKING:
-    from hallhitch.lab.simulation.world import Machine, World
+    from hallhitch.lab.simulation.simulation import Machine, World
 
 NEW_HOSTS = "10.0.2."  # machines that come later
 PLANNED_GAP = 1.0  # s at least between the start of a new machine and the SIGTERM of the one it stands for
--- /dev/null
+++ b/hallhitch/lab/simulation/in_memory_storage.py
@@ -0,0 +1,66 @@
+"""A coordinator's data directory in memory.
+
+Implements `planes.control.state_store.Storage`. Invariant: after a power loss the directory holds exactly the files
+whose content and name were both synced. For disks that tear writes at random see `simulated_disk`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+
+class InMemoryStorage:
+    """Files of one machine, and what a power loss leaves of them."""
+
+    def __init__(self) -> None:
+        self.files: dict[str, Mapping[bytes, bytes]] = {}
+        self.durable_files: dict[str, Mapping[bytes, bytes]] = {}
+        self.is_full = False
+        self._synced: dict[str, Mapping[bytes, bytes]] = {}
+
+    def names(self) -> list[str]:
+        """Return the names of all files in order."""
+        return sorted(self.files)
+
+    def write(self, base: str, records: Mapping[bytes, bytes]) -> None:
+        """Create a database without syncing it.
+
+        Raises:
+            OSError: The disk is full.
+        """
+        self._require_space()
+        self.files[f"{base}.dat"] = self.files[f"{base}.dir"] = dict(records)
+
+    def read(self, base: str) -> dict[bytes, bytes]:
+        """Return all records of a database."""
+        return dict(self.files[f"{base}.dir"])
+
+    def sync(self, name: str) -> None:
+        """Sync the content of one file.
+
+        Raises:
+            OSError: The disk is full.
+        """
+        self._require_space()
+        self._synced[name] = self.files[name]
+
+    def sync_folder(self) -> None:
+        """Sync the names of created and removed files.
+
+        Raises:
+            OSError: The disk is full.
+        """
+        self._require_space()
+        self.durable_files = {name: self._synced[name] for name in self.files if name in self._synced}
+
+    def remove(self, name: str) -> None:
+        """Remove one file."""
+        self.files.pop(name, None)
+
+    def lose_power(self) -> None:
+        """Drop everything that was not synced."""
+        self.files = dict(self.durable_files)
+
+    def _require_space(self) -> None:
+        if self.is_full:
+            raise OSError("no room")
--- a/hallhitch/lab/simulation/examine.py
+++ b/hallhitch/lab/simulation/schedule_check.py
@@ -5,7 +5,7 @@
 from hallhitch.lab.simulation.faults import Schedule
 from hallhitch.lab.simulation.history import Violation, rules
 from hallhitch.lab.simulation.shrink import shrink
-from hallhitch.lab.simulation.world import play
+from hallhitch.lab.simulation.simulation import play
 
 TOLD_MOST = 6  # violations that are printed
 
--- a/hallhitch/lab/simulation/world.py
+++ b/hallhitch/lab/simulation/simulation.py
@@ -16,13 +16,13 @@
 from types import SimpleNamespace
 from typing import Any
 
-from hallhitch.lab.simulation import troubles
-from hallhitch.lab.simulation.coordinators import settings
+from hallhitch.lab.simulation import fault_injection
 from hallhitch.lab.simulation.disk import DiskThread, SimulatedDisk
 from hallhitch.lab.simulation.faults import EVERYBODY, Schedule
 from hallhitch.lab.simulation.history import History, Seat, Sight, Span, Violation
 from hallhitch.lab.simulation.network import Network
-from hallhitch.lab.simulation.operators import Operator, Versions
+from hallhitch.lab.simulation.node_settings import coordinator_settings
+from hallhitch.lab.simulation.operator_workload import Operator, Versions
 from hallhitch.lab.simulation.process_loop import ProcessLoop
 from hallhitch.messages.peer_links import PeerLinks
 from hallhitch.messages.system_pb2 import Envelope
@@ -208,7 +208,7 @@
         """The settings of a machine."""
         hosts = self.seeds if first else self.listed()[: len(self.seeds)]  # the file was written from a list that lags
         seeds = tuple(f"{one}:{INTERNAL_PORT}" for one in hosts)
-        plain = settings(f"{host}:{INTERNAL_PORT}", first, seeds, self.schedule.losses)
+        plain = coordinator_settings(f"{host}:{INTERNAL_PORT}", first, seeds, self.schedule.losses)
         plain = replace(plain, bounds=replace(plain.bounds, catch_up_ms=self.schedule.catch_up * 1000))
         if core:
             return replace(plain, cluster_name=CLUSTER, listen_addresses={"controlPlane": (host, OPERATORS_PORT)})
@@ -285,7 +285,7 @@
         for loop, operator in zip(self._loops, self.operators, strict=True):
             loop.begin(operator.work())
         for fault in schedule.faults:
-            troubles.strike(self, fault)
+            fault_injection.strike(self, fault)
             over = fault.at + fault.lasts + self.history.contact
             self.history.troubles.append(Span(fault.at, over))
             if fault.kind in EVERYBODY:
--- a/tests/system/control/control_fleet.py
+++ b/tests/system/control/control_fleet.py
@@ -1,6 +1,6 @@
 """Operator calls and configurations for tests that play a simulated fleet of coordinators.
 
-`Fleet` and `Machine` come from `hallhitch.lab.simulation.coordinators`; the founders have the addresses 10.0.0.1 to
+For the cluster itself see `hallhitch.lab.simulation.coordinator_cluster`; the founders have the addresses 10.0.0.1 to
 10.0.0.3, further machines the addresses below.
 """
 
@@ -9,7 +9,7 @@
 import json
 from typing import Any, Final
 
-from hallhitch.lab.simulation.coordinators import Machine
+from hallhitch.lab.simulation.coordinator_cluster import CoordinatorMachine
 from hallhitch.node.settings import RuleBounds
 
 CATCH_UP_S: Final = RuleBounds().catch_up_ms / 1000  # after which a replaced machine no longer counts as a loss
@@ -41,7 +41,9 @@
     ).encode()
 
 
-async def call_operator(machine: Machine, name: str, body: bytes = b"", method: str = "POST") -> tuple[int, Any]:
+async def call_operator(
+    machine: CoordinatorMachine, name: str, body: bytes = b"", method: str = "POST"
+) -> tuple[int, Any]:
     """Make one call of the operator API and return the status and the decoded body."""
     assert machine.operator is not None
     status, headers, answer_body = await machine.operator.handle(method, f"/hallhitch/rpc?call={name}", body)
@@ -49,19 +51,19 @@
     return status, json.loads(answer_body)
 
 
-async def replace_config(machine: Machine, version: int, mark: str = "", routes: int = 1) -> int:
+async def replace_config(machine: CoordinatorMachine, version: int, mark: str = "", routes: int = 1) -> int:
     """Send a configuration and return the status of the answer."""
     return (await call_operator(machine, "config.replace", config_body(version, mark, routes)))[0]
 
 
-async def describe_config(machine: Machine) -> tuple[int, str]:
+async def describe_config(machine: CoordinatorMachine) -> tuple[int, str]:
     """Read the configuration back and return its version and mark."""
     status, body = await call_operator(machine, "config.describe")
     assert status == 200, body
     return body["configVersion"], body["mark"]
 
 
-async def evacuated_zones(machine: Machine) -> set[str]:
+async def evacuated_zones(machine: CoordinatorMachine) -> set[str]:
     """Return the evacuated zones of the committed state, read through a ballot."""
     assert machine.plane is not None
     committed = await machine.plane.propose(lambda state: state, 2000)
--- a/tests/system/control/test_contention.py
+++ b/tests/system/control/test_contention.py
@@ -8,7 +8,7 @@
 import pytest
 
 from benchmarks.order_latency import CASES, measure
-from hallhitch.lab.simulation.coordinators import Memory
+from hallhitch.lab.simulation.in_memory_storage import InMemoryStorage
 from hallhitch.lab.simulation.virtual_time import VirtualLoop
 from hallhitch.messages.system_pb2 import Accept, Envelope, Prepare
 from hallhitch.planes.control import state_transitions
@@ -66,7 +66,7 @@
         call()
 
     async def scene() -> None:
-        store = StateStore(Memory(), "a")
+        store = StateStore(InMemoryStorage(), "a")
         save = store.save
 
         def counted(replica: AcceptorState) -> None:
@@ -101,7 +101,7 @@
         call()
 
     async def scene() -> None:
-        acceptor = DurableAcceptor("a", StateStore(Memory(), "a"), hanging, lambda: loop.time() * 1000)
+        acceptor = DurableAcceptor("a", StateStore(InMemoryStorage(), "a"), hanging, lambda: loop.time() * 1000)
         acceptor.state = AcceptorState("a", state=initial_state("abc"))
         most = 0
         for number in range(1, 300):
--- a/tests/system/control/test_founding.py
+++ b/tests/system/control/test_founding.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from hallhitch.lab.simulation.coordinators import Fleet, Machine, play
+from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, CoordinatorMachine, run_scenario
 from hallhitch.messages.system_pb2 import AcceptorQuery
 from hallhitch.node.logs import ComponentLogger, format_fields
 from hallhitch.planes.control import state_transitions
@@ -31,19 +31,19 @@
     return lines
 
 
-async def first_start(fleet: Fleet, lists: dict[str, tuple[str, ...]]) -> list[Machine]:
+async def first_start(fleet: CoordinatorCluster, lists: dict[str, tuple[str, ...]]) -> list[CoordinatorMachine]:
     """All machines start for the first time, each by its own list."""
     for address in lists:
         if address not in fleet.machines:
-            fleet.add(address)
+            fleet.add_machine(address)
     for address, seeds in lists.items():
-        await fleet.machines[address].start(first=True, seeds=seeds)
+        await fleet.machines[address].start(is_first_start=True, seed_addresses=seeds)
     return [fleet.machines[address] for address in lists]
 
 
 @pytest.mark.parametrize("seeds", [(A,), (A, B), (A, B, C)], ids=["one", "two", "three"])
 def test_short_lists_found_what_they_name_and_the_rest_join(seeds: tuple[str, ...]) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scene(fleet: CoordinatorCluster) -> None:
         machines = await first_start(fleet, dict.fromkeys((A, B, C), seeds))
         await asyncio.sleep(3)
         for machine in machines:
@@ -52,7 +52,7 @@
         await machines[0].wipe()
         assert await describe_config(machines[1]) == (1, "one")
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -65,13 +65,13 @@
     ids=["overlapping", "each its own", "one inside the other"],
 )
 def test_lists_that_differ_are_refused_by_all_who_meet_it(lists: dict[str, tuple[str, ...]], logged: list[str]) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scene(fleet: CoordinatorCluster) -> None:
         machines = await first_start(fleet, lists)
         await asyncio.sleep(5)
         taken = {await replace_config(machine, 1, machine.address) for machine in machines}
         assert 200 not in taken or len({await describe_config(machine) for machine in machines}) == 1
 
-    play(scene)
+    run_scenario(scene)
     lines = [line for line in logged if "founded with" in line]
     assert 1 <= len(lines) <= len(lists)
 
@@ -99,20 +99,20 @@
 def test_an_empty_folder_founds_anew_only_where_the_settings_name_this_very_machine(
     seeds: tuple[str, ...], founds: bool
 ) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scene(fleet: CoordinatorCluster) -> None:
         a = fleet.machines[A]
         fleet.seeds = seeds
-        await a.start(first=False, seeds=seeds)
+        await a.start(is_first_start=False, seed_addresses=seeds)
         await asyncio.sleep(60)
         assert a.plane is not None and a.plane._acceptor.state.is_recovering is not founds
         assert await replace_config(a, 1, "alone") == (200 if founds else 503)
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_folder_older_than_what_the_others_know_has_no_vote(logged: list[str]) -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, b, c = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, c = await fleet.bootstrap()
         assert await replace_config(a, 1, "one") == 200
         old = dict(a.disk.files)
         await a.wipe()
@@ -130,19 +130,19 @@
         assert a.plane._acceptor.state.incarnations[A] == 2
         assert await describe_config(a) == (2, "two")
 
-    play(scene)
+    run_scenario(scene)
     assert sum("folder is old" in line for line in logged) == 1
 
 
 def test_a_folder_of_another_machine_or_cluster_has_no_vote(logged: list[str]) -> None:
-    async def scene(fleet: Fleet, cluster: str) -> None:
-        a, b, c = await fleet.found()
+    async def scene(fleet: CoordinatorCluster, cluster: str) -> None:
+        a, b, c = await fleet.bootstrap()
         assert await replace_config(a, 1, "one") == 200
         await c.kill()
         if cluster:
-            node = fleet.node
-            fleet.node = lambda address, first, seeds=(): replace(  # type: ignore[method-assign]
-                node(address, first, seeds), cluster_name=cluster if address == C else ""
+            node = fleet.node_settings
+            fleet.node_settings = lambda address, is_first_start, seed_addresses=(): replace(  # type: ignore[method-assign]
+                node(address, is_first_start, seed_addresses), cluster_name=cluster if address == C else ""
             )
         else:
             c.disk.files = dict(b.disk.files)
@@ -151,12 +151,12 @@
         await c.start()
         await asyncio.sleep(1)
         assert c.plane is not None and c.plane._acceptor.state.is_recovering
-        fleet.cut.clear()
+        fleet.partitions.clear()
         await asyncio.sleep(2)
         assert await describe_config(c) == (2, "two") and c.plane._acceptor.state.incarnations[C] == 1
 
     for cluster in ("", "another"):
-        play(lambda fleet, cluster=cluster: scene(fleet, cluster))  # type: ignore[misc]
+        run_scenario(lambda fleet, cluster=cluster: scene(fleet, cluster))  # type: ignore[misc]
         assert sum("not of this machine" in line for line in logged) == 1
         logged.clear()
 
@@ -170,16 +170,16 @@
 
 
 def test_the_only_member_comes_back_by_what_a_candidate_learnt() -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scene(fleet: CoordinatorCluster) -> None:
         a, b = fleet.machines[A], fleet.machines[B]
-        await a.start(first=True, seeds=(A,))
-        await b.start(first=False, seeds=(A,))
+        await a.start(is_first_start=True, seed_addresses=(A,))
+        await b.start(is_first_start=False, seed_addresses=(A,))
         await asyncio.sleep(2)
         assert await replace_config(a, 1, "one") == 200
         await asyncio.sleep(2)
         await a.wipe()
-        await a.start(first=False, seeds=(B,))
+        await a.start(is_first_start=False, seed_addresses=(B,))
         await asyncio.sleep(2)
         assert await describe_config(a) == (1, "one")
 
-    play(scene, losses=0)
+    run_scenario(scene, tolerated_losses=0)
--- a/tests/system/control/test_lease_membership.py
+++ b/tests/system/control/test_lease_membership.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from hallhitch.lab.simulation.coordinators import Fleet, play
+from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, run_scenario
 from hallhitch.messages.system_pb2 import Accept, BallotMessage, Envelope
 from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.membership import Membership
@@ -12,8 +12,8 @@
 
 
 def test_an_accepted_change_counts_before_it_is_known_to_be_committed() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, b, c = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, c = await fleet.bootstrap()
         await asyncio.sleep(2)
         plane = a.plane
         assert plane is not None and plane.lease_membership == LeaseMembership(1, fleet.seeds)
@@ -31,20 +31,20 @@
         await a.start()
         assert a.plane is not None and a.plane.lease_membership.previous_members == fleet.seeds
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_who_forgot_what_it_accepted_names_nobody_until_a_majority_was_met() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, b, c = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, c = await fleet.bootstrap()
         await asyncio.sleep(2)
         await a.wipe()
         fleet.isolate(a.address)
         await a.start()
         await asyncio.sleep(5)
         assert a.plane is not None and a.plane.lease_membership == LeaseMembership()
-        fleet.cut.clear()
+        fleet.partitions.clear()
         await asyncio.sleep(5)
         assert a.plane.lease_membership == LeaseMembership(1, fleet.seeds)
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/system/control/test_one_number_one_content.py
+++ b/tests/system/control/test_one_number_one_content.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hallhitch.lab.simulation.coordinators import Fleet, play
+from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, run_scenario
 from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.acceptor_state import AcceptorState
 from hallhitch.planes.control.ballot import Ballot, BallotedState
@@ -89,8 +89,8 @@
 
 
 def test_an_order_sent_again_is_acknowledged_beside_newer_ones_through_every_machine() -> None:
-    async def scene(fleet: Fleet) -> None:
-        machines = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        machines = await fleet.bootstrap()
         for version in (3, 5, 9, 12):
             assert await replace_config(machines[version % 3], version, f"first {version}") == 200
         for restarted in (False, True):
@@ -108,14 +108,14 @@
                 assert (status, answer["outcome"], answer["configVersion"]) == (200, "superseded", 12)
                 assert await describe_config(machine) == (12, "first 12")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_order_whose_caller_gave_up_is_acknowledged_when_it_is_sent_again() -> None:
     """Its ballot goes on or not: whatever became of it, the same content is taken, another one never."""
 
-    async def scene(fleet: Fleet) -> None:
-        machines = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        machines = await fleet.bootstrap()
         for version in range(1, 30):
             first = asyncio.ensure_future(replace_config(machines[version % 3], version, "mine"))
             await asyncio.sleep(fleet.rng.random() / 80)
@@ -129,7 +129,7 @@
             assert repeated == [statuses[0]] * 3 + [statuses[1]] * 3
 
     for seed in range(4):
-        play(scene, seed)
+        run_scenario(scene, seed)
 
 
 def _sent(version: int, mark: str) -> bytes:
@@ -183,8 +183,8 @@
 def test_a_change_of_members_that_may_not_be_made_drops_no_order_beside_it() -> None:
     """Both are in one ballot, on top of members of which this process does not know that a majority took them."""
 
-    async def scene(fleet: Fleet) -> None:
-        a, b, _ = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, _ = await fleet.bootstrap()
         assert await replace_config(a, 1) == 200 and a.plane is not None
         fifth = state_transitions.add_member("10.0.0.5:7000", a.plane._proposer.committed_membership)
         a.plane._proposer.committed_membership = Membership()
@@ -194,15 +194,15 @@
         assert after.config_version == 2 and len(after.members) == 3
         assert b.plane is not None and (await b.plane.propose(state_transitions.identity, 800)).config_version == 2
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("step", range(12))
 def test_an_evacuation_whose_machine_stood_still_in_its_ballot_does_not_come_after_its_stop(step: int) -> None:
     """The answers of the others wait in its sockets for 30 s; by whatever is read first then, the order has ended."""
 
-    async def scene(fleet: Fleet) -> None:
-        a, b, _ = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, _ = await fleet.bootstrap()
         await asyncio.sleep(1)
         started = asyncio.ensure_future(call_operator(a, "evacuations.start&of=viti-a"))
         await asyncio.sleep(step * 0.0004)
@@ -213,12 +213,12 @@
         await asyncio.sleep(3)
         assert await evacuated_zones(a) == await evacuated_zones(b) == set()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_order_past_its_end_is_not_applied_though_its_time_out_has_not_run() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, *_ = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, *_ = await fleet.bootstrap()
         assert a.plane is not None
         proposer, value = a.plane._proposer, a.plane._acceptor.state.state
         for ends, zones_then in ((fleet.clock() + 1, ["viti-a"]), (fleet.clock(), [])):
@@ -228,14 +228,14 @@
             assert list(proposer._apply(proposer._propose(None), value).evacuations) == zones_then
         proposer._orders = []
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_evacuations_sent_again_by_several_callers() -> None:
     """Each start is given up, sent again through others and acknowledged; once its stop is, it does not come back."""
 
-    async def scene(fleet: Fleet) -> None:
-        machines = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        machines = await fleet.bootstrap()
         for turn in range(10):
             for name, expected in (("start", {"viti-a"}), ("stop", set[str]())):
                 given_up = [
@@ -255,4 +255,4 @@
             assert await evacuated_zones(machines[turn % 3]) == set()
 
     for seed in range(4):
-        play(scene, seed)
+        run_scenario(scene, seed)
--- a/tests/system/control/test_plane.py
+++ b/tests/system/control/test_plane.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from hallhitch.lab.simulation.coordinators import Fleet, Machine, play, settings
+from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, CoordinatorMachine, run_scenario
+from hallhitch.lab.simulation.node_settings import coordinator_settings
 from hallhitch.messages.system_pb2 import ClusterState, Envelope
 from hallhitch.node.errors import RequestTimeout
 from hallhitch.planes.control.operator_api import OperatorApi
@@ -26,8 +27,8 @@
 
 
 def test_a_calm_day() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, b, c = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, c = await fleet.bootstrap()
         assert (await call_operator(a, "config.describe"))[0] == 503
         for machine, version, mark, status in (
             (a, 7, "first", 200),
@@ -49,12 +50,12 @@
         await asyncio.sleep(5)
         for machine in (a, b, c):
             assert machine.plane is not None and machine.plane.committed_state.serial == 5
-            serials = [value.serial for value in machine.told]
+            serials = [value.serial for value in machine.committed_states]
             assert serials == sorted(set(serials)) and serials[-1] == 5
             assert len(machine.disk.files) == 4
         assert await replace_config(a, 13, "x", routes=3000) == 200
 
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(
@@ -74,18 +75,18 @@
     ],
 )
 def test_what_is_no_proper_call(name: str, body: bytes, method: str, status: int) -> None:
-    async def scene(fleet: Fleet) -> None:
-        machine, *_ = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        machine, *_ = await fleet.bootstrap()
         answer, error = await call_operator(machine, name, body, method)
         assert answer == status and error["errorMessage"]
         assert machine.plane is not None and machine.plane.committed_state.serial == 0
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_two_operators_race_with_one_version() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, b, c = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, c = await fleet.bootstrap()
         assert await replace_config(a, 1) == 200
         for version in range(2, 7):
             answers = await asyncio.gather(
@@ -97,27 +98,27 @@
         await asyncio.sleep(5)
         marks: dict[int, set[bytes]] = {}
         for machine in (a, b, c):
-            for value in machine.told:
+            for value in machine.committed_states:
                 marks.setdefault(value.config_version, set()).add(value.config)
         assert all(len(contents) == 1 for contents in marks.values())
 
     for seed in range(10):
-        play(scene, seed)
+        run_scenario(scene, seed)
 
 
 @pytest.mark.parametrize("power", [False, True], ids=["others run", "others lose power"])
 def test_disks_lost_right_after_an_acknowledgement(power: bool) -> None:
-    async def scene(fleet: Fleet) -> None:
-        machines = await fleet.found(*([FOURTH, FIFTH] if fleet.losses == 2 else []))
+    async def scene(fleet: CoordinatorCluster) -> None:
+        machines = await fleet.bootstrap(*([FOURTH, FIFTH] if fleet.tolerated_losses == 2 else []))
         assert (
-            await replace_config(fleet.rng.choice(machines), 1) == 503 or fleet.losses == 1
+            await replace_config(fleet.rng.choice(machines), 1) == 503 or fleet.tolerated_losses == 1
         )  # not before there are five
         await asyncio.sleep(3)
         fleet.rng.shuffle(machines)
         calls = replace_config(machines[0], 5, "kept"), call_operator(machines[1], "evacuations.start&of=viti-b")
         assert await calls[0] == 200 and (await calls[1])[0] == 200
         for at, machine in enumerate(machines):
-            if at < fleet.losses:
+            if at < fleet.tolerated_losses:
                 await machine.wipe()
             elif power:
                 await machine.lose_power()
@@ -129,17 +130,17 @@
         for machine in machines:  # nobody asked: each has found out by itself
             assert machine.plane is not None and machine.plane.committed_state.config_version == 5
             assert await describe_config(machine) == (5, "kept") and await evacuated_zones(machine) == {"viti-b"}
-        for machine in machines[: fleet.losses]:  # and it votes again: others may go now
+        for machine in machines[: fleet.tolerated_losses]:  # and it votes again: others may go now
             assert not machine.plane._acceptor.state.is_recovering  # type: ignore[union-attr]
 
     for seed in range(4):
-        play(scene, seed)
-        play(scene, seed, losses=2)
+        run_scenario(scene, seed)
+        run_scenario(scene, seed, tolerated_losses=2)
 
 
 def test_a_cut_core_acknowledges_on_the_side_of_the_majority_alone() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, b, c = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, c = await fleet.bootstrap()
         assert await replace_config(a, 1, "one") == 200
         fleet.isolate(a.address)
         began = fleet.clock()
@@ -152,83 +153,83 @@
         assert await describe_config(b) == (2, "two")
         assert (await call_operator(b, "evacuations.start&of=viti-a"))[0] == 200
         assert (await call_operator(c, "evacuations.stop&of=viti-a"))[0] == 200
-        fleet.cut.clear()
+        fleet.partitions.clear()
         await asyncio.sleep(4)
         # What was given up on the one side does not come back from there.
         assert await describe_config(a) == (2, "two") and await evacuated_zones(a) == set()
         assert a.plane is not None and a.plane.committed_state == b.plane.committed_state  # type: ignore[union-attr]
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_order_read_after_a_standstill_is_not_taken() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, *_ = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, *_ = await fleet.bootstrap()
         await asyncio.sleep(1)
         fleet.loop.skip.at += 30
         assert (await call_operator(a, "evacuations.start&of=viti-a"))[0] == 503
         await asyncio.sleep(2)
         assert (await call_operator(a, "evacuations.start&of=viti-a"))[0] == 200
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_caller_that_leaves_takes_its_order_along() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, b, _ = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, _ = await fleet.bootstrap()
         await asyncio.sleep(1)
         fleet.isolate(a.address)
         order = asyncio.ensure_future(call_operator(a, "evacuations.start&of=viti-a"))
         await asyncio.sleep(0.2)
         order.cancel()
-        fleet.cut.clear()
+        fleet.partitions.clear()
         await asyncio.sleep(3)
         assert await evacuated_zones(b) == set()
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_disks_in_trouble() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, b, c = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, c = await fleet.bootstrap()
         assert await replace_config(a, 1, "one") == 200
-        a.slow = 6000
+        a.write_duration_ms = 6000
         assert await replace_config(a, 2, "two") == 200 and await replace_config(b, 3, "three") == 200
-        b.slow = 6000
+        b.write_duration_ms = 6000
         began = fleet.clock()
         assert await replace_config(c, 4, "four") == 503 and fleet.clock() - began < 900
         for machine in (a, b, c):
             assert (await describe_config(machine))[0] == 3  # reading goes on
-        a.slow = b.slow = 2
+        a.write_duration_ms = b.write_duration_ms = 2
         await asyncio.sleep(15)
-        a.disk.refuses = b.disk.refuses = True
+        a.disk.is_full = b.disk.is_full = True
         assert await replace_config(c, 5, "five") == 503
         assert (await describe_config(a))[0] >= 3
-        a.disk.refuses = False
+        a.disk.is_full = False
         await asyncio.sleep(1)
         assert await replace_config(b, 6, "six") == 200
         assert await describe_config(a) == (6, "six")
-        b.disk.refuses = False
+        b.disk.is_full = False
         await asyncio.sleep(3)
         # A start on a disk that hangs: nothing is promised, and nothing is lost.
         await a.kill()
-        a.slow = 3000
+        a.write_duration_ms = 3000
         await a.start()
         assert a.plane is not None and a.plane._acceptor.state.is_recovering
         assert await describe_config(a) == (6, "six")
         await asyncio.sleep(5)
         assert not a.plane._acceptor.state.is_recovering
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_machines_are_exchanged() -> None:
-    async def scene(fleet: Fleet) -> None:
-        a, b, c = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        a, b, c = await fleet.bootstrap()
         assert await replace_config(a, 1, "one") == 200
         await a.wipe()
-        spare = fleet.add(SPARE)
-        await spare.start(seeds=(b.address, c.address, SPARE))
+        spare = fleet.add_machine(SPARE)
+        await spare.start(seed_addresses=(b.address, c.address, SPARE))
         await asyncio.sleep(CATCH_UP_S)
         assert spare.plane is not None and set(spare.plane.members) == {b.address, c.address, SPARE}
         assert await replace_config(spare, 2, "two") == 200
@@ -236,13 +237,13 @@
         assert await describe_config(spare) == (2, "two") and await replace_config(c, 3, "three") == 200
         await asyncio.sleep(60)
         assert b.address in spare.plane.members  # no fewer than the losses to be borne need
-        await a.start(seeds=(c.address, SPARE))  # comes back after all, with nothing
+        await a.start(seed_addresses=(c.address, SPARE))  # comes back after all, with nothing
         await asyncio.sleep(CATCH_UP_S)
         assert set(spare.plane.members) == {a.address, c.address, SPARE}
         await c.wipe()
         assert await describe_config(a) == (3, "three")
 
-    play(scene)
+    run_scenario(scene)
 
 
 def test_one_machine_alone_on_real_files(tmp_path: Path) -> None:
@@ -253,7 +254,7 @@
             raise RequestTimeout("connect", address, "nobody there")
 
     async def incarnation(version: int, first: bool) -> tuple[int, int]:
-        node = settings("10.0.0.1:7000", first, ("10.0.0.1:7000",), 0, tmp_path / "data")
+        node = coordinator_settings("10.0.0.1:7000", first, ("10.0.0.1:7000",), 0, tmp_path / "data")
         heard: list[ClusterState] = []
         plane = ControlPlane(node, Nobody(), heard.append)
         await plane.start()
@@ -272,12 +273,12 @@
 
 
 def test_a_day_of_everything() -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scene(fleet: CoordinatorCluster) -> None:
         rng = fleet.rng
-        machines = await fleet.found()
+        machines = await fleet.bootstrap()
         acknowledged, version = 0, 0
         contents: dict[int, set[str]] = {}
-        spoilt: Machine | None = None
+        spoilt: CoordinatorMachine | None = None
         for turn in range(60):
             version += rng.randrange(2)
             live = [machine for machine in machines if machine.plane is not None]
@@ -296,15 +297,15 @@
                     case 3:
                         fleet.isolate(spoilt.address)
                     case 4:
-                        spoilt.slow = 3000
+                        spoilt.write_duration_ms = 3000
             for task, (number, _, machine) in zip(tasks, orders, strict=True):
                 if machine.plane is None:
                     task.cancel()
                 elif await task == 200:
                     acknowledged = max(acknowledged, number)
             if spoilt is not None and rng.random() < 0.3:
-                fleet.cut.clear()
-                spoilt.slow = 2
+                fleet.partitions.clear()
+                spoilt.write_duration_ms = 2
                 if spoilt.plane is None:
                     await spoilt.start()
                 await asyncio.sleep(8)
@@ -323,4 +324,4 @@
         assert acknowledged > 10 and all(len(marks) == 1 for marks in contents.values())
 
     for seed in range(5):
-        play(scene, seed)
+        run_scenario(scene, seed)
--- a/tests/system/control/test_reads.py
+++ b/tests/system/control/test_reads.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from hallhitch.lab.simulation.coordinators import Fleet, play
+from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, run_scenario
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.planes.control import state_transitions
 from tests.system.control.control_fleet import replace_config
@@ -13,8 +13,8 @@
 def test_a_read_does_not_join_a_ballot_whose_promises_may_be_older() -> None:
     """A read's ballot has one promise; a change is acknowledged elsewhere; then another read is asked beside it."""
 
-    async def scene(fleet: Fleet) -> None:
-        reader, helper, writer = await fleet.found()
+    async def scene(fleet: CoordinatorCluster) -> None:
+        reader, helper, writer = await fleet.bootstrap()
         assert await replace_config(writer, 1, "old") == 200
         await asyncio.sleep(1)
         assert reader.plane is not None and helper.plane is not None
@@ -33,7 +33,7 @@
             return answer_late(envelope) if envelope.HasField("prepare") else handle(envelope)
 
         helper.plane.handle = hold  # type: ignore[assignment, method-assign]
-        fleet.cut.add(frozenset((reader.address, writer.address)))
+        fleet.partitions.add(frozenset((reader.address, writer.address)))
         first = asyncio.ensure_future(reader.plane.propose(state_transitions.identity, 800))
         await arrived.wait()
         helper.plane.handle = handle  # type: ignore[method-assign]
@@ -44,4 +44,4 @@
         assert (await first).config_version in (1, 2)  # it was asked before the change was acknowledged
         assert (await second).config_version == 2
 
-    play(scene)
+    run_scenario(scene)
--- a/tests/system/distribution/test_coordinator_speaks.py
+++ b/tests/system/distribution/test_coordinator_speaks.py
@@ -8,7 +8,8 @@
 from collections.abc import Awaitable
 from dataclasses import replace
 
-from hallhitch.lab.simulation.coordinators import Memory, settings
+from hallhitch.lab.simulation.in_memory_storage import InMemoryStorage
+from hallhitch.lab.simulation.node_settings import coordinator_settings
 from hallhitch.messages.inbound_link import CallHandler
 from hallhitch.messages.system_pb2 import Envelope, StateRequest
 from hallhitch.node.errors import RequestTimeout
@@ -66,10 +67,10 @@
             clock=self.ways.clock,
             random=random.Random(address),
             connect=lambda cluster, own, incarnation, handler: _Links(self, own, handler),
-            disk=Memory(),
+            disk=InMemoryStorage(),
             run=run,
         )
-        return CoordinatorProgram(replace(settings(address, True, SEEDS, 1), listen_addresses={}), runtime)
+        return CoordinatorProgram(replace(coordinator_settings(address, True, SEEDS, 1), listen_addresses={}), runtime)
 
     async def start(self) -> None:
         """The first start of all."""
--- a/tests/system/simulation/scenes.py
+++ b/tests/system/simulation/scenarios.py
@@ -9,8 +9,8 @@
 from hallhitch.lab.simulation.faults import Schedule
 from hallhitch.lab.simulation.history import Call, Order, Violation
 from hallhitch.lab.simulation.network import Blocks
-from hallhitch.lab.simulation.operators import A_ROUTE, SILENCE, attempt, configuration, settle
-from hallhitch.lab.simulation.world import INTERNAL_PORT, OPERATORS_PORT, Machine, World
+from hallhitch.lab.simulation.operator_workload import A_ROUTE, SILENCE, attempt, configuration, settle
+from hallhitch.lab.simulation.simulation import INTERNAL_PORT, OPERATORS_PORT, Machine, World
 from hallhitch.node.errors import PeerCallError
 from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.membership import Membership
--- a/tests/system/simulation/test_mechanisms.py
+++ b/tests/system/simulation/test_mechanisms.py
@@ -14,7 +14,7 @@
 from hallhitch.lab.simulation.disk import SimulatedDisk
 from hallhitch.lab.simulation.faults import Fault, Kind, Schedule
 from hallhitch.lab.simulation.history import Violation, rules
-from hallhitch.lab.simulation.world import play
+from hallhitch.lab.simulation.simulation import play
 from hallhitch.messages.addressing import Identity
 from hallhitch.messages.system_pb2 import AcceptorQuery
 from hallhitch.planes.control import operator_api
@@ -24,8 +24,8 @@
 from hallhitch.planes.control.peer_observations import PeerObservations
 from hallhitch.planes.control.serving_lease import ServingLease
 from hallhitch.planes.control.vote_tally import VoteTally
-from tests.system.simulation import scenes
-from tests.system.simulation.scenes import perform
+from tests.system.simulation import scenarios
+from tests.system.simulation.scenarios import perform
 
 Run = Callable[[], list[Violation]]
 
@@ -101,23 +101,23 @@
     "serving lease": Mechanism(
         _without_serving_lease,
         (
-            partial(perform, scenes.new_gateway_beside_a_cut_off_coordinator),
-            partial(perform, scenes.new_gateway_beside_a_coordinator_that_hears_nothing),
-            partial(perform, scenes.new_gateway_beside_a_coordinator_that_wakes),
+            partial(perform, scenarios.new_gateway_beside_a_cut_off_coordinator),
+            partial(perform, scenarios.new_gateway_beside_a_coordinator_that_hears_nothing),
+            partial(perform, scenarios.new_gateway_beside_a_coordinator_that_wakes),
         ),
         "old state",
     ),
     "incarnations": Mechanism(
-        _without_incarnations, (partial(perform, scenes.vote_of_a_forgotten_incarnation, 5),), "lost"
+        _without_incarnations, (partial(perform, scenarios.vote_of_a_forgotten_incarnation, 5),), "lost"
     ),
     "joint change": Mechanism(
-        _without_joint_change, (partial(perform, scenes.half_made_change_of_members),), "one state"
+        _without_joint_change, (partial(perform, scenarios.half_made_change_of_members),), "one state"
     ),
     "state of candidates": Mechanism(
-        _without_state_of_candidates, (partial(perform, scenes.newcomer_with_a_full_disk),), "empty seat"
+        _without_state_of_candidates, (partial(perform, scenarios.newcomer_with_a_full_disk),), "empty seat"
     ),
     "digests": Mechanism(_without_digests, tuple(partial(_orders_race, seed) for seed in range(3)), "one confirmation"),
-    "addressees": Mechanism(_without_addressees, (partial(perform, scenes.address_taken_by_another),), "lost"),
+    "addressees": Mechanism(_without_addressees, (partial(perform, scenarios.address_taken_by_another),), "lost"),
     "sync of the folder": Mechanism(
         _without_sync_of_folder, tuple(partial(_all_lose_power, seed) for seed in range(4)), "lost"
     ),
--- a/tests/system/simulation/test_schedules.py
+++ b/tests/system/simulation/test_schedules.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from hallhitch.lab.simulation.examine import examine
 from hallhitch.lab.simulation.faults import Fault, Kind, Schedule
-from tests.system.simulation import scenes
-from tests.system.simulation.scenes import Scene, perform
+from hallhitch.lab.simulation.schedule_check import examine
+from tests.system.simulation import scenarios
+from tests.system.simulation.scenarios import Scene, perform
 
 SECOND_LOSSES = {
     "planned exchange, then power lost": (
@@ -50,9 +50,9 @@
 @pytest.mark.parametrize(
     "scene",
     [
-        scenes.new_gateway_beside_a_cut_off_coordinator,
-        scenes.new_gateway_beside_a_coordinator_that_hears_nothing,
-        scenes.new_gateway_beside_a_coordinator_that_wakes,
+        scenarios.new_gateway_beside_a_cut_off_coordinator,
+        scenarios.new_gateway_beside_a_coordinator_that_hears_nothing,
+        scenarios.new_gateway_beside_a_coordinator_that_wakes,
     ],
 )
 def test_nobody_is_handed_what_is_long_overtaken(scene: Scene) -> None:
--- a/tests/system/simulation/test_simulation.py
+++ b/tests/system/simulation/test_simulation.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from hallhitch.lab.simulation.examine import examine
 from hallhitch.lab.simulation.faults import draw
-from hallhitch.lab.simulation.world import World
+from hallhitch.lab.simulation.schedule_check import examine
+from hallhitch.lab.simulation.simulation import World
 
 SEEDS = int(os.environ.get("HALLHITCH_SIMULATION_SEEDS", "160"))
 PARTS = 40  # tests that the seeds are spread over, for workers to share
