--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -287,13 +287,13 @@
         Service("s", "/health", 100, 0.0, 0.0),
         Route("r", "h", "/", RequestKind.IDEMPOTENT, 3000.0, 800.0, 0, (("s", 1.0),), 2, True),
     )
-    own, zones = gateway(0), {f"namaka-{z}": f"region-{z % 28}" for z in range(58)}
+    own = gateway(0)
     word = ClusterConfig(1, 1, {"h": (route,)}, {"s": service}, {}, {})
     here = [replace(gateway(n * 28), zone=f"namaka-{n % 2 * 28}", region="region-0") for n in range(1, gateways)]
     entries = [Backend(f"i-{n}", "s", "10.0.0.1", n, f"namaka-{n % 2 * 28}", "region-0", 3) for n in range(backends)]
 
     def built() -> LoadBalancer:
-        choice = LoadBalancer(LoadBalancerSettings(own.name, own.zone, own.region, zones), random.Random(1))
+        choice = LoadBalancer(LoadBalancerSettings(own.name, own.zone, own.region), random.Random(1))
         choice.set_config(0.0, word)
         choice.set_gateways(0.0, own.name, [own, *here])
         choice.set_backends(0.0, entries)
--- a/hallhitch/lab/system_compare.py
+++ b/hallhitch/lab/system_compare.py
@@ -19,7 +19,8 @@
     Reject,
     RequestInfo,
 )
-from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings, RequestState
+from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
+from hallhitch.planes.data.request_state import RequestState
 from hallhitch.planes.values import Backend, ClusterConfig
 
 
--- a/hallhitch/lab/system_model.py
+++ b/hallhitch/lab/system_model.py
@@ -97,9 +97,7 @@
         ]
         self.minds = {}
         for node in self.nodes:
-            settings = LoadBalancerSettings(
-                node.name, node.zone, node.region, self.zones, 0.2, 10_000.0, 58.0, 1.5, 5.0, 800.0
-            )
+            settings = LoadBalancerSettings(node.name, node.zone, node.region, 0.2, 10_000.0, 58.0, 1.5, 5.0, 800.0)
             self.minds[node.name] = make(self, settings, Random(self.rng.random()))
             self.env.process(self._tell(node, self.minds[node.name]))
         for each in MIX:
--- a/hallhitch/planes/data/backend_connection.py
+++ b/hallhitch/planes/data/backend_connection.py
@@ -137,7 +137,7 @@
         if attempt is None:
             if self.idle_since and not self._spoilt:
                 now = self.pool.pools.clock()
-                self.pool.trust.closed(now, self.pool.backend.instance, now - self.idle_since)
+                self.pool.trust.on_closed(now, self.pool.backend.instance, now - self.idle_since)
             return self._over(Outcome.CONNECTION_LOST)
         if error is None and self.flow is None:
             for answer in self.reader.end():  # a body that went on to the end of the connection
@@ -248,7 +248,7 @@
             and not self._closed
             and now - attempt.written < AT_ONCE
         ):
-            self.pool.trust.reset(now, self._age)
+            self.pool.trust.on_reset(now, self._age)
         self._drop()
         if attempt is not None:
             attempt.end(now, outcome)
--- a/hallhitch/planes/data/connection_pools.py
+++ b/hallhitch/planes/data/connection_pools.py
@@ -139,7 +139,7 @@
         while self.idle:
             connection = self.idle[-1]
             if connection.usable():
-                if now - connection.idle_since > trust.most(now, connection.told, unsafe):
+                if now - connection.idle_since > trust.max_idle_ms(now, connection.told, unsafe):
                     return None  # the others have rested longer
                 return self.idle.pop()
             connection.close()
@@ -225,7 +225,7 @@
 
     def sweep(self, now: float) -> None:
         """Close what rested too long, give up what never ends."""
-        while self.idle and now - self.idle[0].idle_since > self.trust.most(now, self.idle[0].told, False):
+        while self.idle and now - self.idle[0].idle_since > self.trust.max_idle_ms(now, self.idle[0].told, False):
             self.idle[0].close()
         for connection in [connection for connection in self.connections if connection.attempt is not None]:
             attempt = connection.attempt
--- a/hallhitch/planes/data/endpoint_set.py
+++ b/hallhitch/planes/data/endpoint_set.py
@@ -1,286 +1,279 @@
-"""The backends of one service as this gateway sees them: in which order they come, and what each would cost now.
+"""The endpoints of one service as this gateway sees them: which one a request goes to, and what each costs now.
 
-Owns the seats (one a backend life) and the comparison between them. Other gateways' requests are not seen: they are
-reckoned from this gateway's own load, and from answers that take longer than usual.
+Owns the order in which endpoints are considered and the comparison between them: a cost per endpoint, the cheapest of
+a few, as in "power of d choices". The requests of other gateways are not seen: they are estimated from this gateway's
+own load, and show in responses that take longer than the mean. Invariant: an endpoint that is selected has capacity for
+one more request beside the estimated requests of its peers; only panic mode takes one that is ejected.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from enum import IntEnum
+from dataclasses import dataclass
 from math import exp
 from random import Random
+from typing import Final
 
-from hallhitch.planes.data.latency import LatencyEstimate, LatencyRatio
-from hallhitch.planes.data.outlier_detection import Health, State, UnansweredSends
-from hallhitch.planes.data.slow_start import WARMING, SlowStart
+from hallhitch.planes.data.endpoint import Endpoint, Locality
+from hallhitch.planes.data.latency import LatencyEstimate
+from hallhitch.planes.data.outlier_detection import HealthState
+from hallhitch.planes.data.slow_start import CAPACITY_RAMP_MS, SlowStart
 from hallhitch.planes.values import Backend, RequestKind, Service
 
-FAR_RANK = 1 << 20
-NEAR_LEAST = 6  # backends of its own region that a gateway chooses from first: enough to find an idle one
-RANK_LEAST = 3  # gateways that share a backend at first, where there are that many
-SAMPLE = 10  # backends looked at beyond those: the best of ten is hardly worse than the best of all
-QUEUE = 0.4  # rounds of work that may wait at a backend (its slots over again) while others have no room either
-QUEUE_LAST = 0.7  # the same for repeatable requests once all have that much: still better than turning away
-LOAD_TIME = 1000.0  # ms over which the own load is averaged to reckon that of others
-ZONE = 0.01  # of the target: what another zone of the region costs
-ZONE_DOWNLOAD = 0.15
-REGION = 0.25  # of the target: what another region costs, in bytes more than in time
-COLD = 2.0  # times the usual: what a cold backend takes
-DOUBT = 1.0  # of the usual: what a last bad end costs
-PART = 0.5  # of the slots: what each gateway but the owner may have there, or those who yield it crowd in together
-CROWD = 0.3  # of what a cold backend bears: more than that from one gateway in a second is uneven
-CROWD_COST = 3.0  # of the usual, for each such share beyond
-NEARLY_FULL = 0.2  # of the usual: what full slots cost though nothing waits; some backends slow down
-CHANCE = 0.1  # of the usual: what equals are told apart by
-
-
-class Locality(IntEnum):
-    """Where a backend stands, as seen from here."""
-
-    ZONE = 0
-    REGION = 1
-    FAR = 2
-
-
-@dataclass(slots=True, eq=False)
-class Endpoint:
-    """One backend life and what this gateway has there."""
-
-    backend: Backend
-    tier: Locality = Locality.FAR
-    rank: int = FAR_RANK
-    near: bool = False  # among those chosen from first
-    sight: UnansweredSends = field(default_factory=lambda: UnansweredSends(2))
-    zone: UnansweredSends = field(default_factory=lambda: UnansweredSends(3))  # shared by all of its zone
-    out: int = 0  # requests of this gateway that are, or may be, there
-    health: Health = field(default_factory=Health)
-    ratio: LatencyRatio = field(default_factory=LatencyRatio)
-    late: list[EndpointAttempt] = field(default_factory=list)  # silent ones that hold room still
-
-
-@dataclass(slots=True, eq=False)
-class EndpointAttempt:
-    """One sending of an exchange."""
-
-    seat: Endpoint
-    at: float
-    until: float  # the request's end: nothing works on it any longer
-    trial: bool = False
-    patience: float = 0.0  # ms
-    mark: float | None = None  # what it drew from the budget
-    out: bool = True
-    silent: bool = False
-    arrived: bool = True
-    ran: bool = False  # it may have run
-
-    def release(self) -> None:
-        """Its room is free again."""
-        if self.out:
-            self.out = False
-            self.seat.out -= 1
-            if self.trial:
-                self.seat.health.trial = False
-            if self in self.seat.late:
-                self.seat.late.remove(self)
+# Which endpoints are considered.
+MIN_PRIMARY_ENDPOINTS: Final = 6  # of its own region, that a gateway considers first: enough to find an idle one
+MIN_GATEWAYS_PER_ENDPOINT: Final = 3  # that consider an endpoint first, where there are that many gateways
+SAMPLE_SIZE: Final = 10  # of the others: the best of ten is hardly worse than the best of all
+
+# How many requests an endpoint takes, in rounds of its slots.
+QUEUE_RATIO: Final = 0.4  # that may queue at an endpoint while no other has capacity either
+FULL_QUEUE_RATIO: Final = 0.7  # of idempotent requests, once all have that much: still better than rejection
+UNSAFE_QUEUE_FACTOR: Final = 0.5  # of the queue for a request that must not run twice: a reset would lose it
+SHARED_SLOTS_RATIO: Final = 0.5  # that each gateway but the preferred may use, or they overload it together
+MAX_WARMING_IN_FLIGHT: Final = 2  # requests in flight at an endpoint in slow start
+RAMP_RESERVED_RATIO: Final = 0.5  # of the slots that count as taken at the end of slow start, falling to none
+LOAD_AVERAGING_MS: Final = 1000.0  # time constant of the own load, by which that of others is estimated
+
+# What an endpoint costs, in mean latencies of the route.
+WARMING_LATENCY_FACTOR: Final = 2.0  # of a backend in slow start
+SUSPECT_COST: Final = 1.0  # after a failure, or while it is unresponsive
+EVEN_UTILIZATION: Final = 0.3  # of what a warming backend bears: more from one gateway in a second is uneven
+UNEVEN_UTILIZATION_COST: Final = 3.0  # for each whole utilization beyond
+FULL_SLOTS_COST: Final = 0.2  # of full slots though nothing queues: some backends slow down
+TIE_BREAK_COST: Final = 0.1  # at most, drawn at random: gateways must not all choose the same of equals
+
+# What the distance costs, in latency targets of the route.
+CROSS_ZONE_COST: Final = 0.01
+CROSS_ZONE_DOWNLOAD_COST: Final = 0.15
+CROSS_REGION_COST: Final = 0.25  # for bytes more than for time
 
 
 @dataclass(frozen=True, slots=True)
 class SelectionCriteria:
-    """What is asked of a seat."""
+    """What one request asks of an endpoint."""
 
     now: float
     kind: RequestKind
-    unsafe: bool
-    target: float
-    usual: float
-    homes: frozenset[str]
-    tried: frozenset[str]
-    priority: int
+    is_unsafe: bool  # it must not run twice
+    target_ms: float  # latency target of the route
+    mean_latency_ms: float  # of the route
+    allowed_regions: frozenset[str]  # empty = any
+    excluded_instances: frozenset[str]  # tried before
+    priority: int  # 0 is the highest
 
 
 class EndpointSet:
-    """All seats of one service."""
-
-    def __init__(self, service: Service, cold: SlowStart) -> None:
-        self.service, self.pace = service, LatencyEstimate()
-        self.near: list[Endpoint] = []  # own region, low rank
-        self.rest: list[Endpoint] = []  # own region otherwise
-        self.far: list[Endpoint] = []
-        self.waiting: dict[tuple[int, frozenset[str]], int] = {}  # held exchanges by priority and homes
-        self.trials = 0.0  # how many trials are due to this service
-        self._cold = cold
-        self._share = 1.0  # of the region's slots that is this gateway's
-        self._load, self._load_at = 0.0, 0.0
-        self._slots = self._widest = 1
-        self._gateways = 1
-
-    def place(self, seats: list[Endpoint], gateways: int) -> None:
-        """Sort the seats anew (tiers and ranks are set); `gateways` of the own region share them."""
-        region = [s for s in seats if s.tier is not Locality.FAR]
-        self.far = [s for s in seats if s.tier is Locality.FAR]
+    """All endpoints of one service that take new requests."""
+
+    def __init__(self, service: Service, slow_start: SlowStart) -> None:
+        self.service = service
+        self.latency = LatencyEstimate()
+        self.primary: list[Endpoint] = []  # own region, low rank
+        self.secondary: list[Endpoint] = []  # own region otherwise
+        self.remote: list[Endpoint] = []
+        self.queued: dict[tuple[int, frozenset[str]], int] = {}  # requests by priority and allowed regions
+        self.half_open_tokens = 0.0  # half-open attempts that are due to this service
+        self._slow_start = slow_start
+        self._gateways = 1  # that share the endpoints of the own region
+        self._region_slots = 1
+        self._max_slots = 1  # of any endpoint
+        self._load = 0.0
+        self._load_updated_at_ms = 0.0
+
+    def set_endpoints(self, endpoints: list[Endpoint], gateways: int) -> None:
+        """Replace the endpoints, localities and ranks set; `gateways` of the own region share them."""
+        in_region = [e for e in endpoints if e.locality is not Locality.REMOTE_REGION]
+        self.remote = [e for e in endpoints if e.locality is Locality.REMOTE_REGION]
         self._gateways = max(gateways, 1)
-        few = max(RANK_LEAST, -(-NEAR_LEAST * self._gateways // max(len(region), 1)))
-        self.near = [s for s in region if s.rank < few]
-        self.rest = [s for s in region if s.rank >= few]
-        for seat in seats:
-            seat.near = False
-        for seat in self.near:
-            seat.near = True
-        self._slots = max(1, sum(s.backend.slots for s in region))
-        self._widest = max((s.backend.slots for s in seats), default=1)
-
-    def reckon(self, now: float) -> float:
-        """The share of slots taken that others are thought to have, were all as loaded as this gateway."""
-        own = sum(s.out for s in self.near) + sum(s.out for s in self.rest)
-        busy = min(1.0, own * self._gateways / self._slots)
-        self._load += (busy - self._load) * (1.0 - exp(-max(0.0, now - self._load_at) / LOAD_TIME))
-        self._load_at = now
-        return self._load
-
-    def others(self, seat: Endpoint, load: float) -> float:
-        """How many requests of other gateways are likely there."""
-        if seat.rank == 0 and seat.tier is not Locality.FAR:
-            return 0.0
-        return load * seat.backend.slots
-
-    def room(self, seat: Endpoint, load: float, want: SelectionCriteria, queue: float) -> bool:
-        """Whether one more may go there, with `queue` rounds allowed to wait."""
-        slots = seat.backend.slots
-        if seat.late and seat.late[0].until <= want.now:
-            for attempt in [a for a in seat.late if a.until <= want.now]:
-                attempt.release()
-        if self._cold.until(seat.backend) > want.now:
-            return seat.out < 2 and self._cold.may(want.now, seat.backend, self.service)
-        if seat.rank == 0 and seat.tier is not Locality.FAR:
-            most = slots * (1.0 + queue * (0.5 if want.unsafe else 1.0))
-        else:
-            # What all others may have there as well must not fill it: each has a small part.
-            part = slots / self._gateways if want.unsafe or seat.tier is Locality.FAR else slots * PART
-            most = max(1.0, part)
-        if seat.out + 1 > most:
-            return False
-        return seat.out + 1 + self.others(seat, load) <= slots * (1.0 + queue)
-
-    def cost(self, seat: Endpoint, load: float, want: SelectionCriteria, rng: Random) -> float:
-        """What one more there is expected to take (ms), places and risks reckoned in."""
-        slots, now = seat.backend.slots, want.now
-        there = seat.out + self.others(seat, load)
-        usual = want.usual * seat.ratio.seen(now)
-        cold = self._cold.until(seat.backend)
-        if cold > now:
-            usual *= COLD
-        elif cold > now - WARMING and cold > 0.0:
-            there += slots * 0.5 * (1.0 - (now - cold) / WARMING)
-        cost = usual * (1.0 + max(0.0, there + 1.0 - slots) / slots + NEARLY_FULL * min(1.0, there / slots))
-        if seat.health.state(now) is not State.GOOD or self._hushed(seat, now):
-            cost += want.usual * DOUBT
-        crowd = self._cold.crowd(now, seat.backend, self.service)
-        if crowd > CROWD:
-            cost += want.usual * (crowd - CROWD) * CROWD_COST
-        if seat.tier is Locality.REGION:
-            cost += want.target * (ZONE_DOWNLOAD if want.kind == RequestKind.DOWNLOAD else ZONE)
-        elif seat.tier is Locality.FAR:
-            cost += want.target * REGION
-        return cost + want.usual * CHANCE * rng.random()
-
-    def _hushed(self, seat: Endpoint, now: float) -> bool:
-        return self.pace.silent(now, seat.sight, seat.zone, seat.tier is Locality.FAR)
-
-    def _usable(self, seat: Endpoint, want: SelectionCriteria) -> bool:
-        backend = seat.backend
-        return backend.instance not in want.tried and (not want.homes or backend.region in want.homes)
-
-    def _ready(self, seat: Endpoint, want: SelectionCriteria) -> bool:
-        now, health = want.now, seat.health
-        if not self._usable(seat, want) or now < health.full_until:
-            return False
-        state = health.state(now)
-        if want.unsafe:
-            return state is State.GOOD and not self._hushed(seat, now)
-        # Those near get their trials one by one; of the others each may be its own trial.
-        return (
-            state is State.GOOD
-            or state is State.DOUBTED
-            and seat.out == 0
-            or state is State.DUE
-            and seat.out == 0
-            and not seat.near
-        )
-
-    def yields(self, seat: Endpoint, want: SelectionCriteria) -> bool:
-        """Whether this seat's room is due to somebody who waits with a higher priority."""
-        return any(
-            count and priority < want.priority and (not homes or seat.backend.region in homes)
-            for (priority, homes), count in self.waiting.items()
-        )
-
-    def choose(self, want: SelectionCriteria, rng: Random) -> Endpoint | None:
-        """The best seat with room now, None if there is none."""
-        load = self.reckon(want.now)
-        best = self._best(self.near, load, want, 0.0, rng)
-        # Where others are thought to leave no slot free there is none to look for among theirs.
-        idle = (1.0 - load) * self._widest >= 1.0
-        if best is None and idle:
-            best = self._best(self._some(self.rest, rng), load, want, 0.0, rng)
+        endpoint_shares = -(-MIN_PRIMARY_ENDPOINTS * self._gateways // max(len(in_region), 1))
+        primary_ranks = max(MIN_GATEWAYS_PER_ENDPOINT, endpoint_shares)
+        self.primary = [e for e in in_region if e.rank < primary_ranks]
+        self.secondary = [e for e in in_region if e.rank >= primary_ranks]
+        for endpoint in endpoints:
+            endpoint.is_primary = False
+        for endpoint in self.primary:
+            endpoint.is_primary = True
+        self._region_slots = max(1, sum(e.slots for e in in_region))
+        self._max_slots = max((e.slots for e in endpoints), default=1)
+
+    # Selection.
+
+    def select(self, criteria: SelectionCriteria, rng: Random) -> Endpoint | None:
+        """Return the cheapest endpoint with capacity now; None if there is none.
+
+        Own region before others, free slots before queues. Downloads leave the region only when nothing in it is
+        healthy.
+        """
+        load = self.estimate_load(criteria.now)
+        best = self._cheapest(self.primary, load, criteria, 0.0, rng)
+        # Where peers are estimated to leave no slot free there is none to look for among theirs.
+        may_find_idle = (1.0 - load) * self._max_slots >= 1.0
+        if best is None and may_find_idle:
+            best = self._cheapest(_sample(self.secondary, rng), load, criteria, 0.0, rng)
         if best is None:
-            best = self._best(self.near, load, want, QUEUE, rng)
+            best = self._cheapest(self.primary, load, criteria, QUEUE_RATIO, rng)
         if best is not None:
             return best
-        download = want.kind == RequestKind.DOWNLOAD
-        region = [s for s in self.near + self.rest if self._usable(s, want)]
-        healthy = [s for s in region if self._ready(s, want)]
-        if not (download and healthy):
-            for queue in (0.0, QUEUE) if idle else (QUEUE,):
-                best = self._best(self._some(self.far, rng), load, want, queue, rng)
+        in_region = [e for e in self.primary + self.secondary if _is_eligible(e.backend, criteria)]
+        healthy = [e for e in in_region if self._is_selectable(e, criteria)]
+        stays_in_region = criteria.kind is RequestKind.DOWNLOAD and bool(healthy)
+        if not stays_in_region:
+            for queue_ratio in (0.0, QUEUE_RATIO) if may_find_idle else (QUEUE_RATIO,):
+                best = self._cheapest(_sample(self.remote, rng), load, criteria, queue_ratio, rng)
                 if best is not None:
                     return best
-        if healthy and not want.unsafe:
-            return self._best(healthy, load, want, QUEUE_LAST, rng)
+        if healthy and not criteria.is_unsafe:
+            return self._cheapest(healthy, load, criteria, FULL_QUEUE_RATIO, rng)
         return None
 
-    def last_resort(self, want: SelectionCriteria, rng: Random) -> Endpoint | None:
-        """Where all are set aside or doubted at once it is rather this gateway's own network: the least bad of all."""
-        now = want.now
-        usable = [s for s in self.near + self.rest if self._usable(s, want) and not s.health.moved]
-        usable = usable or [s for s in self.far if self._usable(s, want) and not s.health.moved]
-        if not usable or any(s.health.state(now) is State.GOOD for s in usable):
+    def select_in_panic(self, criteria: SelectionCriteria, rng: Random) -> Endpoint | None:
+        """Return the endpoint that failed longest ago where all are ejected or suspect; None elsewhere.
+
+        That all fail at once is more likely the fault of this gateway's network than of every backend.
+        """
+        now = criteria.now
+        eligible = _not_misdirected(self.primary + self.secondary, criteria)
+        eligible = eligible or _not_misdirected(self.remote, criteria)
+        if not eligible or any(e.health.state(now) is HealthState.HEALTHY for e in eligible):
             return None
-        usable = [s for s in usable if s.out < max(1, s.backend.slots // 2) and self._warm(s, now)]
-        return min(usable, key=lambda s: (s.health.bad_at, rng.random())) if usable else None
+        eligible = [e for e in eligible if e.in_flight < max(1, e.slots // 2) and self._slow_start_admits(e, now)]
+        if not eligible:
+            return None
+        return min(eligible, key=lambda e: (e.health.last_failure_ms, rng.random()))
 
-    def trial(self, want: SelectionCriteria) -> Endpoint | None:
-        """A seat whose pause is over, if a trial is due."""
-        if self.trials < 1.0 or want.unsafe or want.kind == RequestKind.DOWNLOAD:
+    def half_open_endpoint(self, criteria: SelectionCriteria) -> Endpoint | None:
+        """Return an endpoint whose ejection is over, if a half-open attempt is due."""
+        if self.half_open_tokens < 1.0 or criteria.is_unsafe or criteria.kind is RequestKind.DOWNLOAD:
             return None
-        for seat in self.near:
+        for endpoint in self.primary:
             if (
-                seat.health.state(want.now) is State.DUE
-                and not seat.health.trial
-                and not seat.out
-                and self._usable(seat, want)
-                and self._warm(seat, want.now)
+                endpoint.health.state(criteria.now) is HealthState.HALF_OPEN
+                and not endpoint.health.has_half_open_attempt
+                and not endpoint.in_flight
+                and _is_eligible(endpoint.backend, criteria)
+                and self._slow_start_admits(endpoint, criteria.now)
             ):
-                return seat
+                return endpoint
         return None
 
-    def _warm(self, seat: Endpoint, now: float) -> bool:
-        return self._cold.until(seat.backend) <= now or self._cold.may(now, seat.backend, self.service)
+    def is_reserved_for_higher_priority(self, endpoint: Endpoint, criteria: SelectionCriteria) -> bool:
+        """Whether a queued request of a higher priority comes first at this endpoint."""
+        return any(
+            count and priority < criteria.priority and (not regions or endpoint.backend.region in regions)
+            for (priority, regions), count in self.queued.items()
+        )
+
+    # Load and capacity.
 
-    def _best(
-        self, seats: list[Endpoint], load: float, want: SelectionCriteria, queue: float, rng: Random
+    def estimate_load(self, now: float) -> float:
+        """Update and return the share of slots that peers are estimated to use, were all as loaded as this gateway."""
+        in_flight = sum(e.in_flight for e in self.primary) + sum(e.in_flight for e in self.secondary)
+        current = min(1.0, in_flight * self._gateways / self._region_slots)
+        elapsed_ms = max(0.0, now - self._load_updated_at_ms)
+        self._load += (current - self._load) * (1.0 - exp(-elapsed_ms / LOAD_AVERAGING_MS))
+        self._load_updated_at_ms = now
+        return self._load
+
+    def estimated_peer_requests(self, endpoint: Endpoint, load: float) -> float:
+        """Return how many requests of other gateways are likely there."""
+        return 0.0 if endpoint.is_preferred_here else load * endpoint.slots
+
+    def has_capacity(self, endpoint: Endpoint, load: float, criteria: SelectionCriteria, queue_ratio: float) -> bool:
+        """Whether one more request may go there, with `queue_ratio` rounds of its slots allowed to queue."""
+        now, slots = criteria.now, endpoint.slots
+        if endpoint.timed_out and endpoint.timed_out[0].deadline_ms <= now:
+            endpoint.release_expired(now)
+        if self._slow_start.warming_until_ms(endpoint.backend) > now:
+            return endpoint.in_flight < MAX_WARMING_IN_FLIGHT and self._slow_start.admits(
+                now, endpoint.backend, self.service
+            )
+        if endpoint.is_preferred_here:
+            own_queue_ratio = queue_ratio * (UNSAFE_QUEUE_FACTOR if criteria.is_unsafe else 1.0)
+            capacity = slots * (1.0 + own_queue_ratio)
+        else:
+            # All other gateways may have the same there, and together must not fill it.
+            is_split_evenly = criteria.is_unsafe or endpoint.locality is Locality.REMOTE_REGION
+            capacity = max(1.0, slots / self._gateways if is_split_evenly else slots * SHARED_SLOTS_RATIO)
+        in_flight = endpoint.in_flight + 1
+        if in_flight > capacity:
+            return False
+        return in_flight + self.estimated_peer_requests(endpoint, load) <= slots * (1.0 + queue_ratio)
+
+    # Cost.
+
+    def estimate_cost_ms(self, endpoint: Endpoint, load: float, criteria: SelectionCriteria, rng: Random) -> float:
+        """Return how long one more request there is expected to take, distance and risks as ms on top."""
+        now, slots, mean_ms = criteria.now, endpoint.slots, criteria.mean_latency_ms
+        occupied = endpoint.in_flight + self.estimated_peer_requests(endpoint, load)
+        latency_ms = mean_ms * endpoint.latency_ratio.value(now)
+        warming_until_ms = self._slow_start.warming_until_ms(endpoint.backend)
+        if warming_until_ms > now:
+            latency_ms *= WARMING_LATENCY_FACTOR
+        elif warming_until_ms > now - CAPACITY_RAMP_MS and warming_until_ms > 0.0:
+            occupied += slots * RAMP_RESERVED_RATIO * (1.0 - (now - warming_until_ms) / CAPACITY_RAMP_MS)
+        queue_rounds = max(0.0, occupied + 1.0 - slots) / slots
+        cost_ms = latency_ms * (1.0 + queue_rounds + FULL_SLOTS_COST * min(1.0, occupied / slots))
+        if endpoint.health.state(now) is not HealthState.HEALTHY or self._is_unresponsive(endpoint, now):
+            cost_ms += mean_ms * SUSPECT_COST
+        utilization = self._slow_start.utilization(now, endpoint.backend, self.service)
+        if utilization > EVEN_UTILIZATION:
+            cost_ms += mean_ms * (utilization - EVEN_UTILIZATION) * UNEVEN_UTILIZATION_COST
+        if endpoint.locality is Locality.SAME_REGION:
+            is_download = criteria.kind is RequestKind.DOWNLOAD
+            cost_ms += criteria.target_ms * (CROSS_ZONE_DOWNLOAD_COST if is_download else CROSS_ZONE_COST)
+        elif endpoint.locality is Locality.REMOTE_REGION:
+            cost_ms += criteria.target_ms * CROSS_REGION_COST
+        return cost_ms + mean_ms * TIE_BREAK_COST * rng.random()
+
+    def _cheapest(
+        self, endpoints: list[Endpoint], load: float, criteria: SelectionCriteria, queue_ratio: float, rng: Random
     ) -> Endpoint | None:
-        best, least = None, 0.0
-        for seat in seats:
+        cheapest, lowest_cost_ms = None, 0.0
+        for endpoint in endpoints:
             if (
-                seat.out + 1 <= seat.backend.slots * (1.0 + queue)
-                and self._ready(seat, want)
-                and self.room(seat, load, want, queue)
+                endpoint.in_flight + 1 <= endpoint.slots * (1.0 + queue_ratio)
+                and self._is_selectable(endpoint, criteria)
+                and self.has_capacity(endpoint, load, criteria, queue_ratio)
             ):
-                cost = self.cost(seat, load, want, rng)
-                if best is None or cost < least:
-                    best, least = seat, cost
-        return best
+                cost_ms = self.estimate_cost_ms(endpoint, load, criteria, rng)
+                if cheapest is None or cost_ms < lowest_cost_ms:
+                    cheapest, lowest_cost_ms = endpoint, cost_ms
+        return cheapest
+
+    # Health.
+
+    def _is_selectable(self, endpoint: Endpoint, criteria: SelectionCriteria) -> bool:
+        """Whether a request may go there by the endpoint's health, whatever its load."""
+        now, health = criteria.now, endpoint.health
+        if not _is_eligible(endpoint.backend, criteria) or now < health.overloaded_until_ms:
+            return False
+        state = health.state(now)
+        if criteria.is_unsafe:
+            return state is HealthState.HEALTHY and not self._is_unresponsive(endpoint, now)
+        if state is HealthState.HEALTHY:
+            return True
+        # Half-open primary endpoints get their attempts from `half_open_endpoint`; of the others any request is one.
+        is_open_to_one = state is HealthState.SUSPECT or (state is HealthState.HALF_OPEN and not endpoint.is_primary)
+        return is_open_to_one and endpoint.in_flight == 0
+
+    def _is_unresponsive(self, endpoint: Endpoint, now: float) -> bool:
+        is_remote = endpoint.locality is Locality.REMOTE_REGION
+        return self.latency.is_unresponsive(now, endpoint.unanswered, endpoint.zone_unanswered, is_remote)
+
+    def _slow_start_admits(self, endpoint: Endpoint, now: float) -> bool:
+        backend = endpoint.backend
+        return self._slow_start.warming_until_ms(backend) <= now or self._slow_start.admits(now, backend, self.service)
+
+
+def _is_eligible(backend: Backend, criteria: SelectionCriteria) -> bool:
+    """Whether the request may go to this backend at all."""
+    if backend.instance in criteria.excluded_instances:
+        return False
+    return not criteria.allowed_regions or backend.region in criteria.allowed_regions
+
+
+def _not_misdirected(endpoints: list[Endpoint], criteria: SelectionCriteria) -> list[Endpoint]:
+    return [e for e in endpoints if _is_eligible(e.backend, criteria) and not e.health.is_misdirected]
+
 
-    def _some(self, seats: list[Endpoint], rng: Random) -> list[Endpoint]:
-        return rng.sample(seats, SAMPLE) if len(seats) > SAMPLE else seats
+def _sample(endpoints: list[Endpoint], rng: Random) -> list[Endpoint]:
+    return rng.sample(endpoints, SAMPLE_SIZE) if len(endpoints) > SAMPLE_SIZE else endpoints
--- a/hallhitch/planes/data/idle_reuse.py
+++ b/hallhitch/planes/data/idle_reuse.py
@@ -1,39 +1,65 @@
-"""How long a connection to a backend may rest and still be used, learned for each service. No socket, no clock."""
+"""How long a connection to a backend may be idle and still be reused, learned for each service.
+
+No socket, no clock. Times are steady ms, durations ms.
+"""
 
 from __future__ import annotations
 
-UNTOLD = 4000.0  # ms that a connection may rest where the backend has not told how long it keeps it
-TOLD_SHARE = 0.7  # of the time it told
-UNSAFE = 1000.0  # and where a request must not be written to a connection that may be dead
-SHORT = 250.0  # resets at a younger age say nothing about resting
-LESSON = 30_000.0  # ms for which a lesson holds
-PAIR = 10_000.0  # ms within which two backends must close resting connections to be believed
+from dataclasses import dataclass
+from typing import Final
+
+DEFAULT_MAX_IDLE_MS: Final = 4000.0  # where the backend sends no keep-alive time: below the usual 5 s of servers
+KEEP_ALIVE_SHARE: Final = 0.7  # of the backend's keep-alive time: the rest is for the way and for its own timer
+UNSAFE_MAX_IDLE_MS: Final = 1000.0  # for a request that must not be written to a connection that may be dead
+MIN_IDLE_MS: Final = 250.0  # a reset after less says nothing about idle connections
+LEARNED_LIMIT_TTL_MS: Final = 30_000.0  # how long a limit learned from a reset holds
+CLOSE_CORRELATION_MS: Final = 10_000.0  # two backends that close idle connections within this time show a limit
+CLOSE_MARGIN_FACTOR: Final = 1.4  # `on_reset` halves the time: this leaves 0.7 of the shorter one
+
+
+@dataclass(frozen=True, slots=True)
+class _IdleClose:
+    at_ms: float
+    instance: str
+    idle_ms: float
 
 
 class IdleReuse:
-    """What one service's backends showed."""
+    """The idle time that one service's backends have been seen to tolerate."""
 
     def __init__(self) -> None:
-        self._most, self._until = UNTOLD, 0.0
-        self._closed: tuple[float, str, float] | None = None  # when, by which instance, at what age
-
-    def most(self, now: float, told: float, unsafe: bool) -> float:
-        """The age (ms) up to which a connection is used; `told` is its backend's time, 0 where it told none."""
-        most = told * TOLD_SHARE if told else UNTOLD
-        if now < self._until:
-            most = min(most, self._most)
-        return min(most, max(UNSAFE, told * TOLD_SHARE / 2)) if unsafe else most
-
-    def reset(self, now: float, age: float) -> None:
-        """A connection that had rested for so long broke when a request was written to it."""
-        if age >= SHORT:
-            held = self._most if now < self._until else UNTOLD
-            self._most, self._until = max(SHORT, min(held, age / 2)), now + LESSON
-
-    def closed(self, now: float, instance: str, age: float) -> None:
-        """A backend closed a resting connection. One alone may have ended; two of them close what rests so long."""
-        if age < SHORT:
+        self._learned_limit_ms = DEFAULT_MAX_IDLE_MS
+        self._learned_until_ms = 0.0
+        self._last_close: _IdleClose | None = None
+
+    def max_idle_ms(self, now: float, keep_alive_ms: float, is_unsafe: bool) -> float:
+        """Return the idle time up to which a connection is reused.
+
+        `keep_alive_ms` is what its backend announced, 0 where it announced none; `is_unsafe` is for a request that
+        must not run twice.
+        """
+        limit_ms = keep_alive_ms * KEEP_ALIVE_SHARE if keep_alive_ms else DEFAULT_MAX_IDLE_MS
+        if now < self._learned_until_ms:
+            limit_ms = min(limit_ms, self._learned_limit_ms)
+        if not is_unsafe:
+            return limit_ms
+        return min(limit_ms, max(UNSAFE_MAX_IDLE_MS, keep_alive_ms * KEEP_ALIVE_SHARE / 2))
+
+    def on_reset(self, now: float, idle_ms: float) -> None:
+        """Learn from a connection that broke when a request was written to it after so much idle time."""
+        if idle_ms < MIN_IDLE_MS:
+            return
+        known_limit_ms = self._learned_limit_ms if now < self._learned_until_ms else DEFAULT_MAX_IDLE_MS
+        self._learned_limit_ms = max(MIN_IDLE_MS, min(known_limit_ms, idle_ms / 2))
+        self._learned_until_ms = now + LEARNED_LIMIT_TTL_MS
+
+    def on_closed(self, now: float, instance: str, idle_ms: float) -> None:
+        """Learn from a backend that closed an idle connection; one alone may have ended, two share a limit."""
+        if idle_ms < MIN_IDLE_MS:
+            return
+        previous = self._last_close
+        self._last_close = _IdleClose(now, instance, idle_ms)
+        if previous is None or previous.instance == instance:
             return
-        before, self._closed = self._closed, (now, instance, age)
-        if before is not None and before[1] != instance and now - before[0] < PAIR:
-            self.reset(now, 1.4 * min(age, before[2]))
+        if now - previous.at_ms < CLOSE_CORRELATION_MS:
+            self.on_reset(now, CLOSE_MARGIN_FACTOR * min(idle_ms, previous.idle_ms))
--- a/hallhitch/planes/data/load_balancer.py
+++ b/hallhitch/planes/data/load_balancer.py
@@ -1,356 +1,274 @@
-"""The decisions of the data plane: which backend, whether again, what to hold and what to turn away.
+"""The decisions of the data plane: which backend, whether to retry or hedge, what to queue and what to reject.
 
-Plain values in and out: every call brings the moment, randomness is passed in. Must never send to a backend that
-drains, lies in an evacuated zone or outside a request's homes, and never a second time what may have run and must not.
+Values in and out, no I/O: every call brings the time, randomness is passed in. Invariants: no request goes to a backend
+that drains, stands in an evacuated zone or outside the request's allowed regions; a non-idempotent request that may
+have run is never sent again; retries and hedges stay within the service's retry budget. Times are steady ms.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
-from dataclasses import dataclass, field, replace
+from collections.abc import Sequence
+from dataclasses import dataclass, replace
 from random import Random
+from typing import Final
 
-from hallhitch.planes.data.endpoint_set import Endpoint, EndpointAttempt, EndpointSet, Locality, SelectionCriteria
+from hallhitch.planes.data.endpoint import Endpoint, EndpointAttempt
+from hallhitch.planes.data.endpoint_set import EndpointSet, SelectionCriteria
+from hallhitch.planes.data.endpoint_topology import EndpointTopology, GatewayLocation
 from hallhitch.planes.data.interfaces import Action, Enqueue, Fail, Forward, Outcome, Reject, RequestInfo
 from hallhitch.planes.data.latency import LatencyAverage
-from hallhitch.planes.data.outlier_detection import SPELL, UnansweredSends
-from hallhitch.planes.data.rendezvous import RendezvousWeights, owners
+from hallhitch.planes.data.outcome_recorder import OutcomeRecorder
+from hallhitch.planes.data.request_state import RequestState
 from hallhitch.planes.data.retry_budget import RetryBudget
-from hallhitch.planes.data.slow_start import SlowStart
+from hallhitch.planes.data.slow_start import SlowStartBounds
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway
 
-HOLD_PART = 0.22  # of the target: refusals are early within a quarter of it, and the answer takes its way too
-HOLD_TRIED = 0.5  # of the target, for one that was turned away: refusing it is late already
-POLL, POLL_MOST = 4.0, 20.0  # ms between two looks for room
-POLL_PART = 0.1  # of the usual time
-AFTER_LEAST, AFTER_MOST = 0.6, 1.1  # of the target: when to come back, spread so that they do not come together
-UNREACHABLE_MOST = 6  # backends tried in vain before one gives up
-TRIAL_SHARE = 0.1  # of the sends to a service that may be trials
-TRIALS_MOST = 3.0
-STILL = 0.8  # of the fastest answer of late: with less time left nothing can come back
-NETWORK = 0.5  # share of a service's backends in trouble from which it is this gateway's own network
+# Time in the queue, in latency targets of the route.
+MAX_QUEUE_TIME_RATIO: Final = 0.22  # a rejection is early within a quarter, and the response takes its way too
+MAX_RETRY_QUEUE_TIME_RATIO: Final = 0.5  # of a request that a backend declined: its rejection is late already
+MIN_QUEUE_TIME_MS: Final = 1.0  # less is not worth a timer
+# Time between two looks for capacity, in mean latencies of the route.
+RECHECK_RATIO: Final = 0.1
+MIN_RECHECK_MS: Final = 4.0
+MAX_RECHECK_MS: Final = 20.0
+MIN_RECHECK_JITTER: Final = 0.75  # factor of it, up to 1.25
+RECHECK_JITTER_RANGE: Final = 0.5
+# Retry-After of a rejection, in latency targets: spread so that the clients do not come back together.
+MIN_RETRY_AFTER_RATIO: Final = 0.6
+MAX_RETRY_AFTER_RATIO: Final = 1.1
+
+MAX_UNREACHED_ATTEMPTS: Final = 6  # backends tried in vain, which costs none of the route's attempts
+HALF_OPEN_SHARE: Final = 0.1  # of the requests to a service that may test an ejected endpoint
+MAX_HALF_OPEN_TOKENS: Final = 3.0  # of such requests saved up
+MIN_REMAINING_RATIO: Final = 0.8  # of the fastest recent response: with less time left nothing can come back
 
 
 @dataclass(frozen=True, slots=True)
 class LoadBalancerSettings:
-    """What the decisions need of a gateway's settings; times in ms."""
+    """What the load balancer needs of a gateway's settings; names are those of the node's settings."""
 
     name: str
     zone: str
     region: str
-    zones: Mapping[str, str] = field(default_factory=dict)  # zone -> region
-    retry_ratio: float = 0.2
-    retry_window: float = 10_000.0
-    retry_slack: float = 0.0
-    cold_over: float = 1.0
-    cold_slack: float = 0.0
-    list_lag: float = 1000.0  # how far the list of backends runs behind
-
-
-@dataclass(slots=True, eq=False)
-class RequestState:
-    """One try under way."""
-
-    request: RequestInfo
-    attempts: list[EndpointAttempt] = field(default_factory=list)
-    waits: EndpointSet | None = None  # where it is counted as waiting
-    status: int = 502
-    done: bool = False  # the client has its answer, or left
+    retry_budget_ratio: float = 0.2
+    retry_window_ms: float = 10_000.0
+    retry_budget_slack: float = 0.0
+    slow_start_overshoot_ratio: float = 1.0
+    slow_start_slack: float = 0.0
+    endpoint_list_lag_ms: float = 1000.0  # how far the endpoint list runs behind
 
 
 class LoadBalancer:
-    """Implements `ports.Decisions` for one gateway."""
+    """The load-balancing policy of one gateway; see `interfaces.LoadBalancingPolicy`."""
 
     def __init__(self, settings: LoadBalancerSettings, rng: Random) -> None:
-        self._settings, self._rng = settings, rng
-        self._weights = RendezvousWeights()
-        self._cold = SlowStart(
-            settings.name, settings.region, settings.cold_over, settings.cold_slack, settings.list_lag, self._weights
+        self._settings = settings
+        self._rng = rng
+        bounds = SlowStartBounds(
+            settings.slow_start_overshoot_ratio, settings.slow_start_slack, settings.endpoint_list_lag_ms
         )
-        self._config: ClusterConfig | None = None
-        self._entries: Sequence[Backend] = ()
-        self._seats: dict[str, Endpoint] = {}
-        self._shape: Sequence[tuple[object, ...]] = ()
-        self._candidates: dict[str, EndpointSet] = {}
-        self._sights: dict[str, UnansweredSends] = {}
-        self._budgets: dict[str, RetryBudget] = {}
-        self._peers: dict[str, tuple[str, str]] = {settings.name: (settings.zone, settings.region)}
+        self._topology = EndpointTopology(settings.name, GatewayLocation(settings.zone, settings.region), bounds)
+        self._endpoint_sets = self._topology.endpoint_sets
+        self._slow_start = self._topology.slow_start
+        self._outcomes = OutcomeRecorder(self._slow_start, settings.endpoint_list_lag_ms, rng)
+        self._retry_budgets: dict[str, RetryBudget] = {}  # by service
+
+    # Configuration.
 
     def set_backends(self, now: float, entries: Sequence[Backend]) -> None:
-        """All backends there are, as last told."""
-        self._entries = entries
-        self._cold.backends(now, entries, self._config.services if self._config else {})
-        seats: dict[str, Endpoint] = {}
-        for entry in entries:
-            seat = self._seats.get(entry.instance)
-            if seat is None or (seat.backend.host, seat.backend.port) != (entry.host, entry.port):
-                seat = Endpoint(entry, zone=self._sights.setdefault(entry.zone, UnansweredSends(3)))
-            seat.backend = entry
-            seats[entry.instance] = seat
-        self._seats = seats
-        shape = [(e.instance, e.host, e.port, e.service, e.zone, e.slots, e.is_draining) for e in entries]
-        if shape != self._shape:
-            # The list comes often and changes seldom.
-            self._shape = shape
-            self._place()
+        """Replace the list of all backends."""
+        self._topology.set_backends(now, entries)
 
     def set_gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
-        """All gateways that live, as last told."""
-        peers = {g.name: (g.zone, g.region) for g in entries if g.frontend and not g.is_leaving}
-        peers[self._settings.name] = (self._settings.zone, self._settings.region)
-        self._cold.gateways(now, entries)
-        if peers != self._peers:
-            self._peers = peers
-            self._place()
+        """Replace the list of all live gateways."""
+        self._topology.set_gateways(now, entries)
 
     def set_config(self, now: float, config: ClusterConfig) -> None:
-        """The cluster configuration, whole."""
-        known, self._config = self._config, config
-        if known is None:
-            self._cold.backends(now, self._entries, config.services)
-        self._cold.evacuated(now, config.evacuated_zones, self._entries, config.services)
-        for name, service in config.services.items():
-            if name in self._candidates:
-                self._candidates[name].service = service
-        self._place()
-
-    def begin_request(self, now: float, ask: RequestInfo) -> RequestState:
-        """A try was admitted."""
-        self._budget(now, ask.service).first(now)
-        return RequestState(ask)
-
-    def next_action(self, now: float, exchange: RequestState) -> Action:
-        """What to do now."""
-        run = exchange
-        step = self._step(now, run)
-        if not isinstance(step, Enqueue):
-            self._rest(run)
-        return step
+        """Replace the cluster configuration."""
+        self._topology.set_config(now, config)
+
+    # One request.
+
+    def begin_request(self, now: float, request: RequestInfo) -> RequestState:
+        """Start the state of an admitted request."""
+        self._retry_budget(now, request.service).record_request(now)
+        return RequestState(request)
+
+    def next_action(self, now: float, state: RequestState) -> Action:
+        """Decide what to do now with a request."""
+        action = self._decide(now, state)
+        if not isinstance(action, Enqueue):
+            state.leave_queue()
+        return action
 
     def on_attempt_ended(
-        self, now: float, exchange: RequestState, backend: Backend, outcome: Outcome, lag: float
+        self, now: float, state: RequestState, backend: Backend, outcome: Outcome, latency_ms: float
     ) -> None:
-        """One attempt has ended, or has outlasted its patience (SILENT)."""
-        run = exchange
-        attempt = next((a for a in reversed(run.attempts) if a.seat.backend.instance == backend.instance), None)
+        """Record that an attempt has ended, or has outlasted its hedge delay (TIMED_OUT)."""
+        attempt = state.latest_attempt(backend.instance)
         if attempt is None:
             return
-        seat, place = attempt.seat, self._candidates.get(backend.service)
-        attempt.ran = attempt.ran or outcome.may_have_run
-        if outcome is Outcome.TIMED_OUT and not attempt.silent:
-            attempt.silent = True
-            run.status = 504
-            if attempt.out:
-                seat.late.append(attempt)
-        elif attempt.out:
-            attempt.release()
-        # What is taken back after the answer has come, or after it was silent, may have arrived.
-        if outcome in (Outcome.UNREACHABLE, Outcome.CANCELLED) and not attempt.silent and not run.done:
-            attempt.arrived = False
-            if attempt.mark is not None:
-                self._budget(now, run.request.service).give_back(attempt.mark)
-                attempt.mark = None
-        if not run.done or outcome not in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST):
-            # Once nobody waits for it, its silence or its cut may be this gateway's doing.
-            self._learn(now, run, attempt, place, outcome, lag)
-
-    def finish_request(self, now: float, exchange: RequestState) -> None:
-        """The client has its answer, or left."""
-        exchange.done = True
-        self._rest(exchange)
-
-    def _learn(
-        self,
-        now: float,
-        run: RequestState,
-        attempt: EndpointAttempt,
-        place: EndpointSet | None,
-        outcome: Outcome,
-        lag: float,
-    ) -> None:
-        seat, ask = attempt.seat, run.request
-        health, jitter = seat.health, 0.8 + 0.4 * self._rng.random()
-        if outcome not in (Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.UNREACHABLE):
-            seat.zone.heard()
-        if outcome in (Outcome.OK, Outcome.SERVER_ERROR):
-            spell = health.good(now, attempt.at)
-            seat.sight.heard()
-            if spell >= SPELL and place is not None and not self._network(now, place):
-                self._cold.presume(seat.backend.instance, now + 2.0 * self._settings.list_lag + SPELL)
-            if place is not None and outcome is Outcome.OK:
-                usual = place.pace.usual(ask.route.name, ask.route.latency_target_ms)
-                seat.ratio.took(now, lag / max(usual.mean, 1.0))
-                place.pace.took(usual, lag)
-                if ask.route.is_idempotent and not attempt.silent:
-                    place.pace.ended(False)
-        elif outcome is Outcome.DECLINED:
-            health.full(now, jitter)
-        elif outcome is Outcome.CANCELLED:
-            if not run.done and now - attempt.at >= attempt.patience:
-                # Not even a connection came up in that time: a backend that is dark, as good as silent.
-                health.bad(now, Outcome.TIMED_OUT, jitter)
+        attempt.may_have_run = attempt.may_have_run or outcome.may_have_run
+        if outcome is Outcome.TIMED_OUT and not attempt.is_timed_out:
+            attempt.is_timed_out = True
+            state.failure_status = 504
+            if attempt.is_in_flight:
+                attempt.endpoint.timed_out.append(attempt)
         else:
-            health.bad(now, outcome, jitter)
-            if outcome is Outcome.TIMED_OUT and place is not None and ask.route.is_idempotent:
-                place.pace.ended(True)
-
-    def _network(self, now: float, place: EndpointSet) -> bool:
-        seats = place.near + place.rest
-        return sum(1 for s in seats if s.health.bad_at > now - 2.0 * SPELL) > NETWORK * len(seats) > 0
-
-    def _step(self, now: float, run: RequestState) -> Action:
-        ask, left = run.request, run.request.deadline_ms - now
-        route = ask.route
-        out = [a for a in run.attempts if a.out]
-        ran = any(a.ran for a in run.attempts)
-        if not route.is_idempotent and (out or ran):
-            # It may be running, or has: there is nothing more to try.
-            if left > 0 and any(not a.silent for a in out):
-                return Enqueue(left)
-            return Fail(run.status if left > 0 else 504)
-        place = self._candidates.get(ask.service)
-        if place is None:
-            return self._turn_away(ask, None)
-        usual = place.pace.usual(route.name, route.latency_target_ms)
-        if left <= usual.fastest * STILL:
-            if out and left > 0:
-                return Enqueue(left)
-            return Fail(504) if ran or out else self._turn_away(ask, usual)
-        arrived = sum(1 for a in run.attempts if a.arrived)
-        further = arrived > 0
-        budget = self._budget(now, ask.service)
-        if (
-            arrived >= max(route.max_attempts, 1)
-            or len(run.attempts) - arrived >= UNREACHABLE_MOST
-            or further
-            and not budget.room(now, len(self._peers))
-            or out
-            and place.pace.slow
-        ):
-            if out:
-                return Enqueue(left)
-            return Fail(run.status) if ran else self._turn_away(ask, usual)
-        tried = frozenset(a.seat.backend.instance for a in run.attempts)
-        want = SelectionCriteria(
+            attempt.release()
+        # What is cancelled after the response has come, or after a time-out, may have arrived.
+        if not attempt.is_timed_out and not state.is_finished:
+            self._refund_if_unsent(now, state, attempt, outcome)
+        if not state.is_finished or outcome not in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST):
+            # Once nobody waits for the response, its silence or its cut may be this gateway's doing.
+            endpoints = self._endpoint_sets.get(backend.service)
+            self._outcomes.record(now, state, attempt, endpoints, outcome, latency_ms)
+
+    def finish_request(self, now: float, state: RequestState) -> None:
+        """End a request: its client has the response, or is gone."""
+        state.is_finished = True
+        state.leave_queue()
+
+    # Decisions.
+
+    def _decide(self, now: float, state: RequestState) -> Action:
+        request = state.request
+        route = request.route
+        remaining_ms = request.deadline_ms - now
+        in_flight = [a for a in state.attempts if a.is_in_flight]
+        may_have_run = any(a.may_have_run for a in state.attempts)
+        if not route.is_idempotent and (in_flight or may_have_run):
+            return _await_unsafe(state, in_flight, remaining_ms)
+        endpoints = self._endpoint_sets.get(request.service)
+        if endpoints is None:
+            return self._reject(request)
+        average = endpoints.latency.for_route(route.name, route.latency_target_ms)
+        if remaining_ms <= average.fastest_ms * MIN_REMAINING_RATIO:
+            if in_flight and remaining_ms > 0:
+                return Enqueue(remaining_ms)
+            return Fail(504) if may_have_run or in_flight else self._reject(request)
+        if state.attempts and not self._may_try_again(now, state, endpoints, bool(in_flight)):
+            if in_flight:
+                return Enqueue(remaining_ms)
+            return Fail(state.failure_status) if may_have_run else self._reject(request)
+        criteria = SelectionCriteria(
             now,
             route.kind,
             not route.is_idempotent,
             route.latency_target_ms,
-            usual.mean,
-            ask.allowed_regions,
-            tried,
-            ask.priority,
+            average.mean_ms,
+            request.allowed_regions,
+            frozenset(a.endpoint.backend.instance for a in state.attempts),
+            request.priority,
         )
-        seat, trial = self._seat(place, run, want)
-        if seat is not None:
-            return self._send(now, run, place, usual, seat, trial)
-        if out:
-            return Enqueue(left)
-        return self._wait(now, run, place, usual, ran)
-
-    def _seat(self, place: EndpointSet, run: RequestState, want: SelectionCriteria) -> tuple[Endpoint | None, bool]:
-        if not run.attempts and (seat := place.trial(want)) is not None:
-            place.trials -= 1.0
-            return seat, True
-        seat = place.choose(want, self._rng) or place.last_resort(want, self._rng)
-        if seat is None and run.attempts and not any(a.out for a in run.attempts):
-            # Nothing else: one where it surely never ran may have room by now.
-            want = replace(want, tried=frozenset(a.seat.backend.instance for a in run.attempts if a.ran))
-            seat = place.choose(want, self._rng) or place.last_resort(want, self._rng)
-        if seat is not None and not run.attempts and place.yields(seat, want):
-            seat = None
-        return seat, False
-
-    def _send(
-        self, now: float, run: RequestState, place: EndpointSet, usual: LatencyAverage, seat: Endpoint, trial: bool
+        if not state.attempts and (endpoint := endpoints.half_open_endpoint(criteria)) is not None:
+            endpoints.half_open_tokens -= 1.0
+            attempt = EndpointAttempt(endpoint, now, request.deadline_ms, is_half_open=True)
+            return self._forward(state, endpoints, average, attempt)
+        endpoint = self._select(state, endpoints, criteria)
+        if endpoint is not None:
+            return self._forward(state, endpoints, average, EndpointAttempt(endpoint, now, request.deadline_ms))
+        if in_flight:
+            return Enqueue(remaining_ms)
+        return self._enqueue(now, state, endpoints, average, may_have_run)
+
+    def _may_try_again(self, now: float, state: RequestState, endpoints: EndpointSet, has_in_flight: bool) -> bool:
+        """Whether the route's attempts, the retry budget and the service's latency allow one more attempt."""
+        request = state.request
+        arrived = sum(1 for a in state.attempts if a.may_have_arrived)
+        if arrived >= max(request.route.max_attempts, 1):
+            return False
+        if len(state.attempts) - arrived >= MAX_UNREACHED_ATTEMPTS:
+            return False
+        if arrived and not self._retry_budget(now, request.service).allows_retry(now, len(self._topology.gateways)):
+            return False
+        return not (has_in_flight and endpoints.latency.is_slow)
+
+    def _select(self, state: RequestState, endpoints: EndpointSet, criteria: SelectionCriteria) -> Endpoint | None:
+        rng = self._rng
+        endpoint = endpoints.select(criteria, rng) or endpoints.select_in_panic(criteria, rng)
+        if not state.attempts:
+            if endpoint is not None and endpoints.is_reserved_for_higher_priority(endpoint, criteria):
+                return None
+            return endpoint
+        if endpoint is None and not any(a.is_in_flight for a in state.attempts):
+            # Nothing else: an endpoint where the request certainly never ran may have capacity by now.
+            ran_on = frozenset(a.endpoint.backend.instance for a in state.attempts if a.may_have_run)
+            criteria = replace(criteria, excluded_instances=ran_on)
+            endpoint = endpoints.select(criteria, rng) or endpoints.select_in_panic(criteria, rng)
+        return endpoint
+
+    def _forward(
+        self, state: RequestState, endpoints: EndpointSet, average: LatencyAverage, attempt: EndpointAttempt
+    ) -> Forward:
+        """Account for an attempt that starts now."""
+        now, endpoint, request = attempt.started_at_ms, attempt.endpoint, state.request
+        if any(a.may_have_arrived for a in state.attempts):
+            attempt.retry_spent_at_ms = self._retry_budget(now, request.service).spend(now)
+        state.attempts.append(attempt)
+        if not endpoint.in_flight:
+            endpoint.unanswered.clear()
+        endpoint.in_flight += 1
+        endpoint.unanswered.record_send(now)
+        endpoint.zone_unanswered.record_send(now)
+        if attempt.is_half_open:
+            endpoint.health.has_half_open_attempt = True
+        endpoints.half_open_tokens = min(endpoints.half_open_tokens + HALF_OPEN_SHARE, MAX_HALF_OPEN_TOKENS)
+        self._slow_start.record_send(now, endpoint.backend)
+        route, remaining_ms = request.route, request.deadline_ms - now
+        if route.is_idempotent:
+            elapsed_ms = now - request.arrived_at_ms
+            attempt.hedge_delay_ms = endpoints.latency.hedge_delay(
+                average, route.latency_target_ms, elapsed_ms, remaining_ms
+            )
+        else:
+            attempt.hedge_delay_ms = remaining_ms
+        return Forward(endpoint.backend, attempt.hedge_delay_ms)
+
+    def _enqueue(
+        self, now: float, state: RequestState, endpoints: EndpointSet, average: LatencyAverage, may_have_run: bool
     ) -> Action:
-        ask = run.request
-        attempt = EndpointAttempt(seat, now, ask.deadline_ms, trial)
-        if any(a.arrived for a in run.attempts):
-            attempt.mark = self._budget(now, ask.service).take(now)
-        run.attempts.append(attempt)
-        if not seat.out:
-            seat.sight.sends.clear()
-        seat.out += 1
-        seat.sight.sent(now)
-        seat.zone.sent(now)
-        seat.health.trial = seat.health.trial or trial
-        place.trials = min(place.trials + TRIAL_SHARE, TRIALS_MOST)
-        self._cold.sent(now, seat.backend)
-        left = ask.deadline_ms - now
-        attempt.patience = (
-            left
-            if not ask.route.is_idempotent
-            else place.pace.patience(usual, ask.route.latency_target_ms, now - ask.arrived_at_ms, left)
+        """Queue a request for which no endpoint has capacity, or give up where the time for that is over."""
+        request = state.request
+        ratio = MAX_RETRY_QUEUE_TIME_RATIO if state.attempts else MAX_QUEUE_TIME_RATIO
+        queue_time_ms = min(
+            request.arrived_at_ms + ratio * request.route.latency_target_ms - now,
+            request.deadline_ms - now - average.mean_ms,
         )
-        return Forward(seat.backend, attempt.patience)
-
-    def _wait(self, now: float, run: RequestState, place: EndpointSet, usual: LatencyAverage, ran: bool) -> Action:
-        ask = run.request
-        part = HOLD_TRIED if run.attempts else HOLD_PART
-        hold = min(ask.arrived_at_ms + part * ask.route.latency_target_ms - now, ask.deadline_ms - now - usual.mean)
-        if hold <= 1.0:
-            return Fail(run.status) if ran else self._turn_away(ask, usual)
-        if run.waits is None:
-            run.waits = place
-            key = ask.priority, ask.allowed_regions
-            place.waiting[key] = place.waiting.get(key, 0) + 1
-        return Enqueue(min(hold, max(POLL, min(POLL_MOST, usual.mean * POLL_PART)) * (0.75 + 0.5 * self._rng.random())))
-
-    def _rest(self, run: RequestState) -> None:
-        if run.waits is not None:
-            key = run.request.priority, run.request.allowed_regions
-            run.waits.waiting[key] -= 1
-            if not run.waits.waiting[key]:
-                del run.waits.waiting[key]
-            run.waits = None
-
-    def _turn_away(self, ask: RequestInfo, usual: LatencyAverage | None) -> Reject:
-        spread = AFTER_LEAST + (AFTER_MOST - AFTER_LEAST) * self._rng.random()
-        return Reject(ask.route.latency_target_ms * spread)
-
-    def _budget(self, now: float, service: str) -> RetryBudget:
-        budget = self._budgets.get(service)
+        if queue_time_ms <= MIN_QUEUE_TIME_MS:
+            return Fail(state.failure_status) if may_have_run else self._reject(request)
+        state.enter_queue(endpoints)
+        recheck_ms = max(MIN_RECHECK_MS, min(MAX_RECHECK_MS, average.mean_ms * RECHECK_RATIO))
+        jitter = MIN_RECHECK_JITTER + RECHECK_JITTER_RANGE * self._rng.random()
+        return Enqueue(min(queue_time_ms, recheck_ms * jitter))
+
+    def _reject(self, request: RequestInfo) -> Reject:
+        ratio = MIN_RETRY_AFTER_RATIO + (MAX_RETRY_AFTER_RATIO - MIN_RETRY_AFTER_RATIO) * self._rng.random()
+        return Reject(request.route.latency_target_ms * ratio)
+
+    def _refund_if_unsent(self, now: float, state: RequestState, attempt: EndpointAttempt, outcome: Outcome) -> None:
+        """Return what an attempt spent of the retry budget if nothing of it reached the backend."""
+        if outcome not in (Outcome.UNREACHABLE, Outcome.CANCELLED):
+            return
+        attempt.may_have_arrived = False
+        if attempt.retry_spent_at_ms is not None:
+            self._retry_budget(now, state.request.service).refund(attempt.retry_spent_at_ms)
+            attempt.retry_spent_at_ms = None
+
+    def _retry_budget(self, now: float, service: str) -> RetryBudget:
+        budget = self._retry_budgets.get(service)
         if budget is None:
             settings = self._settings
-            budget = self._budgets[service] = RetryBudget(
-                settings.retry_ratio, settings.retry_window, settings.retry_slack, now
+            budget = self._retry_budgets[service] = RetryBudget(
+                settings.retry_budget_ratio, settings.retry_window_ms, settings.retry_budget_slack, now
             )
         return budget
 
-    def _place(self) -> None:
-        """Sort all seats anew: by service, place and rank."""
-        if self._config is None:
-            return
-        settings, config, weights = self._settings, self._config, self._weights
-        weights.keep(set(self._seats), set(self._peers))
-        region = [n for n, (_, r) in self._peers.items() if r == settings.region]
-        in_zone = [n for n, (z, _) in self._peers.items() if z == settings.zone]
-        seats: dict[str, list[Endpoint]] = {name: [] for name in config.services}
-        for seat in self._seats.values():
-            backend = seat.backend
-            if backend.service in seats and not backend.is_draining and backend.zone not in config.evacuated_zones:
-                seats[backend.service].append(seat)
-        for name, service in config.services.items():
-            place = self._candidates.get(name)
-            if place is None:
-                place = self._candidates[name] = EndpointSet(service, self._cold)
-            mine = [s.backend.instance for s in seats[name] if s.backend.zone == settings.zone]
-            owned = owners(weights, mine, in_zone)
-            for seat in seats[name]:
-                instance = seat.backend.instance
-                if seat.backend.zone == settings.zone:
-                    seat.tier = Locality.ZONE
-                    rank = weights.rank(instance, settings.name, in_zone)
-                    seat.rank = 0 if owned[instance] == settings.name else max(rank, 1)
-                elif seat.backend.region == settings.region:
-                    seat.tier = Locality.REGION
-                    ahead = [n for n in region if self._peers[n][0] == seat.backend.zone]
-                    others = [n for n in region if n not in ahead]
-                    seat.rank = len(ahead) + weights.rank(instance, settings.name, others)
-                else:
-                    seat.tier = Locality.FAR
-                    seat.rank = weights.rank(instance, settings.name, region)
-            place.place(seats[name], len(region))
-        for name in [n for n in self._candidates if n not in config.services]:
-            del self._candidates[name]
+
+def _await_unsafe(state: RequestState, in_flight: list[EndpointAttempt], remaining_ms: float) -> Action:
+    """Wait for a non-idempotent request that may be running, or fail it: it is never sent a second time."""
+    if remaining_ms <= 0:
+        return Fail(504)
+    if any(not a.is_timed_out for a in in_flight):
+        return Enqueue(remaining_ms)
+    return Fail(state.failure_status)
--- a/hallhitch/planes/data/outlier_detection.py
+++ b/hallhitch/planes/data/outlier_detection.py
@@ -1,122 +1,144 @@
-"""The health of one backend as this gateway's own requests tell it: no probes.
+"""Passive outlier detection: the health of one backend, learned from this gateway's own requests. No health checks.
 
-Owns the pauses. Must never decide alone that nothing is left: the choice may still take one that is set aside.
+A backend is ejected after consecutive failures, for a time that doubles with each failed half-open attempt, as in
+Envoy's outlier detection and the circuit-breaker pattern. Invariants: an endpoint that succeeds after its failures
+began is HEALTHY again at once; an ejection ends by itself. Ejection is advice: with every endpoint ejected the load
+balancer selects in panic mode. Times are steady ms.
 """
 
 from __future__ import annotations
 
 from enum import Enum
+from typing import Final
 
 from hallhitch.planes.data.interfaces import Outcome
 
-STRIKES = 2  # bad ends in a row that set a backend aside; one alone may be a closed idle connection, or chance
-SAME = 40.0  # ms: bad ends so close together have one cause
-PAUSE, PAUSE_MOST = 400.0, 5000.0  # ms: the first pause, doubled with each failed trial
-FORGET = 3000.0  # ms after which bad news nobody has looked into is worth little
-FULL, FULL_MOST = 20.0, 320.0  # ms: a queue has room again after part of an answer's time
-GONE = 10_000.0  # ms: another backend has the address; its entry will go
-SPELL = 500.0  # ms of trouble after which a backend that answers again may have been started anew
+CONSECUTIVE_FAILURES: Final = 2  # that eject a backend; a single one may be a closed idle connection, or chance
+CORRELATED_FAILURE_MS: Final = 40.0  # failures this close together have one cause and count once
+BASE_EJECTION_MS: Final = 400.0  # the first ejection, doubled with each failed half-open attempt
+MAX_EJECTION_MS: Final = 5000.0
+FAILURE_MEMORY_MS: Final = 3000.0  # after which a failure that nobody has followed up says little
+BASE_OVERLOAD_BACKOFF_MS: Final = 20.0  # a queue has room again after part of one response's time
+MAX_OVERLOAD_BACKOFF_MS: Final = 320.0
+MISDIRECTED_EJECTION_MS: Final = 10_000.0  # another backend has the address: the endpoint list will drop this one
+RESTART_SUSPECTED_AFTER_MS: Final = 500.0  # a backend that recovers from a longer outage may have been restarted
 
 
 class UnansweredSends:
-    """Whether a backend, or a whole zone, still answers at all: the first few sends since it was last heard."""
+    """The first few sends to a backend, or to a whole zone, since it last responded."""
 
-    __slots__ = ("sends", "_most")
+    __slots__ = ("sent_at_ms", "_max_sends")
 
-    def __init__(self, most: int) -> None:
-        self.sends: list[float] = []
-        self._most = most
+    def __init__(self, max_sends: int) -> None:
+        self.sent_at_ms: list[float] = []  # the oldest first
+        self._max_sends = max_sends
 
-    def sent(self, now: float) -> None:
-        """A request goes there."""
-        if len(self.sends) < self._most:
-            self.sends.append(now)
+    def record_send(self, now: float) -> None:
+        """Record one request sent."""
+        if len(self.sent_at_ms) < self._max_sends:
+            self.sent_at_ms.append(now)
 
-    def heard(self) -> None:
-        """Something came from there."""
-        self.sends.clear()
+    def clear(self) -> None:
+        """Forget all sends: something came back, or nothing is in flight."""
+        self.sent_at_ms.clear()
 
 
-class State(Enum):
-    """What may be sent to it."""
+class HealthState(Enum):
+    """What may be sent to a backend."""
 
-    GOOD = "good"
-    DOUBTED = "doubted"  # its last end was bad: others go first
-    DUE = "due"  # its pause is over: one trial
-    ASIDE = "aside"
+    HEALTHY = "healthy"
+    SUSPECT = "suspect"  # its last attempt failed: others are preferred
+    HALF_OPEN = "half_open"  # its ejection is over: one attempt at a time
+    EJECTED = "ejected"
 
 
-class Health:
-    """Bad ends, pauses and trials of one backend."""
+class EndpointHealth:
+    """Failures, ejections and half-open attempts of one backend."""
 
     __slots__ = (
-        "bad_at",
-        "full_until",
-        "good_at",
-        "moved",
-        "trial",
-        "until",
-        "_first_bad",
-        "_full",
-        "_pause",
-        "_strikes",
+        "ejected_until_ms",
+        "has_half_open_attempt",
+        "is_misdirected",
+        "last_failure_ms",
+        "overloaded_until_ms",
+        "_consecutive_failures",
+        "_ejection_ms",
+        "_first_failure_ms",
+        "_overload_backoff_ms",
     )
 
     def __init__(self) -> None:
-        self.good_at = self.bad_at = float("-inf")
-        self.until = self.full_until = 0.0
-        self.moved = False
-        self.trial = False  # a trial is out
-        self._strikes = 0
-        self._pause, self._full = 0.0, 0.0
-        self._first_bad = 0.0
-
-    def state(self, now: float) -> State:
-        """What may be sent to it now."""
-        if not self._strikes:
-            return State.GOOD
-        if now < self.until:
-            return State.ASIDE
-        if self._pause:
-            return State.DUE if now < self.until + FORGET or self.moved else State.DOUBTED
-        return State.DOUBTED if now < self.bad_at + FORGET else State.GOOD
-
-    def good(self, now: float, sent: float) -> float:
-        """A whole answer to a request sent at `sent`; returns how long its trouble had lasted (ms), 0 if none had."""
-        spell = now - self._first_bad if self._strikes and self._pause else 0.0
-        self.good_at = now
-        self._full = self.full_until = 0.0
-        # An answer to what was sent before the trouble says nothing of now.
-        if sent < self._first_bad and self._pause:
+        self.last_failure_ms = float("-inf")
+        self.ejected_until_ms = 0.0
+        self.overloaded_until_ms = 0.0
+        self.is_misdirected = False  # another backend answered at its address
+        self.has_half_open_attempt = False  # one is in flight
+        self._consecutive_failures = 0
+        self._first_failure_ms = 0.0  # of these
+        self._ejection_ms = 0.0  # length of the current ejection, 0 = none
+        self._overload_backoff_ms = 0.0
+
+    def state(self, now: float) -> HealthState:
+        """Return what may be sent to the backend now."""
+        if not self._consecutive_failures:
+            return HealthState.HEALTHY
+        if now < self.ejected_until_ms:
+            return HealthState.EJECTED
+        if self._ejection_ms:
+            is_recent = now < self.ejected_until_ms + FAILURE_MEMORY_MS
+            return HealthState.HALF_OPEN if is_recent or self.is_misdirected else HealthState.SUSPECT
+        return HealthState.SUSPECT if now < self.last_failure_ms + FAILURE_MEMORY_MS else HealthState.HEALTHY
+
+    def record_success(self, now: float, sent_at_ms: float) -> float:
+        """Record a complete response; returns how long the outage it ends had lasted (ms), 0 if there was none."""
+        had_ejection = bool(self._ejection_ms)
+        outage_ms = now - self._first_failure_ms if self._consecutive_failures and had_ejection else 0.0
+        self._overload_backoff_ms = 0.0
+        self.overloaded_until_ms = 0.0
+        # A response to what was sent before the outage says nothing of the present.
+        if sent_at_ms < self._first_failure_ms and had_ejection:
             return 0.0
-        self._strikes, self._pause, self.until = 0, 0.0, 0.0
-        self.moved = False
-        return spell
-
-    def bad(self, now: float, outcome: Outcome, jitter: float) -> None:
-        """A bad end; `jitter` about 1 spreads the trials of many gateways."""
+        self._consecutive_failures = 0
+        self._ejection_ms = 0.0
+        self.ejected_until_ms = 0.0
+        self.is_misdirected = False
+        return outage_ms
+
+    def record_failure(self, now: float, outcome: Outcome, jitter: float) -> None:
+        """Record a failed attempt; `jitter`, about 1, spreads the half-open attempts of many gateways."""
         if outcome is Outcome.MISDIRECTED:
-            self.moved = True
-            self._strikes, self._pause = STRIKES, PAUSE_MOST
-            self.until = now + GONE
+            self._eject_misdirected(now)
             return
-        if self._strikes and now - self.bad_at < SAME and not self._pause:
-            # A crash ends all its connections at once. No connection at all is news of its own.
-            if outcome is not Outcome.UNREACHABLE:
-                return
-        elif self._pause and now < self.until:
+        if self._is_already_counted(now, outcome):
             return
-        if not self._strikes:
-            self._first_bad = now
-        self.bad_at = now
-        self._strikes += STRIKES if outcome is Outcome.UNREACHABLE else 1
-        if self._strikes >= STRIKES:
-            self._pause = min(self._pause * 2.0, PAUSE_MOST) if self._pause else PAUSE
-            self.until = now + self._pause * jitter
-
-    def full(self, now: float, jitter: float) -> None:
-        """It said that it is full."""
-        if now < self.full_until:
+        if not self._consecutive_failures:
+            self._first_failure_ms = now
+        self.last_failure_ms = now
+        # A port that refuses connections is down: there is no chance in it.
+        self._consecutive_failures += CONSECUTIVE_FAILURES if outcome is Outcome.UNREACHABLE else 1
+        if self._consecutive_failures >= CONSECUTIVE_FAILURES:
+            self._ejection_ms = min(self._ejection_ms * 2.0, MAX_EJECTION_MS) if self._ejection_ms else BASE_EJECTION_MS
+            self.ejected_until_ms = now + self._ejection_ms * jitter
+
+    def record_overload(self, now: float, jitter: float) -> None:
+        """Record that the backend declined a request because it is full."""
+        if now < self.overloaded_until_ms:
             return
-        self._full = min(self._full * 2.0, FULL_MOST) if self._full else FULL
-        self.full_until = now + self._full * jitter
+        if self._overload_backoff_ms:
+            self._overload_backoff_ms = min(self._overload_backoff_ms * 2.0, MAX_OVERLOAD_BACKOFF_MS)
+        else:
+            self._overload_backoff_ms = BASE_OVERLOAD_BACKOFF_MS
+        self.overloaded_until_ms = now + self._overload_backoff_ms * jitter
+
+    def _eject_misdirected(self, now: float) -> None:
+        self.is_misdirected = True
+        self._consecutive_failures = CONSECUTIVE_FAILURES
+        self._ejection_ms = MAX_EJECTION_MS
+        self.ejected_until_ms = now + MISDIRECTED_EJECTION_MS
+
+    def _is_already_counted(self, now: float, outcome: Outcome) -> bool:
+        """Whether a failure adds nothing: it has the cause of the last one, or the backend is ejected already."""
+        if self._consecutive_failures and now - self.last_failure_ms < CORRELATED_FAILURE_MS and not self._ejection_ms:
+            # A crash ends all connections at once. Not to be reachable at all is more than that.
+            return outcome is not Outcome.UNREACHABLE
+        return bool(self._ejection_ms) and now < self.ejected_until_ms
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -46,7 +46,6 @@
                 node.name,
                 node.zone,
                 node.region,
-                node.region_by_zone,
                 b.retry_budget_ratio,
                 b.retry_window_ms,
                 b.retry_budget_slack,
--- a/tests/system/data/choice_rig.py
+++ b/tests/system/data/choice_rig.py
@@ -5,7 +5,8 @@
 from random import Random
 
 from hallhitch.planes.data.interfaces import Action, Forward, Outcome, RequestInfo
-from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings, RequestState
+from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
+from hallhitch.planes.data.request_state import RequestState
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestKind, RequestLimits, Route, Service
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
@@ -45,7 +46,7 @@
         evacuated: frozenset[str] = frozenset(),
     ) -> None:
         own = gateways[0]
-        settings = LoadBalancerSettings(own.name, own.zone, own.region, ZONES, 0.2, 10_000.0, slack, 1.5, 5.0, 800.0)
+        settings = LoadBalancerSettings(own.name, own.zone, own.region, 0.2, 10_000.0, slack, 1.5, 5.0, 800.0)
         self.choice, self.entries = LoadBalancer(settings, Random(seed)), list(entries)
         self.choice.set_config(0.0, word(evacuated))
         self.choice.set_gateways(0.0, own.name, gateways)
--- a/tests/system/data/test_attempt_endings.py
+++ b/tests/system/data/test_attempt_endings.py
@@ -186,7 +186,7 @@
 def choice(seed: int) -> LoadBalancer:
     """The choice in service, with a budget that lets requests be tried again from the first moment on."""
     return LoadBalancer(
-        LoadBalancerSettings("edge-1", "a-1", "a", {"a-1": "a"}, retry_window=0.0, retry_slack=100.0), Random(seed)
+        LoadBalancerSettings("edge-1", "a-1", "a", retry_window_ms=0.0, retry_budget_slack=100.0), Random(seed)
     )
 
 
--- a/tests/system/data/test_attempts_connections.py
+++ b/tests/system/data/test_attempts_connections.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hallhitch.planes.data.idle_reuse import LESSON, UNTOLD, IdleReuse
+from hallhitch.planes.data.idle_reuse import DEFAULT_MAX_IDLE_MS, LEARNED_LIMIT_TTL_MS, IdleReuse
 from hallhitch.planes.data.interfaces import Outcome
 from hallhitch.planes.values import Service
 from tests.system.data.front_rig import SEAL, Asked, Peer, Rig, get, rigged, route, says, word
@@ -17,16 +17,16 @@
 
 def test_resting_connections_are_trusted_as_far_as_they_showed() -> None:
     trust = IdleReuse()
-    assert trust.most(0, 0, False) == UNTOLD and trust.most(0, 10_000, False) == 7000
-    assert trust.most(0, 0, True) == 1000 and trust.most(0, 10_000, True) == 3500
-    trust.closed(0, "b-1", 800)  # one backend may have ended
-    assert trust.most(0, 0, False) == UNTOLD
-    trust.closed(500, "b-2", 700)
-    assert 250 < trust.most(600, 10_000, False) < 700
-    trust.reset(1000, 600)
-    trust.reset(2000, 20)  # broken at work, not at rest
-    assert trust.most(2000, 0, True) == 300
-    assert trust.most(1000 + LESSON, 0, False) == UNTOLD
+    assert trust.max_idle_ms(0, 0, False) == DEFAULT_MAX_IDLE_MS and trust.max_idle_ms(0, 10_000, False) == 7000
+    assert trust.max_idle_ms(0, 0, True) == 1000 and trust.max_idle_ms(0, 10_000, True) == 3500
+    trust.on_closed(0, "b-1", 800)  # one backend may have ended
+    assert trust.max_idle_ms(0, 0, False) == DEFAULT_MAX_IDLE_MS
+    trust.on_closed(500, "b-2", 700)
+    assert 250 < trust.max_idle_ms(600, 10_000, False) < 700
+    trust.on_reset(1000, 600)
+    trust.on_reset(2000, 20)  # broken at work, not at rest
+    assert trust.max_idle_ms(2000, 0, True) == 300
+    assert trust.max_idle_ms(1000 + LEARNED_LIMIT_TTL_MS, 0, False) == DEFAULT_MAX_IDLE_MS
 
 
 @rigged()
--- a/tests/system/data/test_budget_bound.py
+++ b/tests/system/data/test_budget_bound.py
@@ -23,12 +23,12 @@
         now += rng.expovariate(0.05 if rng.random() < 0.5 or now % 15_000 > 7000 else 0.005)
         budget = rng.choice(budgets)
         if rng.random() < 0.5:
-            budget.first(now)
+            budget.record_request(now)
             firsts.append(now)
-        elif budget.room(now, count):
-            mark = budget.take(now)
+        elif budget.allows_retry(now, count):
+            mark = budget.spend(now)
             if rng.random() < 0.2:
-                budget.give_back(mark)
+                budget.refund(mark)
             else:
                 further.append(now)
     for start in [t - 1e-6 for t in further] + [t - WINDOW for t in further]:
@@ -42,16 +42,16 @@
 
 def test_a_fresh_process_has_no_slack_for_a_window() -> None:
     budget = RetryBudget(RATIO, WINDOW, SLACK, 0.0)
-    assert not budget.room(9000.0, 1)
-    assert budget.room(10_000.0, 1)
-    assert not budget.room(10_000.0, 1000)
+    assert not budget.allows_retry(9000.0, 1)
+    assert budget.allows_retry(10_000.0, 1)
+    assert not budget.allows_retry(10_000.0, 1000)
 
 
 def test_what_never_arrived_is_given_back() -> None:
     budget = RetryBudget(RATIO, WINDOW, 0.0, 0.0)
     for at in range(10):
-        budget.first(float(at))
-    mark = budget.take(20.0)
-    assert not budget.room(20.0, 1)
-    budget.give_back(mark)
-    assert budget.room(20.0, 1)
+        budget.record_request(float(at))
+    mark = budget.spend(20.0)
+    assert not budget.allows_retry(20.0, 1)
+    budget.refund(mark)
+    assert budget.allows_retry(20.0, 1)
