--- a/hallhitch/planes/control/graceful_departure.py
+++ b/hallhitch/planes/control/graceful_departure.py
@@ -14,10 +14,11 @@
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.planes.control.acceptor import DurableAcceptor
 from hallhitch.planes.control.ballot import Ballot
+from hallhitch.planes.control.member_calls import PeerCall
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_reconciler import MembershipReconciler
 from hallhitch.planes.control.peer_observations import PeerObservations
-from hallhitch.planes.control.proposer import Call, Proposer
+from hallhitch.planes.control.proposer import Proposer
 
 GAP = 100.0  # ms between two times that the others are told and looked at
 ANSWER = 400.0  # ms for their answers: one that is silent must not hold up the others
@@ -35,7 +36,7 @@
         contacts: PeerObservations,
         upkeep: MembershipReconciler,
         tell: Tell,
-        call: Call,
+        call: PeerCall,
         clock: Callable[[], float],
     ) -> None:
         self._acceptor, self._proposer, self._contacts, self._upkeep = acceptor, proposer, contacts, upkeep
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -248,7 +248,7 @@
     def _committed(self, value: ClusterState, at: Ballot) -> None:
         """A ballot of our own has ended: whatever was committed before it began is in it, or newer than it."""
         self._learnt(value, at)
-        self.lease.confirm(self._proposer.began)
+        self.lease.confirm(self._proposer.ballot_started_ms)
 
     def _confirmable(self) -> LeaseBasis | None:
         """What a majority may confirm."""
--- a/hallhitch/planes/control/proposal.py
+++ b/hallhitch/planes/control/proposal.py
@@ -87,6 +87,17 @@
         self._promised_states: dict[str, BallotedState] = {}
         self._accepts: VoteTally | None = None
 
+    @property
+    def chosen_state(self) -> ClusterState:
+        """The state that the accepts carry.
+
+        Raises:
+            ProposalNotReadyError: a majority has not promised yet.
+        """
+        if self.state is None:
+            raise ProposalNotReadyError(self.ballot)
+        return self.state
+
     def prepare_message(self) -> Prepare:
         """Return the request for the promise of each recipient."""
         return Prepare(
@@ -114,7 +125,7 @@
 
     def accept_message(self, member: str) -> Accept:
         """Return the accept for a recipient; a delta for one that holds the state which the proposal builds on."""
-        state = self._chosen_state()
+        state = self.chosen_state
         message = Accept(ballot=self.ballot.to_message(), membership_version=state.membership_version)
         promised = self._promised_states.get(member)
         if promised is not None and promised.ballot == self.newest_state.ballot != INITIAL_BALLOT:
@@ -145,11 +156,6 @@
     def _current_tally(self) -> VoteTally:
         return self._accepts or self._promises
 
-    def _chosen_state(self) -> ClusterState:
-        if self.state is None:
-            raise ProposalNotReadyError(self.ballot)
-        return self.state
-
     def _record_promised_state(self, member: str, answer: Promise) -> None:
         """Keep what a promise reported; a state that the proposer's own replica holds was left out of it."""
         accepted = Ballot.from_message(answer.accepted)
--- a/hallhitch/planes/control/proposer.py
+++ b/hallhitch/planes/control/proposer.py
@@ -1,308 +1,194 @@
-"""The proposer at work: waiting changes go through the register, all of them in one ballot, one ballot at a time.
+"""The proposer of a coordinator: pending changes are put to the consensus, all of them in one ballot at a time.
 
-Owns the ballots of this process. Must never apply a change whose caller has left, and never call a change done before
-a majority of each set of members has it on the disk.
+Owns the ballots of this process and the callers that wait for them. Invariant: a caller gets a state only once a
+majority of each set of members holds it on disk.
 """
 
 from __future__ import annotations
 
 import asyncio
-import math
 import random
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 from contextlib import suppress
-from dataclasses import dataclass
+from typing import Final
 
-from hallhitch.messages.system_pb2 import ClusterState, Envelope, Promise
+from hallhitch.messages.system_pb2 import ClusterState
 from hallhitch.node.clock import now
-from hallhitch.node.errors import PeerCallError, RequestTimeout
+from hallhitch.node.errors import RequestTimeout
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.planes.control.acceptor import DurableAcceptor
 from hallhitch.planes.control.ballot import Ballot, BallotedState
+from hallhitch.planes.control.ballot_attempt import Abandoned, BallotAttempt, BallotContext, BallotResult, Committed
 from hallhitch.planes.control.contention import PhaseTime
+from hallhitch.planes.control.member_calls import MemberCalls, PeerCall
 from hallhitch.planes.control.membership import Membership
-from hallhitch.planes.control.proposal import AlreadyChosen, FoundingConflict, MembershipChanged, Proposal, SendAccepts
-from hallhitch.planes.control.state_transitions import StateTransition, identity
+from hallhitch.planes.control.pending_changes import PendingChange, PendingChanges
+from hallhitch.planes.control.proposal import FoundingConflict, MembershipChanged, Proposal
+from hallhitch.planes.control.state_transitions import StateTransition
 
-PREPARE, ACCEPT = 900.0, 2500.0  # ms for one answer; a big word on a thin link takes its time
-ANSWERED = 20.0  # ms before its caller's patience ends in which nothing more is waited for
-LINGER = 150.0  # ms given to the others after a majority has it: more disks than needed
-FIRST_PAUSE, LONGEST_PAUSE = 20.0, 200.0  # ms between ballots that came to nothing, drawn at random up to this
-MOVES = 3  # times that a ballot may start over by other members without a pause
-Call = Callable[[str, Envelope, float], Awaitable[Envelope]]
-
-
-@dataclass(eq=False, slots=True)
-class _Order:
-    change: StateTransition
-    asked: float  # ms, when it was asked
-    ends: float  # ms, when its caller is answered at the latest
-    done: asyncio.Future[ClusterState]
+# Backoff between ballots that came to nothing: from about a round trip between regions up to a few of them. The pause
+# is drawn from this part of it to the whole, so that proposers which failed together do not begin together again.
+INITIAL_BACKOFF_MS: Final = 20.0
+MAX_BACKOFF_MS: Final = 200.0
+MIN_BACKOFF_RATIO: Final = 0.2
+MAX_IMMEDIATE_RESTARTS: Final = 3  # by other members, without a pause: more of them in a row mean contention
 
 
 class Proposer:
-    """Puts changes to the register. `learnt` is told each value that a majority holds."""
+    """Puts changes to the consensus.
+
+    `on_commit` gets each state that a majority holds, and its ballot; `is_responsive` says whether a replica is likely
+    to answer; `incarnation` tells this process from earlier ones of its machine.
+    """
 
     def __init__(
         self,
         acceptor: DurableAcceptor,
         incarnation: str,
-        call: Call,
-        learnt: Callable[[ClusterState, Ballot], None],
-        likely: Callable[[str], bool],
+        call_peer: PeerCall,
+        on_commit: Callable[[ClusterState, Ballot], None],
+        is_responsive: Callable[[str], bool],
         clock: Callable[[], float] = now,
         rng: random.Random | None = None,
     ) -> None:
-        self._acceptor, self._call, self._learnt, self._likely = acceptor, call, learnt, likely
+        self.committed_membership = Membership()  # the newest that a majority is known to hold
+        self.newest_seen = BallotedState()  # the newest seen anywhere, by whose members to prepare
+        self._acceptor = acceptor
         self._name = f"{acceptor.state.address}#{incarnation}"
         self._clock, self._rng = clock, rng or random.Random()
         self._round = 0
-        self._orders: list[_Order] = []
-        self._taken: list[_Order] = []  # those that the ballot under way has applied
-        self._work: asyncio.Task[None] | None = None
-        self._ballot: asyncio.Task[ClusterState | MembershipChanged | None] | None = None
-        self.began = clock()  # when the ballot under way, or the last one, began
-        self._calls: set[asyncio.Task[None]] = set()
-        self._phase = PhaseTime()
-        self._prepared: float | None = (
-            None  # when the prepares of the ballot under way were sent, until a majority came
+        self._pending = PendingChanges(clock)
+        self._calls = MemberCalls(acceptor, call_peer)
+        self._context = BallotContext(
+            self._calls, self._pending, acceptor.rivals, PhaseTime(), on_commit, is_responsive, clock
         )
-        self._log = ComponentLogger("register")
-        self._founding = RateLimitedLog(self._log)
-        self.committed_membership: Membership = Membership.from_state(
-            ClusterState()
-        )  # the newest members that a majority is known to have taken
-        self.newest_seen = BallotedState()  # the newest value met anywhere: by its members we ask
+        self._work: asyncio.Task[None] | None = None  # runs ballots while changes are pending
+        self._ballot: asyncio.Task[BallotResult] | None = None  # the ballot under way
+        self._log = ComponentLogger("proposer")
+        self._conflict_log = RateLimitedLog(self._log)
+
+    @property
+    def ballot_started_ms(self) -> float:
+        """When the ballot under way, or the last one, began."""
+        return self._pending.ballot_started_ms
+
+    async def change(self, transition: StateTransition, timeout_ms: float) -> ClusterState:
+        """Commit a change and return the state after it.
 
-    async def change(self, change: StateTransition, patience: float) -> ClusterState:
-        """Put a change to the register; the value after it. Raises Silent after `patience` ms: it may come yet."""
-        order = _Order(change, self._clock(), self._clock() + patience, asyncio.get_running_loop().create_future())
-        self._orders.append(order)
+        Raises:
+            RequestTimeout: no majority within `timeout_ms`; the change may be committed yet.
+        """
+        change = self._pending.add(transition, timeout_ms)
         if self._work is None or self._work.done():
-            self._work = asyncio.ensure_future(self._serve())
+            self._work = asyncio.ensure_future(self._run())
         try:
-            async with asyncio.timeout(patience / 1000):
-                return await order.done
+            async with asyncio.timeout(timeout_ms / 1000):
+                return await change.outcome
         except TimeoutError:
-            raise RequestTimeout("agree", "", f"no majority in {patience:.0f} ms") from None
+            raise RequestTimeout("agree", "", f"no majority in {timeout_ms:.0f} ms") from None
         finally:
-            order.done.cancel()
-            self._leave(order)
-
-    def _leave(self, order: _Order) -> None:
-        if order in self._orders:
-            self._orders.remove(order)
-        if self._ballot is not None and not any(one in self._orders for one in self._taken or self._orders):
-            self._ballot.cancel()  # nobody waits for it any more, and others may wait behind it
+            change.outcome.cancel()
+            self._withdraw(change)
 
     def stop(self) -> None:
-        """No more ballots."""
-        for task in [*self._calls, *([self._work] if self._work is not None else [])]:
-            task.cancel()
-
-    async def _serve(self) -> None:
-        pause, moves = FIRST_PAUSE, 0
-        ask: BallotedState | None = None
-        while self._orders:
-            await self._give_way()
-            self._taken, result = [], None
-            self.began = began = self._clock()
-            self._ballot = asyncio.ensure_future(self._one(ask))
-            try:
-                result = await self._ballot
-            except asyncio.CancelledError:
-                own = asyncio.current_task()
-                if own is not None and own.cancelling():
-                    raise  # it is this process that ends
-            except Exception as error:
-                self._log.error(f"a ballot failed: {type(error).__name__}: {error}")
-            finally:
-                self._ballot = None
-            ask = result.found_state if isinstance(result, MembershipChanged) else None
-            if isinstance(result, ClusterState):
-                pause, moves = FIRST_PAUSE, 0
-                for order in self._taken:
-                    if not order.done.done():
-                        order.done.set_result(result)
-                    if order in self._orders:
-                        self._orders.remove(order)
+        """Cancel the ballot under way; no further one begins."""
+        self._calls.cancel()
+        if self._work is not None:
+            self._work.cancel()
+
+    def _withdraw(self, change: PendingChange) -> None:
+        """Remove a change; a ballot for which nobody waits any more ends, as others may wait behind it."""
+        self._pending.discard(change)
+        if self._ballot is not None and not self._pending.has_caller:
+            self._ballot.cancel()
+
+    async def _run(self) -> None:
+        """Run ballots until no change is pending."""
+        backoff_ms, restarts = INITIAL_BACKOFF_MS, 0
+        restart_from: BallotedState | None = None
+        while self._pending:
+            await self._wait_for_rivals()
+            result = await self._attempt(restart_from)
+            restart_from = result.found_state if isinstance(result, MembershipChanged) else None
+            if isinstance(result, Committed):
+                backoff_ms, restarts = INITIAL_BACKOFF_MS, 0
+                self._pending.complete(result.state)
                 continue
-            moves += 1
-            if self._orders and (ask is None or moves > MOVES) and self._rival_wait() <= 0:
-                # At least as long as a ballot takes here: over long ways two would else chase each other for ever.
-                longest = max(pause, min(self._clock() - began, LONGEST_PAUSE))
-                await asyncio.sleep(self._rng.uniform(0.2, 1.0) * longest / 1000)
-                pause = min(2 * pause, LONGEST_PAUSE)
+            restarts += 1
+            may_restart_at_once = restart_from is not None and restarts <= MAX_IMMEDIATE_RESTARTS
+            if self._pending and not may_restart_at_once and self._context.rival_wait_ms() <= 0:
+                await self._back_off(backoff_ms)
+                backoff_ms = min(2 * backoff_ms, MAX_BACKOFF_MS)
 
-    def _rival_wait(self) -> float:
-        """ms for which the ballot of another proposer is let through; 0 where none is under way."""
-        return self._acceptor.rivals.wait_ms(self._clock(), self._phase.patience_ms)
+    async def _back_off(self, backoff_ms: float) -> None:
+        """Sleep for a random part of the backoff, which is at least as long as the ballot took, within the maximum.
 
-    async def _give_way(self) -> None:
-        """Wait while a ballot of another proposer stands between its prepares and its accepts."""
-        ended = self._acceptor.rival_ended
-        while self._orders and (left := self._rival_wait()) > 0:
-            ended.clear()
-            with suppress(TimeoutError):  # then looked at again: a newer one may have come meanwhile
-                async with asyncio.timeout(left / 1000):
-                    await ended.wait()
+        Over long ways, proposers that began again sooner would chase each other for ever.
+        """
+        longest_ms = max(backoff_ms, min(self._clock() - self.ballot_started_ms, MAX_BACKOFF_MS))
+        await asyncio.sleep(self._rng.uniform(MIN_BACKOFF_RATIO, 1.0) * longest_ms / 1000)
+
+    async def _wait_for_rivals(self) -> None:
+        """Wait while a ballot of another proposer is between its prepares and its accepts."""
+        rival_ended = self._acceptor.rival_ended
+        while self._pending and (wait_ms := self._context.rival_wait_ms()) > 0:
+            rival_ended.clear()
+            with suppress(TimeoutError):  # a newer rival may have come meanwhile, so the wait is computed again
+                async with asyncio.timeout(wait_ms / 1000):
+                    await rival_ended.wait()
+
+    async def _attempt(self, restart_from: BallotedState | None) -> BallotResult:
+        """Run one ballot in a task of its own, which is cancelled once nobody waits for it."""
+        self._pending.begin_ballot()
+        self._ballot = asyncio.ensure_future(self._run_ballot(restart_from))
+        try:
+            return await self._ballot
+        except asyncio.CancelledError:
+            this_task = asyncio.current_task()
+            if this_task is not None and this_task.cancelling():
+                raise  # the process ends, not only this ballot
+        except Exception as error:
+            self._log.exception("ballot failed", error)
+        finally:
+            self._ballot = None
+        return Abandoned()
+
+    async def _run_ballot(self, restart_from: BallotedState | None) -> BallotResult:
+        proposal = self._propose(restart_from)
+        try:
+            result = await BallotAttempt(self._context, proposal).run()
+        finally:
+            self._round = max(self._round, proposal.highest_round_seen)
+        if isinstance(result, FoundingConflict):
+            self._conflict_log.warning(
+                self._clock(), "founded with different members", own=result.own.members, peer=result.peer.members
+            )
+        return result
 
     def _propose(self, restart_from: BallotedState | None) -> Proposal:
-        """The next ballot, above all that were met."""
+        """Return the next proposal, whose ballot is above all that were seen."""
         replica = self._acceptor.state
         local_state = replica.accepted_state
         basis = restart_from or self._newest_known(local_state)
         rival = self._acceptor.rivals.prepared
         self._round = max(self._round, replica.promised.round, basis.ballot.round, rival.round) + 1
 
-        def apply_orders(state: ClusterState) -> ClusterState:
-            return self._apply(proposal, state)
+        def apply_pending(state: ClusterState) -> ClusterState:
+            return self._apply_pending(proposal, state)
 
         ballot = Ballot(self._round, self._name)
-        proposal = Proposal(ballot, basis, local_state, apply_orders, self.committed_membership)
+        proposal = Proposal(ballot, basis, local_state, apply_pending, self.committed_membership)
         proposal.requires_commit = False
         return proposal
 
     def _newest_known(self, local_state: BallotedState) -> BallotedState:
-        """Return the state by whose members to prepare."""
-        is_local_newer = local_state.ballot > self.newest_seen.ballot or not self.newest_seen.state.members
-        return local_state if is_local_newer else self.newest_seen
-
-    def _apply(self, proposal: Proposal, value: ClusterState) -> ClusterState:
-        """All orders that wait, one after the other, on the newest value among the promises.
-
-        Only now, and only for those whose callers still wait (see `changes` on orders that come late): a process that
-        stood still finds the end of an order by the clock before its time-out has run. A change of members that may
-        not be made on top of these leaves the other orders alone.
-        """
-        members_may_change = proposal.membership == self.committed_membership
-        for order in self._orders:
-            if order.done.done() or self._clock() >= order.ends:
-                continue
-            if order.change is identity and order.asked > self.began:
-                continue  # a promise may be older than this read, and no accept will show what came between
-            after = order.change(value)
-            if Membership.from_state(after) == Membership.from_state(value) or members_may_change:
-                value = after
-            self._taken.append(order)
-            proposal.requires_commit |= order.change is not identity
-        return value
-
-    async def _one(self, ask: BallotedState | None) -> ClusterState | MembershipChanged | None:
-        """One ballot: the value that a majority holds, by whose members to start over, or None."""
-        proposal = self._propose(ask)
-        if not proposal.recipients:
-            return None
-        answers = self._send_prepares(proposal)
-        missing, committed = set(proposal.recipients), False
-        ends = math.inf  # when a ballot that somebody refused is given up
-        while not committed:
-            try:
-                async with asyncio.timeout(None if ends == math.inf else max(0.0, ends - self._clock()) / 1000):
-                    member, answer = await answers.get()
-            except TimeoutError:
-                return None  # refused, and the others are silent: whoever is behind it is not held up
-            if answer.HasField("promise"):
-                chosen = self._promised(proposal, member, answer.promise, missing, answers)
-                if isinstance(chosen, FoundingConflict):
-                    lists = f"{chosen.own.members} and {chosen.peer.members}"
-                    self._founding.warning(self._clock(), f"founded with different members, {lists}: not going on")
-                    return None
-                if isinstance(chosen, MembershipChanged | ClusterState):
-                    return chosen
-            else:
-                missing.discard(member)
-                if answer.HasField("accepted"):
-                    committed = proposal.on_accepted(member, answer.accepted)
-                else:
-                    proposal.on_failure(member)
-            self._round = max(self._round, proposal.highest_round_seen)
-            if not committed and (proposal.has_failed() or (_refused(answer) and self._is_overtaken(proposal))):
-                return None
-            if _refused(answer):
-                ends = min(ends, self._clock() + self._phase.patience_ms)
-        value = proposal.state
-        assert value is not None
-        self._learnt(value, proposal.ballot)
-        if proposal.is_changed:
-            await self._linger(proposal, missing, answers)
-        return value
-
-    def _send_prepares(self, proposal: Proposal) -> asyncio.Queue[tuple[str, Envelope]]:
-        """Ask all for their promises; where their answers come."""
-        answers: asyncio.Queue[tuple[str, Envelope]] = asyncio.Queue()
-        prepare = proposal.prepare_message()
-        prepare.is_read = all(order.change is identity for order in self._orders)
-        self._prepared = self._clock()
-        for member in sorted(proposal.recipients):
-            self._ask(member, Envelope(prepare=prepare), PREPARE, answers)
-        return answers
-
-    def _is_overtaken(self, proposal: Proposal) -> bool:
-        """Whether a ballot without a majority of promises has met a higher one that is on its way to the others too."""
-        return proposal.state is None and self._rival_wait() > 0
-
-    def _promised(
-        self,
-        proposal: Proposal,
-        member: str,
-        answer: Promise,
-        missing: set[str],
-        answers: asyncio.Queue[tuple[str, Envelope]],
-    ) -> ClusterState | MembershipChanged | FoundingConflict | None:
-        """One promise or refusal; the value where nothing has to be handed on for it."""
-        if not answer.ok and not answer.is_recovering:
-            self._acceptor.rivals.saw_prepare(Ballot.from_message(answer.promised), self._clock())
-            self._acceptor.rivals.saw_accept(Ballot.from_message(answer.accepted))
-        chosen = proposal.on_promise(member, answer)
-        if isinstance(chosen, AlreadyChosen):
-            self._learnt(chosen.state, proposal.newest_state.ballot)
-            return chosen.state
-        if isinstance(chosen, SendAccepts):
-            if self._prepared is not None:
-                self._phase.measured(self._clock() - self._prepared)
-                self._prepared = None
-            missing |= chosen.recipients
-            for one in sorted(chosen.recipients):
-                self._ask(one, Envelope(accept=proposal.accept_message(one)), ACCEPT, answers)
-            return None
-        return chosen
-
-    async def _linger(
-        self, proposal: Proposal, missing: set[str], answers: asyncio.Queue[tuple[str, Envelope]]
-    ) -> None:
-        """A majority has it; wait a little for the others that are likely to answer."""
-        try:
-            left = min([LINGER, *(order.ends - self._clock() - ANSWERED for order in self._taken)])
-            async with asyncio.timeout(left / 1000):
-                while any(self._likely(one) for one in missing):
-                    member, answer = await answers.get()
-                    if answer.HasField("promise") and answer.promise.ok:
-                        proposal.on_promise(member, answer.promise)
-                        self._ask(member, Envelope(accept=proposal.accept_message(member)), ACCEPT, answers)
-                    else:
-                        missing.discard(member)
-        except TimeoutError:
-            pass
-
-    def _ask(self, member: str, envelope: Envelope, wait: float, answers: asyncio.Queue[tuple[str, Envelope]]) -> None:
-        async def ask() -> None:
-            try:
-                if member == self._acceptor.state.address:
-                    answer = await self._acceptor.handle(envelope)
-                else:
-                    answer = await self._call(member, envelope, wait)
-            except PeerCallError:
-                answer = Envelope()
-            answers.put_nowait((member, answer))
-
-        task = asyncio.ensure_future(ask())
-        self._calls.add(task)
-        task.add_done_callback(self._calls.discard)
-
-
-def _refused(answer: Envelope) -> bool:
-    """Whether a replica has met a higher ballot."""
-    if answer.HasField("promise"):
-        return not answer.promise.ok and not answer.promise.is_recovering
-    return answer.HasField("accepted") and not answer.accepted.ok and not answer.accepted.is_recovering
+        """Return the newest known state, by whose members to prepare."""
+        is_local_newer = local_state.ballot > self.newest_seen.ballot
+        return local_state if is_local_newer or not self.newest_seen.state.members else self.newest_seen
+
+    def _apply_pending(self, proposal: Proposal, state: ClusterState) -> ClusterState:
+        """Return the state after all pending changes: the transition of the proposal."""
+        can_change_members = proposal.membership == self.committed_membership
+        after = self._pending.apply(state, can_change_members)
+        proposal.requires_commit = self._pending.requires_commit
+        return after
--- a/tests/system/control/test_one_number_one_content.py
+++ b/tests/system/control/test_one_number_one_content.py
@@ -14,8 +14,8 @@
 from hallhitch.planes.control.ballot import Ballot, BallotedState
 from hallhitch.planes.control.config_digests import REMEMBERED, OrderOutcome, canonical_digest, content_digest, outcome
 from hallhitch.planes.control.membership import Membership, initial_state
+from hallhitch.planes.control.pending_changes import PendingChange
 from hallhitch.planes.control.proposal import Proposal
-from hallhitch.planes.control.proposer import _Order
 from tests.system.control.control_fleet import (
     call_operator,
     config_body,
@@ -216,19 +216,20 @@
     run_scenario(scene)
 
 
-def test_an_order_past_its_end_is_not_applied_though_its_time_out_has_not_run() -> None:
-    async def scene(fleet: CoordinatorCluster) -> None:
-        a, *_ = await fleet.bootstrap()
-        assert a.plane is not None
-        proposer, value = a.plane._proposer, a.plane._acceptor.state.state
-        for ends, zones_then in ((fleet.clock() + 1, ["viti-a"]), (fleet.clock(), [])):
-            proposer._orders = [
-                _Order(state_transitions.evacuate_zone("viti-a"), 0.0, ends, fleet.loop.create_future())
-            ]
-            assert list(proposer._apply(proposer._propose(None), value).evacuations) == zones_then
-        proposer._orders = []
-
-    run_scenario(scene)
+def test_change_past_its_deadline_is_not_applied_before_its_timeout_has_run() -> None:
+    async def scenario(fleet: CoordinatorCluster) -> None:
+        machine, *_ = await fleet.bootstrap()
+        assert machine.plane is not None
+        proposer, state = machine.plane._proposer, machine.plane._acceptor.state.state
+        evacuate = state_transitions.evacuate_zone("viti-a")
+        for deadline_ms, evacuated in ((fleet.clock() + 1, ["viti-a"]), (fleet.clock(), [])):
+            pending = PendingChange(evacuate, 0.0, deadline_ms, fleet.loop.create_future())
+            proposer._pending._waiting = [pending]
+            proposal = proposer._propose(None)
+            assert list(proposer._apply_pending(proposal, state).evacuations) == evacuated
+        proposer._pending._waiting = []
+
+    run_scenario(scenario)
 
 
 def test_evacuations_sent_again_by_several_callers() -> None:
