--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -37,11 +37,12 @@
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.data.interfaces import Forward, Outcome, RequestInfo
 from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
-from hallhitch.planes.discovery.directory import nearest
-from hallhitch.planes.discovery.endpoint_list import Listed, read_page
-from hallhitch.planes.discovery.gateway_registry import united
+from hallhitch.planes.discovery.directory import nearest_gateways
+from hallhitch.planes.discovery.endpoint_list import ListedBackend, read_page
+from hallhitch.planes.discovery.gateway_registry import merge_gateways
 from hallhitch.planes.distribution.config_compiler import compile_config
-from hallhitch.planes.distribution.state_hub import StateHub, entry_of, sent_of
+from hallhitch.planes.distribution.state_hub import StateHub
+from hallhitch.planes.distribution.state_messages import encode_backend, encode_gateway
 from hallhitch.planes.distribution.versioned_map import VersionedMap
 from hallhitch.planes.quota import lease_messages
 from hallhitch.planes.quota.holder import LeaseHolder
@@ -157,9 +158,9 @@
     ).encode()
 
 
-def backend(number: int, service: str = "", cold: float = 0.0) -> Listed:
+def backend(number: int, service: str = "", cold: float = 0.0) -> ListedBackend:
     """One entry of the platform's list."""
-    return Listed(
+    return ListedBackend(
         f"i-{number * 2654435761 % 2**32:08x}",
         service or f"huvo{number % 610}",
         f"10.{number // 65536}.{number // 256 % 256}.{number % 256}",
@@ -208,11 +209,11 @@
 def news_of_backends(count: int) -> Row:
     """What a list of so many costs on the wire and at each process that follows it."""
     entries = [backend(n) for n in range(count)]
-    size = len(BackendUpdate(entries=[sent_of(e, 0.0) for e in entries]).SerializeToString()) / count
+    size = len(BackendUpdate(entries=[encode_backend(e, 0.0) for e in entries]).SerializeToString()) / count
 
     def taken() -> StateHub:
         hub = StateHub(1)
-        hub.take_list(1.0, [backend(n) for n in range(count)])
+        hub.update_backends(1.0, [backend(n) for n in range(count)])
         return hub
 
     held, hub, pull = traced(taken) / count, taken(), StateRequest()
@@ -221,12 +222,12 @@
 
     def again() -> None:
         moment[0] += 1
-        hub.take_list(moment[0], entries)
+        hub.update_backends(moment[0], entries)
 
     unchanged = spent(again)
-    whole = spent(lambda: hub.news(StateRequest()))
-    hub.take_list(moment[0] + 1, [replace(entries[0], draining=True), *entries[1:]])
-    changed = hub.news(pull)
+    whole = spent(lambda: hub.build_update(StateRequest()))
+    hub.update_backends(moment[0] + 1, [replace(entries[0], is_draining=True), *entries[1:]])
+    changed = hub.build_update(pull)
     assert changed is not None and len(changed.backends.entries) == 1
     page = json.dumps(
         {
@@ -253,7 +254,7 @@
         held,
         unchanged / 1000,
         whole / 1000,
-        spent(lambda: hub.news(pull)) / 1000,
+        spent(lambda: hub.build_update(pull)) / 1000,
         spent(lambda: read_page(page, 0.0)) / 1000,
     )
 
@@ -262,16 +263,16 @@
     """What so many gateways cost on the wire, at a coordinator for each pull, and at a gateway for each change."""
     entries = [gateway(n) for n in range(count)]
     known = {g.address: g for g in entries}
-    size = len(GatewayUpdate(entries=[entry_of(g) for g in entries]).SerializeToString()) / count
+    size = len(GatewayUpdate(entries=[encode_gateway(g) for g in entries]).SerializeToString()) / count
     hub: VersionedMap[Gateway] = VersionedMap(1)
     hub.replace(known)
     parts = [{g.address: g for g in entries[n::3]} for n in range(3)]
     return (
         count,
         size,
-        spent(lambda: hub.replace(united(parts[0], parts[1:]))) / 1000,
+        spent(lambda: hub.replace(merge_gateways(parts[0], parts[1:]))) / 1000,
         spent(lambda: ranks(known)) / 1000,
-        spent(lambda: nearest(entries, "region-3", "namaka-3", {})) / 1000,
+        spent(lambda: nearest_gateways(entries, "region-3", "namaka-3", {})) / 1000,
     )
 
 
--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -39,6 +39,7 @@
 from hallhitch.planes.distribution.config_compiler import EMPTY_CONFIG, compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
 from hallhitch.planes.distribution.state_hub import StateHub
+from hallhitch.planes.distribution.versioned_map import Version
 from hallhitch.planes.quota import lease_client
 from hallhitch.planes.quota.limits import BUCKETS
 from hallhitch.planes.quota.plane import QuotaPlane
@@ -143,7 +144,7 @@
         self.hub = StateHub(self.incarnation)
         self.follower = GatewaySync(self.links, self.hub, self._own, node.seed_addresses)
         self.quota = QuotaPlane(self.node, self.links)
-        self.config, self._gateways = EMPTY_CONFIG, (0, 0)
+        self.config, self._gateways = EMPTY_CONFIG, Version()
 
     def _own(self) -> Gateway:
         n = self.node
@@ -153,7 +154,7 @@
 
     def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
         return (
-            self.hub.answer(envelope.state_request)
+            self.hub.respond(envelope.state_request)
             if envelope.HasField("state_request")
             else self.quota.handle(envelope)
         )
@@ -171,10 +172,10 @@
             w = hub.config
             self.config = compile_config(w.serial, w.config_version, w.config, w.evacuated_zones, w.max_gateways)
             self.quota.set_config(self.config)
-        if (version := (hub.gateways.epoch, hub.gateways.number)) != self._gateways:
+        if (version := hub.gateways.version) != self._gateways:
             self._gateways = version
             self.quota.set_gateways(self.node.name, [g for g in hub.gateways.values() if g.frontend])
-        self.quota.set_membership(hub.membership)
+        self.quota.set_membership(hub.lease_membership)
         self.quota.set_holders(hub.holders)
 
 
@@ -253,7 +254,7 @@
             "held": sum(len(h.quota.held()) for h in hollows),
             "version": min(h.config.version for h in hollows),
             "evacuated": all("zone-1" in h.config.evacuated_zones for h in hollows),
-            "drained": all((e := h.hub.backends.get(drains)) is not None and e.draining for h in hollows),
+            "drained": all((e := h.hub.backends.get(drains)) is not None and e.is_draining for h in hollows),
             "own": time.process_time(),
             "sent": sum(one.bytes_sent for one in traffic),
             "received": sum(one.bytes_received for one in traffic),
--- a/hallhitch/lab/simulation/simulation.py
+++ b/hallhitch/lab/simulation/simulation.py
@@ -62,7 +62,7 @@
 
     def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
         if envelope.HasField("state_request"):
-            return self.hub.answer(envelope.state_request)
+            return self.hub.respond(envelope.state_request)
         return Envelope(error="a gateway does not answer that")
 
     async def start(self) -> None:
@@ -154,7 +154,7 @@
         grace = self.world.network.now + RuleBounds().grace_period_ms / 1000
 
         async def leave() -> None:
-            await program.leave()
+            await program.shut_down()
             self.world.network.at(self.world.network.now, lambda: self._gone(loop))
 
         loop.begin(leave())
--- a/hallhitch/planes/discovery/__init__.py
+++ b/hallhitch/planes/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: backends by the platform's list, the system's own processes by their pulls, and the directory."""
+"""Discovery: backends by the platform's endpoint list, gateways by their heartbeats, and the directory for clients."""
--- a/hallhitch/planes/discovery/directory.py
+++ b/hallhitch/planes/discovery/directory.py
@@ -1,48 +1,65 @@
-"""Where clients are sent: the gateways near them that are ready and stay. Decided without I/O."""
+"""The directory: tells clients which gateways to connect to. Decided without I/O.
+
+Clients get the gateways of their own region that are ready and not leaving, and those of others if these are few.
+"""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Iterable, Mapping
+from typing import Final
 from urllib.parse import parse_qs, urlsplit
 
 from hallhitch.node.http_server import HttpReply
 from hallhitch.planes.values import Gateway
 
-MOST = 64  # addresses in an answer
-ENOUGH = 2  # gateways of the client's region below which others are named too: one may fail
-TTL_SHARE = 0.4  # of the longest ttl that counts: clients hold answers for up to three times it
+RESOLVE_PATH: Final = "/hallhitch/resolve"
+MAX_ADDRESSES: Final = 64  # in a reply
+MIN_LOCAL_GATEWAYS: Final = 2  # fewer in the client's region, and others are added: one of them may fail
+TTL_RATIO: Final = 0.4  # of the longest TTL that the rules allow: clients keep a reply for up to three times its TTL
+MIN_TTL_MS: Final = 1000.0
+
 
+def nearest_gateways(
+    gateways: Iterable[Gateway], region: str, zone: str, region_by_zone: Mapping[str, str]
+) -> list[Gateway]:
+    """Return the gateways for a client of this place, by name, those of its region first.
 
-def nearest(gateways: Iterable[Gateway], region: str, zone: str, regions: Mapping[str, str]) -> list[Gateway]:
-    """The gateways to name to a client of this place: those of its region, and others only where these are few."""
-    region = region or regions.get(zone, "")
-    usable = sorted((g for g in gateways if g.frontend and g.is_ready and not g.is_leaving), key=lambda g: g.name)
-    near = [g for g in usable if g.region == region]
-    if len(near) < ENOUGH:
-        near += [g for g in usable if g.region != region]
-    if len(near) > MOST:  # a part that differs by zone, so that no gateway is left without clients
-        own = [g for g in near if g.zone == zone]
-        near = (own + [g for g in near if g.zone != zone])[:MOST]
-    return near
+    If they are too many for one reply, those of its zone come first: a different part for each zone, so that no gateway
+    stays without clients.
+    """
+    region = region or region_by_zone.get(zone, "")
+    usable = sorted(
+        (gateway for gateway in gateways if gateway.frontend and gateway.is_ready and not gateway.is_leaving),
+        key=lambda gateway: gateway.name,
+    )
+    chosen = [gateway for gateway in usable if gateway.region == region]
+    if len(chosen) < MIN_LOCAL_GATEWAYS:
+        chosen += [gateway for gateway in usable if gateway.region != region]
+    if len(chosen) > MAX_ADDRESSES:
+        chosen.sort(key=lambda gateway: gateway.zone != zone)
+    return chosen[:MAX_ADDRESSES]
 
 
 class Directory:
-    """Answers `resolve`."""
+    """Serves the directory's HTTP API."""
 
-    def __init__(self, regions: Mapping[str, str], ttl_most: float) -> None:
-        self._regions, self._ttl = regions, max(1000.0, ttl_most * TTL_SHARE)
+    def __init__(self, region_by_zone: Mapping[str, str], max_ttl_ms: float) -> None:
+        self._region_by_zone = region_by_zone
+        self._ttl_ms = max(MIN_TTL_MS, max_ttl_ms * TTL_RATIO)
 
-    def call(self, method: str, target: str, gateways: Iterable[Gateway]) -> HttpReply:
-        """The answer to a call on the directory's address."""
-        parts = urlsplit(target)
-        if parts.path != "/hallhitch/resolve":
+    def handle(self, method: str, target: str, gateways: Iterable[Gateway]) -> HttpReply:
+        """Return the reply to a request, given the gateways that are known."""
+        url = urlsplit(target)
+        if url.path != RESOLVE_PATH:
             return HttpReply(404, {}, b'{"errorMessage":"no such call"}')
         if method not in ("GET", "HEAD"):
             return HttpReply(405, {}, b'{"errorMessage":"only GET"}')
-        query = parse_qs(parts.query)
-        named = nearest(gateways, query.get("region", [""])[0], query.get("zone", [""])[0], self._regions)
-        if not named:
+        query = parse_qs(url.query)
+        region, zone = query.get("region", [""])[0], query.get("zone", [""])[0]
+        chosen = nearest_gateways(gateways, region, zone, self._region_by_zone)
+        if not chosen:
             return HttpReply(503, {"Retry-After": "0.5"}, b'{"errorMessage":"no gateway is known to be ready"}')
-        body = json.dumps({"addresses": [g.frontend for g in named], "ttl": f"{self._ttl:.0f}ms"})
+        addresses = [gateway.frontend for gateway in chosen]
+        body = json.dumps({"addresses": addresses, "ttl": f"{self._ttl_ms:.0f}ms"})
         return HttpReply(200, {"Content-Type": "application/json"}, body.encode())
--- a/hallhitch/planes/discovery/endpoint_list.py
+++ b/hallhitch/planes/discovery/endpoint_list.py
@@ -1,8 +1,12 @@
-"""The platform's list of backends: read page by page, one reader for all. What is on it is decided here, no I/O.
+"""The endpoint list: the platform's list of backends. Its format, and the decisions about it, without I/O or a clock.
 
-Reading is a duty without a lease: the coordinator that comes first in the rendezvous order of those alive reads;
-another one does when the newest list it knows has grown old, the later in the order the later. Two readers at once cost
-calls and nothing else: of two lists the one read later holds, everywhere.
+Any coordinator may read the list, so no lease is needed for it. Normally the one does that comes first in a rendezvous
+order of the live coordinators (highest random weight hashing, Thaler and Ravishankar 1996). The next ones in order step
+in as the newest list that they know gets older.
+
+Invariants:
+- Of two lists, the one that was read later replaces the other. Two readers at once cost calls and nothing else.
+- A backend that was listed as draining stays draining, even if it was absent from the list meanwhile.
 """
 
 from __future__ import annotations
@@ -11,16 +15,19 @@
 import json
 from collections.abc import Container, Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import Any, Final
 
 from hallhitch.node.durations import parse_duration_ms
+from hallhitch.planes.discovery.errors import MalformedPageError
+from hallhitch.planes.values import Backend
 
-COLD_MOVES = 400.0  # ms by which a foreseen end of coldness may move and be the same: it is read off a relative time
+SLOW_START_TOLERANCE_MS: Final = 400.0  # within it two ends of a slow start, each read as a duration, are the same
+READER_STAGGER_RATIO: Final = 1.2  # of the interval; each rank waits longer by it than the one before
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """One entry of the list; `cold_until` in steady ms of who read it."""
+class ListedBackend:
+    """One entry of the endpoint list."""
 
     instance: str
     service: str
@@ -28,74 +35,101 @@
     port: int
     zone: str
     slots: int
-    draining: bool
-    cold_until: float
+    is_draining: bool
+    warming_until_ms: float  # steady ms of the process that holds this value; 0 = warm
+
+    def to_backend(self, region: str) -> Backend:
+        """Return the backend as the other planes know it, with the region of its zone."""
+        return Backend(
+            instance=self.instance,
+            service=self.service,
+            host=self.host,
+            port=self.port,
+            zone=self.zone,
+            region=region,
+            slots=self.slots,
+            is_draining=self.is_draining,
+            warming_until_ms=self.warming_until_ms,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """One page of the list; `following` is the token of the next one, None on the last."""
+    """One page of the endpoint list."""
 
-    entries: tuple[Listed, ...]
-    following: str | None
+    entries: tuple[ListedBackend, ...]
+    next_token: str | None  # None on the last page
 
 
 def read_page(body: bytes, now: float) -> Page:
-    """A page as the platform sends it; raises ValueError with what is wrong."""
+    """Parse a page, as of `now` (steady ms), with rows as objects or as columns.
+
+    Raises:
+        MalformedPageError: the page does not have the platform's format.
+    """
     try:
         table = json.loads(body)
-        instances = table["instances"]
-        rows: Iterable[Mapping[str, Any]]
-        if isinstance(instances, dict):
-            names = instances["columnNames"]
-            rows = (dict(zip(names, row, strict=True)) for row in instances["rowValues"])
-        else:
-            rows = instances
-        return Page(tuple(entry(row, now) for row in rows), table.get("nextPageToken") or None)
-    except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"no page of a list: {type(error).__name__} {error}") from None
-
-
-def entry(row: Mapping[str, Any], now: float) -> Listed:
-    """One backend of a page."""
+        backends = tuple(_parse_backend(row, now) for row in _rows(table["instances"]))
+        return Page(backends, table.get("nextPageToken") or None)
+    except (KeyError, TypeError, AttributeError, ValueError) as error:
+        raise MalformedPageError(f"malformed page: {type(error).__name__} {error}") from error
+
+
+def _rows(instances: Any) -> Iterable[Mapping[str, Any]]:
+    if isinstance(instances, dict):
+        names = instances["columnNames"]
+        return (dict(zip(names, row, strict=True)) for row in instances["rowValues"])
+    rows: Iterable[Mapping[str, Any]] = instances
+    return rows
+
+
+def _parse_backend(row: Mapping[str, Any], now: float) -> ListedBackend:
     host, _, port = row["address"].rpartition(":")
-    cold = parse_duration_ms(row["coldRemaining"]) if row.get("coldRemaining") else 0.0
-    return Listed(
-        row["instanceId"],
-        row["targetService"],
-        host,
-        int(port),
-        row.get("zone") or "",
-        int(row.get("slotCount") or 1),
-        row.get("state") == "draining",
-        now + cold if cold > 0 else 0.0,
+    warmup_ms = parse_duration_ms(row["coldRemaining"]) if row.get("coldRemaining") else 0.0
+    return ListedBackend(
+        instance=row["instanceId"],
+        service=row["targetService"],
+        host=host,
+        port=int(port),
+        zone=row.get("zone") or "",
+        slots=int(row.get("slotCount") or 1),
+        is_draining=row.get("state") == "draining",
+        warming_until_ms=now + warmup_ms if warmup_ms > 0 else 0.0,
     )
 
 
-def settle(known: Mapping[str, Listed], read: Iterable[Listed], drained: Container[str] = ()) -> dict[str, Listed]:
-    """The list as it stands after a reading: what moved by nothing but the clock's grain stays the same.
+def reconcile_list(
+    known: Mapping[str, ListedBackend], latest: Iterable[ListedBackend], drained: Container[str] = ()
+) -> dict[str, ListedBackend]:
+    """Return the latest list by instance, corrected by what is known already.
 
-    A backend that drains never serves again, so a page that lags behind another does not take that back; nor if it was
-    gone from the list meanwhile (`drained`: those seen draining before).
+    The end of a slow start moves only by more than the tolerance. A backend that was draining in `known`, or is among
+    `drained` (draining before it was absent), stays draining: one page of the platform may lag behind another.
     """
-    settled = {}
-    for new in read:
-        old = known.get(new.instance)
-        if old is not None and new.cold_until and abs(new.cold_until - old.cold_until) < COLD_MOVES:
-            new = replace(new, cold_until=old.cold_until)
-        seen_draining = new.instance in drained or (old is not None and old.draining)
-        if seen_draining and not new.draining:
-            new = replace(new, draining=True)
-        settled[new.instance] = new
-    return settled
-
-
-def turn(own: str, alive: Sequence[str]) -> int:
-    """This process's place among those who may read the list, from 0."""
-    order = sorted({own, *alive}, key=lambda name: hashlib.sha256(b"list " + name.encode()).digest())
-    return order.index(own)
-
-
-def due(age: float, place: int, every: float) -> bool:
-    """Whether one at this place reads a list that is so old (ms), where it is to be read so often (ms)."""
-    return age >= every * (1 + 1.2 * place)
+    reconciled = {}
+    for backend in latest:
+        previous = known.get(backend.instance)
+        if previous is not None and _is_same_slow_start(backend, previous):
+            backend = replace(backend, warming_until_ms=previous.warming_until_ms)
+        was_draining = backend.instance in drained or (previous is not None and previous.is_draining)
+        if was_draining and not backend.is_draining:
+            backend = replace(backend, is_draining=True)
+        reconciled[backend.instance] = backend
+    return reconciled
+
+
+def _is_same_slow_start(backend: ListedBackend, previous: ListedBackend) -> bool:
+    if not backend.warming_until_ms:
+        return False
+    return abs(backend.warming_until_ms - previous.warming_until_ms) < SLOW_START_TOLERANCE_MS
+
+
+def reader_rank(address: str, live: Sequence[str]) -> int:
+    """Return a coordinator's rank, from 0, among the `live` ones that may read the list."""
+    order = sorted({address, *live}, key=lambda name: hashlib.sha256(b"list " + name.encode()).digest())
+    return order.index(address)
+
+
+def is_read_due(list_age_ms: float, rank: int, interval_ms: float) -> bool:
+    """Return whether a coordinator of this rank has to read a list of this age, normally read at each interval."""
+    return list_age_ms >= interval_ms * (1 + READER_STAGGER_RATIO * rank)
--- /dev/null
+++ b/hallhitch/planes/discovery/errors.py
@@ -0,0 +1,19 @@
+"""Errors of discovery."""
+
+from __future__ import annotations
+
+
+class DiscoveryError(Exception):
+    """Base of the errors of discovery."""
+
+
+class EndpointListError(DiscoveryError):
+    """The endpoint list could not be read from the platform."""
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(f"cannot read the endpoint list: {reason}")
+        self.reason = reason
+
+
+class MalformedPageError(EndpointListError):
+    """A page of the endpoint list does not have the platform's format."""
--- /dev/null
+++ b/hallhitch/planes/discovery/platform_client.py
@@ -0,0 +1,132 @@
+"""Client of the platform's endpoint list: one connection, one request at a time."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from typing import Final
+from urllib.parse import quote
+
+from hallhitch.net.http import AnswerReader, Malformed, Message
+from hallhitch.node.clock import now
+from hallhitch.planes.discovery.endpoint_list import ListedBackend, read_page
+from hallhitch.planes.discovery.errors import EndpointListError
+
+PAGE_TIMEOUT_S: Final = 1.0  # for one page; the list is then requested anew
+MAX_PAGES: Final = 2000  # of one list: a platform that repeats its tokens does not keep a reader busy for ever
+READ_BYTES: Final = 65536
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListReading:
+    """The complete endpoint list, and when reading it began (steady ms)."""
+
+    started_at: float
+    backends: list[ListedBackend]
+
+
+@dataclass(frozen=True, slots=True)
+class _Connection:
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+    parser: AnswerReader
+
+
+class PlatformClient:
+    """Reads the endpoint list of the platform at one address."""
+
+    def __init__(self, address: tuple[str, int]) -> None:
+        self._address = address
+        self._connection: _Connection | None = None
+        self.request_count = 0
+
+    async def read(self) -> EndpointListReading:
+        """Read all pages of the list.
+
+        Raises:
+            EndpointListError: the platform did not reply in time, or not with a list.
+        """
+        started_at, backends, token = now(), list[ListedBackend](), ""
+        for _ in range(MAX_PAGES):
+            page = read_page(await self._get(f"/instances?pageToken={quote(token)}" if token else "/instances"), now())
+            backends += page.entries
+            if page.next_token is None:
+                return EndpointListReading(started_at, backends)
+            token = page.next_token
+        raise EndpointListError(f"more than {MAX_PAGES} pages")
+
+    def close(self) -> None:
+        """Close the connection."""
+        if self._connection is not None:
+            self._connection.writer.transport.abort()
+            self._connection = None
+
+    async def _get(self, target: str) -> bytes:
+        is_reused = self._connection is not None
+        try:
+            return await self._request(target)
+        except TimeoutError:
+            raise EndpointListError("no reply in time") from None
+        except (OSError, Malformed) as error:
+            if not is_reused:
+                raise EndpointListError(str(error)) from error
+        except ValueError as error:  # a host name that cannot be encoded
+            raise EndpointListError(str(error)) from error
+        # The platform may have closed the idle connection meanwhile: one retry, over a new one.
+        try:
+            return await self._request(target)
+        except (OSError, Malformed, ValueError) as error:
+            raise EndpointListError(str(error)) from error
+
+    async def _request(self, target: str) -> bytes:
+        try:
+            async with asyncio.timeout(PAGE_TIMEOUT_S):
+                return await self._exchange(target)
+        except (OSError, Malformed):
+            self.close()
+            raise
+
+    async def _exchange(self, target: str) -> bytes:
+        """Send a request and return the body of its response."""
+        host, port = self._address
+        if self._connection is None:
+            reader, writer = await asyncio.open_connection(host, port)
+            self._connection = _Connection(reader, writer, AnswerReader(long=True))
+        connection = self._connection
+        self.request_count += 1
+        connection.writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode("latin-1"))
+        response = await _read_response(connection)
+        body = await _read_body(connection, response)
+        if not response.keep:
+            self.close()
+        if response.status != 200:
+            raise OSError(f"status {response.status}")
+        return body
+
+
+async def _read_response(connection: _Connection) -> Message:
+    """Read up to the head of the response, and its body as well if that is short."""
+    while True:
+        data = await connection.reader.read(READ_BYTES)
+        responses = connection.parser.feed(data) if data else connection.parser.end()
+        if responses:
+            return responses[0]
+        if not data:
+            raise ConnectionResetError("the platform closed the connection")
+
+
+async def _read_body(connection: _Connection, response: Message) -> bytes:
+    """Return the body of the response, and read what is missing of a long one."""
+    flow = response.flow
+    if flow is None:
+        return bytes(response.body)
+    body = bytearray()
+    while True:
+        while flow.waits:
+            body += await flow.take()
+        if flow.ended:
+            return bytes(body)
+        data = await connection.reader.read(READ_BYTES)
+        if not data:
+            raise ConnectionResetError("the platform closed the connection within a response")
+        connection.parser.feed(data)
--- a/hallhitch/planes/distribution/__init__.py
+++ b/hallhitch/planes/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""News: who lacks what, by a vector of versions; snapshots first, then changes. It must not know what the news mean."""
+"""Distribution of soft state: each process pulls what it lacks from its peers, as snapshots and deltas."""
--- /dev/null
+++ b/hallhitch/planes/distribution/coordinator_sync.py
@@ -0,0 +1,87 @@
+"""Keeps a coordinator's soft state in step: heartbeats of gateways, pulls from the other coordinators.
+
+The live gateways are those that pull from this coordinator, merged with those that pull from its live peers.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable, Collection, Iterable
+from typing import Final
+
+from hallhitch.messages.system_pb2 import Envelope, StateRequest
+from hallhitch.node.clock import now
+from hallhitch.node.settings import RuleBounds
+from hallhitch.planes.discovery.gateway_registry import GatewayRegistry, merge_gateways
+from hallhitch.planes.distribution.peer_sync import PeerSync
+from hallhitch.planes.distribution.ports import PeerCaller
+from hallhitch.planes.distribution.state_hub import StateHub
+from hallhitch.planes.distribution.state_messages import decode_gateway
+from hallhitch.planes.values import Gateway
+
+WARMUP_MS: Final = 600.0  # after its start, in which a coordinator knows too few gateways to share them
+LIVE_PEER_MS: Final = 1800.0  # a coordinator that replied within it is live; as long as a gateway's heartbeat time-out
+
+
+class CoordinatorSync:
+    """Owns the hub's gateways and coordinators, and the pulls from peers."""
+
+    def __init__(
+        self,
+        links: PeerCaller,
+        hub: StateHub,
+        own_entry: Callable[[], Gateway],
+        clock: Callable[[], float] = now,
+        bounds: RuleBounds | None = None,
+    ) -> None:
+        """`own_entry` returns this coordinator as its peers shall know it."""
+        self._hub = hub
+        self._own_entry = own_entry
+        self._clock = clock
+        self._started_at = clock()
+        self._registry = GatewayRegistry()
+        self._peers = PeerSync(links, hub, own_entry, self._merge_gateways, clock, bounds)
+        hub.shares_gateways = False
+
+    def add_peers(self, addresses: Iterable[str]) -> None:
+        """Start to pull from these coordinators, except from this one and those that are known already."""
+        self._peers.add_peers(addresses)
+
+    def live_peers(self) -> list[str]:
+        """Return the addresses of the other coordinators that are live."""
+        return self._peers.live_peers(LIVE_PEER_MS)
+
+    def gateway_count(self) -> int:
+        """Return how many live gateways serve clients."""
+        return sum(1 for gateway in self._hub.gateways.values() if gateway.frontend)
+
+    def respond(self, request: StateRequest) -> Awaitable[Envelope]:
+        """Record the requester, a gateway or a coordinator, and reply with what it lacks."""
+        requester = decode_gateway(request.requester)
+        if requester.frontend:
+            self._registry.record_heartbeat(self._clock(), requester)
+            self._merge_gateways()
+        elif requester.address:
+            self._peers.add_peers((requester.address,))
+        return self._hub.respond(request)
+
+    def remove_expired_gateways(self) -> None:
+        """Remove the gateways without a recent heartbeat; share them from the end of the warm-up on."""
+        now_ms = self._clock()
+        self._hub.shares_gateways = now_ms - self._started_at > WARMUP_MS
+        self._registry.remove_expired(now_ms)
+        self._merge_gateways()
+
+    def set_live_coordinators(self, live_peers: Iterable[str], kept: Collection[str]) -> None:
+        """Share these coordinators and this one; remove the unresponsive ones that are no members or seeds (`kept`)."""
+        self._hub.coordinators = (self._own_entry().address, *live_peers)
+        self._peers.remove_unresponsive(kept)
+
+    def stop(self) -> None:
+        """Cancel the pulls."""
+        self._peers.stop()
+
+    def _merge_gateways(self) -> None:
+        if self._hub.direct_gateways.replace(self._registry.gateways):
+            self._hub.notify()
+        remote = [replica.gateways.items for replica in self._peers.live_replicas(LIVE_PEER_MS)]
+        self._hub.set_gateways(merge_gateways(self._registry.gateways, remote))
--- a/hallhitch/planes/distribution/gateway_sync.py
+++ b/hallhitch/planes/distribution/gateway_sync.py
@@ -1,229 +1,284 @@
-"""A gateway's pulls: from the coordinator in freshest contact with the core, from other gateways where none answers.
+"""Keeps a gateway's soft state in step with the cluster: which peers it pulls from, and when.
 
-Owns whom this gateway asks. At most one pull to a peer is under way. Where its answer is late the next coordinator is
-asked beside it, and the late answer is still taken in: nothing is fetched twice because a way is slow. A process that
-has no configuration begins with one that a majority confirmed, or with the newest of several gateways; after that it
-never goes back, whoever tells it.
+A gateway long-polls one coordinator: the first in its rendezvous order whose serving lease is valid. Where no
+coordinator replies, it pulls from a few other gateways.
+
+Invariants:
+- At most one request to a peer is under way. If its reply is late, the next coordinator is tried beside it, and the
+  late reply is still applied: nothing is fetched twice because a link is slow.
+- A first configuration comes from a coordinator with a valid serving lease, or is the newest that several gateways
+  use. From then on the serial only grows, whichever peer replies.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass
+from typing import Final
 
 from hallhitch.messages.system_pb2 import Envelope, StateUpdate
 from hallhitch.node.clock import now
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.node.settings import RuleBounds
-from hallhitch.planes.distribution.peer_replica import HOLD, Calls, PeerReplica, rendezvous
+from hallhitch.planes.distribution.peer_order import rendezvous_order
+from hallhitch.planes.distribution.peer_replica import HOLD_MS, PeerReplica
+from hallhitch.planes.distribution.ports import PeerCaller
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import Gateway, LeaseMembership
 
-FIRST = 800.0  # ms in which a process that has just started hears those it knows
-REST = 100.0  # ms between tries where nobody answers
-PROBE = 350.0  # ms in which a coordinator that is back answers a gateway that pulls from gateways
-PROBED = 3  # coordinators that are tried so
-WATCHED = 3  # gateways that one pulls from where no coordinator answers
-STAY = 3000.0  # ms after which a gateway that pulls from gateways goes through all coordinators again
-ANSWERS_TO_BEGIN = 2  # of a gateway, for a process that has nothing: the configuration, then the lists
-BESIDE = 3  # pulls under way beside each other
-PATIENCE_SHARE = 0.2  # of configApply: a pull that takes longer has another one asked beside it
-LATEST_SHARE = 0.6  # of configApply: a pull under way for longer is not counted among those beside each other
+STARTUP_WAIT_MS: Final = 800.0  # for the replies of the seeds, after the start of the process
+RETRY_PAUSE_MS: Final = 100.0  # after no peer replied
+COORDINATOR_PROBE_MS: Final = 350.0  # in which a coordinator that is back replies to a gateway that pulls from gateways
+PROBED_COORDINATORS: Final = 3  # at a time
+PEER_GATEWAYS: Final = 3  # that one pulls from where no coordinator replies
+COORDINATOR_RECHECK_MS: Final = 3000.0  # after it, a gateway that pulls from gateways tries all coordinators again
+BOOTSTRAP_PULLS: Final = 2  # from a gateway, by a process without state: the configuration, then everything else
+MAX_PARALLEL_REQUESTS: Final = 3
+REPLY_TIMEOUT_RATIO: Final = 0.2  # of configApply: if a reply takes longer, the next coordinator is tried beside it
+OVERDUE_RATIO: Final = 0.6  # of configApply: a request under way for longer does not count as a parallel one
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingRequest:
+    sent_at: float
+    task: asyncio.Task[bool]
+
+
+@dataclass(frozen=True, slots=True)
+class _Reply:
+    replica: PeerReplica
+    requested_at: float
+    update: StateUpdate
 
 
 class GatewaySync:
-    """All that this gateway knows of the others comes in here."""
+    """Pulls the soft state of the cluster into the hub of one gateway.
+
+    `start` creates the task that does; it and the requests under way end with `stop`.
+    """
 
     def __init__(
         self,
-        links: Calls,
+        links: PeerCaller,
         hub: StateHub,
-        own: Callable[[], Gateway],
+        own_entry: Callable[[], Gateway],
         seeds: Sequence[str],
         clock: Callable[[], float] = now,
         bounds: RuleBounds | None = None,
     ) -> None:
-        """`own` tells this gateway's entry of the moment."""
-        self._links, self._hub, self._own, self._seeds, self._clock = links, hub, own, tuple(seeds), clock
+        """`own_entry` returns this gateway as its peers shall know it now."""
+        self._links = links
+        self._hub = hub
+        self._own_entry = own_entry
+        self._seeds = tuple(seeds)
+        self._clock = clock
         self._bounds = bounds or RuleBounds()
         self._log = ComponentLogger("distribution")
         self._task: asyncio.Task[None] | None = None
-        self._sources: dict[str, PeerReplica] = {}
-        self._pulls: dict[str, tuple[float, asyncio.Task[bool]]] = {}  # under way: address -> since when, its task
-        self._followed = ""  # whose answer is waited for
-        self.asked_all = False  # whether those known at the start were heard, or had their time
+        self._replicas: dict[str, PeerReplica] = {}
+        self._pending: dict[str, _PendingRequest] = {}  # by address
+        self._awaited_address = ""  # of the peer whose reply `_run` waits for
+        self.is_startup_complete = False  # whether the seeds have replied, or had their time
 
     def start(self) -> None:
-        """Begin."""
+        """Start to pull."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """End."""
+        """Cancel the pulls."""
         if self._task is not None:
             self._task.cancel()
-        for _, pull in list(self._pulls.values()):
-            pull.cancel()
+        for pending in list(self._pending.values()):
+            pending.task.cancel()
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """The settings name other seeds."""
+        """Replace the addresses of the seeds."""
         self._seeds = tuple(seeds)
 
     def coordinators(self) -> list[str]:
-        """All coordinators that are known, the one this gateway prefers first."""
-        known = {*self._seeds, *self._hub.core, *self._hub.members}
-        return rendezvous(self._own().name, known)
+        """Return the addresses of all known coordinators, the preferred one first."""
+        known = {*self._seeds, *self._hub.coordinators, *self._hub.members}
+        return rendezvous_order(self._own_entry().name, known)
 
-    def say(self) -> None:
-        """This gateway's own entry has changed: say so now, not with the next pull."""
-        if self._followed in self._pulls:
-            self._pulls[self._followed][1].cancel()
+    def publish_self(self) -> None:
+        """Send this gateway's own entry, which has changed, now instead of with the next request."""
+        if self._awaited_address in self._pending:
+            self._pending[self._awaited_address].task.cancel()
 
     async def _run(self) -> None:
-        await self._hear_all()
-        self.asked_all = True
-        self._hub.changed()
+        await self._pull_from_seeds()
+        self.is_startup_complete = True
+        self._hub.notify()
         while True:
             try:
                 if not await self._follow_coordinators(self.coordinators()):
                     await self._pull_from_gateways()
-            except Exception as error:  # whatever came: news must go on
-                self._log.error(f"a pull failed: {type(error).__name__}: {error}")
-            await asyncio.sleep(REST / 1000)
-
-    async def _hear_all(self) -> None:
-        """Hear the seeds, for the freshest configuration: until most have answered, or their time is over."""
-        until = self._clock() + FIRST
-        pending = {self._begin(self._source(address), 0.0, lists=False) for address in self._seeds}
-        good, most = 0, len(pending) // 2 + 1
-        while pending and good < most and self._clock() < until:
-            left = max(0.0, until - self._clock()) / 1000
-            done, pending = await asyncio.wait(pending, timeout=left, return_when=asyncio.FIRST_COMPLETED)
-            good += sum(not pull.cancelled() and pull.result() for pull in done)
+            except Exception as error:  # whatever failed, state has to flow on
+                self._log.exception("state pull failed", error)
+            await asyncio.sleep(RETRY_PAUSE_MS / 1000)
+
+    # Which peers are pulled from.
+
+    async def _pull_from_seeds(self) -> None:
+        """Pull from the seeds, for the newest configuration, until a majority has replied or the time is over."""
+        deadline = self._clock() + STARTUP_WAIT_MS
+        requests = {self._request(self._replica(address), 0.0, with_view=False) for address in self._seeds}
+        await self._wait_for_replies(requests, len(requests) // 2 + 1, deadline)
 
     async def _follow_coordinators(self, addresses: Sequence[str]) -> bool:
-        """Pull from the first in contact with the core for as long as it is; False if no coordinator answers."""
-        lapsed: list[PeerReplica] = []
+        """Pull from the first coordinator with a serving lease as long as it is valid; False if none replied at all."""
+        without_lease: list[PeerReplica] = []
         for address in addresses:
-            source = self._source(address)
-            if address not in self._pulls and self._beside() >= BESIDE:
+            replica = self._replica(address)
+            if address not in self._pending and self._parallel_requests() >= MAX_PARALLEL_REQUESTS:
                 continue
-            hold = 0.0
-            while await self._pull(source, hold):
-                hold = HOLD
-                if source.lapsed:
-                    lapsed.append(source)
+            hold_ms = 0.0
+            while await self._pull(replica, hold_ms):
+                hold_ms = HOLD_MS
+                if replica.is_lease_expired:
+                    without_lease.append(replica)
                     break
-        if not lapsed:
+        if not without_lease:
             return False
-        # One that is out of contact is better than nobody; the one that lost it last knows most.
-        answered = await self._pull(max(lapsed, key=lambda one: one.contact_at), HOLD)
+        return await self._follow_without_lease(without_lease)
+
+    async def _follow_without_lease(self, replicas: Iterable[PeerReplica]) -> bool:
+        """Pull once from the coordinator whose lease expired last; return whether it replied."""
+        is_replied = await self._pull(max(replicas, key=lambda replica: replica.quorum_contact_at), HOLD_MS)
         if not self._hub.config.serial or not len(self._hub.backends):
-            # It tells no configuration that no majority confirms; the gateways that it hears may know the one in force.
-            for _ in range(ANSWERS_TO_BEGIN):
-                await self._take_newest(self._watched(), 0.0)
-        return answered
+            # Such a coordinator gives no first configuration; the gateways that it knows may have the one in force.
+            for _ in range(BOOTSTRAP_PULLS):
+                await self._pull_newest(self._peer_gateways(), 0.0)
+        return is_replied
 
     async def _pull_from_gateways(self) -> None:
-        """No coordinator answers: gateways may know more, and until then everything stays as it is."""
-        chosen = self._watched()
-        until, hold = self._clock() + STAY, 0.0
-        while chosen and self._clock() < until:
-            if not await self._take_newest(chosen, hold) or await self._coordinator_answers():
+        """Pull from gateways until a coordinator replies, or it is time to go through all of them again."""
+        gateways = self._peer_gateways()
+        deadline, hold_ms = self._clock() + COORDINATOR_RECHECK_MS, 0.0
+        while gateways and self._clock() < deadline:
+            if not await self._pull_newest(gateways, hold_ms) or await self._has_coordinator_reply():
                 return
-            hold = HOLD
-
-    def _watched(self) -> list[PeerReplica]:
-        """The gateways that this one asks."""
-        own = self._own().name
-        others = {g.name: g.address for g in self._hub.gateways.values() if g.frontend and g.name != own}
-        return [self._source(others[name], coordinator=False) for name in rendezvous(own, others)[:WATCHED]]
-
-    async def _take_newest(self, gateways: Iterable[PeerReplica], hold: float) -> bool:
-        """Pull from several gateways; the newest configuration first, so that no older one comes into force."""
-        pulls = [(source, self._clock(), self._ask(source, hold, self._wait_most(source))) for source in gateways]
-        answers = await asyncio.gather(*(pull for _, _, pull in pulls))
-        told = [(source, asked, news) for (source, asked, _), news in zip(pulls, answers, strict=True) if news]
-        for source, asked, news in sorted(told, key=lambda one: one[2].config.serial, reverse=True):
-            self._learn(source, news, asked, lists=False)
-        return bool(told)
-
-    async def _coordinator_answers(self) -> bool:
-        """Whether a coordinator answers again, within PROBE ms."""
-        pulls = [self._begin(self._source(address), 0.0, lists=True) for address in self.coordinators()[:PROBED]]
-        until = self._clock() + PROBE
-        pending = set(pulls)
-        while pending and self._clock() < until:
-            left = max(0.0, until - self._clock()) / 1000
-            done, pending = await asyncio.wait(pending, timeout=left, return_when=asyncio.FIRST_COMPLETED)
-            if any(not pull.cancelled() and pull.result() for pull in done):
-                return True
-        return False
-
-    def _source(self, address: str, *, coordinator: bool = True) -> PeerReplica:
-        source = self._sources.get(address)
-        if source is None:
-            source = self._sources[address] = PeerReplica(address, self._clock, coordinator=coordinator)
-        return source
-
-    def _beside(self) -> int:
-        """How many pulls are under way that may still be answered soon."""
-        overdue = self._clock() - HOLD - LATEST_SHARE * self._bounds.config_apply_ms
-        return sum(since > overdue for since, _ in self._pulls.values())
-
-    def _wait_most(self, source: PeerReplica) -> float:
-        """How long (ms) an answer of this peer is waited for before somebody else is asked beside it."""
-        return source.patience(PATIENCE_SHARE * self._bounds.config_apply_ms)
-
-    async def _pull(self, source: PeerReplica, hold: float) -> bool:
-        """Wait for the pull to this peer that is under way, or for a new one; whether there was an answer in its time.
-
-        One cut short by `say` counts as answered.
+            hold_ms = HOLD_MS
+
+    async def _has_coordinator_reply(self) -> bool:
+        """Return whether one of the preferred coordinators replies in time."""
+        addresses = self.coordinators()[:PROBED_COORDINATORS]
+        requests = {self._request(self._replica(address), 0.0, with_view=True) for address in addresses}
+        return await self._wait_for_replies(requests, 1, self._clock() + COORDINATOR_PROBE_MS)
+
+    async def _wait_for_replies(self, requests: set[asyncio.Task[bool]], needed: int, deadline: float) -> bool:
+        """Wait until as many requests as needed have had a reply; return whether they had by the deadline."""
+        pending, replies = set(requests), 0
+        while pending and replies < needed and self._clock() < deadline:
+            remaining_s = max(0.0, deadline - self._clock()) / 1000
+            done, pending = await asyncio.wait(pending, timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED)
+            replies += sum(_has_reply(request) for request in done)
+        return replies >= needed
+
+    def _peer_gateways(self) -> list[PeerReplica]:
+        """Return the gateways that this one pulls from, the preferred first."""
+        name = self._own_entry().name
+        addresses = {
+            gateway.name: gateway.address
+            for gateway in self._hub.gateways.values()
+            if gateway.frontend and gateway.name != name
+        }
+        preferred = rendezvous_order(name, addresses)[:PEER_GATEWAYS]
+        return [self._replica(addresses[peer], is_coordinator=False) for peer in preferred]
+
+    def _replica(self, address: str, *, is_coordinator: bool = True) -> PeerReplica:
+        replica = self._replicas.get(address)
+        if replica is None:
+            replica = PeerReplica(address, self._clock, is_coordinator=is_coordinator)
+            self._replicas[address] = replica
+        return replica
+
+    def _parallel_requests(self) -> int:
+        """Return how many requests are under way whose replies may still come soon."""
+        overdue_since = self._clock() - HOLD_MS - OVERDUE_RATIO * self._bounds.config_apply_ms
+        return sum(pending.sent_at > overdue_since for pending in self._pending.values())
+
+    def _reply_timeout_ms(self, replica: PeerReplica) -> float:
+        return replica.reply_timeout_ms(REPLY_TIMEOUT_RATIO * self._bounds.config_apply_ms)
+
+    # Requests and replies.
+
+    async def _pull(self, replica: PeerReplica, hold_ms: float) -> bool:
+        """Wait for the request to this peer that is under way, or for a new one; return whether it had a timely reply.
+
+        A request that `publish_self` cancelled counts as replied to.
         """
-        self._followed = source.address
-        pull = self._begin(source, hold, lists=True)
-        await asyncio.wait({pull}, timeout=(hold + self._wait_most(source)) / 1000)
-        return pull.done() and (pull.cancelled() or pull.result())
-
-    def _begin(self, source: PeerReplica, hold: float, *, lists: bool) -> asyncio.Task[bool]:
-        """The pull to this peer that is under way; a new one where there is none."""
-        under_way = self._pulls.get(source.address)
-        if under_way is not None:
-            return under_way[1]
-        pull = asyncio.ensure_future(self._exchange(source, hold, lists))
-        self._pulls[source.address] = self._clock(), pull
-        pull.add_done_callback(lambda done: self._ended(source.address, done))
-        return pull
-
-    def _ended(self, address: str, pull: asyncio.Task[bool]) -> None:
-        del self._pulls[address]
-        if not pull.cancelled() and (error := pull.exception()) is not None:
-            self._log.error(f"a pull failed: {type(error).__name__}: {error}")
-
-    async def _exchange(self, source: PeerReplica, hold: float, lists: bool) -> bool:
-        """One pull and its answer, taken in however late it comes; whether there was one."""
-        asked = self._clock()
-        news = await self._ask(source, hold, self._bounds.config_apply_ms)
-        if news is None:
+        self._awaited_address = replica.address
+        request = self._request(replica, hold_ms, with_view=True)
+        await asyncio.wait({request}, timeout=(hold_ms + self._reply_timeout_ms(replica)) / 1000)
+        return request.done() and (request.cancelled() or request.result())
+
+    def _request(self, replica: PeerReplica, hold_ms: float, *, with_view: bool) -> asyncio.Task[bool]:
+        """Return the request to this peer that is under way; send one if there is none."""
+        pending = self._pending.get(replica.address)
+        if pending is not None:
+            return pending.task
+        task = asyncio.ensure_future(self._exchange(replica, hold_ms, with_view=with_view))
+        self._pending[replica.address] = _PendingRequest(self._clock(), task)
+        task.add_done_callback(lambda done: self._on_request_done(replica.address, done))
+        return task
+
+    def _on_request_done(self, address: str, task: asyncio.Task[bool]) -> None:
+        del self._pending[address]
+        if not task.cancelled() and (error := task.exception()) is not None:
+            self._log.exception("state pull failed", error, peer=address)
+
+    async def _exchange(self, replica: PeerReplica, hold_ms: float, *, with_view: bool) -> bool:
+        """Send a request and apply its reply, however late that is; return whether there was one."""
+        requested_at = self._clock()
+        update = await self._fetch(replica, hold_ms, self._bounds.config_apply_ms)
+        if update is None:
             return False
-        self._learn(source, news, asked, lists)
+        self._apply(replica, update, requested_at, with_view=with_view)
         return True
 
-    async def _ask(self, source: PeerReplica, hold: float, wait: float) -> StateUpdate | None:
-        """What a peer tells; None for silence."""
-        pull = Envelope(state_request=source.pull(self._own(), self._hub, hold, False))
+    async def _pull_newest(self, replicas: Iterable[PeerReplica], hold_ms: float) -> bool:
+        """Pull from several gateways and apply the newest configuration first, so that no older one comes into force.
+
+        Returns whether any of them replied.
+        """
+        requests = [
+            (replica, self._clock(), self._fetch(replica, hold_ms, self._reply_timeout_ms(replica)))
+            for replica in replicas
+        ]
+        updates = await asyncio.gather(*(fetch for _, _, fetch in requests))
+        replies = [
+            _Reply(replica, requested_at, update)
+            for (replica, requested_at, _), update in zip(requests, updates, strict=True)
+            if update is not None
+        ]
+        replies.sort(key=lambda reply: reply.update.config.serial, reverse=True)
+        for reply in replies:
+            self._apply(reply.replica, reply.update, reply.requested_at, with_view=False)
+        return bool(replies)
+
+    async def _fetch(self, replica: PeerReplica, hold_ms: float, timeout_ms: float) -> StateUpdate | None:
+        """Return a peer's reply; None if there was none within the time-out beyond the hold."""
+        request = replica.build_request(self._own_entry(), self._hub, hold_ms, direct_only=False)
         try:
-            answer = await self._links.call(source.address, pull, hold + wait)
+            reply = await self._links.call(replica.address, Envelope(state_request=request), hold_ms + timeout_ms)
         except PeerCallError:
             return None
-        return answer.state_update if answer.HasField("state_update") else None
-
-    def _learn(self, source: PeerReplica, news: StateUpdate, asked: float, lists: bool) -> None:
-        """Take an answer in. Who the coordinators are is learned from those in contact, and from others at first."""
-        source.answered(news, asked, self._bounds.serving_lease_ms)
-        if news.coordinators and (not source.lapsed or not self._hub.core):
-            self._hub.core = tuple(news.coordinators)
-        if news.members and (not source.lapsed or not self._hub.members):
-            self._hub.members = tuple(news.members)
-        self._hub.set_membership(LeaseMembership.from_message(news.lease_membership))
-        source.take(news, self._hub, asked, lists)
+        return reply.state_update if reply.HasField("state_update") else None
+
+    def _apply(self, replica: PeerReplica, update: StateUpdate, requested_at: float, *, with_view: bool) -> None:
+        """Apply a reply; coordinators and members come from peers with a valid lease, and from others at first."""
+        replica.record_reply(update, requested_at, self._bounds.serving_lease_ms)
+        if update.coordinators and (not replica.is_lease_expired or not self._hub.coordinators):
+            self._hub.coordinators = tuple(update.coordinators)
+        if update.members and (not replica.is_lease_expired or not self._hub.members):
+            self._hub.members = tuple(update.members)
+        self._hub.update_lease_membership(LeaseMembership.from_message(update.lease_membership))
+        replica.apply(update, self._hub, requested_at, with_view=with_view)
+
+
+def _has_reply(request: asyncio.Task[bool]) -> bool:
+    """Return whether a request that is done had a reply."""
+    return not request.cancelled() and request.result()
--- a/hallhitch/planes/distribution/peer_replica.py
+++ b/hallhitch/planes/distribution/peer_replica.py
@@ -1,141 +1,128 @@
-"""One peer that is pulled from: what of its state was taken, how old its contact with the core is, how long it takes.
+"""What a process knows of one peer that it pulls from: its state, its contact with a quorum, the time of its replies.
 
-Moments that a peer tells as ages (of its list, of its contact with a majority) are counted back from `told_at`, the
-earliest moment at which the answer can have been written: when it was asked, and held back for as long as the peer
-says. So an answer that lay on its way for long, or that a frozen process sends when it wakes, never looks fresh.
+A peer tells points in time as ages, of its endpoint list and of its contact with a majority. They are counted back from
+the earliest moment at which the reply can have been written: when it was requested, and for how long the peer says that
+it held it back. A reply that was long on its way, or that a suspended process sends when it resumes, never looks fresh.
 """
 
 from __future__ import annotations
 
-import hashlib
-from collections.abc import Callable, Iterable
-from typing import Protocol
+from collections.abc import Callable
+from typing import Final
 
-from hallhitch.messages.system_pb2 import BackendMessage, Envelope, StateRequest, StateUpdate
+from hallhitch.messages.system_pb2 import StateRequest, StateUpdate
 from hallhitch.node.clock import now
 from hallhitch.node.round_trip import RoundTripEstimate
-from hallhitch.planes.discovery.endpoint_list import Listed
-from hallhitch.planes.distribution.state_hub import StateHub, entry_of, gateway_of
-from hallhitch.planes.distribution.versioned_map import VersionedReplica
+from hallhitch.planes.discovery.endpoint_list import ListedBackend
+from hallhitch.planes.distribution.state_hub import NEVER, StateHub
+from hallhitch.planes.distribution.state_messages import (
+    decode_backend_delta,
+    decode_gateway_delta,
+    decode_version,
+    encode_gateway,
+    encode_version,
+)
+from hallhitch.planes.distribution.versioned_map import Version, VersionedReplica
 from hallhitch.planes.values import Gateway
 
-HOLD = 500.0  # ms that a pull may be held back: also how often a process gives a sign of life
-FIRST_ANSWER = 700.0  # ms beyond that in which an answer comes where the way is not known yet, over regions too
-LEAST_ANSWER = 400.0  # ms that are always given: the two ways between regions, and a busy machine
-NEVER = float("-inf")
-
-
-class Calls(Protocol):
-    """What is used of messages.peer_links.PeerLinks."""
-
-    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
-        """See PeerLinks.call."""
-
-
-def rendezvous(own: str, others: Iterable[str]) -> list[str]:
-    """Others in the order that this name prefers them in: the same for it everywhere, another one for each name."""
-    return sorted(others, key=lambda other: hashlib.blake2b(f"{own} {other}".encode(), digest_size=8).digest())
-
-
-def listed_of(entry: BackendMessage, received: float) -> Listed:
-    """A backend as it is received."""
-    return Listed(
-        entry.instance,
-        entry.service,
-        entry.host,
-        entry.port,
-        entry.zone,
-        entry.slots,
-        entry.is_draining,
-        received + entry.warmup_remaining_ms if entry.warmup_remaining_ms > 0 else 0.0,
-    )
+HOLD_MS: Final = 500.0  # for which a peer may hold a reply back; also the interval of a process's heartbeats
+FIRST_REPLY_TIMEOUT_MS: Final = 700.0  # beyond the hold, before the round trip is known: enough between regions
+MIN_REPLY_TIMEOUT_MS: Final = 400.0  # beyond the hold, once it is known: a round trip between regions, a busy machine
 
 
 class PeerReplica:
-    """What was taken from one peer; kept when a pull is given up, as versions make a late answer harmless."""
-
-    def __init__(self, address: str, clock: Callable[[], float] = now, *, coordinator: bool = True) -> None:
-        self._clock, self.address, self._coordinator = clock, address, coordinator
-        self.met = clock()
-        self.incarnation, self.heard = 0, NEVER
-        self.contact_at = NEVER  # when a majority last confirmed this peer, at the latest
-        self.lapsed = True  # whether that was too long ago when it answered last
-        self.lease = 0.0  # ms for which a contact lets a coordinator speak for the core
-        self.trip = RoundTripEstimate()
-        self.backends: VersionedReplica[Listed] = VersionedReplica()
+    """The state of one peer. It is kept when a request is given up, as versions make a late reply harmless."""
+
+    def __init__(self, address: str, clock: Callable[[], float] = now, *, is_coordinator: bool = True) -> None:
+        self._clock = clock
+        self.address = address
+        self._is_coordinator = is_coordinator
+        self.created_at = clock()
+        self.replied_at = NEVER
+        self.incarnation = 0
+        self.quorum_contact_at = NEVER  # when a majority last confirmed this peer, at the latest
+        self.is_lease_expired = True  # whether its serving lease had expired when it replied last
+        self.serving_lease_ms = 0.0  # for which a contact with a majority lets a coordinator speak for the cluster
+        self.round_trip = RoundTripEstimate()
+        self.backends: VersionedReplica[ListedBackend] = VersionedReplica()
         self.gateways: VersionedReplica[Gateway] = VersionedReplica()
         self.holders: dict[int, str] = {}
-        self._holders = (0, 0)
-
-    def pull(self, own: Gateway, hub: StateHub, wait: float, direct: bool) -> StateRequest:
-        """What to ask this peer."""
-        pull = StateRequest(requester=entry_of(own), max_wait_ms=wait, direct_only=direct)
-        pull.known_versions["config"].number = hub.config.serial
-        for name, (epoch, number) in (
-            ("backends", (self.backends.epoch, self.backends.number)),
-            ("gateways", (self.gateways.epoch, self.gateways.number)),
-            ("holders", self._holders),
+        self._holders_version = Version()
+
+    def build_request(self, own: Gateway, hub: StateHub, max_wait_ms: float, *, direct_only: bool) -> StateRequest:
+        """Build the request for what this process lacks of the peer's state."""
+        request = StateRequest(requester=encode_gateway(own), max_wait_ms=max_wait_ms, direct_only=direct_only)
+        request.known_versions["config"].number = hub.config.serial
+        for name, version in (
+            ("backends", self.backends.version),
+            ("gateways", self.gateways.version),
+            ("holders", self._holders_version),
         ):
-            pull.known_versions[name].epoch, pull.known_versions[name].number = epoch, number
-        return pull
-
-    def patience(self, most: float) -> float:
-        """How long (ms) beyond a pull's hold an answer is waited for, by what the way took so far."""
-        if not self.trip.has_samples:
-            return min(FIRST_ANSWER, most)
-        return min(max(LEAST_ANSWER, self.trip.upper_bound_ms()), most)
-
-    def answered(self, news: StateUpdate, asked: float, lease: float) -> None:
-        """An answer came: learn the way, and how old the peer's contact with the core is. `lease` in ms."""
-        clock = self._clock()
-        told_at = min(clock, asked + max(0.0, news.held_back_ms))
-        self.heard, self.incarnation = clock, news.incarnation
-        self.trip.observe(max(1.0, clock - told_at))
-        self.lease = lease
-        self.lapsed = not 0 <= news.quorum_contact_age_ms <= lease
-        if news.quorum_contact_age_ms >= 0:
-            self.contact_at = max(self.contact_at, told_at - news.quorum_contact_age_ms)
-
-    def take(self, news: StateUpdate, hub: StateHub, asked: float, lists: bool) -> None:
-        """Take an answer in, however late; gateways and holders go into the hub only with `lists`."""
-        clock = self._clock()
-        told_at = min(clock, asked + max(0.0, news.held_back_ms))
-        self._take_config(news, hub)
-        if news.HasField("backends"):
-            b = news.backends
-            # Coldness is counted from now: a moment too long does no harm, one too short sends too much.
-            entries = ((e.instance, listed_of(e, clock)) for e in b.entries)
-            self.backends.take(b.version.epoch, b.version.number, b.is_snapshot, entries, b.removed, b.has_more_chunks)
-        if news.endpoint_list_age_ms and self.backends.complete and self.backends.epoch == news.incarnation:
-            hub.take_list(told_at - news.endpoint_list_age_ms, self.backends.items.values())
-        if news.HasField("gateways"):
-            g = news.gateways
-            gateways = ((e.address, gateway_of(e)) for e in g.entries)
-            self.gateways.take(g.version.epoch, g.version.number, g.is_snapshot, gateways, g.removed, g.has_more_chunks)
-        if news.HasField("holders"):
-            self._holders = news.holders.version.epoch, news.holders.version.number
-            self.holders = dict(news.holders.holders)
-        if lists:
-            self._tell_lists(news, hub)
-
-    def _take_config(self, news: StateUpdate, hub: StateHub) -> None:
-        """A process that has none begins with one that a majority confirmed, or that a gateway has in force."""
-        if not news.HasField("config") or self._coordinator and self.lapsed and not hub.config.serial:
+            request.known_versions[name].CopyFrom(encode_version(version))
+        return request
+
+    def reply_timeout_ms(self, max_ms: float) -> float:
+        """Return how long to wait for a reply beyond the hold, by the round trips so far."""
+        if not self.round_trip.has_samples:
+            return min(FIRST_REPLY_TIMEOUT_MS, max_ms)
+        return min(max(MIN_REPLY_TIMEOUT_MS, self.round_trip.upper_bound_ms()), max_ms)
+
+    def record_reply(self, update: StateUpdate, requested_at: float, serving_lease_ms: float) -> None:
+        """Learn the round trip from a reply, and how old the peer's contact with a majority is."""
+        received_at = self._clock()
+        written_at = _earliest_written_at(update, requested_at, received_at)
+        self.replied_at, self.incarnation = received_at, update.incarnation
+        self.round_trip.observe(max(1.0, received_at - written_at))
+        self.serving_lease_ms = serving_lease_ms
+        self.is_lease_expired = not 0 <= update.quorum_contact_age_ms <= serving_lease_ms
+        if update.quorum_contact_age_ms >= 0:
+            self.quorum_contact_at = max(self.quorum_contact_at, written_at - update.quorum_contact_age_ms)
+
+    def apply(self, update: StateUpdate, hub: StateHub, requested_at: float, *, with_view: bool) -> None:
+        """Apply a reply, however late it is; gateways and holders reach the hub only with `with_view`."""
+        received_at = self._clock()
+        written_at = _earliest_written_at(update, requested_at, received_at)
+        self._apply_config(update, hub)
+        if update.HasField("backends"):
+            self.backends.apply(decode_backend_delta(update.backends, received_at))
+        is_list_complete = self.backends.is_complete and self.backends.version.epoch == update.incarnation
+        if update.endpoint_list_age_ms and is_list_complete:
+            hub.update_backends(written_at - update.endpoint_list_age_ms, self.backends.items.values())
+        if update.HasField("gateways"):
+            self.gateways.apply(decode_gateway_delta(update.gateways))
+        if update.HasField("holders"):
+            self._holders_version = decode_version(update.holders.version)
+            self.holders = dict(update.holders.holders)
+        if with_view:
+            self._apply_view(update, hub)
+
+    def _apply_config(self, update: StateUpdate, hub: StateHub) -> None:
+        """Apply the configuration; a first one only from a coordinator with a lease, or from a gateway that uses it."""
+        if not update.HasField("config"):
+            return
+        is_first = not hub.config.serial
+        if is_first and self._is_coordinator and self.is_lease_expired:
             return
-        told = news.config
-        hub.take_config(told.serial, told.config_version, told.config, told.evacuated_zones, told.max_gateways)
-
-    def _tell_lists(self, news: StateUpdate, hub: StateHub) -> None:
-        """Gateways and holders: a peer out of contact may add gateways that it hears, and takes nobody away."""
-        fresh = not self.lapsed and self.contact_at >= hub.lists_contact
-        if not fresh and self._clock() - hub.lists_contact <= self.lease:
-            return  # somebody in fresher contact has told them
-        other = hub.lists_from != self.address
-        if (other or news.HasField("gateways")) and self.gateways.complete:
-            kept = {} if fresh else {g.address: g for g in hub.gateways.values()}
+        config = update.config
+        hub.update_config(
+            config.serial, config.config_version, config.config, config.evacuated_zones, config.max_gateways
+        )
+
+    def _apply_view(self, update: StateUpdate, hub: StateHub) -> None:
+        """Apply gateways and holders; a peer without a lease may add the gateways that it knows, and removes none."""
+        is_fresh = not self.is_lease_expired and self.quorum_contact_at >= hub.view_contact_at
+        if not is_fresh and self._clock() - hub.view_contact_at <= self.serving_lease_ms:
+            return  # the view is from a peer in fresher contact
+        is_new_source = hub.view_source != self.address
+        if (is_new_source or update.HasField("gateways")) and self.gateways.is_complete:
+            kept = {} if is_fresh else {gateway.address: gateway for gateway in hub.gateways.values()}
             hub.set_gateways({**kept, **self.gateways.items})
-            hub.lists_from = self.address
-        if (other or news.HasField("holders")) and (fresh or not hub.holders):
+            hub.view_source = self.address
+        if (is_new_source or update.HasField("holders")) and (is_fresh or not hub.holders):
             hub.set_holders(self.holders)
-        if fresh:
-            hub.lists_contact = self.contact_at
+        if is_fresh:
+            hub.view_contact_at = self.quorum_contact_at
+
+
+def _earliest_written_at(update: StateUpdate, requested_at: float, received_at: float) -> float:
+    return min(received_at, requested_at + max(0.0, update.held_back_ms))
--- a/hallhitch/planes/distribution/peer_sync.py
+++ b/hallhitch/planes/distribution/peer_sync.py
@@ -1,94 +1,108 @@
-"""A coordinator's pulls: from each other coordinator, all the time.
+"""Keeps a coordinator in step with its peers: it long-polls each other coordinator all the time.
 
-Owns one task and one `Source` for each. What was taken is kept over pulls that failed: versions make it harmless.
+Owns one task and one `PeerReplica` for each of them. The state of a peer is kept over requests that failed.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Collection, Iterable
+from typing import Final
 
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.clock import now
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.settings import RuleBounds
-from hallhitch.planes.distribution.peer_replica import HOLD, Calls, PeerReplica
+from hallhitch.planes.distribution.peer_replica import HOLD_MS, PeerReplica
+from hallhitch.planes.distribution.ports import PeerCaller
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import Gateway
 
-REST = 200.0  # ms between tries where nobody answers
-SLOWEST_SHARE = 0.6  # of contactWindow: an answer that takes longer is given up
-FORGET_AFTER = 4  # contact windows of silence after which a coordinator that nobody names is not asked any more
+RETRY_PAUSE_MS: Final = 200.0  # after a peer did not reply
+MAX_REPLY_TIMEOUT_RATIO: Final = 0.6  # of contactWindow: a reply that takes longer beyond the hold is given up
+REMOVE_AFTER_WINDOWS: Final = 4  # of contactWindow without a reply, for a coordinator that is no member and no seed
 
 
 class PeerSync:
-    """All other coordinators that there may be."""
+    """Pulls the state of all other coordinators, until `stop`."""
 
     def __init__(
         self,
-        links: Calls,
+        links: PeerCaller,
         hub: StateHub,
-        own: Callable[[], Gateway],
-        heard: Callable[[], None],
+        own_entry: Callable[[], Gateway],
+        on_attempt: Callable[[], None],
         clock: Callable[[], float] = now,
         bounds: RuleBounds | None = None,
     ) -> None:
-        """`heard` is told after each answer."""
-        self._links, self._hub, self._own, self._heard, self._clock = links, hub, own, heard, clock
+        """`on_attempt` is called after each reply, and after each request that had none."""
+        self._links = links
+        self._hub = hub
+        self._own_entry = own_entry
+        self._on_attempt = on_attempt
+        self._clock = clock
         self._bounds = bounds or RuleBounds()
-        self.sources: dict[str, PeerReplica] = {}
+        self.replicas: dict[str, PeerReplica] = {}  # by address
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
-    def meet(self, addresses: Iterable[str]) -> None:
-        """Coordinators that there may be; those already known stay until `leave`."""
+    def add_peers(self, addresses: Iterable[str]) -> None:
+        """Start to pull from these coordinators, except from this one and those that are known already."""
         for address in addresses:
-            if address != self._own().address and address not in self._tasks:
-                self.sources[address] = PeerReplica(address, self._clock)
-                self._tasks[address] = asyncio.ensure_future(self._follow(self.sources[address]))
+            if address != self._own_entry().address and address not in self._tasks:
+                replica = self.replicas[address] = PeerReplica(address, self._clock)
+                self._tasks[address] = asyncio.ensure_future(self._follow(replica))
 
-    def leave(self, address: str) -> None:
-        """One that is gone for good."""
+    def remove_peer(self, address: str) -> None:
+        """Stop to pull from a coordinator, and forget its state."""
         task = self._tasks.pop(address, None)
         if task is not None:
             task.cancel()
-            del self.sources[address]
+            del self.replicas[address]
 
-    def forget_gone(self, named: Collection[str]) -> None:
-        """Let those go that were silent for long, but for members and seeds (`named`). One that is back pulls here."""
-        bound = self._clock() - FORGET_AFTER * self._bounds.contact_window_ms
-        for address, source in list(self.sources.items()):
-            if address not in named and max(source.heard, source.met) < bound:
-                self.leave(address)
+    def remove_unresponsive(self, kept: Collection[str]) -> None:
+        """Remove the peers that have not replied for long, except members and seeds (`kept`).
+
+        One that is back pulls from this coordinator, which adds it again.
+        """
+        oldest = self._clock() - REMOVE_AFTER_WINDOWS * self._bounds.contact_window_ms
+        for address, replica in list(self.replicas.items()):
+            if address not in kept and max(replica.replied_at, replica.created_at) < oldest:
+                self.remove_peer(address)
 
     def stop(self) -> None:
-        """End."""
+        """Cancel the pulls."""
         for address in list(self._tasks):
-            self.leave(address)
+            self.remove_peer(address)
+
+    def live_peers(self, within_ms: float) -> list[str]:
+        """Return the addresses of the peers that have replied within this time."""
+        return [replica.address for replica in self.live_replicas(within_ms)]
 
-    def alive(self, within: float) -> list[str]:
-        """Those that answered within so many ms."""
-        return [address for address, source in self.sources.items() if self._clock() - source.heard < within]
+    def live_replicas(self, within_ms: float) -> list[PeerReplica]:
+        """Return the replicas of the peers that have replied within this time."""
+        return [replica for replica in self.replicas.values() if self._clock() - replica.replied_at < within_ms]
 
-    async def _follow(self, source: PeerReplica) -> None:
+    async def _follow(self, replica: PeerReplica) -> None:
         while True:
-            if not await self._pull(source):
-                self._heard()
-                await asyncio.sleep(REST / 1000)
-
-    async def _pull(self, source: PeerReplica) -> bool:
-        """One pull; whether there was an answer."""
-        asked = self._clock()
-        pull = Envelope(state_request=source.pull(self._own(), self._hub, HOLD, True))
-        wait = HOLD + source.patience(SLOWEST_SHARE * self._bounds.contact_window_ms)
+            if not await self._pull(replica):
+                self._on_attempt()
+                await asyncio.sleep(RETRY_PAUSE_MS / 1000)
+
+    async def _pull(self, replica: PeerReplica) -> bool:
+        """Send one request and apply its reply; return whether there was one."""
+        requested_at = self._clock()
+        request = replica.build_request(self._own_entry(), self._hub, HOLD_MS, direct_only=True)
+        timeout_ms = HOLD_MS + replica.reply_timeout_ms(MAX_REPLY_TIMEOUT_RATIO * self._bounds.contact_window_ms)
         try:
-            answer = await self._links.call(source.address, pull, wait)
+            reply = await self._links.call(replica.address, Envelope(state_request=request), timeout_ms)
         except PeerCallError:
-            source.trip.observe(max(1.0, self._clock() - asked - HOLD))
+            replica.round_trip.observe(max(1.0, self._clock() - requested_at - HOLD_MS))
             return False
-        if not answer.HasField("state_update"):
+        if not reply.HasField("state_update"):
             return False
-        source.answered(answer.state_update, asked, self._bounds.serving_lease_ms)
-        source.take(answer.state_update, self._hub, asked, lists=False)
-        self.meet(answer.state_update.coordinators)
-        self._heard()
+        update = reply.state_update
+        replica.record_reply(update, requested_at, self._bounds.serving_lease_ms)
+        replica.apply(update, self._hub, requested_at, with_view=False)
+        self.add_peers(update.coordinators)
+        self._on_attempt()
         return True
--- a/hallhitch/planes/distribution/versioned_map.py
+++ b/hallhitch/planes/distribution/versioned_map.py
@@ -1,42 +1,56 @@
-"""Keyed values with a version that grows by each change, for those who have an older one. No I/O, no clock.
-
-A version is (epoch, number): the epoch is the incarnation of the process that numbers, so that numbers of a former
-incarnation are
-never taken for its own. Whoever has another epoch, or a number too old to be followed from, is given the whole.
+"""A map that numbers its changes, and replicas of it that follow by snapshots and deltas. No I/O and no clock.
+
+Invariants:
+- A version is an epoch and a number. The epoch is the incarnation of the process that owns the map, so numbers of an
+  earlier incarnation are never compared with those of a later one.
+- Each change of the map increments the number.
+- A replica that has another epoch, or a number older than the removals that the map remembers, gets a snapshot.
+- A replica with `is_complete` equals the map as it was at the replica's version.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_left
-from collections.abc import Iterable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Generic, TypeVar
+from typing import Final, Generic, TypeVar
 
 V = TypeVar("V")
-PIECE = 500  # entries in one answer: some 35 kB, which a thin link of 2 Mbit/s carries in an eighth of a second
-GONE_KEPT = 2048  # keys that went, remembered for those who follow by changes
+CHUNK_ENTRIES: Final = 500  # in one reply: some 35 kB, which a link of 2 Mbit/s carries in an eighth of a second
+MAX_REMOVED_KEYS: Final = 2048  # remembered for replicas that follow by deltas
+
+
+@dataclass(frozen=True, slots=True)
+class Version:
+    """A version of a map; the default is older than any."""
+
+    epoch: int = 0
+    number: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Delta(Generic[V]):
-    """What somebody lacks: all there is (`whole`), or what changed since the version it has."""
+    """What a replica lacks: the whole map (`is_snapshot`), or what changed since the version that the replica has.
+
+    With `has_more_chunks` it is only a part of that, and leads to `version`, which is not yet the newest.
+    """
 
-    epoch: int
-    number: int
-    whole: bool
+    version: Version
+    is_snapshot: bool
     entries: Mapping[str, V]
-    gone: tuple[str, ...]
-    more: bool = False  # a piece: `number` is as far as it reaches
+    removed: tuple[str, ...]
+    has_more_chunks: bool = False
 
 
 class VersionedMap(Generic[V]):
-    """One source of news."""
+    """A map that can tell what changed since an earlier version."""
 
     def __init__(self, epoch: int) -> None:
-        self.epoch, self.number = epoch, 0
-        self._items: dict[str, tuple[int, V]] = {}
-        self._gone: dict[str, int] = {}
-        self._floor = 0  # numbers below this cannot be followed from
+        self.epoch = epoch
+        self.number = 0
+        self._items: dict[str, tuple[int, V]] = {}  # with the number of the latest change
+        self._removed: dict[str, int] = {}  # with the number of the removal, oldest first
+        self._oldest_base = 0  # replicas below this number need a snapshot
 
     def __len__(self) -> int:
         return len(self._items)
@@ -44,105 +58,106 @@
     def __contains__(self, key: str) -> bool:
         return key in self._items
 
+    @property
+    def version(self) -> Version:
+        """The newest version."""
+        return Version(self.epoch, self.number)
+
     def get(self, key: str) -> V | None:
-        """The value of a key, if there is one."""
+        """Return the value of a key, if there is one."""
         item = self._items.get(key)
         return item[1] if item is not None else None
 
     def values(self) -> list[V]:
-        """All values there are."""
+        """Return all values."""
         return [value for _, value in self._items.values()]
 
     def keys(self) -> list[str]:
-        """All keys there are."""
+        """Return all keys."""
         return list(self._items)
 
     def put(self, key: str, value: V) -> bool:
-        """Set a value; whether that changed anything."""
+        """Set a value; return whether that changed the map."""
         item = self._items.get(key)
         if item is not None and item[1] == value:
             return False
         self.number += 1
         self._items[key] = self.number, value
-        self._gone.pop(key, None)
+        self._removed.pop(key, None)
         return True
 
-    def drop(self, key: str) -> bool:
-        """Take a key away; whether it was there."""
+    def remove(self, key: str) -> bool:
+        """Remove a key; return whether it was there."""
         if self._items.pop(key, None) is None:
             return False
         self.number += 1
-        self._gone[key] = self.number
-        if len(self._gone) > GONE_KEPT:
-            oldest = next(iter(self._gone))
-            self._floor = max(self._floor, self._gone.pop(oldest))
+        self._removed[key] = self.number
+        if len(self._removed) > MAX_REMOVED_KEYS:
+            oldest = next(iter(self._removed))
+            self._oldest_base = max(self._oldest_base, self._removed.pop(oldest))
         return True
 
     def replace(self, items: Mapping[str, V]) -> bool:
-        """Set all values at once; whether that changed anything."""
+        """Set the whole map; return whether that changed it."""
         changed = False
         for key in [key for key in self._items if key not in items]:
-            changed |= self.drop(key)
+            changed |= self.remove(key)
         for key, value in items.items():
             changed |= self.put(key, value)
         return changed
 
-    def since(self, epoch: int, number: int) -> Delta[V] | None:
-        """What one that has this version lacks; None if nothing."""
-        if epoch == self.epoch and number >= self.number:
+    def delta_since(self, version: Version) -> Delta[V] | None:
+        """Return what a replica of this version lacks, at most one chunk of it; None if it is up to date."""
+        if version.epoch == self.epoch and version.number >= self.number:
             return None
-        whole = epoch != self.epoch or number < self._floor
-        after = -1 if whole else number
-        changed = sorted((n, key) for key, (n, _) in self._items.items() if n > after)
-        if not whole:
-            changed = sorted([*changed, *((n, key) for key, n in self._gone.items() if n > after)])
-        # A piece of the whole reaches the floor at least: from below it nobody can go on by changes.
-        most = max(PIECE, bisect_left(changed, (self._floor, ""))) if whole else PIECE
-        more = len(changed) > most
-        changed = changed[:most]
+        is_snapshot = version.epoch != self.epoch or version.number < self._oldest_base
+        base = -1 if is_snapshot else version.number
+        changes = [(number, key) for key, (number, _) in self._items.items() if number > base]
+        if not is_snapshot:
+            changes += [(number, key) for key, number in self._removed.items() if number > base]
+        changes.sort()
+        chunk_size = CHUNK_ENTRIES
+        if is_snapshot:  # its first chunk reaches the oldest base: from below that, no delta can follow
+            chunk_size = max(chunk_size, bisect_left(changes, (self._oldest_base, "")))
+        has_more_chunks = len(changes) > chunk_size
+        changes = changes[:chunk_size]
         return Delta(
-            self.epoch,
-            changed[-1][0] if more else self.number,
-            whole,
-            {key: self._items[key][1] for _, key in changed if key in self._items},
-            tuple(key for _, key in changed if key not in self._items),
-            more,
+            version=Version(self.epoch, changes[-1][0] if has_more_chunks else self.number),
+            is_snapshot=is_snapshot,
+            entries={key: self._items[key][1] for _, key in changes if key in self._items},
+            removed=tuple(key for _, key in changes if key not in self._items),
+            has_more_chunks=has_more_chunks,
         )
 
 
 class VersionedReplica(Generic[V]):
-    """Another process's feed, as far as it was told."""
+    """A copy of another process's map, as of the last delta that was received."""
 
     def __init__(self) -> None:
-        self.epoch = self.number = 0
+        self.version = Version()
         self.items: dict[str, V] = {}
-        self.complete = False  # whether `items` is all that there was at `number`, and not a piece
-
-    def take(
-        self,
-        epoch: int,
-        number: int,
-        whole: bool,
-        entries: Iterable[tuple[str, V]],
-        gone: Iterable[str],
-        more: bool = False,
-    ) -> bool:
-        """Take changes in; False if they do not follow from what is known (ask for the whole then)."""
-        if epoch == self.epoch and number <= self.number and not whole:
-            return True  # an answer that was overtaken
-        if whole:
-            self.items = dict(entries)
-        elif epoch != self.epoch:
-            self.forget()
+        self.is_complete = False  # whether `items` is the whole map at `version`, and no chunk is missing
+
+    def apply(self, delta: Delta[V]) -> bool:
+        """Apply a delta; return False if it does not follow from `version`, so that a snapshot has to be requested."""
+        is_same_epoch = delta.version.epoch == self.version.epoch
+        is_outdated = is_same_epoch and delta.version.number <= self.version.number
+        if is_outdated and not delta.is_snapshot:
+            return True
+        if delta.is_snapshot:
+            self.items = dict(delta.entries)
+        elif not is_same_epoch:
+            self.reset()
             return False
         else:
-            self.items.update(entries)
-            for key in gone:
+            self.items.update(delta.entries)
+            for key in delta.removed:
                 self.items.pop(key, None)
-        self.epoch, self.number, self.complete = epoch, number, not more
+        self.version = delta.version
+        self.is_complete = not delta.has_more_chunks
         return True
 
-    def forget(self) -> None:
-        """Ask for the whole next time."""
-        self.epoch = self.number = 0
-        self.complete = False
+    def reset(self) -> None:
+        """Forget the version, so that the next request asks for a snapshot."""
+        self.version = Version()
+        self.is_complete = False
--- a/hallhitch/programs/__init__.py
+++ b/hallhitch/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The system's programs: they read the settings, build the planes, run them and end in order. They decide nothing."""
+"""The programs of the system: they read the settings, build the planes, run them and shut them down in order."""
--- a/hallhitch/programs/coordinator.py
+++ b/hallhitch/programs/coordinator.py
@@ -1,46 +1,41 @@
-"""The coordinator: keeps the cluster configuration, reads the platform's list, tells gateways.
+"""The coordinator: replicates the cluster state, reads the endpoint list, distributes state, votes on quota leases.
 
-`python -O -m hallhitch.programs.coordinator`
+Run it with `python -O -m hallhitch.programs.coordinator`. This module only wires the planes together.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import math
 import random
 from collections.abc import Awaitable
+from typing import Final
 
 from hallhitch.messages.system_pb2 import ClusterState, Envelope
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.http_server import HttpReply, HttpServer
-from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.operator_api import OperatorApi
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.discovery.directory import Directory
-from hallhitch.planes.discovery.endpoint_list import due, turn
-from hallhitch.planes.discovery.gateway_registry import GatewayRegistry, united
-from hallhitch.planes.discovery.platform import Platform
-from hallhitch.planes.distribution.peer_sync import PeerSync
-from hallhitch.planes.distribution.state_hub import StateHub, gateway_of
+from hallhitch.planes.discovery.endpoint_list import is_read_due, reader_rank
+from hallhitch.planes.discovery.endpoint_list_reader import EndpointListReader, reading_interval_ms
+from hallhitch.planes.discovery.gateway_registry import gateways_to_record
+from hallhitch.planes.discovery.platform_client import EndpointListReading, PlatformClient
+from hallhitch.planes.distribution.coordinator_sync import CoordinatorSync
+from hallhitch.planes.distribution.state_hub import NEVER, StateHub
 from hallhitch.planes.quota.lease import LEASE, MARGIN
 from hallhitch.planes.quota.plane import LeaseKeeper
 from hallhitch.planes.values import Gateway
 from hallhitch.programs.running import main
 from hallhitch.programs.runtime import Runtime
 
-TICK = 100.0  # ms between looks at who fell silent and whether the list is to be read
-YOUNG = 600.0  # ms after its start in which a coordinator knows too few gateways to tell of them
-ALIVE = 1800.0  # ms within which another coordinator answered to count as live
-LIST_SHARE = 0.2  # of the drain bound: how often the list is read; its way to the last gateway takes the rest
-LIST_MOST = 1000.0  # ms between readings at most
-FLEET = "gateways"  # the note of how many there may be: reserves of quotas are cut by it after a loss of everything
-FLEET_ROOM = 1.1  # how many more there may be than are seen, before it is noted anew
-NOTE_EVERY = 1000.0  # ms between two tries to note it
-LEAVING_SHARE = 0.5  # of the grace period, to hand the seat on; the rest is for calls under way
-BODY_MOST = 32 * 1024 * 1024
+MAINTENANCE_INTERVAL_MS: Final = 100.0  # between looks at which gateways and coordinators are live
+MAX_GATEWAYS_ANNOTATION: Final = "gateways"  # of the cluster state, as stored
+MAX_GATEWAYS_INTERVAL_MS: Final = 1000.0  # between attempts to record it, and the time-out of one
+HANDOVER_RATIO: Final = 0.5  # of gracePeriod, to hand the membership over; the rest is for calls under way
+MAX_BODY_BYTES: Final = 32 * 1024 * 1024  # of an operator's call: the largest configuration that is accepted
 
 
 class CoordinatorProgram:
@@ -48,164 +43,159 @@
 
     def __init__(self, node: NodeSettings, runtime: Runtime | None = None) -> None:
         runtime = runtime or Runtime()
-        self._node, self._log, self._clock = node, ComponentLogger("coordinator"), runtime.clock
-        self._incarnation = runtime.random.getrandbits(62) + 1
-        self._began, self._contact = self._clock(), False
+        self._node = node
+        self._clock = runtime.clock
+        self._incarnation = runtime.draw_incarnation()
+        self._had_quorum_contact = False
         self._links = runtime.connect(node.cluster_name, node.internal_address, self._incarnation, self._handle)
         self._hub = StateHub(self._incarnation, self._clock)
-        self._hub.tells_gateways = False
-        self._registry = GatewayRegistry()
-        self._peer_sync = PeerSync(self._links, self._hub, self._own, self._unite, self._clock, node.bounds)
+        self._sync = CoordinatorSync(self._links, self._hub, self._own_entry, self._clock, node.bounds)
         self._control = ControlPlane(
             node,
             self._links,
-            self._told,
+            self._on_commit,
             disk=runtime.disk,
             run=runtime.run,
             clock=self._clock,
             rng=random.Random(runtime.random.getrandbits(64)),
             lease_ms=LEASE + MARGIN,
         )
-        self._hub.contact_age = self._contact_age
-        self._hub.hands_first_config = self._has_contact
+        self._hub.quorum_contact_age_ms = lambda: self._control.lease.age_ms(self._clock())
+        self._hub.can_bootstrap_peers = lambda: self._control.has_quorum_contact
         self._leases = LeaseKeeper(self._clock, runtime.random.getrandbits(48))
-        self._orders = OperatorApi(node, self._control, self._clock)
+        self._operator_api = OperatorApi(node, self._control, self._clock)
+        self._operator_server = HttpServer("operator", self._operator_api.handle, MAX_BODY_BYTES)
         self._directory = Directory(node.region_by_zone, node.bounds.max_ttl_ms)
-        self._platform = Platform(node.cloud_api_address) if node.cloud_api_address is not None else None
-        self._rarely = RateLimitedLog(ComponentLogger("list"))
-        self._operator = HttpServer("operator", self._orders.handle, BODY_MOST)
-        self._resolve = HttpServer("directory", self._resolved)
-        self._every = min(LIST_MOST, node.bounds.drain_timeout_ms * LIST_SHARE)
+        self._directory_server = HttpServer("directory", self._handle_resolve)
+        self._reading_interval_ms = reading_interval_ms(node.bounds.drain_timeout_ms)
+        self._list_reader = self._build_list_reader()
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _own(self) -> Gateway:
-        n = self._node
-        return Gateway(n.name, n.internal_address, self._incarnation, n.machine_class, n.zone, n.region)
-
-    def _resolved(self, method: str, target: str, body: bytes) -> HttpReply:
-        """Where clients go: without contact with the core, only to gateways that this process hears itself."""
-        gateways = self._hub.gateways if self._control.has_quorum_contact else self._hub.direct
-        return self._directory.call(method, target, gateways.values())
-
-    def _contact_age(self) -> float:
-        return self._control.lease.age_ms(self._clock())
-
-    def _has_contact(self) -> bool:
-        return self._control.has_quorum_contact
-
-    def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
-        if envelope.HasField("state_request"):
-            return self._pulled(envelope)
-        if envelope.HasField("lease_request"):
-            self._leases.set_membership(self._control.lease_membership)
-            granted = self._leases.handle(envelope)
-            self._hub.set_holders(self._leases.holders(self._clock()))
-            return granted
-        answer = self._control.handle(envelope)
-        return answer if answer is not None else Envelope(error="a coordinator does not answer that")
-
-    def _pulled(self, envelope: Envelope) -> Awaitable[Envelope]:
-        other = gateway_of(envelope.state_request.requester)
-        if other.frontend:
-            self._registry.hear(self._clock(), other)
-            self._unite()
-        elif other.address:
-            self._peer_sync.meet((other.address,))
-        return self._hub.answer(envelope.state_request)
-
-    def _unite(self) -> None:
-        """Who incarnations, out of what is heard here and by the others."""
-        if self._hub.direct.replace(self._registry.entries):
-            self._hub.changed()
-        clock = self._clock()
-        self._hub.set_gateways(
-            united(
-                self._registry.entries,
-                [s.gateways.items for s in self._peer_sync.sources.values() if clock - s.heard < ALIVE],
-            )
+    def _build_list_reader(self) -> EndpointListReader | None:
+        if self._node.cloud_api_address is None:
+            return None
+        client = PlatformClient(self._node.cloud_api_address)
+        return EndpointListReader(
+            client, self._reading_interval_ms, self._is_read_due, self._on_list_reading, self._clock
         )
 
-    def _told(self, value: ClusterState) -> None:
-        """The register has a newer word."""
-        self._hub.members = tuple(value.members)
-        self._hub.set_membership(self._control.lease_membership)
-        self._hub.take_config(
-            value.serial, value.config_version, value.config, value.evacuations, int(value.annotations.get(FLEET, "0"))
-        )
-        self._peer_sync.meet(value.members)
+    # Start and shutdown.
 
     async def start(self) -> None:
-        """The register first; then whoever asks."""
+        """Load the cluster state first, then serve."""
         await self._links.serve(self._node.internal_address)
         await self._control.start()
-        self._peer_sync.meet(self._node.seed_addresses)
-        for name, web in (("controlPlane", self._operator), ("directoryApi", self._resolve)):
+        self._sync.add_peers(self._node.seed_addresses)
+        for name, server in (("controlPlane", self._operator_server), ("directoryApi", self._directory_server)):
             if name in self._node.listen_addresses:
-                await web.serve(self._node.listen_addresses[name])
-        self._tasks = [asyncio.ensure_future(task) for task in (self._look(), self._read(), self._note())]
+                await server.serve(self._node.listen_addresses[name])
+        loops = (self._maintain(), self._read_endpoint_list(), self._record_max_gateways())
+        self._tasks = [asyncio.ensure_future(loop) for loop in loops]
 
-    async def _look(self) -> None:
-        """Now and then: who fell silent, who is out of touch."""
-        while True:
-            await asyncio.sleep(TICK / 1000)
-            clock = self._clock()
-            self._hub.tells_gateways = clock - self._began > YOUNG
-            self._registry.forget_silent(clock)
-            self._unite()
-            alive = self._peer_sync.alive(ALIVE)
-            self._control.set_live_coordinators(alive)
-            self._hub.core = (self._node.internal_address, *alive)
-            self._peer_sync.forget_gone({*self._control.members, *self._node.seed_addresses})
-            if self._contact != self._control.has_quorum_contact:
-                self._contact = not self._contact
-                self._hub.changed()  # pulls that wait may be answered now, or are better told at once
-            self._hub.set_holders(self._leases.holders(clock))
-
-    async def _note(self) -> None:
-        """Write down how many gateways there may be, where there are more than was noted."""
-        while True:
-            await asyncio.sleep(NOTE_EVERY / 1000)
-            seen = sum(1 for g in self._hub.gateways.values() if g.frontend)
-            noted = int(self._control.committed_state.annotations.get(FLEET, "0"))
-            mine = turn(self._node.internal_address, self._peer_sync.alive(ALIVE)) == 0
-            if seen > noted and mine and self._control.has_quorum_contact:
-                with contextlib.suppress(PeerCallError, TimeoutError):
-                    await self._control.propose(
-                        state_transitions.annotate(FLEET, str(math.ceil(seen * FLEET_ROOM))), NOTE_EVERY
-                    )
-
-    async def _read(self) -> None:
-        """The platform's list, where it is this coordinator's turn and a majority has confirmed it once."""
-        while self._platform is not None:
-            await asyncio.sleep(TICK / 2000)
-            place = turn(self._node.internal_address, self._peer_sync.alive(ALIVE))
-            confirmed = self._control.lease.confirmed_at_ms > float("-inf")
-            if confirmed and due(self._clock() - self._hub.read_at, place, self._every):
-                try:
-                    self._hub.take_list(*await self._platform.read())
-                except PeerCallError as error:
-                    self._rarely.warning(self._clock(), str(error))
-                    await asyncio.sleep(self._every / 4000)
-
-    def settings(self, node: NodeSettings) -> None:
-        """Other seeds; the rest holds from the next start on."""
+    def apply_settings(self, node: NodeSettings) -> None:
+        """Apply the settings that may change at run time: seeds, and those of the control plane."""
         self._control.apply_settings(node)
-        self._orders.apply_settings(node)
-        self._peer_sync.meet(node.seed_addresses)
-
-    async def leave(self) -> None:
-        """The seat in the register goes to another while calls are answered; then those under way end."""
-        await self._control.leave(LEAVING_SHARE * self._node.bounds.grace_period_ms)
-        for web in (self._operator, self._resolve):
-            await web.close()
+        self._operator_api.apply_settings(node)
+        self._sync.add_peers(node.seed_addresses)
+
+    async def shut_down(self) -> None:
+        """Hand the membership over while calls are still answered, then let those under way end, then stop."""
+        await self._control.leave(HANDOVER_RATIO * self._node.bounds.grace_period_ms)
+        for server in (self._operator_server, self._directory_server):
+            await server.close()
         for task in self._tasks:
             task.cancel()
-        self._peer_sync.stop()
+        self._sync.stop()
         await self._control.stop()
-        if self._platform is not None:
-            self._platform.close()
+        if self._list_reader is not None:
+            self._list_reader.close()
         self._links.close()
 
+    # Calls from other processes and from clients.
+
+    def _own_entry(self) -> Gateway:
+        node = self._node
+        return Gateway(
+            name=node.name,
+            address=node.internal_address,
+            incarnation=self._incarnation,
+            machine_class=node.machine_class,
+            zone=node.zone,
+            region=node.region,
+        )
+
+    def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
+        if envelope.HasField("state_request"):
+            return self._sync.respond(envelope.state_request)
+        if envelope.HasField("lease_request"):
+            return self._handle_lease_request(envelope)
+        reply = self._control.handle(envelope)
+        return reply if reply is not None else Envelope(error="a coordinator does not answer that")
+
+    def _handle_lease_request(self, envelope: Envelope) -> Envelope:
+        self._leases.set_membership(self._control.lease_membership)
+        reply = self._leases.handle(envelope)
+        self._hub.set_holders(self._leases.holders(self._clock()))
+        return reply
+
+    def _handle_resolve(self, method: str, target: str, body: bytes) -> HttpReply:
+        """Resolve to all live gateways; without quorum contact only to those that pull from this process."""
+        gateways = self._hub.gateways if self._control.has_quorum_contact else self._hub.direct_gateways
+        return self._directory.handle(method, target, gateways.values())
+
+    # Events of the planes.
+
+    def _on_commit(self, state: ClusterState) -> None:
+        self._hub.members = tuple(state.members)
+        self._hub.update_lease_membership(self._control.lease_membership)
+        max_gateways = int(state.annotations.get(MAX_GATEWAYS_ANNOTATION, "0"))
+        self._hub.update_config(state.serial, state.config_version, state.config, state.evacuations, max_gateways)
+        self._sync.add_peers(state.members)
+
+    def _on_list_reading(self, reading: EndpointListReading) -> None:
+        self._hub.update_backends(reading.started_at, reading.backends)
+
+    # Periodic work.
+
+    async def _maintain(self) -> None:
+        """Keep track of live gateways and coordinators, of quorum contact and of lease holders."""
+        while True:
+            await asyncio.sleep(MAINTENANCE_INTERVAL_MS / 1000)
+            now_ms = self._clock()
+            self._sync.remove_expired_gateways()
+            live_peers = self._sync.live_peers()
+            self._control.set_live_coordinators(live_peers)
+            self._sync.set_live_coordinators(live_peers, {*self._control.members, *self._node.seed_addresses})
+            if self._had_quorum_contact != self._control.has_quorum_contact:
+                self._had_quorum_contact = not self._had_quorum_contact
+                self._hub.notify()  # replies held back may be due, and peers learn at once that contact is lost
+            self._hub.set_holders(self._leases.holders(now_ms))
+
+    async def _read_endpoint_list(self) -> None:
+        if self._list_reader is not None:
+            await self._list_reader.run()
+
+    def _is_read_due(self) -> bool:
+        """Return whether this coordinator has to read the list, once a majority has confirmed it."""
+        is_confirmed = self._control.lease.confirmed_at_ms > NEVER
+        list_age_ms = self._clock() - self._hub.list_read_at
+        return is_confirmed and is_read_due(list_age_ms, self._reader_rank(), self._reading_interval_ms)
+
+    def _reader_rank(self) -> int:
+        return reader_rank(self._node.internal_address, self._sync.live_peers())
+
+    async def _record_max_gateways(self) -> None:
+        """Record in the cluster state how many gateways there may be, when more are seen; the first reader does."""
+        while True:
+            await asyncio.sleep(MAX_GATEWAYS_INTERVAL_MS / 1000)
+            recorded = int(self._control.committed_state.annotations.get(MAX_GATEWAYS_ANNOTATION, "0"))
+            max_gateways = gateways_to_record(self._sync.gateway_count(), recorded)
+            if max_gateways is None or self._reader_rank() != 0 or not self._control.has_quorum_contact:
+                continue
+            change = state_transitions.annotate(MAX_GATEWAYS_ANNOTATION, str(max_gateways))
+            with contextlib.suppress(PeerCallError, TimeoutError):
+                await self._control.propose(change, MAX_GATEWAYS_INTERVAL_MS)
+
 
 if __name__ == "__main__":
     main(CoordinatorProgram)
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -1,10 +1,14 @@
-"""The gateway: takes clients, knows by pulling, counts tenants. `python -O -m hallhitch.programs.gateway`."""
+"""The gateway: serves clients, and pulls the state that it needs for that.
+
+Run it with `python -O -m hallhitch.programs.gateway`. This module only wires the planes together.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import random
 from collections.abc import Awaitable
+from typing import Final
 
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.clock import now
@@ -17,13 +21,15 @@
 from hallhitch.planes.distribution.config_compiler import EMPTY_CONFIG, compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
 from hallhitch.planes.distribution.state_hub import StateHub
+from hallhitch.planes.distribution.versioned_map import Version
 from hallhitch.planes.quota.plane import QuotaPlane
-from hallhitch.planes.values import Backend, Gateway
+from hallhitch.planes.values import Gateway
 from hallhitch.programs.running import main
 from hallhitch.programs.runtime import Runtime
 
-LISTEN_SHARE = 0.5  # of the grace period in which a leaving gateway still takes connections: clients hold old answers
-FINISH_SHARE = 0.9  # of the grace period by which it has ended
+READINESS_PATH: Final = "/hallhitch/readiness"
+LISTEN_RATIO: Final = 0.5  # of gracePeriod: a leaving gateway still accepts connections, as clients hold old addresses
+FINISH_RATIO: Final = 0.9  # of gracePeriod: by then a leaving gateway has ended
 
 
 class GatewayProgram:
@@ -31,133 +37,147 @@
 
     def __init__(self, node: NodeSettings, runtime: Runtime | None = None) -> None:
         runtime = runtime or Runtime()
-        self._node, self._log = node, ComponentLogger("gateway")
-        self._incarnation = runtime.random.getrandbits(62) + 1
-        self._ready = self._leaving = False
+        self._node = node
+        self._log = ComponentLogger("gateway")
+        self._incarnation = runtime.draw_incarnation()
+        self._is_ready = self._is_leaving = False
         self._links = runtime.connect(node.cluster_name, node.internal_address, self._incarnation, self._handle)
         self._hub = StateHub(self._incarnation, runtime.clock)
-        self._gateway_sync = GatewaySync(
-            self._links, self._hub, self._own, node.seed_addresses, runtime.clock, node.bounds
+        self._sync = GatewaySync(
+            self._links, self._hub, self._own_entry, node.seed_addresses, runtime.clock, node.bounds
         )
         self._quota = QuotaPlane(node, self._links, runtime.clock)
-        b = node.bounds
-        decisions = LoadBalancer(
-            LoadBalancerSettings(
-                node.name,
-                node.zone,
-                node.region,
-                b.retry_budget_ratio,
-                b.retry_window_ms,
-                b.retry_budget_slack,
-                b.slow_start_overshoot_ratio,
-                b.slow_start_slack,
-                node.endpoint_list_lag_ms,
-            ),
-            random.Random(self._incarnation),
-        )
-        self._data = DataPlane(node, decisions, self._quota.counter, runtime.clock)
-        self._readiness = HttpServer("readiness", self._is_ready)
-        self._directory = Directory(node.region_by_zone, b.max_ttl_ms)
-        self._resolve = HttpServer("directory", self._resolved)
-        self._config, self._backends, self._gateways = EMPTY_CONFIG, (0, 0), (0, 0)
-
-    def _own(self) -> Gateway:
-        n = self._node
-        host, port = n.listen_addresses.get("frontend", ("", 0))
-        return Gateway(
-            n.name,
-            n.internal_address,
-            self._incarnation,
-            n.machine_class,
-            n.zone,
-            n.region,
-            f"{host}:{port}" if host else "",
-            self._ready,
-            self._leaving,
-        )
+        load_balancer = LoadBalancer(_load_balancer_settings(node), random.Random(self._incarnation))
+        self._data = DataPlane(node, load_balancer, self._quota.counter, runtime.clock)
+        self._readiness_server = HttpServer("readiness", self._handle_readiness)
+        self._directory = Directory(node.region_by_zone, node.bounds.max_ttl_ms)
+        self._directory_server = HttpServer("directory", self._handle_resolve)
+        self._config = EMPTY_CONFIG
+        self._backends_version = self._gateways_version = Version()  # of the maps that the planes were given
 
-    def _is_ready(self, method: str, target: str, body: bytes) -> HttpReply:
-        if target.partition("?")[0] != "/hallhitch/readiness":
-            return HttpReply(404, {}, b"")
-        return HttpReply(200 if self._ready and not self._leaving else 503, {}, b"")
-
-    def _resolved(self, method: str, target: str, body: bytes) -> HttpReply:
-        return self._directory.call(method, target, self._hub.gateways.values())
-
-    def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
-        if envelope.HasField("state_request"):
-            return self._hub.answer(envelope.state_request)
-        if envelope.HasField("count_request"):
-            return self._quota.handle(envelope)
-        return Envelope(error="a gateway does not answer that")
+    # Start and shutdown.
 
     async def start(self) -> None:
-        """Listen first, know then, be ready last."""
+        """Listen first, then pull state, and be ready once it is complete."""
         await self._links.serve(self._node.internal_address)
-        for name, web in (("readiness", self._readiness), ("directoryApi", self._resolve)):
+        for name, server in (("readiness", self._readiness_server), ("directoryApi", self._directory_server)):
             if name in self._node.listen_addresses:
-                await web.serve(self._node.listen_addresses[name])
-        self._hub.on_change.append(self._learn)
+                await server.serve(self._node.listen_addresses[name])
+        self._hub.on_change.append(self._on_state_change)
         await self._data.start()
         await self._quota.start()
-        self._gateway_sync.start()
-
-    def _learn(self) -> None:
-        """The hub knows more: tell the planes."""
-        hub = self._hub
-        if hub.config.serial > self._config.serial:
-            w = hub.config
-            self._config = compile_config(w.serial, w.config_version, w.config, w.evacuated_zones, w.max_gateways)
-            self._quota.set_config(self._config)
-            self._data.set_config(self._config)
-        if (version := (hub.backends.epoch, hub.backends.number)) != self._backends:
-            self._backends = version
-            self._data.set_backends(
-                [
-                    Backend(
-                        e.instance,
-                        e.service,
-                        e.host,
-                        e.port,
-                        e.zone,
-                        self._node.region_by_zone.get(e.zone, ""),
-                        e.slots,
-                        e.draining,
-                        e.cold_until,
-                    )
-                    for e in hub.backends.values()
-                ]
-            )
-        if (version := (hub.gateways.epoch, hub.gateways.number)) != self._gateways:
-            self._gateways = version
-            entries = [g for g in hub.gateways.values() if g.frontend]
-            self._quota.set_gateways(self._node.name, entries)
-            self._data.set_gateways(self._node.name, entries)
-        self._quota.set_membership(hub.membership)
-        self._quota.set_holders(hub.holders)
-        ready = self._config.version >= 0 and self._backends[1] > 0 and self._gateway_sync.asked_all
-        if ready and not self._ready:
-            self._ready = True
-            self._log.info(f"ready with version {self._config.version} and {len(hub.backends)} backends")
-            self._gateway_sync.say()
-
-    def settings(self, node: NodeSettings) -> None:
-        """Other seeds; the rest holds from the next start on."""
-        self._gateway_sync.set_seeds(node.seed_addresses)
-
-    async def leave(self) -> None:
-        """Out of the directory, then the last answers of connections, then the listener, then the end."""
-        grace, began = self._node.bounds.grace_period_ms, now()
-        self._leaving = True
-        self._gateway_sync.say()
+        self._sync.start()
+
+    def apply_settings(self, node: NodeSettings) -> None:
+        """Apply the settings that may change at run time: the seeds."""
+        self._sync.set_seeds(node.seed_addresses)
+
+    async def shut_down(self) -> None:
+        """Leave the directory, give up quota leases, close the listener, and end once the requests have."""
+        started_at, grace_period_ms = now(), self._node.bounds.grace_period_ms
+        self._is_leaving = True
+        self._sync.publish_self()
         self._data.leave()
         await self._quota.leave()
-        await asyncio.sleep(grace * LISTEN_SHARE / 1000)
+        await asyncio.sleep(grace_period_ms * LISTEN_RATIO / 1000)
         self._data.close_listener()
-        await self._data.drained(began + grace * FINISH_SHARE)
-        self._gateway_sync.stop()
+        await self._data.drained(started_at + grace_period_ms * FINISH_RATIO)
+        self._sync.stop()
         self._links.close()
 
+    # Calls from other processes and from clients.
+
+    def _own_entry(self) -> Gateway:
+        node = self._node
+        host, port = node.listen_addresses.get("frontend", ("", 0))
+        return Gateway(
+            name=node.name,
+            address=node.internal_address,
+            incarnation=self._incarnation,
+            machine_class=node.machine_class,
+            zone=node.zone,
+            region=node.region,
+            frontend=f"{host}:{port}" if host else "",
+            is_ready=self._is_ready,
+            is_leaving=self._is_leaving,
+        )
+
+    def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
+        if envelope.HasField("state_request"):
+            return self._hub.respond(envelope.state_request)
+        if envelope.HasField("count_request"):
+            return self._quota.handle(envelope)
+        return Envelope(error="a gateway does not answer that")
+
+    def _handle_readiness(self, method: str, target: str, body: bytes) -> HttpReply:
+        if target.partition("?")[0] != READINESS_PATH:
+            return HttpReply(404, {}, b"")
+        return HttpReply(200 if self._is_ready and not self._is_leaving else 503, {}, b"")
+
+    def _handle_resolve(self, method: str, target: str, body: bytes) -> HttpReply:
+        return self._directory.handle(method, target, self._hub.gateways.values())
+
+    # State for the planes.
+
+    def _on_state_change(self) -> None:
+        self._apply_config()
+        self._apply_backends()
+        self._apply_gateways()
+        self._quota.set_membership(self._hub.lease_membership)
+        self._quota.set_holders(self._hub.holders)
+        if self._has_required_state and not self._is_ready:
+            self._is_ready = True
+            self._log.info("gateway ready", config_version=self._config.version, backends=len(self._hub.backends))
+            self._sync.publish_self()
+
+    @property
+    def _has_required_state(self) -> bool:
+        has_config = self._config.version >= 0
+        has_backends = self._backends_version.number > 0
+        return has_config and has_backends and self._sync.is_startup_complete
+
+    def _apply_config(self) -> None:
+        config = self._hub.config
+        if config.serial <= self._config.serial:
+            return
+        self._config = compile_config(
+            config.serial, config.config_version, config.config, config.evacuated_zones, config.max_gateways
+        )
+        self._quota.set_config(self._config)
+        self._data.set_config(self._config)
+
+    def _apply_backends(self) -> None:
+        if self._hub.backends.version == self._backends_version:
+            return
+        self._backends_version = self._hub.backends.version
+        regions = self._node.region_by_zone
+        self._data.set_backends(
+            [backend.to_backend(regions.get(backend.zone, "")) for backend in self._hub.backends.values()]
+        )
+
+    def _apply_gateways(self) -> None:
+        if self._hub.gateways.version == self._gateways_version:
+            return
+        self._gateways_version = self._hub.gateways.version
+        gateways = [gateway for gateway in self._hub.gateways.values() if gateway.frontend]
+        self._quota.set_gateways(self._node.name, gateways)
+        self._data.set_gateways(self._node.name, gateways)
+
+
+def _load_balancer_settings(node: NodeSettings) -> LoadBalancerSettings:
+    bounds = node.bounds
+    return LoadBalancerSettings(
+        name=node.name,
+        zone=node.zone,
+        region=node.region,
+        retry_budget_ratio=bounds.retry_budget_ratio,
+        retry_window_ms=bounds.retry_window_ms,
+        retry_budget_slack=bounds.retry_budget_slack,
+        slow_start_overshoot_ratio=bounds.slow_start_overshoot_ratio,
+        slow_start_slack=bounds.slow_start_slack,
+        endpoint_list_lag_ms=node.endpoint_list_lag_ms,
+    )
+
 
 if __name__ == "__main__":
     main(GatewayProgram)
--- a/hallhitch/programs/running.py
+++ b/hallhitch/programs/running.py
@@ -1,4 +1,8 @@
-"""What both programs share: the settings file, the loop, signals, the end."""
+"""Runs a program: reads the settings file, starts the event loop, handles signals, shuts down in order.
+
+SIGTERM and SIGINT shut the program down, SIGHUP reads the settings file again. If the settings file cannot be used, the
+exit code is 2 and one line on standard error says why.
+"""
 
 from __future__ import annotations
 
@@ -6,8 +10,8 @@
 import os
 import signal
 import sys
-from collections.abc import Awaitable, Callable
-from typing import Protocol
+from collections.abc import Callable
+from typing import Final, Protocol
 
 import uvloop
 
@@ -16,52 +20,52 @@
 from hallhitch.node.settings import NodeSettings
 from hallhitch.node.settings_file import read_settings
 
-SETTINGS = "HALLHITCH_NODE_FILE"
+SETTINGS_FILE_VARIABLE: Final = "HALLHITCH_NODE_FILE"
+SETTINGS_EXIT_CODE: Final = 2
 
 
 class Program(Protocol):
-    """A program, as it is run."""
+    """A program as it is run."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve."""
 
-    def settings(self, node: NodeSettings) -> None:
-        """The settings file has changed."""
+    def apply_settings(self, node: NodeSettings) -> None:
+        """Apply a settings file that has changed."""
 
-    async def leave(self) -> None:
-        """SIGTERM: end in order, within the grace period."""
+    async def shut_down(self) -> None:
+        """Shut down in order, within the grace period."""
 
 
 def main(build: Callable[[NodeSettings], Program]) -> None:
-    """Run a program until SIGTERM; exit code 2 with one line where the settings cannot be used."""
+    """Run a program until SIGTERM or SIGINT."""
     logs.configure()
-    path = os.environ.get(SETTINGS, "")
+    path = os.environ.get(SETTINGS_FILE_VARIABLE, "")
     try:
         if not path:
-            raise SettingsError(f"{SETTINGS} is not set: it names the settings file")
+            raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it names the settings file")
         node = read_settings(path)
     except SettingsError as error:
         print(error, file=sys.stderr)
-        sys.exit(2)
+        sys.exit(SETTINGS_EXIT_CODE)
     uvloop.run(_run(build(node), path))
 
 
 async def _run(program: Program, path: str) -> None:
-    log, loop, ending = logs.ComponentLogger("node"), asyncio.get_running_loop(), asyncio.Event()
+    log, loop, is_ending = logs.ComponentLogger("node"), asyncio.get_running_loop(), asyncio.Event()
 
-    def again() -> None:
+    def on_hangup() -> None:
         try:
-            program.settings(read_settings(path))
+            program.apply_settings(read_settings(path))
             log.info("settings reloaded")
         except SettingsError as error:
             log.error("settings rejected", error=error)
 
-    loop.add_signal_handler(signal.SIGTERM, ending.set)
-    loop.add_signal_handler(signal.SIGINT, ending.set)
-    loop.add_signal_handler(signal.SIGHUP, again)
-    starting: Awaitable[None] = program.start()
-    await starting
-    await ending.wait()
+    loop.add_signal_handler(signal.SIGTERM, is_ending.set)
+    loop.add_signal_handler(signal.SIGINT, is_ending.set)
+    loop.add_signal_handler(signal.SIGHUP, on_hangup)
+    await program.start()
+    await is_ending.wait()
     log.info("shutting down")
-    await program.leave()
+    await program.shut_down()
     log.info("stopped")
--- a/hallhitch/programs/runtime.py
+++ b/hallhitch/programs/runtime.py
@@ -1,6 +1,6 @@
-"""What a program takes from its surroundings: clock, randomness, links, disk. A simulation brings its own.
+"""What a program takes from its surroundings: clock, random numbers, links, disk.
 
-Owns no decision. The program under test is the program in service: only this value differs.
+A simulation passes its own `Runtime`; the programs themselves are the same in simulation and in service.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import Final, Protocol
 
 from hallhitch.messages.inbound_link import CallHandler
 from hallhitch.messages.peer_links import PeerLinks
@@ -17,21 +17,27 @@
 from hallhitch.planes.control.acceptor import Run
 from hallhitch.planes.control.state_store import Storage
 
+INCARNATION_BITS: Final = 62  # fit a uint64 of a message, and hardly ever meet: 0 stands for unknown
+
 
 class Transport(Protocol):
-    """Calls between the system's own processes, as `messages.peer_links.PeerLinks` makes them."""
+    """Calls between the processes of the system, as `messages.peer_links.PeerLinks` makes them."""
 
     async def serve(self, address: str) -> None:
-        """Take calls at our internal address."""
+        """Accept calls at the internal address."""
 
     async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
-        """Ask a peer and wait `timeout_ms` at most; raises PeerCallError."""
+        """Call a peer and return its reply.
+
+        Raises:
+            PeerCallError: there was no reply in time, or the call was not sent.
+        """
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
 
 
-Connect = Callable[[str, str, int, CallHandler], Transport]
+Connect = Callable[[str, str, int, CallHandler], Transport]  # cluster, internal address, incarnation, handler
 
 
 def connect(cluster: str, address: str, incarnation: int, handler: CallHandler) -> Transport:
@@ -41,9 +47,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Runtime:
-    """The surroundings of one process; the defaults are the real ones.
+    """The surroundings of one process; the defaults are those in service.
 
-    `disk` and `run` stand in for the data folder and for the thread that waits for it; None takes the settings' folder.
+    `disk` replaces the data directory of the settings, and `run` the thread that waits for it; None keeps them.
     """
 
     clock: Callable[[], float] = now  # steady ms
@@ -51,3 +57,7 @@
     connect: Connect = connect
     disk: Storage | None = None
     run: Run | None = None
+
+    def draw_incarnation(self) -> int:
+        """Return a random number above 0 that identifies one incarnation of a process."""
+        return self.random.getrandbits(INCARNATION_BITS) + 1
--- /dev/null
+++ b/tests/system/discovery/test_endpoint_list.py
@@ -0,0 +1,60 @@
+"""The endpoint list: parsing of its pages, what a later reading changes, which coordinator reads it."""
+
+import json
+
+import pytest
+
+from hallhitch.planes.discovery.endpoint_list import (
+    ListedBackend,
+    is_read_due,
+    read_page,
+    reader_rank,
+    reconcile_list,
+)
+from hallhitch.planes.discovery.errors import MalformedPageError
+
+ROW = {
+    "targetService": "s",
+    "address": "10.0.0.9:8080",
+    "zone": "z",
+    "slotCount": 6,
+    "state": "draining",
+    "coldRemaining": "1500ms",
+    "instanceId": "i-1",
+}
+COLUMNS = {"columnNames": list(ROW), "rowValues": [list(ROW.values())]}
+
+
+def make_backend(instance: str, *, is_draining: bool = False, warming_until_ms: float = 0.0) -> ListedBackend:
+    return ListedBackend(instance, "s", "10.0.0.1", 80, "z", 3, is_draining, warming_until_ms)
+
+
+@pytest.mark.parametrize("instances", [COLUMNS, [ROW]], ids=["columns", "rows"])
+def test_page_is_parsed_in_both_formats(instances: object) -> None:
+    page = read_page(json.dumps({"instances": instances, "nextPageToken": "p-50"}).encode(), 100.0)
+    assert page.next_token == "p-50"
+    assert page.entries == (ListedBackend("i-1", "s", "10.0.0.9", 8080, "z", 6, True, 1600.0),)
+
+
+@pytest.mark.parametrize(
+    "body", [b"{", b"[]", b'{"instances":{"columnNames":["a"],"rowValues":[[1,2]]}}', b'{"instances":[{}]}']
+)
+def test_malformed_page_is_an_error(body: bytes) -> None:
+    with pytest.raises(MalformedPageError):
+        read_page(body, 0.0)
+
+
+def test_draining_backend_stays_draining_and_slow_start_does_not_flicker() -> None:
+    known = {"a": make_backend("a", is_draining=True), "b": make_backend("b", warming_until_ms=5000.0)}
+    latest = [make_backend("a"), make_backend("b", warming_until_ms=5100.0), make_backend("c")]
+    reconciled = reconcile_list(known, latest)
+    assert reconciled["a"].is_draining and reconciled["b"].warming_until_ms == 5000.0 and "c" in reconciled
+    assert "a" not in reconcile_list(known, [make_backend("c")])
+
+
+def test_readers_have_distinct_ranks_and_step_in_as_the_list_gets_older() -> None:
+    addresses = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"]
+    ranks = sorted(reader_rank(address, addresses) for address in addresses)
+    assert ranks == [0, 1, 2]
+    assert is_read_due(600, 0, 600) and not is_read_due(600, 1, 600)
+    assert is_read_due(1400, 1, 600) and not is_read_due(1400, 2, 600)
--- /dev/null
+++ b/tests/system/distribution/test_config_compiler.py
@@ -0,0 +1,63 @@
+"""Look-ups in a compiled configuration."""
+
+import json
+import zlib
+
+import pytest
+
+from hallhitch.planes.distribution.config_compiler import compile_config
+from hallhitch.planes.values import ClusterConfig, RequestKind
+
+TABLE = {
+    "configVersion": 3,
+    "services": {"s": {"coldStart": "3s", "coldPerS": 10.0, "new": 1}, "t": {}},
+    "routes": {
+        "r": {
+            "host": "H.example",
+            "pathPrefix": "/a/",
+            "routeKind": "non_idempotent",
+            "timeout": "2s",
+            "targetService": "s",
+            "maxAttempts": 2,
+        },
+        "q": {
+            "host": "h.example",
+            "pathPrefix": "/a/b/",
+            "timeout": "500ms",
+            "trafficSplit": [{"targetService": "s", "weight": 9}, {"targetService": "t", "weight": 1}],
+        },
+    },
+    "tenants": {"n": {"apiKeys": ["k1", "k2"], "ratePerS": 5, "burstSize": 7, "allowedRegions": ["a"]}},
+}
+
+
+def compile_table(table: object) -> ClusterConfig:
+    return compile_config(1, 3, zlib.compress(json.dumps(table).encode()), ["z"])
+
+
+def test_longest_prefix_of_the_host_is_the_route() -> None:
+    config = compile_table(TABLE)
+    route = config.find_route("h.example", "/a/b/c")
+    assert route is not None and route.name == "q"
+    assert route.weighted_services == (("s", 9.0), ("t", 1.0)) and route.is_idempotent
+    route = config.find_route("h.example", "/a/c")
+    assert route is not None and route.name == "r" and not route.is_idempotent and route.timeout_ms == 2000.0
+    assert config.find_route("h.example", "/b/") is None and config.find_route("other", "/a/") is None
+    assert config.tenants_by_api_key["k2"].name == "n"
+    assert config.services["s"].slow_start_ms == 3000.0
+    assert config.evacuated_zones == {"z"}
+
+
+@pytest.mark.parametrize(
+    ("written", "kind"),
+    [
+        ("idempotent", RequestKind.IDEMPOTENT),
+        ("non_idempotent", RequestKind.NON_IDEMPOTENT),
+        ("download", RequestKind.DOWNLOAD),
+        ("of_a_newer_release", RequestKind.IDEMPOTENT),
+    ],
+)
+def test_request_kind_of_a_newer_release_counts_as_idempotent(written: str, kind: RequestKind) -> None:
+    route = {"host": "h", "routeKind": written, "targetService": "s"}
+    compiled = compile_table({"routes": {"r": route}}).find_route("h", "/")
+    assert compiled is not None and compiled.kind is kind
--- a/tests/system/distribution/test_gateway_sync.py
+++ b/tests/system/distribution/test_gateway_sync.py
@@ -1,208 +1,186 @@
-"""Whom a gateway believes, and how soon it knows: cut-off coordinators, frozen ones, choked links, its own start."""
+"""Which peers a gateway follows, and how soon it is up to date: partitions, suspended peers, slow links, its start."""
 
 from __future__ import annotations
 
 import asyncio
 
+import pytest
+
 from hallhitch.messages.system_pb2 import StateRequest, StateUpdate
 from hallhitch.planes.distribution.peer_replica import PeerReplica
-from hallhitch.planes.distribution.peer_sync import FORGET_AFTER, PeerSync
 from hallhitch.planes.distribution.state_hub import StateHub
-from hallhitch.planes.distribution.versioned_map import PIECE
-from tests.system.distribution.ways import BOUNDS, Ways, _Wire, gateway, listed, play
-
-CORE = ["c1:1", "c2:1", "c3:1"]
-
-
-def test_one_that_starts_beside_a_cut_off_coordinator_takes_the_newest_of_several_gateways() -> None:
-    async def scene(ways: Ways) -> None:
-        ways.core("c1:1", serial=3)
-        ways.contact["c1:1"] = float("-inf")
-        ways.hubs["c1:1"].set_gateways({f"g{n}:1": gateway(f"g{n}") for n in range(3)})
+from hallhitch.planes.distribution.versioned_map import CHUNK_ENTRIES
+from tests.system.distribution.simulated_peers import (
+    BOUNDS,
+    SimulatedPeers,
+    make_backend,
+    make_gateway,
+    run_in_virtual_time,
+)
+
+COORDINATORS = ["c1:1", "c2:1", "c3:1"]
+
+
+def test_first_configuration_is_the_newest_of_several_gateways_if_the_coordinator_is_cut_off() -> None:
+    async def scenario(peers: SimulatedPeers) -> None:
+        peers.add_coordinator("c1:1", serial=3)
+        peers.confirmed_at["c1:1"] = float("-inf")
+        peers.hubs["c1:1"].set_gateways({f"g{n}:1": make_gateway(f"g{n}") for n in range(3)})
         for n, serial in enumerate((5, 7, 6)):
-            other = ways.edge(f"g{n}", [])
-            other._hub.take_config(serial, serial, b"", [])
-            other._hub.take_list(ways.clock() - 100, [listed(n)])
-        me = ways.edge("me", CORE)
-        taken: list[int] = []
-        me._hub.on_change.append(lambda: taken.append(me._hub.config.serial))
-        me.start()
+            running = peers.add_gateway(f"g{n}", [])
+            running._hub.update_config(serial, serial, b"", [])
+            running._hub.update_backends(peers.clock() - 100, [make_backend(f"i-{n}")])
+        sync = peers.add_gateway("me", COORDINATORS)
+        serials: list[int] = []
+        sync._hub.on_change.append(lambda: serials.append(sync._hub.config.serial))
+        sync.start()
         await asyncio.sleep(6)
-        assert set(taken) <= {0, 7} and me._hub.config.serial == 7 and len(me._hub.backends) == 1
+        assert set(serials) <= {0, 7} and sync._hub.config.serial == 7 and len(sync._hub.backends) == 1
 
-    play(scene)
+    run_in_virtual_time(scenario)
 
 
-def test_a_coordinator_that_says_its_contact_is_old_founds_nobody_whatever_it_hands_out() -> None:
-    async def scene(ways: Ways) -> None:
-        hub = ways.core("c1:1", serial=3)
-        ways.contact["c1:1"] = -BOUNDS.serving_lease_ms - 1
-        hub.hands_first_config = lambda: True
-        me = ways.edge("me", CORE[:1])
-        me.start()
+def test_first_configuration_is_not_taken_from_a_coordinator_with_an_expired_lease() -> None:
+    async def scenario(peers: SimulatedPeers) -> None:
+        hub = peers.add_coordinator("c1:1", serial=3)
+        peers.confirmed_at["c1:1"] = -BOUNDS.serving_lease_ms - 1
+        hub.can_bootstrap_peers = lambda: True
+        sync = peers.add_gateway("me", COORDINATORS[:1])
+        sync.start()
         await asyncio.sleep(3)
-        assert me._hub.config.serial == 0
-        del ways.contact["c1:1"]
+        assert sync._hub.config.serial == 0
+        del peers.confirmed_at["c1:1"]
         await asyncio.sleep(1)
-        assert me._hub.config.serial == 3
+        assert sync._hub.config.serial == 3
 
-    play(scene)
+    run_in_virtual_time(scenario)
 
 
-def test_a_gateway_leaves_the_one_that_lost_contact_and_loses_nobody_by_its_lists() -> None:
-    async def scene(ways: Ways) -> None:
-        everybody = {f"g{n}:1": gateway(f"g{n}") for n in range(3)}
-        for address in CORE:
-            ways.core(address, serial=1).set_gateways(everybody)
-            ways.hubs[address].set_holders({1: "g1:1"})
-        me = ways.edge("me", CORE)
-        first = me.coordinators()[0]
-        me.start()
+def test_gateway_leaves_a_coordinator_that_lost_contact_and_keeps_the_view_it_had() -> None:
+    async def scenario(peers: SimulatedPeers) -> None:
+        gateways = {f"g{n}:1": make_gateway(f"g{n}") for n in range(3)}
+        for address in COORDINATORS:
+            peers.add_coordinator(address, serial=1).set_gateways(gateways)
+            peers.hubs[address].set_holders({1: "g1:1"})
+        sync = peers.add_gateway("me", COORDINATORS)
+        first = sync.coordinators()[0]
+        sync.start()
         await asyncio.sleep(2)
-        assert len(me._hub.gateways) == 3 and ways.pulls[first] > 3
-        ways.contact[first] = ways.clock()
-        ways.hubs[first].set_gateways({"g0:1": gateway("g0")})
-        ways.hubs[first].set_holders({})
+        assert len(sync._hub.gateways) == 3 and peers.request_count[first] > 3
+
+        peers.confirmed_at[first] = peers.clock()
+        peers.hubs[first].set_gateways({"g0:1": make_gateway("g0")})
+        peers.hubs[first].set_holders({})
         await asyncio.sleep(BOUNDS.serving_lease_ms / 1000 + 1)
-        asked = ways.pulls[first]
-        for address in CORE:
+        requests = peers.request_count[first]
+        for address in COORDINATORS:
             if address != first:
-                ways.hubs[address].take_config(2, 2, b"", [])
+                peers.hubs[address].update_config(2, 2, b"", [])
         await asyncio.sleep(1)
-        assert me._hub.config.serial == 2 and len(me._hub.gateways) == 3 and me._hub.holders == {1: "g1:1"}
+        assert sync._hub.config.serial == 2 and len(sync._hub.gateways) == 3 and sync._hub.holders == {1: "g1:1"}
         await asyncio.sleep(10)
-        assert ways.pulls[first] == asked  # it comes back only if nobody else answers
-        for address in CORE:
+        assert peers.request_count[first] == requests  # it comes back only if no other coordinator replies
+
+        for address in COORDINATORS:
             if address != first:
-                ways.cut |= {("me:1", address)}
+                peers.cut_links |= {("me:1", address)}
         await asyncio.sleep(10)
-        assert ways.pulls[first] > asked
-        assert me._hub.config.serial == 2 and len(me._hub.gateways) == 3 and me._hub.holders == {1: "g1:1"}
+        assert peers.request_count[first] > requests
+        assert sync._hub.config.serial == 2 and len(sync._hub.gateways) == 3 and sync._hub.holders == {1: "g1:1"}
 
-    play(scene)
+    run_in_virtual_time(scenario)
 
 
-def test_a_cut_that_only_the_seeds_see_and_one_that_only_this_gateway_sees() -> None:
-    async def scene(ways: Ways) -> None:
-        for address in CORE:
-            ways.core(address, serial=1).core = tuple(CORE)
-        me = ways.edge("me", CORE[:1])
-        me.start()
+def test_configuration_applies_in_time_over_partitions_in_one_direction() -> None:
+    async def scenario(peers: SimulatedPeers) -> None:
+        for address in COORDINATORS:
+            peers.add_coordinator(address, serial=1).coordinators = tuple(COORDINATORS)
+        sync = peers.add_gateway("me", COORDINATORS[:1])
+        sync.start()
         await asyncio.sleep(2)
-        for cut, serial in (({(CORE[0], "me:1")}, 2), ({("me:1", CORE[0]), (CORE[1], "me:1")}, 3)):
-            ways.cut = cut
-            for hub in map(ways.hubs.__getitem__, CORE):
-                hub.take_config(serial, serial, b"", [])
+        only_the_seed_sees = {(COORDINATORS[0], "me:1")}
+        only_the_gateway_sees = {("me:1", COORDINATORS[0]), (COORDINATORS[1], "me:1")}
+        for cut_links, serial in ((only_the_seed_sees, 2), (only_the_gateway_sees, 3)):
+            peers.cut_links = cut_links
+            for hub in map(peers.hubs.__getitem__, COORDINATORS):
+                hub.update_config(serial, serial, b"", [])
             await asyncio.sleep(BOUNDS.config_apply_ms / 1000)
-            assert me._hub.config.serial == serial
+            assert sync._hub.config.serial == serial
+
+    run_in_virtual_time(scenario)
 
-    play(scene)
 
+def test_reply_that_was_twenty_seconds_on_its_way_is_as_old_as_that() -> None:
+    async def scenario(peers: SimulatedPeers) -> None:
+        suspended, fresh = peers.add_coordinator("c1:1", 1), peers.add_coordinator("c2:1", 1)
+        hub = StateHub(9, peers.clock)
+        suspended.update_backends(peers.clock(), [make_backend("i-1"), make_backend("i-2")])
+        late_replica, fresh_replica = PeerReplica("c1:1", peers.clock), PeerReplica("c2:1", peers.clock)
 
-def test_an_answer_that_was_on_its_way_for_twenty_seconds_is_as_old_as_it_is() -> None:
-    async def scene(ways: Ways) -> None:
-        frozen, fresh, me = ways.core("c1:1", 1), ways.core("c2:1", 1), StateHub(9, ways.clock)
-        frozen.take_list(ways.clock(), [listed(1), listed(2)])
-        slow, source = PeerReplica("c1:1", ways.clock), PeerReplica("c2:1", ways.clock)
-        pull = slow.pull(gateway("me"), me, 0.0, False)
-        pull.known_versions["config"].number = 1
-        asked, late = ways.clock(), frozen.news(StateRequest.FromString(pull.SerializeToString()))
-        assert late is not None
+        def pull(replica: PeerReplica, source: StateHub) -> StateUpdate | None:
+            request = replica.build_request(make_gateway("me"), hub, 0.0, direct_only=False)
+            request.known_versions["config"].number = 1
+            return source.build_update(StateRequest.FromString(request.SerializeToString()))
+
+        requested_at, late_update = peers.clock(), pull(late_replica, suspended)
+        assert late_update is not None
         await asyncio.sleep(20)
-        fresh.take_list(ways.clock(), [listed(1, draining=True)])
-        pull = source.pull(gateway("me"), me, 0.0, False)
-        pull.known_versions["config"].number = 1
-        news = fresh.news(StateRequest.FromString(pull.SerializeToString()))
-        assert news is not None
-        for one, told, since in ((source, news, ways.clock()), (slow, late, asked)):
+        fresh.update_backends(peers.clock(), [make_backend("i-1", is_draining=True)])
+        fresh_update = pull(fresh_replica, fresh)
+        assert fresh_update is not None
+        for replica, update, sent_at in (
+            (fresh_replica, fresh_update, peers.clock()),
+            (late_replica, late_update, requested_at),
+        ):
             await asyncio.sleep(0.1)
-            one.answered(told, since, BOUNDS.serving_lease_ms)
-            one.take(told, me, since, lists=True)
-        assert [(e.instance, e.draining) for e in me.backends.values()] == [("i-1", True)]
-        assert slow.contact_at <= asked < source.contact_at
+            replica.record_reply(update, sent_at, BOUNDS.serving_lease_ms)
+            replica.apply(update, hub, sent_at, with_view=True)
+        assert [(backend.instance, backend.is_draining) for backend in hub.backends.values()] == [("i-1", True)]
+        assert late_replica.quorum_contact_at <= requested_at < fresh_replica.quorum_contact_at
 
-    play(scene)
+    run_in_virtual_time(scenario)
 
 
-def test_on_a_choked_link_each_configuration_is_in_force_in_time_and_nothing_is_fetched_twice() -> None:
-    """Packets wait for 1.2 s each way, more or less: three times longer than a pull is waited for at first."""
+@pytest.mark.parametrize("seed", range(6))
+def test_slow_link_applies_each_configuration_in_time_and_fetches_the_list_once(seed: int) -> None:
+    """Messages take 0.5 to 1.5 s each way: up to three times as long as a reply is waited for at first."""
 
-    async def scene(ways: Ways) -> None:
-        for address in CORE:
-            hub = ways.core(address, serial=1)
-            hub.core = tuple(CORE)
-            hub.take_list(ways.clock(), [listed(n) for n in range(300)])
-        me = ways.edge("me", CORE)
-        me.start()
+    async def scenario(peers: SimulatedPeers) -> None:
+        for address in COORDINATORS:
+            hub = peers.add_coordinator(address, serial=1)
+            hub.coordinators = tuple(COORDINATORS)
+            hub.update_backends(peers.clock(), [make_backend(f"i-{n}") for n in range(300)])
+        sync = peers.add_gateway("me", COORDINATORS)
+        sync.start()
         await asyncio.sleep(3)
-        ways.delay = lambda: ways.rng.uniform(500, 1500)
-        worst = 0.0
+        peers.delay_ms = lambda: peers.rng.uniform(500, 1500)
+        longest_ms = 0.0
         for serial in range(2, 22):
-            await asyncio.sleep(ways.rng.uniform(0, 6))
-            acknowledged = ways.clock()
-            for hub in map(ways.hubs.__getitem__, CORE):
-                hub.take_config(serial, serial, b"", [])
-            while me._hub.config.serial < serial and ways.clock() - acknowledged < BOUNDS.config_apply_ms:
+            await asyncio.sleep(peers.rng.uniform(0, 6))
+            acknowledged_at = peers.clock()
+            for hub in map(peers.hubs.__getitem__, COORDINATORS):
+                hub.update_config(serial, serial, b"", [])
+            while sync._hub.config.serial < serial and peers.clock() - acknowledged_at < BOUNDS.config_apply_ms:
                 await asyncio.sleep(0.02)
-            worst = max(worst, ways.clock() - acknowledged)
-        assert worst < BOUNDS.config_apply_ms
-        assert max(ways.whole.values()) == 1 and len(me._hub.backends) == 300
+            longest_ms = max(longest_ms, peers.clock() - acknowledged_at)
+        assert longest_ms < BOUNDS.config_apply_ms
+        assert max(peers.snapshot_count.values()) == 1 and len(sync._hub.backends) == 300
 
-    for seed in range(6):
-        play(scene, seed)
+    run_in_virtual_time(scenario, seed)
 
 
-def test_a_long_list_comes_in_pieces_and_is_never_known_in_part() -> None:
-    async def scene(ways: Ways) -> None:
-        count = 3 * PIECE + 7
-        hub = ways.core("c1:1", serial=1)
-        hub.take_list(ways.clock(), [listed(n) for n in range(count)])
-        me = ways.edge("me", CORE[:1])
+def test_long_endpoint_list_is_applied_only_once_all_chunks_arrived() -> None:
+    async def scenario(peers: SimulatedPeers) -> None:
+        count = 3 * CHUNK_ENTRIES + 7
+        hub = peers.add_coordinator("c1:1", serial=1)
+        hub.update_backends(peers.clock(), [make_backend(f"i-{n}") for n in range(count)])
+        sync = peers.add_gateway("me", COORDINATORS[:1])
         sizes: set[int] = set()
-        me._hub.on_change.append(lambda: sizes.add(len(me._hub.backends)))
-        me.start()
+        sync._hub.on_change.append(lambda: sizes.add(len(sync._hub.backends)))
+        sync.start()
         await asyncio.sleep(2)
-        hub.take_list(ways.clock(), [listed(n) for n in range(1, count + 1)])
+        hub.update_backends(peers.clock(), [make_backend(f"i-{n}") for n in range(1, count + 1)])
         await asyncio.sleep(2)
-        assert sizes == {0, count} and "i-0" not in me._hub.backends and f"i-{count}" in me._hub.backends
-
-    play(scene)
-
-
-def test_a_backend_seen_draining_drains_though_the_next_reader_reads_an_older_page() -> None:
-    hub = StateHub(1)
-    hub.take_list(1.0, [listed(1, draining=True)])
-    hub.take_list(2.0, [])
-    hub.take_list(3.0, [listed(1), listed(2)])
-    assert {e.instance: e.draining for e in hub.backends.values()} == {"i-1": True, "i-2": False}
-
-
-def test_a_coordinator_that_nobody_names_is_forgotten_after_long_silence() -> None:
-    async def scene(ways: Ways) -> None:
-        hub, other = ways.core("c1:1", 1), ways.core("c2:1", 1)
-        other.core = ("c2:1",)
-        peers = PeerSync(_Wire(ways, "c1:1"), hub, lambda: gateway("c1"), lambda: None, ways.clock, BOUNDS)
-        peers.meet(["c2:1", "c3:1", "gone:1"])
-        await asyncio.sleep(FORGET_AFTER * BOUNDS.contact_window_ms / 1000 + 1)
-        peers.forget_gone({"c3:1"})
-        assert set(peers.sources) == {"c2:1", "c3:1"} and peers.alive(1800) == ["c2:1"]
-        asked = ways.pulls["gone:1"]
-        await asyncio.sleep(5)
-        assert ways.pulls["gone:1"] == asked
-        peers.meet(["gone:1"])  # it pulls again
-        assert "gone:1" in peers.sources
-
-    play(scene)
-
-
-def test_every_answer_tells_the_age_of_the_contact_and_how_long_it_was_held() -> None:
-    async def scene(ways: Ways) -> None:
-        hub, ways.contact["c1:1"] = ways.core("c1:1", 1), 0.0
-        await asyncio.sleep(1)
-        pull = PeerReplica("c1:1", ways.clock).pull(gateway("me"), StateHub(2, ways.clock), 300.0, False)
-        pull.known_versions["config"].number, pull.known_versions["gateways"].epoch = 1, hub.incarnation
-        news: StateUpdate = (await hub.answer(pull)).state_update
-        assert abs(news.quorum_contact_age_ms - 1300) < 1 and abs(news.held_back_ms - 300) < 1
-        assert StateHub(3)._signed(StateUpdate()).quorum_contact_age_ms == -1
+        assert sizes == {0, count} and "i-0" not in sync._hub.backends and f"i-{count}" in sync._hub.backends
 
-    play(scene)
+    run_in_virtual_time(scenario)
--- /dev/null
+++ b/tests/system/distribution/test_peer_order.py
@@ -0,0 +1,12 @@
+"""Rendezvous order of peers."""
+
+from hallhitch.planes.distribution.peer_order import rendezvous_order
+
+
+def test_each_name_has_an_order_of_its_own_that_survives_the_loss_of_a_peer() -> None:
+    peers = [f"c{n}" for n in range(5)]
+    first_choices = {rendezvous_order(f"g{n}", peers)[0] for n in range(60)}
+    assert first_choices == set(peers)
+    for n in range(60):
+        order = rendezvous_order(f"g{n}", peers)
+        assert rendezvous_order(f"g{n}", order[1:]) == order[1:]
--- /dev/null
+++ b/tests/system/distribution/test_state_hub.py
@@ -0,0 +1,126 @@
+"""The state of a process is replaced only by newer state, whichever peer it comes from."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+
+from hallhitch.messages.system_pb2 import Envelope, StateRequest, StateUpdate
+from hallhitch.node.clock import now
+from hallhitch.node.errors import RequestTimeout
+from hallhitch.planes.distribution.gateway_sync import GatewaySync
+from hallhitch.planes.distribution.peer_replica import PeerReplica
+from hallhitch.planes.distribution.state_hub import StateHub
+from hallhitch.planes.values import LeaseMembership
+from tests.system.distribution.simulated_peers import (
+    SimulatedPeers,
+    make_backend,
+    make_gateway,
+    run_in_virtual_time,
+)
+
+
+class DirectLinks:
+    """Hubs at addresses that reply at once."""
+
+    def __init__(self, hubs: dict[str, StateHub]) -> None:
+        self.hubs = hubs
+
+    async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
+        """Pull state from the hub at an address."""
+        hub = self.hubs.get(address)
+        if hub is None:
+            raise RequestTimeout("call", address, "nobody there")
+        request = StateRequest.FromString(envelope.state_request.SerializeToString())
+        return Envelope(state_update=hub.build_update(request) or hub.add_status(StateUpdate()))
+
+
+def pull(source: StateHub, replica: PeerReplica, hub: StateHub) -> None:
+    """Pull once from a peer."""
+    request = replica.build_request(make_gateway("me"), hub, 0.0, direct_only=False)
+    update = source.build_update(StateRequest.FromString(request.SerializeToString())) or StateUpdate(
+        incarnation=source.incarnation, endpoint_list_age_ms=1.0
+    )
+    requested_at = now()
+    replica.record_reply(update, requested_at, 2000.0)
+    replica.apply(update, hub, requested_at, with_view=True)
+
+
+def make_coordinator_hub(incarnation: int) -> StateHub:
+    """Return the hub of a coordinator in contact with a majority."""
+    hub = StateHub(incarnation)
+    hub.quorum_contact_age_ms = lambda: 0.0
+    return hub
+
+
+def test_configuration_serial_never_decreases() -> None:
+    for seed in range(200):
+        rng = random.Random(seed)
+        sources = [make_coordinator_hub(n + 1) for n in range(3)]
+        hub, replicas = StateHub(9), [PeerReplica(str(n)) for n in range(3)]
+        known_serial = 0
+        for serial in range(1, 30):
+            for source in sources:  # each learns of a change, or is cut off and does not
+                if rng.random() < 0.5:
+                    source.update_config(serial, serial * 3, b"", [])
+            n = rng.randrange(3)
+            pull(sources[n], replicas[n], hub)
+            assert hub.config.serial >= known_serial
+            known_serial = hub.config.serial
+        assert known_serial > 20
+
+
+def test_older_endpoint_list_does_not_replace_a_newer_one() -> None:
+    fresh, stale, hub = StateHub(1), StateHub(2), StateHub(3)
+    fresh.update_backends(now() - 50, [make_backend("a", is_draining=True)])
+    stale.update_backends(now() - 5000, [make_backend("a"), make_backend("b")])
+    pull(fresh, PeerReplica("1"), hub)
+    pull(stale, PeerReplica("2"), hub)
+    assert [(backend.instance, backend.is_draining) for backend in hub.backends.values()] == [("a", True)]
+
+
+def test_backend_seen_draining_stays_draining_though_the_next_list_lags() -> None:
+    hub = StateHub(1)
+    hub.update_backends(1.0, [make_backend("i-1", is_draining=True)])
+    hub.update_backends(2.0, [])
+    hub.update_backends(3.0, [make_backend("i-1"), make_backend("i-2")])
+    draining = {backend.instance: backend.is_draining for backend in hub.backends.values()}
+    assert draining == {"i-1": True, "i-2": False}
+
+
+def test_configuration_comes_from_a_gateway_if_no_coordinator_has_a_majority() -> None:
+    without_lease, gateway_hub, hub = StateHub(1), StateHub(2), StateHub(3)
+    without_lease.update_config(6, 20, b"", [])
+    without_lease.can_bootstrap_peers = lambda: False
+    without_lease.set_gateways({"other:1": make_gateway("other")})
+    gateway_hub.update_config(7, 21, b"", ["z"])
+    gateway_hub.update_backends(now(), [make_backend("a")])
+    links = DirectLinks({"core:1": without_lease, "other:1": gateway_hub})
+    sync = GatewaySync(links, hub, lambda: make_gateway("me"), ["core:1"])
+    assert asyncio.run(sync._follow_coordinators(["gone:1", "core:1"]))
+    assert hub.config.serial == 7 and list(hub.config.evacuated_zones) == ["z"] and len(hub.backends) == 1
+
+
+def test_every_reply_carries_the_lease_membership_and_an_older_one_is_ignored() -> None:
+    coordinator, hub = StateHub(1), StateHub(2)
+    newest = LeaseMembership(3, ("a", "d"), ("a", "b"))
+    coordinator.update_lease_membership(newest)
+    update = coordinator.add_status(StateUpdate())
+    hub.update_lease_membership(LeaseMembership.from_message(update.lease_membership))
+    hub.update_lease_membership(LeaseMembership(2, ("a", "b")))
+    hub.update_lease_membership(LeaseMembership.from_message(StateUpdate().lease_membership))  # of a peer without one
+    assert hub.lease_membership == newest
+
+
+def test_every_reply_carries_the_age_of_the_quorum_contact_and_the_time_it_was_held_back() -> None:
+    async def scenario(peers: SimulatedPeers) -> None:
+        hub, peers.confirmed_at["c1:1"] = peers.add_coordinator("c1:1", 1), 0.0
+        await asyncio.sleep(1)
+        replica = PeerReplica("c1:1", peers.clock)
+        request = replica.build_request(make_gateway("me"), StateHub(2, peers.clock), 300.0, direct_only=False)
+        request.known_versions["config"].number, request.known_versions["gateways"].epoch = 1, hub.incarnation
+        update: StateUpdate = (await hub.respond(request)).state_update
+        assert abs(update.quorum_contact_age_ms - 1300) < 1 and abs(update.held_back_ms - 300) < 1
+        assert StateHub(3).add_status(StateUpdate()).quorum_contact_age_ms == -1
+
+    run_in_virtual_time(scenario)
