--- a/hallhitch/planes/distribution/peer_replica.py
+++ b/hallhitch/planes/distribution/peer_replica.py
@@ -114,11 +114,13 @@
         if not is_fresh and self._clock() - hub.view_contact_at <= self.serving_lease_ms:
             return  # the view is from a peer in fresher contact
         is_new_source = hub.view_source != self.address
-        if (is_new_source or update.HasField("gateways")) and self.gateways.is_complete:
+        has_new_gateways = is_new_source or update.HasField("gateways")
+        if has_new_gateways and self.gateways.is_complete:
             kept = {} if is_fresh else {gateway.address: gateway for gateway in hub.gateways.values()}
             hub.set_gateways({**kept, **self.gateways.items})
             hub.view_source = self.address
-        if (is_new_source or update.HasField("holders")) and (is_fresh or not hub.holders):
+        has_new_holders = is_new_source or update.HasField("holders")
+        if has_new_holders and (is_fresh or not hub.holders):
             hub.set_holders(self.holders)
         if is_fresh:
             hub.view_contact_at = self.quorum_contact_at
--- a/hallhitch/planes/distribution/state_messages.py
+++ b/hallhitch/planes/distribution/state_messages.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from hallhitch.messages.system_pb2 import (
     BackendMessage,
@@ -19,7 +19,7 @@
 from hallhitch.planes.distribution.versioned_map import Delta, Version
 from hallhitch.planes.values import Gateway
 
-V = TypeVar("V")
+ValueT = TypeVar("ValueT")
 
 
 def encode_gateway(gateway: Gateway) -> GatewayMessage:
@@ -96,8 +96,13 @@
 
 def encode_backend_delta(delta: Delta[ListedBackend], now: float) -> BackendUpdate:
     """Encode a delta of the endpoint list at `now` (steady ms)."""
-    entries = [encode_backend(backend, now) for backend in delta.entries.values()]
-    return BackendUpdate(entries=entries, **_delta_fields(delta))
+    return BackendUpdate(
+        version=encode_version(delta.version),
+        is_snapshot=delta.is_snapshot,
+        entries=[encode_backend(backend, now) for backend in delta.entries.values()],
+        removed=delta.removed,
+        has_more_chunks=delta.has_more_chunks,
+    )
 
 
 def decode_backend_delta(message: BackendUpdate, received_at: float) -> Delta[ListedBackend]:
@@ -107,8 +112,13 @@
 
 def encode_gateway_delta(delta: Delta[Gateway]) -> GatewayUpdate:
     """Encode a delta of the gateways."""
-    entries = [encode_gateway(gateway) for gateway in delta.entries.values()]
-    return GatewayUpdate(entries=entries, **_delta_fields(delta))
+    return GatewayUpdate(
+        version=encode_version(delta.version),
+        is_snapshot=delta.is_snapshot,
+        entries=[encode_gateway(gateway) for gateway in delta.entries.values()],
+        removed=delta.removed,
+        has_more_chunks=delta.has_more_chunks,
+    )
 
 
 def decode_gateway_delta(message: GatewayUpdate) -> Delta[Gateway]:
@@ -116,16 +126,7 @@
     return _decode_delta(message, {entry.address: decode_gateway(entry) for entry in message.entries})
 
 
-def _delta_fields(delta: Delta[Any]) -> dict[str, Any]:
-    return {
-        "version": encode_version(delta.version),
-        "is_snapshot": delta.is_snapshot,
-        "removed": delta.removed,
-        "has_more_chunks": delta.has_more_chunks,
-    }
-
-
-def _decode_delta(message: BackendUpdate | GatewayUpdate, entries: Mapping[str, V]) -> Delta[V]:
+def _decode_delta(message: BackendUpdate | GatewayUpdate, entries: Mapping[str, ValueT]) -> Delta[ValueT]:
     return Delta(
         version=decode_version(message.version),
         is_snapshot=message.is_snapshot,
--- a/hallhitch/planes/distribution/versioned_map.py
+++ b/hallhitch/planes/distribution/versioned_map.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Final, Generic, TypeVar
 
-V = TypeVar("V")
+ValueT = TypeVar("ValueT")
 CHUNK_ENTRIES: Final = 500  # in one reply: some 35 kB, which a link of 2 Mbit/s carries in an eighth of a second
 MAX_REMOVED_KEYS: Final = 2048  # remembered for replicas that follow by deltas
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Delta(Generic[V]):
+class Delta(Generic[ValueT]):
     """What a replica lacks: the whole map (`is_snapshot`), or what changed since the version that the replica has.
 
     With `has_more_chunks` it is only a part of that, and leads to `version`, which is not yet the newest.
@@ -37,18 +37,18 @@
 
     version: Version
     is_snapshot: bool
-    entries: Mapping[str, V]
+    entries: Mapping[str, ValueT]
     removed: tuple[str, ...]
     has_more_chunks: bool = False
 
 
-class VersionedMap(Generic[V]):
+class VersionedMap(Generic[ValueT]):
     """A map that can tell what changed since an earlier version."""
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
         self.number = 0
-        self._items: dict[str, tuple[int, V]] = {}  # with the number of the latest change
+        self._items: dict[str, tuple[int, ValueT]] = {}  # with the number of the latest change
         self._removed: dict[str, int] = {}  # with the number of the removal, oldest first
         self._oldest_base = 0  # replicas below this number need a snapshot
 
@@ -63,12 +63,12 @@
         """The newest version."""
         return Version(self.epoch, self.number)
 
-    def get(self, key: str) -> V | None:
+    def get(self, key: str) -> ValueT | None:
         """Return the value of a key, if there is one."""
         item = self._items.get(key)
         return item[1] if item is not None else None
 
-    def values(self) -> list[V]:
+    def values(self) -> list[ValueT]:
         """Return all values."""
         return [value for _, value in self._items.values()]
 
@@ -76,7 +76,7 @@
         """Return all keys."""
         return list(self._items)
 
-    def put(self, key: str, value: V) -> bool:
+    def put(self, key: str, value: ValueT) -> bool:
         """Set a value; return whether that changed the map."""
         item = self._items.get(key)
         if item is not None and item[1] == value:
@@ -97,7 +97,7 @@
             self._oldest_base = max(self._oldest_base, self._removed.pop(oldest))
         return True
 
-    def replace(self, items: Mapping[str, V]) -> bool:
+    def replace(self, items: Mapping[str, ValueT]) -> bool:
         """Set the whole map; return whether that changed it."""
         changed = False
         for key in [key for key in self._items if key not in items]:
@@ -106,19 +106,18 @@
             changed |= self.put(key, value)
         return changed
 
-    def delta_since(self, version: Version) -> Delta[V] | None:
+    def delta_since(self, version: Version) -> Delta[ValueT] | None:
         """Return what a replica of this version lacks, at most one chunk of it; None if it is up to date."""
         if version.epoch == self.epoch and version.number >= self.number:
             return None
         is_snapshot = version.epoch != self.epoch or version.number < self._oldest_base
-        base = -1 if is_snapshot else version.number
-        changes = [(number, key) for key, (number, _) in self._items.items() if number > base]
-        if not is_snapshot:
-            changes += [(number, key) for key, number in self._removed.items() if number > base]
-        changes.sort()
         chunk_size = CHUNK_ENTRIES
-        if is_snapshot:  # its first chunk reaches the oldest base: from below that, no delta can follow
+        if is_snapshot:
+            changes = sorted((number, key) for key, (number, _) in self._items.items())
+            # The first chunk of a snapshot reaches the oldest base: from below that, no delta can follow.
             chunk_size = max(chunk_size, bisect_left(changes, (self._oldest_base, "")))
+        else:
+            changes = self._changes_since(version.number)
         has_more_chunks = len(changes) > chunk_size
         changes = changes[:chunk_size]
         return Delta(
@@ -129,16 +128,23 @@
             has_more_chunks=has_more_chunks,
         )
 
+    def _changes_since(self, base: int) -> list[tuple[int, str]]:
+        """Return (number, key) of each entry that was set or removed after the number `base`, in that order."""
+        changes = [(number, key) for key, (number, _) in self._items.items() if number > base]
+        changes += [(number, key) for key, number in self._removed.items() if number > base]
+        changes.sort()
+        return changes
+
 
-class VersionedReplica(Generic[V]):
+class VersionedReplica(Generic[ValueT]):
     """A copy of another process's map, as of the last delta that was received."""
 
     def __init__(self) -> None:
         self.version = Version()
-        self.items: dict[str, V] = {}
+        self.items: dict[str, ValueT] = {}
         self.is_complete = False  # whether `items` is the whole map at `version`, and no chunk is missing
 
-    def apply(self, delta: Delta[V]) -> bool:
+    def apply(self, delta: Delta[ValueT]) -> bool:
         """Apply a delta; return False if it does not follow from `version`, so that a snapshot has to be requested."""
         is_same_epoch = delta.version.epoch == self.version.epoch
         is_outdated = is_same_epoch and delta.version.number <= self.version.number
