--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -45,10 +45,10 @@
 from hallhitch.planes.distribution.state_messages import encode_backend, encode_gateway
 from hallhitch.planes.distribution.versioned_map import VersionedMap
 from hallhitch.planes.quota import lease_messages
-from hallhitch.planes.quota.holder import LeaseHolder
+from hallhitch.planes.quota.bucket_placement import rank_gateways
 from hallhitch.planes.quota.lease import LeaseClaim, UsageReport
-from hallhitch.planes.quota.lease_client import ranks
-from hallhitch.planes.quota.limits import Quota
+from hallhitch.planes.quota.limits import QuotaRule, RateLimit
+from hallhitch.planes.quota.tenant_counter import TenantCounter
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestKind, Route, Service
 
 LETTERS = "abcdefghijkmnpqrstuvwxyz23456789"
@@ -271,7 +271,7 @@
         count,
         size,
         spent(lambda: hub.replace(merge_gateways(parts[0], parts[1:]))) / 1000,
-        spent(lambda: ranks(known)) / 1000,
+        spent(lambda: rank_gateways(known)) / 1000,
         spent(lambda: nearest_gateways(entries, "region-3", "namaka-3", {})) / 1000,
     )
 
@@ -327,11 +327,12 @@
     """One add at the holder, its memory a tenant, and the account of one bucket that goes with each claim."""
     names = [f"tenant{n}" for n in range(tenants)]
     moment, turn = [1e6], [0]
+    limit = RateLimit(100.0, 100.0)
 
-    def filled() -> LeaseHolder:
-        holder = LeaseHolder(Quota(5000.0, 0.1, 20.0), 1)
+    def filled() -> TenantCounter:
+        holder = TenantCounter(QuotaRule(5000.0, 0.1, 20.0), 1)
         for name in names:
-            holder.add(moment[0], name, 1, 100.0, 100.0)
+            holder.add(moment[0], name, 1, limit)
         return holder
 
     held, holder = traced(filled) / tenants, filled()
@@ -339,22 +340,25 @@
     def one() -> None:
         moment[0] += 0.01
         turn[0] += 1
-        holder.add(moment[0], names[turn[0] % tenants], 1, 100.0, 100.0)
+        holder.add(moment[0], names[turn[0] % tenants], 1, limit)
 
     each = spent(one)
     began = time.thread_time()
-    accounts = {bucket: told for bucket in range(128) if (told := holder.account(bucket, moment[0])) is not None}
+    reports = {bucket: holder.usage_report(bucket, moment[0]) for bucket in range(128)}
+    reports = {bucket: report for bucket, report in reports.items() if not report.is_empty}
     gathered = time.thread_time() - began
-    asked = LeaseClaim("10.0.0.1:7560", 1, 1, 1, renew=range(128), accounts=accounts)
-    size = len(lease_messages.claim(asked, 1).SerializeToString())
+    claim = LeaseClaim("10.0.0.1:7560", 1, 1, 1, renew=range(128), usage_reports=reports)
+    size = len(lease_messages.encode_claim(claim, 1).SerializeToString())
     return tenants, each, held, size / tenants, gathered / tenants * 1e6
 
 
 def accounted(tenants: int) -> Row:
     """The same at a coordinator: reading a claim with accounts of so many tenants."""
     sums = {f"tenant{n}": (1, 0, 0, 0, 0, 0, 0, 0) for n in range(tenants)}
-    data = lease_messages.claim(LeaseClaim("10.0.0.1:7560", 1, 1, 1, renew=(1,), accounts={1: UsageReport(sums)}), 1)
-    return tenants, spent(lambda: lease_messages.asked(data)) / tenants
+    data = lease_messages.encode_claim(
+        LeaseClaim("10.0.0.1:7560", 1, 1, 1, renew=(1,), usage_reports={1: UsageReport(sums)}), 1
+    )
+    return tenants, spent(lambda: lease_messages.decode_claim(data)) / tenants
 
 
 def checking(routes: int, tenants: int) -> Row:
--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -40,8 +40,8 @@
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.distribution.versioned_map import Version
-from hallhitch.planes.quota import lease_client
-from hallhitch.planes.quota.limits import BUCKETS
+from hallhitch.planes.quota import bucket_placement
+from hallhitch.planes.quota.limits import BUCKET_COUNT
 from hallhitch.planes.quota.plane import QuotaPlane
 from hallhitch.planes.values import Gateway
 
@@ -174,7 +174,7 @@
             self.quota.set_config(self.config)
         if (version := hub.gateways.version) != self._gateways:
             self._gateways = version
-            self.quota.set_gateways(self.node.name, [g for g in hub.gateways.values() if g.frontend])
+            self.quota.set_gateways([g for g in hub.gateways.values() if g.frontend])
         self.quota.set_membership(hub.lease_membership)
         self.quota.set_holders(hub.holders)
 
@@ -238,8 +238,8 @@
 async def team(first: int, count: int, file: str) -> None:
     """The other side: run the gateways, answer each line on standard input with one line."""
     # All gateways here reckon the same order: once in this process, its time is in the table of gateways.
-    kept = functools.lru_cache(maxsize=4)(lease_client.ranks)
-    lease_client.ranks = lambda gateways: kept(frozenset(gateways))
+    kept = functools.lru_cache(maxsize=4)(bucket_placement.rank_gateways)
+    bucket_placement.rank_gateways = lambda gateways: kept(frozenset(gateways))
     node, reader = read_settings(file), asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     hollows, bare = [Hollow(n, node) for n in range(first, first + count)], resident()
@@ -251,7 +251,7 @@
         traffic = [hollow.links.traffic for hollow in hollows]
         told: object = {
             "known": min(len(h.hub.gateways) for h in hollows),
-            "held": sum(len(h.quota.held()) for h in hollows),
+            "held": sum(len(h.quota.held_buckets()) for h in hollows),
             "version": min(h.config.version for h in hollows),
             "evacuated": all("zone-1" in h.config.evacuated_zones for h in hollows),
             "drained": all((e := h.hub.backends.get(drains)) is not None and e.is_draining for h in hollows),
@@ -375,7 +375,8 @@
         await self._asked("state")  # once all run
         took = await self._until(
             lambda told: (
-                all(t["known"] >= count and t["version"] == 1 for t in told) and sum(t["held"] for t in told) == BUCKETS
+                all(t["known"] >= count and t["version"] == 1 for t in told)
+                and sum(t["held"] for t in told) == BUCKET_COUNT
             ),
             SETTLE,
         )
--- /dev/null
+++ b/hallhitch/planes/quota/bucket_placement.py
@@ -0,0 +1,127 @@
+"""Which gateway should hold which bucket, by rendezvous hashing. Owns this gateway's view of gateways and holders.
+
+Every gateway ranks all gateways for each bucket alike; the first in the ranking should hold the bucket, and the next
+ones stand in for it after a while. Nothing here makes a lease safe: a wrong view costs time, not correctness.
+
+Rendezvous (highest random weight) hashing: Thaler and Ravishankar, 1998. Moments are steady ms of this process.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import struct
+from collections.abc import Iterable, Mapping
+from typing import Final
+
+from hallhitch.planes.quota.limits import BUCKET_COUNT
+
+# For so long a bucket stays free for each gateway before this one in its ranking: longer than a claim interval, so
+# that the other one has begun to acquire it.
+ACQUIRE_STAGGER_MS: Final = 350.0
+# After the first view of the gateways nothing is acquired for so long, as the view grows at first.
+VIEW_SETTLING_MS: Final = 300.0
+# A bucket is handed to its first gateway once that has been first, and this one its holder, for so long: a gateway
+# that flaps shall not move buckets to and fro.
+REBALANCE_AFTER_MS: Final = 4000.0
+# After a rejected attempt, at least a claim interval, as the release of its votes goes out with the next claim; the
+# gateways then retry in the order of the ranking, so that votes do not split once more.
+REJECTED_RETRY_MS: Final = 300.0
+RETRY_STAGGER_MS: Final = 100.0
+UNRANKED_RETRY_MS: Final = 500.0
+
+HELD_ELSEWHERE: Final = float("inf")
+
+
+def rank_gateways(gateways: Iterable[str]) -> list[list[str]]:
+    """Return for each bucket the gateways in the order in which they should hold it.
+
+    >>> len(rank_gateways(["10.0.0.1:7000", "10.0.0.2:7000"])), sorted(rank_gateways(["a", "b"])[0])
+    (128, ['a', 'b'])
+    """
+    scores = {
+        gateway: struct.unpack(f">{BUCKET_COUNT}I", hashlib.shake_128(gateway.encode()).digest(4 * BUCKET_COUNT))
+        for gateway in set(gateways)
+    }
+    return [
+        [gateway for _, gateway in sorted((-score[bucket], gateway) for gateway, score in scores.items())]
+        for bucket in range(BUCKET_COUNT)
+    ]
+
+
+class BucketPlacement:
+    """The buckets as one gateway sees them: ranking, last holder, since when free, and when to try again."""
+
+    def __init__(self, own_address: str) -> None:
+        self._own_address = own_address
+        self._gateways: frozenset[str] = frozenset()
+        self._settled_at = float("inf")
+        self._ranking: list[list[str]] = [[] for _ in range(BUCKET_COUNT)]
+        self._first_since = [0.0] * BUCKET_COUNT  # since when the ranking's first gateway is the first
+        self._free_since = [0.0] * BUCKET_COUNT
+        self._last_holder = [""] * BUCKET_COUNT
+        self._retry_at = [0.0] * BUCKET_COUNT
+
+    def set_gateways(self, now: float, gateways: Iterable[str]) -> None:
+        """Set the live gateways that may hold buckets, this one among them if it may."""
+        names = frozenset(gateways)
+        if names == self._gateways:
+            return
+        if not self._gateways:
+            self._settled_at = now + VIEW_SETTLING_MS
+        self._gateways = names
+        for bucket, ranking in enumerate(rank_gateways(names)):
+            if ranking[:1] != self._ranking[bucket][:1]:
+                self._first_since[bucket] = now
+            self._ranking[bucket] = ranking
+
+    def set_holders(self, now: float, holders: Mapping[int, str]) -> None:
+        """Set the holders of buckets as the coordinators report them."""
+        for bucket in range(BUCKET_COUNT):
+            holder = holders.get(bucket, self._own_address)
+            if holder != self._own_address:
+                self._free_since[bucket] = HELD_ELSEWHERE
+                self._last_holder[bucket] = holder
+            elif self._free_since[bucket] == HELD_ELSEWHERE:
+                self._free_since[bucket] = now
+
+    def mark_free(self, now: float, bucket: int) -> None:
+        """Record that this gateway holds a bucket no more."""
+        self._free_since[bucket] = now
+
+    def defer(self, bucket: int, until: float) -> None:
+        """Do not acquire a bucket before a moment."""
+        self._retry_at[bucket] = until
+
+    def can_acquire(self, now: float) -> bool:
+        """Whether this gateway may hold buckets, by a view of the gateways that has settled."""
+        return now >= self._settled_at and self._own_address in self._gateways
+
+    def is_own_turn(self, now: float, bucket: int) -> bool:
+        """Whether a bucket has been free for long enough for this gateway to acquire it; needs `can_acquire`."""
+        free_since = self._free_since[bucket]
+        if free_since == HELD_ELSEWHERE or now < self._retry_at[bucket]:
+            return False
+        return now - max(free_since, self._settled_at) >= ACQUIRE_STAGGER_MS * self._rank(bucket)
+
+    def retry_delay_ms(self, bucket: int) -> float:
+        """Return how long to wait after a rejected attempt: the longer, the more gateways should hold the bucket."""
+        ranking = self._ranking[bucket]
+        if self._own_address not in ranking:
+            return UNRANKED_RETRY_MS
+        return REJECTED_RETRY_MS + RETRY_STAGGER_MS * ranking.index(self._own_address)
+
+    def belongs_elsewhere(self, now: float, bucket: int, held_since: float) -> bool:
+        """Whether another gateway has been first for a bucket, and this one its holder, for long enough to move it."""
+        ranking = self._ranking[bucket]
+        if not ranking or ranking[0] == self._own_address:
+            return False
+        return now - max(self._first_since[bucket], held_since) >= REBALANCE_AFTER_MS
+
+    def _rank(self, bucket: int) -> int:
+        """Return how many gateways are to try before this one.
+
+        The last holder is not among them: it has most likely died, though the view does not show that yet.
+        """
+        ranking, last_holder = self._ranking[bucket], self._last_holder[bucket]
+        position = ranking.index(self._own_address)
+        return position - (last_holder in ranking[:position])
--- a/hallhitch/planes/quota/counter_client.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -1,7 +1,8 @@
-"""One unit for one request: asks the tenant's holder, or the gateway's own reserve where nobody answers.
+"""The quota counter as the data plane uses it: one unit for one request, from the holder or the local reserve.
 
-Owns what it knows of each holder as a caller (round trip, silence). Never passes a request unchecked, and never
-raises: what was asked and not answered may have been counted, which only counts too much.
+Owns what this gateway observes of each holder as a caller: round-trip time and silence. Invariants: no request is
+admitted unless a holder or the local reserve has counted it; a failed call is a decision, not an error. A unit whose
+call got no response may have been counted, so that the count is at times too high, but not too low.
 """
 
 from __future__ import annotations
@@ -10,178 +11,238 @@
 import contextlib
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import Final, Protocol
 
-from hallhitch.messages.system_pb2 import CountRequest, Envelope
+from hallhitch.messages.system_pb2 import CountRequest, CountResponse, Envelope
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.round_trip import RoundTripEstimate
-from hallhitch.planes.quota.holder import Sum
-from hallhitch.planes.quota.limits import bucket_of
+from hallhitch.planes.quota.limits import RateLimit, bucket_of
 from hallhitch.planes.quota.local_reserve import LocalReserve
+from hallhitch.planes.quota.tenant_counter import CountResult
 from hallhitch.planes.values import QuotaDecision, Tenant
 
-FIRST, SHORTEST = 800.0, 200.0  # ms that a holder is waited for: where its time is not known yet, and at least
-AWAY = 300.0  # ms for which a silent holder is not asked again, but by one call
-ELSEWHERE = 200.0  # ms for which one that said that it does not hold a bucket is not asked about it
-COME_BACK = 400.0  # ms after which a request may return that nobody could be asked about
-PRESSED = 250.0  # ms after which one may return at the soonest that was over a limit
-PASSED = QuotaDecision(True)
-
-
-class Calls(Protocol):
-    """What is used of messages.peer_links.PeerLinks."""
+# Time-out of a call to a holder whose round-trip time is not known yet, and of a refund.
+INITIAL_CALL_TIMEOUT_MS: Final = 800.0
+# The least time-out of a call, and so the least time after which silence says something of the holder.
+MIN_CALL_TIMEOUT_MS: Final = 200.0
+# Added to the round-trip time's bound; a chosen value.
+CALL_TIMEOUT_SLACK_MS: Final = 50.0
+# A holder that did not respond is left alone for so long; one single call then tries it (a half-open breaker).
+HOLDER_BACKOFF_MS: Final = 300.0
+# A holder that said that it does not hold a bucket is not asked about that bucket for so long.
+NOT_HOLDER_BACKOFF_MS: Final = 200.0
+# The client's retry delay where nobody could count its request.
+UNAVAILABLE_RETRY_MS: Final = 400.0
+# The least retry delay for a tenant over its limit. Room comes unit by unit, and many wait for it: a client that
+# comes back at once is mostly rejected once more.
+MIN_RETRY_AFTER_MS: Final = 250.0
+
+UNLIMITED: Final = QuotaDecision(is_admitted=True)
+OWN_RESERVE: Final = ""  # in place of a holder's address
+
+
+class PeerCaller(Protocol):
+    """Calls to other processes; see messages.peer_links.PeerLinks."""
 
     async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
-        """See PeerLinks.call."""
+        """Return a peer's reply.
 
+        Raises:
+            PeerCallError: there was no reply.
+        """
 
-class Local(Protocol):
-    """The counts of this very gateway."""
 
-    def count(self, tenant: str, rate: float, burst: float) -> Sum | None:
-        """One unit, or None where this gateway does not hold the tenant's bucket."""
+class LocalCounter(Protocol):
+    """The counts of the buckets that this gateway holds itself."""
 
-    def give_back(self, tenant: str, slot: int) -> None:
-        """A unit that never ran."""
+    def count(self, tenant: str, limit: RateLimit) -> CountResult | None:
+        """Count one unit; None where this gateway does not hold the tenant's bucket."""
+
+    def refund(self, tenant: str, slot: int) -> None:
+        """Return a unit whose request never ran."""
 
 
 @dataclass(slots=True)
-class _Peer:
-    """A holder as its callers see it."""
+class _HolderContact:
+    """A holder as this gateway observes it."""
+
+    # Measured apart from the link's own round trip, as long replies on a link delay short ones.
+    round_trip: RoundTripEstimate = field(default_factory=RoundTripEstimate)
+    last_response_at: float = float("-inf")
+    silent_until: float = 0.0  # 0 = it responded to the last call
+    is_trial_running: bool = False
+
+    @property
+    def is_silent(self) -> bool:
+        """Whether it did not respond to the last call."""
+        return self.silent_until > 0
+
+    def can_call(self, now: float) -> bool:
+        """Whether to call it: always while it responds, else once at a time after the backoff."""
+        return not self.is_silent or not self.is_trial_running and now >= self.silent_until
+
+    def call_timeout_ms(self) -> float:
+        """Return how long nearly every response takes at most."""
+        if not self.round_trip.has_samples:
+            return INITIAL_CALL_TIMEOUT_MS
+        return max(
+            MIN_CALL_TIMEOUT_MS, self.round_trip.mean_ms + self.round_trip.upper_bound_ms() + CALL_TIMEOUT_SLACK_MS
+        )
 
-    # Links that carry long answers hold short ones up.
-    trip: RoundTripEstimate = field(default_factory=RoundTripEstimate)
-    heard: float = float("-inf")
-    away_until: float = 0.0
-    trying: bool = False
+    def record_response(self, called_at: float, responded_at: float) -> None:
+        """Record that a call was answered."""
+        self.silent_until = 0.0
+        self.last_response_at = responded_at
+        self.round_trip.observe(responded_at - called_at)
+
+    def record_failure(self, called_at: float, failed_at: float, timeout_ms: float) -> None:
+        """Record that a call got no response within the time that the request had left."""
+        had_enough_time = timeout_ms >= MIN_CALL_TIMEOUT_MS
+        has_responded_since = self.last_response_at > called_at
+        if had_enough_time and not has_responded_since:
+            self.silent_until = failed_at + HOLDER_BACKOFF_MS
+        self.round_trip.observe(failed_at - called_at)
 
 
 @dataclass(frozen=True, slots=True)
-class _Token:
-    """Where a unit was counted: `address` of the holder, "" for our own reserve."""
+class _RefundToken:
+    """Where a unit was counted: the holder's address, or OWN_RESERVE."""
 
     tenant: str
-    address: str
+    counted_by: str
     slot: int
 
 
 class CounterClient:
-    """The counter as the data plane sees it (ports.Counter)."""
+    """The quota counter of one gateway (planes.data.interfaces.QuotaCounter)."""
 
-    def __init__(self, own: str, calls: Calls, local: Local, reserve: LocalReserve, clock: Callable[[], float]) -> None:
-        self._own, self._calls, self._local, self._allowance, self._clock = own, calls, local, reserve, clock
+    def __init__(
+        self,
+        own_address: str,
+        peers: PeerCaller,
+        local_counter: LocalCounter,
+        reserve: LocalReserve,
+        clock: Callable[[], float],
+    ) -> None:
+        self._own_address = own_address
+        self._peers = peers
+        self._local_counter = local_counter
+        self._reserve = reserve
+        self._clock = clock
         self._holders: Mapping[int, str] = {}
-        self._peers: dict[str, _Peer] = {}
-        self._elsewhere: dict[int, float] = {}  # bucket -> until when its holder is not asked about it
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._contacts: dict[str, _HolderContact] = {}
+        self._not_holder_until: dict[int, float] = {}  # by bucket, of the holder in `_holders`
+        self._refund_tasks: set[asyncio.Task[None]] = set()
 
     def set_holders(self, holders: Mapping[int, str]) -> None:
-        """Bucket -> internal address of who holds it."""
-        self._elsewhere = {
+        """Set the internal address of each bucket's holder."""
+        self._not_holder_until = {
             bucket: until
-            for bucket, until in self._elsewhere.items()
+            for bucket, until in self._not_holder_until.items()
             if holders.get(bucket) == self._holders.get(bucket)
         }
         self._holders = dict(holders)
-        live = set(holders.values())
-        self._peers = {address: peer for address, peer in self._peers.items() if address in live}
+        addresses = set(holders.values())
+        self._contacts = {address: contact for address, contact in self._contacts.items() if address in addresses}
 
-    async def admit(self, tenant: Tenant, wait: float) -> QuotaDecision:
-        """Add one unit and read, within `wait` ms; see ports.Counter."""
+    async def admit(self, tenant: Tenant, timeout_ms: float) -> QuotaDecision:
+        """Add one unit and read the count within the time-out; see planes.data.interfaces.QuotaCounter."""
         if tenant.rate_per_s <= 0:
-            return PASSED
-        name, now = tenant.name, self._clock()
-        mine = self._local.count(name, tenant.rate_per_s, tenant.burst)
-        if mine is not None:
-            return self._told(now, tenant, self._own, mine.over, mine.over_share, mine.slot, mine.wait)
-        bucket = bucket_of(name)
-        address = self._holders.get(bucket, self._own)
-        if address == self._own or now < self._elsewhere.get(bucket, 0.0):
-            return self._alone(now, tenant)
-        peer = self._peers.get(address)
-        if peer is None:
-            peer = self._peers[address] = _Peer()
-        trial = peer.away_until > 0
-        if trial and (peer.trying or now < peer.away_until):
-            return self._alone(now, tenant)
-        peer.trying = trial
+            return UNLIMITED
+        now = self._clock()
+        limit = RateLimit(tenant.rate_per_s, tenant.burst)
+        local_result = self._local_counter.count(tenant.name, limit)
+        if local_result is not None:
+            return self._decide(now, tenant.name, limit, self._own_address, local_result)
+        bucket = bucket_of(tenant.name)
+        address = self._holders.get(bucket, self._own_address)
+        is_holder_known = address != self._own_address and now >= self._not_holder_until.get(bucket, 0.0)
+        if not is_holder_known:
+            return self._take_from_reserve(now, tenant.name, limit)
+        contact = self._contacts.get(address)
+        if contact is None:
+            contact = self._contacts[address] = _HolderContact()
+        if not contact.can_call(now):
+            return self._take_from_reserve(now, tenant.name, limit)
+        contact.is_trial_running = contact.is_silent
         try:
-            most = min(
-                wait,
-                max(SHORTEST, peer.trip.mean_ms + peer.trip.upper_bound_ms() + 50) if peer.trip.has_samples else FIRST,
-            )
-            answer = (
-                await self._calls.call(address, Envelope(count_request=CountRequest(tenant=name)), most)
-            ).count_response
-            came = self._clock()
-            peer.away_until, peer.heard = 0.0, came
-            peer.trip.observe(came - now)
-            if answer.is_tenant_unknown and came - now < wait:
-                count = CountRequest(tenant=name, rate_per_s=tenant.rate_per_s, burst=tenant.burst)
-                left = min(most, wait - (came - now))
-                answer = (await self._calls.call(address, Envelope(count_request=count), left)).count_response
-                came = self._clock()
+            response = await self._call_holder(now, address, contact, tenant.name, limit, timeout_ms)
         except PeerCallError:
-            came = self._clock()
-            # Not where little time was left, nor where it answered others meanwhile.
-            if wait >= SHORTEST and peer.heard <= now:
-                peer.away_until = came + AWAY
-            peer.trip.observe(came - now)
-            return self._alone(came, tenant)
+            failed_at = self._clock()
+            contact.record_failure(now, failed_at, timeout_ms)
+            return self._take_from_reserve(failed_at, tenant.name, limit)
         finally:
-            peer.trying = False
-        if not answer.is_lease_holder:
-            self._elsewhere[bucket] = came + ELSEWHERE
-            return self._alone(came, tenant)
-        if answer.is_tenant_unknown:
-            return self._alone(came, tenant)
-        return self._told(
-            came, tenant, address, answer.is_over_limit, answer.is_over_share, answer.slot, answer.retry_after_ms
+            contact.is_trial_running = False
+        responded_at = self._clock()
+        if not response.is_lease_holder:
+            self._not_holder_until[bucket] = responded_at + NOT_HOLDER_BACKOFF_MS
+            return self._take_from_reserve(responded_at, tenant.name, limit)
+        if response.is_tenant_unknown:
+            return self._take_from_reserve(responded_at, tenant.name, limit)
+        result = CountResult(
+            is_over_limit=response.is_over_limit,
+            total=response.total,
+            slot=response.slot,
+            retry_after_ms=response.retry_after_ms,
+            is_over_share=response.is_over_share,
         )
+        return self._decide(responded_at, tenant.name, limit, address, result)
 
-    def refund(self, taken: QuotaDecision) -> None:
-        """A unit that surely never ran goes back, where its name still lives; nobody waits for it."""
-        token = taken.refund_token
-        if not isinstance(token, _Token):
+    def refund(self, decision: QuotaDecision) -> None:
+        """Return the unit of a request that certainly never ran, if its lease still exists; does not wait."""
+        token = decision.refund_token
+        if not isinstance(token, _RefundToken):
             return
-        if not token.address:
-            self._allowance.give_back(self._clock(), token.tenant, token.slot)
-        elif token.address == self._own:
-            self._local.give_back(token.tenant, token.slot)
+        if token.counted_by == OWN_RESERVE:
+            self._reserve.refund(token.tenant, token.slot)
+        elif token.counted_by == self._own_address:
+            self._local_counter.refund(token.tenant, token.slot)
         else:
-            task = asyncio.ensure_future(self._return(token))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
-
-    async def _return(self, token: _Token) -> None:
-        with contextlib.suppress(PeerCallError):  # then it leaves with the window
-            await self._calls.call(
-                token.address,
-                Envelope(count_request=CountRequest(tenant=token.tenant, units=-1, slot=token.slot)),
-                FIRST,
-            )
-
-    def _told(
-        self,
-        now: float,
-        tenant: Tenant,
-        address: str,
-        over: bool,
-        over_share: bool,
-        slot: int,
-        wait: float,
-    ) -> QuotaDecision:
-        if not over:
-            return QuotaDecision(True, refund_token=_Token(tenant.name, address, slot))
-        # The reserve is counted apart from the holder's part, so it may be used where the tenant is inside its limit.
-        kept = self._allowance.take(now, tenant.name, tenant.rate_per_s, tenant.burst) if over_share else None
-        if kept is not None:
-            return QuotaDecision(True, refund_token=_Token(tenant.name, "", kept))
-        # Room comes unit by unit, and as many wait for it: whoever comes back at once is refused once more.
-        return QuotaDecision(False, retry_after_ms=max(wait, PRESSED))
-
-    def _alone(self, now: float, tenant: Tenant) -> QuotaDecision:
-        kept = self._allowance.take(now, tenant.name, tenant.rate_per_s, tenant.burst)
-        if kept is None:
-            return QuotaDecision(False, retry_after_ms=COME_BACK, is_counter_unavailable=True)
-        return QuotaDecision(True, refund_token=_Token(tenant.name, "", kept))
+            task = asyncio.ensure_future(self._refund_at_holder(token))
+            self._refund_tasks.add(task)
+            task.add_done_callback(self._refund_tasks.discard)
+
+    async def _call_holder(
+        self, now: float, address: str, contact: _HolderContact, tenant: str, limit: RateLimit, timeout_ms: float
+    ) -> CountResponse:
+        """Count one unit at a holder, with the tenant's limit if the holder does not know it.
+
+        Raises:
+            PeerCallError: the holder did not respond.
+        """
+        call_timeout_ms = min(timeout_ms, contact.call_timeout_ms())
+        response = await self._call(address, CountRequest(tenant=tenant), call_timeout_ms)
+        responded_at = self._clock()
+        contact.record_response(now, responded_at)
+        elapsed_ms = responded_at - now
+        if not response.is_tenant_unknown or elapsed_ms >= timeout_ms:
+            return response
+        request = CountRequest(tenant=tenant, rate_per_s=limit.rate_per_s, burst=limit.burst)
+        return await self._call(address, request, min(call_timeout_ms, timeout_ms - elapsed_ms))
+
+    async def _refund_at_holder(self, token: _RefundToken) -> None:
+        request = CountRequest(tenant=token.tenant, units=-1, slot=token.slot)
+        with contextlib.suppress(PeerCallError):  # then the unit leaves with the window
+            await self._call(token.counted_by, request, INITIAL_CALL_TIMEOUT_MS)
+
+    async def _call(self, address: str, request: CountRequest, timeout_ms: float) -> CountResponse:
+        reply = await self._peers.call(address, Envelope(count_request=request), timeout_ms)
+        return reply.count_response
+
+    def _decide(self, now: float, tenant: str, limit: RateLimit, counted_by: str, result: CountResult) -> QuotaDecision:
+        """Return the decision that follows from a holder's count."""
+        if not result.is_over_limit:
+            return QuotaDecision(True, refund_token=_RefundToken(tenant, counted_by, result.slot))
+        if result.is_over_share:
+            # The reserve is counted apart from the holder's share, and the tenant is within its limit.
+            slot = self._reserve.take(now, tenant, limit)
+            if slot is not None:
+                return QuotaDecision(True, refund_token=_RefundToken(tenant, OWN_RESERVE, slot))
+        return QuotaDecision(False, retry_after_ms=max(result.retry_after_ms, MIN_RETRY_AFTER_MS))
+
+    def _take_from_reserve(self, now: float, tenant: str, limit: RateLimit) -> QuotaDecision:
+        """Return a decision by the local reserve alone, as no holder can be asked."""
+        slot = self._reserve.take(now, tenant, limit)
+        if slot is None:
+            return QuotaDecision(False, retry_after_ms=UNAVAILABLE_RETRY_MS, is_counter_unavailable=True)
+        return QuotaDecision(True, refund_token=_RefundToken(tenant, OWN_RESERVE, slot))
--- a/hallhitch/planes/quota/lease_messages.py
+++ b/hallhitch/planes/quota/lease_messages.py
@@ -1,95 +1,106 @@
-"""Claims and votes as messages, and back. Owns nothing."""
+"""Conversion of claims and votes to protobuf messages and back. Owns nothing."""
 
 from __future__ import annotations
 
 from hallhitch.messages import system_pb2 as messages
-from hallhitch.planes.quota.lease import LeaseClaim, LeaseVotes, PredecessorReport, UsageReport
+from hallhitch.planes.quota.lease import LeaseClaim, LeaseVotes, RelayedReport, UsageReport
 from hallhitch.planes.values import LeaseMembership
 
 
-def claim(asked: LeaseClaim, to: int) -> messages.LeaseRequest:
-    """A claim for one incarnation of a coordinator."""
+def encode_claim(claim: LeaseClaim, coordinator_incarnation: int) -> messages.LeaseRequest:
+    """Return a claim as the request to one incarnation of a coordinator."""
     return messages.LeaseRequest(
-        holder=asked.holder,
-        incarnation=asked.incarnation,
-        sequence=asked.number,
-        membership_version=asked.membership_version,
-        renew=asked.renew,
-        acquire=asked.acquire,
-        release=asked.release,
-        drop=asked.drop,
-        coordinator_incarnation=to,
+        holder=claim.holder,
+        incarnation=claim.incarnation,
+        sequence=claim.sequence,
+        membership_version=claim.membership_version,
+        renew=claim.renew,
+        acquire=claim.acquire,
+        release=claim.release,
+        drop=claim.drop,
+        coordinator_incarnation=coordinator_incarnation,
         usage_reports=[
-            messages.UsageReportMessage(bucket=bucket, is_partial=account.partial, tenant_usage=_sums(account))
-            for bucket, account in asked.accounts.items()
+            messages.UsageReportMessage(bucket=bucket, is_partial=usage.is_partial, tenant_usage=_encode_usage(usage))
+            for bucket, usage in claim.usage_reports.items()
         ],
     )
 
 
-def asked(claim: messages.LeaseRequest) -> LeaseClaim:
-    """What a claim asks."""
+def decode_claim(request: messages.LeaseRequest) -> LeaseClaim:
+    """Return the claim that a request carries."""
     return LeaseClaim(
-        claim.holder,
-        claim.incarnation,
-        claim.sequence,
-        claim.membership_version,
-        tuple(claim.renew),
-        tuple(claim.acquire),
-        tuple(claim.release),
-        tuple(claim.drop),
-        {told.bucket: _account(told) for told in claim.usage_reports},
-        claim.coordinator_incarnation,
+        holder=request.holder,
+        incarnation=request.incarnation,
+        sequence=request.sequence,
+        membership_version=request.membership_version,
+        renew=tuple(request.renew),
+        acquire=tuple(request.acquire),
+        release=tuple(request.release),
+        drop=tuple(request.drop),
+        usage_reports={report.bucket: _decode_usage(report) for report in request.usage_reports},
+        coordinator_incarnation=request.coordinator_incarnation,
     )
 
 
-def granted(votes: LeaseVotes) -> messages.LeaseResponse:
-    """A coordinator's answer."""
+def encode_votes(votes: LeaseVotes) -> messages.LeaseResponse:
+    """Return a coordinator's votes as its response."""
     return messages.LeaseResponse(
-        ok=votes.ok,
+        ok=votes.is_accepted,
         incarnation=votes.incarnation,
         in_grace_period=votes.in_grace_period,
-        rejected=sorted(votes.refused),
-        idle_ms=votes.idle,
-        gateways_seen=votes.seen,
+        rejected=sorted(votes.rejected),
+        idle_ms=votes.idle_ms,
+        gateways_seen=votes.gateways_seen,
         membership=votes.membership.to_message() if votes.membership is not None else None,
-        usage_reports=[
-            messages.UsageReportMessage(
-                bucket=bucket,
-                is_partial=left.account.partial,
-                tenant_usage=_sums(left.account),
-                holder=left.holder,
-                incarnation=left.incarnation,
-                sequence=left.number,
-                age_ms=int(left.age),
-                is_final=left.final,
-            )
-            for bucket, left in votes.left.items()
-        ],
+        usage_reports=[_encode_predecessor(bucket, report) for bucket, report in votes.predecessors.items()],
     )
 
 
-def votes(granted: messages.LeaseResponse) -> LeaseVotes:
-    """What a coordinator answered."""
+def decode_votes(response: messages.LeaseResponse) -> LeaseVotes:
+    """Return the votes that a response carries."""
     return LeaseVotes(
-        granted.ok,
-        granted.incarnation,
-        granted.in_grace_period,
-        frozenset(granted.rejected),
-        tuple(granted.idle_ms),
-        granted.gateways_seen,
-        {
-            told.bucket: PredecessorReport(
-                told.holder, told.incarnation, told.sequence, _account(told), told.is_final, told.age_ms
-            )
-            for told in granted.usage_reports
-        },
-        LeaseMembership.from_message(granted.membership) if granted.HasField("membership") else None,
+        is_accepted=response.ok,
+        incarnation=response.incarnation,
+        in_grace_period=response.in_grace_period,
+        rejected=frozenset(response.rejected),
+        idle_ms=tuple(response.idle_ms),
+        gateways_seen=response.gateways_seen,
+        predecessors={report.bucket: _decode_predecessor(report) for report in response.usage_reports},
+        membership=LeaseMembership.from_message(response.membership) if response.HasField("membership") else None,
+    )
+
+
+def _encode_predecessor(bucket: int, report: RelayedReport) -> messages.UsageReportMessage:
+    return messages.UsageReportMessage(
+        bucket=bucket,
+        is_partial=report.usage.is_partial,
+        tenant_usage=_encode_usage(report.usage),
+        holder=report.holder,
+        incarnation=report.incarnation,
+        sequence=report.sequence,
+        age_ms=int(report.age_ms),
+        is_final=report.is_final,
+    )
+
+
+def _decode_predecessor(report: messages.UsageReportMessage) -> RelayedReport:
+    return RelayedReport(
+        holder=report.holder,
+        incarnation=report.incarnation,
+        sequence=report.sequence,
+        usage=_decode_usage(report),
+        is_final=report.is_final,
+        age_ms=report.age_ms,
     )
 
 
-def _sums(account: UsageReport) -> list[messages.TenantUsageMessage]:
-    return [messages.TenantUsageMessage(tenant=tenant, units_by_cell=cells) for tenant, cells in account.sums.items()]
+def _encode_usage(usage: UsageReport) -> list[messages.TenantUsageMessage]:
+    return [
+        messages.TenantUsageMessage(tenant=tenant, units_by_cell=units)
+        for tenant, units in usage.units_by_tenant.items()
+    ]
 
 
-def _account(told: messages.UsageReportMessage) -> UsageReport:
-    return UsageReport({one.tenant: tuple(one.units_by_cell) for one in told.tenant_usage}, told.is_partial)
+def _decode_usage(report: messages.UsageReportMessage) -> UsageReport:
+    units_by_tenant = {usage.tenant: tuple(usage.units_by_cell) for usage in report.tenant_usage}
+    return UsageReport(units_by_tenant, report.is_partial)
--- a/hallhitch/planes/quota/limits.py
+++ b/hallhitch/planes/quota/limits.py
@@ -1,7 +1,10 @@
-"""How much of a tenant's bound each part may pass. Owns the arithmetic of the QUOTA rule; keeps no state.
+"""The arithmetic of the quota rule: how many units each part of the system may admit. Keeps no state.
 
-In every sliding window W all gateways together may pass B = (rate * W + burst) * (1 + over) + slack. The holder of
-the tenant's bucket passes HELD of it, the reserves of all gateways together the rest. These two must never overlap.
+In every sliding window W all gateways together may admit (rate * W + burst) * (1 + overshoot) + slack requests of a
+tenant. The holder of the tenant's bucket has HOLDER_SHARE of that, the local reserves of all gateways have the rest.
+Invariant: the holder's limit and the sum of all reserves' limits never exceed USABLE_SHARE of the rule's limit.
+
+Units are requests; lengths are ms.
 """
 
 from __future__ import annotations
@@ -9,90 +12,137 @@
 import math
 import zlib
 from dataclasses import dataclass
-
-BUCKETS = 128
-# The holder's part of the bound; the rest is the reserves'. A tenant at its usual rate stays below it, so the reserves
-# are whole when a holder dies; one at its limit uses both.
-HELD = 0.55
-USED = 0.97  # of the bound: what is left is for what nobody thought of
-EVEN = 0.8  # of a reserve is passed evenly: what a process that has just started may use
-LEAST = 3.0  # units that a reserve's window has room for, or it is made longer: a limit is cut to whole units
-SMALL = 30.0  # units that may come at once, whatever the rate
-FEW = 20.0  # units that the holder's shorter window has room for at least: fewer would refuse what chance brings
-BRIEF = 250.0  # ms: no shorter window for a reserve
-SHORTEST = 500.0  # ms: below it two hops between regions would decide who passes
+from typing import Final, NamedTuple
+
+BUCKET_COUNT: Final = 128
+# The holder's share of the rule's limit; the rest is the reserves'. A tenant at its usual rate stays below it, so the
+# reserves are unused when a holder dies; one at its limit uses both.
+HOLDER_SHARE: Final = 0.55
+# Of the rule's limit. The remainder covers what this arithmetic leaves out, such as clocks that differ.
+USABLE_SHARE: Final = 0.97
+# Of a reserve. So much is admitted evenly, which is all that a process that has just started may use.
+EVEN_RESERVE_SHARE: Final = 0.8
+# A reserve's short window has room for so many units, or is made longer, as limits are rounded down to whole units.
+MIN_RESERVE_UNITS: Final = 3.0
+# So many units of a tenant with a large enough burst may come at once, whatever its rate.
+SMALL_BURST_UNITS: Final = 30.0
+# The holder's short window has room for so many units: fewer would reject the random waves of an even stream.
+MIN_HOLDER_WINDOW_UNITS: Final = 20.0
+# A new process waits out one short window of its reserve, so that window is short, but longer than a network delay.
+MIN_RESERVE_WINDOW_MS: Final = 250.0
+# In a shorter window the delay of two hops between regions would decide who is admitted.
+MIN_HOLDER_WINDOW_MS: Final = 500.0
 
 
 def bucket_of(tenant: str) -> int:
-    """The bucket of a tenant's name: the same in every process and every version.
+    """Return the bucket of a tenant's name, which is the same in every process and every version.
 
-    >>> bucket_of("huka270") == bucket_of("huka270") < BUCKETS
+    >>> bucket_of("huka270") == bucket_of("huka270") < BUCKET_COUNT
     True
     """
-    return zlib.crc32(tenant.encode()) % BUCKETS
+    return zlib.crc32(tenant.encode()) % BUCKET_COUNT
+
+
+class RateLimit(NamedTuple):
+    """A tenant's limit as configured."""
+
+    rate_per_s: float
+    burst: float
+
+
+@dataclass(frozen=True, slots=True)
+class WindowLimit:
+    """The units that may be admitted in any sliding window of a length."""
+
+    window_ms: float
+    units: float
+
+
+@dataclass(frozen=True, slots=True)
+class TenantLimits:
+    """What a tenant is given by all parts together: in a short window, and in the rule's window."""
+
+    short: WindowLimit
+    full_units: float
+
+
+@dataclass(frozen=True, slots=True)
+class ReserveLimits:
+    """What one reserve may admit: evenly, in a short window, and at once, in the rule's window."""
+
+    even: WindowLimit
+    at_once_units: float
 
 
 @dataclass(frozen=True, slots=True)
-class Quota:
-    """The rule's figures: `window` in ms, `over` a share, `slack` in requests."""
+class QuotaRule:
+    """The figures of the rule; `slack` in requests."""
 
-    window: float
-    over: float
+    window_ms: float
+    overshoot_ratio: float
     slack: float
 
-    def bound(self, rate: float, burst: float) -> float:
-        """What all gateways together may pass in any sliding window.
+    def total_limit(self, limit: RateLimit) -> float:
+        """Return what all gateways together may admit in any sliding window.
 
-        >>> Quota(5000.0, 0.1, 20.0).bound(100.0, 100.0)
+        >>> QuotaRule(5000.0, 0.1, 20.0).total_limit(RateLimit(100.0, 100.0))
         680.0
         """
-        return round((rate * self.window / 1000 + burst) * (1 + self.over) + self.slack, 6)
+        return round(self._configured_units(limit) * (1 + self.overshoot_ratio) + self.slack, 6)
 
-    def held(self, rate: float, burst: float, fleet: int = 0) -> float:
-        """What the holder may pass in any sliding window, where so many gateways are noted (0 = not noted).
+    def holder_limit(self, limit: RateLimit, max_gateways: int = 0) -> float:
+        """Return what the holder may admit in any sliding window; `max_gateways` 0 = not known.
 
-        All of it, where a reserve of one among so many would be next to nothing.
+        It has the reserves' share too where one reserve among so many gateways would have next to nothing.
         """
-        part = HELD if fleet == 0 or self._part(rate, burst, fleet) >= LEAST else 1.0
-        return part * USED * self.bound(rate, burst)
+        has_reserves = max_gateways == 0 or self._reserve_limit(limit, max_gateways) >= MIN_RESERVE_UNITS
+        share = HOLDER_SHARE if has_reserves else 1.0
+        return share * USABLE_SHARE * self.total_limit(limit)
 
-    def short(self, rate: float, burst: float, fleet: int = 0) -> tuple[float, float]:
-        """A shorter window (ms) for the holder, and its limit: its share of the holder's part.
+    def holder_short_window(self, limit: RateLimit, max_gateways: int = 0) -> WindowLimit:
+        """Return a shorter window for the holder, with its share of the holder's limit.
 
-        So a tenant that presses is passed evenly, not all at once and then nothing, and a new holder that knows
-        nothing waits out little more than that: the more room it has for a random stream's waves on top, the sooner
-        all of the holder's part may have been used up before. Waves are what reserves are for, too.
+        So a tenant over its limit is admitted evenly, not all at once and then not at all, and a new holder that
+        knows nothing of the past waits for little more than that window. The more room it has on top for the waves of
+        a random stream, the sooner all of the holder's limit may have been used up before; the reserves absorb waves
+        too.
         """
-        held = self.held(rate, burst, fleet)
-        pieces = max(1, min(int(self.window / SHORTEST), int(held / FEW)))
-        share = held / pieces
-        return self.window / pieces, min(share + math.sqrt(share), held)
-
-    def whole(self, rate: float, burst: float, fleet: int = 0) -> tuple[float, float, float]:
-        """What a tenant is given of all parts together: a window (ms), the limit in it, and in the rule's window.
-
-        The design's window is burst over rate seconds long, with the burst as its limit. A shorter one has its share
-        of that, and room for a random stream's waves and for small bursts: in a longer one than the holder's own all
-        that is passed would come at once, more than holder and reserves have room for just then. Over the rule's
-        window a tenant has what its rate and burst come to.
+        holder_limit = self.holder_limit(limit, max_gateways)
+        max_windows = min(int(self.window_ms / MIN_HOLDER_WINDOW_MS), int(holder_limit / MIN_HOLDER_WINDOW_UNITS))
+        windows = max(1, max_windows)
+        share = holder_limit / windows
+        return WindowLimit(self.window_ms / windows, min(share + math.sqrt(share), holder_limit))
+
+    def tenant_limits(self, limit: RateLimit, max_gateways: int = 0) -> TenantLimits:
+        """Return what a tenant is given of all parts together.
+
+        A token bucket would have a window of burst over rate with the burst as its limit. The short window, which is
+        the holder's, has its share of that, and room for the waves of a random stream and for small bursts. In a
+        longer one all that is admitted would come at once, more than holder and reserves have room for just then.
         """
-        length, most = self.short(rate, burst, fleet)[0], rate * self.window / 1000 + burst
-        share = rate * length / 1000
-        return length, min(max(share + 2 * math.sqrt(share) + 2, min(burst, SMALL)), most), most
-
-    def _part(self, rate: float, burst: float, gateways: float) -> float:
-        return (1 - HELD) * USED * self.bound(rate, burst) / gateways
-
-    def reserve(self, rate: float, burst: float, gateways: float) -> tuple[float, float, float]:
-        """One gateway's reserve where there are at most so many: a window (ms), its limit, and a limit in the rule's.
-
-        The first window is a whole part of the rule's, so that no more fits into that than EVEN of the gateway's part;
-        it is as short as something still fits into it: a process that starts waits out one of them. The rest is for
-        the rule's whole window, to be used at once where a holder has died.
+        window_ms = self.holder_short_window(limit, max_gateways).window_ms
+        full_units = self._configured_units(limit)
+        share = limit.rate_per_s * window_ms / 1000
+        wanted = max(share + 2 * math.sqrt(share) + 2, min(limit.burst, SMALL_BURST_UNITS))
+        return TenantLimits(WindowLimit(window_ms, min(wanted, full_units)), full_units)
+
+    def reserve_limits(self, limit: RateLimit, gateways: float) -> ReserveLimits:
+        """Return one gateway's reserve where there are at most so many gateways.
+
+        The short window divides the rule's window without remainder, so that no more fits into that than
+        EVEN_RESERVE_SHARE of the reserve. It is as short as a few units still fit into it, as a process that starts
+        waits it out. The rest of the reserve may be used at once, where a holder has died.
         """
-        part = self._part(rate, burst, gateways)
-        if part < LEAST:
-            return self.window, 0, 0.0
-        pieces = max(1, min(int(self.window / BRIEF), int(EVEN * part / LEAST)))
-        even = math.floor(EVEN * part / pieces)
-        return self.window / pieces, even, part - even * pieces
+        reserve_limit = self._reserve_limit(limit, gateways)
+        if reserve_limit < MIN_RESERVE_UNITS:
+            return ReserveLimits(WindowLimit(self.window_ms, 0), 0.0)
+        even_limit = EVEN_RESERVE_SHARE * reserve_limit
+        windows = max(1, min(int(self.window_ms / MIN_RESERVE_WINDOW_MS), int(even_limit / MIN_RESERVE_UNITS)))
+        even_units = math.floor(even_limit / windows)
+        return ReserveLimits(WindowLimit(self.window_ms / windows, even_units), reserve_limit - even_units * windows)
+
+    def _configured_units(self, limit: RateLimit) -> float:
+        return limit.rate_per_s * self.window_ms / 1000 + limit.burst
+
+    def _reserve_limit(self, limit: RateLimit, gateways: float) -> float:
+        return (1 - HOLDER_SHARE) * USABLE_SHARE * self.total_limit(limit) / gateways
--- a/hallhitch/planes/quota/local_reserve.py
+++ b/hallhitch/planes/quota/local_reserve.py
@@ -1,74 +1,114 @@
-"""What a gateway passes on its own while no holder answers. Owns its windows and the count of gateways behind them.
+"""What a gateway admits on its own while no holder responds. Owns its windows and the counts of gateways.
 
-All reserves together stay within their part of the bound, whoever is cut off from whom: each gateway divides by as many
-gateways as the cluster configuration has noted that there may be, or by the most it has heard of lately, and more,
-where that
-is more or nothing is noted. A process that has just started waits out a window before it uses what belongs to it, as
-its earlier incarnation may have used it.
+Invariant: the reserves of all gateways together stay within their share of the rule's limit, whatever partitions
+there are. Each gateway divides that share by the number of gateways that the cluster configuration allows. Where that
+is not known, or more gateways were seen, it divides by more than the most it has seen lately, and only once a quorum
+of coordinators has reported a count. A new process waits out a window before it uses its share of it, as its last
+incarnation may have used it.
+
+Moments are steady ms of this process.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass, field
+from typing import Final, NamedTuple
+
+from hallhitch.planes.quota.limits import QuotaRule, RateLimit
+
+# Where no number is configured: gateways that may exist for each one seen, as some may be partitioned from all others.
+GATEWAY_COUNT_FACTOR: Final = 1.25
+# A count of gateways is remembered for so long at least, as one that is not seen any more may still admit requests.
+GATEWAY_COUNT_MEMORY_MS: Final = 60_000.0
+
+
+class _AdmittedUnit(NamedTuple):
+    admitted_at: float
+    slot: int
+
+
+@dataclass(frozen=True, slots=True)
+class _TenantReserve:
+    """The units of one tenant in the windows. Single moments: they are few, slots would take more memory."""
 
-from hallhitch.planes.quota.limits import Quota
+    even: deque[_AdmittedUnit] = field(default_factory=deque)
+    at_once: deque[_AdmittedUnit] = field(default_factory=deque)
 
-MORE = 1.25  # gateways there may be for each one heard of, where nothing is noted
-LATELY = 60_000.0  # ms for which a count of gateways is remembered, at least
+    @property
+    def windows(self) -> tuple[deque[_AdmittedUnit], deque[_AdmittedUnit]]:
+        """Both windows, in the order in which they are used."""
+        return self.even, self.at_once
 
 
 class LocalReserve:
-    """The reserve of one incarnation of one gateway; `started` in steady ms."""
-
-    def __init__(self, quota: Quota, started: float) -> None:
-        self._quota, self._started = quota, started
-        # Moments, as few as they are: slots would waste room. Those passed evenly, and those at once.
-        self._units: dict[str, tuple[deque[tuple[float, int]], deque[tuple[float, int]]]] = {}
-        self._number = 0
-        self._known = 0  # the most gateways heard of in this span of LATELY, and in the one before
-        self._before = 0
-        self._turned = started
-        self._open = False
-        self._noted = 0
-
-    def note(self, gateways: int) -> None:
-        """As many gateways as there may be, by the cluster configuration."""
-        self._noted = gateways
-
-    def heard(self, now: float, gateways: int, majority: bool) -> None:
-        """So many gateways may exist. `majority`: of the coordinators has told; one alone may know few."""
-        self._open = self._open or majority and gateways > 0 and now - self._started > self._quota.window
-        if now - self._turned > LATELY:
-            self._before, self._known, self._turned = self._known, 0, now
-        self._known = max(self._known, gateways)
-
-    def take(self, now: float, tenant: str, rate: float, burst: float) -> int | None:
-        """One unit: the number of its slot, or None where nothing is left."""
-        seen = max(self._known, self._before)
-        known = self._noted > 0 and seen <= self._noted
-        if not known and not self._open:
+    """The reserve of one incarnation of one gateway."""
+
+    def __init__(self, quota: QuotaRule, started_at: float) -> None:
+        self._quota = quota
+        self._started_at = started_at
+        self._reserves: dict[str, _TenantReserve] = {}
+        self._last_slot = 0
+        self._max_gateways = 0
+        self._has_quorum_count = False
+        # The most gateways seen in the current span of GATEWAY_COUNT_MEMORY_MS and in the one before.
+        self._gateways_seen = 0
+        self._gateways_seen_before = 0
+        self._span_began_at = started_at
+
+    def set_max_gateways(self, max_gateways: int) -> None:
+        """Set how many gateways there may be by the cluster configuration; 0 = not known."""
+        self._max_gateways = max_gateways
+
+    def observe_gateways(self, now: float, gateways: int, *, is_quorum: bool) -> None:
+        """Record a number of gateways that may exist; a single process may know of few, a quorum of most."""
+        is_first_window_over = now - self._started_at > self._quota.window_ms
+        if is_quorum and gateways > 0 and is_first_window_over:
+            self._has_quorum_count = True
+        if now - self._span_began_at > GATEWAY_COUNT_MEMORY_MS:
+            self._gateways_seen_before = self._gateways_seen
+            self._gateways_seen = 0
+            self._span_began_at = now
+        self._gateways_seen = max(self._gateways_seen, gateways)
+
+    def take(self, now: float, tenant: str, limit: RateLimit) -> int | None:
+        """Take one unit; return the number of its slot for `refund`, None where there is no unit left."""
+        gateways_seen = max(self._gateways_seen, self._gateways_seen_before)
+        is_configured = self._max_gateways > 0 and gateways_seen <= self._max_gateways
+        if not is_configured and not self._has_quorum_count:
             return None
-        length, even, rest = self._quota.reserve(rate, burst, self._noted if known else seen * MORE + 1)
-        evenly, at_once = self._units.setdefault(tenant, (deque(), deque()))
-        for units, window, limit in ((evenly, length, even), (at_once, self._quota.window, rest)):
-            while units and now - units[0][0] > window:
-                units.popleft()
-            if len(units) + 1 <= limit and now - self._started > window:
-                self._number += 1
-                units.append((now, self._number))
-                return self._number
+        gateways = self._max_gateways if is_configured else gateways_seen * GATEWAY_COUNT_FACTOR + 1
+        limits = self._quota.reserve_limits(limit, gateways)
+        reserve = self._reserves.setdefault(tenant, _TenantReserve())
+        if self._fits(now, reserve.even, limits.even.window_ms, limits.even.units):
+            return self._add(now, reserve.even)
+        if self._fits(now, reserve.at_once, self._quota.window_ms, limits.at_once_units):
+            return self._add(now, reserve.at_once)
         return None
 
-    def give_back(self, now: float, tenant: str, slot: int) -> None:
-        """A unit that never ran."""
-        for units in self._units.get(tenant, ()):
-            for at, unit in enumerate(units):
-                if unit[1] == slot:
-                    del units[at]
+    def refund(self, tenant: str, slot: int) -> None:
+        """Return a unit whose request never ran."""
+        reserve = self._reserves.get(tenant)
+        if reserve is None:
+            return
+        for window in reserve.windows:
+            for index, unit in enumerate(window):
+                if unit.slot == slot:
+                    del window[index]
                     return
 
-    def forget(self, now: float) -> None:
-        """Let go of the windows that are empty."""
-        for tenant, both in [*self._units.items()]:
-            if all(not units or now - units[-1][0] > self._quota.window for units in both):
-                del self._units[tenant]
+    def drop_expired(self, now: float) -> None:
+        """Remove the windows in which no unit lies any more."""
+        for tenant, reserve in [*self._reserves.items()]:
+            if all(not window or now - window[-1].admitted_at > self._quota.window_ms for window in reserve.windows):
+                del self._reserves[tenant]
+
+    def _fits(self, now: float, window: deque[_AdmittedUnit], window_ms: float, limit: float) -> bool:
+        while window and now - window[0].admitted_at > window_ms:
+            window.popleft()
+        return len(window) + 1 <= limit and now - self._started_at > window_ms
+
+    def _add(self, now: float, window: deque[_AdmittedUnit]) -> int:
+        self._last_slot += 1
+        window.append(_AdmittedUnit(now, self._last_slot))
+        return self._last_slot
--- a/hallhitch/planes/quota/plane.py
+++ b/hallhitch/planes/quota/plane.py
@@ -1,4 +1,7 @@
-"""The quota plane of one process: a thin loop that sends claims, and handlers. Decides nothing itself."""
+"""The quota plane of one gateway: message handlers, and the loop that sends claims. Decides nothing itself.
+
+Owns the claim loop and the claims in flight. Lengths are ms.
+"""
 
 from __future__ import annotations
 
@@ -6,213 +9,194 @@
 import contextlib
 import secrets
 from collections.abc import Callable, Mapping, Sequence
+from typing import Final
 
-from hallhitch.messages.system_pb2 import CountResponse, Envelope
-from hallhitch.node.clock import now as steady
+from hallhitch.messages.system_pb2 import CountRequest, CountResponse, Envelope
+from hallhitch.node.clock import now as steady_now
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.quota import lease_messages
-from hallhitch.planes.quota.counter_client import Calls, CounterClient
-from hallhitch.planes.quota.holder import LeaseHolder, Sum
-from hallhitch.planes.quota.lease import LeaseClaim, LeaseTable
-from hallhitch.planes.quota.lease_client import LeaseClient, wanted
-from hallhitch.planes.quota.limits import Quota, bucket_of
+from hallhitch.planes.quota.counter_client import CounterClient, PeerCaller
+from hallhitch.planes.quota.lease import LeaseClaim
+from hallhitch.planes.quota.lease_client import LeaseClient
+from hallhitch.planes.quota.lease_coordinator import INCARNATION_BITS
+from hallhitch.planes.quota.limits import QuotaRule, RateLimit, bucket_of
 from hallhitch.planes.quota.local_reserve import LocalReserve
+from hallhitch.planes.quota.tenant_counter import CountResult, TenantCounter
 from hallhitch.planes.values import ClusterConfig, Gateway, LeaseMembership
 
-EVERY = 300.0  # ms between two claims of one that holds something
-QUIET = 900.0  # and of one that has nothing to say but that it is there
-GAP = 20.0  # ms between two claims at least
-ANSWER = 700.0  # ms that an answer to a claim is waited for
-LEAVING_CLAIMS = 2  # of one that leaves: the first may tell it of a newer membership or incarnation
-FORGET = 20_000.0  # ms between two looks at windows that are empty
-
-
-class LeaseKeeper:
-    """A coordinator's side: votes on claims. `incarnation` tells this process's start apart from its others."""
-
-    def __init__(self, clock: Callable[[], float] = steady, incarnation: int | None = None) -> None:
-        self._clock = clock
-        self._table = LeaseTable(secrets.randbits(48) if incarnation is None else incarnation, clock())
-
-    def set_membership(self, membership: LeaseMembership) -> None:
-        """The newest membership that this coordinator has accepted. Without any nothing is voted."""
-        self._table.set_membership(self._clock(), membership)
-
-    def handle(self, envelope: Envelope) -> Envelope:
-        """A Claim; the answer is Granted."""
-        return Envelope(
-            lease_response=lease_messages.granted(
-                self._table.claim(self._clock(), lease_messages.asked(envelope.lease_request))
-            )
-        )
-
-    def holders(self, now: float) -> dict[int, str]:
-        """Bucket -> internal address, for News.holders."""
-        return self._table.holders(now)
-
-    def version(self, now: float) -> int:
-        """Grows whenever `holders` changes, leases that end by themselves included."""
-        return self._table.sweep(now)
+CLAIM_INTERVAL_MS: Final = 300.0  # a third of a lease, so that two lost claims end none
+IDLE_CLAIM_INTERVAL_MS: Final = 900.0  # where the claim is a heartbeat only: more than one in each lease duration
+MIN_CLAIM_GAP_MS: Final = 20.0  # votes of several coordinators that come together are answered by one claim
+CLAIM_TIMEOUT_MS: Final = 700.0  # as long as an attempt to acquire (lease_acquisition.ACQUIRE_TIMEOUT_MS)
+MAX_CLAIMS_IN_FLIGHT: Final = 3  # to one coordinator: those of CLAIM_TIMEOUT_MS, if it is silent
+MAX_RELEASE_CLAIMS: Final = 2  # at shutdown: the response to the first may name a newer membership or incarnation
+RESERVE_CLEANUP_INTERVAL_MS: Final = 20_000.0
 
 
 class QuotaPlane:
-    """A gateway's side: holds buckets, counts for callers, and is the counter of its own requests."""
+    """A gateway's side: holds buckets, counts for other gateways, and has the counter of its own requests."""
 
     def __init__(
-        self, node: NodeSettings, links: Calls, clock: Callable[[], float] = steady, incarnation: int | None = None
+        self,
+        node: NodeSettings,
+        peers: PeerCaller,
+        clock: Callable[[], float] = steady_now,
+        incarnation: int | None = None,
     ) -> None:
-        incarnation = secrets.randbits(48) if incarnation is None else incarnation
+        incarnation = secrets.randbits(INCARNATION_BITS) if incarnation is None else incarnation
         bounds = node.bounds
-        quota = Quota(bounds.quota_window_ms, bounds.quota_overshoot_ratio, bounds.quota_slack)
-        self._own, self._links, self._clock = node.internal_address, links, clock
-        self._holder = LeaseHolder(quota, incarnation)
-        self._lease_client = LeaseClient(self._own, incarnation, quota.window, self._holder.begin)
-        self._allowance = LocalReserve(quota, clock())
-        self.counter = CounterClient(self._own, links, self, self._allowance, clock)
-        self._serial = -1
+        quota = QuotaRule(bounds.quota_window_ms, bounds.quota_overshoot_ratio, bounds.quota_slack)
+        own_address = node.internal_address
+        self._peers = peers
+        self._clock = clock
+        self._tenant_counter = TenantCounter(quota, incarnation)
+        self._lease_client = LeaseClient(
+            own_address, incarnation, quota.window_ms, self._tenant_counter.on_lease_acquired
+        )
+        self._reserve = LocalReserve(quota, clock())
+        self.counter = CounterClient(own_address, peers, self, self._reserve, clock)
+        self._config_serial = -1
         self._log = ComponentLogger("quota")
-        self._hurry = asyncio.Event()
-        self._loop: asyncio.Task[None] | None = None
-        self._asking: dict[str, int] = {}
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._held = 0
+        self._logged_bucket_count = 0
+        self._claim_at_once = asyncio.Event()
+        self._claim_loop: asyncio.Task[None] | None = None
+        self._claim_tasks: set[asyncio.Task[None]] = set()
+        self._claims_in_flight: dict[str, int] = {}  # by coordinator
 
     def set_config(self, config: ClusterConfig) -> None:
-        """The cluster configuration; an older one than the last is passed over."""
-        if config.serial >= self._serial:
-            self._serial = config.serial
-            self._holder.set_tenants(self._clock(), config.tenants, config.max_gateways)
-            self._allowance.note(config.max_gateways)
-
-    def set_gateways(self, own: str, entries: Sequence[Gateway]) -> None:
-        """All gateways that live, as last told; `own` is this one's name."""
-        doors = [entry for entry in entries if entry.frontend]
+        """Set the cluster configuration; one that is older than the last is ignored."""
+        if config.serial < self._config_serial:
+            return
+        self._config_serial = config.serial
+        self._tenant_counter.set_tenants(self._clock(), config.tenants, config.max_gateways)
+        self._reserve.set_max_gateways(config.max_gateways)
+
+    def set_gateways(self, gateways: Sequence[Gateway]) -> None:
+        """Set the live processes; those with a frontend are the gateways."""
+        serving = [gateway for gateway in gateways if gateway.frontend]
         now = self._clock()
-        self._allowance.heard(now, len(doors), False)
-        self._lease_client.set_gateways(
-            now, [entry.address for entry in doors if entry.is_ready and not entry.is_leaving]
-        )
-        self._hurry.set()
+        self._reserve.observe_gateways(now, len(serving), is_quorum=False)
+        candidates = [gateway.address for gateway in serving if gateway.is_ready and not gateway.is_leaving]
+        self._lease_client.set_gateways(now, candidates)
+        self._claim_at_once.set()
 
     def set_holders(self, holders: Mapping[int, str]) -> None:
-        """Bucket -> internal address, as last told."""
+        """Set the internal address of each bucket's holder, as the coordinators report it."""
         self.counter.set_holders(holders)
         self._lease_client.set_holders(self._clock(), holders)
 
     def set_membership(self, membership: LeaseMembership) -> None:
-        """Whose votes on leases count, as last told."""
+        """Set the coordinators whose votes on leases count."""
         if self._lease_client.set_membership(self._clock(), membership):
-            self._hurry.set()
+            self._claim_at_once.set()
 
     async def start(self) -> None:
-        """Begin to claim."""
-        self._loop = asyncio.ensure_future(self._claims())
-
-    async def leave(self) -> None:
-        """Count nothing more, and let all buckets go; the counter still asks others."""
-        self._lease_client.leave(self._clock())
-        if self._loop is not None:
-            self._loop.cancel()
+        """Start to claim leases."""
+        self._claim_loop = asyncio.ensure_future(self._run_claim_loop())
+
+    async def release_all(self) -> None:
+        """Stop counting and release all buckets; `counter` goes on asking other gateways."""
+        self._lease_client.release_all(self._clock())
+        if self._claim_loop is not None:
+            self._claim_loop.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._loop
-            self._loop = None
-        for _ in range(LEAVING_CLAIMS):
-            self._hurry.clear()
-            asked = self._round()
-            if wanted(asked):
-                await asyncio.gather(*(self._ask(member, asked) for member in self._lease_client.voters))
-            if not self._hurry.is_set():
+                await self._claim_loop
+            self._claim_loop = None
+        for _ in range(MAX_RELEASE_CLAIMS):
+            self._claim_at_once.clear()
+            claim = self._next_claim()
+            if not claim.is_heartbeat:
+                await asyncio.gather(*(self._send_claim(voter, claim) for voter in self._lease_client.voters))
+            if not self._claim_at_once.is_set():
                 break
 
     def handle(self, envelope: Envelope) -> Envelope:
-        """A Count; the answer is Counted."""
-        count, now = envelope.count_request, self._clock()
-        name = count.tenant
-        if not self._lease_client.holds(now, bucket_of(name)):
-            return Envelope(count_response=CountResponse())
-        if count.units < 0:
-            self._holder.give_back(now, name, -count.units, count.slot)
-            return Envelope(count_response=CountResponse(is_lease_holder=True))
-        limits = self._holder.limits(name) or ((count.rate_per_s, count.burst) if count.rate_per_s > 0 else None)
-        if limits is None:
-            return Envelope(count_response=CountResponse(is_lease_holder=True, is_tenant_unknown=True))
-        told = self._holder.add(now, name, count.units or 1, *limits)
-        return Envelope(
-            count_response=CountResponse(
-                is_lease_holder=True,
-                is_over_limit=told.over,
-                total=int(told.total),
-                retry_after_ms=int(told.wait),
-                slot=told.slot,
-                is_over_share=told.over_share,
-            )
-        )
+        """Reply to a `count_request` with a `count_response`."""
+        return Envelope(count_response=self._count_for_peer(envelope.count_request))
 
-    def count(self, tenant: str, rate: float, burst: float) -> Sum | None:
-        """One unit of a request of our own, or None where we do not hold its bucket (caller.Local)."""
+    def count(self, tenant: str, limit: RateLimit) -> CountResult | None:
+        """Count one unit of a request of this gateway, see counter_client.LocalCounter."""
         now = self._clock()
-        if not self._lease_client.holds(now, bucket_of(tenant)):
+        if not self._lease_client.is_holder(now, bucket_of(tenant)):
             return None
-        return self._holder.add(now, tenant, 1, *(self._holder.limits(tenant) or (rate, burst)))
+        return self._tenant_counter.add(now, tenant, 1, self._tenant_counter.configured_limit(tenant) or limit)
 
-    def give_back(self, tenant: str, slot: int) -> None:
-        """A unit of a request of our own that never ran (caller.Local)."""
+    def refund(self, tenant: str, slot: int) -> None:
+        """Return a unit of a request of this gateway that never ran, see counter_client.LocalCounter."""
         now = self._clock()
-        if self._lease_client.holds(now, bucket_of(tenant)):
-            self._holder.give_back(now, tenant, 1, slot)
-
-    def held(self) -> list[int]:
-        """The buckets held now."""
-        return self._lease_client.held(self._clock())
-
-    def _round(self) -> LeaseClaim:
-        now = self._clock()
-        return self._lease_client.round(
-            now, lambda bucket: self._holder.busy(bucket, now), lambda bucket: self._holder.account(bucket, now)
+        if self._lease_client.is_holder(now, bucket_of(tenant)):
+            self._tenant_counter.refund(now, tenant, 1, slot)
+
+    def held_buckets(self) -> list[int]:
+        """Return the buckets that this gateway holds now."""
+        return self._lease_client.held_buckets(self._clock())
+
+    def _count_for_peer(self, request: CountRequest) -> CountResponse:
+        now, tenant = self._clock(), request.tenant
+        if not self._lease_client.is_holder(now, bucket_of(tenant)):
+            return CountResponse()
+        if request.units < 0:
+            self._tenant_counter.refund(now, tenant, -request.units, request.slot)
+            return CountResponse(is_lease_holder=True)
+        limit = self._tenant_counter.configured_limit(tenant)
+        if limit is None and request.rate_per_s > 0:
+            limit = RateLimit(request.rate_per_s, request.burst)
+        if limit is None:
+            return CountResponse(is_lease_holder=True, is_tenant_unknown=True)
+        result = self._tenant_counter.add(now, tenant, request.units or 1, limit)
+        return CountResponse(
+            is_lease_holder=True,
+            is_over_limit=result.is_over_limit,
+            total=int(result.total),
+            retry_after_ms=int(result.retry_after_ms),
+            slot=result.slot,
+            is_over_share=result.is_over_share,
         )
 
-    async def _claims(self) -> None:
-        """Claims go out every while, and at once where an answer or news ask for it."""
-        forget = self._clock() + FORGET
+    def _next_claim(self) -> LeaseClaim:
+        return self._lease_client.next_claim(self._clock(), self._tenant_counter)
+
+    async def _run_claim_loop(self) -> None:
+        """Send claims at intervals, and at once where a response or an update asks for it."""
+        reserve_cleanup_at = self._clock() + RESERVE_CLEANUP_INTERVAL_MS
         while True:
-            self._hurry.clear()
+            self._claim_at_once.clear()
             now = self._clock()
-            asked = self._round()
-            for member in self._lease_client.voters:
-                if self._asking.get(member, 0) < 3:
-                    task = asyncio.ensure_future(self._ask(member, asked))
-                    self._tasks.add(task)
-                    task.add_done_callback(self._tasks.discard)
-            if now >= forget:
-                forget = now + FORGET
-                self._allowance.forget(now)
-            self._tell(len(asked.renew))
-            await asyncio.sleep(GAP / 1000)
+            claim = self._next_claim()
+            for voter in self._lease_client.voters:
+                if self._claims_in_flight.get(voter, 0) < MAX_CLAIMS_IN_FLIGHT:
+                    task = asyncio.ensure_future(self._send_claim(voter, claim))
+                    self._claim_tasks.add(task)
+                    task.add_done_callback(self._claim_tasks.discard)
+            if now >= reserve_cleanup_at:
+                reserve_cleanup_at = now + RESERVE_CLEANUP_INTERVAL_MS
+                self._reserve.drop_expired(now)
+            self._log_bucket_count(len(claim.renew))
+            await asyncio.sleep(MIN_CLAIM_GAP_MS / 1000)
+            interval_ms = IDLE_CLAIM_INTERVAL_MS if claim.is_heartbeat else CLAIM_INTERVAL_MS
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout((EVERY if wanted(asked) else QUIET) / 1000):
-                    await self._hurry.wait()
+                async with asyncio.timeout(interval_ms / 1000):
+                    await self._claim_at_once.wait()
 
-    async def _ask(self, member: str, asked: LeaseClaim) -> None:
-        """One claim to one coordinator; silence is the next claim's matter."""
-        self._asking[member] = self._asking.get(member, 0) + 1
+    async def _send_claim(self, voter: str, claim: LeaseClaim) -> None:
+        """Send one claim to one coordinator; where it does not respond the next claim follows anyway."""
+        request = lease_messages.encode_claim(claim, self._lease_client.coordinator_incarnation(voter))
+        self._claims_in_flight[voter] = self._claims_in_flight.get(voter, 0) + 1
         try:
-            answer = await self._links.call(
-                member,
-                Envelope(lease_request=lease_messages.claim(asked, self._lease_client.incarnation_of(member))),
-                ANSWER,
-            )
+            reply = await self._peers.call(voter, Envelope(lease_request=request), CLAIM_TIMEOUT_MS)
         except PeerCallError:
             return
         finally:
-            self._asking[member] -= 1
+            self._claims_in_flight[voter] -= 1
         now = self._clock()
-        if self._lease_client.answered(now, member, asked.number, lease_messages.votes(answer.lease_response)):
-            self._hurry.set()
-        self._allowance.heard(now, self._lease_client.seen, True)
-
-    def _tell(self, held: int) -> None:
-        if held != self._held:
-            self._log.info(f"holds {held} buckets of tenants")
-            self._held = held
+        votes = lease_messages.decode_votes(reply.lease_response)
+        if self._lease_client.on_votes(now, voter, claim.sequence, votes):
+            self._claim_at_once.set()
+        self._reserve.observe_gateways(now, self._lease_client.gateways_seen, is_quorum=True)
+
+    def _log_bucket_count(self, buckets: int) -> None:
+        if buckets != self._logged_bucket_count:
+            self._log.info("held buckets changed", buckets=buckets)
+            self._logged_bucket_count = buckets
--- a/hallhitch/planes/quota/sliding_window.py
+++ b/hallhitch/planes/quota/sliding_window.py
@@ -1,109 +1,122 @@
-"""A sliding count in slots. Owns the counted units of one tenant; a slot that is covered in part counts whole.
+"""A sliding-window count in slots. Owns the counted units of one tenant.
 
-So what it counts over a span is never less than what was counted within that span. Moments are steady ms of one
-process, and never go back.
+Invariant: the count over a length is at least what was counted within that length, and at most what was counted
+within the length and two slots. A slot that lies in the window in part counts in full.
+
+Moments are ms of one process's steady clock, and never go back.
 """
 
 from __future__ import annotations
 
 import math
+from typing import Final
 
-SLOT = 50.0  # ms
-NUMBERS = 1 << 14  # slot numbers are told apart within so many: far more than any window has
+SLOT_MS: Final = 50.0  # a hundredth of the usual window of 5 s: so much too long is the window counted
+SLOT_NUMBERS: Final = 1 << 14  # slot numbers wrap around at this: far more than any window has slots
 
 
 class SlidingWindow:
-    """Units counted within `length` ms, and within the shorter `short` ms."""
+    """Units counted within `length_ms` (`total`), and within the shorter `short_length_ms` (`short_total`)."""
 
-    __slots__ = ("_head", "_keep", "_ring", "_short_keep", "short", "total")
+    __slots__ = ("_head", "_ring", "_short_slots", "_slots", "short_total", "total")
 
-    def __init__(self, now: float, length: float, short: float) -> None:
-        self._keep = math.ceil(length / SLOT) + 1
-        self._short_keep = min(math.ceil(short / SLOT) + 1, self._keep)
-        self._ring = [0] * self._keep
-        self._head = int(now // SLOT)
-        self.total = self.short = 0
+    def __init__(self, now: float, length_ms: float, short_length_ms: float) -> None:
+        self._slots = math.ceil(length_ms / SLOT_MS) + 1
+        self._short_slots = self._slots_of(short_length_ms)
+        self._ring = [0] * self._slots
+        self._head = int(now // SLOT_MS)  # number of the current slot, counted from moment 0
+        self.total = 0
+        self.short_total = 0
 
     def advance(self, now: float) -> None:
-        """Let go of what has left the windows."""
-        head = int(now // SLOT)
-        if head - self._head >= self._keep:
-            self._ring = [0] * self._keep
-            self._head, self.total, self.short = head, 0, 0
+        """Remove units that have left the windows."""
+        head = int(now // SLOT_MS)
+        if head - self._head >= self._slots:
+            self._ring = [0] * self._slots
+            self._head = head
+            self.total = 0
+            self.short_total = 0
             return
-        ring, keep = self._ring, self._keep
+        ring, slots = self._ring, self._slots
         while self._head < head:
             self._head += 1
-            self.short -= ring[(self._head - self._short_keep) % keep]
-            at = self._head % keep
-            self.total -= ring[at]
-            ring[at] = 0
+            self.short_total -= ring[(self._head - self._short_slots) % slots]
+            index = self._head % slots
+            self.total -= ring[index]
+            ring[index] = 0
 
-    def reshape(self, now: float, short: float) -> None:
-        """The shorter window has another length from now on."""
+    def set_short_length(self, now: float, short_length_ms: float) -> None:
+        """Change the length of the shorter window; what was counted stays."""
         self.advance(now)
-        self._short_keep = min(math.ceil(short / SLOT) + 1, self._keep)
-        self.short = sum(self._ring[(self._head - back) % self._keep] for back in range(self._short_keep))
+        self._short_slots = self._slots_of(short_length_ms)
+        self.short_total = sum(self._ring[self._index(age)] for age in range(self._short_slots))
 
     def add(self, now: float, units: int) -> int:
-        """Count units now; the number of their slot is what `give_back` asks for."""
+        """Count units now; return the number of their slot, for `refund`."""
         self.advance(now)
-        self._ring[self._head % self._keep] += units
+        self._ring[self._head % self._slots] += units
+        self.total += units
+        self.short_total += units
+        return self._head % SLOT_NUMBERS
+
+    def add_at(self, moment: float, units: int) -> None:
+        """Count units at a past moment if it still lies in the window; needs `advance` before."""
+        age = max(0, self._head - int(moment // SLOT_MS))
+        if age >= self._slots:
+            return
+        self._ring[self._index(age)] += units
         self.total += units
-        self.short += units
-        return self._head % NUMBERS
-
-    def fill(self, moment: float, units: int) -> None:
-        """Count units at a past moment, where it still lies in the window; `advance` comes first."""
-        back = self._head - int(moment // SLOT)
-        if back < 0:
-            back = 0
-        if back < self._keep:
-            self._ring[(self._head - back) % self._keep] += units
-            self.total += units
-            if back < self._short_keep:
-                self.short += units
-
-    def cells(self, now: float, number: int, length: float) -> list[int]:
-        """Units in so many spans of `length` ms, newest first, no unit in an older span than its own.
-
-        The last one takes what is older still.
+        if age < self._short_slots:
+            self.short_total += units
+
+    def units_by_cell(self, now: float, cells: int, cell_ms: float) -> list[int]:
+        """Return the units in each of so many spans, newest first, none in an older span than its own.
+
+        The last span takes what is older still.
         """
         self.advance(now)
-        sums = [0] * number
-        for back in range(self._keep):
-            units = self._ring[(self._head - back) % self._keep]
+        units_by_cell = [0] * cells
+        head, ring, slots = self._head, self._ring, self._slots
+        for age in range(slots):
+            units = ring[(head - age) % slots]
             if units:
-                end = min((self._head - back + 1) * SLOT, now)
-                sums[min(int((now - end) / length), number - 1)] += units
-        return sums
+                slot_end = min((head - age + 1) * SLOT_MS, now)
+                units_by_cell[min(int((now - slot_end) / cell_ms), cells - 1)] += units
+        return units_by_cell
 
-    def give_back(self, now: float, number: int, units: int) -> bool:
+    def refund(self, now: float, slot_number: int, units: int) -> bool:
         """Take units out of the slot they were counted in; False where it is gone or has not so many."""
         self.advance(now)
-        back = (self._head - number) % NUMBERS
-        at = (self._head - back) % self._keep
-        if back >= self._keep or self._ring[at] < units:
+        age = (self._head - slot_number) % SLOT_NUMBERS
+        index = self._index(age)
+        if age >= self._slots or self._ring[index] < units:
             return False
-        self._ring[at] -= units
+        self._ring[index] -= units
         self.total -= units
-        if back < self._short_keep:
-            self.short -= units
+        if age < self._short_slots:
+            self.short_total -= units
         return True
 
-    def room_in(self, now: float, units: int, limit: float, short_limit: float) -> float:
-        """ms until both windows have room for units, if nothing more is counted; `advance` comes first."""
+    def ms_until_room(self, now: float, units: int, limit: float, short_limit: float) -> float:
+        """Return the time until both windows have room, if nothing more is counted; needs `advance` before."""
         return max(
-            self._leaves(now, self.total + units - limit, self._keep),
-            self._leaves(now, self.short + units - short_limit, self._short_keep),
+            self._ms_until_expired(now, self.total + units - limit, self._slots),
+            self._ms_until_expired(now, self.short_total + units - short_limit, self._short_slots),
         )
 
-    def _leaves(self, now: float, much: float, keep: int) -> float:
-        """ms until so many units have left the last `keep` slots."""
-        if much <= 0:
+    def _ms_until_expired(self, now: float, units: float, slots: int) -> float:
+        """Return the time until so many units have left the last `slots` slots."""
+        if units <= 0:
             return 0.0
-        for back in range(keep - 1, -1, -1):
-            much -= self._ring[(self._head - back) % self._keep]
-            if much <= 0:
-                return (self._head - back + keep) * SLOT - now
-        return keep * SLOT
+        for age in range(slots - 1, -1, -1):
+            units -= self._ring[self._index(age)]
+            if units <= 0:
+                return (self._head - age + slots) * SLOT_MS - now
+        return slots * SLOT_MS
+
+    def _slots_of(self, short_length_ms: float) -> int:
+        return min(math.ceil(short_length_ms / SLOT_MS) + 1, self._slots)
+
+    def _index(self, age: int) -> int:
+        """Return the ring's index of the slot that began `age` slots before the current one."""
+        return (self._head - age) % self._slots
--- /dev/null
+++ b/hallhitch/planes/quota/tenant_counter.py
@@ -0,0 +1,258 @@
+"""Counts of the tenants whose buckets this gateway holds. Owns their windows, not whether a lease runs.
+
+A lease that begins starts each tenant with what earlier holders may have admitted, as late as possible. Invariant: a
+window holds at least what was admitted in any span that ends at the last moment at which an earlier holder may have
+counted (`LeaseStart.exclusive_since`). Where the predecessor's report is known, that is the report, and all that the
+limits allow for the time after it: a lease duration, or nothing where the report is final. Otherwise it is all that
+the limits allow for a whole window.
+
+Moments are steady ms of this process.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import Final
+
+from hallhitch.planes.quota.lease import (
+    CLOCK_MARGIN_MS,
+    LEASE_DURATION_MS,
+    NO_USAGE,
+    LeaseStart,
+    PredecessorReport,
+    UsageReport,
+)
+from hallhitch.planes.quota.limits import BUCKET_COUNT, QuotaRule, RateLimit, bucket_of
+from hallhitch.planes.quota.sliding_window import SLOT_NUMBERS, SlidingWindow
+from hallhitch.planes.values import Tenant
+
+NEVER: Final = float("-inf")
+# In so long every gateway has had a newer configuration, or admits nothing by an older one.
+CONFIG_PROPAGATION_MS: Final = 15_000.0
+CELLS_PER_WINDOW: Final = 8  # of a usage report: finer ones make claims longer, coarser ones count longer than needed
+LEASE_MARKS: Final = 1 << 13  # a slot of a lease is told apart from those of so many leases after it
+
+
+@dataclass(frozen=True, slots=True)
+class CountResult:
+    """The outcome of an `add`; rejected units are not counted.
+
+    `slot` is for `refund`. `is_over_share`: over the holder's share only, so that the caller may use its reserve.
+    """
+
+    is_over_limit: bool
+    total: int
+    slot: int
+    retry_after_ms: float = 0.0
+    is_over_share: bool = False
+
+
+@dataclass(slots=True)
+class _TenantWindows:
+    """The counts of one tenant against one limit.
+
+    `holder_window`: what this holder has admitted; `tenant_window`: that and what it left to reserves.
+    """
+
+    limit: RateLimit
+    max_gateways: int
+    holder_window: SlidingWindow
+    holder_units: int
+    holder_short_units: int
+    tenant_window: SlidingWindow
+    tenant_units: int
+    tenant_short_units: int
+
+
+@dataclass(slots=True)
+class _BucketState:
+    """The counts of a bucket under one lease."""
+
+    started_at: float = NEVER
+    exclusive_since: float = NEVER  # no other gateway has counted since
+    predecessor: PredecessorReport | None = None
+    lease_mark: int = 0  # in the slots of its units, so that none is refunded to another lease's window
+    tenants: dict[str, _TenantWindows] = field(default_factory=dict)
+
+
+class TenantCounter:
+    """Windows by tenant."""
+
+    def __init__(self, quota: QuotaRule, incarnation: int) -> None:
+        self._quota = quota
+        self._lease_mark = incarnation
+        self._buckets = [_BucketState() for _ in range(BUCKET_COUNT)]
+        self._tenants: Mapping[str, Tenant] = {}
+        self._max_gateways = 0  # as used in the limits
+        self._configured_max_gateways = 0
+        self._configured_at = NEVER
+
+    def set_tenants(self, now: float, tenants: Mapping[str, Tenant], max_gateways: int = 0) -> None:
+        """Set the configured tenants, whose limits precede a caller's, and how many gateways there may be.
+
+        More gateways may mean a larger limit for the holder and smaller reserves, so the number is used only once all
+        other gateways have the configuration.
+        """
+        self._tenants = tenants
+        if not self._max_gateways:
+            self._max_gateways = self._configured_max_gateways = max_gateways
+        elif max_gateways != self._configured_max_gateways:
+            self._configured_max_gateways = max_gateways
+            self._configured_at = now
+
+    def on_lease_acquired(self, lease: LeaseStart) -> None:
+        """Start a bucket's counts anew, unless no other gateway has counted since this one last began."""
+        bucket = self._buckets[lease.bucket]
+        if lease.exclusive_since <= bucket.started_at:
+            return
+        exclusive_since, predecessor = lease.exclusive_since, lease.predecessor
+        if lease.started_at - lease.own_last_ended_at <= self._quota.window_ms:
+            # This gateway's last lease may have come after the predecessor's, and have outlasted the votes for it.
+            exclusive_since = max(exclusive_since, lease.own_last_ended_at)
+            predecessor = None
+        self._lease_mark = (self._lease_mark + 1) % LEASE_MARKS
+        self._buckets[lease.bucket] = _BucketState(lease.started_at, exclusive_since, predecessor, self._lease_mark)
+
+    def is_in_use(self, bucket: int, now: float) -> bool:
+        """Whether units lie in a window of a bucket; tenants whose windows are empty are removed."""
+        state = self._buckets[bucket]
+        for name, windows in [*state.tenants.items()]:
+            windows.holder_window.advance(now)
+            if windows.holder_window.total <= 0:
+                del state.tenants[name]
+        if state.tenants:
+            return True
+        has_predecessor_usage = state.predecessor is not None and bool(state.predecessor.usage.units_by_tenant)
+        return has_predecessor_usage and self._is_past_in_window(state, now)
+
+    def usage_report(self, bucket: int, now: float) -> UsageReport:
+        """Return what the windows of a bucket hold."""
+        state = self._buckets[bucket]
+        units_by_tenant = {}
+        cell_ms = self._quota.window_ms / CELLS_PER_WINDOW
+        for name, windows in state.tenants.items():
+            windows.holder_window.advance(now)
+            if windows.holder_window.total > 0:
+                units_by_tenant[name] = windows.holder_window.units_by_cell(now, CELLS_PER_WINDOW, cell_ms)
+        is_partial = self._is_past_in_window(state, now)
+        return UsageReport(units_by_tenant, is_partial) if units_by_tenant or is_partial else NO_USAGE
+
+    def configured_limit(self, tenant: str) -> RateLimit | None:
+        """Return a tenant's configured limit, None where the configuration sets none."""
+        configured = self._tenants.get(tenant)
+        if configured is None or configured.rate_per_s <= 0:
+            return None
+        return RateLimit(configured.rate_per_s, configured.burst)
+
+    def add(self, now: float, tenant: str, units: int, limit: RateLimit) -> CountResult:
+        """Count units of a tenant unless they exceed its limits."""
+        bucket = self._buckets[bucket_of(tenant)]
+        windows = self._current_windows(now, bucket, tenant, limit)
+        holder_window, tenant_window = windows.holder_window, windows.tenant_window
+        holder_window.advance(now)
+        tenant_window.advance(now)
+        is_over_limit = (
+            tenant_window.short_total + units > windows.tenant_short_units
+            or tenant_window.total + units > windows.tenant_units
+        )
+        if is_over_limit:
+            retry_after_ms = tenant_window.ms_until_room(now, units, windows.tenant_units, windows.tenant_short_units)
+            return CountResult(True, tenant_window.total, 0, retry_after_ms)
+        tenant_window.add(now, units)
+        is_over_share = (
+            holder_window.total + units > windows.holder_units
+            or holder_window.short_total + units > windows.holder_short_units
+        )
+        if is_over_share:
+            retry_after_ms = holder_window.ms_until_room(now, units, windows.holder_units, windows.holder_short_units)
+            return CountResult(True, tenant_window.total, 0, retry_after_ms, is_over_share=True)
+        slot_number = holder_window.add(now, units)
+        return CountResult(False, holder_window.total, bucket.lease_mark * SLOT_NUMBERS + slot_number)
+
+    def refund(self, now: float, tenant: str, units: int, slot: int) -> bool:
+        """Return units to the slot they were counted in; False where that slot or the lease is gone."""
+        bucket = self._buckets[bucket_of(tenant)]
+        windows = bucket.tenants.get(tenant)
+        lease_mark, slot_number = divmod(slot, SLOT_NUMBERS)
+        if windows is None or lease_mark != bucket.lease_mark:
+            return False
+        return windows.holder_window.refund(now, slot_number, units)
+
+    def _is_past_in_window(self, state: _BucketState, now: float) -> bool:
+        """Whether units that earlier holders counted may still lie in a window."""
+        return now - state.exclusive_since < self._quota.window_ms
+
+    def _current_windows(self, now: float, bucket: _BucketState, tenant: str, limit: RateLimit) -> _TenantWindows:
+        """Return a tenant's windows, changed to this limit and number of gateways if they have others."""
+        is_new_count_known = now - self._configured_at > CONFIG_PROPAGATION_MS
+        if self._max_gateways != self._configured_max_gateways and is_new_count_known:
+            self._max_gateways = self._configured_max_gateways
+        windows = bucket.tenants.get(tenant)
+        if windows is not None and windows.limit == limit and windows.max_gateways == self._max_gateways:
+            return windows
+        windows = bucket.tenants[tenant] = self._make_windows(now, bucket, tenant, limit)
+        return windows
+
+    def _make_windows(self, now: float, bucket: _BucketState, tenant: str, limit: RateLimit) -> _TenantWindows:
+        """Return windows with a limit: counts stay where there are any, else they are those of earlier holders."""
+        holder_units = math.floor(self._quota.holder_limit(limit, self._max_gateways))
+        holder_short = self._quota.holder_short_window(limit, self._max_gateways)
+        tenant_limits = self._quota.tenant_limits(limit, self._max_gateways)
+        windows = bucket.tenants.get(tenant)
+        if windows is not None:
+            holder_window, tenant_window = windows.holder_window, windows.tenant_window
+            holder_window.set_short_length(now, holder_short.window_ms)
+            tenant_window.set_short_length(now, tenant_limits.short.window_ms)
+        else:
+            holder_window = SlidingWindow(now, self._quota.window_ms, holder_short.window_ms)
+            tenant_window = SlidingWindow(now, self._quota.window_ms, tenant_limits.short.window_ms)
+        made = _TenantWindows(
+            limit=limit,
+            max_gateways=self._max_gateways,
+            holder_window=holder_window,
+            holder_units=holder_units,
+            holder_short_units=math.floor(holder_short.units),
+            tenant_window=tenant_window,
+            tenant_units=math.floor(tenant_limits.full_units),
+            tenant_short_units=math.floor(tenant_limits.short.units),
+        )
+        if windows is None:
+            self._add_predecessor_units(now, bucket, tenant, made, holder_short.window_ms)
+        return made
+
+    def _add_predecessor_units(
+        self, now: float, bucket: _BucketState, tenant: str, windows: _TenantWindows, short_length_ms: float
+    ) -> None:
+        """Count what earlier holders may have admitted of a tenant, as late as possible and up to the limits."""
+        predecessor = bucket.predecessor
+        reported_units = _reported_units(predecessor, tenant)
+        if predecessor is None or reported_units is None:
+            unreported_ms = self._quota.window_ms + short_length_ms
+        elif predecessor.is_final:
+            unreported_ms = 0.0
+        else:
+            unreported_ms = LEASE_DURATION_MS - CLOCK_MARGIN_MS / 2
+        window, room = windows.holder_window, windows.holder_units
+        moment = bucket.exclusive_since
+        while room > 0 and bucket.exclusive_since - moment < unreported_ms:
+            window.add_at(moment, min(windows.holder_short_units, room))
+            room -= windows.holder_short_units
+            moment -= short_length_ms
+        if predecessor is None or reported_units is None:
+            return
+        for cell, units in enumerate(reported_units):
+            cell_end = predecessor.received_at - cell * self._quota.window_ms / CELLS_PER_WINDOW
+            window.add_at(min(cell_end, now), max(0, min(units, room)))
+            room -= units
+
+
+def _reported_units(report: PredecessorReport | None, tenant: str) -> Sequence[int] | None:
+    """Return a tenant's units by cell as reported, None where the report leaves them open."""
+    if report is None:
+        return None
+    units = report.usage.units_by_tenant.get(tenant)
+    if units:
+        return units
+    return None if report.usage.is_partial else ()
--- a/hallhitch/programs/coordinator.py
+++ b/hallhitch/programs/coordinator.py
@@ -25,8 +25,8 @@
 from hallhitch.planes.discovery.platform_client import EndpointListReading, PlatformClient
 from hallhitch.planes.distribution.coordinator_sync import CoordinatorSync
 from hallhitch.planes.distribution.state_hub import NEVER, StateHub
-from hallhitch.planes.quota.lease import LEASE, MARGIN
-from hallhitch.planes.quota.plane import LeaseKeeper
+from hallhitch.planes.quota.lease import CLOCK_MARGIN_MS, LEASE_DURATION_MS
+from hallhitch.planes.quota.lease_coordinator import LeaseCoordinator
 from hallhitch.planes.values import Gateway
 from hallhitch.programs.running import main
 from hallhitch.programs.runtime import Runtime
@@ -58,11 +58,11 @@
             run=runtime.run,
             clock=self._clock,
             rng=random.Random(runtime.random.getrandbits(64)),
-            lease_ms=LEASE + MARGIN,
+            lease_ms=LEASE_DURATION_MS + CLOCK_MARGIN_MS,
         )
         self._hub.quorum_contact_age_ms = lambda: self._control.lease.age_ms(self._clock())
         self._hub.can_bootstrap_peers = lambda: self._control.has_quorum_contact
-        self._leases = LeaseKeeper(self._clock, runtime.random.getrandbits(48))
+        self._leases = LeaseCoordinator(self._clock, runtime.random.getrandbits(48))
         self._operator_api = OperatorApi(node, self._control, self._clock)
         self._operator_server = HttpServer("operator", self._operator_api.handle, MAX_BODY_BYTES)
         self._directory = Directory(node.region_by_zone, node.bounds.max_ttl_ms)
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -78,7 +78,7 @@
         self._is_leaving = True
         self._sync.publish_self()
         self._data.leave()
-        await self._quota.leave()
+        await self._quota.release_all()
         await asyncio.sleep(grace_period_ms * LISTEN_RATIO / 1000)
         self._data.close_listener()
         await self._data.drained(started_at + grace_period_ms * FINISH_RATIO)
@@ -160,7 +160,7 @@
             return
         self._gateways_version = self._hub.gateways.version
         gateways = [gateway for gateway in self._hub.gateways.values() if gateway.frontend]
-        self._quota.set_gateways(self._node.name, gateways)
+        self._quota.set_gateways(gateways)
         self._data.set_gateways(self._node.name, gateways)
 
 
--- /dev/null
+++ b/tests/system/quota/simulated_membership.py
@@ -0,0 +1,97 @@
+"""Changes of the coordinators' membership in simulated time: joint state, settled state, end of the previous set.
+
+Each state reaches the coordinators separately, late, and at times not at all, until quorums have accepted it. What a
+coordinator has accepted outlives its process.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Final
+
+from hallhitch.planes.quota.lease import CLOCK_MARGIN_MS, LEASE_DURATION_MS
+from hallhitch.planes.values import LeaseMembership
+
+if TYPE_CHECKING:
+    from tests.system.quota.simulated_fleet import SimulatedFleet
+    from tests.system.quota.simulated_process import SimulatedCoordinator
+
+RESEND_INTERVAL_MS: Final = 250.0  # until a state is sent again to those that have not accepted it
+
+
+@dataclass
+class SimulatedMembership:
+    """The memberships of one run. `is_joint` False skips what makes a change safe: the tests must notice."""
+
+    fleet: SimulatedFleet
+    committed: LeaseMembership
+    is_joint: bool = True
+    accepted: dict[str, LeaseMembership] = field(default_factory=dict)
+    completed_changes: int = 0
+    pending_changes: list[tuple[str, ...]] = field(default_factory=list)
+    is_changing: bool = False
+
+    def __post_init__(self) -> None:
+        for coordinator in self.fleet.coordinators:
+            self.accepted[coordinator.name] = self.committed
+
+    @property
+    def latest_members(self) -> tuple[str, ...]:
+        """The members once all pending changes are complete."""
+        return self.pending_changes[-1] if self.pending_changes else self.committed.members
+
+    def change(self, members: tuple[str, ...]) -> None:
+        """Change to these members, after the changes that are pending."""
+        self.pending_changes.append(members)
+        self._begin_next()
+
+    def _begin_next(self) -> None:
+        if self.is_changing or not self.pending_changes:
+            return
+        members = self.pending_changes.pop(0)
+        previous = self.committed
+        if not members or set(members) == set(previous.members):
+            return self._begin_next()
+        self.is_changing = True
+        if not self.is_joint:
+            return self._commit(LeaseMembership(previous.version + 1, members), previous, self._complete)
+        joint = LeaseMembership(previous.version + 1, members, previous.members)
+        self._commit(joint, joint, lambda: self._settle(joint))
+
+    def _settle(self, joint: LeaseMembership) -> None:
+        settled = LeaseMembership(joint.version + 1, joint.members, joint.previous_members)
+        drop_delay_ms = LEASE_DURATION_MS + CLOCK_MARGIN_MS
+        self._commit(settled, joint, lambda: self.fleet.schedule(drop_delay_ms, lambda: self._drop_previous(settled)))
+
+    def _drop_previous(self, settled: LeaseMembership) -> None:
+        final = LeaseMembership(settled.version + 1, settled.members)
+        self._commit(final, final, self._complete)
+
+    def _complete(self) -> None:
+        self.completed_changes += 1
+        self.is_changing = False
+        self._begin_next()
+
+    def _commit(self, state: LeaseMembership, voters: LeaseMembership, on_commit: Callable[[], None]) -> None:
+        """Send a state to the coordinators until quorums of `voters` have accepted it."""
+        if voters.has_quorum(name for name, accepted in self.accepted.items() if accepted.version >= state.version):
+            self.committed = state
+            return on_commit()
+        fleet = self.fleet
+        partition = fleet.rng.choice(fleet.coordinators).partition
+        for coordinator in fleet.coordinators:
+            is_reachable = coordinator.incarnation and coordinator.partition == partition
+            if is_reachable and (fleet.is_fault_free or fleet.rng.random() > 0.2):
+                self._send(coordinator, state)
+        fleet.schedule(RESEND_INTERVAL_MS, lambda: self._commit(state, voters, on_commit))
+
+    def _send(self, coordinator: SimulatedCoordinator, state: LeaseMembership) -> None:
+        def accept() -> None:
+            if state.version > self.accepted[coordinator.name].version:
+                self.accepted[coordinator.name] = state
+                coordinator.table.set_membership(coordinator.clock(), state)
+
+        delay_ms = self.fleet.rng.uniform(1, 60 if self.fleet.is_fault_free else 600)
+        # It reaches whatever incarnation is there on arrival.
+        self.fleet.schedule(delay_ms, lambda: self.fleet.run_in(coordinator, coordinator.incarnation or -1, accept))
--- a/tests/system/quota/test_plane.py
+++ b/tests/system/quota/test_plane.py
@@ -1,4 +1,4 @@
-"""Planes of four gateways and three coordinators, over messages, in simulated time."""
+"""Quota planes of four gateways and three coordinators, over messages, in virtual time."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 from hallhitch.messages.system_pb2 import CountRequest, Envelope
 from hallhitch.node.settings import NodeSettings, RuleBounds
-from hallhitch.planes.quota.limits import BUCKETS, bucket_of
-from hallhitch.planes.quota.plane import LeaseKeeper, QuotaPlane
+from hallhitch.planes.quota.lease_coordinator import LeaseCoordinator
+from hallhitch.planes.quota.limits import BUCKET_COUNT, bucket_of
+from hallhitch.planes.quota.plane import QuotaPlane
 from hallhitch.planes.values import ClusterConfig, Gateway, LeaseMembership, RequestLimits, Tenant
-from tests.system.quota.virtual import VirtualLoop, Wires, run
+from tests.system.quota.virtual_network import VirtualLoop, VirtualNetwork, run
 
 TENANT = Tenant("t", ("k",), None, 50.0, 50.0)
-WORD = ClusterConfig(1, 1, {}, {}, {"t": TENANT}, {"k": TENANT}, RequestLimits())
+CONFIG = ClusterConfig(1, 1, {}, {}, {"t": TENANT}, {"k": TENANT}, RequestLimits())
 
 
-def node(number: int) -> NodeSettings:
+def make_node(number: int) -> NodeSettings:
     return NodeSettings(
         name=f"edge-{number}",
         role="gateway",
@@ -41,97 +42,106 @@
     )
 
 
-class Planes:
-    """The planes, and news told to all of them every 100 ms by one coordinator's table."""
+class PlaneFleet:
+    """The planes, which get the gateways and holders from one coordinator every 100 ms."""
 
     def __init__(self, loop: VirtualLoop) -> None:
-        self.loop, self.wires = loop, Wires()
-        self.keepers = {f"10.1.0.{number}:7000": LeaseKeeper(loop.now, number + 1) for number in range(3)}
-        self.nodes = [node(number) for number in range(4)]
-        self.planes = [QuotaPlane(one, self.wires, loop.now, number) for number, one in enumerate(self.nodes)]
-        members = LeaseMembership(1, tuple(self.keepers))
-        for address, keeper in self.keepers.items():
-            keeper.set_membership(members)
-            self.wires.handlers[address] = keeper.handle
-        for one, plane in zip(self.nodes, self.planes, strict=True):
-            plane.set_config(WORD)
-            plane.set_membership(members)
-            self.wires.handlers[one.internal_address] = plane.handle
-
-    async def news(self) -> None:
-        while True:
-            keeper = next(iter(self.keepers.values()))
-            for plane, one in zip(self.planes, self.nodes, strict=True):
-                plane.set_gateways(
-                    one.name,
-                    [
-                        Gateway(told.name, told.internal_address, 1, "edge", "z", "r", f"{told.ip_address}:80", True)
-                        for told in self.nodes
-                    ],
-                )
-                plane.set_holders(keeper.holders(self.loop.now()))
-            await asyncio.sleep(0.1)
-
-    async def begin(self) -> None:
-        self.told = asyncio.ensure_future(self.news())
+        self.loop = loop
+        self.network = VirtualNetwork()
+        self.coordinators = {f"10.1.0.{number}:7000": LeaseCoordinator(loop.now, number + 1) for number in range(3)}
+        self.nodes = [make_node(number) for number in range(4)]
+        self.planes = [QuotaPlane(node, self.network, loop.now, number) for number, node in enumerate(self.nodes)]
+        membership = LeaseMembership(1, tuple(self.coordinators))
+        for address, coordinator in self.coordinators.items():
+            coordinator.set_membership(membership)
+            self.network.handlers[address] = coordinator.handle
+        for node, plane in zip(self.nodes, self.planes, strict=True):
+            plane.set_config(CONFIG)
+            plane.set_membership(membership)
+            self.network.handlers[node.internal_address] = plane.handle
+
+    async def start(self) -> None:
+        """Start the planes, and wait until the leases are spread."""
+        self.updates = asyncio.ensure_future(self._send_updates())
         for plane in self.planes:
             await plane.start()
         await asyncio.sleep(9)
 
-    async def takes(self, number: int, gap: float) -> int:
-        passed = 0
-        for at in range(number):
-            passed += (await self.planes[1 + at % 3].counter.admit(TENANT, 500.0)).is_admitted
-            await asyncio.sleep(gap)
-        return passed
+    async def count_admitted(self, requests: int, interval_s: float) -> int:
+        """Return how many requests are admitted at the gateways but for the first, in turn."""
+        admitted = 0
+        for number in range(requests):
+            decision = await self.planes[1 + number % 3].counter.admit(TENANT, 500.0)
+            admitted += decision.is_admitted
+            await asyncio.sleep(interval_s)
+        return admitted
+
+    def held_buckets(self) -> list[list[int]]:
+        """Return the buckets that each plane holds."""
+        return [plane.held_buckets() for plane in self.planes]
+
+    def holder_index(self) -> int:
+        """Return the index of the plane that holds TENANT's bucket."""
+        return next(index for index, buckets in enumerate(self.held_buckets()) if bucket_of("t") in buckets)
+
+    async def _send_updates(self) -> None:
+        while True:
+            coordinator = next(iter(self.coordinators.values()))
+            for plane in self.planes:
+                plane.set_gateways([_gateway_entry(node) for node in self.nodes])
+                plane.set_holders(coordinator.holders(self.loop.now()))
+            await asyncio.sleep(0.1)
+
+
+def _gateway_entry(node: NodeSettings) -> Gateway:
+    return Gateway(node.name, node.internal_address, 1, "edge", "z", "r", f"{node.ip_address}:80", True)
 
 
-def test_buckets_are_spread_and_requests_counted_in_one_place() -> None:
+def test_buckets_are_spread_and_each_tenant_is_counted_in_one_place() -> None:
     async def main(loop: VirtualLoop) -> None:
-        fleet = Planes(loop)
-        await fleet.begin()
-        held = [plane.held() for plane in fleet.planes]
-        assert sorted(bucket for buckets in held for bucket in buckets) == list(range(BUCKETS)) and all(held)
-        assert await fleet.takes(60, 0.01) == 60
-        before = len(fleet.wires.calls)
-        holder = next(
-            one.internal_address for one, buckets in zip(fleet.nodes, held, strict=True) if bucket_of("t") in buckets
-        )
-        await fleet.takes(3, 0.0)
-        assert {address for address, asked in fleet.wires.calls[before:] if asked.HasField("count_request")} <= {holder}
-        stranger = Envelope(count_request=CountRequest(tenant="unheard of"))
-        answers = [plane.handle(stranger).count_response for plane in fleet.planes]
-        assert sum(answer.is_lease_holder and answer.is_tenant_unknown for answer in answers) == 1
+        fleet = PlaneFleet(loop)
+        await fleet.start()
+        held = fleet.held_buckets()
+        assert sorted(bucket for buckets in held for bucket in buckets) == list(range(BUCKET_COUNT)) and all(held)
+        assert await fleet.count_admitted(60, 0.01) == 60
+        calls_before = len(fleet.network.calls)
+        holder = fleet.nodes[fleet.holder_index()].internal_address
+        await fleet.count_admitted(3, 0.0)
+        calls = fleet.network.calls[calls_before:]
+        assert {address for address, envelope in calls if envelope.HasField("count_request")} <= {holder}
+        unknown_tenant = Envelope(count_request=CountRequest(tenant="unheard of"))
+        responses = [plane.handle(unknown_tenant).count_response for plane in fleet.planes]
+        assert sum(response.is_lease_holder and response.is_tenant_unknown for response in responses) == 1
 
     run(main)
 
 
-def test_a_holder_that_leaves_takes_no_room_with_it() -> None:
+def test_graceful_shutdown_of_a_holder_rejects_few_requests() -> None:
     async def main(loop: VirtualLoop) -> None:
-        fleet = Planes(loop)
-        await fleet.begin()
-        gone = next(at for at, plane in enumerate(fleet.planes) if bucket_of("t") in plane.held())
-        fleet.planes.append(fleet.planes.pop(gone))  # it stays a caller
-        fleet.nodes.append(fleet.nodes.pop(gone))
-        assert await fleet.takes(60, 0.03) == 60
-        await fleet.planes[-1].leave()
-        assert fleet.planes[-1].held() == []
-        assert await fleet.takes(90, 0.03) >= 85
+        fleet = PlaneFleet(loop)
+        await fleet.start()
+        holder = fleet.holder_index()
+        fleet.planes.append(fleet.planes.pop(holder))  # the last one: requests still come to it
+        fleet.nodes.append(fleet.nodes.pop(holder))
+        assert await fleet.count_admitted(60, 0.03) == 60
+        await fleet.planes[-1].release_all()
+        assert fleet.planes[-1].held_buckets() == []
+        assert await fleet.count_admitted(90, 0.03) >= 85
 
     run(main)
 
 
-def test_without_a_majority_only_reserves_are_left() -> None:
+def test_without_a_majority_of_coordinators_only_reserves_admit() -> None:
     async def main(loop: VirtualLoop) -> None:
-        fleet = Planes(loop)
-        await fleet.begin()
-        fleet.wires.silent.update(list(fleet.keepers)[:2])
+        fleet = PlaneFleet(loop)
+        await fleet.start()
+        fleet.network.silent.update(list(fleet.coordinators)[:2])
         await asyncio.sleep(2)
-        assert not any(plane.held() for plane in fleet.planes)
-        assert 0 < await fleet.takes(120, 0.0) < 70
-        fleet.wires.silent.clear()
+        assert not any(fleet.held_buckets())
+        assert 0 < await fleet.count_admitted(120, 0.0) < 70
+        fleet.network.silent.clear()
         await asyncio.sleep(4)
-        assert sum(len(plane.held()) for plane in fleet.planes) == BUCKETS
-        assert await fleet.takes(30, 0.05) == 30
+        assert sum(map(len, fleet.held_buckets())) == BUCKET_COUNT
+        assert await fleet.count_admitted(30, 0.05) == 30
 
     run(main)
