--- a/tests/system/discovery/test_endpoint_list.py
+++ b/tests/system/discovery/test_endpoint_list.py
@@ -12,6 +12,7 @@
     reconcile_list,
 )
 from hallhitch.planes.discovery.errors import MalformedPageError
+from hallhitch.planes.values import Backend
 
 ROW = {
     "targetService": "s",
@@ -58,3 +59,8 @@
     assert ranks == [0, 1, 2]
     assert is_read_due(600, 0, 600) and not is_read_due(600, 1, 600)
     assert is_read_due(1400, 1, 600) and not is_read_due(1400, 2, 600)
+
+
+def test_listed_backend_gets_the_region_of_its_zone() -> None:
+    backend = make_backend("a", is_draining=True, warming_until_ms=5000.0).to_backend("r")
+    assert backend == Backend("a", "s", "10.0.0.1", 80, "z", "r", 3, is_draining=True, warming_until_ms=5000.0)
--- /dev/null
+++ b/tests/system/discovery/test_platform_client.py
@@ -0,0 +1,158 @@
+"""The client of the platform's endpoint list, against a server on loopback; and when the list is read."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+import pytest
+
+from hallhitch.planes.discovery import endpoint_list_reader
+from hallhitch.planes.discovery.endpoint_list_reader import EndpointListReader, reading_interval_ms
+from hallhitch.planes.discovery.errors import EndpointListError
+from hallhitch.planes.discovery.platform_client import EndpointListReading, PlatformClient
+
+
+def page(instances: list[str], next_token: str | None = None) -> bytes:
+    rows = [{"instanceId": name, "targetService": "s", "address": "10.0.0.1:80"} for name in instances]
+    return json.dumps({"instances": rows, "nextPageToken": next_token}).encode()
+
+
+def response(body: bytes, status: int = 200) -> bytes:
+    return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
+
+
+class PlatformServer:
+    """Replies to each target; closes the connection after a reply if told to."""
+
+    def __init__(self, replies: dict[str, bytes], *, closes_after_reply: bool = False) -> None:
+        self.replies = replies
+        self.closes_after_reply = closes_after_reply
+        self.connections = 0
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        self.connections += 1
+        while head := await reader.readline():
+            while await reader.readline() != b"\r\n":
+                pass
+            writer.write(self.replies[head.split()[1].decode()])
+            await writer.drain()
+            if self.closes_after_reply:
+                break
+        writer.close()
+
+
+def run_against(server: PlatformServer, scenario: Callable[[PlatformClient], Coroutine[Any, Any, None]]) -> None:
+    async def main() -> None:
+        listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
+        client = PlatformClient(listener.sockets[0].getsockname()[:2])
+        try:
+            await scenario(client)
+        finally:
+            client.close()
+            listener.close()
+
+    asyncio.run(main())
+
+
+def instances(reading: EndpointListReading) -> list[str]:
+    return [backend.instance for backend in reading.backends]
+
+
+def test_all_pages_are_read_over_one_connection() -> None:
+    server = PlatformServer(
+        {
+            "/instances": response(page(["a", "b"], "p 2")),
+            "/instances?pageToken=p%202": response(page(["c"])),
+        }
+    )
+
+    async def scenario(client: PlatformClient) -> None:
+        for _ in range(2):
+            assert instances(await client.read()) == ["a", "b", "c"]
+        assert server.connections == 1 and client.request_count == 4
+
+    run_against(server, scenario)
+
+
+def test_long_chunked_page_is_read_whole() -> None:
+    names = [f"i-{number}" for number in range(5000)]
+    body = page(names)
+    parts = [body[start : start + 10_000] for start in range(0, len(body), 10_000)]
+    chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts)
+    reply = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks + b"0\r\n\r\n"
+
+    async def scenario(client: PlatformClient) -> None:
+        assert instances(await client.read()) == names
+
+    run_against(PlatformServer({"/instances": reply}), scenario)
+
+
+def test_connection_closed_while_idle_is_replaced() -> None:
+    server = PlatformServer({"/instances": response(page(["a"]))}, closes_after_reply=True)
+
+    async def scenario(client: PlatformClient) -> None:
+        for _ in range(2):
+            assert instances(await client.read()) == ["a"]
+            await asyncio.sleep(0.05)
+        assert server.connections == 2
+
+    run_against(server, scenario)
+
+
+@pytest.mark.parametrize(
+    ("reply", "reason"),
+    [(response(page(["a"]), 503), "status 503"), (response(b"{"), "malformed page")],
+    ids=["status", "malformed"],
+)
+def test_reply_without_a_list_is_an_error(reply: bytes, reason: str) -> None:
+    async def scenario(client: PlatformClient) -> None:
+        with pytest.raises(EndpointListError, match=reason):
+            await client.read()
+
+    run_against(PlatformServer({"/instances": reply}), scenario)
+
+
+def test_unreachable_platform_is_an_error() -> None:
+    async def scenario(client: PlatformClient) -> None:
+        unreachable = PlatformClient(("127.0.0.1", 1))
+        with pytest.raises(EndpointListError):
+            await unreachable.read()
+
+    run_against(PlatformServer({}), scenario)
+
+
+def test_list_is_read_when_due_and_again_after_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+    class FailingOnceClient(PlatformClient):
+        attempts = 0
+
+        async def read(self) -> EndpointListReading:
+            self.attempts += 1
+            if self.attempts == 1:
+                raise EndpointListError("status 503")
+            return EndpointListReading(7.0, [])
+
+    async def main() -> None:
+        client = FailingOnceClient(("127.0.0.1", 1))
+        readings: list[EndpointListReading] = []
+        due = [False]
+        reader = EndpointListReader(client, 4.0, lambda: due[0], readings.append, lambda: 0.0)
+        task = asyncio.ensure_future(reader.run())
+        await asyncio.sleep(0.02)
+        assert client.attempts == 0
+        due[0] = True
+        while not readings:
+            await asyncio.sleep(0.001)
+        task.cancel()
+        assert client.attempts == 2 and readings == [EndpointListReading(7.0, [])]
+
+    monkeypatch.setattr(endpoint_list_reader, "POLL_INTERVAL_MS", 1.0)
+    asyncio.run(main())
+
+
+def test_reading_interval_follows_the_drain_timeout_up_to_a_second() -> None:
+    assert reading_interval_ms(2000.0) == 400.0
+    assert reading_interval_ms(60_000.0) == 1000.0
--- /dev/null
+++ b/tests/system/distribution/test_gateway_program.py
@@ -0,0 +1,78 @@
+"""The wiring of the gateway program: what it needs to be ready, and what it tells its peers and clients."""
+
+from __future__ import annotations
+
+import json
+import random
+import zlib
+from dataclasses import replace
+
+from hallhitch.lab.simulation.node_settings import coordinator_settings
+from hallhitch.programs.gateway import GatewayProgram
+from hallhitch.programs.runtime import Runtime
+from tests.system.distribution.simulated_core import ProgramLink, SimulatedCore
+from tests.system.distribution.simulated_peers import (
+    SimulatedPeers,
+    make_backend,
+    make_gateway,
+    run_in_virtual_time,
+)
+
+CONFIG = zlib.compress(json.dumps({"services": {"s": {}}}).encode())
+ADDRESS = "10.0.1.1:7000"
+
+
+def build_gateway(peers: SimulatedPeers) -> GatewayProgram:
+    """Return a gateway program that is not started, as no client connects to it."""
+    core = SimulatedCore(peers)
+    runtime = Runtime(
+        clock=peers.clock,
+        random=random.Random(1),
+        connect=lambda cluster, own, incarnation, handler: ProgramLink(core, own, handler),
+    )
+    node = replace(
+        coordinator_settings(ADDRESS, True, (), 1),
+        role="gateway",
+        machine_class="edge",
+        data_directory=None,
+        listen_addresses={"frontend": ("10.0.1.1", 80)},
+    )
+    return GatewayProgram(node, runtime)
+
+
+def readiness(program: GatewayProgram) -> int:
+    return program._handle_readiness("GET", "/hallhitch/readiness?verbose=1", b"").status
+
+
+def test_gateway_is_ready_with_configuration_endpoint_list_and_replies_of_the_seeds() -> None:
+    async def scenario(peers: SimulatedPeers) -> None:
+        program = build_gateway(peers)
+        hub = program._hub
+        hub.on_change.append(program._on_state_change)  # as `start` does
+        hub.update_config(1, 5, CONFIG, ["z"])
+        assert program._config.version == 5 and readiness(program) == 503
+        hub.update_backends(1.0, [make_backend("i-1")])
+        assert readiness(program) == 503 and not program._own_entry().is_ready
+        program._sync.is_startup_complete = True
+        hub.notify()
+        assert readiness(program) == 200
+        entry = program._own_entry()
+        assert entry.is_ready and not entry.is_leaving and entry.frontend == "10.0.1.1:80"
+        program._is_leaving = True
+        assert readiness(program) == 503 and program._own_entry().is_leaving
+
+    run_in_virtual_time(scenario)
+
+
+def test_gateway_resolves_to_the_gateways_that_it_knows() -> None:
+    async def scenario(peers: SimulatedPeers) -> None:
+        program = build_gateway(peers)
+        target = "/hallhitch/resolve?name=h&region=r&zone=z"
+        assert program._handle_resolve("GET", target, b"").status == 503
+        program._hub.set_gateways({"g1:1": make_gateway("g1"), "g2:1": make_gateway("g2", is_leaving=True)})
+        reply = program._handle_resolve("GET", target, b"")
+        assert reply.status == 200 and json.loads(reply.body)["addresses"] == ["g1:80"]
+        assert program._handle_resolve("POST", target, b"").status == 405
+        assert program._handle_resolve("GET", "/other", b"").status == 404
+
+    run_in_virtual_time(scenario)
