--- a/benchmarks/control_state.py
+++ b/benchmarks/control_state.py
@@ -15,7 +15,7 @@
 
 from benchmarks.order_latency import Operator, Sample
 from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, CoordinatorMachine, run_scenario
-from hallhitch.planes.control.state_store import DirectoryStorage
+from hallhitch.planes.control.storage import DirectoryStorage
 
 
 class Counted(CoordinatorCluster):
--- a/hallhitch/lab/simulation/disk.py
+++ b/hallhitch/lab/simulation/disk.py
@@ -37,33 +37,33 @@
         if self.refuses:
             raise OSError("no room")
 
-    def names(self) -> list[str]:
+    def file_names(self) -> list[str]:
         """All files."""
         return sorted(self.files)
 
-    def write(self, base: str, records: Records) -> None:
+    def write_database(self, base: str, records: Records) -> None:
         """A new database; nothing of it is synced."""
         for name in (f"{base}.dat", f"{base}.dir"):
             self._operation()
             self.files[name] = dict(records)
 
-    def read(self, base: str) -> dict[bytes, bytes]:
+    def read_database(self, base: str) -> dict[bytes, bytes]:
         """All records; any error where it is torn."""
         if self.files[f"{base}.dat"] != self.files[f"{base}.dir"]:
             raise ValueError(f"{base} is torn")
         return dict(self.files[f"{base}.dir"])
 
-    def sync(self, name: str) -> None:
+    def sync_file(self, name: str) -> None:
         """One file."""
         self._operation()
         self._synced[name] = self.files[name]
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         """Names and removals."""
         self._operation()
         self._kept = dict(self.files)
 
-    def remove(self, name: str) -> None:
+    def remove_file(self, name: str) -> None:
         """One file less."""
         if self._left == 0:
             raise Interrupted
@@ -104,7 +104,7 @@
         self._doing: Callable[[], None] | None = None
 
     async def run(self, call: Callable[[], None]) -> None:
-        """As planes.control.acceptor.Run."""
+        """As planes.control.storage_thread.BlockingRunner."""
         if self._worker is None:
             self._worker = asyncio.ensure_future(self._work())
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
--- a/hallhitch/lab/simulation/in_memory_storage.py
+++ b/hallhitch/lab/simulation/in_memory_storage.py
@@ -1,6 +1,6 @@
 """A coordinator's data directory in memory.
 
-Implements `planes.control.state_store.Storage`. Invariant: after a power loss the directory holds exactly the files
+Implements `planes.control.storage.Storage`. Invariant: after a power loss the directory holds exactly the files
 whose content and name were both synced. For disks that tear writes at random see `simulated_disk`.
 """
 
@@ -18,11 +18,11 @@
         self.is_full = False
         self._synced: dict[str, Mapping[bytes, bytes]] = {}
 
-    def names(self) -> list[str]:
+    def file_names(self) -> list[str]:
         """Return the names of all files in order."""
         return sorted(self.files)
 
-    def write(self, base: str, records: Mapping[bytes, bytes]) -> None:
+    def write_database(self, base: str, records: Mapping[bytes, bytes]) -> None:
         """Create a database without syncing it.
 
         Raises:
@@ -31,11 +31,11 @@
         self._require_space()
         self.files[f"{base}.dat"] = self.files[f"{base}.dir"] = dict(records)
 
-    def read(self, base: str) -> dict[bytes, bytes]:
+    def read_database(self, base: str) -> dict[bytes, bytes]:
         """Return all records of a database."""
         return dict(self.files[f"{base}.dir"])
 
-    def sync(self, name: str) -> None:
+    def sync_file(self, name: str) -> None:
         """Sync the content of one file.
 
         Raises:
@@ -44,7 +44,7 @@
         self._require_space()
         self._synced[name] = self.files[name]
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         """Sync the names of created and removed files.
 
         Raises:
@@ -53,7 +53,7 @@
         self._require_space()
         self.durable_files = {name: self._synced[name] for name in self.files if name in self._synced}
 
-    def remove(self, name: str) -> None:
+    def remove_file(self, name: str) -> None:
         """Remove one file."""
         self.files.pop(name, None)
 
--- a/hallhitch/planes/control/ballot_attempt.py
+++ b/hallhitch/planes/control/ballot_attempt.py
@@ -13,7 +13,7 @@
 
 from hallhitch.messages.system_pb2 import ClusterState, Envelope, Promise
 from hallhitch.planes.control.ballot import Ballot
-from hallhitch.planes.control.contention import PhaseTime, RivalBallots
+from hallhitch.planes.control.contention import PhaseDuration, RivalBallots
 from hallhitch.planes.control.member_calls import MemberAnswer, MemberCalls
 from hallhitch.planes.control.pending_changes import PendingChanges
 from hallhitch.planes.control.proposal import (
@@ -57,14 +57,14 @@
     calls: MemberCalls
     pending: PendingChanges
     rivals: RivalBallots
-    phase: PhaseTime
+    phase: PhaseDuration
     on_commit: Callable[[ClusterState, Ballot], None]
     is_responsive: Callable[[str], bool]
     clock: Callable[[], float]
 
     def rival_wait_ms(self) -> float:
         """Return for how long to let the ballot of another proposer finish; 0 where none is under way."""
-        return self.rivals.wait_ms(self.clock(), self.phase.patience_ms)
+        return self.rivals.wait_ms(self.clock(), self.phase.rival_timeout_ms)
 
 
 class BallotAttempt:
@@ -114,7 +114,7 @@
         if proposal.has_failed() or (answer.is_refusal and self._is_overtaken()):
             return Abandoned()
         if answer.is_refusal:
-            patience_ends_ms = self._context.clock() + self._context.phase.patience_ms
+            patience_ends_ms = self._context.clock() + self._context.phase.rival_timeout_ms
             self._gives_up_ms = min(self._gives_up_ms, patience_ends_ms)
         return None
 
@@ -150,8 +150,8 @@
 
     def _record_rival(self, refusal: Promise) -> None:
         rivals = self._context.rivals
-        rivals.saw_prepare(Ballot.from_message(refusal.promised), self._context.clock())
-        rivals.saw_accept(Ballot.from_message(refusal.accepted))
+        rivals.record_prepare(Ballot.from_message(refusal.promised), self._context.clock())
+        rivals.record_accept(Ballot.from_message(refusal.accepted))
 
     def _is_overtaken(self) -> bool:
         """Return whether a ballot without a majority of promises has met a higher one that is under way."""
@@ -173,7 +173,7 @@
         if self._has_measured_phase:
             return
         self._has_measured_phase = True
-        self._context.phase.measured(self._context.clock() - self._prepares_sent_ms)
+        self._context.phase.observe(self._context.clock() - self._prepares_sent_ms)
 
     async def _linger(self) -> None:
         """Wait a little for the other replicas that are likely to answer, after a majority has the state."""
--- a/hallhitch/planes/control/config_digests.py
+++ b/hallhitch/planes/control/config_digests.py
@@ -16,12 +16,12 @@
 
 from hallhitch.messages.system_pb2 import ClusterState, ConfigDigest
 
-REMEMBERED = 256  # entries: more changes than an operator resends within `ackTimeout`; some 6 kB of state
+MAX_CONFIG_DIGESTS = 256  # entries: more changes than an operator resends within `ackTimeout`; some 6 kB of state
 DIGEST_BYTES = 16  # bytes of one digest: contents meet by chance once in 2**64 configurations
-EXACT = 2.0**53  # up to here each whole number is a float of its own
+MAX_EXACT_INTEGER = 2.0**53  # up to here each whole number is a float of its own
 
 
-class OrderOutcome(enum.Enum):
+class ConfigOutcome(enum.Enum):
     """What the committed state says of a configuration that an operator sent."""
 
     RECORDED = "recorded"  # this content was taken under its number; it may have been overtaken since
@@ -41,28 +41,28 @@
     return hashlib.sha256(content).digest()[:DIGEST_BYTES]
 
 
-def outcome(state: ClusterState, version: int, digest: bytes) -> OrderOutcome:
+def config_outcome(state: ClusterState, version: int, digest: bytes) -> ConfigOutcome:
     """What became of the content with this digest under this number, by a committed state."""
     if version > state.config_version:
-        return OrderOutcome.ABSENT
+        return ConfigOutcome.ABSENT
     for entry in reversed(state.config_digests):
         if entry.config_version == version:
-            return OrderOutcome.RECORDED if entry.digest == digest else OrderOutcome.CONFLICT
-    return OrderOutcome.SUPERSEDED
+            return ConfigOutcome.RECORDED if entry.digest == digest else ConfigOutcome.CONFLICT
+    return ConfigOutcome.SUPERSEDED
 
 
-def extended(entries: Sequence[ConfigDigest], newer: Sequence[ConfigDigest]) -> list[ConfigDigest]:
+def append_digests(entries: Sequence[ConfigDigest], newer: Sequence[ConfigDigest]) -> list[ConfigDigest]:
     """The entries and newer ones, without the oldest that are too many."""
-    return [*entries, *newer][-REMEMBERED:]
+    return [*entries, *newer][-MAX_CONFIG_DIGESTS:]
 
 
-def missing(entries: Sequence[ConfigDigest], whole: Sequence[ConfigDigest]) -> list[ConfigDigest] | None:
+def newer_digests(entries: Sequence[ConfigDigest], whole: Sequence[ConfigDigest]) -> list[ConfigDigest] | None:
     """What makes `whole` out of `entries` by `extended`; None where nothing does."""
     newest = entries[-1].config_version if entries else -1
     newer = [entry for entry in whole if entry.config_version > newest]
-    return newer if extended(entries, newer) == list(whole) else None
+    return newer if append_digests(entries, newer) == list(whole) else None
 
 
 def _number(text: str) -> int | float:
     number = float(text)
-    return int(number) if abs(number) < EXACT and number.is_integer() else number
+    return int(number) if abs(number) < MAX_EXACT_INTEGER and number.is_integer() else number
--- a/hallhitch/planes/control/contention.py
+++ b/hallhitch/planes/control/contention.py
@@ -1,62 +1,69 @@
-"""Whose turn it is among several proposers: what arrived at this coordinator's acceptor of the ballots of others.
-
-Owns the decision to let another proposer finish. It is a hint and never needed for safety: whoever ignores it only
-makes two ballots undo each other. Must never hold a ballot back longer than another one is likely to take, as the
-other proposer may have ended. Values in, values out.
+"""Contention among proposers: when to let the ballot of another proposer finish before an own one begins.
 
 A ballot is undone by a higher one whose prepares arrive before its accepts. So a proposer that sees a higher ballot
-prepared and not yet accepted waits for its accept and begins then: its prepares arrive behind it. Of several that begin
-at the same time the highest prevails at once, and the others wait for it in turn: no draw by lot is needed.
+prepared and not yet accepted waits for its accept and begins then: its own prepares arrive behind it. Of several
+ballots that begin at the same time the highest prevails, and the others wait for it in turn, without a random draw.
+
+Invariants.
+- *A hint only*: agreement is safe whatever is decided here; a proposer that ignores it only undoes the other's ballot.
+- *Bounded wait*: a ballot is held back for no longer than another one is likely to take, as its proposer may be gone.
+
+No I/O, no clock: times are arguments, in ms by one process's clock.
 """
 
 from __future__ import annotations
 
+from typing import Final
+
 from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot
 
-FIRST_PHASE_MS = 150.0  # how long a phase takes before one was measured: the longest way between regions and back
-SHORTEST_MS, LONGEST_MS = 20.0, 400.0  # bounds of the wait for another proposer: under half of an order's patience
-MARGIN = 2.0  # phases that another proposer is given: it may have a longer way to its majority
-FADING = 0.8  # of the longest phase measured that is still believed after a shorter one
+INITIAL_PHASE_MS: Final = 150.0  # assumed before a phase was measured: the longest round trip between regions
+MIN_RIVAL_TIMEOUT_MS: Final = 20.0
+MAX_RIVAL_TIMEOUT_MS: Final = 400.0  # under half of what an operator's change is given
+RIVAL_TIMEOUT_PHASES: Final = 2.0  # own phases that a rival is given: its way to a majority may be longer
+PHASE_DECAY_RATIO: Final = 0.8  # of the longest phase measured that still counts after a shorter one
 
 
 class RivalBallots:
-    """The newest ballots of other proposers that arrived here, whether or not the disk has them yet."""
+    """The newest ballots of other proposers that arrived at this replica, whether or not they are on its disk yet."""
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self.prepared: Ballot = INITIAL_BALLOT
-        self.accepted: Ballot = INITIAL_BALLOT  # of any proposer, this one too
-        self._since_ms = float("-inf")
-
-    def saw_prepare(self, ballot: Ballot, at_ms: float) -> None:
-        """A prepare arrived, or somebody told of one."""
-        if ballot > self.prepared and ballot.proposer.rpartition("#")[0] != self._address:
-            self.prepared, self._since_ms = ballot, at_ms
-
-    def saw_accept(self, ballot: Ballot) -> bool:
-        """An accept arrived, or somebody told of one. True where it ends what others wait for."""
-        ends = self.accepted < self.prepared <= ballot
+        self.prepared: Ballot = INITIAL_BALLOT  # of other proposers
+        self.accepted: Ballot = INITIAL_BALLOT  # of any proposer, the own one included
+        self._prepared_at_ms = float("-inf")
+
+    def record_prepare(self, ballot: Ballot, now_ms: float) -> None:
+        """Record a prepare that arrived, or that an answer told of."""
+        is_own = ballot.proposer.rpartition("#")[0] == self._address
+        if ballot > self.prepared and not is_own:
+            self.prepared, self._prepared_at_ms = ballot, now_ms
+
+    def record_accept(self, ballot: Ballot) -> bool:
+        """Record an accept likewise; return whether it ends the ballot that others wait for."""
+        ends_rival = self.accepted < self.prepared <= ballot
         self.accepted = max(self.accepted, ballot)
-        return ends
+        return ends_rival
 
-    def wait_ms(self, at_ms: float, patience_ms: float) -> float:
-        """How long to let the newest of them finish; 0 where none is in the way."""
+    def wait_ms(self, now_ms: float, timeout_ms: float) -> float:
+        """Return for how long to let the newest of them finish; 0 where none is under way."""
         if self.prepared <= self.accepted:
             return 0.0
-        return max(0.0, self._since_ms + patience_ms - at_ms)
+        return max(0.0, self._prepared_at_ms + timeout_ms - now_ms)
 
 
-class PhaseTime:
-    """How long it takes from this coordinator until a majority has answered: a fading maximum."""
+class PhaseDuration:
+    """How long it takes until a majority has answered this coordinator: a decaying maximum."""
 
     def __init__(self) -> None:
-        self._longest_ms = FIRST_PHASE_MS
+        self._longest_ms = INITIAL_PHASE_MS
 
-    def measured(self, took_ms: float) -> None:
-        """One phase has ended with a majority."""
-        self._longest_ms = max(took_ms, FADING * self._longest_ms + (1 - FADING) * took_ms)
+    def observe(self, duration_ms: float) -> None:
+        """Record a phase that ended with a majority."""
+        decayed_ms = PHASE_DECAY_RATIO * self._longest_ms + (1 - PHASE_DECAY_RATIO) * duration_ms
+        self._longest_ms = max(duration_ms, decayed_ms)
 
     @property
-    def patience_ms(self) -> float:
-        """What another proposer's phase is given."""
-        return min(max(MARGIN * self._longest_ms, SHORTEST_MS), LONGEST_MS)
+    def rival_timeout_ms(self) -> float:
+        """For how long another proposer's ballot is let through."""
+        return min(max(RIVAL_TIMEOUT_PHASES * self._longest_ms, MIN_RIVAL_TIMEOUT_MS), MAX_RIVAL_TIMEOUT_MS)
--- a/hallhitch/planes/control/errors.py
+++ b/hallhitch/planes/control/errors.py
@@ -18,3 +18,18 @@
     def __init__(self, ballot: Ballot) -> None:
         super().__init__(f"ballot {ballot.round} of {ballot.proposer} has no state to accept yet")
         self.ballot = ballot
+
+
+class CorruptDatabaseError(ControlPlaneError):
+    """A database of the data directory cannot be used."""
+
+    def __init__(self, database: str, reason: str) -> None:
+        super().__init__(f"{database} {reason}")
+        self.database, self.reason = database, reason
+
+
+class StorageMissingError(ControlPlaneError, OSError):
+    """The settings name no data directory; handled like a disk that refuses."""
+
+    def __init__(self) -> None:
+        super().__init__("there is no data folder")
--- a/hallhitch/planes/control/operator_api.py
+++ b/hallhitch/planes/control/operator_api.py
@@ -18,7 +18,7 @@
 from hallhitch.node.http_server import HttpReply
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import config_validation, state_transitions
-from hallhitch.planes.control.config_digests import OrderOutcome, outcome
+from hallhitch.planes.control.config_digests import ConfigOutcome, config_outcome
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.control.state_transitions import StateTransition
 
@@ -121,17 +121,17 @@
 
 def _judged(state: ClusterState, checked: config_validation.ValidatedConfig) -> HttpReply:
     """The answer to a configuration, by the committed state after its ballot."""
-    match outcome(state, checked.version, checked.digest):
-        case OrderOutcome.CONFLICT:
+    match config_outcome(state, checked.version, checked.digest):
+        case ConfigOutcome.CONFLICT:
             text = f"configVersion {checked.version} was taken with another content; {state.config_version} is in force"
             return _json(409, {"errorMessage": text, "configVersion": state.config_version})
-        case OrderOutcome.ABSENT:
+        case ConfigOutcome.ABSENT:
             return _error(503, "the order was not applied: ask again", {"Retry-After": "0.3"})
         case found:
             return _in_force(state, found)
 
 
-def _in_force(state: ClusterState, found: OrderOutcome = OrderOutcome.RECORDED) -> HttpReply:
+def _in_force(state: ClusterState, found: ConfigOutcome = ConfigOutcome.RECORDED) -> HttpReply:
     """An acknowledgement: what became of the order, and what is in force now."""
     body = {"configVersion": state.config_version, "outcome": found.value, "evacuations": sorted(state.evacuations)}
     return _json(200, body)
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -18,7 +18,7 @@
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import membership_policy
-from hallhitch.planes.control.acceptor import DurableAcceptor, Run, Worker
+from hallhitch.planes.control.acceptor import DurableAcceptor
 from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot, BallotedState
 from hallhitch.planes.control.graceful_departure import GracefulDeparture
 from hallhitch.planes.control.lease_renewal import LeaseBasis, LeaseRenewal
@@ -28,9 +28,11 @@
 from hallhitch.planes.control.proposer import Proposer
 from hallhitch.planes.control.serving_lease import ServingLease
 from hallhitch.planes.control.state_recovery import StateRecovery
-from hallhitch.planes.control.state_store import DirectoryStorage, StateStore, Storage
+from hallhitch.planes.control.state_store import StateStore
 from hallhitch.planes.control.state_transitions import StateTransition
-from hallhitch.planes.control.vote_eligibility import Eligibility
+from hallhitch.planes.control.storage import DirectoryStorage, Storage
+from hallhitch.planes.control.storage_thread import BlockingRunner, StorageThread
+from hallhitch.planes.control.vote_eligibility import VoteEligibility
 from hallhitch.planes.control.vote_tally import VoteTally
 from hallhitch.planes.values import LeaseMembership
 
@@ -62,7 +64,7 @@
         told: Callable[[ClusterState], None],
         *,
         disk: Storage | None = None,
-        run: Run | None = None,
+        run: BlockingRunner | None = None,
         clock: Callable[[], float] = now,
         rng: random.Random | None = None,
         lease_ms: float = 0.0,
@@ -70,7 +72,7 @@
         self._node, self._links, self._told, self._clock = node, links, told, clock
         self._rng = rng or random.Random()
         self.address = node.internal_address
-        self._worker = Worker()
+        self._worker = StorageThread()
         if disk is None and node.data_directory is not None:
             disk = DirectoryStorage(node.data_directory)
         store = StateStore(disk, self.address, node.cluster_name) if disk is not None else None
@@ -84,7 +86,7 @@
             clock,
             self._rng,
         )
-        self._eligibility = Eligibility(self.address, self._acceptor)
+        self._eligibility = VoteEligibility(self.address, self._acceptor)
         self._value = ClusterState(config_version=-1)
         self._at: Ballot = INITIAL_BALLOT  # the ballot of the newest value that a majority is known to hold
         self.lease = ServingLease(node.bounds.serving_lease_ms)
@@ -224,11 +226,11 @@
             return
         if found is None:
             self._log.warning("there is no data folder: this machine keeps nothing")
-        elif found.replica is None:
-            self._empty = found.empty
-            if found.empty and self._node.is_first_start and self.address in self._node.seed_addresses:
+        elif found.state is None:
+            self._empty = found.is_empty
+            if found.is_empty and self._node.is_first_start and self.address in self._node.seed_addresses:
                 # Not loaded before it is done: a round would ask the others for a memory that there never was.
-                self._loaded = await self._recovery.found(self._node.seed_addresses)
+                self._loaded = await self._recovery.found_cluster(self._node.seed_addresses)
                 return
             self._log.warning("nothing usable in the data folder: the others are asked before any vote")
         self._loaded = True
@@ -327,7 +329,7 @@
         except PeerCallError:
             return None
         self._contacts.last_reply_ms[address] = self._clock()
-        if not self._eligibility.check(address, answer):
+        if not self._eligibility.check_report(address, answer):
             self._known = False
         return answer
 
@@ -335,7 +337,7 @@
     def _refused(self) -> str:
         """Why no change is put to the register by this process; empty where there is no reason."""
         is_out = self._contacts.is_leaving and self._departure.has_left
-        return self._eligibility.refusal or ("this machine has left the register" if is_out else "")
+        return self._eligibility.refusal_reason or ("this machine has left the register" if is_out else "")
 
     async def _tell(self, addresses: frozenset[str], wait: float) -> dict[str, AcceptorReport]:
         """Say who we are, and what the others hold."""
@@ -402,19 +404,19 @@
             self._wanted(("agree", at))
         else:
             self._wanted(None)  # a ballot would hang now, and an order that comes as a cut ends would wait behind it
-        if at > state.accepted and not state.is_recovering and not self._acceptor.busy:
+        if at > state.accepted and not state.is_recovering and not self._acceptor.is_busy:
             # The accept that did not reach this replica, or not yet: it may come from anybody.
-            await asyncio.wait_for(self._acceptor.take(newest.accepted, value), ANSWER / 1000)
+            await asyncio.wait_for(self._acceptor.accept_from_peer(newest.accepted, value), ANSWER / 1000)
 
     def _wanted(self, what: object) -> None:
         self._upkeep.replication_gap = what
 
     async def _recover(self) -> None:
         """This replica does not know what it voted, or there never was anything."""
-        if not self._loaded or self._acceptor.diskless:
+        if not self._loaded or not self._acceptor.has_storage:
             return
         if not self._others() and self._clock() - self._began > YOUNG and self._may_found_alone():
-            await self._recovery.found_alone()
+            await self._recovery.found_single_member()
             return
         await self._recovery.recover()
 
--- a/hallhitch/planes/control/proposer.py
+++ b/hallhitch/planes/control/proposer.py
@@ -19,7 +19,7 @@
 from hallhitch.planes.control.acceptor import DurableAcceptor
 from hallhitch.planes.control.ballot import Ballot, BallotedState
 from hallhitch.planes.control.ballot_attempt import Abandoned, BallotAttempt, BallotContext, BallotResult, Committed
-from hallhitch.planes.control.contention import PhaseTime
+from hallhitch.planes.control.contention import PhaseDuration
 from hallhitch.planes.control.member_calls import MemberCalls, PeerCall
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.pending_changes import PendingChange, PendingChanges
@@ -60,7 +60,7 @@
         self._pending = PendingChanges(clock)
         self._calls = MemberCalls(acceptor, call_peer)
         self._context = BallotContext(
-            self._calls, self._pending, acceptor.rivals, PhaseTime(), on_commit, is_responsive, clock
+            self._calls, self._pending, acceptor.rivals, PhaseDuration(), on_commit, is_responsive, clock
         )
         self._work: asyncio.Task[None] | None = None  # runs ballots while changes are pending
         self._ballot: asyncio.Task[BallotResult] | None = None  # the ballot under way
--- a/hallhitch/planes/control/recovery_quorum.py
+++ b/hallhitch/planes/control/recovery_quorum.py
@@ -8,7 +8,7 @@
 from hallhitch.planes.control.membership import Membership
 
 
-class Recovery:
+class RecoveryQuorum:
     """One replica that lost its memory (or never had one) reads what it may have promised.
 
     Two passes: the first (`incarnation` 0) tells with which incarnation to go on, the second makes all older votes
@@ -19,19 +19,19 @@
         self.address, self.incarnation = address, incarnation
         self._answers: dict[str, AcceptorReport] = {}
 
-    def answer(self, member: str, answer: AcceptorReport) -> None:
+    def add_report(self, member: str, answer: AcceptorReport) -> None:
         """One answer; those of other recovering replicas do not count."""
         if answer.ok:
             self._answers[member] = answer
 
-    def newest(self) -> ClusterState:
+    def newest_state(self) -> ClusterState:
         """The newest value met, whoever holds it."""
         held = max(self._answers.values(), key=lambda one: Ballot.from_message(one.accepted), default=None)
         return held.state if held is not None else ClusterState()
 
-    def enough(self) -> bool:
+    def is_sufficient(self) -> bool:
         """Whether any majority that this replica once was part of has one that answered."""
-        needed = Membership.from_state(self.newest()).quorum_sets
+        needed = Membership.from_state(self.newest_state()).quorum_sets
         for one in needed:
             others = one - {self.address}
             if not others:
@@ -45,7 +45,7 @@
         """The incarnation to go on with, after the first pass."""
         return max((one.incarnations.get(self.address, 0) for one in self._answers.values()), default=0) + 1
 
-    def replica(self) -> AcceptorState:
+    def recovered_state(self) -> AcceptorState:
         """What to go on from, to be written before the first vote."""
         incarnations: dict[str, int] = {self.address: self.incarnation}
         for one in self._answers.values():
--- a/hallhitch/planes/control/state_delta.py
+++ b/hallhitch/planes/control/state_delta.py
@@ -18,7 +18,7 @@
 
 def make_delta(state: ClusterState, base: ClusterState) -> ClusterState | None:
     """Return the state without what the base contains; None where `apply_delta` could not restore it."""
-    newer_digests = config_digests.missing(base.config_digests, state.config_digests)
+    newer_digests = config_digests.newer_digests(base.config_digests, state.config_digests)
     if newer_digests is None or (base.config and not state.config):
         return None
     delta = copy_state(state)
@@ -33,7 +33,7 @@
     """Return the state that a delta stands for, given the base it was made from."""
     state = copy_state(delta)
     state.config = delta.config or base.config
-    digests = config_digests.extended(base.config_digests, delta.config_digests)
+    digests = config_digests.append_digests(base.config_digests, delta.config_digests)
     del state.config_digests[:]
     state.config_digests.extend(digests)
     return state
--- a/hallhitch/planes/control/state_recovery.py
+++ b/hallhitch/planes/control/state_recovery.py
@@ -14,11 +14,11 @@
 from hallhitch.planes.control.acceptor import DurableAcceptor
 from hallhitch.planes.control.acceptor_state import AcceptorState
 from hallhitch.planes.control.membership import Membership, initial_state
-from hallhitch.planes.control.recovery_quorum import Recovery
+from hallhitch.planes.control.recovery_quorum import RecoveryQuorum
 
-GRACE = 50.0  # ms given to more answers once they are enough: they may hold something newer
+GRACE_PERIOD_MS = 50.0  # ms given to more answers once they are enough: they may hold something newer
 
-Ask = Callable[[str, AcceptorQuery], Awaitable[AcceptorReport | None]]
+QueryPeer = Callable[[str, AcceptorQuery], Awaitable[AcceptorReport | None]]
 
 
 class StateRecovery:
@@ -28,7 +28,7 @@
         self,
         acceptor: DurableAcceptor,
         others: Callable[[], frozenset[str]],
-        ask: Ask,
+        ask: QueryPeer,
         clock: Callable[[], float],
     ) -> None:
         self._acceptor, self._others, self._ask, self._clock = acceptor, others, ask, clock
@@ -36,57 +36,57 @@
         self._log = ComponentLogger("recovery")
         self._failing = RateLimitedLog(self._log)
 
-    async def found(self, members: tuple[str, ...]) -> bool:
+    async def found_cluster(self, members: tuple[str, ...]) -> bool:
         """Begin a new register with these members; whether it is on the disk."""
         return await self._become(AcceptorState(self._address, state=initial_state(members)))
 
-    async def found_alone(self) -> None:
+    async def found_single_member(self) -> None:
         """Begin a new register with this machine as its only member."""
         self._log.warning("no other machine is known: beginning anew, alone")
-        await self.found((self._address,))
+        await self.found_cluster((self._address,))
 
     async def recover(self) -> None:
         """Read from so many others that nothing this replica voted can be missed."""
-        first = Recovery(self._address)
+        first = RecoveryQuorum(self._address)
         await self._consult(first)
-        if not first.enough():
+        if not first.is_sufficient():
             return
-        second = Recovery(self._address, first.next_incarnation())
+        second = RecoveryQuorum(self._address, first.next_incarnation())
         await self._consult(second)
-        if not second.enough() or not self._acceptor.state.is_recovering:
+        if not second.is_sufficient() or not self._acceptor.state.is_recovering:
             return
-        if await self._become(second.replica()):
+        if await self._become(second.recovered_state()):
             self._log.info(f"state read back from the others, incarnation {second.incarnation}")
 
     async def _become(self, state: AcceptorState) -> bool:
         try:
-            await self._acceptor.become(state)
+            await self._acceptor.install(state)
         except OSError as error:
             self._failing.warning(self._clock(), f"the state cannot be kept: {error}")
             return False
         return True
 
-    async def _consult(self, recovery: Recovery) -> None:
+    async def _consult(self, recovery: RecoveryQuorum) -> None:
         """Ask all at once, by the newest members met, until the answers are enough and those met stay the same."""
         asked = frozenset[str]()
         calls: dict[asyncio.Task[AcceptorReport | None], str] = {}
         message = AcceptorQuery(address=self._address, incarnation=recovery.incarnation)
         try:
             while True:
-                known = self._others() | Membership.from_state(recovery.newest()).all_members
+                known = self._others() | Membership.from_state(recovery.newest_state()).all_members
                 for one in sorted(known - asked - {self._address}):
                     calls[asyncio.ensure_future(self._ask(one, message))] = one
                 asked |= known
                 if not calls:
                     return
-                wait = GRACE / 1000 if recovery.enough() else None
+                wait = GRACE_PERIOD_MS / 1000 if recovery.is_sufficient() else None
                 done, _ = await asyncio.wait(calls, timeout=wait, return_when=asyncio.FIRST_COMPLETED)
                 if not done:
                     return
                 for call in done:
                     answer, member = call.result(), calls.pop(call)
                     if answer is not None:
-                        recovery.answer(member, answer)
+                        recovery.add_report(member, answer)
         finally:
             for call in calls:
                 call.cancel()
--- a/hallhitch/planes/control/state_store.py
+++ b/hallhitch/planes/control/state_store.py
@@ -1,277 +1,236 @@
-"""What a replica keeps on its disk: whole generations in `dbm.dumb` databases under new names.
-
-Owns the order of writes, syncs and removals. Must never report a state as kept before its files and their folder are
-synced, and never take one generation for another. `dbm.dumb` neither syncs nor survives a torn write, hence:
-
-- `state-N.dat/.dir` hold one generation: promised and accepted ballots, lives of replicas, the value without content,
-  the digest of the content. `word-DIGEST.dat/.dir` hold a content, written once: a promise rewrites nothing big.
-- Every record carries a digest over its key, its database's name, the names of cluster and machine, and its bytes.
-- A generation is written under a new number, files synced, folder synced: now it counts. Only then the older ones go,
-  and the folder is synced again.
-
-So at a start an older generation is there only if the newest was never reported as kept: falling back is right. A
-generation that was kept and is damaged has none before it: the replica has lost its memory and says so. Number 1 is
-the founding one and holds no vote: where nothing else ever was, a torn one is as good as an empty folder.
-
-What is read at a start may never have been synced (a killed process leaves its files as they are): it is synced before
-anybody is told of it.
+"""The durable state of a replica: numbered generations, each in a database under a new name.
+
+Owns the order of writes, syncs and removals. Invariants.
+- *Durable when reported*: `save` returns only after the files of a generation and their directory are synced.
+- *Newest first*: a generation is removed only after a newer one is durable.
+- *Verified*: each record starts with a digest of the names of cluster, machine, database and record, and of its bytes,
+  so a torn record, or one of another machine, is never read as this replica's state.
+
+Files. `state-N.dat/.dir` hold generation N: the promised and accepted ballots, the incarnations, the cluster state
+without its configuration, and the digest of that. `word-DIGEST.dat/.dir` hold a configuration and are written once, so
+a promise rewrites nothing large.
+
+Recovery. At a start an older generation exists only if the newest was never reported as durable, so falling back to it
+is right. A durable generation that is damaged has none before it: the replica has lost its memory and reports so.
+Generation 1 is the founding one, which holds no vote: where no other ever existed, a torn one equals an empty
+directory. What is read at a start may never have been synced (a killed process leaves its files as they are), so it is
+synced before it is used.
 """
 
 from __future__ import annotations
 
 import hashlib
-import os
 import re
 from collections.abc import Mapping
 from contextlib import suppress
 from dataclasses import dataclass, replace
-from dbm import dumb
-from pathlib import Path
-from typing import Protocol
+from typing import Final
 
 from google.protobuf.message import DecodeError
 
 from hallhitch.messages.system_pb2 import ClusterState, Promise
 from hallhitch.planes.control.acceptor_state import AcceptorState
 from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot
+from hallhitch.planes.control.errors import CorruptDatabaseError
 from hallhitch.planes.control.state_delta import copy_state
+from hallhitch.planes.control.storage import DATABASE_SUFFIXES, Storage
 
-GENERATION = re.compile(r"state-(\d{12})\.(dat|dir|bak)")
-CONTENT = re.compile(r"word-([0-9a-f]{32})\.(dat|dir|bak)")
-MODE = "0644"  # unused, see _Plain
-DIGEST = 16  # bytes before each record
-
-
-class CorruptDatabaseError(Exception):
-    """A database cannot be used; the text says which and why."""
-
-
-class Storage(Protocol):
-    """The data folder, as far as it is used. All calls block; OSError where the disk refuses."""
-
-    def names(self) -> list[str]:
-        """All files."""
-
-    def write(self, base: str, records: Mapping[bytes, bytes]) -> None:
-        """A new database; nothing of it is synced."""
-
-    def read(self, base: str) -> dict[bytes, bytes]:
-        """All records of a database; any error where it is torn."""
+# Names as they are stored. Folders written by earlier releases hold them, so they do not follow the names of the code.
+GENERATION_FILE: Final = re.compile(r"state-(\d{12})\.(dat|dir|bak)")
+CONTENT_FILE: Final = re.compile(r"word-([0-9a-f]{32})\.(dat|dir|bak)")
+STORED_VOTES_KEY: Final = b"votes"  # of a generation: a Promise with the ballots and the incarnations
+STORED_STATE_KEY: Final = b"value"  # of a generation: the ClusterState without its configuration
+STORED_CONTENT_KEY: Final = b"content"  # of a generation: the content database's name; of that one: the configuration
 
-    def sync(self, name: str) -> None:
-        """One file, onto the disk."""
+RECORD_DIGEST_BYTES: Final = 16  # before each record; torn bytes pass for whole ones by chance once in 2**128
+FOUNDING_GENERATION: Final = 1
 
-    def sync_folder(self) -> None:
-        """Names and removals, onto the disk."""
 
-    def remove(self, name: str) -> None:
-        """One file less; lasts once the folder is synced."""
-
-
-class AppendOnlyDatabase(dumb._Database):
-    """A database that is written once. Its files keep the mode they were created with, as not every disk can set one.
-
-    The index is not written anew at the end, by way of a rename: each record's line is appended with the record.
-    """
-
-    def _chmod(self, file: object) -> None:
-        pass
-
-    def _commit(self) -> None:
-        pass
-
-
-class DirectoryStorage:
-    """A real folder as `Disk`."""
-
-    def __init__(self, path: Path) -> None:
-        self.path = path
-
-    def names(self) -> list[str]:
-        """All files."""
-        try:
-            return sorted(os.listdir(self.path))
-        except FileNotFoundError:
-            os.makedirs(self.path, exist_ok=True)
-            return []
-
-    def write(self, base: str, records: Mapping[bytes, bytes]) -> None:
-        """A new database; nothing of it is synced."""
-        database = AppendOnlyDatabase(str(self.path / base), MODE, flag="n")
-        try:
-            for key, value in records.items():
-                database[key] = value
-        finally:
-            database.close()
-
-    def read(self, base: str) -> dict[bytes, bytes]:
-        """All records of a database; any error where it is torn."""
-        database = AppendOnlyDatabase(str(self.path / base), MODE, flag="r")
-        try:
-            return {bytes(key): database[key] for key in database.keys()}  # type: ignore[arg-type]  # noqa: SIM118
-        finally:
-            database.close()
-
-    def sync(self, name: str) -> None:
-        """One file, onto the disk."""
-        self._sync(self.path / name, os.O_RDWR)
-
-    def sync_folder(self) -> None:
-        """Names and removals, onto the disk."""
-        self._sync(self.path, os.O_RDONLY)
-
-    def remove(self, name: str) -> None:
-        """One file less; lasts once the folder is synced."""
-        os.remove(self.path / name)
+@dataclass(frozen=True, slots=True)
+class LoadResult:
+    """What a start found on the disk."""
 
-    @staticmethod
-    def _sync(path: Path, flags: int) -> None:
-        handle = os.open(path, flags)
-        try:
-            os.fsync(handle)
-        finally:
-            os.close(handle)
+    state: AcceptorState | None  # to go on from; None where no generation is usable
+    is_empty: bool  # whether the directory holds nothing that any vote was written to
+    problems: tuple[str, ...] = ()  # files that are torn or not this replica's, a sentence each
 
 
 @dataclass(frozen=True, slots=True)
-class LoadResult:
-    """What a start found: a replica to go on from, or None; `empty` where there was nothing at all."""
+class _Generation:
+    """The names of the databases that make a generation."""
+
+    database: str
+    content_database: str
 
-    replica: AcceptorState | None
-    empty: bool
-    notes: tuple[str, ...] = ()  # what was torn, foreign or left over, a sentence each
+    def __contains__(self, database: str) -> bool:
+        return database in (self.database, self.content_database)
 
 
 class StateStore:
-    """One replica's generations on a disk. All calls block; one at a time."""
+    """The generations of one replica. All calls block, and are made one at a time."""
 
-    def __init__(self, disk: Storage, address: str, cluster: str = "") -> None:
-        self._disk, self._number = disk, 0
+    def __init__(self, storage: Storage, address: str, cluster: str = "") -> None:
+        self._storage = storage
         self._address, self._cluster = address, cluster
-        self._synced: set[str] = set()  # contents that are surely on the disk, by digest
-        self._kept: tuple[str, str] | None = None  # the generation that counts, and its content
+        self._number = 0  # of the newest generation that was ever begun
+        self._synced_contents: set[str] = set()  # databases of contents that are surely on the disk
+        self._durable: _Generation | None = None  # the newest generation that is
 
     def load(self) -> LoadResult:
-        """Read the newest generation that is whole; raises OSError where the disk refuses (ask again)."""
-        names = self._disk.names()
-        numbers = sorted({int(match[1]) for name in names if (match := GENERATION.fullmatch(name))}, reverse=True)
-        notes = [f"{name} is no file of ours" for name in names if not _ours(name)]
+        """Read the newest usable generation.
+
+        Raises:
+            OSError: the disk refuses; the call may be repeated.
+        """
+        names = self._storage.file_names()
+        matches = (GENERATION_FILE.fullmatch(name) for name in names)
+        numbers = sorted({int(match[1]) for match in matches if match}, reverse=True)
+        problems = [f"{name} is no file of ours" for name in names if not _is_own_file(name)]
         self._number = max(numbers, default=0)
         for number in numbers:
             try:
-                replica = self._read(number)
+                state = self._read_generation(number)
             except CorruptDatabaseError as error:
-                notes.append(str(error))
+                problems.append(str(error))
                 continue
-            self._kept = _base(number), _config(replica.state.config)
-            for base in reversed(self._kept):
-                self._disk.sync(f"{base}.dat")
-                self._disk.sync(f"{base}.dir")
-            self._disk.sync_folder()
-            self._synced = {self._kept[1]}
-            return LoadResult(replica, False, tuple(notes))
-        empty = set(numbers) <= {1}
-        self._number = 0 if empty else self._number
-        return LoadResult(None, empty, tuple(notes))
-
-    def save(self, replica: AcceptorState) -> None:
-        """Keep a new generation; on return it lasts. Raises OSError, and then the one before counts on."""
-        founding = replica.promised == INITIAL_BALLOT and not replica.incarnations
-        self._number = max(self._number + 1, 1 if founding else 2)
-        base, word = _base(self._number), _config(replica.state.config)
-        light = copy_state(replica.state)
-        light.config = b""
-        votes = Promise(
-            promised=replica.promised.to_message(),
-            accepted=replica.accepted.to_message(),
-            incarnations=replica.incarnations,
-        )
+            self._sync_loaded(_Generation(_generation_name(number), _content_name(state.state.config)))
+            return LoadResult(state, False, tuple(problems))
+        is_empty = set(numbers) <= {FOUNDING_GENERATION}
+        self._number = 0 if is_empty else self._number
+        return LoadResult(None, is_empty, tuple(problems))
+
+    def save(self, state: AcceptorState) -> None:
+        """Write a new generation, which is durable on return.
+
+        Raises:
+            OSError: the disk refuses; the generation before stays the durable one.
+        """
+        is_founding = state.promised == INITIAL_BALLOT and not state.incarnations
+        first_number = FOUNDING_GENERATION if is_founding else FOUNDING_GENERATION + 1
+        self._number = max(self._number + 1, first_number)
+        generation = _Generation(_generation_name(self._number), _content_name(state.state.config))
         try:
-            if word not in self._synced:
-                self._write(word, {b"content": replica.state.config})
-                self._synced.add(word)
-            self._write(
-                base,
-                {
-                    b"votes": votes.SerializeToString(),
-                    b"value": light.SerializeToString(),
-                    b"content": word.encode(),
-                },
-            )
-            self._disk.sync_folder()
+            if generation.content_database not in self._synced_contents:
+                self._write_database(generation.content_database, {STORED_CONTENT_KEY: state.state.config})
+                self._synced_contents.add(generation.content_database)
+            self._write_database(generation.database, _generation_records(state, generation.content_database))
+            self._storage.sync_directory()
         except OSError:
-            for name in (f"{base}.dir", f"{base}.dat"):  # a full disk has no room for leavings
-                with suppress(OSError):
-                    self._disk.remove(name)
+            self._discard_database(generation.database)
             raise
-        self._kept = base, word
+        self._durable = generation
+
+    def remove_obsolete(self) -> None:
+        """Remove the files that the durable generation has replaced.
 
-    def tidy(self) -> None:
-        """Remove what the kept generation has replaced. Raises OSError; nothing is lost by that."""
-        if self._kept is None:
+        Raises:
+            OSError: the disk refuses; what is left over is removed by a later call.
+        """
+        durable = self._durable
+        if durable is None:
             return
-        old = [name for name in self._disk.names() if _ours(name) and name.rpartition(".")[0] not in self._kept]
-        for name in old:
-            self._disk.remove(name)
-        if old:
-            self._disk.sync_folder()
-        self._synced = {self._kept[1]}
-
-    def _write(self, base: str, records: Mapping[bytes, bytes]) -> None:
-        self._disk.write(base, {key: self._digest(base, key, value) + value for key, value in records.items()})
-        self._disk.sync(f"{base}.dat")
-        self._disk.sync(f"{base}.dir")
-
-    def _read(self, number: int) -> AcceptorState:
-        base = _base(number)
-        records = self._records(base)
+        obsolete = [
+            name for name in self._storage.file_names() if _is_own_file(name) and name.rpartition(".")[0] not in durable
+        ]
+        for name in obsolete:
+            self._storage.remove_file(name)
+        if obsolete:
+            self._storage.sync_directory()
+        self._synced_contents = {durable.content_database}
+
+    def _sync_loaded(self, generation: _Generation) -> None:
+        """Make what was read durable before it is used."""
+        self._durable = generation
+        for database in (generation.content_database, generation.database):
+            self._sync_database(database)
+        self._storage.sync_directory()
+        self._synced_contents = {generation.content_database}
+
+    def _write_database(self, database: str, records: Mapping[bytes, bytes]) -> None:
+        """Write records, each behind its digest, and sync the files."""
+        stored = {key: self._digest(database, key, record) + record for key, record in records.items()}
+        self._storage.write_database(database, stored)
+        self._sync_database(database)
+
+    def _sync_database(self, database: str) -> None:
+        for suffix in DATABASE_SUFFIXES:
+            self._storage.sync_file(f"{database}{suffix}")
+
+    def _discard_database(self, database: str) -> None:
+        """Remove a database that could not be completed: a full disk has no space for it."""
+        for suffix in reversed(DATABASE_SUFFIXES):
+            with suppress(OSError):
+                self._storage.remove_file(f"{database}{suffix}")
+
+    def _read_generation(self, number: int) -> AcceptorState:
+        """Read a generation and its content; raises CorruptDatabaseError."""
+        database = _generation_name(number)
+        records = self._read_database(database)
         try:
-            value = ClusterState.FromString(records[b"value"])
-            word = records[b"content"].decode()
-            votes = Promise.FromString(records[b"votes"])
-            replica = AcceptorState(
+            state = ClusterState.FromString(records[STORED_STATE_KEY])
+            content_database = records[STORED_CONTENT_KEY].decode()
+            votes = Promise.FromString(records[STORED_VOTES_KEY])
+            acceptor_state = AcceptorState(
                 self._address,
                 Ballot.from_message(votes.promised),
                 Ballot.from_message(votes.accepted),
-                value,
+                state,
                 dict(votes.incarnations),
             )
         except (KeyError, ValueError, DecodeError) as error:
-            raise CorruptDatabaseError(f"{base} lacks a record: {error}") from None
-        value.config = self._records(word).get(b"content", b"")
-        if _config(value.config) != word:
-            raise CorruptDatabaseError(f"{word} holds something else")
-        return replace(replica, state=value)
-
-    def _records(self, base: str) -> dict[bytes, bytes]:
+            raise CorruptDatabaseError(database, f"lacks a record: {error}") from None
+        state.config = self._read_database(content_database).get(STORED_CONTENT_KEY, b"")
+        if _content_name(state.config) != content_database:
+            raise CorruptDatabaseError(content_database, "holds something else")
+        return replace(acceptor_state, state=state)
+
+    def _read_database(self, database: str) -> dict[bytes, bytes]:
+        """Read the verified records of a database; raises CorruptDatabaseError."""
         try:
-            return self._checked(base, self._disk.read(base))
-        except CorruptDatabaseError:
-            raise
-        except Exception as error:  # its reader raises whatever a torn index makes of it
-            raise CorruptDatabaseError(f"{base} cannot be read: {type(error).__name__}: {error}") from None
-
-    def _checked(self, base: str, records: Mapping[bytes, bytes]) -> dict[bytes, bytes]:
-        """The records without their digests; raises Damaged."""
-        plain = {}
-        for key, value in records.items():
-            if value[:DIGEST] != self._digest(base, key, value[DIGEST:]):
-                raise CorruptDatabaseError(f"{base} is torn at {key!r}, or not of this machine and cluster")
-            plain[key] = value[DIGEST:]
-        return plain
-
-    def _digest(self, base: str, key: bytes, value: bytes) -> bytes:
-        place = f"{self._cluster}{' ' if self._cluster else ''}{self._address} {base} ".encode()
-        return hashlib.sha256(b"%s%s %d " % (place, key, len(value)) + value).digest()[:DIGEST]
-
-
-def _ours(name: str) -> bool:
-    return bool(GENERATION.fullmatch(name) or CONTENT.fullmatch(name))
-
-
-def _base(number: int) -> str:
+            stored = self._storage.read_database(database)
+        except Exception as error:  # the reader raises whatever a torn index makes of it
+            raise CorruptDatabaseError(database, f"cannot be read: {type(error).__name__}: {error}") from None
+        return self._verify_records(database, stored)
+
+    def _verify_records(self, database: str, stored: Mapping[bytes, bytes]) -> dict[bytes, bytes]:
+        """Return the records without their digests; raises CorruptDatabaseError."""
+        records = {}
+        for key, stored_record in stored.items():
+            digest, record = stored_record[:RECORD_DIGEST_BYTES], stored_record[RECORD_DIGEST_BYTES:]
+            if digest != self._digest(database, key, record):
+                raise CorruptDatabaseError(database, f"is torn at {key!r}, or not of this machine and cluster")
+            records[key] = record
+        return records
+
+    def _digest(self, database: str, key: bytes, record: bytes) -> bytes:
+        """Return the digest of a record and of where it belongs; the layout is part of the stored format."""
+        prefix = f"{self._cluster}{' ' if self._cluster else ''}{self._address} {database} ".encode()
+        return hashlib.sha256(b"%s%s %d " % (prefix, key, len(record)) + record).digest()[:RECORD_DIGEST_BYTES]
+
+
+def _generation_records(state: AcceptorState, content_database: str) -> dict[bytes, bytes]:
+    """Return the records of a generation."""
+    without_config = copy_state(state.state)
+    without_config.config = b""
+    votes = Promise(
+        promised=state.promised.to_message(),
+        accepted=state.accepted.to_message(),
+        incarnations=state.incarnations,
+    )
+    return {
+        STORED_VOTES_KEY: votes.SerializeToString(),
+        STORED_STATE_KEY: without_config.SerializeToString(),
+        STORED_CONTENT_KEY: content_database.encode(),
+    }
+
+
+def _is_own_file(name: str) -> bool:
+    return bool(GENERATION_FILE.fullmatch(name) or CONTENT_FILE.fullmatch(name))
+
+
+def _generation_name(number: int) -> str:
     return f"state-{number:012}"
 
 
-def _config(content: bytes) -> str:
+def _content_name(content: bytes) -> str:
     return f"word-{hashlib.sha256(content).hexdigest()[:32]}"
--- a/hallhitch/planes/control/state_transitions.py
+++ b/hallhitch/planes/control/state_transitions.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable
 
 from hallhitch.messages.system_pb2 import ClusterState, ConfigDigest
-from hallhitch.planes.control.config_digests import content_digest, extended
+from hallhitch.planes.control.config_digests import append_digests, content_digest
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.state_delta import copy_state
 
@@ -48,7 +48,7 @@
             return value
         after = _next(value)
         after.config_version, after.config = version, content
-        recorded = extended(value.config_digests, [entry])
+        recorded = append_digests(value.config_digests, [entry])
         del after.config_digests[:]
         after.config_digests.extend(recorded)
         return after
--- /dev/null
+++ b/hallhitch/planes/control/storage_thread.py
@@ -0,0 +1,60 @@
+"""The thread that waits for the disk, so that the event loop never does."""
+
+from __future__ import annotations
+
+import asyncio
+import queue
+import threading
+from collections.abc import Awaitable, Callable
+
+BlockingRunner = Callable[[Callable[[], None]], Awaitable[None]]  # runs a blocking call, raises what it raised
+
+
+class StorageThread:
+    """A thread for blocking calls, one after another; started by the first of them.
+
+    It is a daemon: a disk may hang for long, and the process ends all the same.
+    """
+
+    def __init__(self) -> None:
+        self._jobs: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()  # None ends the thread
+        self._thread: threading.Thread | None = None
+
+    async def run(self, call: Callable[[], None]) -> None:
+        """Run the call in the thread and wait for it; raises what it raised."""
+        if self._thread is None:
+            self._thread = threading.Thread(target=self._run_jobs, name="disk", daemon=True)
+            self._thread.start()
+        loop = asyncio.get_running_loop()
+        done: asyncio.Future[None] = loop.create_future()
+
+        def job() -> None:
+            failure: Exception | None = None
+            try:
+                call()
+            except Exception as error:
+                failure = error
+            try:
+                loop.call_soon_threadsafe(_complete, done, failure)
+            except RuntimeError:  # the loop was closed
+                self._jobs.put(None)
+
+        self._jobs.put(job)
+        await done
+
+    def stop(self) -> None:
+        """End the thread after the calls that are queued."""
+        self._jobs.put(None)
+
+    def _run_jobs(self) -> None:
+        while (job := self._jobs.get()) is not None:
+            job()
+
+
+def _complete(done: asyncio.Future[None], failure: Exception | None) -> None:
+    if done.cancelled():
+        return
+    if failure is None:
+        done.set_result(None)
+    else:
+        done.set_exception(failure)
--- a/hallhitch/planes/control/vote_eligibility.py
+++ b/hallhitch/planes/control/vote_eligibility.py
@@ -14,7 +14,7 @@
 FOUNDED_OTHERWISE = "the settings of the first start differ by machine"
 
 
-class Eligibility:
+class VoteEligibility:
     """What the answers of the others say against this replica."""
 
     def __init__(self, address: str, acceptor: DurableAcceptor) -> None:
@@ -22,13 +22,13 @@
         self._conflict = False
         self._log = ComponentLogger("control")
 
-    def check(self, address: str, answer: AcceptorReport) -> bool:
+    def check_report(self, address: str, answer: AcceptorReport) -> bool:
         """One answer of another replica; False where our own data folder turned out to be old and was dropped."""
         self._check_founding(address, answer)
         return self._check_incarnation(answer)
 
     @property
-    def refusal(self) -> str:
+    def refusal_reason(self) -> str:
         """Why this replica puts no change to the register; empty where there is no reason."""
         return FOUNDED_OTHERWISE if self._conflict and self._acceptor.state.accepted == INITIAL_BALLOT else ""
 
@@ -38,7 +38,7 @@
         if state.is_recovering or known <= own:
             return True
         self._log.warning(f"the data folder is old: incarnation {own}, the others know {known}; nothing of it is used")
-        self._acceptor.forget()
+        self._acceptor.discard_state()
         return False
 
     def _check_founding(self, address: str, answer: AcceptorReport) -> None:
--- a/hallhitch/programs/runtime.py
+++ b/hallhitch/programs/runtime.py
@@ -14,8 +14,8 @@
 from hallhitch.messages.peer_links import PeerLinks
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.clock import now
-from hallhitch.planes.control.acceptor import Run
-from hallhitch.planes.control.state_store import Storage
+from hallhitch.planes.control.storage import Storage
+from hallhitch.planes.control.storage_thread import BlockingRunner
 
 INCARNATION_BITS: Final = 62  # fit a uint64 of a message, and hardly ever meet: 0 stands for unknown
 
@@ -56,7 +56,7 @@
     random: random.Random = field(default_factory=random.SystemRandom)
     connect: Connect = connect
     disk: Storage | None = None
-    run: Run | None = None
+    run: BlockingRunner | None = None
 
     def draw_incarnation(self) -> int:
         """Return a random number above 0 that identifies one incarnation of a process."""
--- a/tests/system/compatibility/test_earlier_release.py
+++ b/tests/system/compatibility/test_earlier_release.py
@@ -14,7 +14,8 @@
 from hallhitch.messages.frames import FrameQueue, FrameReader, OutgoingFrame
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.planes.control.ballot import Ballot
-from hallhitch.planes.control.state_store import DirectoryStorage, StateStore
+from hallhitch.planes.control.state_store import StateStore
+from hallhitch.planes.control.storage import DirectoryStorage
 
 HERE = Path(__file__).parent
 ADDRESS, CLUSTER = "10.0.0.1:7000", "cluster-a"
@@ -49,8 +50,8 @@
 def test_an_earlier_data_folder_is_read(tmp_path: Path) -> None:
     folder = shutil.copytree(HERE / "data_folder", tmp_path / "data")
     found = StateStore(DirectoryStorage(folder), ADDRESS, CLUSTER).load()
-    assert not found.empty and not found.notes and found.replica is not None
-    replica = found.replica
+    assert not found.is_empty and not found.problems and found.state is not None
+    replica = found.state
     assert replica.promised == Ballot(5, "10.0.0.2:7000 77")
     assert replica.accepted == Ballot(4, "10.0.0.1:7000 12")
     assert replica.incarnations == {"10.0.0.3:7000": 2}
@@ -69,11 +70,11 @@
 def test_a_data_folder_is_written_as_before(tmp_path: Path) -> None:
     folder = shutil.copytree(HERE / "data_folder", tmp_path / "earlier")
     found = StateStore(DirectoryStorage(folder), ADDRESS, CLUSTER).load()
-    assert found.replica is not None
+    assert found.state is not None
     store = StateStore(DirectoryStorage(tmp_path / "now"), ADDRESS, CLUSTER)
     store.load()
-    store.save(found.replica)
-    store.tidy()
+    store.save(found.state)
+    store.remove_obsolete()
     assert _files(tmp_path / "now") == _files(HERE / "data_folder")
 
 
--- a/tests/system/control/test_files.py
+++ b/tests/system/control/test_files.py
@@ -13,7 +13,8 @@
 from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.membership import initial_state
 from hallhitch.planes.control.state_delta import copy_state
-from hallhitch.planes.control.state_store import DirectoryStorage, StateStore
+from hallhitch.planes.control.state_store import StateStore
+from hallhitch.planes.control.storage import DirectoryStorage
 
 ADDRESS = "10.0.0.1:7000"
 
@@ -36,27 +37,27 @@
             raise PowerLost
         self.left -= 1
 
-    def write(self, base: str, records: Mapping[bytes, bytes]) -> None:
+    def write_database(self, base: str, records: Mapping[bytes, bytes]) -> None:
         """A new database."""
         self._step()
-        super().write(base, records)
+        super().write_database(base, records)
 
-    def sync(self, name: str) -> None:
+    def sync_file(self, name: str) -> None:
         """One file."""
         self._step()
         self.surely[name] = (self.path / name).read_bytes()
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         """The names."""
         self._step()
         for name in self._removed:
             self.surely.pop(name, None)
         self._removed.clear()
 
-    def remove(self, name: str) -> None:
+    def remove_file(self, name: str) -> None:
         """One file less."""
         self._step()
-        super().remove(name)
+        super().remove_file(name)
         self._removed.add(name)
 
     def after(self, fate: str, rng: random.Random, path: Path) -> Path:
@@ -113,7 +114,7 @@
             for tried in states():
                 store.save(tried)
                 kept = tried
-                store.tidy()
+                store.remove_obsolete()
             break
         except PowerLost:
             steps += 1
@@ -123,15 +124,15 @@
             disk = Frail(folder)
         found = StateStore(disk, ADDRESS).load()
         if kept is None:
-            assert found.replica in (None, tried) and (found.replica is not None or found.empty)
+            assert found.state in (None, tried) and (found.state is not None or found.is_empty)
         else:
-            assert found.replica in (kept, tried), f"step {last}: {found.notes}"
+            assert found.state in (kept, tried), f"step {last}: {found.problems}"
         # Others may have been told of what was found: it lasts from then on, and work goes on from it.
         again = StateStore(Frail(disk.after("drop", rng, tmp_path / "again")), ADDRESS)
-        assert again.load().replica == found.replica
+        assert again.load().state == found.state
         again.save(states()[-1])
-        again.tidy()
-        assert again.load().replica == states()[-1]
+        again.remove_obsolete()
+        assert again.load().state == states()[-1]
         assert len(list((tmp_path / "again").iterdir())) == 4
     assert steps > 40
 
@@ -141,7 +142,7 @@
     store.load()
     for state in states()[:3]:
         store.save(state)
-        store.tidy()
+        store.remove_obsolete()
     files = sorted(tmp_path.iterdir())
     assert len(files) == 4
     rng = random.Random(4)
@@ -151,39 +152,39 @@
             file.write_bytes(damaged)
             found = StateStore(DirectoryStorage(tmp_path), ADDRESS).load()
             # Bytes between the records matter to nobody; everything else does.
-            assert found.replica is None and not found.empty and found.notes or found.replica == states()[2]
-            assert found.replica is None or damaged == whole[:-1]
+            assert found.state is None and not found.is_empty and found.problems or found.state == states()[2]
+            assert found.state is None or damaged == whole[:-1]
         file.unlink()
-        assert StateStore(DirectoryStorage(tmp_path), ADDRESS).load().replica is None
+        assert StateStore(DirectoryStorage(tmp_path), ADDRESS).load().state is None
         file.write_bytes(whole)
     (tmp_path / "README").write_text("not ours")
     found = StateStore(DirectoryStorage(tmp_path), ADDRESS).load()
-    assert found.replica == states()[2] and "README" in found.notes[0]
-    assert StateStore(DirectoryStorage(tmp_path), "10.0.0.9:7000").load().replica is None  # another machine's files
+    assert found.state == states()[2] and "README" in found.problems[0]
+    assert StateStore(DirectoryStorage(tmp_path), "10.0.0.9:7000").load().state is None  # another machine's files
 
 
 def test_a_disk_that_refuses_loses_nothing_and_fills_no_further(tmp_path: Path) -> None:
     class Full(DirectoryStorage):
         full = False
 
-        def sync(self, name: str) -> None:
+        def sync_file(self, name: str) -> None:
             if self.full:
                 raise OSError("no room")
-            super().sync(name)
+            super().sync_file(name)
 
     disk = Full(tmp_path)
     store, first, second = StateStore(disk, ADDRESS), states()[2], states()[4]
     store.load()
     store.save(first)
-    store.tidy()
+    store.remove_obsolete()
     disk.full = True
     for _ in range(5):
         with pytest.raises(OSError):
             store.save(second)
     assert len(list(tmp_path.iterdir())) <= 6
     disk.full = False
-    assert StateStore(disk, ADDRESS).load().replica == first
+    assert StateStore(disk, ADDRESS).load().state == first
     store.save(second)
-    store.tidy()
-    assert StateStore(disk, ADDRESS).load().replica == second
+    store.remove_obsolete()
+    assert StateStore(disk, ADDRESS).load().state == second
     assert len(list(tmp_path.iterdir())) == 4
--- a/tests/system/control/test_one_number_one_content.py
+++ b/tests/system/control/test_one_number_one_content.py
@@ -12,7 +12,13 @@
 from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.acceptor_state import AcceptorState
 from hallhitch.planes.control.ballot import Ballot, BallotedState
-from hallhitch.planes.control.config_digests import REMEMBERED, OrderOutcome, canonical_digest, content_digest, outcome
+from hallhitch.planes.control.config_digests import (
+    MAX_CONFIG_DIGESTS,
+    ConfigOutcome,
+    canonical_digest,
+    config_outcome,
+    content_digest,
+)
 from hallhitch.planes.control.membership import Membership, initial_state
 from hallhitch.planes.control.pending_changes import PendingChange
 from hallhitch.planes.control.proposal import Proposal
@@ -33,7 +39,7 @@
 
     def __init__(self) -> None:
         self.replicas = {name: AcceptorState(name, state=initial_state("abc")) for name in "abc"}
-        self.told: dict[str, set[OrderOutcome]] = {who: set() for who in CONTENTS}
+        self.told: dict[str, set[ConfigOutcome]] = {who: set() for who in CONTENTS}
 
     def ballot(self, who: str, at: int) -> Proposal:
         """An order's next try."""
@@ -55,7 +61,7 @@
             return
         self.replicas[name], accepted = self.replicas[name].accept(proposal.accept_message(name))
         if not lost and proposal.on_accepted(name, accepted) and proposal.state is not None:
-            self.told[who].add(outcome(proposal.state, NUMBER, content_digest(CONTENTS[who])))
+            self.told[who].add(config_outcome(proposal.state, NUMBER, content_digest(CONTENTS[who])))
 
     def again(self, who: str, at: int, quorum: tuple[str, ...]) -> None:
         """The order is sent again, by another machine that reaches these."""
@@ -84,7 +90,7 @@
                 small.again(who, at, quorum)
             assert sorted(next(iter(told)).value for told in small.told.values()) == ["conflict", "recorded"]
             assert all(len(told) == 1 for told in small.told.values())  # the same answer at any time, and never refused
-            winners |= {who for who, told in small.told.items() if told == {OrderOutcome.RECORDED}}
+            winners |= {who for who, told in small.told.items() if told == {ConfigOutcome.RECORDED}}
     assert winners == {"A", "B"}
 
 
@@ -158,10 +164,10 @@
     state, at = initial_state("abc"), Ballot(1, "a#1")
     for version in range(1, 1001):
         state = state_transitions.replace_config(10**12 + version, b"x" * 100, content_digest(b"%d" % version))(state)
-    assert len(state.config_digests) == REMEMBERED and state.ByteSize() < 9000
+    assert len(state.config_digests) == MAX_CONFIG_DIGESTS and state.ByteSize() < 9000
     for version, found in ((1000, "recorded"), (745, "recorded"), (744, "superseded"), (1001, "absent")):
-        assert outcome(state, 10**12 + version, content_digest(b"%d" % version)).value == found
-    assert outcome(state, 10**12 + 745, b"other") is OrderOutcome.CONFLICT
+        assert config_outcome(state, 10**12 + version, content_digest(b"%d" % version)).value == found
+    assert config_outcome(state, 10**12 + 745, b"other") is ConfigOutcome.CONFLICT
     for change, most in (
         (state_transitions.replace_config(10**13, b"y" * 50), 250),
         (state_transitions.evacuate_zone("z"), 200),
--- a/tests/system/control/test_register.py
+++ b/tests/system/control/test_register.py
@@ -22,7 +22,7 @@
 from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot, BallotedState
 from hallhitch.planes.control.membership import Membership, initial_state
 from hallhitch.planes.control.proposal import AlreadyChosen, MembershipChanged, Proposal, SendAccepts
-from hallhitch.planes.control.recovery_quorum import Recovery
+from hallhitch.planes.control.recovery_quorum import RecoveryQuorum
 from hallhitch.planes.control.state_delta import copy_state
 from hallhitch.planes.control.state_transitions import StateTransition
 from hallhitch.planes.control.vote_tally import VoteTally
@@ -44,7 +44,7 @@
         self.incarnation += 1
         self.proposal: Proposal | None = None
         self.order: str | None = None
-        self.recovery: Recovery | None = None
+        self.recovery: RecoveryQuorum | None = None
         self.readers: dict[str, AcceptorReport] = {}
         self.met: BallotedState = BallotedState()
         self.ask: BallotedState | None = None  # by whose members to start over
@@ -119,7 +119,7 @@
         """The recovering machine asks (again), in its first pass or in its second."""
         machine = self.machines[name]
         if machine.recovery is None:
-            machine.recovery = Recovery(name)
+            machine.recovery = RecoveryQuorum(name)
         for other in sorted(self.machines.keys() - {name}):
             self.send(
                 name, other, machine.recovery, AcceptorQuery(address=name, incarnation=machine.recovery.incarnation)
@@ -147,13 +147,13 @@
                     assert proposal.state is not None
                     self.done(machine, proposal.state, proposal.ballot)
             case AcceptorReport() if token is machine.recovery and machine.recovery is not None:
-                machine.recovery.answer(one, message)
-                if machine.recovery.enough():
+                machine.recovery.add_report(one, message)
+                if machine.recovery.is_sufficient():
                     if machine.recovery.incarnation == 0:
-                        machine.recovery = Recovery(other, machine.recovery.next_incarnation())
+                        machine.recovery = RecoveryQuorum(other, machine.recovery.next_incarnation())
                         self.recover(other)
                     else:
-                        machine.replica = machine.recovery.replica()
+                        machine.replica = machine.recovery.recovered_state()
                         machine.recovery = None
             case AcceptorReport() if token is machine.readers and message.ok:
                 machine.readers[one] = message
@@ -399,12 +399,12 @@
         "a": replicas["a"].prepare(slow.prepare_message())[1],
         "d": replicas["d"].prepare(slow.prepare_message())[1],
     }
-    recovery = Recovery("a", Recovery("a").next_incarnation())
+    recovery = RecoveryQuorum("a", RecoveryQuorum("a").next_incarnation())
     for name in "bce":
-        assert not recovery.enough()
+        assert not recovery.is_sufficient()
         replicas[name], recovered = replicas[name].report(AcceptorQuery(address="a", incarnation=recovery.incarnation))
-        recovery.answer(name, recovered)
-    assert recovery.enough() and recovery.replica().promised == INITIAL_BALLOT
+        recovery.add_report(name, recovered)
+    assert recovery.is_sufficient() and recovery.recovered_state().promised == INITIAL_BALLOT
     promises["b"] = replicas["b"].prepare(slow.prepare_message())[1]
     assert [slow.on_promise(name, promises[name]) for name in "adb"] == [None] * 3
     assert isinstance(slow.on_promise("e", replicas["e"].prepare(slow.prepare_message())[1]), SendAccepts)
--- a/tests/system/simulation/test_mechanisms.py
+++ b/tests/system/simulation/test_mechanisms.py
@@ -19,7 +19,7 @@
 from hallhitch.messages.system_pb2 import AcceptorQuery
 from hallhitch.planes.control import operator_api
 from hallhitch.planes.control.ballot import Ballot
-from hallhitch.planes.control.config_digests import OrderOutcome
+from hallhitch.planes.control.config_digests import ConfigOutcome
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.peer_observations import PeerObservations
 from hallhitch.planes.control.serving_lease import ServingLease
@@ -37,7 +37,7 @@
 
 def _without_sync_of_folder(patch: pytest.MonkeyPatch) -> None:
     """Names of new files and removals are left to the disk."""
-    patch.setattr(SimulatedDisk, "sync_folder", lambda disk: None)
+    patch.setattr(SimulatedDisk, "sync_directory", lambda disk: None)
 
 
 def _without_serving_lease(patch: pytest.MonkeyPatch) -> None:
@@ -69,7 +69,7 @@
 
 def _without_digests(patch: pytest.MonkeyPatch) -> None:
     """An order is confirmed by its version alone."""
-    patch.setattr(operator_api, "outcome", lambda state, version, digest: OrderOutcome.RECORDED)
+    patch.setattr(operator_api, "config_outcome", lambda state, version, digest: ConfigOutcome.RECORDED)
 
 
 def _without_addressees(patch: pytest.MonkeyPatch) -> None:
