--- a/hallhitch/planes/data/endpoint_set.py
+++ b/hallhitch/planes/data/endpoint_set.py
@@ -104,13 +104,9 @@
         healthy.
         """
         load = self.estimate_load(criteria.now)
-        best = self._cheapest(self.primary, load, criteria, 0.0, rng)
         # Where peers are estimated to leave no slot free there is none to look for among theirs.
         may_find_idle = (1.0 - load) * self._max_slots >= 1.0
-        if best is None and may_find_idle:
-            best = self._cheapest(_sample(self.secondary, rng), load, criteria, 0.0, rng)
-        if best is None:
-            best = self._cheapest(self.primary, load, criteria, QUEUE_RATIO, rng)
+        best = self._select_in_region(load, may_find_idle, criteria, rng)
         if best is not None:
             return best
         in_region = [e for e in self.primary + self.secondary if _is_eligible(e.backend, criteria)]
@@ -125,6 +121,17 @@
             return self._cheapest(healthy, load, criteria, FULL_QUEUE_RATIO, rng)
         return None
 
+    def _select_in_region(
+        self, load: float, may_find_idle: bool, criteria: SelectionCriteria, rng: Random
+    ) -> Endpoint | None:
+        """Select a free slot of a primary endpoint, then of others of the region, then a primary one's queue."""
+        best = self._cheapest(self.primary, load, criteria, 0.0, rng)
+        if best is None and may_find_idle:
+            best = self._cheapest(_sample(self.secondary, rng), load, criteria, 0.0, rng)
+        if best is None:
+            best = self._cheapest(self.primary, load, criteria, QUEUE_RATIO, rng)
+        return best
+
     def select_in_panic(self, criteria: SelectionCriteria, rng: Random) -> Endpoint | None:
         """Return the endpoint that failed longest ago where all are ejected or suspect; None elsewhere.
 
--- a/hallhitch/planes/data/load_balancer.py
+++ b/hallhitch/planes/data/load_balancer.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Final
 
-from hallhitch.planes.data.endpoint import Endpoint, EndpointAttempt
+from hallhitch.planes.data.endpoint import EndpointAttempt
 from hallhitch.planes.data.endpoint_set import EndpointSet, SelectionCriteria
 from hallhitch.planes.data.endpoint_topology import EndpointTopology, GatewayLocation
 from hallhitch.planes.data.interfaces import Action, Enqueue, Fail, Forward, Outcome, Reject, RequestInfo
@@ -135,22 +135,16 @@
         request = state.request
         route = request.route
         remaining_ms = request.deadline_ms - now
-        in_flight = [a for a in state.attempts if a.is_in_flight]
-        may_have_run = any(a.may_have_run for a in state.attempts)
-        if not route.is_idempotent and (in_flight or may_have_run):
-            return _await_unsafe(state, in_flight, remaining_ms)
+        if not route.is_idempotent and (state.has_in_flight or state.may_have_run):
+            return _await_unsafe(state, remaining_ms)
         endpoints = self._endpoint_sets.get(request.service)
         if endpoints is None:
             return self._reject(request)
         average = endpoints.latency.for_route(route.name, route.latency_target_ms)
         if remaining_ms <= average.fastest_ms * MIN_REMAINING_RATIO:
-            if in_flight and remaining_ms > 0:
-                return Enqueue(remaining_ms)
-            return Fail(504) if may_have_run or in_flight else self._reject(request)
-        if state.attempts and not self._may_try_again(now, state, endpoints, bool(in_flight)):
-            if in_flight:
-                return Enqueue(remaining_ms)
-            return Fail(state.failure_status) if may_have_run else self._reject(request)
+            return self._await_or_give_up(state, remaining_ms, 504)
+        if state.attempts and not self._may_try_again(now, state, endpoints):
+            return self._await_or_give_up(state, remaining_ms, state.failure_status)
         criteria = SelectionCriteria(
             now,
             route.kind,
@@ -161,18 +155,17 @@
             frozenset(a.endpoint.backend.instance for a in state.attempts),
             request.priority,
         )
-        if not state.attempts and (endpoint := endpoints.half_open_endpoint(criteria)) is not None:
-            endpoints.half_open_tokens -= 1.0
-            attempt = EndpointAttempt(endpoint, now, request.deadline_ms, is_half_open=True)
+        if state.attempts:
+            attempt = self._select_retry(state, endpoints, criteria)
+        else:
+            attempt = self._select_first(request, endpoints, criteria)
+        if attempt is not None:
             return self._forward(state, endpoints, average, attempt)
-        endpoint = self._select(state, endpoints, criteria)
-        if endpoint is not None:
-            return self._forward(state, endpoints, average, EndpointAttempt(endpoint, now, request.deadline_ms))
-        if in_flight:
+        if state.has_in_flight:
             return Enqueue(remaining_ms)
-        return self._enqueue(now, state, endpoints, average, may_have_run)
+        return self._enqueue(now, state, endpoints, average)
 
-    def _may_try_again(self, now: float, state: RequestState, endpoints: EndpointSet, has_in_flight: bool) -> bool:
+    def _may_try_again(self, now: float, state: RequestState, endpoints: EndpointSet) -> bool:
         """Whether the route's attempts, the retry budget and the service's latency allow one more attempt."""
         request = state.request
         arrived = sum(1 for a in state.attempts if a.may_have_arrived)
@@ -182,21 +175,35 @@
             return False
         if arrived and not self._retry_budget(now, request.service).allows_retry(now, len(self._topology.gateways)):
             return False
-        return not (has_in_flight and endpoints.latency.is_slow)
+        return not (state.has_in_flight and endpoints.latency.is_slow)
 
-    def _select(self, state: RequestState, endpoints: EndpointSet, criteria: SelectionCriteria) -> Endpoint | None:
+    def _select_first(
+        self, request: RequestInfo, endpoints: EndpointSet, criteria: SelectionCriteria
+    ) -> EndpointAttempt | None:
+        """Select for a request without attempts: a half-open endpoint where one is due, else by cost."""
+        endpoint = endpoints.half_open_endpoint(criteria)
+        if endpoint is not None:
+            endpoints.half_open_tokens -= 1.0
+            return EndpointAttempt(endpoint, criteria.now, request.deadline_ms, is_half_open=True)
+        endpoint = endpoints.select(criteria, self._rng) or endpoints.select_in_panic(criteria, self._rng)
+        if endpoint is None or endpoints.is_reserved_for_higher_priority(endpoint, criteria):
+            return None
+        return EndpointAttempt(endpoint, criteria.now, request.deadline_ms)
+
+    def _select_retry(
+        self, state: RequestState, endpoints: EndpointSet, criteria: SelectionCriteria
+    ) -> EndpointAttempt | None:
+        """Select for a retry or a hedge, elsewhere than before if possible."""
         rng = self._rng
         endpoint = endpoints.select(criteria, rng) or endpoints.select_in_panic(criteria, rng)
-        if not state.attempts:
-            if endpoint is not None and endpoints.is_reserved_for_higher_priority(endpoint, criteria):
-                return None
-            return endpoint
-        if endpoint is None and not any(a.is_in_flight for a in state.attempts):
+        if endpoint is None and not state.has_in_flight:
             # Nothing else: an endpoint where the request certainly never ran may have capacity by now.
             ran_on = frozenset(a.endpoint.backend.instance for a in state.attempts if a.may_have_run)
             criteria = replace(criteria, excluded_instances=ran_on)
             endpoint = endpoints.select(criteria, rng) or endpoints.select_in_panic(criteria, rng)
-        return endpoint
+        if endpoint is None:
+            return None
+        return EndpointAttempt(endpoint, criteria.now, state.request.deadline_ms)
 
     def _forward(
         self, state: RequestState, endpoints: EndpointSet, average: LatencyAverage, attempt: EndpointAttempt
@@ -225,9 +232,7 @@
             attempt.hedge_delay_ms = remaining_ms
         return Forward(endpoint.backend, attempt.hedge_delay_ms)
 
-    def _enqueue(
-        self, now: float, state: RequestState, endpoints: EndpointSet, average: LatencyAverage, may_have_run: bool
-    ) -> Action:
+    def _enqueue(self, now: float, state: RequestState, endpoints: EndpointSet, average: LatencyAverage) -> Action:
         """Queue a request for which no endpoint has capacity, or give up where the time for that is over."""
         request = state.request
         ratio = MAX_RETRY_QUEUE_TIME_RATIO if state.attempts else MAX_QUEUE_TIME_RATIO
@@ -236,12 +241,21 @@
             request.deadline_ms - now - average.mean_ms,
         )
         if queue_time_ms <= MIN_QUEUE_TIME_MS:
-            return Fail(state.failure_status) if may_have_run else self._reject(request)
+            return Fail(state.failure_status) if state.may_have_run else self._reject(request)
         state.enter_queue(endpoints)
         recheck_ms = max(MIN_RECHECK_MS, min(MAX_RECHECK_MS, average.mean_ms * RECHECK_RATIO))
         jitter = MIN_RECHECK_JITTER + RECHECK_JITTER_RANGE * self._rng.random()
         return Enqueue(min(queue_time_ms, recheck_ms * jitter))
 
+    def _await_or_give_up(self, state: RequestState, remaining_ms: float, status: int) -> Action:
+        """Wait for attempts in flight; without any fail or reject the request, by whether it may have run."""
+        has_in_flight = state.has_in_flight
+        if has_in_flight and remaining_ms > 0:
+            return Enqueue(remaining_ms)
+        if has_in_flight or state.may_have_run:
+            return Fail(status)
+        return self._reject(state.request)
+
     def _reject(self, request: RequestInfo) -> Reject:
         ratio = MIN_RETRY_AFTER_RATIO + (MAX_RETRY_AFTER_RATIO - MIN_RETRY_AFTER_RATIO) * self._rng.random()
         return Reject(request.route.latency_target_ms * ratio)
@@ -265,10 +279,10 @@
         return budget
 
 
-def _await_unsafe(state: RequestState, in_flight: list[EndpointAttempt], remaining_ms: float) -> Action:
+def _await_unsafe(state: RequestState, remaining_ms: float) -> Action:
     """Wait for a non-idempotent request that may be running, or fail it: it is never sent a second time."""
     if remaining_ms <= 0:
         return Fail(504)
-    if any(not a.is_timed_out for a in in_flight):
+    if any(a.is_in_flight and not a.is_timed_out for a in state.attempts):
         return Enqueue(remaining_ms)
     return Fail(state.failure_status)
--- a/hallhitch/planes/data/request_state.py
+++ b/hallhitch/planes/data/request_state.py
@@ -22,6 +22,16 @@
     failure_status: int = 502  # for the client if no attempt succeeds; 504 after a time-out
     is_finished: bool = False  # the client has the response, or is gone
 
+    @property
+    def has_in_flight(self) -> bool:
+        """Whether an attempt holds capacity at an endpoint."""
+        return any(a.is_in_flight for a in self.attempts)
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether a backend may have run the request, as far as attempts have ended."""
+        return any(a.may_have_run for a in self.attempts)
+
     def latest_attempt(self, instance: str) -> EndpointAttempt | None:
         """Return the last attempt at a backend instance."""
         return next((a for a in reversed(self.attempts) if a.endpoint.backend.instance == instance), None)
