--- a/hallhitch/lab/simulation/coordinator_cluster.py
+++ b/hallhitch/lab/simulation/coordinator_cluster.py
@@ -18,7 +18,7 @@
 from hallhitch.node.errors import RequestTimeout
 from hallhitch.node.settings import NodeSettings, RuleBounds
 from hallhitch.planes.control.operator_api import OperatorApi
-from hallhitch.planes.control.plane import ControlPlane
+from hallhitch.planes.control.plane import ControlPlane, ReplicaEnvironment
 
 T = TypeVar("T")
 GRACE_PERIOD_MS: Final = RuleBounds().grace_period_ms
@@ -48,10 +48,12 @@
             node,
             self.links,
             lambda state: self.committed_states.append(state),
-            disk=self.disk,
-            run=self._run_on_disk,
-            clock=self.cluster.clock,
-            rng=random.Random(self.cluster.rng.random()),
+            ReplicaEnvironment(
+                storage=self.disk,
+                run_blocking=self._run_on_disk,
+                clock=self.cluster.clock,
+                rng=random.Random(self.cluster.rng.random()),
+            ),
             lease_ms=FORMER_LEASE_MS,
         )
         self.plane = plane
--- /dev/null
+++ b/hallhitch/planes/control/committed_state.py
@@ -0,0 +1,48 @@
+"""What this process knows to be committed.
+
+Owns the newest committed cluster state and the report of it to the process. Invariants:
+
+- *Committed*: `state` was accepted by a majority of each set of members, under `ballot` or under a ballot that another
+  coordinator knows.
+- *Monotonic*: the serial of `state` and `ballot` never fall while the process runs.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from hallhitch.messages.system_pb2 import ClusterState
+from hallhitch.node.logs import ComponentLogger
+from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot, BallotedState
+from hallhitch.planes.control.membership import Membership
+from hallhitch.planes.control.proposer import Proposer
+
+
+class CommittedState:
+    """The newest state known to be committed. `on_commit` gets each newer one, on the event loop."""
+
+    def __init__(self, proposer: Proposer, on_commit: Callable[[ClusterState], None]) -> None:
+        self.state = ClusterState(config_version=-1)  # serial 0 before any is known; not to be changed
+        self.ballot: Ballot = INITIAL_BALLOT  # of the newest state that a majority is known to hold
+        self.is_confirmed = False  # whether a majority was found to hold a state since this replica had its memory
+        self._proposer, self._on_commit = proposer, on_commit
+        self._log = ComponentLogger("control")
+
+    def learn(self, state: ClusterState, ballot: Ballot) -> None:
+        """Take in that a majority holds this state under this ballot."""
+        if ballot >= self.ballot:
+            self.ballot, self.is_confirmed = ballot, True
+            self._proposer.committed_membership = Membership.from_state(state)
+        if ballot > self._proposer.newest_seen.ballot:
+            self._proposer.newest_seen = BallotedState(ballot, state)
+        self.adopt(state)
+
+    def adopt(self, state: ClusterState) -> None:
+        """Take in a committed state of another coordinator, if it is newer."""
+        if state.serial <= self.state.serial:
+            return
+        self.state = state
+        try:
+            self._on_commit(state)
+        except Exception as error:  # a fault of the listener does not undo what was committed
+            self._log.exception("commit listener failed", error, serial=state.serial)
--- a/hallhitch/planes/control/graceful_departure.py
+++ b/hallhitch/planes/control/graceful_departure.py
@@ -1,108 +1,101 @@
-"""A coordinator that ends: its seat goes to another, and what it holds to all members that can be reached.
+"""The graceful departure of a coordinator: its membership goes to another, and what it holds to all reachable members.
 
-Owns when the process may end. Must never leave the register with a state that only this one holds while another member
-can be reached, and never stay beyond the time it was given.
+Owns when the process may end. Invariants:
+
+- While another member replies, the process stays until each that replies holds the newest state that this one holds.
+- It stays no longer than the time it was given.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
+from typing import Final
 
 from hallhitch.messages.system_pb2 import Accept, AcceptorReport, Envelope
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
-from hallhitch.planes.control.acceptor import DurableAcceptor
 from hallhitch.planes.control.ballot import Ballot
-from hallhitch.planes.control.member_calls import PeerCall
+from hallhitch.planes.control.local_replica import LocalReplica
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_reconciler import MembershipReconciler
-from hallhitch.planes.control.peer_observations import PeerObservations
-from hallhitch.planes.control.proposer import Proposer
 
-GAP = 100.0  # ms between two times that the others are told and looked at
-ANSWER = 400.0  # ms for their answers: one that is silent must not hold up the others
+PUBLISH_INTERVAL_MS: Final = 100.0  # between two times that the members are told of the departure and read
+REPLY_TIMEOUT_MS: Final = 400.0  # for their replies: an unresponsive member must not hold up the others
 
-Tell = Callable[[frozenset[str], float], Awaitable[Mapping[str, AcceptorReport]]]
+Publish = Callable[[frozenset[str], float], Awaitable[Mapping[str, AcceptorReport]]]
 
 
 class GracefulDeparture:
-    """One ending. `tell` says to others that this one leaves, and what they hold in return."""
-
-    def __init__(
-        self,
-        acceptor: DurableAcceptor,
-        proposer: Proposer,
-        contacts: PeerObservations,
-        upkeep: MembershipReconciler,
-        tell: Tell,
-        call: PeerCall,
-        clock: Callable[[], float],
-    ) -> None:
-        self._acceptor, self._proposer, self._contacts, self._upkeep = acceptor, proposer, contacts, upkeep
-        self._tell, self._call, self._clock = tell, call, clock
-        self._address = acceptor.state.address
-        self._log = ComponentLogger("leaving")
+    """One departure. `publish` tells peers that this one leaves and returns what they hold."""
+
+    def __init__(self, replica: LocalReplica, reconciler: MembershipReconciler, publish: Publish) -> None:
+        self._replica, self._proposer = replica, replica.proposer
+        self._reconciler, self._publish = reconciler, publish
+        self._log = ComponentLogger("departure")
 
     @property
     def has_left(self) -> bool:
-        """Whether others have the seat: this one is known to be no member any more."""
-        settled = self._proposer.committed_membership
-        return bool(settled.members) and self._address not in settled.all_members
+        """Whether this process is known to be no member any more."""
+        committed = self._proposer.committed_membership
+        return bool(committed.members) and self._replica.address not in committed.all_members
 
     async def run(self, budget_ms: float) -> None:
-        """Hand the seat and the state on; returns when that is done, cannot be done, or the time is over."""
-        ends = self._clock() + budget_ms
+        """Hand over membership and state; returns when that is done, cannot be done, or the time is over."""
+        deadline_ms = self._replica.clock() + budget_ms
         while True:
-            left = ends - self._clock()
-            if left <= 0:
-                self._log.warning("the time to leave is over: the others may lack what is held here")
+            remaining_ms = deadline_ms - self._replica.clock()
+            if remaining_ms <= 0:
+                self._log.warning("graceful departure timed out", budget_ms=budget_ms)
                 return
-            others = Membership.from_state(self._proposer.newest_seen.state).all_members - {self._address}
-            if not others:
+            newest = Membership.from_state(self._proposer.newest_seen.state)
+            peers = newest.all_members - {self._replica.address}
+            if not peers:
                 return
-            answers = await self._tell(others, min(ANSWER, left))
-            if await self._all_hold(answers, left) and not self._awaited(self._membership(answers)):
-                self._log.info(
-                    "seat handed on" if self.has_left else "no other has this seat; what is held is with all"
-                )
+            reports = await self._publish(peers, min(REPLY_TIMEOUT_MS, remaining_ms))
+            is_state_held = await self._replicate_state(reports, remaining_ms)
+            if is_state_held and not self._may_change_come(self._newest_membership(reports)):
+                self._log.info("membership handed over" if self.has_left else "departing without a successor")
                 return
-            await asyncio.sleep(min(GAP, max(left, 0)) / 1000)
-
-    def _membership(self, answers: Mapping[str, AcceptorReport]) -> Membership:
-        """The newest that is known to be agreed: as met here, or as a majority of it has just answered."""
-        met = self._proposer.newest_seen
-        newer = [
-            answer for answer in answers.values() if answer.ok and Ballot.from_message(answer.accepted) > met.ballot
-        ]
-        for answer in newer:
-            membership, at = Membership.from_state(answer.state), answer.accepted
-            if membership.has_quorum(one for one, other in answers.items() if other.accepted == at):
+            await asyncio.sleep(min(PUBLISH_INTERVAL_MS, max(remaining_ms, 0)) / 1000)
+
+    def _newest_membership(self, reports: Mapping[str, AcceptorReport]) -> Membership:
+        """Return the newest membership: as seen here, or as a majority of its members has just reported."""
+        seen = self._proposer.newest_seen
+        for report in reports.values():
+            if not report.ok or Ballot.from_message(report.accepted) <= seen.ballot:
+                continue
+            membership = Membership.from_state(report.state)
+            holders = [address for address, peer in reports.items() if peer.accepted == report.accepted]
+            if membership.has_quorum(holders):
                 return membership
-        return Membership.from_state(met.state)
+        return Membership.from_state(seen.state)
 
-    def _awaited(self, membership: Membership) -> bool:
-        """Whether a change that takes this one out, or the end of its votes on leases, may still come."""
+    def _may_change_come(self, membership: Membership) -> bool:
+        """Return whether a change that takes this member out, or the end of its votes on leases, may still come."""
         if membership.previous_members or membership.previous_lease_members:
             return True
-        if self._address not in membership.members:
+        if self._replica.address not in membership.members:
             return False
-        return self._upkeep.can_hand_over() or self._contacts.has_prospective_candidate(membership, self._clock())
+        if self._reconciler.can_hand_over():
+            return True
+        return self._replica.observations.has_prospective_candidate(membership, self._replica.clock())
 
-    async def _all_hold(self, answers: Mapping[str, AcceptorReport], left: float) -> bool:
-        """Whether each that answered holds what is held here; those that lack it are given it."""
-        state = self._acceptor.state
-        if state.is_recovering:
+    async def _replicate_state(self, reports: Mapping[str, AcceptorReport], remaining_ms: float) -> bool:
+        """Send the state held here to the peers that lack it; return whether none of those that replied did."""
+        own = self._replica.acceptor.state
+        if own.is_recovering:
             return True  # nothing is held here
-        sound = {one: answer for one, answer in answers.items() if answer.ok}
-        behind = [one for one, answer in sound.items() if Ballot.from_message(answer.accepted) < state.accepted]
-        accept = Accept(ballot=state.accepted.to_message(), state=state.state)
-        await asyncio.gather(*(self._give(one, accept, min(ANSWER, left)) for one in behind))
-        return bool(sound) and not behind
-
-    async def _give(self, address: str, accept: Accept, wait: float) -> None:
-        """The accept that did not reach it: it may come from anybody."""
+        usable = {address: report for address, report in reports.items() if report.ok}
+        lagging = [address for address, report in usable.items() if Ballot.from_message(report.accepted) < own.accepted]
+        accept = Accept(ballot=own.accepted.to_message(), state=own.state)
+        timeout_ms = min(REPLY_TIMEOUT_MS, remaining_ms)
+        await asyncio.gather(*(self._send_state(address, accept, timeout_ms) for address in lagging))
+        return bool(usable) and not lagging
+
+    async def _send_state(self, address: str, accept: Accept, timeout_ms: float) -> None:
+        """Send the accept that did not reach a peer: it may come from anybody."""
         try:
-            await self._call(address, Envelope(accept=accept), wait)
+            await self._replica.call_peer(address, Envelope(accept=accept), timeout_ms)
         except PeerCallError as error:
-            self._log.info(f"{address} could not be given the state: {error}")
+            self._log.info("state transfer failed", peer=address, error=error)
--- a/hallhitch/planes/control/lease_renewal.py
+++ b/hallhitch/planes/control/lease_renewal.py
@@ -1,7 +1,10 @@
-"""The rounds that renew a serving lease: light reads of the members, each counted from when it was asked.
+"""The rounds that renew a serving lease by light reads of the members.
 
-Owns the tasks of these reads. Rounds overlap: one without an answer holds up none after it. Must never confirm by the
-answers of one round what another one asked.
+Owns the tasks of these reads. Invariants:
+
+- *Counted from the question*: a round confirms the lease as of the moment at which it was sent, and only by replies to
+  its own queries.
+- *Overlapping*: a round without replies holds up none after it.
 """
 
 from __future__ import annotations
@@ -9,7 +12,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Final
 
 from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport, Envelope
 from hallhitch.node.errors import PeerCallError
@@ -17,107 +20,122 @@
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.serving_lease import ConfirmingRead, ServingLease
 
-AGAIN = 50.0  # ms after which a read is asked again that met an order under way
-READ_SHARE = 0.5  # of the lease in which one more full read is tried after such a meeting
+FULL_READ_INTERVAL_MS: Final = 50.0  # between full reads after a light read met a change under way
+# Of the lease's length, in which such full reads are made: two more rounds of light reads have begun by then.
+FULL_READ_SHARE: Final = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseBasis:
-    """What this process knows to be committed, and how its own replica answers (None: it has no vote now)."""
+    """What this process knows to be committed, which a majority is asked to confirm."""
 
     ballot: Ballot
     membership: Membership
-    own_report: AcceptorReport | None
+    own_report: AcceptorReport | None  # of this process's replica; None while it may not vote
     is_leaving: bool = False  # whether this process is about to end
 
 
+@dataclass(frozen=True, slots=True)
+class RenewalPorts:
+    """What the renewal of a lease needs of the process."""
+
+    lease_basis: Callable[[], LeaseBasis | None]  # None before anything is known to be committed
+    call_peer: Callable[[str, Envelope, float], Awaitable[Envelope]]  # raises PeerCallError
+    on_reply: Callable[[str], None]  # gets the address of a member that has replied
+    read_committed: Callable[[], Awaitable[None]]  # a full read, which learns what is newer
+
+
+@dataclass(frozen=True, slots=True)
+class _MemberReport:
+    """The report of one member; None where it did not reply or is recovering."""
+
+    member: str
+    report: AcceptorReport | None
+
+
 class LeaseRenewal:
     """Renews a lease for as long as the process runs."""
 
-    def __init__(
-        self,
-        address: str,
-        lease: ServingLease,
-        known: Callable[[], LeaseBasis | None],
-        call: Callable[[str, Envelope, float], Awaitable[Envelope]],
-        heard: Callable[[str], None],
-        read_all: Callable[[], Awaitable[None]],
-        clock: Callable[[], float],
-    ) -> None:
-        """`known` is None before anything is; `heard` is told who answered; `read_all` learns what is newer."""
-        self._address, self._lease, self._known, self._call = address, lease, known, call
-        self._heard, self._read_all, self._clock = heard, read_all, clock
+    def __init__(self, address: str, lease: ServingLease, ports: RenewalPorts, clock: Callable[[], float]) -> None:
+        self._address, self._lease, self._ports, self._clock = address, lease, ports, clock
         self._tasks: set[asyncio.Future[Any]] = set()
 
     async def run(self) -> None:
-        """A round every while; never ends."""
+        """Begin a round every renewal interval; never ends by itself."""
         while True:
             self._spawn(self._renew())
             await asyncio.sleep(self._lease.renewal_interval_ms / 1000)
 
     def stop(self) -> None:
-        """No more reads."""
+        """Cancel all reads under way."""
         for task in list(self._tasks):
             task.cancel()
 
-    async def confirm(self, wait: float) -> bool:
-        """One read of at most `wait` ms: whether a majority confirmed what is known here. Ends once that is clear."""
-        known, asked = self._known(), self._clock()
-        if known is None or not known.membership.quorum_sets:
+    async def confirm(self, timeout_ms: float) -> bool:
+        """Read the members once and return whether a majority confirmed what is known here.
+
+        Ends as soon as that is clear, at the latest after `timeout_ms`.
+        """
+        basis, asked_at_ms = self._ports.lease_basis(), self._clock()
+        if basis is None or not basis.membership.quorum_sets:
             return False
-        read = ConfirmingRead(known.ballot, known.membership)
-        if known.own_report is not None:
-            read.record(self._address, Ballot.from_message(known.own_report.accepted), known.own_report.incarnations)
-        # `sound` says that this state is on our disk: what is known to be committed need not be.
-        on_disk = known.own_report is not None and Ballot.from_message(known.own_report.accepted) >= known.ballot
-        message = AcceptorQuery(
-            address=self._address, known_ballot=known.ballot.to_message(), can_vote=on_disk, is_leaving=known.is_leaving
-        )
-        others = sorted(known.membership.all_members - {self._address})
-        answers: asyncio.Queue[tuple[str, AcceptorReport | None]] = asyncio.Queue()
-        for member in others:
-            self._spawn(self._ask(member, message, wait, answers))
-        for _ in others:
+        read = ConfirmingRead(basis.ballot, basis.membership)
+        if basis.own_report is not None:
+            read.record(self._address, Ballot.from_message(basis.own_report.accepted), basis.own_report.incarnations)
+        query = self._query(basis)
+        peers = sorted(basis.membership.all_members - {self._address})
+        reports: asyncio.Queue[_MemberReport] = asyncio.Queue()
+        for member in peers:
+            self._spawn(self._query_member(member, query, timeout_ms, reports))
+        for _ in peers:
             if read.is_confirmed or read.found_newer:
                 break
-            member, answer = await answers.get()
-            if answer is not None:
-                read.record(member, Ballot.from_message(answer.accepted), answer.incarnations)
+            reply = await reports.get()
+            if reply.report is not None:
+                read.record(reply.member, Ballot.from_message(reply.report.accepted), reply.report.incarnations)
         if read.is_confirmed:
-            self._lease.confirm(asked)
+            self._lease.confirm(asked_at_ms)
         return read.is_confirmed
 
-    async def _ask(
-        self,
-        member: str,
-        message: AcceptorQuery,
-        wait: float,
-        answers: asyncio.Queue[tuple[str, AcceptorReport | None]],
+    def _query(self, basis: LeaseBasis) -> AcceptorQuery:
+        # `can_vote` says that this state is on our disk; what is known to be committed need not be.
+        is_on_disk = basis.own_report is not None and Ballot.from_message(basis.own_report.accepted) >= basis.ballot
+        return AcceptorQuery(
+            address=self._address,
+            known_ballot=basis.ballot.to_message(),
+            can_vote=is_on_disk,
+            is_leaving=basis.is_leaving,
+        )
+
+    async def _query_member(
+        self, member: str, query: AcceptorQuery, timeout_ms: float, reports: asyncio.Queue[_MemberReport]
     ) -> None:
-        """One member's answer into the queue; None for silence and from one that lost its memory."""
+        """Put one member's report into the queue."""
         try:
-            answer = (await self._call(member, Envelope(acceptor_query=message), wait)).acceptor_report
+            reply = await self._ports.call_peer(member, Envelope(acceptor_query=query), timeout_ms)
         except PeerCallError:
-            answers.put_nowait((member, None))
+            reports.put_nowait(_MemberReport(member, None))
             return
-        self._heard(member)
-        answers.put_nowait((member, answer if answer.ok else None))
+        report = reply.acceptor_report
+        self._ports.on_reply(member)
+        reports.put_nowait(_MemberReport(member, report if report.ok else None))
 
     async def _renew(self) -> None:
-        """One round; where somebody holds more than is known here, that is learned at once."""
-        asked = self._clock()
-        if self._known() is None or await self.confirm(self._lease.length_ms):
+        """Run one round; where a member holds more than is known here, learn that at once by full reads."""
+        asked_at_ms = self._clock()
+        if self._ports.lease_basis() is None or await self.confirm(self._lease.length_ms):
             return
-        while self._clock() - asked < READ_SHARE * self._lease.length_ms and self._lease.confirmed_at_ms < asked:
-            await self._read_all()
-            await asyncio.sleep(AGAIN / 1000)
+        full_read_ms = FULL_READ_SHARE * self._lease.length_ms
+        while self._clock() - asked_at_ms < full_read_ms and self._lease.confirmed_at_ms < asked_at_ms:
+            await self._ports.read_committed()
+            await asyncio.sleep(FULL_READ_INTERVAL_MS / 1000)
 
     def _spawn(self, work: Awaitable[None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_done)
 
-    def _done(self, task: asyncio.Future[Any]) -> None:
+    def _on_done(self, task: asyncio.Future[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # a round that failed is the next one's matter
+            task.exception()  # marks it as retrieved: the next round replaces one that failed
--- /dev/null
+++ b/hallhitch/planes/control/local_replica.py
@@ -0,0 +1,31 @@
+"""The parts of a coordinator's replica that the components of its control plane share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from hallhitch.planes.control.acceptor import DurableAcceptor
+from hallhitch.planes.control.member_calls import PeerCall
+from hallhitch.planes.control.peer_observations import PeerObservations
+from hallhitch.planes.control.proposer import Proposer
+
+
+@dataclass(frozen=True, slots=True)
+class LocalReplica:
+    """The replica of this process: its acceptor and proposer, what it has observed, and its way to the peers."""
+
+    address: str
+    acceptor: DurableAcceptor
+    proposer: Proposer
+    observations: PeerObservations
+    call_peer: PeerCall  # raises PeerCallError
+    clock: Callable[[], float]  # steady, in ms
+
+    def record_reply(self, address: str) -> None:
+        """Note that a coordinator has replied just now."""
+        self.observations.record_reply(address, self.clock())
+
+    def is_responsive(self, address: str) -> bool:
+        """Return whether a coordinator replied recently; this process always does."""
+        return self.observations.is_responsive(address, self.clock())
--- a/hallhitch/planes/control/peer_observations.py
+++ b/hallhitch/planes/control/peer_observations.py
@@ -1,94 +1,118 @@
-"""What a coordinator has observed of the others: who answers, who asks for a seat, who leaves. No I/O, no clock.
+"""What a coordinator has observed of the others: who replies, who queries it, who leaves. No I/O, no clock.
 
-Bounded: members, those under way, and those heard of within `REMEMBERED` silences.
+Moments are arguments, in ms of the process's steady clock. Invariant: only members, this process, and peers that were
+observed within `RETENTION_INTERVALS` intervals of unresponsiveness are kept, once `prune` has run.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Final
 
 from hallhitch.messages.system_pb2 import AcceptorQuery
 from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_policy import PeerSnapshot
 
-RETENTION_INTERVALS = 10.0  # silences after which one that is no member is forgotten
+# Times `unresponsive_after_ms` after which a non-member is forgotten: longer than any decision looks back, and short
+# enough that addresses which are never seen again do not pile up.
+RETENTION_INTERVALS: Final = 10.0
 
 
 @dataclass(slots=True)
 class QueryingPeer:
-    """One that asks what we hold."""
+    """A coordinator that queries this one."""
 
-    last_query_ms: float  # ms, when it did so last
-    last_current_ms: float = float("-inf")  # ms, when it last held the newest state known here on its disk
+    last_query_ms: float
+    last_current_ms: float = float("-inf")  # when it last held the newest state known here on its disk
     is_leaving: bool = False
 
 
 class PeerObservations:
-    """`heard`: when each last answered (ms), own included; `since`: from when on this process listens unbroken."""
+    """The observations of one process.
 
-    def __init__(self, address: str, since: float, silence: float) -> None:
-        self._address, self.listening_since_ms, self.unresponsive_after_ms = address, since, silence
+    `last_reply_ms` says when each coordinator last replied, this one included; `listening_since_ms` from when on this
+    process has listened without a gap; `is_leaving` whether this process is about to end.
+    """
+
+    def __init__(self, address: str, listening_since_ms: float, unresponsive_after_ms: float) -> None:
+        self.listening_since_ms = listening_since_ms
+        self.unresponsive_after_ms = unresponsive_after_ms
         self.last_reply_ms: dict[str, float] = {}
-        self._askers: dict[str, QueryingPeer] = {}
-        self.is_leaving = False  # whether this process is about to end
+        self.is_leaving = False
+        self._address = address
+        self._queriers: dict[str, QueryingPeer] = {}
 
-    def record_query(self, message: AcceptorQuery, at: float, newest: Ballot) -> None:
-        """Another coordinator reads; `newest` is the ballot of the newest state known here."""
-        if not message.address or message.address == self._address:
+    def record_query(self, query: AcceptorQuery, now_ms: float, newest_ballot: Ballot) -> None:
+        """Note a query of another coordinator; `newest_ballot` is that of the newest state known here."""
+        if not query.address or query.address == self._address:
             return
-        asker = self._askers.setdefault(message.address, QueryingPeer(at))
-        asker.last_query_ms, asker.is_leaving = at, message.is_leaving
-        if message.can_vote and Ballot.from_message(message.known_ballot) >= newest:
-            asker.last_current_ms = at
-
-    def is_responsive(self, address: str, at: float) -> bool:
-        """Whether it answered within a silence; this process always does."""
-        return (
-            address == self._address
-            or at - self.last_reply_ms.get(address, float("-inf")) <= self.unresponsive_after_ms
-        )
-
-    def recent_queriers(self, at: float) -> frozenset[str]:
-        """Who asked within a silence."""
+        querier = self._queriers.setdefault(query.address, QueryingPeer(now_ms))
+        querier.last_query_ms = now_ms
+        querier.is_leaving = query.is_leaving
+        if query.can_vote and Ballot.from_message(query.known_ballot) >= newest_ballot:
+            querier.last_current_ms = now_ms
+
+    def record_reply(self, address: str, now_ms: float) -> None:
+        """Note that a coordinator has replied."""
+        self.last_reply_ms[address] = now_ms
+
+    def is_responsive(self, address: str, now_ms: float) -> bool:
+        """Return whether a coordinator replied recently; this process always does."""
+        if address == self._address:
+            return True
+        return self._is_recent(self.last_reply_ms.get(address, float("-inf")), now_ms)
+
+    def recent_queriers(self, now_ms: float) -> frozenset[str]:
+        """Return the coordinators that queried this one recently."""
         return frozenset(
-            one for one, asker in self._askers.items() if at - asker.last_query_ms <= self.unresponsive_after_ms
+            address for address, querier in self._queriers.items() if self._is_recent(querier.last_query_ms, now_ms)
         )
 
-    def has_unheard_querier(self, at: float) -> bool:
-        """Whether one asks that has not answered yet."""
-        return any(one not in self.last_reply_ms for one in self.recent_queriers(at))
+    def has_unheard_querier(self, now_ms: float) -> bool:
+        """Return whether a recent querier has never replied to this process."""
+        return any(address not in self.last_reply_ms for address in self.recent_queriers(now_ms))
 
-    def has_prospective_candidate(self, membership: Membership, at: float) -> bool:
-        """Whether one that is no member, and does not leave, may soon be a candidate."""
-        return any(not self._askers[one].is_leaving for one in self.recent_queriers(at) - membership.all_members)
+    def has_prospective_candidate(self, membership: Membership, now_ms: float) -> bool:
+        """Return whether a non-member that is not leaving may soon be a candidate."""
+        non_members = self.recent_queriers(now_ms) - membership.all_members
+        return any(not self._queriers[address].is_leaving for address in non_members)
 
-    def snapshot(self, membership: Membership, at: float) -> PeerSnapshot:
-        """What counts for a decision on these members."""
+    def snapshot(self, membership: Membership, now_ms: float) -> PeerSnapshot:
+        """Return what counts for a decision on these members."""
         members = membership.all_members
-        heard = {one for one in self.last_reply_ms.keys() | members if self.is_responsive(one, at)}
+        known = self.last_reply_ms.keys() | members
+        responsive = frozenset(address for address in known if self.is_responsive(address, now_ms))
+        has_listened_enough = not self._is_recent(self.listening_since_ms, now_ms)
         return PeerSnapshot(
-            reachable=frozenset(heard),
+            reachable=responsive,
             leaving=self._leaving(),
-            unresponsive=frozenset(
-                one for one in members - heard if at - self.listening_since_ms > self.unresponsive_after_ms
-            ),
+            unresponsive=members - responsive if has_listened_enough else frozenset(),
             candidates=frozenset(
-                one
-                for one, asker in self._askers.items()
-                if one in heard - members and at - asker.last_current_ms <= self.unresponsive_after_ms
+                address
+                for address, querier in self._queriers.items()
+                if address in responsive - members and self._is_recent(querier.last_current_ms, now_ms)
             ),
         )
 
+    def prune(self, membership: Membership, now_ms: float) -> None:
+        """Forget non-members that were not observed for long."""
+        horizon_ms = now_ms - RETENTION_INTERVALS * self.unresponsive_after_ms
+        kept = membership.all_members | {self._address}
+        self.last_reply_ms = {
+            address: replied_ms
+            for address, replied_ms in self.last_reply_ms.items()
+            if address in kept or replied_ms >= horizon_ms
+        }
+        self._queriers = {
+            address: querier
+            for address, querier in self._queriers.items()
+            if address in kept or querier.last_query_ms >= horizon_ms
+        }
+
+    def _is_recent(self, moment_ms: float, now_ms: float) -> bool:
+        return now_ms - moment_ms <= self.unresponsive_after_ms
+
     def _leaving(self) -> frozenset[str]:
-        others = frozenset(one for one, asker in self._askers.items() if asker.is_leaving)
-        return others | {self._address} if self.is_leaving else others
-
-    def prune(self, membership: Membership, at: float) -> None:
-        """Forget who is no member and was not heard of for long."""
-        horizon = at - RETENTION_INTERVALS * self.unresponsive_after_ms
-        keep = membership.all_members | {self._address}
-        for one in [one for one, heard in self.last_reply_ms.items() if one not in keep and heard < horizon]:
-            del self.last_reply_ms[one]
-        for one in [one for one, asker in self._askers.items() if one not in keep and asker.last_query_ms < horizon]:
-            del self._askers[one]
+        peers = frozenset(address for address, querier in self._queriers.items() if querier.is_leaving)
+        return peers | {self._address} if self.is_leaving else peers
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -1,139 +1,141 @@
-"""The control plane of a coordinator: its replica, its proposer, and the rounds in which it hears of the others.
+"""The control plane of a coordinator, as the program sees it.
 
-Owns which value this process knows to be committed. Must never tell a value that no majority holds, and never vote
-while it does not know what it voted before.
+Owns the parts of the replica, their tasks, and the rounds in which the replica observes its peers. Invariants:
+
+- `committed_state` is held by a majority of each set of members; see `committed_state`.
+- Nothing is proposed while the replica does not know what it voted before, or has left; see `state_recovery`,
+  `vote_eligibility` and `graceful_departure`.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-from collections.abc import Awaitable, Callable, Sequence
-from contextlib import suppress
-from typing import Protocol
+from collections.abc import Awaitable, Callable, Iterable
+from dataclasses import dataclass, field
+from typing import Final, Protocol
 
-from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport, ClusterState, Envelope
+from hallhitch.messages.system_pb2 import AcceptorQuery, ClusterState, Envelope
 from hallhitch.node.clock import now
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import membership_policy
 from hallhitch.planes.control.acceptor import DurableAcceptor
-from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot, BallotedState
+from hallhitch.planes.control.ballot import Ballot
+from hallhitch.planes.control.committed_state import CommittedState
 from hallhitch.planes.control.graceful_departure import GracefulDeparture
-from hallhitch.planes.control.lease_renewal import LeaseBasis, LeaseRenewal
-from hallhitch.planes.control.membership import Membership
-from hallhitch.planes.control.membership_reconciler import MembershipReconciler
+from hallhitch.planes.control.lease_renewal import LeaseBasis, LeaseRenewal, RenewalPorts
+from hallhitch.planes.control.local_replica import LocalReplica
+from hallhitch.planes.control.membership_reconciler import MembershipReconciler, ReplicationGap
 from hallhitch.planes.control.peer_observations import PeerObservations
 from hallhitch.planes.control.proposer import Proposer
+from hallhitch.planes.control.replica_startup import ReplicaStartup
 from hallhitch.planes.control.serving_lease import ServingLease
+from hallhitch.planes.control.state_observer import QUERY_TIMEOUT_MS, StateObserver
 from hallhitch.planes.control.state_recovery import StateRecovery
 from hallhitch.planes.control.state_store import StateStore
 from hallhitch.planes.control.state_transitions import StateTransition
 from hallhitch.planes.control.storage import DirectoryStorage, Storage
 from hallhitch.planes.control.storage_thread import BlockingRunner, StorageThread
-from hallhitch.planes.control.vote_eligibility import VoteEligibility
-from hallhitch.planes.control.vote_tally import VoteTally
+from hallhitch.planes.control.suspension_detector import SuspensionDetector
 from hallhitch.planes.values import LeaseMembership
 
-HURRY = 300.0  # ms between rounds at most while something is missing or under way
-ANSWER = 800.0  # ms for the answers of a round
-YOUNG = 3000.0  # ms from its start in which a coordinator still waits for enough replicas
-STANDSTILL = 1000.0  # ms without a tick after which this process surely stood still
-TICK = 200.0  # ms
-LOAD = 500.0  # ms that a start waits for the disk; one that hangs is read in the background
+MAX_BUSY_ROUND_INTERVAL_MS: Final = 300.0  # between rounds while something is missing or under way
+# Rounds are spread by this part of their interval, so that coordinators that started together do not stay in step.
+ROUND_JITTER_RATIO: Final = 0.2
+DEPARTED: Final = "this machine has left the register"  # in answers of the operator API
 
 
 class Peers(Protocol):
     """What is used of `messages.peer_links.PeerLinks`."""
 
     async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
-        """One call; raises StepError."""
+        """Call a peer and return its reply.
+
+        Raises:
+            PeerCallError: the call failed or no reply came in time.
+        """
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicaEnvironment:
+    """What a replica uses of its machine, and what a simulation replaces."""
+
+    storage: Storage | None = None  # None: the settings' data directory, if there is one
+    run_blocking: BlockingRunner | None = None  # None: a thread of its own
+    clock: Callable[[], float] = now  # steady, in ms
+    rng: random.Random = field(default_factory=random.Random)
 
 
 class ControlPlane:
-    """The cluster configuration on one coordinator. `told` hears each newer committed value, on the loop.
+    """The replicated cluster state on one coordinator.
 
-    `lease_ms`: for how long votes on leases by former members may still be counted; 0 where nobody votes on any.
+    `on_commit` gets each newer committed state, on the event loop. `lease_ms` is for how long votes on leases by former
+    members may still be counted; 0 where nobody votes on any.
     """
 
     def __init__(
         self,
         node: NodeSettings,
-        links: Peers,
-        told: Callable[[ClusterState], None],
-        *,
-        disk: Storage | None = None,
-        run: BlockingRunner | None = None,
-        clock: Callable[[], float] = now,
-        rng: random.Random | None = None,
+        peers: Peers,
+        on_commit: Callable[[ClusterState], None],
+        environment: ReplicaEnvironment | None = None,
         lease_ms: float = 0.0,
     ) -> None:
-        self._node, self._links, self._told, self._clock = node, links, told, clock
-        self._rng = rng or random.Random()
+        environment = environment or ReplicaEnvironment()
         self.address = node.internal_address
-        self._worker = StorageThread()
-        if disk is None and node.data_directory is not None:
-            disk = DirectoryStorage(node.data_directory)
-        store = StateStore(disk, self.address, node.cluster_name) if disk is not None else None
-        self._acceptor = DurableAcceptor(self.address, store, run or self._worker.run, clock)
+        self._node, self._clock, self._rng = node, environment.clock, environment.rng
+        self._timing = membership_policy.ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
+        self._storage_thread = StorageThread()
+        self._observations = PeerObservations(self.address, self._clock(), self._timing.unresponsive_after_ms)
+        self._acceptor = self._create_acceptor(environment)
         self._proposer = Proposer(
             self._acceptor,
             f"{self._rng.getrandbits(64):016x}",
-            links.call,
-            self._committed,
-            self._likely,
-            clock,
+            peers.call,
+            self._on_own_ballot_committed,
+            lambda address: self._observations.is_responsive(address, self._clock()),
+            self._clock,
             self._rng,
         )
-        self._eligibility = VoteEligibility(self.address, self._acceptor)
-        self._value = ClusterState(config_version=-1)
-        self._at: Ballot = INITIAL_BALLOT  # the ballot of the newest value that a majority is known to hold
-        self.lease = ServingLease(node.bounds.serving_lease_ms)
-        self._renewal = LeaseRenewal(
-            self.address, self.lease, self._confirmable, links.call, self._hear_from, self._hear_briefly, clock
-        )
-        self._known = False  # whether such a value was met in this incarnation
-        self._loaded = self._empty = False
-        self._loading: asyncio.Task[None] | None = None
-        self._told_of: frozenset[str] = frozenset()
-        self._began = self._ticked = clock()
-        self._timing = membership_policy.ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
-        self._contacts = PeerObservations(self.address, self._began, self._timing.unresponsive_after_ms)
-        self._heard = self._contacts.last_reply_ms
-        self._upkeep = MembershipReconciler(self._proposer, self._contacts, self.address, clock, lease_ms)
-        self._upkeep.tolerated_losses = node.tolerated_machine_losses
-        self._recovery = StateRecovery(self._acceptor, self._others, self._ask, clock)
-        self._departure = GracefulDeparture(
-            self._acceptor, self._proposer, self._contacts, self._upkeep, self._tell, links.call, clock
+        replica = LocalReplica(
+            self.address, self._acceptor, self._proposer, self._observations, peers.call, self._clock
         )
-        self._stood = float("-inf")
+        self.lease = ServingLease(node.bounds.serving_lease_ms)
+        self._committed = CommittedState(self._proposer, on_commit)
+        self._reconciler = MembershipReconciler(replica, lease_ms)
+        self._observer = StateObserver(replica, self._committed, self.lease, self._on_replication_gap)
+        recovery = StateRecovery(self._acceptor, self._observer.known_peers, self._observer.call_peer, self._clock)
+        self._startup = ReplicaStartup(node, replica, recovery, self._observer.known_peers)
+        self._departure = GracefulDeparture(replica, self._reconciler, self._observer.publish)
+        self._suspension = SuspensionDetector(self._clock, self._on_resume)
+        ports = RenewalPorts(self._lease_basis, peers.call, replica.record_reply, self._read_committed_for_lease)
+        self._renewal = LeaseRenewal(self.address, self.lease, ports, self._clock)
         self._tasks: list[asyncio.Task[None]] = []
         self._log = ComponentLogger("control")
-        self._failing = RateLimitedLog(self._log)
-
-    # --- What the program sees.
+        self._round_log = RateLimitedLog(self._log)
+        self.apply_settings(node)
 
     @property
     def committed_state(self) -> ClusterState:
-        """The newest value known to be committed; serial 0 before any. Not to be changed."""
-        return self._value
+        """The newest state known to be committed, with serial 0 before any is known; not to be changed."""
+        return self._committed.state
 
     @property
     def members(self) -> tuple[str, ...]:
-        """The internal addresses of the replicas, as far as known."""
-        return tuple(
-            self._value.members or self._proposer.newest_seen.state.members or self._acceptor.state.state.members
-        )
+        """The internal addresses of the members, as far as known."""
+        states = (self._committed.state, self._proposer.newest_seen.state, self._acceptor.state.state)
+        return next((tuple(state.members) for state in states if state.members), ())
 
     @property
     def lease_membership(self) -> LeaseMembership:
         """Whose votes on leases count, by the newest state that this replica has accepted or knows to be committed.
 
-        Accepted ones count at once: who has accepted a change must not vote for claims that know nothing of it. A
-        replica that does not know what it accepted holds nothing, and so names nobody until it has met a majority.
+        An accepted state counts at once: a replica that has accepted a change must not vote for claims that do not
+        know of it. A recovering replica holds no state, and so names nobody until it has met a majority.
         """
-        newest = max(self._value, self._acceptor.state.state, key=lambda state: state.membership_version)
+        newest = max(self._committed.state, self._acceptor.state.state, key=lambda state: state.membership_version)
         return LeaseMembership(newest.membership_version, tuple(newest.members), tuple(newest.previous_lease_members))
 
     @property
@@ -141,287 +143,163 @@
         """Whether a majority has confirmed this process within the serving lease, at this very moment."""
         return self.lease.is_valid(self._clock())
 
+    @property
+    def is_under_replicated(self) -> bool:
+        """Whether the tolerated losses need more members, and these may still be on their way."""
+        if not self._startup.is_within_grace:
+            return False
+        members = self._proposer.committed_membership.members
+        needed = membership_policy.replicas_needed(self._node.tolerated_machine_losses)
+        return not self._committed.is_confirmed or len(members) < needed
+
+    @property
+    def was_suspended(self) -> bool:
+        """Whether this process was suspended a moment ago: what it reads now may have waited long."""
+        return self._suspension.was_suspended
+
     async def start(self) -> None:
-        """Read the disk and begin; a disk in trouble is asked again in the background. Never raises for it."""
-        self._began = self._contacts.listening_since_ms = self._ticked = self._clock()
-        self._loading = asyncio.ensure_future(self._load())
-        await asyncio.wait([self._loading], timeout=LOAD / 1000)
-        upkeep = self._upkeep.run(lambda: not self._acceptor.state.is_recovering and not self._refused)
+        """Read the disk and begin; a disk that fails or hangs is read again in the background."""
+        now_ms = self._clock()
+        self._observations.listening_since_ms = now_ms
+        self._suspension.start(now_ms)
+        await self._startup.start(now_ms)
         self._tasks = [
-            asyncio.ensure_future(task) for task in (self._rounds(), self._tick(), self._renewal.run(), upkeep)
+            asyncio.ensure_future(work)
+            for work in (
+                self._observe_peers(),
+                self._suspension.run(),
+                self._renewal.run(),
+                self._reconciler.run(self._may_propose),
+            )
         ]
 
     async def leave(self, budget_ms: float) -> None:
-        """Hand the seat and the state on, within that time; orders and other members are answered meanwhile."""
-        self._contacts.is_leaving = True
+        """Hand over membership and state within a time; callers and peers are answered meanwhile."""
+        self._observations.is_leaving = True
         await self._departure.run(budget_ms)
 
     async def stop(self) -> None:
-        """No more rounds, ballots or writes."""
-        for task in [*self._tasks, *([self._loading] if self._loading is not None else [])]:
+        """Cancel all rounds, ballots and writes."""
+        for task in self._tasks:
             task.cancel()
+        self._startup.stop()
         self._renewal.stop()
         self._proposer.stop()
-        self._worker.stop()
+        self._storage_thread.stop()
 
     def apply_settings(self, node: NodeSettings) -> None:
-        """The settings have changed: seeds, losses."""
-        self._node = node
+        """Take over seeds, tolerated losses and the times that follow from the bounds."""
+        self._node = self._startup.node = node
         self._timing = membership_policy.ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
-        self._contacts.unresponsive_after_ms, self._upkeep.tolerated_losses = (
-            self._timing.unresponsive_after_ms,
-            node.tolerated_machine_losses,
-        )
+        self._observations.unresponsive_after_ms = self._timing.unresponsive_after_ms
+        self._observer.seed_addresses = frozenset(node.seed_addresses)
+        self._reconciler.tolerated_losses = node.tolerated_machine_losses
 
-    def set_live_coordinators(self, addresses: Sequence[str]) -> None:
-        """The internal addresses of the coordinators that live, as discovery tells."""
-        self._told_of = frozenset(addresses)
+    def set_live_coordinators(self, addresses: Iterable[str]) -> None:
+        """Take over the internal addresses of the live coordinators, as discovery has found them."""
+        self._observer.live_coordinators = frozenset(addresses)
 
-    def adopt(self, value: ClusterState) -> None:
-        """A committed value that another coordinator told; taken if it is newer."""
-        if value.serial > self._value.serial:
-            self._value = value
-            try:
-                self._told(value)
-            except Exception as error:  # whoever is told has no part in what was agreed
-                self._log.error(f"telling serial {value.serial} failed: {type(error).__name__}: {error}")
+    def adopt(self, state: ClusterState) -> None:
+        """Take in a committed state of another coordinator, if it is newer."""
+        self._committed.adopt(state)
 
     def handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope] | None:
-        """The answer to another replica's message; None where it is not for the register."""
+        """Return the reply to another replica's message; None where the message is not for the control plane."""
         if envelope.HasField("acceptor_query"):
-            self._contacts.record_query(envelope.acceptor_query, self._clock(), self._proposer.newest_seen.ballot)
+            newest_ballot = self._proposer.newest_seen.ballot
+            self._observations.record_query(envelope.acceptor_query, self._clock(), newest_ballot)
             return self._acceptor.handle(envelope)
         if envelope.HasField("prepare") or envelope.HasField("accept"):
             return self._acceptor.handle(envelope)
         return None
 
-    async def propose(self, change: StateTransition, patience: float) -> ClusterState:
-        """Put a change to the register; the committed value after it. Raises Silent after `patience` ms."""
-        if self._refused:
-            raise PeerCallError("agree", self.address, self._refused)
-        return await self._proposer.change(change, patience)
-
-    @property
-    def is_under_replicated(self) -> bool:
-        """Whether more replicas are needed for the losses to be borne, and may still be on their way."""
-        return self._clock() - self._began < YOUNG and (
-            not self._known
-            or len(self._proposer.committed_membership.members)
-            < membership_policy.replicas_needed(self._node.tolerated_machine_losses)
-        )
+    async def propose(self, transition: StateTransition, timeout_ms: float) -> ClusterState:
+        """Commit a transition and return the state after it.
 
-    @property
-    def was_suspended(self) -> bool:
-        """Whether this process stood still a moment ago: what it reads now may have waited long."""
-        at = self._clock()
-        return at - self._ticked > STANDSTILL or at - self._stood < STANDSTILL
-
-    # --- Inside.
-
-    async def _load(self) -> None:
-        try:
-            found = await self._acceptor.load()
-        except OSError as error:
-            self._failing.warning(self._clock(), f"the data folder cannot be read: {error}")
-            return
-        if found is None:
-            self._log.warning("there is no data folder: this machine keeps nothing")
-        elif found.state is None:
-            self._empty = found.is_empty
-            if found.is_empty and self._node.is_first_start and self.address in self._node.seed_addresses:
-                # Not loaded before it is done: a round would ask the others for a memory that there never was.
-                self._loaded = await self._recovery.found_cluster(self._node.seed_addresses)
-                return
-            self._log.warning("nothing usable in the data folder: the others are asked before any vote")
-        self._loaded = True
-
-    def _likely(self, address: str) -> bool:
-        return self._contacts.is_responsive(address, self._clock())
-
-    def _learnt(self, value: ClusterState, at: Ballot) -> None:
-        """A majority holds this value under this ballot."""
-        if at >= self._at:
-            self._at, self._known = at, True
-            self._proposer.committed_membership = Membership.from_state(value)
-        if at > self._proposer.newest_seen.ballot:
-            self._proposer.newest_seen = BallotedState(at, value)
-        self.adopt(value)
-
-    def _committed(self, value: ClusterState, at: Ballot) -> None:
-        """A ballot of our own has ended: whatever was committed before it began is in it, or newer than it."""
-        self._learnt(value, at)
+        Raises:
+            RequestTimeout: no majority within the time; the transition may be committed yet.
+            PeerCallError: this process may not propose.
+        """
+        refusal = self._proposal_refusal()
+        if refusal:
+            raise PeerCallError("agree", self.address, refusal)
+        return await self._proposer.change(transition, timeout_ms)
+
+    async def read_committed(self, timeout_ms: float) -> None:
+        """Observe the peers within a time; `committed_state` is newer after it, or as before."""
+        await self._observer.read_committed(timeout_ms)
+
+    async def confirm(self, timeout_ms: float) -> bool:
+        """Return whether a majority, asked from now on, confirms in time that `committed_state` is the newest."""
+        asked_at_ms = self._clock()
+        deadline_ms = asked_at_ms + timeout_ms
+        if not await self._renewal.confirm(timeout_ms):
+            await self.read_committed(deadline_ms - self._clock())
+        return self.lease.confirmed_at_ms >= asked_at_ms
+
+    def _create_acceptor(self, environment: ReplicaEnvironment) -> DurableAcceptor:
+        storage = environment.storage
+        if storage is None and self._node.data_directory is not None:
+            storage = DirectoryStorage(self._node.data_directory)
+        store = StateStore(storage, self.address, self._node.cluster_name) if storage is not None else None
+        return DurableAcceptor(self.address, store, environment.run_blocking or self._storage_thread.run, self._clock)
+
+    def _on_own_ballot_committed(self, state: ClusterState, ballot: Ballot) -> None:
+        """Learn the state; whatever was committed before the ballot began is in it, or older than it."""
+        self._committed.learn(state, ballot)
         self.lease.confirm(self._proposer.ballot_started_ms)
 
-    def _confirmable(self) -> LeaseBasis | None:
-        """What a majority may confirm."""
-        if not self._known:
-            return None
-        state = self._acceptor.state
-        own = (
-            None
-            if state.is_recovering
-            else state.report(AcceptorQuery(address=self.address, known_ballot=state.accepted.to_message()))
-        )
-        return LeaseBasis(
-            self._at,
-            self._proposer.committed_membership,
-            own[1] if own is not None else None,
-            self._contacts.is_leaving,
-        )
+    def _on_replication_gap(self, gap: ReplicationGap | None) -> None:
+        self._reconciler.replication_gap = gap
 
-    def _hear_from(self, address: str) -> None:
-        self._heard[address] = self._clock()
+    def _on_resume(self, now_ms: float) -> None:
+        self._observations.listening_since_ms = now_ms  # it was this process that did not listen
 
-    async def _hear_briefly(self) -> None:
-        await self.read_committed(ANSWER)
+    def _proposal_refusal(self) -> str:
+        """Return why this process may not propose; empty where it may."""
+        has_left = self._observations.is_leaving and self._departure.has_left
+        return self._observer.eligibility.refusal_reason or (DEPARTED if has_left else "")
 
-    async def _tick(self) -> None:
-        while True:
-            await asyncio.sleep(TICK / 1000)
-            at = self._clock()
-            if at - self._ticked > STANDSTILL:
-                self._stood = self._contacts.listening_since_ms = at  # it was this process that was silent
-            self._ticked = at
+    def _may_propose(self) -> bool:
+        return not self._acceptor.state.is_recovering and not self._proposal_refusal()
 
-    async def _rounds(self) -> None:
+    def _lease_basis(self) -> LeaseBasis | None:
+        if not self._committed.is_confirmed:
+            return None
+        own, own_report = self._acceptor.state, None
+        if not own.is_recovering:
+            query = AcceptorQuery(address=self.address, known_ballot=own.accepted.to_message())
+            _, own_report = own.report(query)
+        membership = self._proposer.committed_membership
+        return LeaseBasis(self._committed.ballot, membership, own_report, self._observations.is_leaving)
+
+    async def _read_committed_for_lease(self) -> None:
+        await self.read_committed(QUERY_TIMEOUT_MS)
+
+    async def _observe_peers(self) -> None:
+        """Run round after round; never ends by itself."""
         while True:
             try:
-                await self._round()
+                await self._observe_once()
             except (PeerCallError, TimeoutError) as error:
-                self._failing.warning(self._clock(), f"a round ended early: {error}")
+                self._round_log.warning(self._clock(), "observation round incomplete", error=error)
             except Exception as error:
-                self._log.error(f"a round failed: {type(error).__name__}: {error}")
-            await asyncio.sleep(self._gap() * self._rng.uniform(0.8, 1.2) / 1000)
-
-    def _gap(self) -> float:
-        """How long to rest between rounds (ms)."""
-        under_way = (
-            self._upkeep.has_pending_work
-            or self._contacts.is_leaving
-            or self._contacts.has_unheard_querier(self._clock())
+                self._log.exception("observation round failed", error)
+            jitter = self._rng.uniform(1.0 - ROUND_JITTER_RATIO, 1.0 + ROUND_JITTER_RATIO)
+            await asyncio.sleep(self._round_interval_ms() * jitter / 1000)
+
+    async def _observe_once(self) -> None:
+        await self._startup.advance()
+        await self._observer.observe(self._timing.reply_timeout_ms)
+        self._observations.prune(self._proposer.committed_membership, self._clock())
+
+    def _round_interval_ms(self) -> float:
+        is_state_unknown = not self._committed.is_confirmed or self._acceptor.state.is_recovering
+        is_change_expected = (
+            self._reconciler.has_pending_work
+            or self._observations.is_leaving
+            or self._observations.has_unheard_querier(self._clock())
         )
-        if not self._known or self._acceptor.state.is_recovering or under_way:
-            return min(HURRY, self._timing.round_interval_ms)
+        if is_state_unknown or is_change_expected:
+            return min(MAX_BUSY_ROUND_INTERVAL_MS, self._timing.round_interval_ms)
         return self._timing.round_interval_ms
-
-    async def _round(self) -> None:
-        if not self._loaded and (self._loading is None or self._loading.done()):
-            self._loading = asyncio.ensure_future(self._load())
-            await asyncio.wait([self._loading], timeout=LOAD / 1000)
-        if self._acceptor.state.is_recovering:
-            await self._recover()
-        await self._hear(self._timing.reply_timeout_ms)
-        self._contacts.prune(self._proposer.committed_membership, self._clock())
-
-    def _others(self) -> frozenset[str]:
-        """Whom to ask: all who count under any value met; where none is, the seeds and whom discovery tells."""
-        states = self._acceptor.state.state, self._proposer.newest_seen.state, self._value
-        known = frozenset[str]().union(*(Membership.from_state(state).all_members for state in states))
-        if not self._known or not self.has_quorum_contact or self.address not in known:
-            known |= frozenset(self._node.seed_addresses) | self._told_of
-        return (known | self._contacts.recent_queriers(self._clock())) - {self.address}
-
-    async def _ask(self, address: str, asked: AcceptorQuery, wait: float = ANSWER) -> AcceptorReport | None:
-        """What one of the others holds; None where it does not answer."""
-        asked.is_leaving = self._contacts.is_leaving
-        try:
-            answer = (await self._links.call(address, Envelope(acceptor_query=asked), wait)).acceptor_report
-        except PeerCallError:
-            return None
-        self._contacts.last_reply_ms[address] = self._clock()
-        if not self._eligibility.check_report(address, answer):
-            self._known = False
-        return answer
-
-    @property
-    def _refused(self) -> str:
-        """Why no change is put to the register by this process; empty where there is no reason."""
-        is_out = self._contacts.is_leaving and self._departure.has_left
-        return self._eligibility.refusal_reason or ("this machine has left the register" if is_out else "")
-
-    async def _tell(self, addresses: frozenset[str], wait: float) -> dict[str, AcceptorReport]:
-        """Say who we are, and what the others hold."""
-        state = self._acceptor.state
-        asked = AcceptorQuery(
-            address=self.address, known_ballot=state.accepted.to_message(), can_vote=not state.is_recovering
-        )
-        return await self._read(addresses, asked, wait)
-
-    async def _read(
-        self, addresses: frozenset[str], asked: AcceptorQuery, wait: float = ANSWER
-    ) -> dict[str, AcceptorReport]:
-        """What the others hold; those who do not answer are left out."""
-
-        order = sorted(addresses)
-        answers = await asyncio.gather(*(self._ask(address, asked, wait) for address in order))
-        return {address: answer for address, answer in zip(order, answers, strict=True) if answer is not None}
-
-    async def read_committed(self, wait: float) -> None:
-        """Ask the others what they hold, within `wait` ms; needs no disk. `value` is newer after it, or as before."""
-        with suppress(PeerCallError, TimeoutError):
-            async with asyncio.timeout(wait / 1000):
-                await self._hear(0.8 * wait)
-
-    async def confirm(self, wait: float) -> bool:
-        """Whether a majority confirms within `wait` ms, asked from now on, that `value` is the newest one."""
-        asked, ends = self._clock(), self._clock() + wait
-        if not await self._renewal.confirm(wait):
-            await self.read_committed(ends - self._clock())
-        return self.lease.confirmed_at_ms >= asked
-
-    async def _hear(self, wait: float = ANSWER) -> None:
-        """What do the others hold? Take what is newer, and learn what a majority has."""
-        state, began = self._acceptor.state, self._clock()
-        asked = AcceptorQuery(
-            address=self.address, known_ballot=state.accepted.to_message(), can_vote=not state.is_recovering
-        )
-        answers = {one: answer for one, answer in (await self._read(self._others(), asked, wait)).items() if answer.ok}
-        for answer in answers.values():
-            if Ballot.from_message(answer.accepted) == state.accepted != INITIAL_BALLOT:
-                answer.state.CopyFrom(state.state)
-        if not state.is_recovering:
-            self._heard[self.address] = self._clock()
-            answers[self.address] = state.report(AcceptorQuery(address=self.address))[1]
-        if not answers:
-            return
-        newest = max(answers.values(), key=lambda one: Ballot.from_message(one.accepted))
-        at, value = Ballot.from_message(newest.accepted), newest.state
-        if at > self._proposer.newest_seen.ballot or not self._proposer.newest_seen.state.members:
-            self._proposer.newest_seen = BallotedState(at, value)
-        tally = VoteTally(Membership.from_state(value).quorum_sets)
-        for member, answer in answers.items():
-            tally.add(member, Ballot.from_message(answer.accepted) == at, answer.incarnations)
-        if tally.has_quorum():
-            self._learnt(value, at)
-            self.lease.confirm(began)
-            behind = [
-                one
-                for one in Membership.from_state(value).all_members & answers.keys()
-                if Ballot.from_message(answers[one].accepted) < at
-            ]
-            self._wanted(("behind", at) if behind else None)
-        elif Membership.from_state(value).has_quorum(answers):
-            self._wanted(("agree", at))
-        else:
-            self._wanted(None)  # a ballot would hang now, and an order that comes as a cut ends would wait behind it
-        if at > state.accepted and not state.is_recovering and not self._acceptor.is_busy:
-            # The accept that did not reach this replica, or not yet: it may come from anybody.
-            await asyncio.wait_for(self._acceptor.accept_from_peer(newest.accepted, value), ANSWER / 1000)
-
-    def _wanted(self, what: object) -> None:
-        self._upkeep.replication_gap = what
-
-    async def _recover(self) -> None:
-        """This replica does not know what it voted, or there never was anything."""
-        if not self._loaded or not self._acceptor.has_storage:
-            return
-        if not self._others() and self._clock() - self._began > YOUNG and self._may_found_alone():
-            await self._recovery.found_single_member()
-            return
-        await self._recovery.recover()
-
-    def _may_found_alone(self) -> bool:
-        """A first start on an empty folder, or the settings name this very machine and no other."""
-        if self._node.seed_addresses == (self.address,):
-            return True
-        return self._node.is_first_start and self._empty and not self._node.seed_addresses
--- a/hallhitch/planes/control/state_transitions.py
+++ b/hallhitch/planes/control/state_transitions.py
@@ -1,16 +1,20 @@
-"""The changes of the cluster configuration, each a plain function from value to value; the same object = nothing
-changed.
-
-An order that changes nothing is acknowledged all the same, once a majority has confirmed the value it met. Evacuations
-carry no version, so a `start` that was sent again and comes late looks just like a new one. It is not told by content
-or by time: a real start soon after a stop must be taken, and machines share no clock. What is late is told by its
-caller, who has left: an order is put to the register only while its caller waits on an open connection, within the
-second after which callers move on, and not while the process finds that it has been standing still (see `operator`).
-A `stop` comes only after its `start` was answered or given up, thus after all its earlier callers have left.
-The proposer looks at this when a majority has promised its ballot: at the caller, and at the clock for the order's end,
-as a machine that stood still may read promises before its time-outs run. What it hands on then lies under a ballot that
-a majority promised before any such `stop`, and the `stop` is written under a higher one even where it changes nothing:
-accepts of the `start` that come after it are refused.
+"""The changes of the cluster state, each a plain function from state to state.
+
+A transition returns the very object it got where it changes nothing; otherwise a copy with the next serial.
+
+Late orders. An order that changes nothing is acknowledged all the same, once a majority has confirmed the state that it
+found. Evacuations carry no version, so a `start` that was sent again and comes late looks just like a new one. Neither
+its content nor the time tells them apart: a real start soon after a stop must be taken, and machines share no clock.
+What tells a late order is its caller, who has left. Hence:
+
+- An order is proposed only while its caller waits on an open connection, within the time after which callers give up,
+  and not while the process finds that it was suspended (see `operator_api`).
+- A `stop` comes only after its `start` was answered or given up, so all earlier callers of that `start` have left.
+- The proposer checks, when a majority has promised its ballot, that the caller is there and that the order's time is
+  not over by the clock, as a process that was suspended may read promises before its time-outs run.
+
+So whatever state a late `start` is in was promised by a majority before any such `stop`. The `stop` is written under a
+higher ballot even where it changes nothing, and accepts of the `start` that come after it are refused.
 """
 
 from __future__ import annotations
@@ -25,134 +29,132 @@
 StateTransition = Callable[[ClusterState], ClusterState]  # returns the same object where it changes nothing
 
 
-def identity(value: ClusterState) -> ClusterState:
-    """A read; where a majority agrees, nothing is written for it."""
-    return value
+def identity(state: ClusterState) -> ClusterState:
+    """Read the state; where a majority agrees on it, nothing is written."""
+    return state
 
 
-def recommit(value: ClusterState) -> ClusterState:
-    """The same value under a new ballot, for those who are behind."""
-    return value
+def recommit(state: ClusterState) -> ClusterState:
+    """Commit the same state under a new ballot, for members that lack it."""
+    return state
 
 
 def replace_config(version: int, content: bytes, digest: bytes | None = None) -> StateTransition:
-    """A whole configuration: the highest version prevails, the first of equal ones stays.
+    """Replace the configuration; the highest version prevails, and the first of equal ones stays.
 
-    Its digest is recorded with it (without one: that of the content's bytes), by which `digests.outcome` tells later
-    whether this content is the one that was taken under its number.
+    The digest (by default of the content's bytes) is recorded with it: by it `config_digests.config_outcome` tells
+    later whether this content was committed under its version.
     """
     entry = ConfigDigest(config_version=version, digest=content_digest(content) if digest is None else digest)
 
-    def change(value: ClusterState) -> ClusterState:
-        if version <= value.config_version:
-            return value
-        after = _next(value)
+    def transition(state: ClusterState) -> ClusterState:
+        if version <= state.config_version:
+            return state
+        after = _successor(state)
         after.config_version, after.config = version, content
-        recorded = append_digests(value.config_digests, [entry])
+        digests = append_digests(state.config_digests, [entry])
         del after.config_digests[:]
-        after.config_digests.extend(recorded)
+        after.config_digests.extend(digests)
         return after
 
-    return change
+    return transition
 
 
 def evacuate_zone(zone: str) -> StateTransition:
-    """Nothing more is sent to the zone's backends."""
+    """Start the evacuation of a zone: nothing more is sent to its backends."""
 
-    def change(value: ClusterState) -> ClusterState:
-        if zone in value.evacuations:
-            return value
-        after = _next(value)
+    def transition(state: ClusterState) -> ClusterState:
+        if zone in state.evacuations:
+            return state
+        after = _successor(state)
         after.evacuations[zone] = after.serial
         return after
 
-    return change
+    return transition
 
 
 def restore_zone(zone: str) -> StateTransition:
-    """The zone is taken back."""
+    """Stop the evacuation of a zone."""
 
-    def change(value: ClusterState) -> ClusterState:
-        if zone not in value.evacuations:
-            return value
-        after = _next(value)
+    def transition(state: ClusterState) -> ClusterState:
+        if zone not in state.evacuations:
+            return state
+        after = _successor(state)
         del after.evacuations[zone]
         return after
 
-    return change
+    return transition
 
 
 def annotate(name: str, text: str) -> StateTransition:
-    """A mark that must outlive a loss of everything."""
+    """Set an annotation: a short text that must survive the loss of every process."""
 
-    def change(value: ClusterState) -> ClusterState:
-        if value.annotations.get(name) == text:
-            return value
-        after = _next(value)
+    def transition(state: ClusterState) -> ClusterState:
+        if state.annotations.get(name) == text:
+            return state
+        after = _successor(state)
         after.annotations[name] = text
         return after
 
-    return change
+    return transition
 
 
-def reconfigure_members(members: Iterable[str], among: Membership) -> StateTransition:
-    """Other members in one joint change, if the members are still those of `among` and no change is under way.
+def reconfigure_members(members: Iterable[str], expected: Membership) -> StateTransition:
+    """Begin a joint change to other members, if the membership is the expected one and no change is under way.
 
-    The state names both sets until `settle`. Votes on leases by the old set count until `end_lease_transition`.
+    The state names both sets until `finish_reconfiguration`. Votes on leases by the former members count until
+    `finish_lease_transition`.
     """
     target = sorted(set(members))
 
-    def change(value: ClusterState) -> ClusterState:
-        if (
-            Membership.from_state(value) != among
-            or value.previous_members
-            or value.previous_lease_members
-            or target == list(value.members)
-        ):
-            return value
-        if not target:
-            return value
-        after = _next(value)
-        after.previous_members[:] = value.members
-        after.previous_lease_members[:] = value.members
+    def transition(state: ClusterState) -> ClusterState:
+        is_change_under_way = bool(state.previous_members or state.previous_lease_members)
+        if Membership.from_state(state) != expected or is_change_under_way:
+            return state
+        if not target or target == list(state.members):
+            return state
+        after = _successor(state)
+        after.previous_members[:] = state.members
+        after.previous_lease_members[:] = state.members
         after.members[:] = target
         after.membership_version += 1
         return after
 
-    return change
+    return transition
 
 
-def add_member(address: str, among: Membership) -> StateTransition:
-    """One more member, if the members are still those."""
-    return reconfigure_members([*among.members, address], among)
+def add_member(address: str, expected: Membership) -> StateTransition:
+    """Begin a change to one member more, if the membership is the expected one."""
+    return reconfigure_members([*expected.members, address], expected)
 
 
-def remove_member(address: str, among: Membership) -> StateTransition:
-    """One member less, if the members are still those; never the last one."""
-    return reconfigure_members([one for one in among.members if one != address], among)
+def remove_member(address: str, expected: Membership) -> StateTransition:
+    """Begin a change to one member less, if the membership is the expected one; the last member stays."""
+    return reconfigure_members([member for member in expected.members if member != address], expected)
 
 
-def finish_reconfiguration(value: ClusterState) -> ClusterState:
-    """The second half of a change of members: only the new ones count from now on."""
-    if not value.previous_members:
-        return value
-    after = _next(value)
+def finish_reconfiguration(state: ClusterState) -> ClusterState:
+    """End a joint change for the consensus: only the new members vote from now on."""
+    if not state.previous_members:
+        return state
+    after = _successor(state)
     del after.previous_members[:]
     after.membership_version += 1
     return after
 
 
-def finish_lease_transition(value: ClusterState) -> ClusterState:
-    """The end of a change of members for leases: votes of the former members have all ended."""
-    if not value.previous_lease_members or value.previous_members:
-        return value
-    after = _next(value)
+def finish_lease_transition(state: ClusterState) -> ClusterState:
+    """End a joint change for leases, once all votes of the former members have expired."""
+    if not state.previous_lease_members or state.previous_members:
+        return state
+    after = _successor(state)
     del after.previous_lease_members[:]
     after.membership_version += 1
     return after
 
 
-def _next(value: ClusterState) -> ClusterState:
-    after = copy_state(value)
+def _successor(state: ClusterState) -> ClusterState:
+    """Return a copy with the next serial."""
+    after = copy_state(state)
     after.serial += 1
     return after
--- a/hallhitch/programs/coordinator.py
+++ b/hallhitch/programs/coordinator.py
@@ -17,7 +17,7 @@
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.operator_api import OperatorApi
-from hallhitch.planes.control.plane import ControlPlane
+from hallhitch.planes.control.plane import ControlPlane, ReplicaEnvironment
 from hallhitch.planes.discovery.directory import Directory
 from hallhitch.planes.discovery.endpoint_list import is_read_due, reader_rank
 from hallhitch.planes.discovery.endpoint_list_reader import EndpointListReader, reading_interval_ms
@@ -54,10 +54,12 @@
             node,
             self._links,
             self._on_commit,
-            disk=runtime.disk,
-            run=runtime.run,
-            clock=self._clock,
-            rng=random.Random(runtime.random.getrandbits(64)),
+            ReplicaEnvironment(
+                storage=runtime.disk,
+                run_blocking=runtime.run,
+                clock=self._clock,
+                rng=random.Random(runtime.random.getrandbits(64)),
+            ),
             lease_ms=LEASE_DURATION_MS + CLOCK_MARGIN_MS,
         )
         self._hub.quorum_contact_age_ms = lambda: self._control.lease.age_ms(self._clock())
--- a/tests/system/control/test_serving.py
+++ b/tests/system/control/test_serving.py
@@ -9,7 +9,7 @@
 from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, CoordinatorMachine, run_scenario
 from hallhitch.messages.system_pb2 import AcceptorReport, Envelope
 from hallhitch.planes.control.ballot import Ballot
-from hallhitch.planes.control.lease_renewal import LeaseBasis, LeaseRenewal
+from hallhitch.planes.control.lease_renewal import LeaseBasis, LeaseRenewal, RenewalPorts
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.operator_api import CONFIRM_TIMEOUT_MS
 from hallhitch.planes.control.plane import ControlPlane
@@ -61,7 +61,8 @@
 
         lease = ServingLease(2000.0)
         known = LeaseBasis(Ballot(), Membership(1, members=("a", "b", "c")), AcceptorReport(ok=True))
-        renewal = LeaseRenewal("a", lease, lambda: known, call, lambda member: None, nothing, fleet.clock)
+        ports = RenewalPorts(lambda: known, call, lambda member: None, nothing)
+        renewal = LeaseRenewal("a", lease, ports, fleet.clock)
         asked = fleet.clock()
         assert await renewal.confirm(2000.0) and fleet.clock() - asked < 700 + TURN
         assert lease.confirmed_at_ms == asked
--- a/tests/system/simulation/test_mechanisms.py
+++ b/tests/system/simulation/test_mechanisms.py
@@ -61,7 +61,7 @@
 
     def taken(contacts: PeerObservations, message: AcceptorQuery, at: float, newest: Ballot) -> None:
         asked(contacts, message, at, newest)
-        for asker in contacts._askers.values():
+        for asker in contacts._queriers.values():
             asker.last_current_ms = asker.last_query_ms
 
     patch.setattr(PeerObservations, "record_query", taken)
