--- a/hallhitch/planes/control/recovery_quorum.py
+++ b/hallhitch/planes/control/recovery_quorum.py
@@ -1,58 +1,73 @@
-"""Which answers suffice for a replica that lost its memory: no clock, no I/O. See `acceptor_state` on incarnations."""
+"""Which reports suffice for a replica that lost its memory, and the state it continues from. No clock, no I/O.
+
+A recovering replica queries in two passes. The first, with incarnation 0, finds the incarnation to continue with; the
+second announces that incarnation, which makes all older votes of the replica void (see `acceptor_state`).
+
+Invariant: the reports are sufficient only if each majority that the replica was part of contains one that reported.
+"""
 
 from __future__ import annotations
 
 from hallhitch.messages.system_pb2 import AcceptorReport, ClusterState
 from hallhitch.planes.control.acceptor_state import AcceptorState
-from hallhitch.planes.control.ballot import Ballot
+from hallhitch.planes.control.ballot import Ballot, BallotedState
 from hallhitch.planes.control.membership import Membership
 
 
 class RecoveryQuorum:
-    """One replica that lost its memory (or never had one) reads what it may have promised.
-
-    Two passes: the first (`incarnation` 0) tells with which incarnation to go on, the second makes all older votes
-    void.
-    """
+    """The reports of one pass, for the replica at `address`."""
 
     def __init__(self, address: str, incarnation: int = 0) -> None:
         self.address, self.incarnation = address, incarnation
-        self._answers: dict[str, AcceptorReport] = {}
+        self._reports: dict[str, AcceptorReport] = {}
 
-    def add_report(self, member: str, answer: AcceptorReport) -> None:
-        """One answer; those of other recovering replicas do not count."""
-        if answer.ok:
-            self._answers[member] = answer
+    def add_report(self, member: str, report: AcceptorReport) -> None:
+        """Add a report; those of other recovering replicas do not count."""
+        if report.ok:
+            self._reports[member] = report
 
     def newest_state(self) -> ClusterState:
-        """The newest value met, whoever holds it."""
-        held = max(self._answers.values(), key=lambda one: Ballot.from_message(one.accepted), default=None)
-        return held.state if held is not None else ClusterState()
+        """Return the newest state reported; an empty one where none was."""
+        return self._newest().state
 
     def is_sufficient(self) -> bool:
-        """Whether any majority that this replica once was part of has one that answered."""
-        needed = Membership.from_state(self.newest_state()).quorum_sets
-        for one in needed:
-            others = one - {self.address}
-            if not others:
-                continue  # it was the only one: what others learnt of it is all that there is
-            majority = len(one) // 2 + 1 - (self.address in one)
-            if len(others & self._answers.keys()) < len(others) - majority + 1:
-                return False
-        return bool(needed)
+        """Return whether each majority that this replica was part of has a member that reported."""
+        quorum_sets = Membership.from_state(self.newest_state()).quorum_sets
+        return bool(quorum_sets) and all(self._is_set_covered(members) for members in quorum_sets)
 
     def next_incarnation(self) -> int:
-        """The incarnation to go on with, after the first pass."""
-        return max((one.incarnations.get(self.address, 0) for one in self._answers.values()), default=0) + 1
+        """Return the incarnation to continue with, after the first pass."""
+        known = (report.incarnations.get(self.address, 0) for report in self._reports.values())
+        return max(known, default=0) + 1
 
     def recovered_state(self) -> AcceptorState:
-        """What to go on from, to be written before the first vote."""
-        incarnations: dict[str, int] = {self.address: self.incarnation}
-        for one in self._answers.values():
-            for member, incarnation in one.incarnations.items():
-                incarnations[member] = max(incarnations.get(member, 0), incarnation)
-        held = max(self._answers.values(), key=lambda one: Ballot.from_message(one.accepted))
+        """Return the state to continue from after the second pass; it is written before the first vote."""
+        newest = self._newest()
         promised = max(
-            max(Ballot.from_message(one.promised), Ballot.from_message(one.accepted)) for one in self._answers.values()
+            max(Ballot.from_message(report.promised), Ballot.from_message(report.accepted))
+            for report in self._reports.values()
         )
-        return AcceptorState(self.address, promised, Ballot.from_message(held.accepted), held.state, incarnations)
+        return AcceptorState(self.address, promised, newest.ballot, newest.state, self._merged_incarnations())
+
+    def _newest(self) -> BallotedState:
+        accepted = (
+            BallotedState(Ballot.from_message(report.accepted), report.state) for report in self._reports.values()
+        )
+        return max(accepted, key=lambda balloted: balloted.ballot, default=BallotedState())
+
+    def _is_set_covered(self, members: frozenset[str]) -> bool:
+        """Return whether too few are silent for a majority of this set to consist of them and this replica."""
+        peers = members - {self.address}
+        if not peers:
+            return True  # this replica was the only member: what others know of its state is all there is
+        majority = len(members) // 2 + 1
+        peers_in_majority = majority - (self.address in members)
+        return len(peers & self._reports.keys()) >= len(peers) - peers_in_majority + 1
+
+    def _merged_incarnations(self) -> dict[str, int]:
+        """Return the newest incarnation of each replica that any report knows."""
+        merged: dict[str, int] = {self.address: self.incarnation}
+        for report in self._reports.values():
+            for member, incarnation in report.incarnations.items():
+                merged[member] = max(merged.get(member, 0), incarnation)
+        return merged
--- a/hallhitch/planes/control/state_recovery.py
+++ b/hallhitch/planes/control/state_recovery.py
@@ -1,13 +1,15 @@
-"""Reading back what a replica may have promised, from the others; and founding, where there never was anything.
+"""How a replica without a usable data directory comes to a state: from the others, or by founding a new cluster.
 
-Owns how a replica without a usable folder comes to a state. Must never found a register that others may have, and never
-let a replica vote before the state read back is on its disk.
+Invariants.
+- *Durable before voting*: a recovered or founding state is on the disk before the replica votes.
+- *Recovery is covered*: a replica continues only from reports that are sufficient by `recovery_quorum`.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from typing import Final
 
 from hallhitch.messages.system_pb2 import AcceptorQuery, AcceptorReport
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
@@ -16,77 +18,81 @@
 from hallhitch.planes.control.membership import Membership, initial_state
 from hallhitch.planes.control.recovery_quorum import RecoveryQuorum
 
-GRACE_PERIOD_MS = 50.0  # ms given to more answers once they are enough: they may hold something newer
+GRACE_PERIOD_MS: Final = 50.0  # for further reports once they are sufficient: they may hold something newer
 
 QueryPeer = Callable[[str, AcceptorQuery], Awaitable[AcceptorReport | None]]
 
 
 class StateRecovery:
-    """`others` tells whom to ask, `ask` asks one of them and gives None where there is no answer."""
+    """Founding and recovery of one replica.
+
+    `other_replicas` returns whom to query; `query_peer` queries one of them and returns None where it does not answer.
+    """
 
     def __init__(
         self,
         acceptor: DurableAcceptor,
-        others: Callable[[], frozenset[str]],
-        ask: QueryPeer,
+        other_replicas: Callable[[], frozenset[str]],
+        query_peer: QueryPeer,
         clock: Callable[[], float],
     ) -> None:
-        self._acceptor, self._others, self._ask, self._clock = acceptor, others, ask, clock
+        self._acceptor, self._other_replicas, self._query_peer = acceptor, other_replicas, query_peer
+        self._clock = clock
         self._address = acceptor.state.address
         self._log = ComponentLogger("recovery")
-        self._failing = RateLimitedLog(self._log)
+        self._failure_log = RateLimitedLog(self._log)
 
     async def found_cluster(self, members: tuple[str, ...]) -> bool:
-        """Begin a new register with these members; whether it is on the disk."""
-        return await self._become(AcceptorState(self._address, state=initial_state(members)))
+        """Found a cluster with these members; return whether its state is on the disk."""
+        return await self._install(AcceptorState(self._address, state=initial_state(members)))
 
     async def found_single_member(self) -> None:
-        """Begin a new register with this machine as its only member."""
-        self._log.warning("no other machine is known: beginning anew, alone")
+        """Found a cluster with this machine as its only member."""
+        self._log.warning("founding a cluster with this machine alone, no other is known")
         await self.found_cluster((self._address,))
 
     async def recover(self) -> None:
-        """Read from so many others that nothing this replica voted can be missed."""
-        first = RecoveryQuorum(self._address)
-        await self._consult(first)
-        if not first.is_sufficient():
+        """Query the other replicas in two passes and continue from their reports; without enough, change nothing."""
+        first_pass = RecoveryQuorum(self._address)
+        await self._collect_reports(first_pass)
+        if not first_pass.is_sufficient():
             return
-        second = RecoveryQuorum(self._address, first.next_incarnation())
-        await self._consult(second)
-        if not second.is_sufficient() or not self._acceptor.state.is_recovering:
+        second_pass = RecoveryQuorum(self._address, first_pass.next_incarnation())
+        await self._collect_reports(second_pass)
+        if not second_pass.is_sufficient() or not self._acceptor.state.is_recovering:
             return
-        if await self._become(second.recovered_state()):
-            self._log.info(f"state read back from the others, incarnation {second.incarnation}")
+        if await self._install(second_pass.recovered_state()):
+            self._log.info("state recovered from other replicas", incarnation=second_pass.incarnation)
 
-    async def _become(self, state: AcceptorState) -> bool:
+    async def _install(self, state: AcceptorState) -> bool:
         try:
             await self._acceptor.install(state)
         except OSError as error:
-            self._failing.warning(self._clock(), f"the state cannot be kept: {error}")
+            self._failure_log.warning(self._clock(), "state cannot be written", error=error)
             return False
         return True
 
-    async def _consult(self, recovery: RecoveryQuorum) -> None:
-        """Ask all at once, by the newest members met, until the answers are enough and those met stay the same."""
-        asked = frozenset[str]()
+    async def _collect_reports(self, quorum: RecoveryQuorum) -> None:
+        """Query all replicas at once, and the members of newer states as they appear, until the reports suffice."""
+        queried = frozenset[str]()
         calls: dict[asyncio.Task[AcceptorReport | None], str] = {}
-        message = AcceptorQuery(address=self._address, incarnation=recovery.incarnation)
+        query = AcceptorQuery(address=self._address, incarnation=quorum.incarnation)
         try:
             while True:
-                known = self._others() | Membership.from_state(recovery.newest_state()).all_members
-                for one in sorted(known - asked - {self._address}):
-                    calls[asyncio.ensure_future(self._ask(one, message))] = one
-                asked |= known
+                known = self._other_replicas() | Membership.from_state(quorum.newest_state()).all_members
+                for replica in sorted(known - queried - {self._address}):
+                    calls[asyncio.ensure_future(self._query_peer(replica, query))] = replica
+                queried |= known
                 if not calls:
                     return
-                wait = GRACE_PERIOD_MS / 1000 if recovery.is_sufficient() else None
-                done, _ = await asyncio.wait(calls, timeout=wait, return_when=asyncio.FIRST_COMPLETED)
+                timeout_s = GRACE_PERIOD_MS / 1000 if quorum.is_sufficient() else None
+                done, _ = await asyncio.wait(calls, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
                 if not done:
                     return
                 for call in done:
-                    answer, member = call.result(), calls.pop(call)
-                    if answer is not None:
-                        recovery.add_report(member, answer)
+                    report, replica = call.result(), calls.pop(call)
+                    if report is not None:
+                        quorum.add_report(replica, report)
         finally:
             for call in calls:
                 call.cancel()
--- a/hallhitch/planes/control/vote_eligibility.py
+++ b/hallhitch/planes/control/vote_eligibility.py
@@ -1,55 +1,68 @@
-"""Whether this replica may vote and propose, by what the others tell of it: its incarnation, its founding members.
+"""Whether this replica may vote and propose, judged by what other replicas report of it.
 
-Owns two findings and no message. Must never let a replica go on with votes that the others know to be void.
+Invariants.
+- *No void votes*: a replica stops voting once a report shows that others know a newer incarnation of it, as its data
+  directory is then an old copy and its votes do not count.
+- *One founding*: while a replica and another hold founding states with different members, it proposes nothing.
 """
 
 from __future__ import annotations
 
+from typing import Final
+
 from hallhitch.messages.system_pb2 import AcceptorReport
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.planes.control.acceptor import DurableAcceptor
 from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot, BallotedState
 from hallhitch.planes.control.membership import has_founding_conflict
 
-FOUNDED_OTHERWISE = "the settings of the first start differ by machine"
+FOUNDING_CONFLICT_REASON: Final = "the settings of the first start differ by machine"  # operators are answered this
 
 
 class VoteEligibility:
-    """What the answers of the others say against this replica."""
+    """The findings against this replica in the reports of others."""
 
     def __init__(self, address: str, acceptor: DurableAcceptor) -> None:
         self._address, self._acceptor = address, acceptor
-        self._conflict = False
+        self._has_founding_conflict = False
         self._log = ComponentLogger("control")
 
-    def check_report(self, address: str, answer: AcceptorReport) -> bool:
-        """One answer of another replica; False where our own data folder turned out to be old and was dropped."""
-        self._check_founding(address, answer)
-        return self._check_incarnation(answer)
-
     @property
     def refusal_reason(self) -> str:
-        """Why this replica puts no change to the register; empty where there is no reason."""
-        return FOUNDED_OTHERWISE if self._conflict and self._acceptor.state.accepted == INITIAL_BALLOT else ""
+        """Why this replica proposes nothing; empty where it may propose."""
+        is_founding_state = self._acceptor.state.accepted == INITIAL_BALLOT
+        return FOUNDING_CONFLICT_REASON if self._has_founding_conflict and is_founding_state else ""
 
-    def _check_incarnation(self, answer: AcceptorReport) -> bool:
-        state = self._acceptor.state
-        known, own = answer.incarnations.get(self._address, 0), state.incarnations.get(self._address, 0)
-        if state.is_recovering or known <= own:
-            return True
-        self._log.warning(f"the data folder is old: incarnation {own}, the others know {known}; nothing of it is used")
-        self._acceptor.discard_state()
-        return False
+    def check_report(self, address: str, report: AcceptorReport) -> bool:
+        """Check the report of another replica; return whether this one may go on with what it holds.
 
-    def _check_founding(self, address: str, answer: AcceptorReport) -> None:
-        """Another that was founded with other members: no order is taken while neither has a ballot."""
-        state = self._acceptor.state
-        at = Ballot.from_message(answer.accepted)
-        if not answer.ok:
+        Where it may not, its state has been discarded and it is recovering.
+        """
+        self._check_founding(address, report)
+        return self._check_incarnation(report)
+
+    def _check_founding(self, address: str, report: AcceptorReport) -> None:
+        if not report.ok:
             return
-        if not has_founding_conflict(BallotedState(state.accepted, state.state), BallotedState(at, answer.state)):
+        own = self._acceptor.state
+        peer_state = BallotedState(Ballot.from_message(report.accepted), report.state)
+        if not has_founding_conflict(BallotedState(own.accepted, own.state), peer_state):
             return
-        if not self._conflict:
-            own, other = list(state.state.members), list(answer.state.members)
-            self._log.error(f"founded with {own}, but {address} with {other}: no order is taken")
-        self._conflict = True
+        if not self._has_founding_conflict:
+            self._log.error(
+                "founded with different members, no change is taken",
+                own=list(own.state.members),
+                peer=address,
+                peer_members=list(report.state.members),
+            )
+        self._has_founding_conflict = True
+
+    def _check_incarnation(self, report: AcceptorReport) -> bool:
+        own_state = self._acceptor.state
+        reported = report.incarnations.get(self._address, 0)
+        own = own_state.incarnations.get(self._address, 0)
+        if own_state.is_recovering or reported <= own:
+            return True
+        self._log.warning("data folder is old, its state is discarded", incarnation=own, known_to_peers=reported)
+        self._acceptor.discard_state()
+        return False
