--- a/hallhitch/planes/quota/bucket_placement.py
+++ b/hallhitch/planes/quota/bucket_placement.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import hashlib
+import math
 import struct
 from collections.abc import Iterable, Mapping
 from typing import Final
@@ -20,16 +21,13 @@
 ACQUIRE_STAGGER_MS: Final = 350.0
 # After the first view of the gateways nothing is acquired for so long, as the view grows at first.
 VIEW_SETTLING_MS: Final = 300.0
-# A bucket is handed to its first gateway once that has been first, and this one its holder, for so long: a gateway
-# that flaps shall not move buckets to and fro.
-REBALANCE_AFTER_MS: Final = 4000.0
 # After a rejected attempt, at least a claim interval, as the release of its votes goes out with the next claim; the
 # gateways then retry in the order of the ranking, so that votes do not split once more.
 REJECTED_RETRY_MS: Final = 300.0
 RETRY_STAGGER_MS: Final = 100.0
 UNRANKED_RETRY_MS: Final = 500.0
 
-HELD_ELSEWHERE: Final = float("inf")
+HELD_ELSEWHERE: Final = math.inf  # in place of the moment since which a bucket is free
 
 
 def rank_gateways(gateways: Iterable[str]) -> list[list[str]]:
@@ -54,7 +52,7 @@
     def __init__(self, own_address: str) -> None:
         self._own_address = own_address
         self._gateways: frozenset[str] = frozenset()
-        self._settled_at = float("inf")
+        self._settled_at = math.inf
         self._ranking: list[list[str]] = [[] for _ in range(BUCKET_COUNT)]
         self._first_since = [0.0] * BUCKET_COUNT  # since when the ranking's first gateway is the first
         self._free_since = [0.0] * BUCKET_COUNT
@@ -110,12 +108,12 @@
             return UNRANKED_RETRY_MS
         return REJECTED_RETRY_MS + RETRY_STAGGER_MS * ranking.index(self._own_address)
 
-    def belongs_elsewhere(self, now: float, bucket: int, held_since: float) -> bool:
-        """Whether another gateway has been first for a bucket, and this one its holder, for long enough to move it."""
+    def preferred_elsewhere_since(self, bucket: int) -> float:
+        """Return since when another gateway has been first for a bucket, infinity where none is."""
         ranking = self._ranking[bucket]
         if not ranking or ranking[0] == self._own_address:
-            return False
-        return now - max(self._first_since[bucket], held_since) >= REBALANCE_AFTER_MS
+            return math.inf
+        return self._first_since[bucket]
 
     def _rank(self, bucket: int) -> int:
         """Return how many gateways are to try before this one.
--- a/hallhitch/planes/quota/counter_client.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -38,7 +38,6 @@
 MIN_RETRY_AFTER_MS: Final = 250.0
 
 UNLIMITED: Final = QuotaDecision(is_admitted=True)
-OWN_RESERVE: Final = ""  # in place of a holder's address
 
 
 class PeerCaller(Protocol):
@@ -79,7 +78,8 @@
 
     def can_call(self, now: float) -> bool:
         """Whether to call it: always while it responds, else once at a time after the backoff."""
-        return not self.is_silent or not self.is_trial_running and now >= self.silent_until
+        is_trial_due = not self.is_trial_running and now >= self.silent_until
+        return is_trial_due or not self.is_silent
 
     def call_timeout_ms(self) -> float:
         """Return how long nearly every response takes at most."""
@@ -105,14 +105,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _RefundToken:
-    """Where a unit was counted: the holder's address, or OWN_RESERVE."""
+class _HolderToken:
+    """Refunds a unit that a holder counted."""
 
     tenant: str
-    counted_by: str
+    holder: str
     slot: int
 
 
+@dataclass(frozen=True, slots=True)
+class _ReserveToken:
+    """Refunds a unit of the local reserve."""
+
+    tenant: str
+    slot: int
+
+
+@dataclass(frozen=True, slots=True)
+class _UnitRequest:
+    """A unit that is asked for at a moment, and how long its request may wait."""
+
+    tenant: str
+    limit: RateLimit
+    requested_at: float
+    timeout_ms: float
+
+
 class CounterClient:
     """The quota counter of one gateway (planes.data.interfaces.QuotaCounter)."""
 
@@ -150,35 +168,51 @@
         if tenant.rate_per_s <= 0:
             return UNLIMITED
         now = self._clock()
-        limit = RateLimit(tenant.rate_per_s, tenant.burst)
-        local_result = self._local_counter.count(tenant.name, limit)
+        request = _UnitRequest(tenant.name, RateLimit(tenant.rate_per_s, tenant.burst), now, timeout_ms)
+        local_result = self._local_counter.count(request.tenant, request.limit)
         if local_result is not None:
-            return self._decide(now, tenant.name, limit, self._own_address, local_result)
-        bucket = bucket_of(tenant.name)
-        address = self._holders.get(bucket, self._own_address)
-        is_holder_known = address != self._own_address and now >= self._not_holder_until.get(bucket, 0.0)
+            return self._decide(now, request, self._own_address, local_result)
+        bucket = bucket_of(request.tenant)
+        holder = self._holders.get(bucket, self._own_address)
+        is_holder_known = holder != self._own_address and now >= self._not_holder_until.get(bucket, 0.0)
         if not is_holder_known:
-            return self._take_from_reserve(now, tenant.name, limit)
-        contact = self._contacts.get(address)
+            return self._take_from_reserve(now, request)
+        contact = self._contacts.get(holder)
         if contact is None:
-            contact = self._contacts[address] = _HolderContact()
+            contact = self._contacts[holder] = _HolderContact()
         if not contact.can_call(now):
-            return self._take_from_reserve(now, tenant.name, limit)
+            return self._take_from_reserve(now, request)
+        return await self._ask_holder(holder, contact, request)
+
+    def refund(self, decision: QuotaDecision) -> None:
+        """Return the unit of a request that certainly never ran, if its lease still exists; does not wait."""
+        token = decision.refund_token
+        if isinstance(token, _ReserveToken):
+            self._reserve.refund(token.tenant, token.slot)
+        elif isinstance(token, _HolderToken) and token.holder == self._own_address:
+            self._local_counter.refund(token.tenant, token.slot)
+        elif isinstance(token, _HolderToken):
+            task = asyncio.ensure_future(self._refund_at_holder(token))
+            self._refund_tasks.add(task)
+            task.add_done_callback(self._refund_tasks.discard)
+
+    async def _ask_holder(self, holder: str, contact: _HolderContact, request: _UnitRequest) -> QuotaDecision:
+        """Return the decision by a holder, or by the reserve where it does not respond or cannot count."""
         contact.is_trial_running = contact.is_silent
         try:
-            response = await self._call_holder(now, address, contact, tenant.name, limit, timeout_ms)
+            response = await self._count_at_holder(holder, contact, request)
         except PeerCallError:
             failed_at = self._clock()
-            contact.record_failure(now, failed_at, timeout_ms)
-            return self._take_from_reserve(failed_at, tenant.name, limit)
+            contact.record_failure(request.requested_at, failed_at, request.timeout_ms)
+            return self._take_from_reserve(failed_at, request)
         finally:
             contact.is_trial_running = False
         responded_at = self._clock()
         if not response.is_lease_holder:
-            self._not_holder_until[bucket] = responded_at + NOT_HOLDER_BACKOFF_MS
-            return self._take_from_reserve(responded_at, tenant.name, limit)
+            self._not_holder_until[bucket_of(request.tenant)] = responded_at + NOT_HOLDER_BACKOFF_MS
+            return self._take_from_reserve(responded_at, request)
         if response.is_tenant_unknown:
-            return self._take_from_reserve(responded_at, tenant.name, limit)
+            return self._take_from_reserve(responded_at, request)
         result = CountResult(
             is_over_limit=response.is_over_limit,
             total=response.total,
@@ -186,63 +220,48 @@
             retry_after_ms=response.retry_after_ms,
             is_over_share=response.is_over_share,
         )
-        return self._decide(responded_at, tenant.name, limit, address, result)
-
-    def refund(self, decision: QuotaDecision) -> None:
-        """Return the unit of a request that certainly never ran, if its lease still exists; does not wait."""
-        token = decision.refund_token
-        if not isinstance(token, _RefundToken):
-            return
-        if token.counted_by == OWN_RESERVE:
-            self._reserve.refund(token.tenant, token.slot)
-        elif token.counted_by == self._own_address:
-            self._local_counter.refund(token.tenant, token.slot)
-        else:
-            task = asyncio.ensure_future(self._refund_at_holder(token))
-            self._refund_tasks.add(task)
-            task.add_done_callback(self._refund_tasks.discard)
+        return self._decide(responded_at, request, holder, result)
 
-    async def _call_holder(
-        self, now: float, address: str, contact: _HolderContact, tenant: str, limit: RateLimit, timeout_ms: float
-    ) -> CountResponse:
+    async def _count_at_holder(self, holder: str, contact: _HolderContact, request: _UnitRequest) -> CountResponse:
         """Count one unit at a holder, with the tenant's limit if the holder does not know it.
 
         Raises:
             PeerCallError: the holder did not respond.
         """
-        call_timeout_ms = min(timeout_ms, contact.call_timeout_ms())
-        response = await self._call(address, CountRequest(tenant=tenant), call_timeout_ms)
+        call_timeout_ms = min(request.timeout_ms, contact.call_timeout_ms())
+        response = await self._call(holder, CountRequest(tenant=request.tenant), call_timeout_ms)
         responded_at = self._clock()
-        contact.record_response(now, responded_at)
-        elapsed_ms = responded_at - now
-        if not response.is_tenant_unknown or elapsed_ms >= timeout_ms:
+        contact.record_response(request.requested_at, responded_at)
+        elapsed_ms = responded_at - request.requested_at
+        if not response.is_tenant_unknown or elapsed_ms >= request.timeout_ms:
             return response
-        request = CountRequest(tenant=tenant, rate_per_s=limit.rate_per_s, burst=limit.burst)
-        return await self._call(address, request, min(call_timeout_ms, timeout_ms - elapsed_ms))
+        limit = request.limit
+        with_limit = CountRequest(tenant=request.tenant, rate_per_s=limit.rate_per_s, burst=limit.burst)
+        return await self._call(holder, with_limit, min(call_timeout_ms, request.timeout_ms - elapsed_ms))
 
-    async def _refund_at_holder(self, token: _RefundToken) -> None:
-        request = CountRequest(tenant=token.tenant, units=-1, slot=token.slot)
+    async def _refund_at_holder(self, token: _HolderToken) -> None:
+        refund = CountRequest(tenant=token.tenant, units=-1, slot=token.slot)
         with contextlib.suppress(PeerCallError):  # then the unit leaves with the window
-            await self._call(token.counted_by, request, INITIAL_CALL_TIMEOUT_MS)
+            await self._call(token.holder, refund, INITIAL_CALL_TIMEOUT_MS)
 
-    async def _call(self, address: str, request: CountRequest, timeout_ms: float) -> CountResponse:
-        reply = await self._peers.call(address, Envelope(count_request=request), timeout_ms)
+    async def _call(self, holder: str, request: CountRequest, timeout_ms: float) -> CountResponse:
+        reply = await self._peers.call(holder, Envelope(count_request=request), timeout_ms)
         return reply.count_response
 
-    def _decide(self, now: float, tenant: str, limit: RateLimit, counted_by: str, result: CountResult) -> QuotaDecision:
+    def _decide(self, now: float, request: _UnitRequest, holder: str, result: CountResult) -> QuotaDecision:
         """Return the decision that follows from a holder's count."""
         if not result.is_over_limit:
-            return QuotaDecision(True, refund_token=_RefundToken(tenant, counted_by, result.slot))
+            return QuotaDecision(True, refund_token=_HolderToken(request.tenant, holder, result.slot))
         if result.is_over_share:
             # The reserve is counted apart from the holder's share, and the tenant is within its limit.
-            slot = self._reserve.take(now, tenant, limit)
+            slot = self._reserve.take(now, request.tenant, request.limit)
             if slot is not None:
-                return QuotaDecision(True, refund_token=_RefundToken(tenant, OWN_RESERVE, slot))
+                return QuotaDecision(True, refund_token=_ReserveToken(request.tenant, slot))
         return QuotaDecision(False, retry_after_ms=max(result.retry_after_ms, MIN_RETRY_AFTER_MS))
 
-    def _take_from_reserve(self, now: float, tenant: str, limit: RateLimit) -> QuotaDecision:
+    def _take_from_reserve(self, now: float, request: _UnitRequest) -> QuotaDecision:
         """Return a decision by the local reserve alone, as no holder can be asked."""
-        slot = self._reserve.take(now, tenant, limit)
+        slot = self._reserve.take(now, request.tenant, request.limit)
         if slot is None:
             return QuotaDecision(False, retry_after_ms=UNAVAILABLE_RETRY_MS, is_counter_unavailable=True)
-        return QuotaDecision(True, refund_token=_RefundToken(tenant, OWN_RESERVE, slot))
+        return QuotaDecision(True, refund_token=_ReserveToken(request.tenant, slot))
--- a/hallhitch/planes/quota/held_lease.py
+++ b/hallhitch/planes/quota/held_lease.py
@@ -76,10 +76,18 @@
         """Return the lease on a bucket, None where none is held."""
         return self._leases.get(bucket)
 
+    def items(self) -> list[tuple[int, HeldLease]]:
+        """Return the buckets with their leases, in the order in which they were acquired."""
+        return [*self._leases.items()]
+
     def last_ended_at(self, bucket: int) -> float:
         """Return when the last lease on a bucket ended, `NEVER` where there was none."""
         return self._last_ended_at[bucket]
 
+    def has_ended_within(self, now: float, bucket: int, window_ms: float) -> bool:
+        """Whether an earlier lease may have counted units that still lie in a window."""
+        return now - self._last_ended_at[bucket] < window_ms
+
     def add(self, bucket: int, lease: HeldLease, membership: LeaseMembership) -> None:
         """Add a lease that has begun."""
         self._leases[bucket] = lease
--- a/hallhitch/planes/quota/lease.py
+++ b/hallhitch/planes/quota/lease.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
-from typing import Final, NamedTuple
+from typing import Final, NamedTuple, Protocol
 
 from hallhitch.planes.values import LeaseMembership
 
@@ -86,6 +86,16 @@
         return PredecessorReport(self.holder, self.incarnation, self.sequence, self.usage, self.is_final, received_at)
 
 
+class BucketUsage(Protocol):
+    """What was counted in the buckets that this gateway holds; see tenant_counter.TenantCounter."""
+
+    def is_in_use(self, bucket: int, now: float) -> bool:
+        """Whether units lie in a window of the bucket."""
+
+    def usage_report(self, bucket: int, now: float) -> UsageReport:
+        """Return what the windows of the bucket hold."""
+
+
 @dataclass(frozen=True, slots=True)
 class LeaseClaim:
     """One claim of a gateway, sent alike to all voters but for `coordinator_incarnation`.
--- a/hallhitch/planes/quota/lease_client.py
+++ b/hallhitch/planes/quota/lease_client.py
@@ -1,7 +1,8 @@
 """The leases of one gateway: what it claims, and what follows from the coordinators' votes. Does no I/O itself.
 
-Owns the claims in flight and what is known of the coordinators. Its parts own the rest: attempts to acquire
-(`lease_acquisition.py`), held and released leases (`held_lease.py`), who should hold what (`bucket_placement.py`).
+Owns the attempts and the claims in flight. Its parts own the rest: an attempt to acquire
+(`lease_acquisition.py`), held and released leases (`held_lease.py`), who should hold what (`bucket_placement.py`), and
+what is known of the coordinators (`coordinator_view.py`).
 
 **Why no bucket has two holders.** A lease needs votes of a majority of the members and, during a change of members,
 of a majority of the previous ones too; a coordinator votes for one claimant at a time (`lease_table.py`). A lease
@@ -22,7 +23,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
-from typing import Final, Protocol
+from typing import Final
 
 from hallhitch.planes.quota.bucket_placement import BucketPlacement
 from hallhitch.planes.quota.coordinator_view import CoordinatorView
@@ -30,6 +31,7 @@
 from hallhitch.planes.quota.lease import (
     CLOCK_MARGIN_MS,
     LEASE_DURATION_MS,
+    BucketUsage,
     LeaseClaim,
     LeaseStart,
     LeaseVotes,
@@ -37,29 +39,19 @@
 )
 from hallhitch.planes.quota.lease_acquisition import AcquisitionVote, LeaseAcquisition, newest_common_report
 from hallhitch.planes.quota.limits import BUCKET_COUNT
+from hallhitch.planes.quota.rebalancing import HANDED_OVER_RETRY_MS, buckets_to_hand_over
 from hallhitch.planes.values import LeaseMembership
 
 # After an attempt that timed out: longer than a claim interval, so that the release of its votes goes out before.
 TIMED_OUT_RETRY_MS: Final = 500.0
-# After a bucket was handed over: so long the other gateway has to acquire it before this one does.
-HANDED_OVER_RETRY_MS: Final = 2000.0
-MAX_HANDED_OVER_PER_CLAIM: Final = 24  # a fifth of the buckets, so that a new gateway's share moves in a few claims
 
 UNKNOWN_USAGE: Final = UsageReport({}, is_partial=True)
 
 
-class BucketUsage(Protocol):
-    """What has been counted in the buckets that this gateway holds; see TenantCounter."""
-
-    def is_in_use(self, bucket: int, now: float) -> bool:
-        """Whether units lie in a window of the bucket."""
-
-    def usage_report(self, bucket: int, now: float) -> UsageReport:
-        """Return what the windows of the bucket hold."""
-
-
 @dataclass(frozen=True, slots=True)
 class _SentClaim:
+    """A claim, and when it was sent: votes on it count from then."""
+
     sent_at: float
     claim: LeaseClaim
 
@@ -73,13 +65,11 @@
         incarnation: int,
         window_ms: float,
         on_acquired: Callable[[LeaseStart], None],
-        lease_ms: float = LEASE_DURATION_MS,
     ) -> None:
         self._own_address = own_address
         self._incarnation = incarnation
         self._window_ms = window_ms
         self._on_acquired = on_acquired
-        self._lease_ms = lease_ms
         self._membership = LeaseMembership()
         self._is_releasing_all = False
 
@@ -171,7 +161,7 @@
             usage_reports=self._usage_reports(now, usage),
         )
         self._sent_claims[self._last_sequence] = _SentClaim(now, claim)
-        for sequence in [n for n, sent in self._sent_claims.items() if now - sent.sent_at > self._lease_ms]:
+        for sequence in [n for n, sent in self._sent_claims.items() if now - sent.sent_at > LEASE_DURATION_MS]:
             del self._sent_claims[sequence]
         return claim
 
@@ -227,7 +217,7 @@
 
     def _vote_expiry(self, sent: _SentClaim) -> float:
         """Return until when a vote on a claim counts here: from when the claim was sent, less the margin."""
-        return sent.sent_at + self._lease_ms - CLOCK_MARGIN_MS
+        return sent.sent_at + LEASE_DURATION_MS - CLOCK_MARGIN_MS
 
     def _on_rejection(self, now: float, bucket: int, coordinator: str, acquisition: LeaseAcquisition) -> bool:
         """Record a vote against an attempt; return whether it was given up while coordinators have votes of it."""
@@ -275,21 +265,17 @@
     def _release(self, now: float, bucket: int, *, has_counted: bool) -> None:
         """End a lease: this gateway counts nothing in the bucket from now on."""
         self._held.remove(now, bucket)
-        self._releases.add(bucket, Release(has_counted, now + self._lease_ms, is_usage_complete=True))
+        self._releases.add(bucket, Release(has_counted, now + LEASE_DURATION_MS, is_usage_complete=True))
         self._placement.mark_free(now, bucket)
 
     def _abandon(self, now: float, bucket: int, retry_delay_ms: float) -> None:
         """Give up an attempt to acquire a bucket."""
         del self._acquisitions[bucket]
         # Nothing was counted by the votes of an attempt, but an earlier lease of this gateway may have counted.
-        has_counted = self._held_within_window(now, bucket)
-        self._releases.add(bucket, Release(has_counted, now + self._lease_ms, is_usage_complete=False))
+        has_counted = self._held.has_ended_within(now, bucket, self._window_ms)
+        self._releases.add(bucket, Release(has_counted, now + LEASE_DURATION_MS, is_usage_complete=False))
         self._placement.defer(bucket, now + retry_delay_ms)
 
-    def _held_within_window(self, now: float, bucket: int) -> bool:
-        """Whether an earlier lease may have counted units that still lie in a window."""
-        return now - self._held.last_ended_at(bucket) < self._window_ms
-
     def _usage_reports(self, now: float, usage: BucketUsage) -> dict[int, UsageReport]:
         reports = {bucket: usage.usage_report(bucket, now) for bucket in self._held}
         for bucket, release in self._releases.counted().items():
@@ -298,21 +284,10 @@
         return {bucket: report for bucket, report in reports.items() if not report.is_empty}
 
     def _hand_over(self, now: float, usage: BucketUsage) -> None:
-        """Release buckets that count nothing and belong to another gateway, for that one to acquire."""
-        handed_over = 0
-        for bucket in [*self._held]:
-            if handed_over >= MAX_HANDED_OVER_PER_CLAIM:
-                break
-            if self._can_hand_over(now, bucket, usage):
-                self._release(now, bucket, has_counted=False)
-                self._placement.defer(bucket, now + HANDED_OVER_RETRY_MS)
-                handed_over += 1
-
-    def _can_hand_over(self, now: float, bucket: int, usage: BucketUsage) -> bool:
-        lease = self._held.get(bucket)
-        if lease is None or not self._placement.belongs_elsewhere(now, bucket, lease.acquired_at):
-            return False
-        return not self._held_within_window(now, bucket) and not usage.is_in_use(bucket, now)
+        """Release buckets for the gateways that should hold them."""
+        for bucket in buckets_to_hand_over(now, self._held, self._placement, usage, self._window_ms):
+            self._release(now, bucket, has_counted=False)
+            self._placement.defer(bucket, now + HANDED_OVER_RETRY_MS)
 
     def _begin_acquisitions(self, now: float) -> None:
         if not self._membership.members or not self._placement.can_acquire(now):
--- a/hallhitch/planes/quota/lease_table.py
+++ b/hallhitch/planes/quota/lease_table.py
@@ -68,10 +68,9 @@
 class LeaseTable:
     """The votes of one incarnation of one coordinator."""
 
-    def __init__(self, incarnation: int, started_at: float, lease_ms: float = LEASE_DURATION_MS) -> None:
+    def __init__(self, incarnation: int, started_at: float) -> None:
         self._incarnation = incarnation
-        self._lease_ms = lease_ms
-        self._grace_until = started_at + lease_ms
+        self._grace_until = started_at + LEASE_DURATION_MS
         self._membership = LeaseMembership()
         self._quorum_set_dropped_at = float("-inf")
         self._votes: dict[int, _BucketVote] = {}
@@ -203,7 +202,7 @@
                 return False
             exclusive_since = max(vote.expires_at, vote.exclusive_since)
             vote = self._votes[bucket] = _BucketVote(claimant, exclusive_since, predecessor=vote.own_report)
-        vote.expires_at = now + self._lease_ms
+        vote.expires_at = now + LEASE_DURATION_MS
         return True
 
     def _report(self, now: float, bucket: int, claim: LeaseClaim, *, is_final: bool) -> PredecessorReport | None:
@@ -225,5 +224,5 @@
                 for claimant, last_claim in self._last_claims.items()
                 if now - last_claim.received_at <= CLAIMANT_RETENTION_MS
             }
-        has_heard_all = self._first_claim_at is not None and now - self._first_claim_at >= self._lease_ms
+        has_heard_all = self._first_claim_at is not None and now - self._first_claim_at >= LEASE_DURATION_MS
         return len(self._last_seen_at) if has_heard_all and not self.in_grace_period(now) else 0
