--- a/hallhitch/planes/control/config_validation.py
+++ b/hallhitch/planes/control/config_validation.py
@@ -1,7 +1,10 @@
-"""Reading and checking an operator's configuration. Owns what is valid; must never change what was sent.
+"""Validation of an operator's configuration: what is valid, and where an invalid one is wrong.
+
+Invariants: what was sent is not changed, and fields that are not known here are allowed. The texts of errors go into
+the answers of the operator API.
 
 `cerberus` checks the outer shape, services and limits. Routes and tenants come by the thousand, and it takes about
-0.5 ms for one: these are checked by hand, by the same rules. Fields nobody knows are allowed and kept.
+0.5 ms for each: they are checked by the functions here, by the same rules.
 """
 
 from __future__ import annotations
@@ -10,218 +13,292 @@
 import math
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any, NoReturn
+from typing import Any, Final, NoReturn, TypeGuard
 
 from cerberus import Validator
 
 from hallhitch.node.durations import parse_duration_ms
+from hallhitch.node.errors import DurationError
 from hallhitch.planes.control.config_digests import canonical_digest
+from hallhitch.planes.control.errors import ControlPlaneError
 from hallhitch.planes.values import RequestKind
 
-MAX_CONFIG_BYTES = 32 * 1024 * 1024  # bytes of a configuration
-MAX_ROUTE_TIMEOUT_MS = 600_000.0  # ms a route's timeout may be
-MAX_INTEGER = 2**63 - 1
-ROUTE_KINDS = tuple(RequestKind)
+MAX_CONFIG_BYTES: Final = 32 * 1024 * 1024  # as much as the HTTP server of the operator API reads
+MAX_ROUTE_TIMEOUT_MS: Final = 600_000.0  # the texts of errors say ten minutes
+MAX_INTEGER: Final = 2**63 - 1  # the largest that the wire's int64 carries
+ROUTE_KINDS: Final = tuple(RequestKind)
+
+Table = Mapping[str, Any]
+
 
+class InvalidConfigError(ControlPlaneError):
+    """A configuration that is not valid; the message is one line that names the field."""
 
-class InvalidConfigError(Exception):
-    """The configuration is not valid; the text says where and why, in one line."""
+    def __init__(self, reason: str, *, path: str = "") -> None:
+        super().__init__(f"{path}: {reason}" if path else reason)
+        self.path = path
+        self.reason = reason
 
 
 class ConfigTooLargeError(InvalidConfigError):
-    """It is larger than anything that is kept."""
+    """A configuration of more than `MAX_CONFIG_BYTES`."""
+
+    def __init__(self, size_bytes: int) -> None:
+        super().__init__(f"{size_bytes} bytes are more than the {MAX_CONFIG_BYTES} that are kept")
+        self.size_bytes = size_bytes
+
+
+class _MalformedJsonError(ValueError):
+    """JSON that the standard parser would take, and that is refused here."""
 
 
 @dataclass(frozen=True, slots=True)
 class ValidatedConfig:
-    """A valid configuration: its version, how many routes it has, and the digest of what it means."""
+    """What is known of a valid configuration."""
 
     version: int
     route_count: int
-    digest: bytes
+    digest: bytes  # of what it means; see `config_digests`
+
 
+def validate_config(body: bytes) -> ValidatedConfig:
+    """Check a whole configuration.
 
-def _is_time(field: str, value: object, error: Any) -> None:
+    Raises:
+        ConfigTooLargeError: it is larger than anything that is kept.
+        InvalidConfigError: it is not valid.
+    """
+    if len(body) > MAX_CONFIG_BYTES:
+        raise ConfigTooLargeError(len(body))
+    config = _parse(body)
+    _check_shape(_CONFIG_SCHEMA, "", config)
+    for table in ("routes", "services", "tenants"):
+        for name, entry in (config.get(table) or {}).items():
+            if not name or not isinstance(entry, dict):
+                raise InvalidConfigError("is no object with a name", path=f"{table}.{name}")
+    services = config["services"]
+    for name, service in services.items():
+        _check_shape(_SERVICE_SCHEMA, f"services.{name}.", service)
+    _check_shape(_LIMITS_SCHEMA, "limits.", config.get("limits") or {})
+    _check_routes(config["routes"], services)
+    _check_tenants(config.get("tenants") or {})
+    return ValidatedConfig(config["configVersion"], len(config["routes"]), canonical_digest(body))
+
+
+# --- JSON.
+
+
+def _parse(body: bytes) -> dict[str, Any]:
+    try:
+        config = json.loads(body.decode(), object_pairs_hook=_unique_names, parse_constant=_refuse_constant)
+    except (ValueError, RecursionError) as error:
+        raise InvalidConfigError(f"cannot be read: {error or 'too deep'}") from None
+    if not isinstance(config, dict):
+        raise InvalidConfigError("is no object")
+    return config
+
+
+def _unique_names(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    table = dict(pairs)
+    if len(table) != len(pairs):
+        names = [name for name, _ in pairs]
+        raise _MalformedJsonError(f"{max(names, key=names.count)!r} is given twice")
+    return table
+
+
+def _refuse_constant(text: str) -> NoReturn:
+    raise _MalformedJsonError(f"{text} is no number")
+
+
+# --- Values.
+
+
+def _is_integer(value: object, minimum: int) -> bool:
+    # By exact type, as a truth value is an integer to the language and never what is meant here.
+    return type(value) is int and minimum <= value <= MAX_INTEGER
+
+
+def _is_number(value: object) -> bool:
+    return type(value) in (int, float) and math.isfinite(value) and value >= 0  # type: ignore[arg-type, operator]
+
+
+def _is_text(value: object) -> TypeGuard[str]:
+    """Return whether a value is a text that is not empty and that bytes can carry."""
+    if not isinstance(value, str) or not value:
+        return False
+    return value.isascii() or not any("\ud800" <= character <= "\udfff" for character in value)
+
+
+# --- Shapes, by cerberus. A check takes the field, its value and the function that records an error.
+
+
+def _check_duration(field: str, value: object, error: Any) -> None:
     if value is not None:
         try:
             parse_duration_ms(value)
-        except ValueError as wrong:
-            error(field, str(wrong))
+        except DurationError as invalid:
+            error(field, str(invalid))
 
 
-def _is_number(field: str, value: object, error: Any) -> None:
-    if value is not None and not _number(value):
+def _check_number(field: str, value: object, error: Any) -> None:
+    if value is not None and not _is_number(value):
         error(field, f"{value!r} is no number from 0 up")
 
 
-def _is_whole(field: str, value: object, error: Any) -> None:
-    if value is not None and not _whole(value, 0):
+def _check_integer(field: str, value: object, error: Any) -> None:
+    if value is not None and not _is_integer(value, 0):
         error(field, f"{value!r} is no whole number from 0 up")
 
 
-_TIME, _NUMBER, _WHOLE = ({"nullable": True, "check_with": one} for one in (_is_time, _is_number, _is_whole))
-_TABLE = {"type": "dict"}
-_OUTER = Validator(
+_DURATION: Final = {"nullable": True, "check_with": _check_duration}
+_NUMBER: Final = {"nullable": True, "check_with": _check_number}
+_INTEGER: Final = {"nullable": True, "check_with": _check_integer}
+_CONFIG_SCHEMA: Final = Validator(
     {
-        "configVersion": {"required": True, "nullable": False, "check_with": _is_whole, "max": MAX_INTEGER},
-        "routes": {"required": True, **_TABLE},
-        "services": {"required": True, **_TABLE},
-        "tenants": {"nullable": True, **_TABLE},
+        "configVersion": {"required": True, "nullable": False, "check_with": _check_integer, "max": MAX_INTEGER},
+        "routes": {"required": True, "type": "dict"},
+        "services": {"required": True, "type": "dict"},
+        "tenants": {"nullable": True, "type": "dict"},
         "limits": {"nullable": True, "type": "dict"},
     },
     allow_unknown=True,
 )
-_SERVICE = Validator(
+_SERVICE_SCHEMA: Final = Validator(
     {
         "healthPath": {"type": "string", "regex": r"/[!-~]*"},
-        "maxConnections": _WHOLE,
+        "maxConnections": _INTEGER,
         "protocol": {"type": "string"},
         "tls": {"type": "boolean"},
-        "coldStart": _TIME,
+        "coldStart": _DURATION,
         "coldPerS": _NUMBER,
     },
     allow_unknown=True,
 )
-_LIMITS = Validator(
+_LIMITS_SCHEMA: Final = Validator(
     {
-        "maxHeaderBytes": _WHOLE,
-        "maxBodyBytes": _WHOLE,
-        "headerTimeout": _TIME,
-        "idleTimeout": _TIME,
+        "maxHeaderBytes": _INTEGER,
+        "maxBodyBytes": _INTEGER,
+        "headerTimeout": _DURATION,
+        "idleTimeout": _DURATION,
     },
     allow_unknown=True,
 )
 
 
-def validate_config(body: bytes) -> ValidatedConfig:
-    """Check a whole configuration; raises Invalid."""
-    if len(body) > MAX_CONFIG_BYTES:
-        raise ConfigTooLargeError(f"{len(body)} bytes are more than the {MAX_CONFIG_BYTES} that are kept")
-    try:
-        top = json.loads(body.decode(), object_pairs_hook=_once, parse_constant=_no_constant)
-    except (ValueError, RecursionError) as error:
-        raise InvalidConfigError(f"cannot be read: {error or 'too deep'}") from None
-    if not isinstance(top, dict):
-        raise InvalidConfigError("is no object")
-    _validate(_OUTER, "", top)
-    for table in ("routes", "services", "tenants"):
-        for name, entry in (top.get(table) or {}).items():
-            if not name or not isinstance(entry, dict):
-                raise InvalidConfigError(f"{table}.{name}: is no object with a name")
-    for name, service in top["services"].items():
-        _validate(_SERVICE, f"services.{name}.", service)
-    _validate(_LIMITS, "limits.", top.get("limits") or {})
-    services, places = top["services"], dict[tuple[str, str], str]()
-    for name, route in top["routes"].items():
-        _route(f"routes.{name}", route, services)
-        place = route["host"].lower(), route["pathPrefix"]
-        if places.setdefault(place, name) != name:
-            raise InvalidConfigError(f"routes.{name}: has the host and pathPrefix of {places[place]}")
-    keys = dict[str, str]()
-    for name, tenant in (top.get("tenants") or {}).items():
-        _tenant(f"tenants.{name}", tenant)
-        for key in tenant["apiKeys"]:
-            if keys.setdefault(key, name) != name:
-                raise InvalidConfigError(f"tenants.{name}.apiKeys: one of them belongs to {keys[key]}")
-    return ValidatedConfig(top["configVersion"], len(top["routes"]), canonical_digest(body))
-
-
-def _once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    table = dict(pairs)
-    if len(table) != len(pairs):
-        names = [name for name, _ in pairs]
-        raise ValueError(f"{max(names, key=names.count)!r} is given twice")
-    return table
+def _check_shape(schema: Validator, prefix: str, table: Table) -> None:
+    if not schema.validate(table, normalize=False):
+        field, errors = next(iter(schema.errors.items()))
+        raise InvalidConfigError(errors[0], path=f"{prefix}{field}")
 
 
-def _no_constant(text: str) -> NoReturn:
-    raise ValueError(f"{text} is no number")
+# --- Routes and tenants.
 
 
-def _validate(validator: Validator, where: str, table: Mapping[str, Any]) -> None:
-    if not validator.validate(table, normalize=False):
-        field, errors = next(iter(validator.errors.items()))
-        raise InvalidConfigError(f"{where}{field}: {errors[0]}")
+def _check_routes(routes: Table, services: Table) -> None:
+    """Check each route, and that no two have the same host and path prefix."""
+    name_by_place = dict[tuple[str, str], str]()
+    for name, route in routes.items():
+        path = f"routes.{name}"
+        _check_route(path, route, services)
+        place = (route["host"].lower(), route["pathPrefix"])
+        if name_by_place.setdefault(place, name) != name:
+            raise InvalidConfigError(f"has the host and pathPrefix of {name_by_place[place]}", path=path)
 
 
-def _whole(value: object, least: int) -> bool:
-    # A truth value is a whole number to the language, and never what is meant here.
-    return type(value) is int and least <= value <= MAX_INTEGER
+def _check_route(path: str, route: Table, services: Table) -> None:
+    _check_place(path, route)
+    if route.get("routeKind") not in ROUTE_KINDS:
+        reason = f"{route.get('routeKind')!r} is none of {', '.join(ROUTE_KINDS)}"
+        raise InvalidConfigError(reason, path=f"{path}.routeKind")
+    _check_route_durations(path, route)
+    if not _is_integer(route.get("maxAttempts"), 1):
+        reason = f"{route.get('maxAttempts')!r} is no whole number from 1 up"
+        raise InvalidConfigError(reason, path=f"{path}.maxAttempts")
+    if not _is_integer(route.get("priority", 0), 0):
+        raise InvalidConfigError(f"{route['priority']!r} is no whole number from 0 up", path=f"{path}.priority")
+    if not isinstance(route.get("public", False), bool):
+        raise InvalidConfigError(f"{route['public']!r} is neither true nor false", path=f"{path}.public")
+    _check_regions(path, route)
+    _check_targets(path, route, services)
 
 
-def _number(value: object) -> bool:
-    return type(value) in (int, float) and math.isfinite(value) and value >= 0  # type: ignore[arg-type, operator]
+def _check_place(path: str, route: Table) -> None:
+    host, prefix = route.get("host"), route.get("pathPrefix")
+    if not _is_text(host) or any(character <= " " or character == "/" for character in host):
+        raise InvalidConfigError(f"{host!r} is no host", path=f"{path}.host")
+    if not _is_text(prefix) or not (prefix.startswith("/") and prefix.endswith("/")):
+        raise InvalidConfigError(f"{prefix!r} does not start and end with a slash", path=f"{path}.pathPrefix")
 
 
-def _text(value: object) -> bool:
-    """A name or address that bytes can carry."""
-    if not isinstance(value, str) or not value:
-        return False
-    return value.isascii() or not any("\ud800" <= letter <= "\udfff" for letter in value)
+def _check_route_durations(path: str, route: Table) -> None:
+    timeout = route.get("timeout")
+    if not 0 < _parse_duration(f"{path}.timeout", timeout) <= MAX_ROUTE_TIMEOUT_MS:
+        raise InvalidConfigError(f"{timeout!r} is not within ten minutes", path=f"{path}.timeout")
+    latency_target = route.get("targetLatency")
+    if latency_target is not None:
+        _parse_duration(f"{path}.targetLatency", latency_target)
 
 
-def _regions(where: str, table: Mapping[str, Any]) -> None:
-    regions = table.get("allowedRegions")
-    if regions is not None and not (isinstance(regions, list) and all(isinstance(one, str) for one in regions)):
-        raise InvalidConfigError(f"{where}.allowedRegions: is no list of names")
+def _parse_duration(path: str, value: object) -> float:
+    try:
+        return parse_duration_ms(value)
+    except DurationError as error:
+        raise InvalidConfigError(str(error), path=path) from None
 
 
-def _route(where: str, route: Mapping[str, Any], services: Mapping[str, Any]) -> None:
-    host, prefix = route.get("host"), route.get("pathPrefix")
-    if not _text(host) or any(letter <= " " or letter == "/" for letter in str(host)):
-        raise InvalidConfigError(f"{where}.host: {host!r} is no host")
-    if not _text(prefix) or not (str(prefix).startswith("/") and str(prefix).endswith("/")):
-        raise InvalidConfigError(f"{where}.pathPrefix: {prefix!r} does not start and end with a slash")
-    if route.get("routeKind") not in ROUTE_KINDS:
-        raise InvalidConfigError(f"{where}.routeKind: {route.get('routeKind')!r} is none of {', '.join(ROUTE_KINDS)}")
-    for name, needed in (("timeout", True), ("targetLatency", False)):
-        value = route.get(name)
-        if value is None and not needed:
-            continue
-        try:
-            length = parse_duration_ms(value)
-        except ValueError as error:
-            raise InvalidConfigError(f"{where}.{name}: {error}") from None
-        if name == "timeout" and not 0 < length <= MAX_ROUTE_TIMEOUT_MS:
-            raise InvalidConfigError(f"{where}.timeout: {value!r} is not within ten minutes")
-    if not _whole(route.get("maxAttempts"), 1):
-        raise InvalidConfigError(f"{where}.maxAttempts: {route.get('maxAttempts')!r} is no whole number from 1 up")
-    if not _whole(route.get("priority", 0), 0):
-        raise InvalidConfigError(f"{where}.priority: {route['priority']!r} is no whole number from 0 up")
-    if not isinstance(route.get("public", False), bool):
-        raise InvalidConfigError(f"{where}.public: {route['public']!r} is neither true nor false")
-    _regions(where, route)
+def _check_targets(path: str, route: Table, services: Table) -> None:
+    """Check that a route names services that exist: one, or several with weights."""
     split, target = route.get("trafficSplit"), route.get("targetService")
     if split is None and target is None:
-        raise InvalidConfigError(f"{where}: has neither targetService nor trafficSplit")
+        raise InvalidConfigError("has neither targetService nor trafficSplit", path=path)
     if target is not None and (not isinstance(target, str) or target not in services):
-        raise InvalidConfigError(f"{where}.targetService: {target!r} is no service here")
+        raise InvalidConfigError(f"{target!r} is no service here", path=f"{path}.targetService")
     if split is not None:
-        _split(f"{where}.trafficSplit", split, services, target is not None)
+        _check_traffic_split(f"{path}.trafficSplit", split, services, may_be_empty=target is not None)
 
 
-def _split(where: str, split: object, services: Mapping[str, Any], may_be_empty: bool) -> None:
+def _check_traffic_split(path: str, split: object, services: Table, *, may_be_empty: bool) -> None:
     if not isinstance(split, list) or not (split or may_be_empty):
-        raise InvalidConfigError(f"{where}: is no list of services")
-    total = 0.0
+        raise InvalidConfigError("is no list of services", path=path)
+    total_weight = 0.0
     for part in split:
-        name, weight = (part.get("targetService"), part.get("weight")) if isinstance(part, dict) else (None, None)
+        entry: Table = part if isinstance(part, dict) else {}
+        name, weight = entry.get("targetService"), entry.get("weight")
         if not isinstance(name, str) or name not in services:
-            raise InvalidConfigError(f"{where}: {name!r} is no service here")
-        if not _number(weight):
-            raise InvalidConfigError(f"{where}: {weight!r} is no weight")
-        total += weight or 0
-    if split and not 0 < total < math.inf:
-        raise InvalidConfigError(f"{where}: the weights add up to {total:g}")
+            raise InvalidConfigError(f"{name!r} is no service here", path=path)
+        if not _is_number(weight):
+            raise InvalidConfigError(f"{weight!r} is no weight", path=path)
+        total_weight += weight or 0
+    if split and not 0 < total_weight < math.inf:
+        raise InvalidConfigError(f"the weights add up to {total_weight:g}", path=path)
+
+
+def _check_tenants(tenants: Table) -> None:
+    """Check each tenant, and that no two have the same key."""
+    name_by_key = dict[str, str]()
+    for name, tenant in tenants.items():
+        path = f"tenants.{name}"
+        _check_tenant(path, tenant)
+        for key in tenant["apiKeys"]:
+            if name_by_key.setdefault(key, name) != name:
+                raise InvalidConfigError(f"one of them belongs to {name_by_key[key]}", path=f"{path}.apiKeys")
 
 
-def _tenant(where: str, tenant: Mapping[str, Any]) -> None:
+def _check_tenant(path: str, tenant: Table) -> None:
     keys = tenant.get("apiKeys")
-    if not isinstance(keys, list) or not all(_text(key) for key in keys):
-        raise InvalidConfigError(f"{where}.apiKeys: is no list of keys")
-    if not _whole(tenant.get("priority") or 0, 0):
-        raise InvalidConfigError(f"{where}.priority: {tenant['priority']!r} is no whole number from 0 up")
+    if not isinstance(keys, list) or not all(_is_text(key) for key in keys):
+        raise InvalidConfigError("is no list of keys", path=f"{path}.apiKeys")
+    if not _is_integer(tenant.get("priority") or 0, 0):
+        raise InvalidConfigError(f"{tenant['priority']!r} is no whole number from 0 up", path=f"{path}.priority")
     for name in ("ratePerS", "burstSize"):
-        if tenant.get(name) is not None and not _number(tenant[name]):
-            raise InvalidConfigError(f"{where}.{name}: {tenant[name]!r} is no number from 0 up")
-    _regions(where, tenant)
+        if tenant.get(name) is not None and not _is_number(tenant[name]):
+            raise InvalidConfigError(f"{tenant[name]!r} is no number from 0 up", path=f"{path}.{name}")
+    _check_regions(path, tenant)
+
+
+def _check_regions(path: str, table: Table) -> None:
+    regions = table.get("allowedRegions")
+    if regions is None:
+        return
+    if not isinstance(regions, list) or not all(isinstance(region, str) for region in regions):
+        raise InvalidConfigError("is no list of names", path=f"{path}.allowedRegions")
--- a/tests/system/control/test_check.py
+++ b/tests/system/control/test_check.py
@@ -176,13 +176,13 @@
 def test_thousands_of_routes_are_checked_in_a_bounded_number_of_validations(monkeypatch: pytest.MonkeyPatch) -> None:
     """The library that checks shapes takes long for each item: it may see none of what comes by the thousand."""
     validations: list[object] = []
-    whole = config_validation._validate
+    check_shape = config_validation._check_shape
 
-    def counted(validator: Validator, where: str, table: Mapping[str, Any]) -> None:
+    def counted(schema: Validator, prefix: str, table: Mapping[str, Any]) -> None:
         validations.append(table)
-        whole(validator, where, table)
+        check_shape(schema, prefix, table)
 
-    monkeypatch.setattr(config_validation, "_validate", counted)
+    monkeypatch.setattr(config_validation, "_check_shape", counted)
     config = copy.deepcopy(PLAIN)
     config["routes"] = {f"r-{n}": {**PLAIN["routes"]["r-1"], "pathPrefix": f"/{n}/"} for n in range(5000)}
     config["tenants"] = {f"t-{n}": {"apiKeys": [f"k-{n}"]} for n in range(1000)}
