--- a/hallhitch/planes/quota/lease_acquisition.py
+++ b/hallhitch/planes/quota/lease_acquisition.py
@@ -35,6 +35,10 @@
     exclusive_since: float  # no other claimant has had this vote since
     predecessor: PredecessorReport | None
 
+    def is_confirmed_at(self, instant: float) -> bool:
+        """Whether the coordinator certainly had the vote in its table at a moment."""
+        return self.confirmed_from <= instant <= self.confirmed_until
+
     def extend(self, later: AcquisitionVote) -> None:
         """Take over a further vote of the same incarnation."""
         self.confirmed_until = max(self.confirmed_until, later.confirmed_until)
@@ -75,10 +79,8 @@
 
     def winning_votes(self, now: float, membership: LeaseMembership) -> Mapping[str, AcquisitionVote]:
         """Return unexpired votes of a quorum that were all confirmed at one moment; empty while there are none."""
-        for moment in [vote.confirmed_from for vote in self.votes.values()]:
-            confirmed = {
-                name: vote for name, vote in self.votes.items() if vote.confirmed_from <= moment <= vote.confirmed_until
-            }
+        for instant in [vote.confirmed_from for vote in self.votes.values()]:
+            confirmed = {name: vote for name, vote in self.votes.items() if vote.is_confirmed_at(instant)}
             if membership.has_quorum(confirmed) and all(now < vote.expires_at for vote in confirmed.values()):
                 return confirmed
         return {}
--- a/hallhitch/planes/quota/sliding_window.py
+++ b/hallhitch/planes/quota/sliding_window.py
@@ -59,9 +59,9 @@
         self.short_total += units
         return self._head % SLOT_NUMBERS
 
-    def add_at(self, moment: float, units: int) -> None:
+    def add_at(self, counted_at: float, units: int) -> None:
         """Count units at a past moment if it still lies in the window; needs `advance` before."""
-        age = max(0, self._head - int(moment // SLOT_MS))
+        age = max(0, self._head - int(counted_at // SLOT_MS))
         if age >= self._slots:
             return
         self._ring[self._index(age)] += units
@@ -97,8 +97,12 @@
             self.short_total -= units
         return True
 
-    def ms_until_room(self, now: float, units: int, limit: float, short_limit: float) -> float:
-        """Return the time until both windows have room, if nothing more is counted; needs `advance` before."""
+    def fits(self, units: int, limit: float, short_limit: float) -> bool:
+        """Whether both windows have capacity for more units; needs `advance` before."""
+        return self.total + units <= limit and self.short_total + units <= short_limit
+
+    def ms_until_capacity(self, now: float, units: int, limit: float, short_limit: float) -> float:
+        """Return the time until both windows have capacity, if nothing more is counted; needs `advance` before."""
         return max(
             self._ms_until_expired(now, self.total + units - limit, self._slots),
             self._ms_until_expired(now, self.short_total + units - short_limit, self._short_slots),
--- a/hallhitch/planes/quota/tenant_counter.py
+++ b/hallhitch/planes/quota/tenant_counter.py
@@ -32,7 +32,7 @@
 # In so long every gateway has had a newer configuration, or admits nothing by an older one.
 CONFIG_PROPAGATION_MS: Final = 15_000.0
 CELLS_PER_WINDOW: Final = 8  # of a usage report: finer ones make claims longer, coarser ones count longer than needed
-LEASE_MARKS: Final = 1 << 13  # a slot of a lease is told apart from those of so many leases after it
+LEASE_GENERATIONS: Final = 1 << 13  # a slot of a lease is told apart from those of so many leases after it
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     started_at: float = NEVER
     exclusive_since: float = NEVER  # no other gateway has counted since
     predecessor: PredecessorReport | None = None
-    lease_mark: int = 0  # in the slots of its units, so that none is refunded to another lease's window
+    lease_generation: int = 0  # in the slots of its units, so that none is refunded to another lease's window
     tenants: dict[str, _TenantWindows] = field(default_factory=dict)
 
 
@@ -82,7 +82,7 @@
 
     def __init__(self, quota: QuotaRule, incarnation: int) -> None:
         self._quota = quota
-        self._lease_mark = incarnation
+        self._lease_generation = incarnation
         self._buckets = [_BucketState() for _ in range(BUCKET_COUNT)]
         self._tenants: Mapping[str, Tenant] = {}
         self._max_gateways = 0  # as used in the limits
@@ -112,8 +112,10 @@
             # This gateway's last lease may have come after the predecessor's, and have outlasted the votes for it.
             exclusive_since = max(exclusive_since, lease.own_last_ended_at)
             predecessor = None
-        self._lease_mark = (self._lease_mark + 1) % LEASE_MARKS
-        self._buckets[lease.bucket] = _BucketState(lease.started_at, exclusive_since, predecessor, self._lease_mark)
+        self._lease_generation = (self._lease_generation + 1) % LEASE_GENERATIONS
+        self._buckets[lease.bucket] = _BucketState(
+            lease.started_at, exclusive_since, predecessor, self._lease_generation
+        )
 
     def is_in_use(self, bucket: int, now: float) -> bool:
         """Whether units lie in a window of a bucket; tenants whose windows are empty are removed."""
@@ -153,30 +155,24 @@
         holder_window, tenant_window = windows.holder_window, windows.tenant_window
         holder_window.advance(now)
         tenant_window.advance(now)
-        is_over_limit = (
-            tenant_window.short_total + units > windows.tenant_short_units
-            or tenant_window.total + units > windows.tenant_units
-        )
-        if is_over_limit:
-            retry_after_ms = tenant_window.ms_until_room(now, units, windows.tenant_units, windows.tenant_short_units)
+        tenant_limits = windows.tenant_units, windows.tenant_short_units
+        if not tenant_window.fits(units, *tenant_limits):
+            retry_after_ms = tenant_window.ms_until_capacity(now, units, *tenant_limits)
             return CountResult(True, tenant_window.total, 0, retry_after_ms)
         tenant_window.add(now, units)
-        is_over_share = (
-            holder_window.total + units > windows.holder_units
-            or holder_window.short_total + units > windows.holder_short_units
-        )
-        if is_over_share:
-            retry_after_ms = holder_window.ms_until_room(now, units, windows.holder_units, windows.holder_short_units)
+        holder_limits = windows.holder_units, windows.holder_short_units
+        if not holder_window.fits(units, *holder_limits):
+            retry_after_ms = holder_window.ms_until_capacity(now, units, *holder_limits)
             return CountResult(True, tenant_window.total, 0, retry_after_ms, is_over_share=True)
         slot_number = holder_window.add(now, units)
-        return CountResult(False, holder_window.total, bucket.lease_mark * SLOT_NUMBERS + slot_number)
+        return CountResult(False, holder_window.total, bucket.lease_generation * SLOT_NUMBERS + slot_number)
 
     def refund(self, now: float, tenant: str, units: int, slot: int) -> bool:
         """Return units to the slot they were counted in; False where that slot or the lease is gone."""
         bucket = self._buckets[bucket_of(tenant)]
         windows = bucket.tenants.get(tenant)
-        lease_mark, slot_number = divmod(slot, SLOT_NUMBERS)
-        if windows is None or lease_mark != bucket.lease_mark:
+        lease_generation, slot_number = divmod(slot, SLOT_NUMBERS)
+        if windows is None or lease_generation != bucket.lease_generation:
             return False
         return windows.holder_window.refund(now, slot_number, units)
 
@@ -234,18 +230,18 @@
             unreported_ms = 0.0
         else:
             unreported_ms = LEASE_DURATION_MS - CLOCK_MARGIN_MS / 2
-        window, room = windows.holder_window, windows.holder_units
-        moment = bucket.exclusive_since
-        while room > 0 and bucket.exclusive_since - moment < unreported_ms:
-            window.add_at(moment, min(windows.holder_short_units, room))
-            room -= windows.holder_short_units
-            moment -= short_length_ms
+        window, capacity = windows.holder_window, windows.holder_units
+        counted_at = bucket.exclusive_since
+        while capacity > 0 and bucket.exclusive_since - counted_at < unreported_ms:
+            window.add_at(counted_at, min(windows.holder_short_units, capacity))
+            capacity -= windows.holder_short_units
+            counted_at -= short_length_ms
         if predecessor is None or reported_units is None:
             return
         for cell, units in enumerate(reported_units):
             cell_end = predecessor.received_at - cell * self._quota.window_ms / CELLS_PER_WINDOW
-            window.add_at(min(cell_end, now), max(0, min(units, room)))
-            room -= units
+            window.add_at(min(cell_end, now), max(0, min(units, capacity)))
+            capacity -= units
 
 
 def _reported_units(report: PredecessorReport | None, tenant: str) -> Sequence[int] | None:
--- a/tests/system/quota/fault_schedule.py
+++ b/tests/system/quota/fault_schedule.py
@@ -1,11 +1,12 @@
-"""Schedules of faults, each drawn from one seed, for a simulated fleet under load well over every limit."""
+"""Schedules of faults, each drawn from one seed, for a simulated cluster under load well over every limit."""
 
 from __future__ import annotations
 
 from typing import Final
 
 from hallhitch.planes.quota.limits import RateLimit
-from tests.system.quota.simulated_fleet import QUOTA, SimulatedFleet
+from tests.system.quota.simulated_cluster import SimulatedCluster
+from tests.system.quota.simulated_process import QUOTA
 
 TENANT_LIMITS: Final = {
     "large": RateLimit(40.0, 40.0),
@@ -16,64 +17,64 @@
 RUN_MS: Final = 20_000.0
 
 
-def inject_faults(fleet: SimulatedFleet) -> None:
+def inject_faults(cluster: SimulatedCluster) -> None:
     """Inject one fault now, and another after a while, and so on."""
-    rng = fleet.rng
+    rng = cluster.rng
     draw = rng.random()
     if draw < 0.25:
-        fleet.kill(rng.choice(fleet.gateways), rng.choice((20.0, 300.0, 2500.0)))
+        cluster.kill(rng.choice(cluster.gateways), rng.choice((20.0, 300.0, 2500.0)))
     elif draw < 0.45:
-        fleet.kill(rng.choice(fleet.coordinators), rng.choice((5.0, 100.0, 1000.0, 4000.0)))
+        cluster.kill(rng.choice(cluster.coordinators), rng.choice((5.0, 100.0, 1000.0, 4000.0)))
     elif draw < 0.5:
-        for coordinator in fleet.coordinators:
-            fleet.kill(coordinator, rng.uniform(5, 900))
+        for coordinator in cluster.coordinators:
+            cluster.kill(coordinator, rng.uniform(5, 900))
     elif draw < 0.55:
-        for gateway in fleet.gateways:
-            fleet.kill(gateway, rng.uniform(5, 900))
+        for gateway in cluster.gateways:
+            cluster.kill(gateway, rng.uniform(5, 900))
     elif draw < 0.75:
-        process = rng.choice([*fleet.gateways, *fleet.coordinators])
-        process.frozen_until = fleet.env.now + rng.choice((200.0, 1500.0, 3000.0))
+        process = rng.choice([*cluster.gateways, *cluster.coordinators])
+        process.frozen_until = cluster.env.now + rng.choice((200.0, 1500.0, 3000.0))
     elif draw < 0.8:
-        fleet.shut_down(rng.choice(fleet.gateways))
+        cluster.shut_down(rng.choice(cluster.gateways))
     elif draw < 0.83:
-        fleet.change_members()
+        cluster.change_members()
     else:
-        for process in [*fleet.gateways, *fleet.coordinators]:
+        for process in [*cluster.gateways, *cluster.coordinators]:
             process.partition = int(rng.random() < rng.choice((0.0, 0.2, 0.5)))
-    fleet.schedule(rng.expovariate(1 / rng.choice((200, 1000, 3000))), lambda: inject_faults(fleet))
+    cluster.schedule(rng.expovariate(1 / rng.choice((200, 1000, 3000))), lambda: inject_faults(cluster))
 
 
-def run_with_faults(seed: int) -> SimulatedFleet:
+def run_with_faults(seed: int) -> SimulatedCluster:
     """Run one schedule of faults; with every other seed a tenth of the requests is cancelled and refunded."""
-    fleet = SimulatedFleet(seed, gateways=2 + seed % 7, coordinators=(3, 5, 3, 4, 1)[seed % 5])
+    cluster = SimulatedCluster(seed, gateways=2 + seed % 7, coordinators=(3, 5, 3, 4, 1)[seed % 5])
     for tenant, limit in TENANT_LIMITS.items():
-        fleet.add_load(tenant, limit, 300 / limit.rate_per_s, cancel_ratio=0.1 if seed % 2 else 0.0)
-    fleet.schedule(fleet.rng.uniform(0, 8000), lambda: inject_faults(fleet))
-    fleet.run_for(RUN_MS)
-    return fleet
+        cluster.traffic.add(tenant, limit, 300 / limit.rate_per_s, cancel_ratio=0.1 if seed % 2 else 0.0)
+    cluster.schedule(cluster.rng.uniform(0, 8000), lambda: inject_faults(cluster))
+    cluster.run_for(RUN_MS)
+    return cluster
 
 
-def run_with_membership_changes(seed: int, is_joint: bool = True) -> SimulatedFleet:
+def run_with_membership_changes(seed: int, is_joint: bool = True) -> SimulatedCluster:
     """Run one schedule of faults with a change of members every two seconds."""
-    fleet = SimulatedFleet(seed, gateways=2 + seed % 5, coordinators=(4, 5, 6)[seed % 3], is_joint=is_joint)
+    cluster = SimulatedCluster(seed, gateways=2 + seed % 5, coordinators=(4, 5, 6)[seed % 3], is_joint=is_joint)
     for tenant, limit in TENANT_LIMITS.items():
-        fleet.add_load(tenant, limit, 300 / limit.rate_per_s)
+        cluster.traffic.add(tenant, limit, 300 / limit.rate_per_s)
 
     def change() -> None:
-        fleet.change_members()
-        fleet.schedule(fleet.rng.uniform(500, 3500), change)
+        cluster.change_members()
+        cluster.schedule(cluster.rng.uniform(500, 3500), change)
 
-    fleet.schedule(3000, change)
-    fleet.schedule(fleet.rng.uniform(2000, 8000), lambda: inject_faults(fleet))
-    fleet.run_for(RUN_MS)
-    return fleet
+    cluster.schedule(3000, change)
+    cluster.schedule(cluster.rng.uniform(2000, 8000), lambda: inject_faults(cluster))
+    cluster.run_for(RUN_MS)
+    return cluster
 
 
-def tenants_over_limit(fleet: SimulatedFleet) -> list[str]:
+def tenants_over_limit(cluster: SimulatedCluster) -> list[str]:
     """Return the tenants of which more was admitted than the rule allows."""
     return [
         tenant
         for tenant, limit in TENANT_LIMITS.items()
-        if fleet.record.max_admitted(tenant) > QUOTA.total_limit(limit)
-        or fleet.record.max_admitted_by_holders(tenant) > QUOTA.holder_limit(limit)
+        if cluster.traffic.record.max_admitted(tenant) > QUOTA.total_limit(limit)
+        or cluster.traffic.record.max_admitted_by_holders(tenant) > QUOTA.holder_limit(limit)
     ]
--- a/tests/system/quota/lease_participants.py
+++ b/tests/system/quota/lease_participants.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
+from collections.abc import Iterable
 from dataclasses import replace
 from typing import Final
 
 from hallhitch.planes.quota.bucket_placement import VIEW_SETTLING_MS
-from hallhitch.planes.quota.lease import NO_USAGE, LeaseClaim, LeaseStart, UsageReport
+from hallhitch.planes.quota.lease import NO_USAGE, LeaseStart, UsageReport
 from hallhitch.planes.quota.lease_client import LeaseClient
 from hallhitch.planes.quota.lease_table import LeaseTable
 from hallhitch.planes.values import LeaseMembership
@@ -35,29 +35,6 @@
     return {name: tables[name] for name in names}
 
 
-def make_claim(
-    incarnation: int,
-    sequence: int,
-    coordinator_incarnation: int,
-    holder: str = "x",
-    membership_version: int = MEMBERS.version,
-    renew: Sequence[int] = (),
-    acquire: Sequence[int] = (),
-    release: Sequence[int] = (),
-) -> LeaseClaim:
-    """Return a claim as a coordinator receives it."""
-    return LeaseClaim(
-        holder,
-        incarnation,
-        sequence,
-        membership_version,
-        renew=renew,
-        acquire=acquire,
-        release=release,
-        coordinator_incarnation=coordinator_incarnation,
-    )
-
-
 class FixedUsage:
     """The same usage in every bucket, all of them in use."""
 
--- a/tests/system/quota/simulated_fleet.py
+++ b/tests/system/quota/simulated_cluster.py
@@ -8,9 +8,8 @@
 
 import math
 import random
-from bisect import bisect_right, insort
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
+from dataclasses import replace
 from functools import partial
 from typing import Final
 
@@ -19,46 +18,24 @@
 from hallhitch.planes.quota.lease import LeaseClaim
 from hallhitch.planes.quota.lease_client import LeaseClient
 from hallhitch.planes.quota.lease_table import LeaseTable
-from hallhitch.planes.quota.limits import QuotaRule, RateLimit, bucket_of
+from hallhitch.planes.quota.limits import bucket_of
 from hallhitch.planes.quota.local_reserve import LocalReserve
 from hallhitch.planes.quota.tenant_counter import TenantCounter
 from hallhitch.planes.values import LeaseMembership
 from tests.system.quota.simulated_membership import SimulatedMembership
 from tests.system.quota.simulated_process import (
+    QUOTA,
     SimulatedCoordinator,
     SimulatedGateway,
     SimulatedProcess,
     SteadyClock,
 )
+from tests.system.quota.simulated_traffic import SimulatedTraffic
 
-QUOTA: Final = QuotaRule(5000.0, 0.1, 20.0)
 LISTED_AFTER_DEATH_MS: Final = 3000.0  # a dead gateway stays in the others' views for so long
 
 
-def max_in_window(times: list[float], window_ms: float) -> int:
-    """Return the most of sorted moments that lie within any span of a length."""
-    return max((bisect_right(times, start + window_ms) - index for index, start in enumerate(times)), default=0)
-
-
-@dataclass
-class AdmissionRecord:
-    """What became of the requests: sorted moments by tenant."""
-
-    admitted: dict[str, list[float]] = field(default_factory=dict)
-    admitted_by_holders: dict[str, list[float]] = field(default_factory=dict)
-    rejected: dict[str, list[float]] = field(default_factory=dict)
-    admitted_by_reserves: int = 0
-
-    def max_admitted(self, tenant: str) -> int:
-        """Return the most that was admitted in any sliding window."""
-        return max_in_window(self.admitted.get(tenant, []), QUOTA.window_ms)
-
-    def max_admitted_by_holders(self, tenant: str) -> int:
-        """Return the most that holders admitted in any sliding window, which is a little short: clocks differ."""
-        return max_in_window(self.admitted_by_holders.get(tenant, []), QUOTA.window_ms * 0.99)
-
-
-class SimulatedFleet:
+class SimulatedCluster:
     """One run. Without faults (`is_fault_free`) the network loses and delays nothing either."""
 
     def __init__(
@@ -68,7 +45,7 @@
         self.rng = random.Random(seed)
         self.env = simpy.Environment(initial_time=1e6)
         self.is_fault_free = is_fault_free
-        self.record = AdmissionRecord()
+        self.traffic = SimulatedTraffic(self)
         self._last_incarnation = 0
         self._max_gateways = gateways if self.rng.random() < 0.5 else 0  # in the cluster configuration
         self.gateways = [SimulatedGateway(f"10.0.0.{n}:7000", self._make_clock()) for n in range(gateways)]
@@ -250,69 +227,9 @@
 
         self.send(coordinator, gateway, on_votes)
 
-    # --- requests
-
     def holder_of(self, tenant: str) -> SimulatedGateway | None:
         """Return the holder of the tenant's bucket by its own clock; two would be an error of the leases."""
         bucket = bucket_of(tenant)
         holders = [gateway for gateway in self.gateways if gateway.incarnation and gateway.is_holder(bucket)]
         assert len(holders) < 2, f"two hold {tenant} at {self.env.now}"
         return holders[0] if holders else None
-
-    def add_load(self, tenant: str, limit: RateLimit, interval_ms: float, cancel_ratio: float = 0.0) -> None:
-        """Send requests of a tenant to random gateways from now on, `interval_ms` apart on average."""
-
-        def send_request() -> None:
-            self._request(tenant, limit, self.rng.choice(self.gateways), cancel_ratio)
-            self.schedule(self.rng.expovariate(1 / interval_ms), send_request)
-
-        send_request()
-
-    def _request(self, tenant: str, limit: RateLimit, gateway: SimulatedGateway, cancel_ratio: float) -> None:
-        """Handle a request at a gateway by the tenant's holder, or by the reserve if that does not respond."""
-        if not gateway.incarnation or self.env.now < gateway.frozen_until:
-            return
-        holder, incarnation = self.holder_of(tenant), gateway.incarnation
-        if (
-            holder is None
-            or holder.partition != gateway.partition
-            or (not self.is_fault_free and self.rng.random() < 0.03)
-        ):
-            return self._take_from_reserve(tenant, limit, gateway)
-
-        def count() -> None:
-            now = holder.clock()
-            if not holder.lease_client.is_holder(now, bucket_of(tenant)):
-                return
-            result = holder.counter.add(now, tenant, 1, limit)
-            if result.is_over_limit and self.is_fault_free and not result.is_over_share:
-                insort(self.record.rejected.setdefault(tenant, []), self.env.now)
-            elif result.is_over_limit:  # under faults callers use their reserves even where the holder says not to
-                if gateway.incarnation == incarnation and self.env.now >= gateway.frozen_until:
-                    self._take_from_reserve(tenant, limit, gateway)
-            elif self.rng.random() < cancel_ratio:
-                on_receive = partial(self._refund, holder, tenant, result.slot)
-                self.send(gateway, holder, on_receive, may_duplicate=False)
-            else:
-                insort(self.record.admitted_by_holders.setdefault(tenant, []), float(self.env.now))
-                self._admit(tenant)
-
-        if holder is gateway:
-            count()
-        else:
-            self.send(gateway, holder, count)
-
-    def _refund(self, holder: SimulatedGateway, tenant: str, slot: int) -> None:
-        if holder.is_holder(bucket_of(tenant)):
-            holder.counter.refund(holder.clock(), tenant, 1, slot)
-
-    def _take_from_reserve(self, tenant: str, limit: RateLimit, gateway: SimulatedGateway) -> None:
-        if gateway.reserve.take(gateway.clock(), tenant, limit) is not None:
-            self.record.admitted_by_reserves += 1
-            self._admit(tenant)
-        else:
-            insort(self.record.rejected.setdefault(tenant, []), self.env.now)
-
-    def _admit(self, tenant: str) -> None:
-        """Record that a request goes to a backend now: it was sent before and arrives later."""
-        insort(self.record.admitted.setdefault(tenant, []), float(self.env.now))
--- a/tests/system/quota/simulated_membership.py
+++ b/tests/system/quota/simulated_membership.py
@@ -14,7 +14,7 @@
 from hallhitch.planes.values import LeaseMembership
 
 if TYPE_CHECKING:
-    from tests.system.quota.simulated_fleet import SimulatedFleet
+    from tests.system.quota.simulated_cluster import SimulatedCluster
     from tests.system.quota.simulated_process import SimulatedCoordinator
 
 RESEND_INTERVAL_MS: Final = 250.0  # until a state is sent again to those that have not accepted it
@@ -24,7 +24,7 @@
 class SimulatedMembership:
     """The memberships of one run. `is_joint` False skips what makes a change safe: the tests must notice."""
 
-    fleet: SimulatedFleet
+    cluster: SimulatedCluster
     committed: LeaseMembership
     is_joint: bool = True
     accepted: dict[str, LeaseMembership] = field(default_factory=dict)
@@ -33,7 +33,7 @@
     is_changing: bool = False
 
     def __post_init__(self) -> None:
-        for coordinator in self.fleet.coordinators:
+        for coordinator in self.cluster.coordinators:
             self.accepted[coordinator.name] = self.committed
 
     @property
@@ -62,7 +62,7 @@
     def _settle(self, joint: LeaseMembership) -> None:
         settled = LeaseMembership(joint.version + 1, joint.members, joint.previous_members)
         drop_delay_ms = LEASE_DURATION_MS + CLOCK_MARGIN_MS
-        self._commit(settled, joint, lambda: self.fleet.schedule(drop_delay_ms, lambda: self._drop_previous(settled)))
+        self._commit(settled, joint, lambda: self.cluster.schedule(drop_delay_ms, lambda: self._drop_previous(settled)))
 
     def _drop_previous(self, settled: LeaseMembership) -> None:
         final = LeaseMembership(settled.version + 1, settled.members)
@@ -78,13 +78,13 @@
         if voters.has_quorum(name for name, accepted in self.accepted.items() if accepted.version >= state.version):
             self.committed = state
             return on_commit()
-        fleet = self.fleet
-        partition = fleet.rng.choice(fleet.coordinators).partition
-        for coordinator in fleet.coordinators:
+        cluster = self.cluster
+        partition = cluster.rng.choice(cluster.coordinators).partition
+        for coordinator in cluster.coordinators:
             is_reachable = coordinator.incarnation and coordinator.partition == partition
-            if is_reachable and (fleet.is_fault_free or fleet.rng.random() > 0.2):
+            if is_reachable and (cluster.is_fault_free or cluster.rng.random() > 0.2):
                 self._send(coordinator, state)
-        fleet.schedule(RESEND_INTERVAL_MS, lambda: self._commit(state, voters, on_commit))
+        cluster.schedule(RESEND_INTERVAL_MS, lambda: self._commit(state, voters, on_commit))
 
     def _send(self, coordinator: SimulatedCoordinator, state: LeaseMembership) -> None:
         def accept() -> None:
@@ -92,6 +92,6 @@
                 self.accepted[coordinator.name] = state
                 coordinator.table.set_membership(coordinator.clock(), state)
 
-        delay_ms = self.fleet.rng.uniform(1, 60 if self.fleet.is_fault_free else 600)
+        delay_ms = self.cluster.rng.uniform(1, 60 if self.cluster.is_fault_free else 600)
         # It reaches whatever incarnation is there on arrival.
-        self.fleet.schedule(delay_ms, lambda: self.fleet.run_in(coordinator, coordinator.incarnation or -1, accept))
+        self.cluster.schedule(delay_ms, lambda: self.cluster.run_in(coordinator, coordinator.incarnation or -1, accept))
--- a/tests/system/quota/simulated_process.py
+++ b/tests/system/quota/simulated_process.py
@@ -1,16 +1,20 @@
-"""Processes of a simulated fleet: each has its own steady clock and can be killed, frozen and cut off."""
+"""Processes of a simulated cluster: each has its own steady clock and can be killed, frozen and cut off."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import Final
 
 import simpy
 
 from hallhitch.planes.quota.lease_client import LeaseClient
 from hallhitch.planes.quota.lease_table import LeaseTable
+from hallhitch.planes.quota.limits import QuotaRule
 from hallhitch.planes.quota.local_reserve import LocalReserve
 from hallhitch.planes.quota.tenant_counter import TenantCounter
 
+QUOTA: Final = QuotaRule(5000.0, 0.1, 20.0)  # of all runs
+
 
 @dataclass
 class SteadyClock:
--- a/tests/system/quota/test_counter_client.py
+++ b/tests/system/quota/test_counter_client.py
@@ -5,13 +5,14 @@
 import asyncio
 from dataclasses import dataclass
 
+from hallhitch.lab.simulation.virtual_time import VirtualLoop
 from hallhitch.messages.system_pb2 import CountResponse, Envelope
 from hallhitch.planes.quota.counter_client import HOLDER_BACKOFF_MS, INITIAL_CALL_TIMEOUT_MS, CounterClient
 from hallhitch.planes.quota.limits import BUCKET_COUNT, QuotaRule, RateLimit
 from hallhitch.planes.quota.local_reserve import LocalReserve
 from hallhitch.planes.quota.tenant_counter import CountResult
 from hallhitch.planes.values import Tenant
-from tests.system.quota.virtual_network import VirtualLoop, VirtualNetwork, run
+from tests.system.quota.virtual_network import VirtualNetwork, run
 
 QUOTA = QuotaRule(5000.0, 0.1, 20.0)
 LIMIT = RateLimit(10.0, 10.0)
--- a/tests/system/quota/test_membership_change.py
+++ b/tests/system/quota/test_membership_change.py
@@ -16,7 +16,7 @@
     make_tables,
     select,
 )
-from tests.system.quota.simulated_fleet import SimulatedFleet
+from tests.system.quota.simulated_cluster import SimulatedCluster
 
 BEFORE = LeaseMembership(1, ("a", "b", "c"))
 JOINT = LeaseMembership(2, ("a", "b", "d"), ("a", "b", "c"))
@@ -29,97 +29,97 @@
 def test_only_a_joint_membership_prevents_two_holders(membership: LeaseMembership, holders: list[str]) -> None:
     """x knows of no change and reaches b and c; y knows of it and reaches a and d, which have accepted it."""
     tables = make_tables("abcd", BEFORE)
-    x, y = ClaimingGateway("x", START), ClaimingGateway("y", START)
-    x.claim_rounds(START, select(tables, "bc"))
+    gateway_x, gateway_y = ClaimingGateway("x", START), ClaimingGateway("y", START)
+    gateway_x.claim_rounds(START, select(tables, "bc"))
     for name in "ad":
         tables[name].set_membership(START + 40, membership)
-    y.lease_client.set_membership(START + 40, membership)
-    y.claim_rounds(START + 50, select(tables, "ad"))
-    assert [name for name, gateway in (("x", x), ("y", y)) if gateway.is_holder(START + 100)] == holders
+    gateway_y.lease_client.set_membership(START + 40, membership)
+    gateway_y.claim_rounds(START + 50, select(tables, "ad"))
+    assert [name for name, gateway in (("x", gateway_x), ("y", gateway_y)) if gateway.is_holder(START + 100)] == holders
 
 
 def test_lease_by_the_previous_members_alone_ends_before_the_new_ones_count_alone() -> None:
-    tables, x = make_tables("abcd", BEFORE), ClaimingGateway("x", START)
-    x.claim_rounds(START, select(tables, "bc"))
+    tables, gateway_x = make_tables("abcd", BEFORE), ClaimingGateway("x", START)
+    gateway_x.claim_rounds(START, select(tables, "bc"))
     for name in "abd":
         tables[name].set_membership(START + 40, JOINT)
     for delay_ms in range(100, int(LEASE_DURATION_MS + CLOCK_MARGIN_MS), 100):  # only c renews
-        x.claim(START + 40 + delay_ms, select(tables, "c"))
-    assert not x.is_holder(START + 40 + LEASE_DURATION_MS)
+        gateway_x.claim(START + 40 + delay_ms, select(tables, "c"))
+    assert not gateway_x.is_holder(START + 40 + LEASE_DURATION_MS)
 
 
 def test_claim_of_the_previous_membership_ends_no_lease() -> None:
-    tables, x = make_tables("abcd", BEFORE), ClaimingGateway("x", START)
-    x.claim_rounds(START, select(tables, "abc"))
+    tables, gateway_x = make_tables("abcd", BEFORE), ClaimingGateway("x", START)
+    gateway_x.claim_rounds(START, select(tables, "abc"))
     for step, membership in enumerate((JOINT, SETTLED, AFTER)):
         for table in tables.values():
             table.set_membership(START + 100 + 1100 * step, membership)
         for delay_ms in range(110, 1200, 100):
-            x.claim(START + 1100 * step + delay_ms, select(tables, x.lease_client.voters))
-            assert x.is_holder(START + 1100 * step + delay_ms)
-    assert x.lease_client.voters == AFTER.members and len(x.lease_starts) == 128
+            gateway_x.claim(START + 1100 * step + delay_ms, select(tables, gateway_x.lease_client.voters))
+            assert gateway_x.is_holder(START + 1100 * step + delay_ms)
+    assert gateway_x.lease_client.voters == AFTER.members and len(gateway_x.lease_starts) == 128
 
 
 def test_running_lease_goes_on_though_none_of_its_voters_stays() -> None:
-    tables, x = make_tables("abcd", BEFORE), ClaimingGateway("x", START)
-    x.claim_rounds(START, select(tables, "abc"))
-    x.lease_client.set_membership(START + 100, LeaseMembership(2, ("d", "e", "f"), BEFORE.members))
-    assert x.is_holder(START + 900) and not x.is_holder(START + 1000)
+    tables, gateway_x = make_tables("abcd", BEFORE), ClaimingGateway("x", START)
+    gateway_x.claim_rounds(START, select(tables, "abc"))
+    gateway_x.lease_client.set_membership(START + 100, LeaseMembership(2, ("d", "e", "f"), BEFORE.members))
+    assert gateway_x.is_holder(START + 900) and not gateway_x.is_holder(START + 1000)
 
 
 @pytest.mark.parametrize("memberships", [(JOINT, SETTLED, AFTER), (AFTER,)])
 def test_holder_that_shared_no_voter_bounds_what_is_known(memberships: tuple[LeaseMembership, ...]) -> None:
     tables = make_tables("abcd", BEFORE)
-    x, y = ClaimingGateway("x", START), ClaimingGateway("y", START)
-    x.claim_rounds(START, select(tables, "bc"))
-    assert x.is_holder(START + 40)
+    gateway_x, gateway_y = ClaimingGateway("x", START), ClaimingGateway("y", START)
+    gateway_x.claim_rounds(START, select(tables, "bc"))
+    assert gateway_x.is_holder(START + 40)
     for step, membership in enumerate(memberships):
         for name in "abd":
             tables[name].set_membership(START + 100 + LEASE_DURATION_MS * step, membership)
     dropped_at = START + 100 + LEASE_DURATION_MS * (len(memberships) - 1)
-    y.lease_client.set_membership(dropped_at, AFTER)
-    y.claim_rounds(dropped_at + LEASE_DURATION_MS, select(tables, "ad"))
-    start = y.lease_starts[BUCKET]
-    assert y.is_holder(dropped_at + LEASE_DURATION_MS + 40)
+    gateway_y.lease_client.set_membership(dropped_at, AFTER)
+    gateway_y.claim_rounds(dropped_at + LEASE_DURATION_MS, select(tables, "ad"))
+    start = gateway_y.lease_starts[BUCKET]
+    assert gateway_y.is_holder(dropped_at + LEASE_DURATION_MS + 40)
     assert start.exclusive_since == dropped_at and start.predecessor is None
 
 
 def test_votes_from_before_a_quorum_set_was_dropped_do_not_count_after() -> None:
     tables = make_tables("abcd", BEFORE)
-    x, y = ClaimingGateway("x", START), ClaimingGateway("y", START)
-    x.claim_rounds(START, select(tables, "bc"))
+    gateway_x, gateway_y = ClaimingGateway("x", START), ClaimingGateway("y", START)
+    gateway_x.claim_rounds(START, select(tables, "bc"))
     for name in "ad":
         tables[name].set_membership(START + 40, SETTLED)
-    y.lease_client.set_membership(START + 40, SETTLED)
-    y.claim_rounds(START + LEASE_DURATION_MS, select(tables, "ad"), rounds=ROUNDS[:2])  # half of what is needed
+    gateway_y.lease_client.set_membership(START + 40, SETTLED)
+    gateway_y.claim_rounds(START + LEASE_DURATION_MS, select(tables, "ad"), rounds=ROUNDS[:2])  # half of what is needed
     dropped_at = START + LEASE_DURATION_MS + CLOCK_MARGIN_MS
     for name in "ad":
         tables[name].set_membership(dropped_at, AFTER)
-    y.lease_client.set_membership(dropped_at, AFTER)
-    y.claim_rounds(dropped_at + 10, select(tables, "ad"))
-    assert y.is_holder(dropped_at + 50) and y.lease_starts[BUCKET].exclusive_since == dropped_at
+    gateway_y.lease_client.set_membership(dropped_at, AFTER)
+    gateway_y.claim_rounds(dropped_at + 10, select(tables, "ad"))
+    assert gateway_y.is_holder(dropped_at + 50) and gateway_y.lease_starts[BUCKET].exclusive_since == dropped_at
 
 
 def test_exchange_of_one_member_ends_no_lease_and_rejects_no_request() -> None:
-    fleet = SimulatedFleet(7, gateways=9, coordinators=4, is_fault_free=True)
-    fleet.run_for(10_000)
+    cluster = SimulatedCluster(7, gateways=9, coordinators=4, is_fault_free=True)
+    cluster.run_for(10_000)
     for tenant, rate in (("large", 155.0), ("small", 10.0)):
-        fleet.add_load(tenant, RateLimit(rate, rate), 1000 / (rate / 1.6))
-    fleet.run_for(6000)
-    began = fleet.env.now
-    fleet.membership.change(tuple(coordinator.name for coordinator in fleet.coordinators[1:]))
-    while fleet.env.now < began + 2500:  # after that a bucket is handed over, with or without a change
-        fleet.run_for(5)
-        assert sum(len(gateway.held_buckets()) for gateway in fleet.gateways) == 128
-    assert fleet.membership.completed_changes == 1 and fleet.record.rejected == {}
+        cluster.traffic.add(tenant, RateLimit(rate, rate), 1000 / (rate / 1.6))
+    cluster.run_for(6000)
+    began = cluster.env.now
+    cluster.membership.change(tuple(coordinator.name for coordinator in cluster.coordinators[1:]))
+    while cluster.env.now < began + 2500:  # after that a bucket is handed over, with or without a change
+        cluster.run_for(5)
+        assert sum(len(gateway.held_buckets()) for gateway in cluster.gateways) == 128
+    assert cluster.membership.completed_changes == 1 and cluster.traffic.record.rejected == {}
 
 
 @pytest.mark.parametrize("block", range(4))
 def test_no_schedule_of_membership_changes_exceeds_a_limit(block: int) -> None:
     for seed in range(block * 8, block * 8 + 8):
-        fleet = run_with_membership_changes(seed)
-        assert not tenants_over_limit(fleet), f"seed {seed}"
-        assert fleet.membership.completed_changes, f"seed {seed}"
+        cluster = run_with_membership_changes(seed)
+        assert not tenants_over_limit(cluster), f"seed {seed}"
+        assert cluster.membership.completed_changes, f"seed {seed}"
 
 
 def test_schedules_detect_members_that_count_alone_at_once() -> None:
--- a/tests/system/quota/test_plane.py
+++ b/tests/system/quota/test_plane.py
@@ -4,13 +4,14 @@
 
 import asyncio
 
+from hallhitch.lab.simulation.virtual_time import VirtualLoop
 from hallhitch.messages.system_pb2 import CountRequest, Envelope
 from hallhitch.node.settings import NodeSettings, RuleBounds
 from hallhitch.planes.quota.lease_coordinator import LeaseCoordinator
 from hallhitch.planes.quota.limits import BUCKET_COUNT, bucket_of
 from hallhitch.planes.quota.plane import QuotaPlane
 from hallhitch.planes.values import ClusterConfig, Gateway, LeaseMembership, RequestLimits, Tenant
-from tests.system.quota.virtual_network import VirtualLoop, VirtualNetwork, run
+from tests.system.quota.virtual_network import VirtualNetwork, run
 
 TENANT = Tenant("t", ("k",), None, 50.0, 50.0)
 CONFIG = ClusterConfig(1, 1, {}, {}, {"t": TENANT}, {"k": TENANT}, RequestLimits())
@@ -42,7 +43,7 @@
     )
 
 
-class PlaneFleet:
+class PlaneCluster:
     """The planes, which get the gateways and holders from one coordinator every 100 ms."""
 
     def __init__(self, loop: VirtualLoop) -> None:
@@ -99,18 +100,18 @@
 
 def test_buckets_are_spread_and_each_tenant_is_counted_in_one_place() -> None:
     async def main(loop: VirtualLoop) -> None:
-        fleet = PlaneFleet(loop)
-        await fleet.start()
-        held = fleet.held_buckets()
+        cluster = PlaneCluster(loop)
+        await cluster.start()
+        held = cluster.held_buckets()
         assert sorted(bucket for buckets in held for bucket in buckets) == list(range(BUCKET_COUNT)) and all(held)
-        assert await fleet.count_admitted(60, 0.01) == 60
-        calls_before = len(fleet.network.calls)
-        holder = fleet.nodes[fleet.holder_index()].internal_address
-        await fleet.count_admitted(3, 0.0)
-        calls = fleet.network.calls[calls_before:]
+        assert await cluster.count_admitted(60, 0.01) == 60
+        calls_before = len(cluster.network.calls)
+        holder = cluster.nodes[cluster.holder_index()].internal_address
+        await cluster.count_admitted(3, 0.0)
+        calls = cluster.network.calls[calls_before:]
         assert {address for address, envelope in calls if envelope.HasField("count_request")} <= {holder}
         unknown_tenant = Envelope(count_request=CountRequest(tenant="unheard of"))
-        responses = [plane.handle(unknown_tenant).count_response for plane in fleet.planes]
+        responses = [plane.handle(unknown_tenant).count_response for plane in cluster.planes]
         assert sum(response.is_lease_holder and response.is_tenant_unknown for response in responses) == 1
 
     run(main)
@@ -118,30 +119,30 @@
 
 def test_graceful_shutdown_of_a_holder_rejects_few_requests() -> None:
     async def main(loop: VirtualLoop) -> None:
-        fleet = PlaneFleet(loop)
-        await fleet.start()
-        holder = fleet.holder_index()
-        fleet.planes.append(fleet.planes.pop(holder))  # the last one: requests still come to it
-        fleet.nodes.append(fleet.nodes.pop(holder))
-        assert await fleet.count_admitted(60, 0.03) == 60
-        await fleet.planes[-1].release_all()
-        assert fleet.planes[-1].held_buckets() == []
-        assert await fleet.count_admitted(90, 0.03) >= 85
+        cluster = PlaneCluster(loop)
+        await cluster.start()
+        holder = cluster.holder_index()
+        cluster.planes.append(cluster.planes.pop(holder))  # the last one: requests still come to it
+        cluster.nodes.append(cluster.nodes.pop(holder))
+        assert await cluster.count_admitted(60, 0.03) == 60
+        await cluster.planes[-1].release_all()
+        assert cluster.planes[-1].held_buckets() == []
+        assert await cluster.count_admitted(90, 0.03) >= 85
 
     run(main)
 
 
 def test_without_a_majority_of_coordinators_only_reserves_admit() -> None:
     async def main(loop: VirtualLoop) -> None:
-        fleet = PlaneFleet(loop)
-        await fleet.start()
-        fleet.network.silent.update(list(fleet.coordinators)[:2])
+        cluster = PlaneCluster(loop)
+        await cluster.start()
+        cluster.network.silent.update(list(cluster.coordinators)[:2])
         await asyncio.sleep(2)
-        assert not any(fleet.held_buckets())
-        assert 0 < await fleet.count_admitted(120, 0.0) < 70
-        fleet.network.silent.clear()
+        assert not any(cluster.held_buckets())
+        assert 0 < await cluster.count_admitted(120, 0.0) < 70
+        cluster.network.silent.clear()
         await asyncio.sleep(4)
-        assert sum(map(len, fleet.held_buckets())) == BUCKET_COUNT
-        assert await fleet.count_admitted(30, 0.05) == 30
+        assert sum(map(len, cluster.held_buckets())) == BUCKET_COUNT
+        assert await cluster.count_admitted(30, 0.05) == 30
 
     run(main)
--- a/tests/system/quota/test_sliding_window.py
+++ b/tests/system/quota/test_sliding_window.py
@@ -18,7 +18,7 @@
 class Addition:
     """Units that were added, fewer after a refund."""
 
-    moment: float
+    added_at: float
     units: int
     slot: int
 
@@ -38,20 +38,20 @@
         if refunds and window.refund(now, refunded.slot, refunded.units):
             refunded.units = 0
         for length_ms, counted in ((LENGTH_MS, window.total), (SHORT_LENGTH_MS, window.short_total)):
-            assert sum(addition.units for addition in additions if addition.moment > now - length_ms) <= counted
+            assert sum(addition.units for addition in additions if addition.added_at > now - length_ms) <= counted
             longer_ms = length_ms + 2 * SLOT_MS
-            assert counted <= sum(addition.units for addition in additions if addition.moment >= now - longer_ms)
+            assert counted <= sum(addition.units for addition in additions if addition.added_at >= now - longer_ms)
         units_by_cell = window.units_by_cell(now, CELLS_PER_WINDOW, CELL_MS)
         for cell in range(CELLS_PER_WINDOW):
-            recent = sum(addition.units for addition in additions if addition.moment > now - cell * CELL_MS)
+            recent = sum(addition.units for addition in additions if addition.added_at > now - cell * CELL_MS)
             assert sum(units_by_cell[:cell]) >= recent or sum(units_by_cell[: cell + 1]) >= recent
 
 
-def test_room_is_back_after_the_returned_time() -> None:
+def test_capacity_is_back_after_the_returned_time() -> None:
     window = SlidingWindow(1000.0, 5000.0, 500.0)
     window.add(1000.0, 4)
     window.advance(1900.0)
-    wait_ms = window.ms_until_room(1900.0, 1, 4, 4)
+    wait_ms = window.ms_until_capacity(1900.0, 1, 4, 4)
     window.advance(1900.0 + wait_ms - 1)
     assert window.total == 4
     window.advance(1900.0 + wait_ms)
--- a/tests/system/quota/virtual_network.py
+++ b/tests/system/quota/virtual_network.py
@@ -6,18 +6,17 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, Final, TypeVar
 
-from hallhitch.lab.simulation.virtual_time import VirtualLoop as VirtualLoop
-from hallhitch.lab.simulation.virtual_time import close_loop
+from hallhitch.lab.simulation.virtual_time import VirtualLoop, close_loop
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.errors import RequestTimeout
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 START_S: Final = 1000.0  # a steady clock does not begin with the process
 NEVER_S: Final = 3600.0  # longer than any time-out
 
 
-def run(main: Callable[[VirtualLoop], Coroutine[Any, Any, T]]) -> T:
+def run(main: Callable[[VirtualLoop], Coroutine[Any, Any, Result]]) -> Result:
     """Run a coroutine to its end in virtual time."""
     loop = VirtualLoop(START_S)
     try:
