--- a/tests/system/compatibility/test_earlier_release.py
+++ b/tests/system/compatibility/test_earlier_release.py
@@ -1,4 +1,4 @@
-"""Frames and a data folder written by commit 13b2e67, before names changed: read as they were meant, written alike.
+"""Frames and a data directory written by commit 13b2e67, before names changed, are read and written alike.
 
 `frames.bin` holds one envelope for each kind of body, every field filled, and one that is long enough to be cut in
 pieces. `data_folder` is what a replica of cluster `cluster-a` at 10.0.0.1:7000 kept. What is written byte for byte as
@@ -26,7 +26,7 @@
     return (HERE / "frames.bin").read_bytes()
 
 
-def test_every_field_of_earlier_frames_is_known() -> None:
+def test_earlier_frames_have_no_unknown_field() -> None:
     envelopes = [Envelope.FromString(received.data) for received in FrameReader().feed(_earlier_frames())]
     numbers = {field.name: field.number for field in Envelope.DESCRIPTOR.oneofs_by_name["body"].fields}
     bodies = sorted(numbers[str(envelope.WhichOneof("body"))] for envelope in envelopes)
@@ -47,36 +47,36 @@
     assert written == _earlier_frames()
 
 
-def test_an_earlier_data_folder_is_read(tmp_path: Path) -> None:
-    folder = shutil.copytree(HERE / "data_folder", tmp_path / "data")
-    found = StateStore(DirectoryStorage(folder), ADDRESS, CLUSTER).load()
-    assert not found.is_empty and not found.problems and found.state is not None
-    replica = found.state
-    assert replica.promised == Ballot(5, "10.0.0.2:7000 77")
-    assert replica.accepted == Ballot(4, "10.0.0.1:7000 12")
-    assert replica.incarnations == {"10.0.0.3:7000": 2}
-    state = replica.state
+def test_earlier_data_directory_is_read(tmp_path: Path) -> None:
+    directory = shutil.copytree(HERE / "data_folder", tmp_path / "data")
+    loaded = StateStore(DirectoryStorage(directory), ADDRESS, CLUSTER).load()
+    assert not loaded.is_empty and not loaded.problems and loaded.state is not None
+    acceptor = loaded.state
+    assert acceptor.promised == Ballot(5, "10.0.0.2:7000 77")
+    assert acceptor.accepted == Ballot(4, "10.0.0.1:7000 12")
+    assert acceptor.incarnations == {"10.0.0.3:7000": 2}
+    state = acceptor.state
     assert (state.serial, state.config_version, zlib.decompress(state.config)) == (7, 41, b'{"services":{}}')
     assert dict(state.evacuations) == {"hall-1": 5} and dict(state.annotations) == {"gateways": "12"}
     assert list(state.members) == ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"] and state.membership_version == 3
     assert list(state.previous_members) == ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.4:7000"]
     assert list(state.previous_lease_members) == ["10.0.0.4:7000"]
-    assert [(one.config_version, one.digest) for one in state.config_digests] == [
+    assert [(entry.config_version, entry.digest) for entry in state.config_digests] == [
         (40, b"\x01" * 16),
         (41, b"\x02" * 16),
     ]
 
 
-def test_a_data_folder_is_written_as_before(tmp_path: Path) -> None:
-    folder = shutil.copytree(HERE / "data_folder", tmp_path / "earlier")
-    found = StateStore(DirectoryStorage(folder), ADDRESS, CLUSTER).load()
-    assert found.state is not None
+def test_data_directory_is_written_as_before(tmp_path: Path) -> None:
+    directory = shutil.copytree(HERE / "data_folder", tmp_path / "earlier")
+    loaded = StateStore(DirectoryStorage(directory), ADDRESS, CLUSTER).load()
+    assert loaded.state is not None
     store = StateStore(DirectoryStorage(tmp_path / "now"), ADDRESS, CLUSTER)
     store.load()
-    store.save(found.state)
+    store.save(loaded.state)
     store.remove_obsolete()
     assert _files(tmp_path / "now") == _files(HERE / "data_folder")
 
 
-def _files(folder: Path) -> dict[str, bytes]:
-    return {file.name: file.read_bytes() for file in folder.iterdir()}
+def _files(directory: Path) -> dict[str, bytes]:
+    return {file.name: file.read_bytes() for file in directory.iterdir()}
