--- a/hallhitch/planes/quota/bucket_placement.py
+++ b/hallhitch/planes/quota/bucket_placement.py
@@ -25,7 +25,7 @@
 # gateways then retry in the order of the ranking, so that votes do not split once more.
 REJECTED_RETRY_MS: Final = 300.0
 RETRY_STAGGER_MS: Final = 100.0
-UNRANKED_RETRY_MS: Final = 500.0
+UNRANKED_RETRY_MS: Final = 500.0  # where this gateway is in no ranking, as after an attempt that timed out
 
 HELD_ELSEWHERE: Final = math.inf  # in place of the moment since which a bucket is free
 
@@ -91,11 +91,11 @@
         self._retry_at[bucket] = until
 
     def can_acquire(self, now: float) -> bool:
-        """Whether this gateway may hold buckets, by a view of the gateways that has settled."""
+        """Return whether this gateway may hold buckets, by a view of the gateways that has settled."""
         return now >= self._settled_at and self._own_address in self._gateways
 
     def is_own_turn(self, now: float, bucket: int) -> bool:
-        """Whether a bucket has been free for long enough for this gateway to acquire it; needs `can_acquire`."""
+        """Return whether a bucket has been free for long enough for this gateway to acquire it; needs `can_acquire`."""
         free_since = self._free_since[bucket]
         if free_since == HELD_ELSEWHERE or now < self._retry_at[bucket]:
             return False
--- a/hallhitch/planes/quota/counter_client.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -77,7 +77,7 @@
         return self.silent_until > 0
 
     def can_call(self, now: float) -> bool:
-        """Whether to call it: always while it responds, else once at a time after the backoff."""
+        """Return whether to call it: always while it responds, else once at a time after the backoff."""
         is_trial_due = not self.is_trial_running and now >= self.silent_until
         return is_trial_due or not self.is_silent
 
--- a/hallhitch/planes/quota/held_lease.py
+++ b/hallhitch/planes/quota/held_lease.py
@@ -1,10 +1,9 @@
-"""The leases that a gateway holds, and those that it gives up. Owns when each ends by this gateway's own clock.
+"""The leases that a gateway holds. Owns when each ends by this gateway's own clock.
 
 Invariants:
 - A lease runs while a quorum's votes for it run, each from the moment its claim was *sent*; after a change of
   membership it also runs for as long as it did before the change.
 - A vote on a claim that was sent before the lease began prolongs nothing (`first_renewal`).
-- An ended lease is announced in every claim of the next lease duration, so that each coordinator hears of it.
 
 Moments are steady ms of this process.
 """
@@ -61,7 +60,7 @@
         return iter(self._leases)
 
     def is_running(self, now: float, bucket: int) -> bool:
-        """Whether the lease on a bucket is held and has not expired."""
+        """Return whether the lease on a bucket is held and has not expired."""
         return now < self._expires_at[bucket]
 
     def running(self, now: float) -> list[int]:
@@ -85,7 +84,7 @@
         return self._last_ended_at[bucket]
 
     def has_ended_within(self, now: float, bucket: int, window_ms: float) -> bool:
-        """Whether an earlier lease may have counted units that still lie in a window."""
+        """Return whether an earlier lease may have counted units that still lie in a window."""
         return now - self._last_ended_at[bucket] < window_ms
 
     def add(self, bucket: int, lease: HeldLease, membership: LeaseMembership) -> None:
@@ -109,44 +108,3 @@
         for bucket, lease in self._leases.items():
             lease.guaranteed_until = self._expires_at[bucket]
             self.recompute_expiry(bucket, lease, membership)
-
-
-@dataclass(frozen=True, slots=True)
-class Release:
-    """A bucket that is given up. `has_counted`: units of this gateway may lie in the window.
-
-    `is_usage_complete`: no other gateway may have counted since this one last did.
-    """
-
-    has_counted: bool
-    announced_until: float
-    is_usage_complete: bool
-
-
-class PendingReleases:
-    """The releases that coordinators may not have heard of yet, by bucket."""
-
-    def __init__(self) -> None:
-        self._releases: dict[int, Release] = {}
-
-    def add(self, bucket: int, release: Release) -> None:
-        """Announce a release with the claims to come."""
-        self._releases[bucket] = release
-
-    def cancel(self, bucket: int) -> None:
-        """Announce the release of a bucket no more, as it is to be acquired again."""
-        self._releases.pop(bucket, None)
-
-    def expire(self, now: float) -> None:
-        """Remove the releases that were announced for long enough."""
-        self._releases = {
-            bucket: release for bucket, release in self._releases.items() if now < release.announced_until
-        }
-
-    def counted(self) -> dict[int, Release]:
-        """Return the releases of buckets that this gateway may have counted in."""
-        return {bucket: release for bucket, release in self._releases.items() if release.has_counted}
-
-    def uncounted(self) -> list[int]:
-        """Return the released buckets in which this gateway counted nothing within a window."""
-        return [bucket for bucket, release in self._releases.items() if not release.has_counted]
--- a/hallhitch/planes/quota/lease.py
+++ b/hallhitch/planes/quota/lease.py
@@ -90,7 +90,7 @@
     """What was counted in the buckets that this gateway holds; see tenant_counter.TenantCounter."""
 
     def is_in_use(self, bucket: int, now: float) -> bool:
-        """Whether units lie in a window of the bucket."""
+        """Return whether units lie in a window of the bucket."""
 
     def usage_report(self, bucket: int, now: float) -> UsageReport:
         """Return what the windows of the bucket hold."""
--- a/hallhitch/planes/quota/lease_acquisition.py
+++ b/hallhitch/planes/quota/lease_acquisition.py
@@ -36,7 +36,7 @@
     predecessor: PredecessorReport | None
 
     def is_confirmed_at(self, instant: float) -> bool:
-        """Whether the coordinator certainly had the vote in its table at a moment."""
+        """Return whether the coordinator certainly had the vote in its table at a moment."""
         return self.confirmed_from <= instant <= self.confirmed_until
 
     def extend(self, later: AcquisitionVote) -> None:
@@ -55,7 +55,7 @@
     rejected_by: set[str] = field(default_factory=set)
 
     def is_timed_out(self, now: float) -> bool:
-        """Whether the attempt has taken too long."""
+        """Return whether the attempt has taken too long."""
         return now - self.started_at > ACQUIRE_TIMEOUT_MS
 
     def add_rejection(self, coordinator: str) -> None:
@@ -64,7 +64,7 @@
         self.rejected_by.add(coordinator)
 
     def can_succeed(self, membership: LeaseMembership) -> bool:
-        """Whether the coordinators that have not rejected the attempt are a quorum."""
+        """Return whether the coordinators that have not rejected the attempt are a quorum."""
         return membership.has_quorum(frozenset(membership.voters) - self.rejected_by)
 
     def add_vote(self, coordinator: str, vote: AcquisitionVote) -> bool:
--- a/hallhitch/planes/quota/lease_client.py
+++ b/hallhitch/planes/quota/lease_client.py
@@ -1,14 +1,14 @@
 """The leases of one gateway: what it claims, and what follows from the coordinators' votes. Does no I/O itself.
 
-Owns the attempts and the claims in flight. Its parts own the rest: an attempt to acquire
-(`lease_acquisition.py`), held and released leases (`held_lease.py`), who should hold what (`bucket_placement.py`), and
-what is known of the coordinators (`coordinator_view.py`).
+Owns the attempts and the claims in flight. Its parts own the rest: an attempt to acquire (`lease_acquisition.py`),
+held leases (`held_lease.py`), released ones (`lease_release.py`), who should hold what (`bucket_placement.py`), what to
+hand over (`rebalancing.py`), and what is known of the coordinators (`coordinator_view.py`).
 
 **Why no bucket has two holders.** A lease needs votes of a majority of the members and, during a change of members,
 of a majority of the previous ones too; a coordinator votes for one claimant at a time (`lease_table.py`). A lease
-ends by the holder's clock before the votes do (CLOCK_MARGIN_MS). A coordinator that restarts forgets its votes, so
-it grants none for a lease duration, and a lease begins only after two rounds of votes (`lease_acquisition.py`). When
-a lease ends, every earlier vote for it is void, those in flight among them, and it is acquired anew.
+ends by the holder's clock before the votes do (CLOCK_MARGIN_MS). Coordinators that restart forget their votes. So
+they vote only to renew for a lease duration, a lease begins only after two rounds of votes (`lease_acquisition.py`),
+and when it ends every earlier vote for it is void, those in flight among them, and it is acquired anew.
 
 **Change of members**, from M0 through the joint membership J = (M0, M1) to M1. Quorums of M0 and J share a voter, so
 do those of J and M1; those of M0 and M1 need not. Invariant: no lease is counted by M0 alone while one is counted by
@@ -27,7 +27,7 @@
 
 from hallhitch.planes.quota.bucket_placement import BucketPlacement
 from hallhitch.planes.quota.coordinator_view import CoordinatorView
-from hallhitch.planes.quota.held_lease import HeldLease, HeldLeases, PendingReleases, Release
+from hallhitch.planes.quota.held_lease import HeldLease, HeldLeases
 from hallhitch.planes.quota.lease import (
     CLOCK_MARGIN_MS,
     LEASE_DURATION_MS,
@@ -38,6 +38,7 @@
     UsageReport,
 )
 from hallhitch.planes.quota.lease_acquisition import AcquisitionVote, LeaseAcquisition, newest_common_report
+from hallhitch.planes.quota.lease_release import PendingReleases, Release
 from hallhitch.planes.quota.limits import BUCKET_COUNT
 from hallhitch.planes.quota.rebalancing import HANDED_OVER_RETRY_MS, buckets_to_hand_over
 from hallhitch.planes.values import LeaseMembership
@@ -97,7 +98,7 @@
         return self._coordinators.incarnation(coordinator)
 
     def is_holder(self, now: float, bucket: int) -> bool:
-        """Whether this gateway counts the bucket's tenants now."""
+        """Return whether this gateway counts the bucket's tenants now."""
         return self._held.is_running(now, bucket)
 
     def held_buckets(self, now: float) -> list[int]:
--- a/hallhitch/planes/quota/lease_table.py
+++ b/hallhitch/planes/quota/lease_table.py
@@ -28,9 +28,9 @@
 
 # A gateway counts as one that may exist for so long after its last claim: a minute, as LocalReserve remembers counts.
 CLAIMANT_RETENTION_MS: Final = 60_000.0
-# A change of members takes the versions joint, settled and end: between the first and the last of them lie two steps,
-# and a set of members of the change is dropped by none but the last.
-MAX_VERSION_STEP: Final = 2
+# Versions of one change of members in which both sets count (joint, settled). A larger step between two known versions
+# may have skipped a quorum set that was added and dropped in between.
+JOINT_VERSIONS_PER_CHANGE: Final = 2
 # Sequence numbers of ended incarnations are removed once there are clearly more than live claimants may have.
 SEQUENCES_PER_CLAIMANT: Final = 4
 SPARE_SEQUENCES: Final = 64
@@ -88,13 +88,13 @@
         current = self._membership
         if membership.version < current.version or membership == current:
             return
-        may_have_missed_a_set = membership.version - current.version > MAX_VERSION_STEP
+        may_have_missed_a_set = membership.version - current.version > JOINT_VERSIONS_PER_CHANGE
         if may_have_missed_a_set or not current.quorum_sets or not current.quorum_sets <= membership.quorum_sets:
             self._quorum_set_dropped_at = now
         self._membership = membership
 
     def in_grace_period(self, now: float) -> bool:
-        """Whether votes of an earlier incarnation may still count."""
+        """Return whether votes of an earlier incarnation may still count."""
         return now < self._grace_until
 
     def vote(self, now: float, claim: LeaseClaim) -> LeaseVotes:
--- a/hallhitch/planes/quota/plane.py
+++ b/hallhitch/planes/quota/plane.py
@@ -32,7 +32,7 @@
 CLAIM_TIMEOUT_MS: Final = 700.0  # as long as an attempt to acquire (lease_acquisition.ACQUIRE_TIMEOUT_MS)
 MAX_CLAIMS_IN_FLIGHT: Final = 3  # to one coordinator: those of CLAIM_TIMEOUT_MS, if it is silent
 MAX_RELEASE_CLAIMS: Final = 2  # at shutdown: the response to the first may name a newer membership or incarnation
-RESERVE_CLEANUP_INTERVAL_MS: Final = 20_000.0
+RESERVE_CLEANUP_INTERVAL_MS: Final = 20_000.0  # of memory only: a few windows
 
 
 class QuotaPlane:
--- a/hallhitch/planes/quota/sliding_window.py
+++ b/hallhitch/planes/quota/sliding_window.py
@@ -98,7 +98,7 @@
         return True
 
     def fits(self, units: int, limit: float, short_limit: float) -> bool:
-        """Whether both windows have capacity for more units; needs `advance` before."""
+        """Return whether both windows have capacity for more units; needs `advance` before."""
         return self.total + units <= limit and self.short_total + units <= short_limit
 
     def ms_until_capacity(self, now: float, units: int, limit: float, short_limit: float) -> float:
--- a/hallhitch/planes/quota/tenant_counter.py
+++ b/hallhitch/planes/quota/tenant_counter.py
@@ -118,7 +118,7 @@
         )
 
     def is_in_use(self, bucket: int, now: float) -> bool:
-        """Whether units lie in a window of a bucket; tenants whose windows are empty are removed."""
+        """Return whether units lie in a window of a bucket; tenants whose windows are empty are removed."""
         state = self._buckets[bucket]
         for name, windows in [*state.tenants.items()]:
             windows.holder_window.advance(now)
@@ -177,7 +177,7 @@
         return windows.holder_window.refund(now, slot_number, units)
 
     def _is_past_in_window(self, state: _BucketState, now: float) -> bool:
-        """Whether units that earlier holders counted may still lie in a window."""
+        """Return whether units that earlier holders counted may still lie in a window."""
         return now - state.exclusive_since < self._quota.window_ms
 
     def _current_windows(self, now: float, bucket: _BucketState, tenant: str, limit: RateLimit) -> _TenantWindows:
