--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -283,44 +283,42 @@
 
 
 def choosing(backends: int, gateways: int) -> Row:
-    """One decision over so many backends of one service, and sorting their seats anew, seen from one gateway."""
-    service, route = (
-        Service("s", "/health", 100, 0.0, 0.0),
-        Route("r", "h", "/", RequestKind.IDEMPOTENT, 3000.0, 800.0, 0, (("s", 1.0),), 2, True),
-    )
+    """One decision over so many backends of one service, and a rebuild of its endpoints, seen from one gateway."""
+    service = Service("s", "/health", 100, 0.0, 0.0)
+    route = Route("r", "h", "/", RequestKind.IDEMPOTENT, 3000.0, 800.0, 0, (("s", 1.0),), 2, True)
     own = gateway(0)
-    word = ClusterConfig(1, 1, {"h": (route,)}, {"s": service}, {}, {})
-    here = [replace(gateway(n * 28), zone=f"namaka-{n % 2 * 28}", region="region-0") for n in range(1, gateways)]
+    config = ClusterConfig(1, 1, {"h": (route,)}, {"s": service}, {}, {})
+    peers = [replace(gateway(n * 28), zone=f"namaka-{n % 2 * 28}", region="region-0") for n in range(1, gateways)]
     entries = [Backend(f"i-{n}", "s", "10.0.0.1", n, f"namaka-{n % 2 * 28}", "region-0", 3) for n in range(backends)]
 
-    def built() -> LoadBalancer:
-        choice = LoadBalancer(LoadBalancerSettings(own.name, own.zone, own.region), random.Random(1))
-        choice.set_config(0.0, word)
-        choice.set_gateways(0.0, own.name, [own, *here])
-        choice.set_backends(0.0, entries)
-        return choice
-
-    began = time.thread_time()
-    choice = built()
-    first = time.thread_time() - began
-    clock = [10_000.0]
-
-    def one() -> None:
-        clock[0] += 1.0
-        run = choice.begin_request(clock[0], RequestInfo(route, "s", frozenset(), 0, clock[0], clock[0] + 3000.0))
-        step = choice.next_action(clock[0], run)
-        if isinstance(step, Forward):
-            choice.on_attempt_ended(clock[0], run, step.backend, Outcome.OK, 5.0)
-        choice.finish_request(clock[0], run)
-
-    each = spent(one)
-
-    def changed() -> None:
-        clock[0] += 1.0
-        choice.set_backends(clock[0], entries if int(clock[0]) % 2 else entries[1:])
-
-    again = spent(changed)
-    return backends, gateways, each, first * 1000, again / 1000, traced(built) / 1e6
+    def build() -> LoadBalancer:
+        balancer = LoadBalancer(LoadBalancerSettings(own.name, own.zone, own.region), random.Random(1))
+        balancer.set_config(0.0, config)
+        balancer.set_gateways(0.0, own.name, [own, *peers])
+        balancer.set_backends(0.0, entries)
+        return balancer
+
+    started = time.thread_time()
+    balancer = build()
+    build_s = time.thread_time() - started
+    now = [10_000.0]
+
+    def run_request() -> None:
+        now[0] += 1.0
+        state = balancer.begin_request(now[0], RequestInfo(route, "s", frozenset(), 0, now[0], now[0] + 3000.0))
+        action = balancer.next_action(now[0], state)
+        if isinstance(action, Forward):
+            balancer.on_attempt_ended(now[0], state, action.backend, Outcome.OK, 5.0)
+        balancer.finish_request(now[0], state)
+
+    request_us = spent(run_request)
+
+    def change_list() -> None:
+        now[0] += 1.0
+        balancer.set_backends(now[0], entries if int(now[0]) % 2 else entries[1:])
+
+    rebuild_us = spent(change_list)
+    return backends, gateways, request_us, build_s * 1000, rebuild_us / 1000, traced(build) / 1e6
 
 
 def counting(tenants: int) -> Row:
--- a/hallhitch/planes/data/endpoint_set.py
+++ b/hallhitch/planes/data/endpoint_set.py
@@ -163,7 +163,7 @@
         return None
 
     def is_reserved_for_higher_priority(self, endpoint: Endpoint, criteria: SelectionCriteria) -> bool:
-        """Whether a queued request of a higher priority comes first at this endpoint."""
+        """Return whether a queued request of a higher priority comes first at this endpoint."""
         return any(
             count and priority < criteria.priority and (not regions or endpoint.backend.region in regions)
             for (priority, regions), count in self.queued.items()
@@ -185,7 +185,7 @@
         return 0.0 if endpoint.is_preferred_here else load * endpoint.slots
 
     def has_capacity(self, endpoint: Endpoint, load: float, criteria: SelectionCriteria, queue_ratio: float) -> bool:
-        """Whether one more request may go there, with `queue_ratio` rounds of its slots allowed to queue."""
+        """Return whether one more request may go there, with `queue_ratio` rounds of its slots allowed to queue."""
         now, slots = criteria.now, endpoint.slots
         if endpoint.timed_out and endpoint.timed_out[0].deadline_ms <= now:
             endpoint.release_expired(now)
@@ -249,7 +249,7 @@
     # Health.
 
     def _is_selectable(self, endpoint: Endpoint, criteria: SelectionCriteria) -> bool:
-        """Whether a request may go there by the endpoint's health, whatever its load."""
+        """Return whether a request may go there by the endpoint's health, whatever its load."""
         now, health = criteria.now, endpoint.health
         if not _is_eligible(endpoint.backend, criteria) or now < health.overloaded_until_ms:
             return False
@@ -272,7 +272,7 @@
 
 
 def _is_eligible(backend: Backend, criteria: SelectionCriteria) -> bool:
-    """Whether the request may go to this backend at all."""
+    """Return whether the request may go to this backend at all."""
     if backend.instance in criteria.excluded_instances:
         return False
     return not criteria.allowed_regions or backend.region in criteria.allowed_regions
--- a/hallhitch/planes/data/interfaces.py
+++ b/hallhitch/planes/data/interfaces.py
@@ -32,7 +32,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the backend may have run the request."""
+        """Return whether the backend may have run the request."""
         return self in (
             Outcome.OK,
             Outcome.SERVER_ERROR,
--- a/hallhitch/planes/data/latency.py
+++ b/hallhitch/planes/data/latency.py
@@ -105,7 +105,7 @@
     def is_unresponsive(
         self, now: float, endpoint_sends: UnansweredSends, zone_sends: UnansweredSends, is_remote: bool
     ) -> bool:
-        """Whether it is odd that a backend, or its whole zone, has not responded by now."""
+        """Return whether it is odd that a backend, or its whole zone, has not responded by now."""
         if self._all_routes.samples < UNRESPONSIVE_MIN_SAMPLES:
             return False
         mean_ms, deviation_ms = self._all_routes.mean_ms, self._all_routes.deviation_ms
@@ -126,7 +126,7 @@
 
     @property
     def is_slow(self) -> bool:
-        """Whether so many attempts are late that hedged requests would only add to the load."""
+        """Return whether so many attempts are late that hedged requests would only add to the load."""
         return self._late_ratio > SLOW_SERVICE_RATIO
 
     def hedge_delay(self, average: LatencyAverage, target_ms: float, elapsed_ms: float, remaining_ms: float) -> float:
--- a/hallhitch/planes/data/load_balancer.py
+++ b/hallhitch/planes/data/load_balancer.py
@@ -166,7 +166,7 @@
         return self._enqueue(now, state, endpoints, average)
 
     def _may_try_again(self, now: float, state: RequestState, endpoints: EndpointSet) -> bool:
-        """Whether the route's attempts, the retry budget and the service's latency allow one more attempt."""
+        """Return whether the route's attempts, the retry budget and the service's latency allow one more attempt."""
         request = state.request
         arrived = sum(1 for a in state.attempts if a.may_have_arrived)
         if arrived >= max(request.route.max_attempts, 1):
--- a/hallhitch/planes/data/outcome_recorder.py
+++ b/hallhitch/planes/data/outcome_recorder.py
@@ -78,7 +78,7 @@
 
 
 def _is_local_fault(now: float, endpoints: EndpointSet) -> bool:
-    """Whether so many endpoints of the region failed of late that this gateway's own network is at fault."""
+    """Return whether so many endpoints of the region failed of late that this gateway's own network is at fault."""
     in_region = endpoints.primary + endpoints.secondary
     failed = sum(1 for e in in_region if e.health.last_failure_ms > now - LOCAL_FAULT_WINDOW_MS)
     return failed > LOCAL_FAULT_RATIO * len(in_region) > 0
--- a/hallhitch/planes/data/outlier_detection.py
+++ b/hallhitch/planes/data/outlier_detection.py
@@ -137,7 +137,7 @@
         self.ejected_until_ms = now + MISDIRECTED_EJECTION_MS
 
     def _is_already_counted(self, now: float, outcome: Outcome) -> bool:
-        """Whether a failure adds nothing: it has the cause of the last one, or the backend is ejected already."""
+        """Return whether a failure adds nothing: the cause of the last one, or the backend is ejected already."""
         if self._consecutive_failures and now - self.last_failure_ms < CORRELATED_FAILURE_MS and not self._ejection_ms:
             # A crash ends all connections at once. Not to be reachable at all is more than that.
             return outcome is not Outcome.UNREACHABLE
--- a/hallhitch/planes/data/request_state.py
+++ b/hallhitch/planes/data/request_state.py
@@ -24,12 +24,12 @@
 
     @property
     def has_in_flight(self) -> bool:
-        """Whether an attempt holds capacity at an endpoint."""
+        """Return whether an attempt holds capacity at an endpoint."""
         return any(a.is_in_flight for a in self.attempts)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a backend may have run the request, as far as attempts have ended."""
+        """Return whether a backend may have run the request, as far as attempts have ended."""
         return any(a.may_have_run for a in self.attempts)
 
     def latest_attempt(self, instance: str) -> EndpointAttempt | None:
--- a/hallhitch/planes/data/retry_budget.py
+++ b/hallhitch/planes/data/retry_budget.py
@@ -40,7 +40,7 @@
         self._expire(now)
 
     def allows_retry(self, now: float, gateways: int) -> bool:
-        """Whether one more retry fits, with so many gateways sharing the slack."""
+        """Return whether one more retry fits, with so many gateways sharing the slack."""
         self._expire(now)
         # A process that just started may follow one that has spent its slack within this window.
         slack = self._slack / max(gateways, 1) if now - self._started_at_ms >= self._window_ms else 0.0
--- a/hallhitch/planes/data/slow_start.py
+++ b/hallhitch/planes/data/slow_start.py
@@ -126,7 +126,7 @@
         return bound // SHARES_PER_BACKEND
 
     def admits(self, now: float, backend: Backend, service: Service) -> bool:
-        """Whether one more request may go to this warming backend now."""
+        """Return whether one more request may go to this warming backend now."""
         share = self.owned_share(service)
         if share == float("inf"):
             return True
