--- a/hallhitch/planes/control/ballot_attempt.py
+++ b/hallhitch/planes/control/ballot_attempt.py
@@ -27,7 +27,7 @@
 
 PREPARE_TIMEOUT_MS: Final = 900.0  # above the 850 ms that an operator's change is given: later promises serve nobody
 ACCEPT_TIMEOUT_MS: Final = 2500.0  # an accept may carry a large configuration over a slow link
-LINGER_MS: Final = 150.0  # for the accepts beyond a majority, so that more disks than needed hold a change
+SPARE_ACCEPTS_WAIT_MS: Final = 150.0  # for the accepts beyond a majority, so that more disks than needed hold a change
 REPLY_MARGIN_MS: Final = 20.0  # before the first caller's deadline, in which nothing more is waited for
 
 
@@ -76,7 +76,7 @@
         self._unanswered = set(proposal.recipients)
         self._prepares_sent_ms = math.inf
         self._has_measured_phase = False
-        self._gives_up_ms = math.inf  # once a replica has refused: others that are silent are not waited for long
+        self._refusal_deadline_ms = math.inf  # set by the first refusal: silent replicas are not waited for long
 
     async def run(self) -> BallotResult:
         """Send the messages until the outcome is clear."""
@@ -88,14 +88,14 @@
             if result is None:
                 continue
             if isinstance(result, Committed) and self._proposal.is_changed:
-                await self._linger()
+                await self._wait_for_spare_accepts()
             return result
         return Abandoned()
 
     async def _next_answer(self) -> MemberAnswer | None:
         """Return the next answer, or None once a ballot that was refused has waited long enough."""
-        context = self._context
-        timeout_s = None if self._gives_up_ms == math.inf else max(0.0, self._gives_up_ms - context.clock()) / 1000
+        deadline_ms = self._refusal_deadline_ms
+        timeout_s = None if deadline_ms == math.inf else max(0.0, deadline_ms - self._context.clock()) / 1000
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._answers.get()
@@ -114,8 +114,8 @@
         if proposal.has_failed() or (answer.is_refusal and self._is_overtaken()):
             return Abandoned()
         if answer.is_refusal:
-            patience_ends_ms = self._context.clock() + self._context.phase.rival_timeout_ms
-            self._gives_up_ms = min(self._gives_up_ms, patience_ends_ms)
+            deadline_ms = self._context.clock() + self._context.phase.rival_timeout_ms
+            self._refusal_deadline_ms = min(self._refusal_deadline_ms, deadline_ms)
         return None
 
     def _on_promise(self, member: str, promise: Promise) -> BallotResult | None:
@@ -175,12 +175,12 @@
         self._has_measured_phase = True
         self._context.phase.observe(self._context.clock() - self._prepares_sent_ms)
 
-    async def _linger(self) -> None:
+    async def _wait_for_spare_accepts(self) -> None:
         """Wait a little for the other replicas that are likely to answer, after a majority has the state."""
         context = self._context
         until_first_deadline_ms = context.pending.first_deadline_ms - context.clock() - REPLY_MARGIN_MS
         try:
-            async with asyncio.timeout(min(LINGER_MS, until_first_deadline_ms) / 1000):
+            async with asyncio.timeout(min(SPARE_ACCEPTS_WAIT_MS, until_first_deadline_ms) / 1000):
                 while any(context.is_responsive(member) for member in self._unanswered):
                     answer = await self._answers.get()
                     if answer.envelope.HasField("promise") and answer.envelope.promise.ok:
