--- a/hallhitch/planes/control/local_replica.py
+++ b/hallhitch/planes/control/local_replica.py
@@ -25,7 +25,3 @@
     def record_reply(self, address: str) -> None:
         """Note that a coordinator has replied just now."""
         self.observations.record_reply(address, self.clock())
-
-    def is_responsive(self, address: str) -> bool:
-        """Return whether a coordinator replied recently; this process always does."""
-        return self.observations.is_responsive(address, self.clock())
--- a/hallhitch/planes/control/operator_api.py
+++ b/hallhitch/planes/control/operator_api.py
@@ -6,8 +6,8 @@
 - *In time*: a reply comes within the second after which callers give up, but for large configurations, to which their
   callers allow more.
 
-Whoever owns the connection cancels the call when its caller leaves, so that a late order dies with its caller; why that
-matters is told in `state_transitions`.
+Whoever owns the connection cancels the call when its caller leaves, so that a late order is dropped with its caller;
+`state_transitions` says why.
 """
 
 from __future__ import annotations
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -18,16 +18,16 @@
 from hallhitch.messages.system_pb2 import AcceptorQuery, ClusterState, Envelope
 from hallhitch.node.clock import now
 from hallhitch.node.errors import PeerCallError
-from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.node.settings import NodeSettings
-from hallhitch.planes.control import membership_policy
 from hallhitch.planes.control.acceptor import DurableAcceptor
 from hallhitch.planes.control.ballot import Ballot
 from hallhitch.planes.control.committed_state import CommittedState
 from hallhitch.planes.control.graceful_departure import GracefulDeparture
 from hallhitch.planes.control.lease_renewal import LeaseBasis, LeaseRenewal, RenewalPorts
 from hallhitch.planes.control.local_replica import LocalReplica
+from hallhitch.planes.control.membership_policy import ObservationTiming, replicas_needed
 from hallhitch.planes.control.membership_reconciler import MembershipReconciler, ReplicationGap
+from hallhitch.planes.control.observation_rounds import ObservationRounds
 from hallhitch.planes.control.peer_observations import PeerObservations
 from hallhitch.planes.control.proposer import Proposer
 from hallhitch.planes.control.replica_startup import ReplicaStartup
@@ -41,9 +41,6 @@
 from hallhitch.planes.control.suspension_detector import SuspensionDetector
 from hallhitch.planes.values import LeaseMembership
 
-MAX_BUSY_ROUND_INTERVAL_MS: Final = 300.0  # between rounds while something is missing or under way
-# Rounds are spread by this part of their interval, so that coordinators that started together do not stay in step.
-ROUND_JITTER_RATIO: Final = 0.2
 DEPARTED: Final = "this machine has left the register"  # in answers of the operator API
 
 
@@ -85,19 +82,19 @@
     ) -> None:
         environment = environment or ReplicaEnvironment()
         self.address = node.internal_address
-        self._node, self._clock, self._rng = node, environment.clock, environment.rng
-        self._timing = membership_policy.ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
+        self._node, self._clock = node, environment.clock
         self._storage_thread = StorageThread()
-        self._observations = PeerObservations(self.address, self._clock(), self._timing.unresponsive_after_ms)
+        timing = ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
+        self._observations = PeerObservations(self.address, self._clock(), timing.unresponsive_after_ms)
         self._acceptor = self._create_acceptor(environment)
         self._proposer = Proposer(
             self._acceptor,
-            f"{self._rng.getrandbits(64):016x}",
+            f"{environment.rng.getrandbits(64):016x}",
             peers.call,
             self._on_own_ballot_committed,
             lambda address: self._observations.is_responsive(address, self._clock()),
             self._clock,
-            self._rng,
+            environment.rng,
         )
         replica = LocalReplica(
             self.address, self._acceptor, self._proposer, self._observations, peers.call, self._clock
@@ -108,13 +105,14 @@
         self._observer = StateObserver(replica, self._committed, self.lease, self._on_replication_gap)
         recovery = StateRecovery(self._acceptor, self._observer.known_peers, self._observer.call_peer, self._clock)
         self._startup = ReplicaStartup(node, replica, recovery, self._observer.known_peers)
+        self._rounds = ObservationRounds(
+            replica, self._startup, self._observer, self._is_change_expected, environment.rng
+        )
         self._departure = GracefulDeparture(replica, self._reconciler, self._observer.publish)
         self._suspension = SuspensionDetector(self._clock, self._on_resume)
         ports = RenewalPorts(self._lease_basis, peers.call, replica.record_reply, self._read_committed_for_lease)
         self._renewal = LeaseRenewal(self.address, self.lease, ports, self._clock)
         self._tasks: list[asyncio.Task[None]] = []
-        self._log = ComponentLogger("control")
-        self._round_log = RateLimitedLog(self._log)
         self.apply_settings(node)
 
     @property
@@ -149,7 +147,7 @@
         if not self._startup.is_within_grace:
             return False
         members = self._proposer.committed_membership.members
-        needed = membership_policy.replicas_needed(self._node.tolerated_machine_losses)
+        needed = replicas_needed(self._node.tolerated_machine_losses)
         return not self._committed.is_confirmed or len(members) < needed
 
     @property
@@ -166,7 +164,7 @@
         self._tasks = [
             asyncio.ensure_future(work)
             for work in (
-                self._observe_peers(),
+                self._rounds.run(),
                 self._suspension.run(),
                 self._renewal.run(),
                 self._reconciler.run(self._may_propose),
@@ -190,8 +188,8 @@
     def apply_settings(self, node: NodeSettings) -> None:
         """Take over seeds, tolerated losses and the times that follow from the bounds."""
         self._node = self._startup.node = node
-        self._timing = membership_policy.ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
-        self._observations.unresponsive_after_ms = self._timing.unresponsive_after_ms
+        self._rounds.timing = ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
+        self._observations.unresponsive_after_ms = self._rounds.timing.unresponsive_after_ms
         self._observer.seed_addresses = frozenset(node.seed_addresses)
         self._reconciler.tolerated_losses = node.tolerated_machine_losses
 
@@ -273,33 +271,14 @@
         membership = self._proposer.committed_membership
         return LeaseBasis(self._committed.ballot, membership, own_report, self._observations.is_leaving)
 
-    async def _read_committed_for_lease(self) -> None:
-        await self.read_committed(QUERY_TIMEOUT_MS)
-
-    async def _observe_peers(self) -> None:
-        """Run round after round; never ends by itself."""
-        while True:
-            try:
-                await self._observe_once()
-            except (PeerCallError, TimeoutError) as error:
-                self._round_log.warning(self._clock(), "observation round incomplete", error=error)
-            except Exception as error:
-                self._log.exception("observation round failed", error)
-            jitter = self._rng.uniform(1.0 - ROUND_JITTER_RATIO, 1.0 + ROUND_JITTER_RATIO)
-            await asyncio.sleep(self._round_interval_ms() * jitter / 1000)
-
-    async def _observe_once(self) -> None:
-        await self._startup.advance()
-        await self._observer.observe(self._timing.reply_timeout_ms)
-        self._observations.prune(self._proposer.committed_membership, self._clock())
-
-    def _round_interval_ms(self) -> float:
-        is_state_unknown = not self._committed.is_confirmed or self._acceptor.state.is_recovering
-        is_change_expected = (
-            self._reconciler.has_pending_work
+    def _is_change_expected(self) -> bool:
+        """Return whether there is something to learn or to do, so that rounds come faster."""
+        return (
+            not self._committed.is_confirmed
+            or self._reconciler.has_pending_work
             or self._observations.is_leaving
             or self._observations.has_unheard_querier(self._clock())
         )
-        if is_state_unknown or is_change_expected:
-            return min(MAX_BUSY_ROUND_INTERVAL_MS, self._timing.round_interval_ms)
-        return self._timing.round_interval_ms
+
+    async def _read_committed_for_lease(self) -> None:
+        await self.read_committed(QUERY_TIMEOUT_MS)
