--- a/hallhitch/planes/quota/counter_client.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -192,7 +192,7 @@
         elif isinstance(token, _HolderToken) and token.holder == self._own_address:
             self._local_counter.refund(token.tenant, token.slot)
         elif isinstance(token, _HolderToken):
-            task = asyncio.ensure_future(self._refund_at_holder(token))
+            task = asyncio.create_task(self._refund_at_holder(token))
             self._refund_tasks.add(task)
             task.add_done_callback(self._refund_tasks.discard)
 
--- a/hallhitch/planes/quota/lease_table.py
+++ b/hallhitch/planes/quota/lease_table.py
@@ -88,8 +88,10 @@
         current = self._membership
         if membership.version < current.version or membership == current:
             return
-        may_have_missed_a_set = membership.version - current.version > JOINT_VERSIONS_PER_CHANGE
-        if may_have_missed_a_set or not current.quorum_sets or not current.quorum_sets <= membership.quorum_sets:
+        is_first = not current.quorum_sets
+        has_dropped_set = not current.quorum_sets <= membership.quorum_sets
+        may_have_missed_set = membership.version - current.version > JOINT_VERSIONS_PER_CHANGE
+        if is_first or has_dropped_set or may_have_missed_set:
             self._quorum_set_dropped_at = now
         self._membership = membership
 
--- a/hallhitch/planes/quota/plane.py
+++ b/hallhitch/planes/quota/plane.py
@@ -94,7 +94,7 @@
 
     async def start(self) -> None:
         """Start to claim leases."""
-        self._claim_loop = asyncio.ensure_future(self._run_claim_loop())
+        self._claim_loop = asyncio.create_task(self._run_claim_loop())
 
     async def release_all(self) -> None:
         """Stop counting and release all buckets; `counter` goes on asking other gateways."""
@@ -167,7 +167,7 @@
             claim = self._next_claim()
             for voter in self._lease_client.voters:
                 if self._claims_in_flight.get(voter, 0) < MAX_CLAIMS_IN_FLIGHT:
-                    task = asyncio.ensure_future(self._send_claim(voter, claim))
+                    task = asyncio.create_task(self._send_claim(voter, claim))
                     self._claim_tasks.add(task)
                     task.add_done_callback(self._claim_tasks.discard)
             if now >= reserve_cleanup_at:
--- a/tests/system/quota/test_plane.py
+++ b/tests/system/quota/test_plane.py
@@ -63,7 +63,7 @@
 
     async def start(self) -> None:
         """Start the planes, and wait until the leases are spread."""
-        self.updates = asyncio.ensure_future(self._send_updates())
+        self.updates = asyncio.create_task(self._send_updates())
         for plane in self.planes:
             await plane.start()
         await asyncio.sleep(9)
