--- a/hallhitch/planes/control/acceptor.py
+++ b/hallhitch/planes/control/acceptor.py
@@ -24,7 +24,7 @@
 
 QUEUE_TIMEOUT_MS: Final = 1500.0  # above the 850 ms of an operator's change: nobody waits for the reply any more
 
-STORAGE_STEP: Final = "keep"  # the step that errors name; part of the texts that operators are answered
+STORAGE_STEP: Final = "keep"  # the step that errors name; part of the error replies that peers get
 
 
 class DurableAcceptor:
--- a/hallhitch/planes/control/errors.py
+++ b/hallhitch/planes/control/errors.py
@@ -32,4 +32,4 @@
     """The settings name no data directory; handled like a disk that refuses."""
 
     def __init__(self) -> None:
-        super().__init__("there is no data folder")
+        super().__init__("the settings name no data directory")
--- a/hallhitch/planes/control/vote_eligibility.py
+++ b/hallhitch/planes/control/vote_eligibility.py
@@ -63,6 +63,8 @@
         own = own_state.incarnations.get(self._address, 0)
         if own_state.is_recovering or reported <= own:
             return True
-        self._log.warning("data folder is old, its state is discarded", incarnation=own, known_to_peers=reported)
+        self._log.warning(
+            "data directory is outdated, its state is discarded", incarnation=own, known_to_peers=reported
+        )
         self._acceptor.discard_state()
         return False
--- a/tests/system/control/test_founding.py
+++ b/tests/system/control/test_founding.py
@@ -131,7 +131,7 @@
         assert await describe_config(a) == (2, "two")
 
     run_scenario(scene)
-    assert sum("folder is old" in line for line in logged) == 1
+    assert sum("data directory is outdated" in line for line in logged) == 1
 
 
 def test_a_folder_of_another_machine_or_cluster_has_no_vote(logged: list[str]) -> None:
