--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -29,7 +29,7 @@
 from hallhitch.planes.control.membership_reconciler import MembershipReconciler, ReplicationGap
 from hallhitch.planes.control.observation_rounds import ObservationRounds
 from hallhitch.planes.control.peer_observations import PeerObservations
-from hallhitch.planes.control.proposer import Proposer
+from hallhitch.planes.control.proposer import Proposer, ProposerPorts
 from hallhitch.planes.control.replica_startup import ReplicaStartup
 from hallhitch.planes.control.serving_lease import ServingLease
 from hallhitch.planes.control.state_observer import QUERY_TIMEOUT_MS, StateObserver
@@ -90,9 +90,11 @@
         self._proposer = Proposer(
             self._acceptor,
             f"{environment.rng.getrandbits(64):016x}",
-            peers.call,
-            self._on_own_ballot_committed,
-            lambda address: self._observations.is_responsive(address, self._clock()),
+            ProposerPorts(
+                peers.call,
+                self._on_own_ballot_committed,
+                lambda address: self._observations.is_responsive(address, self._clock()),
+            ),
             self._clock,
             environment.rng,
         )
--- a/hallhitch/planes/control/proposer.py
+++ b/hallhitch/planes/control/proposer.py
@@ -10,6 +10,7 @@
 import random
 from collections.abc import Callable
 from contextlib import suppress
+from dataclasses import dataclass
 from typing import Final
 
 from hallhitch.messages.system_pb2 import ClusterState
@@ -34,20 +35,27 @@
 MAX_IMMEDIATE_RESTARTS: Final = 3  # by other members, without a pause: more of them in a row mean contention
 
 
-class Proposer:
-    """Puts changes to the consensus.
+@dataclass(frozen=True, slots=True)
+class ProposerPorts:
+    """What a proposer uses of its process.
 
     `on_commit` gets each state that a majority holds, and its ballot; `is_responsive` says whether a replica is likely
-    to answer; `incarnation` tells this process from earlier ones of its machine.
+    to answer.
     """
 
+    call_peer: PeerCall
+    on_commit: Callable[[ClusterState, Ballot], None]
+    is_responsive: Callable[[str], bool]
+
+
+class Proposer:
+    """Puts changes to the consensus. `incarnation` tells this process from earlier ones of its machine."""
+
     def __init__(
         self,
         acceptor: DurableAcceptor,
         incarnation: str,
-        call_peer: PeerCall,
-        on_commit: Callable[[ClusterState, Ballot], None],
-        is_responsive: Callable[[str], bool],
+        ports: ProposerPorts,
         clock: Callable[[], float] = now,
         rng: random.Random | None = None,
     ) -> None:
@@ -58,9 +66,9 @@
         self._clock, self._rng = clock, rng or random.Random()
         self._round = 0
         self._pending = PendingChanges(clock)
-        self._calls = MemberCalls(acceptor, call_peer)
+        self._calls = MemberCalls(acceptor, ports.call_peer)
         self._context = BallotContext(
-            self._calls, self._pending, acceptor.rivals, PhaseDuration(), on_commit, is_responsive, clock
+            self._calls, self._pending, acceptor.rivals, PhaseDuration(), ports.on_commit, ports.is_responsive, clock
         )
         self._work: asyncio.Task[None] | None = None  # runs ballots while changes are pending
         self._ballot: asyncio.Task[BallotResult] | None = None  # the ballot under way
