--- a/hallhitch/planes/data/endpoint.py
+++ b/hallhitch/planes/data/endpoint.py
@@ -1,6 +1,6 @@
 """One backend as a load-balancing target, and the attempts that this gateway has sent there.
 
-Owns the endpoint's count of attempts in flight. Invariant: an attempt holds capacity from its start until `release`,
+Owns the endpoint's count of attempts in flight. Invariant: an attempt holds capacity from `begin` until `release`,
 which counts once; a timed-out attempt holds it until its real end or its request's deadline.
 """
 
@@ -82,13 +82,30 @@
     is_half_open: bool = False  # it tests an endpoint whose ejection is over
     hedge_delay_ms: float = 0.0
     retry_spent_at_ms: float | None = None  # what it spent of the retry budget
-    is_in_flight: bool = True  # it holds capacity
+    is_in_flight: bool = True  # it holds capacity, or is about to
     is_timed_out: bool = False
     may_have_arrived: bool = True
     may_have_run: bool = False
 
+    def begin(self) -> None:
+        """Take capacity at the endpoint."""
+        endpoint, now = self.endpoint, self.started_at_ms
+        if not endpoint.in_flight:
+            endpoint.unanswered.clear()
+        endpoint.in_flight += 1
+        endpoint.unanswered.record_send(now)
+        endpoint.zone_unanswered.record_send(now)
+        if self.is_half_open:
+            endpoint.health.has_half_open_attempt = True
+
+    def time_out(self) -> None:
+        """Mark the attempt as timed out; it keeps the capacity that it holds."""
+        self.is_timed_out = True
+        if self.is_in_flight:
+            self.endpoint.timed_out.append(self)
+
     def release(self) -> None:
-        """Free the capacity that the attempt holds."""
+        """Free the capacity that the attempt holds; without effect if it holds none."""
         if not self.is_in_flight:
             return
         self.is_in_flight = False
--- a/hallhitch/planes/data/endpoint_set.py
+++ b/hallhitch/planes/data/endpoint_set.py
@@ -16,6 +16,7 @@
 from hallhitch.planes.data.endpoint import Endpoint, Locality
 from hallhitch.planes.data.latency import LatencyEstimate
 from hallhitch.planes.data.outlier_detection import HealthState
+from hallhitch.planes.data.queued_requests import QueuedRequests
 from hallhitch.planes.data.slow_start import CAPACITY_RAMP_MS, SlowStart
 from hallhitch.planes.values import Backend, RequestKind, Service
 
@@ -33,6 +34,10 @@
 RAMP_RESERVED_RATIO: Final = 0.5  # of the slots that count as taken at the end of slow start, falling to none
 LOAD_AVERAGING_MS: Final = 1000.0  # time constant of the own load, by which that of others is estimated
 
+# Half-open attempts: a token bucket that requests to the service fill.
+HALF_OPEN_SHARE: Final = 0.1  # of the requests that may test an ejected endpoint
+MAX_HALF_OPEN_TOKENS: Final = 3.0  # saved up
+
 # What an endpoint costs, in mean latencies of the route.
 WARMING_LATENCY_FACTOR: Final = 2.0  # of a backend in slow start
 SUSPECT_COST: Final = 1.0  # after a failure, or while it is unresponsive
@@ -67,12 +72,12 @@
     def __init__(self, service: Service, slow_start: SlowStart) -> None:
         self.service = service
         self.latency = LatencyEstimate()
+        self.queued = QueuedRequests()
         self.primary: list[Endpoint] = []  # own region, low rank
         self.secondary: list[Endpoint] = []  # own region otherwise
         self.remote: list[Endpoint] = []
-        self.queued: dict[tuple[int, frozenset[str]], int] = {}  # requests by priority and allowed regions
-        self.half_open_tokens = 0.0  # half-open attempts that are due to this service
         self._slow_start = slow_start
+        self._half_open_tokens = 0.0  # half-open attempts that are due to this service
         self._gateways = 1  # that share the endpoints of the own region
         self._region_slots = 1
         self._max_slots = 1  # of any endpoint
@@ -147,9 +152,9 @@
             return None
         return min(eligible, key=lambda e: (e.health.last_failure_ms, rng.random()))
 
-    def half_open_endpoint(self, criteria: SelectionCriteria) -> Endpoint | None:
-        """Return an endpoint whose ejection is over, if a half-open attempt is due."""
-        if self.half_open_tokens < 1.0 or criteria.is_unsafe or criteria.kind is RequestKind.DOWNLOAD:
+    def take_half_open_endpoint(self, criteria: SelectionCriteria) -> Endpoint | None:
+        """Return an endpoint whose ejection is over, if a half-open attempt is due; it spends one token."""
+        if self._half_open_tokens < 1.0 or criteria.is_unsafe or criteria.kind is RequestKind.DOWNLOAD:
             return None
         for endpoint in self.primary:
             if (
@@ -159,15 +164,17 @@
                 and _is_eligible(endpoint.backend, criteria)
                 and self._slow_start_admits(endpoint, criteria.now)
             ):
+                self._half_open_tokens -= 1.0
                 return endpoint
         return None
 
+    def earn_half_open_token(self) -> None:
+        """Add one request's share of a half-open attempt."""
+        self._half_open_tokens = min(self._half_open_tokens + HALF_OPEN_SHARE, MAX_HALF_OPEN_TOKENS)
+
     def is_reserved_for_higher_priority(self, endpoint: Endpoint, criteria: SelectionCriteria) -> bool:
         """Return whether a queued request of a higher priority comes first at this endpoint."""
-        return any(
-            count and priority < criteria.priority and (not regions or endpoint.backend.region in regions)
-            for (priority, regions), count in self.queued.items()
-        )
+        return self.queued.has_higher_priority(criteria.priority, endpoint.backend.region)
 
     # Load and capacity.
 
@@ -258,7 +265,7 @@
             return state is HealthState.HEALTHY and not self._is_unresponsive(endpoint, now)
         if state is HealthState.HEALTHY:
             return True
-        # Half-open primary endpoints get their attempts from `half_open_endpoint`; of the others any request is one.
+        # Half-open primary endpoints get their attempts from `take_half_open_endpoint`.
         is_open_to_one = state is HealthState.SUSPECT or (state is HealthState.HALF_OPEN and not endpoint.is_primary)
         return is_open_to_one and endpoint.in_flight == 0
 
--- a/hallhitch/planes/data/load_balancer.py
+++ b/hallhitch/planes/data/load_balancer.py
@@ -38,8 +38,6 @@
 MAX_RETRY_AFTER_RATIO: Final = 1.1
 
 MAX_UNREACHED_ATTEMPTS: Final = 6  # backends tried in vain, which costs none of the route's attempts
-HALF_OPEN_SHARE: Final = 0.1  # of the requests to a service that may test an ejected endpoint
-MAX_HALF_OPEN_TOKENS: Final = 3.0  # of such requests saved up
 MIN_REMAINING_RATIO: Final = 0.8  # of the fastest recent response: with less time left nothing can come back
 
 
@@ -110,10 +108,8 @@
             return
         attempt.may_have_run = attempt.may_have_run or outcome.may_have_run
         if outcome is Outcome.TIMED_OUT and not attempt.is_timed_out:
-            attempt.is_timed_out = True
+            attempt.time_out()
             state.failure_status = 504
-            if attempt.is_in_flight:
-                attempt.endpoint.timed_out.append(attempt)
         else:
             attempt.release()
         # What is cancelled after the response has come, or after a time-out, may have arrived.
@@ -181,9 +177,8 @@
         self, request: RequestInfo, endpoints: EndpointSet, criteria: SelectionCriteria
     ) -> EndpointAttempt | None:
         """Select for a request without attempts: a half-open endpoint where one is due, else by cost."""
-        endpoint = endpoints.half_open_endpoint(criteria)
+        endpoint = endpoints.take_half_open_endpoint(criteria)
         if endpoint is not None:
-            endpoints.half_open_tokens -= 1.0
             return EndpointAttempt(endpoint, criteria.now, request.deadline_ms, is_half_open=True)
         endpoint = endpoints.select(criteria, self._rng) or endpoints.select_in_panic(criteria, self._rng)
         if endpoint is None or endpoints.is_reserved_for_higher_priority(endpoint, criteria):
@@ -209,19 +204,13 @@
         self, state: RequestState, endpoints: EndpointSet, average: LatencyAverage, attempt: EndpointAttempt
     ) -> Forward:
         """Account for an attempt that starts now."""
-        now, endpoint, request = attempt.started_at_ms, attempt.endpoint, state.request
+        now, backend, request = attempt.started_at_ms, attempt.endpoint.backend, state.request
         if any(a.may_have_arrived for a in state.attempts):
             attempt.retry_spent_at_ms = self._retry_budget(now, request.service).spend(now)
         state.attempts.append(attempt)
-        if not endpoint.in_flight:
-            endpoint.unanswered.clear()
-        endpoint.in_flight += 1
-        endpoint.unanswered.record_send(now)
-        endpoint.zone_unanswered.record_send(now)
-        if attempt.is_half_open:
-            endpoint.health.has_half_open_attempt = True
-        endpoints.half_open_tokens = min(endpoints.half_open_tokens + HALF_OPEN_SHARE, MAX_HALF_OPEN_TOKENS)
-        self._slow_start.record_send(now, endpoint.backend)
+        attempt.begin()
+        endpoints.earn_half_open_token()
+        self._slow_start.record_send(now, backend)
         route, remaining_ms = request.route, request.deadline_ms - now
         if route.is_idempotent:
             elapsed_ms = now - request.arrived_at_ms
@@ -230,7 +219,7 @@
             )
         else:
             attempt.hedge_delay_ms = remaining_ms
-        return Forward(endpoint.backend, attempt.hedge_delay_ms)
+        return Forward(backend, attempt.hedge_delay_ms)
 
     def _enqueue(self, now: float, state: RequestState, endpoints: EndpointSet, average: LatencyAverage) -> Action:
         """Queue a request for which no endpoint has capacity, or give up where the time for that is over."""
@@ -242,7 +231,7 @@
         )
         if queue_time_ms <= MIN_QUEUE_TIME_MS:
             return Fail(state.failure_status) if state.may_have_run else self._reject(request)
-        state.enter_queue(endpoints)
+        state.enter_queue(endpoints.queued)
         recheck_ms = max(MIN_RECHECK_MS, min(MAX_RECHECK_MS, average.mean_ms * RECHECK_RATIO))
         jitter = MIN_RECHECK_JITTER + RECHECK_JITTER_RANGE * self._rng.random()
         return Enqueue(min(queue_time_ms, recheck_ms * jitter))
--- a/hallhitch/planes/data/request_state.py
+++ b/hallhitch/planes/data/request_state.py
@@ -5,20 +5,20 @@
 from dataclasses import dataclass, field
 
 from hallhitch.planes.data.endpoint import EndpointAttempt
-from hallhitch.planes.data.endpoint_set import EndpointSet
 from hallhitch.planes.data.interfaces import RequestInfo
+from hallhitch.planes.data.queued_requests import QueuedRequests
 
 
 @dataclass(slots=True, eq=False)
 class RequestState:
     """One request under way.
 
-    Invariant: a request is counted in `queued` of at most one endpoint set, and of none once it is finished.
+    Invariant: a request is queued for at most one service, and for none once it is finished.
     """
 
     request: RequestInfo
     attempts: list[EndpointAttempt] = field(default_factory=list)
-    queued_in: EndpointSet | None = None
+    queued_in: QueuedRequests | None = None
     failure_status: int = 502  # for the client if no attempt succeeds; 504 after a time-out
     is_finished: bool = False  # the client has the response, or is gone
 
@@ -36,21 +36,16 @@
         """Return the last attempt at a backend instance."""
         return next((a for a in reversed(self.attempts) if a.endpoint.backend.instance == instance), None)
 
-    def enter_queue(self, endpoints: EndpointSet) -> None:
+    def enter_queue(self, queue: QueuedRequests) -> None:
         """Count the request as queued; without effect if it is."""
         if self.queued_in is not None:
             return
-        self.queued_in = endpoints
-        key = self.request.priority, self.request.allowed_regions
-        endpoints.queued[key] = endpoints.queued.get(key, 0) + 1
+        self.queued_in = queue
+        queue.enter(self.request)
 
     def leave_queue(self) -> None:
         """Count the request as queued no longer; without effect if it is not."""
         if self.queued_in is None:
             return
-        key = self.request.priority, self.request.allowed_regions
-        queued = self.queued_in.queued
-        queued[key] -= 1
-        if not queued[key]:
-            del queued[key]
+        self.queued_in.leave(self.request)
         self.queued_in = None
