--- a/tests/system/control/control_fleet.py
+++ b/tests/system/control/operator_calls.py
@@ -1,7 +1,7 @@
-"""Operator calls and configurations for tests that play a simulated fleet of coordinators.
+"""Operator calls and configurations for tests on a simulated cluster of coordinators.
 
-For the cluster itself see `hallhitch.lab.simulation.coordinator_cluster`; the founders have the addresses 10.0.0.1 to
-10.0.0.3, further machines the addresses below.
+For the cluster itself see `hallhitch.lab.simulation.coordinator_cluster`. Its initial members have the first three
+addresses, or five; the others are of machines that a test adds.
 """
 
 from __future__ import annotations
@@ -13,6 +13,9 @@
 from hallhitch.node.settings import RuleBounds
 
 CATCH_UP_S: Final = RuleBounds().catch_up_ms / 1000  # after which a replaced machine no longer counts as a loss
+FIRST: Final = "10.0.0.1:7000"
+SECOND: Final = "10.0.0.2:7000"
+THIRD: Final = "10.0.0.3:7000"
 FOURTH: Final = "10.0.0.4:7000"
 FIFTH: Final = "10.0.0.5:7000"
 SPARE: Final = "10.0.0.6:7000"
--- a/tests/system/control/test_config_outcomes.py
+++ b/tests/system/control/test_config_outcomes.py
@@ -6,7 +6,7 @@
 import json
 
 from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, run_scenario
-from tests.system.control.control_fleet import call_operator, config_body, describe_config, replace_config
+from tests.system.control.operator_calls import call_operator, config_body, describe_config, replace_config
 
 
 def reformatted_config(version: int, mark: str) -> bytes:
--- a/tests/system/control/test_check.py
+++ b/tests/system/control/test_config_validation.py
@@ -1,11 +1,11 @@
-"""What is a valid configuration, and that one of thousands of routes is checked in one go."""
+"""Which configurations are valid, and that thousands of routes cost a bounded number of shape checks."""
 
 from __future__ import annotations
 
 import copy
 import json
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, Final
 
 import pytest
 from cerberus import Validator
@@ -13,7 +13,7 @@
 from hallhitch.planes.control import config_validation
 from hallhitch.planes.control.config_digests import canonical_digest
 
-PLAIN: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "configVersion": 7,
     "routes": {
         "r-1": {
@@ -57,26 +57,26 @@
         "y": {"apiKeys": []},
     },
 }
-GONE = object()
-WRONG: list[tuple[str, list[Any]]] = [
-    ("configVersion", [GONE, -1, True, 1.5, "7", None, 2**63]),
-    ("routes", [GONE, [], None, {"r": 1}, {"r": {}}]),
-    ("services", [GONE, [], {}, {"s": {}}, {"s": {}, "t": 5}]),
+REMOVED: Final = object()  # in place of a value: the field is taken out
+INVALID_VALUES: list[tuple[str, list[Any]]] = [
+    ("configVersion", [REMOVED, -1, True, 1.5, "7", None, 2**63]),
+    ("routes", [REMOVED, [], None, {"r": 1}, {"r": {}}]),
+    ("services", [REMOVED, [], {}, {"s": {}}, {"s": {}, "t": 5}]),
     ("limits", [5, {"headerTimeout": 3}, {"idleTimeout": "1m"}, {"maxBodyBytes": "1"}]),
     ("tenants", [[], {"x": 1}, {"x": {}}]),
-    ("routes.r-1.host", [GONE, "", None, 5, "a b", "\ud800"]),
-    ("routes.r-1.pathPrefix", [GONE, "", "one/", "/one", 5, "/two/"]),
-    ("routes.r-1.routeKind", [GONE, "sometimes", None]),
-    ("routes.r-1.timeout", [GONE, "600001ms", "601s", "3 s", "3m", 3000, "-1s", "0ms", "", "1e3ms"]),
+    ("routes.r-1.host", [REMOVED, "", None, 5, "a b", "\ud800"]),
+    ("routes.r-1.pathPrefix", [REMOVED, "", "one/", "/one", 5, "/two/"]),
+    ("routes.r-1.routeKind", [REMOVED, "sometimes", None]),
+    ("routes.r-1.timeout", [REMOVED, "600001ms", "601s", "3 s", "3m", 3000, "-1s", "0ms", "", "1e3ms"]),
     ("routes.r-1.targetLatency", ["fast", 5]),
-    ("routes.r-1.maxAttempts", [GONE, 0, -1, "2", True, 1.5]),
+    ("routes.r-1.maxAttempts", [REMOVED, 0, -1, "2", True, 1.5]),
     ("routes.r-1.priority", [-1, "1", True]),
     ("routes.r-1.public", ["no", 0, None]),
     ("routes.r-1.allowedRegions", ["viti", [1]]),
     (
         "routes.r-1.trafficSplit",
         [
-            GONE,
+            REMOVED,
             [],
             {},
             [{"targetService": "s"}],
@@ -88,70 +88,72 @@
             [{"targetService": "s", "weight": True}],
         ],
     ),
-    ("routes.r-2.targetService", [GONE, "u", "", 5, ["s"]]),
+    ("routes.r-2.targetService", [REMOVED, "u", "", 5, ["s"]]),
     ("services.s.coldStart", [3, "3"]),
     ("services.s.coldPerS", ["12", -1, True]),
     ("services.s.healthPath", ["health", 5]),
     ("services.s.maxConnections", ["100", -1]),
-    ("tenants.x.apiKeys", [GONE, "k", [1], [""]]),
+    ("tenants.x.apiKeys", [REMOVED, "k", [1], [""]]),
     ("tenants.x.ratePerS", ["155", -1, True]),
     ("tenants.y.apiKeys", [["k2"]]),
 ]
 
 
-def changed(path: str, value: Any) -> bytes:
-    """The plain configuration with one place changed."""
-    config = copy.deepcopy(PLAIN)
-    *way, last = path.split(".")
+def config_with(path: str, value: Any) -> bytes:
+    """Return the valid configuration with one field set to a value, or removed."""
+    config = copy.deepcopy(VALID_CONFIG)
+    *tables, field = path.split(".")
     table = config
-    for name in way:
+    for name in tables:
         table = table[name]
-    if value is GONE:
-        del table[last]
+    if value is REMOVED:
+        del table[field]
     else:
-        table[last] = value
+        table[field] = value
     return json.dumps(config).encode()
 
 
-@pytest.mark.parametrize(("path", "values"), WRONG, ids=[path for path, _ in WRONG])
-def test_invalid_ones_are_told_with_their_place(path: str, values: list[Any]) -> None:
+@pytest.mark.parametrize(("path", "values"), INVALID_VALUES, ids=[path for path, _ in INVALID_VALUES])
+def test_invalid_value_is_refused_with_a_reason_of_one_line(path: str, values: list[Any]) -> None:
     for value in values:
         with pytest.raises(config_validation.InvalidConfigError) as error:
-            config_validation.validate_config(changed(path, value))
+            config_validation.validate_config(config_with(path, value))
         assert "\n" not in str(error.value) and str(error.value)
 
 
-def test_what_cannot_be_read_whole() -> None:
-    whole = json.dumps(PLAIN).encode()
-    doubled = [
-        b'{"configVersion":8,' + whole[1:],
-        whole.replace(b'"r-2"', b'"r-1"'),
-        whole.replace(b'"host": "a.example"', b'"host": "b.example", "host": "a.example"', 1),
+def test_malformed_and_truncated_bodies_are_refused() -> None:
+    body = json.dumps(VALID_CONFIG).encode()
+    repeated_names = [
+        b'{"configVersion":8,' + body[1:],
+        body.replace(b'"r-2"', b'"r-1"'),
+        body.replace(b'"host": "a.example"', b'"host": "b.example", "host": "a.example"', 1),
     ]
-    numbers = [whole.replace(b": 155,", b": " + text + b",", 1) for text in (b"NaN", b"Infinity", b"1e999", b"0155")]
-    short = [whole[:at] for at in range(0, len(whole), 7)]
-    for body in [
+    invalid_numbers = [
+        body.replace(b": 155,", b": " + text + b",", 1) for text in (b"NaN", b"Infinity", b"1e999", b"0155")
+    ]
+    truncated = [body[:length] for length in range(0, len(body), 7)]
+    for malformed in [
         b"",
         b"[]",
         b"null",
         b"7",
-        whole + b"x",
-        whole.decode().encode("utf-16"),
-        b"\xff" + whole,
+        body + b"x",
+        body.decode().encode("utf-16"),
+        b"\xff" + body,
         b"[" * 100_000,
         b'{"a":' * 100_000,
-        *doubled,
-        *numbers,
-        *short,
+        *repeated_names,
+        *invalid_numbers,
+        *truncated,
     ]:
         with pytest.raises(config_validation.InvalidConfigError):
-            config_validation.validate_config(body)
+            config_validation.validate_config(malformed)
     with pytest.raises(config_validation.ConfigTooLargeError):
-        config_validation.validate_config(whole + b" " * config_validation.MAX_CONFIG_BYTES)
+        config_validation.validate_config(body + b" " * config_validation.MAX_CONFIG_BYTES)
 
 
-def test_unknown_fields_and_left_out_ones_are_no_reason_to_refuse() -> None:
-    body = json.dumps(PLAIN).encode()
+def test_unknown_and_omitted_fields_are_accepted() -> None:
+    body = json.dumps(VALID_CONFIG).encode()
     assert config_validation.validate_config(body) == config_validation.ValidatedConfig(7, 2, canonical_digest(body))
     for path, value in (
         ("extra", {"a": [1, None]}),
@@ -159,22 +161,22 @@
         ("services.s.extra", {}),
         ("tenants.x.extra", None),
         ("limits.extra", 1),
-        ("tenants", GONE),
+        ("tenants", REMOVED),
         ("tenants", {}),
         ("routes", {}),
         ("services.s", {}),
-        ("limits", GONE),
+        ("limits", REMOVED),
         ("routes.r-1.targetService", None),
         ("routes.r-2.trafficSplit", []),
         ("tenants.x", {"apiKeys": ["k1", "k1"]}),
         ("configVersion", 0),
         ("routes.r-1.host", "ü.example"),
     ):
-        config_validation.validate_config(changed(path, value))
+        config_validation.validate_config(config_with(path, value))
 
 
-def test_thousands_of_routes_are_checked_in_a_bounded_number_of_validations(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The library that checks shapes takes long for each item: it may see none of what comes by the thousand."""
+def test_number_of_shape_checks_does_not_grow_with_routes_and_tenants(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The library that checks shapes takes long for each table, so it gets none of those that come by the thousand."""
     validations: list[object] = []
     check_shape = config_validation._check_shape
 
@@ -183,8 +185,8 @@
         check_shape(schema, prefix, table)
 
     monkeypatch.setattr(config_validation, "_check_shape", counted)
-    config = copy.deepcopy(PLAIN)
-    config["routes"] = {f"r-{n}": {**PLAIN["routes"]["r-1"], "pathPrefix": f"/{n}/"} for n in range(5000)}
+    config = copy.deepcopy(VALID_CONFIG)
+    config["routes"] = {f"r-{n}": {**VALID_CONFIG["routes"]["r-1"], "pathPrefix": f"/{n}/"} for n in range(5000)}
     config["tenants"] = {f"t-{n}": {"apiKeys": [f"k-{n}"]} for n in range(1000)}
     assert config_validation.validate_config(json.dumps(config).encode()).route_count == 5000
     assert len(validations) == 4
--- a/tests/system/control/test_late_changes.py
+++ b/tests/system/control/test_late_changes.py
@@ -10,7 +10,7 @@
 from hallhitch.planes.control import state_transitions
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.pending_changes import PendingChange
-from tests.system.control.control_fleet import FIFTH, call_operator, evacuated_zones, replace_config
+from tests.system.control.operator_calls import FIFTH, call_operator, evacuated_zones, replace_config
 
 
 def test_refused_membership_change_does_not_drop_a_change_in_the_same_ballot() -> None:
--- a/tests/system/control/test_linearizable_reads.py
+++ b/tests/system/control/test_linearizable_reads.py
@@ -7,7 +7,7 @@
 from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, run_scenario
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.planes.control import state_transitions
-from tests.system.control.control_fleet import replace_config
+from tests.system.control.operator_calls import replace_config
 
 
 def test_read_does_not_join_a_ballot_whose_promises_may_be_older() -> None:
