--- a/hallhitch/planes/control/state_observer.py
+++ b/hallhitch/planes/control/state_observer.py
@@ -99,8 +99,12 @@
             return
         newest_report = max(reports.values(), key=_accepted_ballot)
         newest = BallotedState(_accepted_ballot(newest_report), newest_report.state)
-        self._see(newest)
-        self._on_replication_gap(self._find_gap(newest, reports, began_ms))
+        self._note_newest(newest)
+        is_committed = _is_held_by_majority(newest, reports)
+        if is_committed:
+            self._committed.learn(newest.state, newest.ballot)
+            self._lease.confirm(began_ms)
+        self._on_replication_gap(_replication_gap(newest, reports, is_committed))
         if newest.ballot > own.accepted and not own.is_recovering and not self._replica.acceptor.is_busy:
             # The accept did not reach this replica, or has not yet: it may come from anybody.
             take = self._replica.acceptor.accept_from_peer(newest_report.accepted, newest.state)
@@ -118,31 +122,12 @@
             _, reports[self._replica.address] = own.report(AcceptorQuery(address=self._replica.address))
         return reports
 
-    def _see(self, newest: BallotedState) -> None:
+    def _note_newest(self, newest: BallotedState) -> None:
         """Take in a state that may not be committed: by its members the next ballot asks."""
         proposer = self._replica.proposer
         if newest.ballot > proposer.newest_seen.ballot or not proposer.newest_seen.state.members:
             proposer.newest_seen = newest
 
-    def _find_gap(
-        self, newest: BallotedState, reports: Mapping[str, AcceptorReport], began_ms: float
-    ) -> ReplicationGap | None:
-        """Return what a ballot should mend; where a majority holds the newest state, learn it as committed."""
-        membership = Membership.from_state(newest.state)
-        tally = VoteTally(membership.quorum_sets)
-        for member, report in reports.items():
-            tally.add(member, _accepted_ballot(report) == newest.ballot, report.incarnations)
-        if tally.has_quorum():
-            self._committed.learn(newest.state, newest.ballot)
-            self._lease.confirm(began_ms)
-            reporting_members = membership.all_members & reports.keys()
-            is_any_lagging = any(_accepted_ballot(reports[member]) < newest.ballot for member in reporting_members)
-            return ReplicationGap(GapKind.LAGGING_MEMBER, newest.ballot) if is_any_lagging else None
-        if membership.has_quorum(reports):
-            return ReplicationGap(GapKind.NO_MAJORITY, newest.ballot)
-        # A ballot would hang now, and an order that comes as the partition ends would wait behind it.
-        return None
-
     async def _call_peers(
         self, addresses: Iterable[str], query: AcceptorQuery, timeout_ms: float
     ) -> dict[str, AcceptorReport]:
@@ -159,3 +144,26 @@
 
 def _accepted_ballot(report: AcceptorReport) -> Ballot:
     return Ballot.from_message(report.accepted)
+
+
+def _is_held_by_majority(newest: BallotedState, reports: Mapping[str, AcceptorReport]) -> bool:
+    """Return whether a majority of each set of its members holds the state, by votes that are not void."""
+    tally = VoteTally(Membership.from_state(newest.state).quorum_sets)
+    for member, report in reports.items():
+        tally.add(member, _accepted_ballot(report) == newest.ballot, report.incarnations)
+    return tally.has_quorum()
+
+
+def _replication_gap(
+    newest: BallotedState, reports: Mapping[str, AcceptorReport], is_committed: bool
+) -> ReplicationGap | None:
+    """Return what another ballot should bring about; None where nothing is missing or no ballot can succeed now."""
+    membership = Membership.from_state(newest.state)
+    if is_committed:
+        reporting_members = membership.all_members & reports.keys()
+        is_any_lagging = any(_accepted_ballot(reports[member]) < newest.ballot for member in reporting_members)
+        return ReplicationGap(GapKind.LAGGING_MEMBER, newest.ballot) if is_any_lagging else None
+    if membership.has_quorum(reports):
+        return ReplicationGap(GapKind.NO_MAJORITY, newest.ballot)
+    # A ballot would hang now, and an order that comes as the partition ends would wait behind it.
+    return None
