--- a/hallhitch/lab/data_plane_cases.py
+++ b/hallhitch/lab/data_plane_cases.py
@@ -61,7 +61,7 @@
     """What happens to the backends."""
 
     CRASH = "crash"  # a seventh of them: connections are reset; new ones start later
-    SILENCE = "silence"  # a seventh of them responds no longer; new ones start later
+    BLACKHOLE = "blackhole"  # a seventh of them responds no longer; new ones start later
     ZONE_OUTAGE = "zone outage"  # a zone responds no longer; new backends start later
     ZONE_PARTITION = "zone partition"  # a zone responds no longer, and returns cold
     COLD_START = "cold start"  # all backends turn cold
@@ -107,7 +107,7 @@
     Case("short", load=1.8, faults=(ScheduledFault(6000.0, Fault.ZONE_OUTAGE),)),
     Case("over", load=3.0),
     Case("gone", load=1.3, faults=(ScheduledFault(6000.0, Fault.CRASH),)),
-    Case("dark", load=1.3, faults=(ScheduledFault(6000.0, Fault.SILENCE),)),
+    Case("dark", load=1.3, faults=(ScheduledFault(6000.0, Fault.BLACKHOLE),)),
     Case("zone", load=1.3, faults=(ScheduledFault(6000.0, Fault.ZONE_OUTAGE),)),
     Case("return", load=1.3, faults=(ScheduledFault(6000.0, Fault.ZONE_PARTITION),)),
     Case("release", load=1.3, faults=(ScheduledFault(4000.0, Fault.ROLLING_RELEASE),)),
--- a/hallhitch/lab/data_plane_fleet.py
+++ b/hallhitch/lab/data_plane_cluster.py
@@ -1,4 +1,4 @@
-"""The modelled fleet: backends with slots and queues, gateways, zones, and the delays between them.
+"""The modelled cluster: backends with slots and queues, gateways, zones, and the delays between them.
 
 Owns the simulation's clock (simpy, in ms) and its one source of randomness. No sockets.
 """
@@ -28,7 +28,7 @@
     """How a backend failed."""
 
     CRASHED = "crashed"  # connections are reset
-    SILENT = "silent"  # nothing comes back
+    UNRESPONSIVE = "unresponsive"  # nothing comes back
 
 
 @dataclass(eq=False)
@@ -65,7 +65,7 @@
     cross_zone_mb: float = 0.0
     cross_region_mb: float = 0.0
 
-    def line(self) -> str:
+    def summary(self) -> str:
         """The figures in one line."""
 
         def percent(count: int) -> str:
@@ -80,7 +80,7 @@
         )
 
 
-class Fleet:
+class ModelCluster:
     """All backends and gateways of one case."""
 
     def __init__(self, case: Case, seed: int) -> None:
@@ -116,7 +116,7 @@
         self.backends[instance] = ModelBackend(entry, slowness, simpy.Resource(self.env, slots), cold_until_ms)
 
     def fail_backend(self, backend: ModelBackend, failure: Failure) -> None:
-        """Crash or silence a backend, with all that it works on."""
+        """Fail a backend, with all that it works on."""
         backend.failure = failure
         backend.cold_until_ms = self.now()
         for process in list(backend.work):
--- a/hallhitch/lab/data_plane_comparison.py
+++ b/hallhitch/lab/data_plane_comparison.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from hallhitch.lab.data_plane_cases import CASES
-from hallhitch.lab.data_plane_fleet import Fleet, ModelBackend
+from hallhitch.lab.data_plane_cluster import ModelBackend, ModelCluster
 from hallhitch.lab.data_plane_model import DataPlaneModel
 from hallhitch.planes.data.interfaces import (
     Action,
@@ -44,8 +44,8 @@
 class OmniscientPolicy:
     """The policy to compare with: it sees the queue and health of every backend, and never hedges."""
 
-    def __init__(self, fleet: Fleet, settings: LoadBalancerSettings, rng: Random) -> None:
-        self._fleet, self._settings, self._rng = fleet, settings, rng
+    def __init__(self, cluster: ModelCluster, settings: LoadBalancerSettings, rng: Random) -> None:
+        self._cluster, self._settings, self._rng = cluster, settings, rng
 
     def set_backends(self, now: float, entries: Sequence[Backend]) -> None:
         """Not needed."""
@@ -65,7 +65,7 @@
         request = state.request
         if state.is_forwarded:
             return Enqueue(request.deadline_ms - now) if now < request.deadline_ms else Fail(504)
-        usable = [b for b in self._fleet.backends.values() if self._is_usable(b, request, now)]
+        usable = [b for b in self._cluster.backends.values() if self._is_usable(b, request, now)]
         if not usable:
             return Reject(RETRY_AFTER_MS)
         state.is_forwarded = True
@@ -84,7 +84,7 @@
         entry = backend.entry
         is_up = backend.failure is None and not backend.is_draining and backend.cold_until_ms <= now
         is_allowed = not request.allowed_regions or entry.region in request.allowed_regions
-        is_evacuated = entry.zone in self._fleet.evacuated_zones
+        is_evacuated = entry.zone in self._cluster.evacuated_zones
         return entry.service == request.service and is_up and is_allowed and not is_evacuated
 
     def _cost(self, backend: ModelBackend) -> float:
@@ -97,7 +97,9 @@
         return queue_rounds + backend.slowness * SLOWNESS_COST + distance + TIE_BREAK_COST * self._rng.random()
 
 
-def make_load_balancer(fleet: Fleet, settings: LoadBalancerSettings, rng: Random) -> LoadBalancingPolicy[RequestState]:
+def make_load_balancer(
+    cluster: ModelCluster, settings: LoadBalancerSettings, rng: Random
+) -> LoadBalancingPolicy[RequestState]:
     """Return the load balancer as it runs in a gateway."""
     return LoadBalancer(settings, rng)
 
@@ -106,5 +108,5 @@
     for case in CASES:
         if len(sys.argv) > 1 and case.name not in sys.argv[1:]:
             continue
-        print(f"{case.name:10} thin {DataPlaneModel(case, 1, make_load_balancer).run().line()}")
-        print(f"{'':10} all  {DataPlaneModel(case, 1, OmniscientPolicy).run().line()}")
+        print(f"{case.name:10} thin {DataPlaneModel(case, 1, make_load_balancer).run().summary()}")
+        print(f"{'':10} all  {DataPlaneModel(case, 1, OmniscientPolicy).run().summary()}")
--- a/hallhitch/lab/data_plane_faults.py
+++ b/hallhitch/lab/data_plane_faults.py
@@ -5,10 +5,10 @@
 from __future__ import annotations
 
 from hallhitch.lab.data_plane_cases import Fault, ScheduledFault
-from hallhitch.lab.data_plane_fleet import Failure, Fleet, ModelBackend, SimProcess
+from hallhitch.lab.data_plane_cluster import Failure, ModelBackend, ModelCluster, SimProcess
 
 FAULTY_ZONE = "z1"
-REPLACE_AFTER_MS = 4000.0  # new backends in place of crashed and silent ones
+REPLACE_AFTER_MS = 4000.0  # new backends in place of failed ones
 REPLACE_ZONE_AFTER_MS = 4500.0
 PARTITION_MS = 4000.0
 EVACUATION_MS = 7000.0
@@ -17,24 +17,24 @@
 
 
 class FaultInjector:
-    """Inject the faults of a case into its fleet."""
+    """Inject the faults of a case into its cluster."""
 
-    def __init__(self, fleet: Fleet) -> None:
-        self._fleet = fleet
+    def __init__(self, cluster: ModelCluster) -> None:
+        self._cluster = cluster
 
     def inject(self, scheduled: ScheduledFault) -> SimProcess:
         """Run one fault from its begin to its end."""
-        fleet = self._fleet
-        yield fleet.env.timeout(scheduled.at_ms)
-        live = [backend for backend in fleet.backends.values() if backend.failure is None]
+        cluster = self._cluster
+        yield cluster.env.timeout(scheduled.at_ms)
+        live = [backend for backend in cluster.backends.values() if backend.failure is None]
         in_zone = [backend for backend in live if backend.entry.zone == FAULTY_ZONE]
         match scheduled.fault:
             case Fault.CRASH:
                 yield from self._fail_and_replace(self._seventh(live), Failure.CRASHED, REPLACE_AFTER_MS)
-            case Fault.SILENCE:
-                yield from self._fail_and_replace(self._seventh(live), Failure.SILENT, REPLACE_AFTER_MS)
+            case Fault.BLACKHOLE:
+                yield from self._fail_and_replace(self._seventh(live), Failure.UNRESPONSIVE, REPLACE_AFTER_MS)
             case Fault.ZONE_OUTAGE:
-                yield from self._fail_and_replace(in_zone, Failure.SILENT, REPLACE_ZONE_AFTER_MS)
+                yield from self._fail_and_replace(in_zone, Failure.UNRESPONSIVE, REPLACE_ZONE_AFTER_MS)
             case Fault.ZONE_PARTITION:
                 yield from self._partition(in_zone)
             case Fault.COLD_START:
@@ -47,43 +47,43 @@
 
     def _warm_at_ms(self) -> float:
         """When a backend that starts now is warm."""
-        return self._fleet.now() + self._fleet.case.slow_start_ms
+        return self._cluster.now() + self._cluster.case.slow_start_ms
 
     def _seventh(self, live: list[ModelBackend]) -> list[ModelBackend]:
-        return self._fleet.rng.sample(live, max(1, len(live) // 7))
+        return self._cluster.rng.sample(live, max(1, len(live) // 7))
 
     def _fail_and_replace(self, backends: list[ModelBackend], failure: Failure, replace_after_ms: float) -> SimProcess:
         for backend in backends:
-            self._fleet.fail_backend(backend, failure)
-        yield self._fleet.env.timeout(replace_after_ms)
+            self._cluster.fail_backend(backend, failure)
+        yield self._cluster.env.timeout(replace_after_ms)
         for backend in backends:
-            self._fleet.start_backend(backend.entry.service, backend.entry.zone, self._warm_at_ms())
+            self._cluster.start_backend(backend.entry.service, backend.entry.zone, self._warm_at_ms())
 
     def _partition(self, backends: list[ModelBackend]) -> SimProcess:
         for backend in backends:
-            self._fleet.fail_backend(backend, Failure.SILENT)
-        yield self._fleet.env.timeout(PARTITION_MS)
+            self._cluster.fail_backend(backend, Failure.UNRESPONSIVE)
+        yield self._cluster.env.timeout(PARTITION_MS)
         for backend in backends:
             backend.failure = None
             backend.cold_until_ms = self._warm_at_ms()
 
     def _release(self, live: list[ModelBackend]) -> SimProcess:
-        fleet = self._fleet
-        for backend in fleet.rng.sample(live, len(live) * RELEASE_PERCENT // 100):
+        cluster = self._cluster
+        for backend in cluster.rng.sample(live, len(live) * RELEASE_PERCENT // 100):
             backend.is_draining = True
-            fleet.start_backend(backend.entry.service, backend.entry.zone, self._warm_at_ms())
-            fleet.env.process(self._stop_drained(backend))
-            yield fleet.env.timeout(RELEASE_INTERVAL_MS)
+            cluster.start_backend(backend.entry.service, backend.entry.zone, self._warm_at_ms())
+            cluster.env.process(self._stop_drained(backend))
+            yield cluster.env.timeout(RELEASE_INTERVAL_MS)
 
     def _stop_drained(self, backend: ModelBackend) -> SimProcess:
-        yield self._fleet.env.timeout(DRAIN_MS)
-        self._fleet.fail_backend(backend, Failure.CRASHED)
+        yield self._cluster.env.timeout(DRAIN_MS)
+        self._cluster.fail_backend(backend, Failure.CRASHED)
 
     def _evacuate(self) -> SimProcess:
-        fleet = self._fleet
-        fleet.evacuated_zones = frozenset({FAULTY_ZONE})
-        yield fleet.env.timeout(EVACUATION_MS)
-        for backend in fleet.backends.values():
+        cluster = self._cluster
+        cluster.evacuated_zones = frozenset({FAULTY_ZONE})
+        yield cluster.env.timeout(EVACUATION_MS)
+        for backend in cluster.backends.values():
             if backend.entry.zone == FAULTY_ZONE and backend.failure is None:
                 backend.cold_until_ms = self._warm_at_ms()
-        fleet.evacuated_zones = frozenset()
+        cluster.evacuated_zones = frozenset()
--- a/hallhitch/lab/data_plane_model.py
+++ b/hallhitch/lab/data_plane_model.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from hallhitch.lab.data_plane_cases import MIX, Case, RequestClass
+from hallhitch.lab.data_plane_cluster import CaseResult, ModelCluster, SimProcess
 from hallhitch.lab.data_plane_faults import FaultInjector
-from hallhitch.lab.data_plane_fleet import CaseResult, Fleet, SimProcess
 from hallhitch.lab.data_plane_requests import ModelRequest, Served
 from hallhitch.planes.data.interfaces import Fail, LoadBalancingPolicy, Reject
 from hallhitch.planes.data.load_balancer import LoadBalancerSettings
@@ -31,94 +31,96 @@
 CLIENT_RETRY_MS = 20.0  # after a failure that named no time
 DRAIN_CASE_MS = 3000.0  # after the last request
 
-PolicyFactory = Callable[[Fleet, LoadBalancerSettings, Random], LoadBalancingPolicy[Any]]
+PolicyFactory = Callable[[ModelCluster, LoadBalancerSettings, Random], LoadBalancingPolicy[Any]]
 
 
 class DataPlaneModel:
-    """One case: its fleet, a policy for each gateway, clients and faults."""
+    """One case: its cluster, a policy for each gateway, clients and faults."""
 
     def __init__(self, case: Case, seed: int, make_policy: PolicyFactory) -> None:
-        self.fleet = fleet = Fleet(case, seed)
+        self.cluster = cluster = ModelCluster(case, seed)
         self.policies: dict[str, LoadBalancingPolicy[Any]] = {}  # by gateway
-        for gateway in fleet.gateways:
-            policy = make_policy(fleet, _settings(gateway), Random(fleet.rng.random()))
+        for gateway in cluster.gateways:
+            policy = make_policy(cluster, _settings(gateway), Random(cluster.rng.random()))
             self.policies[gateway.name] = policy
-            fleet.env.process(self._publish_lists(gateway, policy))
+            cluster.env.process(self._publish_lists(gateway, policy))
         for request_class in MIX:
-            for zone in fleet.region_by_zone:
-                fleet.env.process(self._clients(request_class, zone))
-        faults = FaultInjector(fleet)
+            for zone in cluster.region_by_zone:
+                cluster.env.process(self._clients(request_class, zone))
+        faults = FaultInjector(cluster)
         for scheduled in case.faults:
-            fleet.env.process(faults.inject(scheduled))
+            cluster.env.process(faults.inject(scheduled))
 
     def run(self) -> CaseResult:
         """Play the case to its end and count."""
-        fleet = self.fleet
-        fleet.env.run(until=fleet.case.duration_ms + DRAIN_CASE_MS)
-        result = fleet.result
+        cluster = self.cluster
+        cluster.env.run(until=cluster.case.duration_ms + DRAIN_CASE_MS)
+        result = cluster.result
         result.max_cold_per_s = max(
-            max_in_window(backend.arrivals_while_cold_ms, 1000.0) for backend in fleet.backends.values()
+            max_in_window(backend.arrivals_while_cold_ms, 1000.0) for backend in cluster.backends.values()
         )
-        for service, retries_ms in fleet.retries_ms.items():
+        for service, retries_ms in cluster.retries_ms.items():
             for end_ms in retries_ms:
                 retries = _count_in_window(retries_ms, end_ms)
-                allowed = RETRY_BUDGET_RATIO * _count_in_window(fleet.requests_ms[service], end_ms) + RETRY_BUDGET_SLACK
+                allowed = (
+                    RETRY_BUDGET_RATIO * _count_in_window(cluster.requests_ms[service], end_ms) + RETRY_BUDGET_SLACK
+                )
                 result.retry_budget_use = max(result.retry_budget_use, retries / allowed)
         return result
 
     def _publish_lists(self, gateway: Gateway, policy: LoadBalancingPolicy[Any]) -> SimProcess:
         """Keep one gateway's lists and configuration up to date, each list with a lag."""
-        fleet = self.fleet
-        policy.set_config(fleet.now(), fleet.config())
-        evacuated_zones = fleet.evacuated_zones
+        cluster = self.cluster
+        policy.set_config(cluster.now(), cluster.config())
+        evacuated_zones = cluster.evacuated_zones
         while True:
             entries = self._endpoint_list()
-            yield fleet.env.timeout(MAX_LIST_LAG_MS * fleet.rng.random())
-            policy.set_backends(fleet.now(), entries)
-            policy.set_gateways(fleet.now(), gateway.name, fleet.gateways)
-            if evacuated_zones != fleet.evacuated_zones:
-                evacuated_zones = fleet.evacuated_zones
-                policy.set_config(fleet.now(), fleet.config())
-            yield fleet.env.timeout(LIST_INTERVAL_MS)
+            yield cluster.env.timeout(MAX_LIST_LAG_MS * cluster.rng.random())
+            policy.set_backends(cluster.now(), entries)
+            policy.set_gateways(cluster.now(), gateway.name, cluster.gateways)
+            if evacuated_zones != cluster.evacuated_zones:
+                evacuated_zones = cluster.evacuated_zones
+                policy.set_config(cluster.now(), cluster.config())
+            yield cluster.env.timeout(LIST_INTERVAL_MS)
 
     def _endpoint_list(self) -> list[Backend]:
-        oldest_ms = self.fleet.now() - FAILED_LISTED_MS
+        oldest_ms = self.cluster.now() - FAILED_LISTED_MS
         return [
             replace(b.entry, is_draining=b.is_draining, warming_until_ms=b.cold_until_ms)
-            for b in self.fleet.backends.values()
+            for b in self.cluster.backends.values()
             if b.failure is None or b.cold_until_ms >= oldest_ms
         ]
 
     def _clients(self, request_class: RequestClass, zone: str) -> SimProcess:
         """Begin the requests of one class from one zone."""
-        fleet = self.fleet
-        rate_per_ms = request_class.rate_per_s * fleet.case.load / len(fleet.region_by_zone) / 1000.0
-        gateways = [gateway for gateway in fleet.gateways if gateway.zone == zone] or fleet.gateways
-        yield fleet.env.timeout(CLIENTS_START_MS)
-        while fleet.now() < fleet.case.duration_ms:
-            yield fleet.env.timeout(fleet.rng.expovariate(rate_per_ms))
-            fleet.env.process(self._client(request_class, gateways))
+        cluster = self.cluster
+        rate_per_ms = request_class.rate_per_s * cluster.case.load / len(cluster.region_by_zone) / 1000.0
+        gateways = [gateway for gateway in cluster.gateways if gateway.zone == zone] or cluster.gateways
+        yield cluster.env.timeout(CLIENTS_START_MS)
+        while cluster.now() < cluster.case.duration_ms:
+            yield cluster.env.timeout(cluster.rng.expovariate(rate_per_ms))
+            cluster.env.process(self._client(request_class, gateways))
 
     def _client(self, request_class: RequestClass, gateways: list[Gateway]) -> SimProcess:
         """Send one request, and send it again elsewhere after a rejection or a failure."""
-        fleet, counts, route = self.fleet, self.fleet.result, request_class.route
-        started_at_ms = fleet.now()
+        cluster, counts, route = self.cluster, self.cluster.result, request_class.route
+        started_at_ms = cluster.now()
         deadline_ms = started_at_ms + route.timeout_ms
         counts.value_offered += request_class.value
         counts.requests += 1
         result: Served | Reject | Fail | None = None
         for _ in range(MAX_CLIENT_TRIES):
-            gateway = fleet.rng.choice(gateways)
-            request = ModelRequest(fleet, self.policies[gateway.name], gateway, request_class, deadline_ms)
-            result = yield fleet.env.process(request.run())
+            gateway = cluster.rng.choice(gateways)
+            request = ModelRequest(cluster, self.policies[gateway.name], gateway, request_class, deadline_ms)
+            result = yield cluster.env.process(request.run())
             if isinstance(result, Served):
-                self._count_served(request_class, fleet.now() - started_at_ms)
+                self._count_served(request_class, cluster.now() - started_at_ms)
                 return
             if isinstance(result, Fail) and not route.is_idempotent:
                 break
             pause_ms = result.retry_after_ms if isinstance(result, Reject) else CLIENT_RETRY_MS
-            yield fleet.env.timeout(min(pause_ms, max(0.0, (deadline_ms - fleet.now()) / 3)))
-            if fleet.now() + request_class.mean_work_ms > deadline_ms:
+            yield cluster.env.timeout(min(pause_ms, max(0.0, (deadline_ms - cluster.now()) / 3)))
+            if cluster.now() + request_class.mean_work_ms > deadline_ms:
                 break
         if isinstance(result, Fail):
             counts.lost += 1
@@ -126,7 +128,7 @@
             counts.rejected += 1
 
     def _count_served(self, request_class: RequestClass, latency_ms: float) -> None:
-        counts = self.fleet.result
+        counts = self.cluster.result
         is_late = latency_ms > request_class.route.latency_target_ms
         counts.served += 1
         counts.late += is_late
@@ -154,9 +156,9 @@
 
 def max_in_window(times_ms: list[float], window_ms: float) -> int:
     """The most of these ascending times in any window of that length."""
-    most = first = 0
+    most = oldest = 0
     for last, time_ms in enumerate(times_ms):
-        while times_ms[first] <= time_ms - window_ms:
-            first += 1
-        most = max(most, last - first + 1)
+        while times_ms[oldest] <= time_ms - window_ms:
+            oldest += 1
+        most = max(most, last - oldest + 1)
     return most
--- a/hallhitch/lab/data_plane_requests.py
+++ b/hallhitch/lab/data_plane_requests.py
@@ -15,7 +15,7 @@
 import simpy
 
 from hallhitch.lab.data_plane_cases import RequestClass
-from hallhitch.lab.data_plane_fleet import Failure, Fleet, ModelBackend, SimProcess
+from hallhitch.lab.data_plane_cluster import Failure, ModelBackend, ModelCluster, SimProcess
 from hallhitch.planes.data.interfaces import (
     Action,
     Enqueue,
@@ -51,16 +51,16 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        cluster: ModelCluster,
         policy: LoadBalancingPolicy[Any],
         gateway: Gateway,
         request_class: RequestClass,
         deadline_ms: float,
     ) -> None:
-        self._fleet, self._policy, self._gateway, self._class = fleet, policy, gateway, request_class
+        self._cluster, self._policy, self._gateway, self._class = cluster, policy, gateway, request_class
         route = request_class.route
         self._request = RequestInfo(
-            route, request_class.service, route.allowed_regions, route.priority, fleet.now(), deadline_ms
+            route, request_class.service, route.allowed_regions, route.priority, cluster.now(), deadline_ms
         )
         self._attempts: dict[str, _Attempt] = {}  # not ended, by instance
         self._hedge_at_ms: dict[str, float] = {}  # by instance
@@ -70,10 +70,10 @@
 
     def run(self) -> Generator[Any, Any, Served | Reject | Fail]:
         """Carry out the policy's actions until the request is over."""
-        fleet, policy = self._fleet, self._policy
-        fleet.requests_ms[self._request.service].append(fleet.now())
-        state = policy.begin_request(fleet.now(), self._request)
-        action = policy.next_action(fleet.now(), state)
+        cluster, policy = self._cluster, self._policy
+        cluster.requests_ms[self._request.service].append(cluster.now())
+        state = policy.begin_request(cluster.now(), self._request)
+        action = policy.next_action(cluster.now(), state)
         result: Served | Reject | Fail | None = None
         while result is None:
             if isinstance(action, Reject | Fail):
@@ -85,25 +85,25 @@
             if is_served:
                 result = Served()
             else:
-                action = policy.next_action(fleet.now(), state)
-        policy.finish_request(fleet.now(), state)
+                action = policy.next_action(cluster.now(), state)
+        policy.finish_request(cluster.now(), state)
         self._cancel_attempts(state)
         self._count(result)
         return result
 
     def _carry_out(self, action: Action) -> float:
         """Start the attempt of an action; returns when to ask for the next, unless an attempt ends before."""
-        fleet, now = self._fleet, self._fleet.now()
+        cluster, now = self._cluster, self._cluster.now()
         wake_at_ms = self._request.deadline_ms
         if isinstance(action, Forward):
             instance = action.backend.instance
-            backend = fleet.backends[instance]
+            backend = cluster.backends[instance]
             if backend.failure is None:
                 if self._arrived:
-                    fleet.retries_ms[self._request.service].append(now)
-                    fleet.result.retries += 1
+                    cluster.retries_ms[self._request.service].append(now)
+                    cluster.result.retries += 1
                 self._arrived += 1
-            self._attempts[instance] = _Attempt(fleet.env.process(self._attempt(backend)), now)
+            self._attempts[instance] = _Attempt(cluster.env.process(self._attempt(backend)), now)
             self._hedge_at_ms[instance] = now + action.hedge_delay_ms
         elif isinstance(action, Enqueue):
             wake_at_ms = now + action.recheck_after_ms
@@ -112,8 +112,8 @@
     def _next_event(self, wake_at_ms: float) -> Any:
         # A process that ended without an outcome is a backend that does not respond.
         running = [attempt.process for attempt in self._attempts.values() if attempt.process.is_alive]
-        timer = self._fleet.env.timeout(max(MIN_WAIT_MS, wake_at_ms - self._fleet.now()))
-        return self._fleet.env.any_of([timer, *running])
+        timer = self._cluster.env.timeout(max(MIN_WAIT_MS, wake_at_ms - self._cluster.now()))
+        return self._cluster.env.any_of([timer, *running])
 
     def _report_ended(self, state: Any) -> bool:
         """Report the attempts that have ended; returns whether one succeeded."""
@@ -127,7 +127,7 @@
         return is_served
 
     def _report_timed_out(self, state: Any) -> None:
-        due_ms = self._fleet.now() + TIMER_TOLERANCE_MS
+        due_ms = self._cluster.now() + TIMER_TOLERANCE_MS
         for instance in [i for i, hedge_at_ms in self._hedge_at_ms.items() if hedge_at_ms <= due_ms]:
             del self._hedge_at_ms[instance]
             self._report(state, instance, self._attempts[instance], Outcome.TIMED_OUT)
@@ -139,22 +139,22 @@
             self._report(state, instance, attempt, Outcome.CANCELLED)
 
     def _report(self, state: Any, instance: str, attempt: _Attempt, outcome: Outcome) -> None:
-        now, entry = self._fleet.now(), self._fleet.backends[instance].entry
+        now, entry = self._cluster.now(), self._cluster.backends[instance].entry
         self._policy.on_attempt_ended(now, state, entry, outcome, now - attempt.started_at_ms)
 
     def _count(self, result: Served | Reject | Fail) -> None:
-        counts, route = self._fleet.result, self._request.route
+        counts, route = self._cluster.result, self._request.route
         counts.unsafe_reruns += self._runs > 1 and not route.is_idempotent
         if isinstance(result, Reject):
-            elapsed_ms = self._fleet.now() - self._request.arrived_at_ms
+            elapsed_ms = self._cluster.now() - self._request.arrived_at_ms
             counts.late_rejections += elapsed_ms > route.latency_target_ms / 4
 
     # The attempt, as it goes at the backend.
 
     def _attempt(self, backend: ModelBackend) -> SimProcess:
-        fleet = self._fleet
+        cluster = self._cluster
         self._count_bytes(backend)
-        process = fleet.env.active_process
+        process = cluster.env.active_process
         outcome: Outcome | None = Outcome.CONNECTION_LOST
         try:
             outcome = yield from self._round_trip(backend, process)
@@ -168,31 +168,31 @@
 
     def _round_trip(self, backend: ModelBackend, process: Any) -> Generator[Any, Any, Outcome | None]:
         """Send the request and wait for the response; None where nothing comes back."""
-        fleet, case = self._fleet, self._fleet.case
-        delay_ms = fleet.delay_ms(self._gateway.zone, backend.entry.zone)
-        yield fleet.env.timeout(delay_ms)
-        if backend.failure is Failure.SILENT:
+        cluster, case = self._cluster, self._cluster.case
+        delay_ms = cluster.delay_ms(self._gateway.zone, backend.entry.zone)
+        yield cluster.env.timeout(delay_ms)
+        if backend.failure is Failure.UNRESPONSIVE:
             return None
         if backend.failure is Failure.CRASHED:
-            yield fleet.env.timeout(delay_ms)
+            yield cluster.env.timeout(delay_ms)
             return Outcome.UNREACHABLE
-        if backend.cold_until_ms > fleet.now():
-            backend.arrivals_while_cold_ms.append(fleet.now())
+        if backend.cold_until_ms > cluster.now():
+            backend.arrivals_while_cold_ms.append(cluster.now())
         if len(backend.slots.queue) >= case.max_queued:
-            fleet.result.resets += case.resets_when_full
-            yield fleet.env.timeout(delay_ms)
+            cluster.result.resets += case.resets_when_full
+            yield cluster.env.timeout(delay_ms)
             return Outcome.CONNECTION_LOST if case.resets_when_full else Outcome.DECLINED
         backend.work.add(process)
         with backend.slots.request() as slot:
             yield slot
             self._runs += 1
-            yield fleet.env.timeout(self._draw_work_ms(backend))
-        yield fleet.env.timeout(delay_ms)
+            yield cluster.env.timeout(self._draw_work_ms(backend))
+        yield cluster.env.timeout(delay_ms)
         return Outcome.OK
 
     def _draw_work_ms(self, backend: ModelBackend) -> float:
-        rng, request_class = self._fleet.rng, self._class
-        factor = backend.slowness * (COLD_WORK_FACTOR if backend.cold_until_ms > self._fleet.now() else 1.0)
+        rng, request_class = self._cluster.rng, self._class
+        factor = backend.slowness * (COLD_WORK_FACTOR if backend.cold_until_ms > self._cluster.now() else 1.0)
         factor *= TAIL_WORK_FACTOR if rng.random() < TAIL_PROBABILITY else 1.0
         sigma = request_class.work_sigma
         return rng.lognormvariate(log(request_class.mean_work_ms) - sigma**2 / 2, sigma) * factor
@@ -200,6 +200,6 @@
     def _count_bytes(self, backend: ModelBackend) -> None:
         response_mb = self._class.response_bytes / 1e6
         if backend.entry.region != self._gateway.region:
-            self._fleet.result.cross_region_mb += response_mb
+            self._cluster.result.cross_region_mb += response_mb
         elif backend.entry.zone != self._gateway.zone:
-            self._fleet.result.cross_zone_mb += response_mb
+            self._cluster.result.cross_zone_mb += response_mb
--- a/hallhitch/planes/data/endpoint_set.py
+++ b/hallhitch/planes/data/endpoint_set.py
@@ -17,7 +17,7 @@
 from hallhitch.planes.data.latency import LatencyEstimate
 from hallhitch.planes.data.outlier_detection import HealthState
 from hallhitch.planes.data.queued_requests import QueuedRequests
-from hallhitch.planes.data.slow_start import CAPACITY_RAMP_MS, SlowStart
+from hallhitch.planes.data.slow_start import CAPACITY_RECOVERY_MS, SlowStart
 from hallhitch.planes.values import Backend, RequestKind, Service
 
 # Which endpoints are considered.
@@ -31,7 +31,7 @@
 UNSAFE_QUEUE_FACTOR: Final = 0.5  # of the queue for a request that must not run twice: a reset would lose it
 SHARED_SLOTS_RATIO: Final = 0.5  # that each gateway but the preferred may use, or they overload it together
 MAX_WARMING_IN_FLIGHT: Final = 2  # requests in flight at an endpoint in slow start
-RAMP_RESERVED_RATIO: Final = 0.5  # of the slots that count as taken at the end of slow start, falling to none
+RECOVERY_RESERVED_RATIO: Final = 0.5  # of the slots that count as taken at the end of slow start, falling to none
 LOAD_AVERAGING_MS: Final = 1000.0  # time constant of the own load, by which that of others is estimated
 
 # Half-open attempts: a token bucket that requests to the service fill.
@@ -222,8 +222,8 @@
         warming_until_ms = self._slow_start.warming_until_ms(endpoint.backend)
         if warming_until_ms > now:
             latency_ms *= WARMING_LATENCY_FACTOR
-        elif warming_until_ms > now - CAPACITY_RAMP_MS and warming_until_ms > 0.0:
-            occupied += slots * RAMP_RESERVED_RATIO * (1.0 - (now - warming_until_ms) / CAPACITY_RAMP_MS)
+        elif warming_until_ms > now - CAPACITY_RECOVERY_MS and warming_until_ms > 0.0:
+            occupied += slots * RECOVERY_RESERVED_RATIO * (1.0 - (now - warming_until_ms) / CAPACITY_RECOVERY_MS)
         queue_rounds = max(0.0, occupied + 1.0 - slots) / slots
         cost_ms = latency_ms * (1.0 + queue_rounds + FULL_SLOTS_COST * min(1.0, occupied / slots))
         if endpoint.health.state(now) is not HealthState.HEALTHY or self._is_unresponsive(endpoint, now):
--- a/hallhitch/planes/data/slow_start.py
+++ b/hallhitch/planes/data/slow_start.py
@@ -23,7 +23,7 @@
 VIEW_SETTLING_MS: Final = 1500.0  # after a start or a new gateway: the view of the gateways may be incomplete
 GATEWAY_MEMORY_MS: Final = 6000.0  # how long a gateway that left the list keeps its rank: it may only be unseen
 NEW_BACKEND_WARMING_SHARE: Final = 0.5  # of the slow-start time, for a new backend whose entry does not say it is cold
-CAPACITY_RAMP_MS: Final = 1500.0  # after the warm-up, over which the capacity of a backend grows to its full slots
+CAPACITY_RECOVERY_MS: Final = 1500.0  # after the warm-up, over which the capacity of a backend grows to its full slots
 
 
 @dataclass(frozen=True, slots=True)
