--- a/hallhitch/planes/control/committed_state.py
+++ b/hallhitch/planes/control/committed_state.py
@@ -2,8 +2,7 @@
 
 Owns the newest committed cluster state and the report of it to the process. Invariants:
 
-- *Committed*: `state` was accepted by a majority of each set of members, under `ballot` or under a ballot that another
-  coordinator knows.
+- *Committed*: `state` was accepted by a majority of each set of its members.
 - *Monotonic*: the serial of `state` and `ballot` never fall while the process runs.
 """
 
@@ -35,13 +34,11 @@
             self._proposer.committed_membership = Membership.from_state(state)
         if ballot > self._proposer.newest_seen.ballot:
             self._proposer.newest_seen = BallotedState(ballot, state)
-        self.adopt(state)
+        if state.serial > self.state.serial:
+            self.state = state
+            self._notify(state)
 
-    def adopt(self, state: ClusterState) -> None:
-        """Take in a committed state of another coordinator, if it is newer."""
-        if state.serial <= self.state.serial:
-            return
-        self.state = state
+    def _notify(self, state: ClusterState) -> None:
         try:
             self._on_commit(state)
         except Exception as error:  # a fault of the listener does not undo what was committed
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -189,10 +189,6 @@
         """Take over the internal addresses of the live coordinators, as discovery has found them."""
         self._observer.live_coordinators = frozenset(addresses)
 
-    def adopt(self, state: ClusterState) -> None:
-        """Take in a committed state of another coordinator, if it is newer."""
-        self._committed.adopt(state)
-
     def handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope] | None:
         """Return the reply to another replica's message; None where the message is not for the control plane."""
         if envelope.HasField("acceptor_query"):
