--- a/hallhitch/core/module.py
+++ b/hallhitch/core/module.py
@@ -226,9 +226,9 @@
             return
         x.sends += 1
         alone = not any((x.id, n) in self._out for n in range(number))
-        invariant(alone or self.gateway.set.second_copies, "one attempt out at a time")
+        invariant(alone or self.gateway.config.second_copies, "one attempt out at a time")
         self._out[x.id, number] = attempt
-        if now >= ends or number >= self.gateway.set.attempts:
+        if now >= ends or number >= self.gateway.config.attempts:
             self.ended(attempt, "void")
         else:
             self.hop.start(attempt)
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -148,7 +148,7 @@
     figures.levels = {
         "in_flight": lambda: ingress.in_flight,
         "backends_known": lambda: len(routes.entries),
-        "backends_excluded": core.gateway.avoided,
+        "backends_excluded": core.gateway.unavailable_count,
     }
     serving = False
 
--- a/hallhitch/lab/baselines.py
+++ b/hallhitch/lab/baselines.py
@@ -12,7 +12,7 @@
 
 from hallhitch.decision import api
 from hallhitch.decision.policy import Gateway
-from hallhitch.decision.state import Open, Server
+from hallhitch.decision.state import OpenRequest, Server
 from hallhitch.lab.node import Node
 from hallhitch.lab.scenario import World
 from hallhitch.lab.virtual import VirtualTime
@@ -25,16 +25,16 @@
 
     near_only = True  # whether it keeps to the module's few servers, or sends to any
 
-    def choose(self, r: Open) -> Server | None:
+    def select_server(self, r: OpenRequest) -> Server | None:
         """A server, or none."""
-        if self.now >= self.redraw:
-            self.draw()
+        if self.now >= self.subset_expires_at:
+            self.select_subset()
         tried = [a.entry.server for a in r.attempts]
-        among = self.near if self.near_only else self.pool
-        good = [s for s in among if s.entry.server not in tried and self.takes(s, r)]
+        among = self.subset if self.near_only else self.pool
+        good = [s for s in among if s.entry.server not in tried and self.accepts(s, r)]
         return self.pick(good, r) if good else None
 
-    def pick(self, good: list[Server], r: Open) -> Server:
+    def pick(self, good: list[Server], r: OpenRequest) -> Server:
         """One of some."""
         raise NotImplementedError
 
@@ -42,7 +42,7 @@
 class Uniform(Chooser):
     """Any of them."""
 
-    def pick(self, good: list[Server], r: Open) -> Server:
+    def pick(self, good: list[Server], r: OpenRequest) -> Server:
         return self.rng.choice(good)
 
 
@@ -53,7 +53,7 @@
         super().__init__(settings, seed)
         self._last = f"node-{self.rng.randrange(10_000)}"
 
-    def pick(self, good: list[Server], r: Open) -> Server:
+    def pick(self, good: list[Server], r: OpenRequest) -> Server:
         s = min(good, key=lambda s: (s.entry.server <= self._last, s.entry.server))
         self._last = s.entry.server
         return s
@@ -62,15 +62,15 @@
 class TwoChoices(Chooser):
     """Of two at random the one with less out from here."""
 
-    def pick(self, good: list[Server], r: Open) -> Server:
-        return min(self.rng.sample(good, min(2, len(good))), key=lambda s: len(s.out))
+    def pick(self, good: list[Server], r: OpenRequest) -> Server:
+        return min(self.rng.sample(good, min(2, len(good))), key=lambda s: len(s.in_flight))
 
 
 class Least(Chooser):
     """With the least out from here; at random among those alike."""
 
-    def pick(self, good: list[Server], r: Open) -> Server:
-        return min(good, key=lambda s: (len(s.out), self.rng.random()))
+    def pick(self, good: list[Server], r: OpenRequest) -> Server:
+        return min(good, key=lambda s: (len(s.in_flight), self.rng.random()))
 
 
 class Informed(Chooser):
@@ -78,10 +78,10 @@
 
     held: Callable[[str], float]
 
-    def pick(self, good: list[Server], r: Open) -> Server:
+    def pick(self, good: list[Server], r: OpenRequest) -> Server:
         def cost(s: Server) -> float:
-            others = max(0.0, self.held(s.entry.server) - len(s.out))
-            return self.foresee(s, r, start=others + self.rng.expovariate(1.0))
+            others = max(0.0, self.held(s.entry.server) - len(s.in_flight))
+            return self.predict_latency(s, r, start=others + self.rng.expovariate(1.0))
 
         return min(good, key=cost)
 
--- a/hallhitch/lab/hopping.py
+++ b/hallhitch/lab/hopping.py
@@ -211,7 +211,7 @@
         self._time.call_later(way / 1000, node.take, self._work(job))
 
     def _work(self, job: _Job, lost: bool = False) -> Work:
-        intent, settings = job.ask.intent, self._core.gateway.set
+        intent, settings = job.ask.intent, self._core.gateway.config
         kind = settings.classes[intent.klass]
 
         def reply(outcome: str, echo: int) -> None:
@@ -351,7 +351,7 @@
     def ask(self, ask: Ask, patience: float, spread: int, repeat: bool) -> int:
         """A client's try has come."""
         i = ask.intent
-        kind = self.core.gateway.set.classes[i.klass]
+        kind = self.core.gateway.config.classes[i.klass]
         return self.core.begin(
             i.customer.name,
             i.customer.plan,
--- a/hallhitch/ops/handover.py
+++ b/hallhitch/ops/handover.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from hallhitch.decision import api
-from hallhitch.decision.state import Customer, Name
+from hallhitch.decision.state import Customer, QuotaWindow
 
 NAME = "hallhitch.learned"
 VERSION = 2
@@ -60,18 +60,18 @@
 class Learner(Protocol):
     """What of the module is handed over."""
 
-    work: dict[str, float]
-    learned: dict[str, float]
-    failing: dict[str, float]
-    depth: float
-    asks: float
-    set: api.Settings
+    service_ms: dict[str, float]
+    learned_at: dict[str, float]
+    class_error_ratio: dict[str, float]
+    concurrency_limit: float
+    ask_ratio: float
+    config: api.Settings
     customers: dict[str, Customer]
-    names: dict[int, Name]
+    windows: dict[int, QuotaWindow]
 
-    def bind(self, c: Customer, plan: api.Plan) -> None: ...
+    def bind_plan(self, c: Customer, plan: api.Plan) -> None: ...
 
-    def stranger(self, c: Customer) -> bool: ...
+    def is_stale(self, c: Customer) -> bool: ...
 
 
 class Idleness(Protocol):
@@ -88,10 +88,11 @@
         {
             "version": VERSION,
             "at": now,
-            "depth": gateway.depth,
-            "asks": gateway.asks,
+            "depth": gateway.concurrency_limit,
+            "asks": gateway.ask_ratio,
             "classes": {
-                name: [gateway.work[name], gateway.learned[name], gateway.failing[name]] for name in gateway.work
+                name: [gateway.service_ms[name], gateway.learned_at[name], gateway.class_error_ratio[name]]
+                for name in gateway.service_ms
             },
             "idle": idleness.told(),
             "customers": customers_of(gateway),
@@ -139,11 +140,11 @@
 def take(told: Mapping[str, Any], gateway: Learner, idleness: Idleness) -> None:
     """Go on from there, for the classes that there are now."""
     idleness.take(told["idle"])
-    gateway.depth, gateway.asks = told["depth"], told["asks"]
+    gateway.concurrency_limit, gateway.ask_ratio = told["depth"], told["asks"]
     for name, (work, when, failing) in told["classes"].items():
-        if name in gateway.work:
-            gateway.work[name], gateway.learned[name], gateway.failing[name] = work, when, failing
-    plans = {plan.name: plan for plan in gateway.set.plans}
+        if name in gateway.service_ms:
+            gateway.service_ms[name], gateway.learned_at[name], gateway.class_error_ratio[name] = work, when, failing
+    plans = {plan.name: plan for plan in gateway.config.plans}
     for k in (Kept(*row) for row in told["customers"]):
         plan = plans.get(k.plan)
         if plan is not None:
@@ -157,32 +158,32 @@
                 k.spread,
                 k.key,
                 others=k.others,
-                guess=k.guess,
-                part=min(k.part, plan.burst),
+                others_guess=k.guess,
+                local_tokens=min(k.part, plan.burst),
             )
-            gateway.bind(c, plan)
-            gateway.customers[k.name], gateway.names[k.key] = c, Name(c, k.started, k.last)
+            gateway.bind_plan(c, plan)
+            gateway.customers[k.name], gateway.windows[k.key] = c, QuotaWindow(c, k.started, k.last)
 
 
 def customers_of(gateway: Learner) -> list[Kept]:
     """What is known of customers, those last read; nothing of whom nothing holds any more."""
-    known = [c for c in gateway.customers.values() if c.key in gateway.names and not gateway.stranger(c)]
-    known.sort(key=lambda c: -c.read)
+    known = [c for c in gateway.customers.values() if c.window in gateway.windows and not gateway.is_stale(c)]
+    known.sort(key=lambda c: -c.total_read_at)
     return [
         Kept(
             c.name,
             c.plan.name,
-            c.key,
-            c.read,
-            c.at,
+            c.window,
+            c.total_read_at,
+            c.refilled_at,
             c.spread,
             c.others,
-            c.store,
-            c.ceiling,
-            c.guess,
-            c.part,
-            gateway.names[c.key].started,
-            gateway.names[c.key].last,
+            c.tokens,
+            c.ceiling_tokens,
+            c.others_guess,
+            c.local_tokens,
+            gateway.windows[c.window].started_at,
+            gateway.windows[c.window].last_total,
         )
         for c in known[:CUSTOMERS_MOST]
     ]
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -239,7 +239,7 @@
 
 def any_pod(gateway: ModelGateway) -> None:
     """A keyed class is repeated wherever there is room."""
-    settings = gateway.core.gateway.set
+    settings = gateway.core.gateway.config
     for kind in settings.classes:
         object.__setattr__(kind, "effect", api.SAFE)
         object.__setattr__(kind, "group", "all")
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -57,9 +57,9 @@
         base = replaced(short(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 40})
         run = Run(base, 3)
         modules = [gateway.core.gateway for gateway in run.gateways.values() if gateway is not None]
-        self.assertEqual([module.set.index for module in modules], list(range(12)))
+        self.assertEqual([module.config.index for module in modules], list(range(12)))
         run.time.run(run.time.now + 1.0)
-        near = Counter(s.entry.server for module in modules for s in module.near)
+        near = Counter(s.entry.server for module in modules for s in module.subset)
         self.assertEqual(set(near), set(run.nodes))
 
 
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -224,13 +224,13 @@
     def test_places_follow_names_and_no_server_is_without_a_gateway(self) -> None:
         """Guards against a wrong number in the settings: all told that they are number 0 keep to the same servers."""
         wrong = [self.module() for _ in range(40)]
-        self.assertLess(len({s.entry.server for made in wrong for s in made.near}), 20)
+        self.assertLess(len({s.entry.server for made in wrong for s in made.subset}), 20)
         for number, made in enumerate(wrong):
             places = Places(f"g{number}")
             places.follow(names(0, 40))
             made.handle(21_000.0, [api.Peers(40, 40, places.rank)])
         keepers = {
-            server: sum(any(s.entry.server == server for s in made.near) for made in wrong) for server in SERVERS
+            server: sum(any(s.entry.server == server for s in made.subset) for made in wrong) for server in SERVERS
         }
         self.assertTrue(all(FEW <= count <= FEW + 3 for count in keepers.values()), keepers)
 
@@ -240,17 +240,17 @@
         cold = made.servers["node-1"]
         cold.entry = api.ServerEntry("node-1", "up", started=19_000.0)
         for server in made.servers.values():
-            server.served.extend([20_500.0] * 30)
+            server.served_at.extend([20_500.0] * 30)
         made.now = 21_000.0
-        rest, rank = made.cold_pause(cold), cold.rank
+        rest, rank = made.warming_pause(cold), cold.rank
         made.handle(21_000.0, [api.Peers(20, 40, lambda server: rank)])
         # Half of the gateways in sight, each of them a keeper as before: twice as many keepers in all, and traffic
         # counted by half.
-        self.assertAlmostEqual(made.cold_pause(cold) / rest, 4.0, delta=0.2)
+        self.assertAlmostEqual(made.warming_pause(cold) / rest, 4.0, delta=0.2)
 
     def test_settings_that_are_read_again_do_not_undo_it(self) -> None:
         """Guards against a reload that brings the numbers of the file back."""
         made = self.module()
         made.handle(21_000.0, [api.Peers(10, 20, lambda server: 3)])
-        made.handle(21_001.0, [api.NewSettings(made.set)])
+        made.handle(21_001.0, [api.NewSettings(made.config)])
         self.assertEqual((made.peers.seen, made.peers.counted), (10, 20))
--- a/tests/ops/test_handover.py
+++ b/tests/ops/test_handover.py
@@ -33,15 +33,15 @@
 def learner(**changes: object) -> SimpleNamespace:
     """What a module has learned."""
     base: dict[str, object] = {
-        "work": {"a": 40.0},
-        "learned": {"a": 900.0},
-        "failing": {"a": 0.1},
-        "depth": 6.0,
-        "asks": 0.8,
+        "service_ms": {"a": 40.0},
+        "learned_at": {"a": 900.0},
+        "class_error_ratio": {"a": 0.1},
+        "concurrency_limit": 6.0,
+        "ask_ratio": 0.8,
         "customers": {},
-        "names": {},
+        "windows": {},
     }
-    return SimpleNamespace(**({"set": SimpleNamespace(plans=())} | base | changes))
+    return SimpleNamespace(**({"config": SimpleNamespace(plans=())} | base | changes))
 
 
 def idle(clock: float = 0.0) -> Idleness:
@@ -69,12 +69,18 @@
         handover.write(self.folder, learner(), idle(), 1000.0)
         told = handover.read(self.folder, 1500.0)
         assert told is not None
-        new = learner(work={"a": 300.0, "b": 300.0}, learned={}, failing={}, depth=0.0, asks=1.0)
+        new = learner(
+            service_ms={"a": 300.0, "b": 300.0},
+            learned_at={},
+            class_error_ratio={},
+            concurrency_limit=0.0,
+            ask_ratio=1.0,
+        )
         handover.take(told, new, idle())
-        self.assertEqual((new.work, new.learned), ({"a": 40.0, "b": 300.0}, {"a": 900.0}))
-        self.assertEqual((new.depth, new.asks), (6.0, 0.8))
-        handover.take(told, gone := learner(work={"b": 300.0}, learned={}, failing={}), idle())
-        self.assertEqual(gone.learned, {})
+        self.assertEqual((new.service_ms, new.learned_at), ({"a": 40.0, "b": 300.0}, {"a": 900.0}))
+        self.assertEqual((new.concurrency_limit, new.ask_ratio), (6.0, 0.8))
+        handover.take(told, gone := learner(service_ms={"b": 300.0}, learned_at={}, class_error_ratio={}), idle())
+        self.assertEqual(gone.learned_at, {})
 
     def test_idle_times_that_break_are_not_learned_again(self) -> None:
         """Guards against requests lost on dropped connections with each replacement, until that is learned anew."""
@@ -105,8 +111,8 @@
         new = gateway_of(plans[:1])
         handover.take(told, new, idle())
         self.assertEqual(list(new.customers), ["k"])
-        self.assertLess(abs(new.customers["k"].store - old.customers["k"].store), 0.1)
-        sent, left = [], int(old.customers["k"].store)
+        self.assertLess(abs(new.customers["k"].tokens - old.customers["k"].tokens), 0.1)
+        sent, left = [], int(old.customers["k"].tokens)
         self.assertLessEqual(left, 2, "some of the burst is gone")
         for n in range(3):  # what is left of the burst, and no more
             actions = new.handle(1010.0, [api.Request(n + 1, "k", 0, 0, 1.0, 800.0, 2.0)])
@@ -124,13 +130,13 @@
             self.assertIsNone(handover.read(self.folder, now))
         handover.write(f"{self.folder}/missing", learner(), idle(), 1000.0)
         wrongs: list[dict[str, object]] = [
-            {"work": {"a": 0.0}},
-            {"work": {"a": float("nan")}},
-            {"depth": -1.0},
-            {"asks": 2.0},
-            {"asks": True},
-            {"failing": {"a": 7.0}},
-            {"learned": {"a": 5000.0}},
+            {"service_ms": {"a": 0.0}},
+            {"service_ms": {"a": float("nan")}},
+            {"concurrency_limit": -1.0},
+            {"ask_ratio": 2.0},
+            {"ask_ratio": True},
+            {"class_error_ratio": {"a": 7.0}},
+            {"learned_at": {"a": 5000.0}},
         ]
         for wrong in wrongs:
             handover.write(self.folder, learner(**wrong), idle(), 1000.0)
@@ -149,8 +155,11 @@
         told = handover.read(self.folder, 1000.0)
         if told is not None:
             handover.take(told, new := learner(), idle())
-            json.dumps([new.work, new.learned, new.failing, new.depth, new.asks], allow_nan=False)
-            self.assertTrue(all(work > 0 for work in new.work.values()))
+            json.dumps(
+                [new.service_ms, new.learned_at, new.class_error_ratio, new.concurrency_limit, new.ask_ratio],
+                allow_nan=False,
+            )
+            self.assertTrue(all(work > 0 for work in new.service_ms.values()))
 
 
 class Locks(unittest.TestCase):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -240,8 +240,8 @@
     """A module that fails on one customer, and says nothing of another."""
 
     fault = (
-        "from hallhitch.decision.policy import Gateway as G; was = G.arrived; "
-        "G.arrived = lambda g, r: 1 / 0 if r.customer[-1] == 'a' else r.customer[-1] == 'b' or was(g, r)"
+        "from hallhitch.decision.policy import Gateway as G; was = G.on_request; "
+        "G.on_request = lambda g, r: 1 / 0 if r.customer[-1] == 'a' else r.customer[-1] == 'b' or was(g, r)"
     )
 
     async def test_a_failure_costs_its_own_exchange(self) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from hallhitch.decision import Gateway, api, policy
-from hallhitch.decision.state import Customer, Open, Server
+from hallhitch.decision.state import Customer, OpenRequest, Server
 
 A = TypeVar("A")
 SEED = 7
@@ -246,7 +246,7 @@
         asked += len(only(actions, api.Count))
         passed += len(only(actions, api.Send))
         bench.serve()
-        bench.gateway.asks = 0.6
+        bench.gateway.ask_ratio = 0.6
     assert 0 < asked < 150 and passed == 200
     assert sum(bench.numbers.values()) + bench.gateway.customers["k"].pending == pytest.approx(passed)
 
@@ -261,7 +261,7 @@
             bench.ask()
             bench.serve()
             c = bench.gateway.customers["k"]
-            bench.gateway.asks, c.store, c.guess = 0.5, store, 0.0
+            bench.gateway.ask_ratio, c.tokens, c.others_guess = 0.5, store, 0.0
             made += len(only(bench.ask(), api.Count))
             bench.serve()
         return made
@@ -280,10 +280,10 @@
             bench.numbers[name] += 2.0
         bench.answer()
     c = bench.gateway.customers["k"]
-    store = c.store
+    store = c.tokens
     bench.now += 400.0
     bench.gateway.refill(c)
-    assert c.store == pytest.approx(store, abs=2.0), "without the others it would be 8 more"
+    assert c.tokens == pytest.approx(store, abs=2.0), "without the others it would be 8 more"
 
 
 def test_an_unread_stranger_passes_by_this_gateways_part() -> None:
@@ -388,7 +388,7 @@
         while bench.sent:
             send = bench.sent.pop()
             to_cold += send.server == "cold"
-            tries = len(bench.gateway.open[send.id].attempts)
+            tries = len(bench.gateway.requests[send.id].attempts)
             bench.end(send, "full", attempt=tries - 1)
     assert to_cold <= 2, "in 120 ms, with nothing served by the warm ones"
 
@@ -462,7 +462,7 @@
         while bench.sent:
             send = bench.sent.pop()
             sends += 1
-            bench.end(send, "error", attempt=len(bench.gateway.open[send.id].attempts) - 1)
+            bench.end(send, "error", attempt=len(bench.gateway.requests[send.id].attempts) - 1)
     assert 100 < sends <= 130
 
 
@@ -471,7 +471,7 @@
     bench.ask()
     send = bench.sent[0]
     bench.do(api.RequestGone(send.id))
-    assert not only(bench.end(send, "error"), api.Send) and not bench.gateway.open
+    assert not only(bench.end(send, "error"), api.Send) and not bench.gateway.requests
     bench.do(api.RequestGone(send.id), api.AttemptEnded(99, 0, "nobody", "ok", 1.0, True), api.TimerFired(5))
     assert not only(bench.do(api.CounterAnswer(12, "ok", 3.0)), api.Send)
 
@@ -565,13 +565,13 @@
     """Guards against work for each request that grows with the fleet."""
     bench = Bench(make(gateways=300), servers(2000))
     seen: list[str] = []
-    original = Gateway.takes
+    original = Gateway.accepts
 
     def counting(self: Gateway, s: Any, r: Any) -> bool:
         seen.append(s.entry.server)
         return original(self, s, r)
 
-    monkeypatch.setattr(Gateway, "takes", counting)
+    monkeypatch.setattr(Gateway, "accepts", counting)
     bench.ask()
     assert bench.sent and len(seen) <= 64
 
@@ -635,8 +635,8 @@
         cold = api.ServerEntry("cold", "up", started=500_000.0)
         gateway.handle(500_100.0, [servers(40), api.ServerList("changes", (cold,))])
         server = gateway.servers["cold"]
-        if server in gateway.near and server.rank < gateway.most:
-            parts[server.rank] = gateway.set.fall_time / gateway.cold_pause(server)
+        if server in gateway.subset and server.rank < gateway.subset_gateways:
+            parts[server.rank] = gateway.config.fall_time / gateway.warming_pause(server)
     assert abs(sum(parts.values()) - 1) < 1e-9, "idle, all together may send one in the time of a fall"
     assert sorted(parts) == list(range(len(parts))) and len(parts) == min(gateways, policy.FEW)
     assert all(parts[n] > parts[n + 1] for n in range(len(parts) - 1))
@@ -651,7 +651,7 @@
         for n in range(busy // processes):  # each its part of the gateway's work
             bench.ask(f"k{n}")
             bench.serve()
-        rates[processes, busy] = processes / bench.gateway.cold_pause(bench.gateway.servers["cold"])
+        rates[processes, busy] = processes / bench.gateway.warming_pause(bench.gateway.servers["cold"])
     assert rates[2, 0] <= rates[1, 0] and rates[2, 40] <= rates[1, 40] * 1.05, rates
 
 
@@ -694,7 +694,7 @@
         while bench.sent:
             send = bench.sent.pop(0)
             full = n >= 20 and send.server not in linked
-            tries = len(bench.gateway.open[send.id].attempts) - 1
+            tries = len(bench.gateway.requests[send.id].attempts) - 1
             bench.end(send, "unreachable" if full else "ok", not full, tries)
             if not full:
                 linked.add(send.server)
@@ -705,11 +705,11 @@
 
 def test_an_attempt_without_connection_is_no_repeat() -> None:
     bench = Bench(listed=servers(4))
-    before = bench.gateway.retries
+    before = bench.gateway.retry_tokens
     bench.ask()
-    bench.gateway.retries = 0.0
+    bench.gateway.retry_tokens = 0.0
     bench.end(bench.sent[0], "unreachable")
-    assert len(bench.sent) == 2 and bench.gateway.retries == 0.0 and before > 0
+    assert len(bench.sent) == 2 and bench.gateway.retry_tokens == 0.0 and before > 0
 
 
 def test_requests_given_up_for_want_of_connections_are_answered_at_once() -> None:
@@ -717,8 +717,8 @@
     bench.ask()
     bench.end(bench.sent[0], "unreachable")
     actions = bench.end(bench.sent[1], "unreachable", attempt=1)
-    assert [a.advice for a in only(actions, api.Refuse)] == [bench.gateway.set.connect_timeout]
-    assert not bench.gateway.open
+    assert [a.advice for a in only(actions, api.Refuse)] == [bench.gateway.config.connect_timeout]
+    assert not bench.gateway.requests
 
 
 def test_a_gateway_keeps_to_few_servers_of_a_large_fleet() -> None:
@@ -728,11 +728,13 @@
         bench.ask(f"c{n}")
         bench.serve()
         bench.now += 100
-    assert len(bench.gateway.near) == 8
-    assert sum(bool(s.served) or s.linked for s in bench.gateway.servers.values()) <= 8
-    gone = tuple(api.ServerEntry(s.entry.server, "gone") for s in bench.gateway.near[:3])
+    assert len(bench.gateway.subset) == 8
+    assert sum(bool(s.served_at) or s.is_connected for s in bench.gateway.servers.values()) <= 8
+    gone = tuple(api.ServerEntry(s.entry.server, "gone") for s in bench.gateway.subset[:3])
     bench.do(api.ServerList("changes", gone))
-    assert len(bench.gateway.near) == 8 and not {e.server for e in gone} & {s.entry.server for s in bench.gateway.near}
+    assert len(bench.gateway.subset) == 8 and not {e.server for e in gone} & {
+        s.entry.server for s in bench.gateway.subset
+    }
 
 
 @pytest.mark.parametrize(("gateways", "fleet"), [(2, 40), (8, 34), (30, 100)])
@@ -742,7 +744,7 @@
     for index in range(gateways):
         gateway = Gateway(make(gateways=gateways, index=index), SEED)
         gateway.handle(500_000.0, [servers(fleet)])
-        for s in gateway.near:
+        for s in gateway.subset:
             kept[int(s.entry.server[1:])] += 1
     assert min(kept) >= min(gateways, 2)
 
@@ -767,19 +769,19 @@
 
 def test_the_bound_on_what_is_out_moves_with_the_answers() -> None:
     bench = Bench(make(gateways=400, plan=api.Plan("p", rate=1000.0, burst=1000.0)), servers(100))
-    first = bench.gateway.depth
+    first = bench.gateway.concurrency_limit
     for n in range(60):
         bench.ask(f"c{n}")
         if n % 10 == 9:
             bench.serve()
-    high = bench.gateway.depth
+    high = bench.gateway.concurrency_limit
     assert high > first, "quick answers after it refused raise it"
     for n in range(8):
         bench.ask(f"d{n}")
     bench.now += 1500
     for send in bench.sent:
         bench.do(api.AttemptEnded(send.id, 0, send.server, "ok", 1500.0, True))
-    assert bench.gateway.depth < high, "late ones, with half of it in use, lower it"
+    assert bench.gateway.concurrency_limit < high, "late ones, with half of it in use, lower it"
 
 
 def test_module_stays_short() -> None:
@@ -792,12 +794,12 @@
     """Guards against refusals in ordinary traffic, where each server has something out of many gateways."""
     for quiet, sent in ((150.0, 1), (650.0, 0)):
         bench = Bench(make(plan=api.Plan("p", rate=20.0, burst=40.0)))
-        bench.gateway.work = dict.fromkeys(bench.gateway.work, 100.0)
+        bench.gateway.service_ms = dict.fromkeys(bench.gateway.service_ms, 100.0)
         for n in range(3):
             bench.ask(f"k{n}")
         assert {send.server for send in bench.sent} == {"s0", "s1", "s2"}
         bench.now += quiet
-        bench.gateway.work = dict.fromkeys(bench.gateway.work, 100.0)
+        bench.gateway.service_ms = dict.fromkeys(bench.gateway.service_ms, 100.0)
         assert len(only(bench.ask("m"), api.Send)) == sent, quiet
 
 
@@ -811,7 +813,7 @@
         bench.serve()
         bench.now += 100.0
     kept = 2 * 2 * 2000.0 / 100.0  # those of the last two refill times, and as many not looked at yet
-    assert len(bench.gateway.customers) < 1.5 * kept and len(bench.gateway.names) < 1.5 * kept
+    assert len(bench.gateway.customers) < 1.5 * kept and len(bench.gateway.windows) < 1.5 * kept
 
 
 def test_what_still_decides_is_not_forgotten() -> None:
@@ -826,7 +828,7 @@
     bench.now += 60_000.0
     for n in range(50):
         bench.ask(f"more{n}")
-    assert bench.gateway.customers["empty"].open == 4, "its attempts are out"
+    assert bench.gateway.customers["empty"].in_flight == 4, "its attempts are out"
 
 
 def test_one_reset_sets_no_server_aside_and_two_in_a_row_do() -> None:
@@ -837,7 +839,7 @@
         send = bench.sent[-1]
         bench.gateway.servers[send.server].fails = n
         bench.end(send, "reset")
-        assert (max(bench.gateway.servers[send.server].aside.values(), default=0.0) > bench.now) == aside
+        assert (max(bench.gateway.servers[send.server].ejected.values(), default=0.0) > bench.now) == aside
 
 
 def test_one_late_answer_is_no_change_of_the_usual_time() -> None:
@@ -847,11 +849,11 @@
     for n in range(20):
         bench.ask(f"k{n}")
         bench.serve()
-    usual = next(iter(gateway.work.values()))
+    usual = next(iter(gateway.service_ms.values()))
     bench.ask("m")
     late = bench.sent[-1]
     bench.do(api.AttemptEnded(late.id, 0, late.server, "ok", 10 * usual, True))
-    assert usual < next(iter(gateway.work.values())) < 1.6 * usual
+    assert usual < next(iter(gateway.service_ms.values())) < 1.6 * usual
 
 
 def test_worth_decides_who_is_refused_as_servers_fill() -> None:
@@ -863,7 +865,7 @@
             bench = Bench(make(classes=kinds, plan=api.Plan("p", rate=20.0, burst=40.0)))
             for n in range(2):
                 bench.ask(f"k{n}")
-            bench.gateway.work, bench.gateway.value = {"w1": work, "w5": work}, 5.0**0.5 / work
+            bench.gateway.service_ms, bench.gateway.usual_worth = {"w1": work, "w5": work}, 5.0**0.5 / work
             ask = api.Request(99, "m", 0, klass, 1.0, 2000.0, 2.0)
             found.append(len(only(bench.do(ask) + bench.answer(), api.Send)))
         assert found == sent, work
@@ -875,7 +877,7 @@
     for n in range(90):
         bench.ask(f"k{n}")
         bench.end(bench.sent.pop(), "error", True)
-    assert max(server.errors for server in bench.gateway.servers.values()) < 0.25
+    assert max(server.error_ratio for server in bench.gateway.servers.values()) < 0.25
     assert only(bench.ask("m"), api.Send)
 
 
@@ -888,10 +890,10 @@
     calls, bench.counts = bench.counts, []
     for call in calls:
         bench.do(api.CounterAnswer(call.name, "timeout", 0.0, 5.0))
-    assert not bench.gateway.silent
+    assert not bench.gateway.counter_silent
     for n in range(20):
         bench.ask(f"m{n}")
-    assert bench.gateway.silent, "a row that lasts is one"
+    assert bench.gateway.counter_silent, "a row that lasts is one"
 
 
 def test_each_server_has_as_many_gateways_as_any_other_whoever_is_gone() -> None:
@@ -899,15 +901,15 @@
     gateways = [Gateway(make(gateways=40, index=n), n) for n in range(40)]
     for gateway in gateways:
         gateway.handle(500_000.0, [servers(60)])
-    kept = {name: {g.set.index for g in gateways if g.servers[name] in g.near} for name in gateways[0].servers}
-    assert {len(who) for who in kept.values()} <= {8, 9, 10} and all(len(g.near) >= 8 for g in gateways)
+    kept = {name: {g.config.index for g in gateways if g.servers[name] in g.subset} for name in gateways[0].servers}
+    assert {len(who) for who in kept.values()} <= {8, 9, 10} and all(len(g.subset) >= 8 for g in gateways)
     lost = tuple(api.ServerEntry(f"s{n}", "gone") for n in range(40))
     back = tuple(api.ServerEntry(f"s{n}", "up", cell=n, started=505_000.0) for n in range(40))
     for gateway in gateways:
         gateway.handle(501_000.0, [api.ServerList("changes", lost)])
-        assert len(gateway.near) >= 8
+        assert len(gateway.subset) >= 8
         gateway.handle(507_000.0, [api.ServerList("changes", back)])
-    assert kept == {name: {g.set.index for g in gateways if g.servers[name] in g.near} for name in kept}
+    assert kept == {name: {g.config.index for g in gateways if g.servers[name] in g.subset} for name in kept}
 
 
 def test_every_gateway_keeps_to_all_of_a_small_fleet() -> None:
@@ -915,7 +917,7 @@
     for index in range(40):
         gateway = Gateway(make(gateways=40, index=index), SEED)
         gateway.handle(500_000.0, [servers(12)])
-        assert len(gateway.near) == 12
+        assert len(gateway.subset) == 12
 
 
 def test_work_is_shared_by_what_servers_can_do() -> None:
@@ -927,21 +929,21 @@
         bench.do(api.ServerList("changes", cold))
         bench.now += 1000
         for s in bench.gateway.servers.values():
-            s.rests = 0.0
+            s.warming_until = 0.0
         share += sum(chosen(bench).entry.started > 0 for _ in range(50)) / 2000
-        warm = sum(bench.gateway.warmth(s) for s in bench.gateway.servers.values() if s.entry.started)
+        warm = sum(bench.gateway.warm_ratio(s) for s in bench.gateway.servers.values() if s.entry.started)
     assert abs(share - warm / (4 + warm)) < 0.05
 
 
 def chosen(bench: Bench, out: int = 0) -> Server:
     """The server that a gateway chooses for a request, with so much out at the first in its order."""
     gateway = bench.gateway
-    first = min(gateway.near, key=lambda s: s.rank)
-    first.out = {(1000 + n, 0) for n in range(out)}
-    first.heard = bench.now
+    first = min(gateway.subset, key=lambda s: s.rank)
+    first.in_flight = {(1000 + n, 0) for n in range(out)}
+    first.heard_at = bench.now
     ask = api.Request(1, "k", 0, 0, 1.0, 2000.0, 2.0)
     customer = Customer("k", api.Plan("p"), 1.0, 1.0, bench.now, bench.now)
-    best = gateway.choose(Open(ask, customer, gateway.set.classes[0], 1e9))
+    best = gateway.select_server(OpenRequest(ask, customer, gateway.config.classes[0], 1e9))
     assert best is not None
     return best
 
@@ -955,7 +957,7 @@
             best = chosen(bench)
             own += best.rank == 0
             uses[best.entry.server] += 1
-        first = min(bench.gateway.near, key=lambda s: s.rank)
+        first = min(bench.gateway.subset, key=lambda s: s.rank)
         kept += sum(chosen(bench, 1) is first for _ in range(200))
         left += sum(chosen(bench, 3) is first for _ in range(200))
     assert own > 0.75 * 800  # a quarter, where places do not count
@@ -966,22 +968,22 @@
 def test_new_settings_keep_what_was_learned_by_name() -> None:
     """Guards against a reload that costs a cold start, and against a class that takes over another's times."""
     bench = Bench()
-    gateway, old = bench.gateway, bench.gateway.set
+    gateway, old = bench.gateway, bench.gateway.config
     for n in range(20):
         bench.ask(f"k{n}")
         bench.serve()
-    usual = dict(gateway.work)
+    usual = dict(gateway.service_ms)
     first = api.RequestClass("first", 500.0, 900.0)
     bench.do(api.NewSettings(replace(old, classes=(first, *old.classes))))
-    assert gateway.work == {"first": 500.0 / policy.STALL} | usual
-    assert gateway.set.classes[0] is first
+    assert gateway.service_ms == {"first": 500.0 / policy.STALL} | usual
+    assert gateway.config.classes[0] is first
 
 
 def test_an_attempt_under_way_is_repeated_by_the_class_it_came_with() -> None:
     """Guards against a stricter effect, or fewer attempts, that reach back, and against more attempts than allowed."""
     for attempts, repeats in ((5, 1), (1, 0)):
         bench = Bench()
-        old = bench.gateway.set
+        old = bench.gateway.config
         first = only(bench.ask("a"), api.Send)[0]
         strict = tuple(replace(kind, effect=api.UNSAFE) for kind in old.classes)
         bench.do(api.NewSettings(replace(old, classes=strict, attempts=attempts)))
@@ -996,19 +998,19 @@
             "full", (api.ServerEntry("s0", "up"), api.ServerEntry("s1", "drain"), api.ServerEntry("s2", "up"))
         )
     )
-    assert bench.gateway.avoided() == 1
+    assert bench.gateway.unavailable_count() == 1
     told = []
     for n in range(4):
         s = bench.gateway.servers["s0"]
-        s.aside, s.out = {}, set()
+        s.ejected, s.in_flight = {}, set()
         bench.ask(f"k{n}")
         for send in bench.sent[-1:]:
             bench.do(api.AttemptEnded(send.id, 0, "s0", "unreachable", 5.0, False))
-        told.append(bench.gateway.avoided())
+        told.append(bench.gateway.unavailable_count())
     assert told == [1, 1, 2, 2]
     bench.now += 60_000.0
     bench.do()
-    assert bench.gateway.avoided() == 1
+    assert bench.gateway.unavailable_count() == 1
 
 
 @given(
@@ -1032,9 +1034,9 @@
     gateway, fresh = Gateway(told(*files[0]), SEED), Gateway(told(*files[-1]), SEED)
     for n, file in enumerate(files[1:]):
         gateway.handle(1000.0 + n, [api.NewSettings(told(*file))])
-    assert (gateway.set, gateway.shortest) == (fresh.set, fresh.shortest)
-    assert {name: gateway.work[name] for name in fresh.work} == fresh.work
+    assert (gateway.config, gateway.shortest_aim) == (fresh.config, fresh.shortest_aim)
+    assert {name: gateway.service_ms[name] for name in fresh.service_ms} == fresh.service_ms
     for one in (gateway, fresh):
         one.handle(2000.0, [servers()])
         one.handle(2001.0, [api.Request(1, "k", 0, 0, 1.0, 2000.0)])
-    assert gateway.customers == fresh.customers and gateway.open[1].kind == fresh.open[1].kind
+    assert gateway.customers == fresh.customers and gateway.requests[1].kind == fresh.requests[1].kind
