--- a/hallhitch/cli/demo_system.py
+++ b/hallhitch/cli/demo_system.py
@@ -3,13 +3,20 @@
 from __future__ import annotations
 
 from pathlib import Path
+from typing import TYPE_CHECKING, Final
 
 import click
 
 from hallhitch.cli.output import Failure, table
 
-SECONDS, DAY = 20.0, "kills"
-NAMES = (
+if TYPE_CHECKING:
+    from hallhitch.lab.emulator.client_request import RequestOutcome
+    from hallhitch.lab.emulator.emulator import Emulator
+    from hallhitch.lab.emulator.traffic import PlannedFault
+
+DEFAULT_DURATION_S: Final = 20.0
+DEFAULT_SCENARIO: Final = "kills"
+SCENARIO_NAMES: Final = (  # written out, so that the command line does not import the emulator
     "kills",
     "herd",
     "wipes",
@@ -25,8 +32,10 @@
 
 
 @click.command()
-@click.option("--day", type=click.Choice(NAMES), default=DAY, show_default=True, help="What goes wrong.")
-@click.option("--seconds", type=click.FloatRange(5, 600), default=SECONDS, show_default=True)
+@click.option(
+    "--day", type=click.Choice(SCENARIO_NAMES), default=DEFAULT_SCENARIO, show_default=True, help="What goes wrong."
+)
+@click.option("--seconds", type=click.FloatRange(5, 600), default=DEFAULT_DURATION_S, show_default=True)
 @click.option(
     "--load",
     type=click.FloatRange(0.1, 5),
@@ -40,67 +49,83 @@
     """Three regions, nine gateways, three coordinators, a day with faults. Exit code 1 if a rule was broken."""
     import uvloop
 
-    uvloop.run(_play(day, seconds, load, seed, to))
+    uvloop.run(_run_scenario(day, seconds, load, seed, to))
 
 
-async def _play(day: str, seconds: float, load: float, seed: int, to: Path | None) -> None:
-    from hallhitch.lab.system.clients import Outcome
-    from hallhitch.lab.system.days import DAYS
-    from hallhitch.lab.system.report import HEAD, acknowledgements, percentile, verdict
-    from hallhitch.lab.system.report import table as rows
-    from hallhitch.lab.system.rules import check
-    from hallhitch.lab.system.shape import Shape
-    from hallhitch.lab.system.traffic import Traffic, schedule
-    from hallhitch.lab.system.world import World
-    from hallhitch.node.clock import now
+async def _run_scenario(name: str, duration_s: float, load_factor: float, seed: int, directory: Path | None) -> None:
+    from hallhitch.lab.emulator.emulator import Emulator
+    from hallhitch.lab.emulator.report import (
+        TABLE_HEADER,
+        describe_acknowledgements,
+        describe_violations,
+        outcome_table,
+        percentile,
+    )
+    from hallhitch.lab.emulator.rules import check_records
+    from hallhitch.lab.emulator.scenarios import SCENARIOS
+    from hallhitch.lab.emulator.spec import EmulatorSpec
+    from hallhitch.lab.emulator.traffic import Traffic, plan_requests
 
-    if to is not None:
-        to.mkdir(parents=True, exist_ok=True)
-    shape = Shape(seed=seed)
-    async with World(shape, to, linked=True) as world:
-        rig, began = world.rig, now()
-        click.echo(
-            f"{shape.regions} regions {shape.between:g} ms apart, {len(rig.of('gateway'))} gateways, "
-            f"{len(rig.of('coordinator'))} coordinators, {len(world.fleet.backends)} backends"
-        )
-        try:
-            await world.configured()
-            ready = now() - began
-            await world.serving()
-        except (RuntimeError, TimeoutError) as error:
-            raise Failure(str(error)) from None
-        click.echo(
-            f"all ready after {ready / 1000:.1f} s, every gateway serves every tenant after "
-            f"{(now() - began) / 1000:.1f} s; {seconds:g} s of traffic follow"
-        )
-        world.spawn(world.watch_readiness())
-
-        faults = DAYS[day](world, seconds)
+    if directory is not None:
+        directory.mkdir(parents=True, exist_ok=True)
+    spec = EmulatorSpec(seed=seed)
+    async with Emulator(spec, directory, is_relayed=True) as emulator:
+        await _wait_for_start(emulator, duration_s)
+        emulator.spawn(emulator.watch_readiness())
+        faults = SCENARIOS[name](emulator, duration_s)
         click.echo(f"{'s':>4} {'served':>8} {'refused':>8} {'failed':>8}   of that second")
-
-        def tick(second: int, outcomes: list[Outcome]) -> None:
-            served, refused = sum(o.served for o in outcomes), sum(o.status in (429, 503) for o in outcomes)
-            words = "; ".join(words for at, words, _ in faults if second <= at < second + 1)
-            click.echo(f"{second:>4} {served:>8} {refused:>8} {len(outcomes) - served - refused:>8}   {words}".rstrip())
-
-        traffic = Traffic(world, schedule(shape, seconds, len(world.clients), load))
-        await traffic.run(faults, tick)
-        await world.operator.read_back()
-        fallen = rig.fallen()
+        traffic = Traffic(emulator, plan_requests(spec, duration_s, len(emulator.clients), load_factor))
+        await traffic.run(faults, lambda second, outcomes: _print_second(second, outcomes, faults))
+        await emulator.operator.read_config()
+        unexpected_exits = emulator.processes.describe_unexpected_exits()
     click.echo()
-    table(HEAD, rows(traffic.outcomes))
-    fleet = world.fleet
+    table(TABLE_HEADER, outcome_table(traffic.outcomes))
     click.echo(
-        f"\n{fleet.opened} connections to backends, {fleet.probes} probes, {world.platform.calls} calls to the "
-        f"platform; 99 of 100 requests left at most {percentile(traffic.late, 0.99):.1f} ms late"
+        f"\n{emulator.backends.connections_opened} connections to backends, {emulator.backends.health_checks} probes, "
+        f"{emulator.platform.calls} calls to the platform; 99 of 100 requests left at most "
+        f"{percentile(traffic.send_delays_ms, 0.99):.1f} ms late"
     )
-    click.echo(f"{acknowledgements(world.records.orders)}; {len(world.records.reads)} times read back\n")
-    broken = check(world.records, shape.figures)
-    for line in verdict(broken):
+    records = emulator.records
+    click.echo(f"{describe_acknowledgements(records.operations)}; {len(records.config_reads)} times read back\n")
+    violations_by_rule = check_records(records, spec.bounds)
+    for line in describe_violations(violations_by_rule):
         click.echo(line)
-    for line in fallen:
+    for line in unexpected_exits:
         click.echo(line, err=True)
-    count = sum(map(len, broken.values()))
-    if count or fallen:
-        raise Failure(f"{count} breaches of the rules, {len(fallen)} processes ended by themselves")
+    count = sum(map(len, violations_by_rule.values()))
+    if count or unexpected_exits:
+        raise Failure(f"{count} breaches of the rules, {len(unexpected_exits)} processes ended by themselves")
     click.echo("no rule broken")
+
+
+async def _wait_for_start(emulator: Emulator, duration_s: float) -> None:
+    """Wait until every gateway serves every tenant, and print how long it took."""
+    from hallhitch.lab.emulator.errors import EmulatorError
+    from hallhitch.node.clock import now
+
+    spec, processes, began_ms = emulator.spec, emulator.processes, now()
+    click.echo(
+        f"{spec.regions} regions {spec.region_delay_ms:g} ms apart, {len(processes.with_role('gateway'))} gateways, "
+        f"{len(processes.with_role('coordinator'))} coordinators, {len(emulator.backends.backends)} backends"
+    )
+    try:
+        await emulator.wait_until_configured()
+        ready_after_ms = now() - began_ms
+        await emulator.wait_until_serving()
+    except EmulatorError as error:
+        raise Failure(str(error)) from None
+    click.echo(
+        f"all ready after {ready_after_ms / 1000:.1f} s, every gateway serves every tenant after "
+        f"{(now() - began_ms) / 1000:.1f} s; {duration_s:g} s of traffic follow"
+    )
+
+
+def _print_second(second: int, outcomes: list[RequestOutcome], faults: list[PlannedFault]) -> None:
+    """Print what came of the requests that ended in a second, and which faults were injected in it."""
+    from hallhitch.lab.emulator.report import REJECTED_STATUSES
+
+    served = sum(outcome.is_served for outcome in outcomes)
+    rejected = sum(outcome.status in REJECTED_STATUSES for outcome in outcomes)
+    failed = len(outcomes) - served - rejected
+    descriptions = "; ".join(fault.description for fault in faults if second <= fault.at_s < second + 1)
+    click.echo(f"{second:>4} {served:>8} {rejected:>8} {failed:>8}   {descriptions}".rstrip())
--- /dev/null
+++ b/hallhitch/lab/emulator/backend_fleet.py
@@ -0,0 +1,151 @@
+"""All emulated backends: who runs, what the platform's list says of them, and their faults.
+
+Owns starts, drains, crashes and the records of them; serves no request itself.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Mapping
+from typing import Final
+
+from hallhitch.lab.emulator.backend import Backend, BackendSpec
+from hallhitch.lab.emulator.connection_owners import Address
+from hallhitch.lab.emulator.network_paths import NetworkPaths, region_of
+from hallhitch.lab.emulator.records import ColdPeriod, ListingChange, Records
+from hallhitch.lab.emulator.response_fault import ResponseFault
+from hallhitch.lab.streams import Streams
+from hallhitch.node.clock import now
+
+CRASH_LISTING_DELAY_MS: Final = 2000.0  # for which a crashed backend stays on the list
+LIST_COLUMNS: Final = (
+    "instanceId",
+    "targetService",
+    "address",
+    "zone",
+    "configVersion",
+    "slotCount",
+    "state",
+    "coldRemaining",
+)
+LISTED_STATES: Final = ("ready", "draining")
+
+
+class BackendFleet:
+    """The backends.
+
+    `find_owner` returns the process that opened a connection, by its two ends; `region_numbers` are those of processes
+    by name; `response_bytes` returns the size of a response by its path.
+    """
+
+    def __init__(
+        self,
+        records: Records,
+        network: NetworkPaths,
+        port: int,
+        listing_lag_ms: float = 300.0,
+        seed: int = 1,
+        find_owner: Callable[[Address, Address], str] = lambda peer, local: "",
+        region_numbers: Mapping[str, int] | None = None,
+        response_bytes: Callable[[str], int] = lambda path: 256,
+    ) -> None:
+        self.records = records
+        self.network = network
+        self.listing_lag_ms = listing_lag_ms
+        self.find_owner = find_owner
+        self.response_bytes = response_bytes
+        self.backends: dict[str, Backend] = {}
+        self.connections_opened = 0
+        self.health_checks = 0
+        self.fault_ratios: dict[ResponseFault, float] = {}  # of executions, by what goes wrong with their responses
+        self._port = port
+        self._region_numbers = region_numbers or {}
+        self._work_stream, self._fault_stream = Streams(seed).of("work"), Streams(seed).of("tricks")
+
+    def identify_caller(self, peer: Address, local: Address, backend: Backend) -> tuple[str, float]:
+        """Return the process that opened a connection, and its distance in ms one way."""
+        name = self.find_owner(peer, local)
+        return name, self.network.delay_ms(self._region_numbers.get(name, 0), region_of(backend.address[0]))
+
+    def draw_work_ms(self, spec: BackendSpec) -> float:
+        """Draw how long the next request takes."""
+        return spec.work_ms * self._work_stream.between(0.6, 1.4)
+
+    def draw_fault(self) -> ResponseFault | None:
+        """Draw what goes wrong with the next response."""
+        for fault, ratio in self.fault_ratios.items():
+            if self._fault_stream.chance(ratio):
+                return fault
+        return None
+
+    async def start_backend(
+        self, instance: str, spec: BackendSpec, host: str, location: tuple[str, str], is_cold: bool = False
+    ) -> Backend:
+        """Start a backend at a host of its own, in a zone and its region."""
+        backend = Backend(self, instance, spec, (host, self._port), location, is_cold)
+        await backend.listen()
+        self.backends[instance] = backend
+        if is_cold:
+            self._record_cold_period(backend)
+        return backend
+
+    def _record_cold_period(self, backend: Backend) -> None:
+        self.records.cold_periods.append(
+            ColdPeriod(now(), backend.cold_until_ms, backend.instance, backend.spec.cold_rate_per_s)
+        )
+
+    def make_cold(self, backend: Backend, duration_ms: float) -> None:
+        """Let a backend become cold again."""
+        backend.cold_until_ms = now() + duration_ms
+        self._record_cold_period(backend)
+
+    def drain(self, backend: Backend, ends_after_ms: float | None = None) -> None:
+        """Let a backend announce that it leaves, and end it after some time (None: not by itself)."""
+        backend.is_draining = True
+        self._change_listing(backend, now(), "draining")
+        if ends_after_ms is not None:
+            asyncio.get_running_loop().call_later(ends_after_ms / 1000, self.end_backend, backend)
+
+    def end_backend(self, backend: Backend) -> None:
+        """End a backend in order."""
+        if not backend.has_ended:
+            backend.end()
+            self._change_listing(backend, now(), "gone")
+
+    def crash(self, backend: Backend) -> None:
+        """End a backend at once; the list says so later."""
+        if not backend.has_ended:
+            backend.end()
+            self._change_listing(backend, now() + CRASH_LISTING_DELAY_MS, "gone")
+
+    def _change_listing(self, backend: Backend, since_ms: float, state: str) -> None:
+        backend.listed_states.append((since_ms, state))
+        self.records.listing_changes.append(ListingChange(since_ms + self.listing_lag_ms, backend.instance))
+
+    def listed_rows(self, moment_ms: float, zone: str = "") -> list[list[object]]:
+        """Return the list's rows as they stood at a moment (`LIST_COLUMNS`)."""
+        rows: list[list[object]] = []
+        for backend in self.backends.values():
+            state = backend.listed_state(moment_ms)
+            is_elsewhere = bool(zone) and backend.zone != zone
+            if state not in LISTED_STATES or is_elsewhere:
+                continue
+            host, port = backend.address
+            rows.append(
+                [
+                    backend.instance,
+                    backend.spec.service,
+                    f"{host}:{port}",
+                    backend.zone,
+                    "v1",
+                    backend.spec.slots,
+                    state,
+                    f"{max(0.0, backend.cold_until_ms - moment_ms):.0f}ms",
+                ]
+            )
+        return rows
+
+    def close(self) -> None:
+        """End all backends."""
+        for backend in self.backends.values():
+            backend.end()
--- /dev/null
+++ b/hallhitch/lab/emulator/client.py
@@ -0,0 +1,303 @@
+"""Clients by region: they resolve gateways, keep connections, send with ids, deadlines and keys, and retry.
+
+Clients record every attempt. When they retry is decided in `client_request`; the rest here is I/O.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import itertools
+import json
+from collections import Counter
+from collections.abc import Callable, Iterator, Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import Final, NamedTuple
+
+from hallhitch.lab.emulator.backend_connection import digest_body
+from hallhitch.lab.emulator.client_request import (
+    NOT_EXECUTED_STATUSES,
+    AttemptResult,
+    ClientRequest,
+    RequestOutcome,
+    retry_delay_ms,
+)
+from hallhitch.lab.emulator.connection_owners import Address
+from hallhitch.lab.emulator.network_paths import CLIENTS, NetworkPaths, region_of
+from hallhitch.lab.emulator.records import ClientAttempt, Records
+from hallhitch.lab.http_wire import Reader, Writer, read_message
+from hallhitch.lab.streams import Stream
+from hallhitch.messages.addressing import split_address
+from hallhitch.node.clock import now
+from hallhitch.node.durations import parse_duration_ms
+
+MAX_ATTEMPTS: Final = 4
+FIRST_BACKOFF_MS: Final = 20.0  # doubled with each attempt
+NO_GATEWAY_PAUSE_S: Final = 0.05  # before an attempt counts as failed that no gateway is known for
+CONNECT_TIMEOUT_MS: Final = 1000.0  # of a new connection, and of one directory
+MAX_DIRECTORIES: Final = 3  # that are tried for one answer
+MAX_ADDRESSES: Final = 64  # of an answer that are used
+DEFAULT_IDLE_TIMEOUT_MS: Final = 4000.0  # of a kept connection whose gateway names no time, and at most
+UNREAD_TIMEOUT_MS: Final = 1000.0  # of an idempotent attempt at a gateway that does not read
+
+
+class DirectoryAnswer(NamedTuple):
+    """Addresses of gateways and how long they are valid."""
+
+    addresses: list[str]
+    ttl_ms: float
+
+
+@dataclass(slots=True)
+class _ClientConnection:
+    """A connection to a gateway."""
+
+    address: str
+    reader: Reader
+    writer: Writer
+    usable_until_ms: float = 0.0
+
+
+@dataclass(slots=True)
+class ClientEnvironment:
+    """What all clients of an emulator share. `gateway_names` are those of machines by frontend address."""
+
+    records: Records
+    network: NetworkPaths
+    directories: Mapping[str, Sequence[Address]]  # by region: nearest first
+    gateway_names: Mapping[str, str]
+    max_ttl_ms: float
+    is_reading: Callable[[str], bool] = lambda address: True  # whether the process at an address reads what comes
+    request_ids: Iterator[int] = field(default_factory=lambda: itertools.count(1))
+    counters: Counter[str] = field(default_factory=Counter)
+
+
+class Client:
+    """Clients of one zone that share the directory's answer and idle connections.
+
+    `keeps_connections` is False for clients that open one for each attempt; `ttl_factor` multiplies how long they use
+    the directory's answer.
+    """
+
+    def __init__(
+        self,
+        environment: ClientEnvironment,
+        region: str,
+        zone: str,
+        region_number: int,
+        stream: Stream,
+        keeps_connections: bool = True,
+        ttl_factor: float = 1.0,
+    ) -> None:
+        self.region = region
+        self.zone = zone
+        self.addresses: list[str] = []
+        self._environment = environment
+        self._region_number = region_number
+        self._stream = stream
+        self._keeps_connections = keeps_connections
+        self._ttl_factor = ttl_factor
+        self._failed_addresses: set[str] = set()
+        self._resolved_until_ms = 0.0
+        self._idle: list[_ClientConnection] = []
+        self._resolving = asyncio.Lock()
+
+    def close(self) -> None:
+        """Close all idle connections."""
+        for connection in self._idle:
+            connection.writer.close()
+        self._idle.clear()
+
+    # --- The directory.
+
+    async def resolve(self, host: str) -> list[str]:
+        """Return the addresses of gateways, as known or resolved anew."""
+        async with self._resolving:
+            if now() >= self._resolved_until_ms:
+                for directory in list(self._environment.directories[self.region])[:MAX_DIRECTORIES]:
+                    with contextlib.suppress(OSError, EOFError, ValueError, TimeoutError, KeyError):
+                        async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000):
+                            answer = await self._query_directory(directory, host)
+                        self._use_answer(answer)
+                        break
+                else:
+                    self._environment.counters["directory failed"] += 1
+        return self.addresses
+
+    async def _query_directory(self, address: Address, host: str) -> DirectoryAnswer:
+        reader, writer = await asyncio.open_connection(*address)
+        try:
+            delay_ms = self._environment.network.delay_ms(self._region_number, region_of(address[0]))
+            await asyncio.sleep(2 * (delay_ms / 1000))
+            writer.write(
+                f"GET /hallhitch/resolve?name={host}&region={self.region}&zone={self.zone} HTTP/1.1\r\n"
+                f"Host: {address[0]}:{address[1]}\r\n\r\n".encode()
+            )
+            status_line, _, body = await read_message(reader)
+            if status_line.split()[1] != "200":
+                raise ValueError(status_line)
+            document = json.loads(body)
+            ttl_ms = min(self._environment.max_ttl_ms, parse_duration_ms(document["ttl"]))
+            return DirectoryAnswer(list(document["addresses"])[:MAX_ADDRESSES], ttl_ms)
+        finally:
+            writer.close()
+
+    def _use_answer(self, answer: DirectoryAnswer) -> None:
+        self.addresses, self._failed_addresses = answer.addresses, set()
+        self._resolved_until_ms = now() + answer.ttl_ms * self._ttl_factor
+        for connection in [idle for idle in self._idle if idle.address not in answer.addresses]:
+            self._idle.remove(connection)
+            connection.writer.close()
+
+    # --- One request.
+
+    async def request(self, request: ClientRequest) -> RequestOutcome:
+        """Send a request, with retries, until it is answered for good or its deadline is over."""
+        outcome = RequestOutcome(request, self.region, now())
+        deadline_ms, backoff_ms = outcome.sent_at_ms + request.deadline_ms, FIRST_BACKOFF_MS
+        while outcome.attempts < MAX_ATTEMPTS and now() < deadline_ms:
+            result = await self._attempt(request, deadline_ms, is_first=outcome.attempts == 0)
+            outcome.attempts += 1
+            outcome.status = result.status
+            outcome.rejected_attempts += result.status in NOT_EXECUTED_STATUSES
+            delay_ms = retry_delay_ms(request, result, deadline_ms - now(), backoff_ms)
+            if delay_ms is None:
+                break
+            backoff_ms *= 2
+            await asyncio.sleep(delay_ms / 1000)
+        outcome.ended_at_ms = now()
+        return outcome
+
+    async def _attempt(self, request: ClientRequest, deadline_ms: float, is_first: bool) -> AttemptResult:
+        """Send one attempt; only the first uses an idle connection."""
+        connection = self._take_idle_connection() if is_first and self._keeps_connections else None
+        if connection is None:
+            addresses = await self.resolve(request.host)
+            usable = [address for address in addresses if address not in self._failed_addresses] or addresses
+            if not usable:
+                await asyncio.sleep(NO_GATEWAY_PAUSE_S)
+                return AttemptResult(is_unread=True)
+            connection = await self._open_connection(usable[self._stream.index(len(usable))])
+            if connection is None:
+                return AttemptResult(is_unread=True)
+        return await self._send_attempt(connection, request, deadline_ms)
+
+    def _take_idle_connection(self) -> _ClientConnection | None:
+        while self._idle:
+            connection = self._idle.pop()
+            is_open = not connection.reader.at_eof() and not connection.writer.is_closing()
+            if now() < connection.usable_until_ms and is_open:
+                return connection
+            connection.writer.close()
+        return None
+
+    async def _open_connection(self, address: str) -> _ClientConnection | None:
+        host, port = split_address(address)
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000):
+                await self._wait_for_outbound_link(address, 0.0)
+                reader, writer = await asyncio.open_connection(host, port)
+                await asyncio.sleep(2 * self._delay_ms(address) / 1000)  # the handshake's round trip
+        except (OSError, TimeoutError):
+            self._failed_addresses.add(address)
+            return None
+        return _ClientConnection(address, reader, writer)
+
+    def _delay_ms(self, address: str) -> float:
+        return self._environment.network.delay_ms(self._region_number, region_of(address))
+
+    async def _wait_for_outbound_link(self, address: str, delay_ms: float) -> None:
+        gateway = self._environment.gateway_names.get(address, "")
+        await self._environment.network.wait_for_link(CLIENTS, gateway, now() + delay_ms)
+
+    async def _wait_for_inbound_link(self, address: str, delay_ms: float) -> None:
+        gateway = self._environment.gateway_names.get(address, "")
+        await self._environment.network.wait_for_link(gateway, CLIENTS, now() + delay_ms)
+
+    def _record_attempt(
+        self, connection: _ClientConnection, request: ClientRequest, deadline_ms: float, is_probe: bool
+    ) -> ClientAttempt:
+        environment, sent_at_ms = self._environment, now()
+        attempt = ClientAttempt(
+            id=f"{next(environment.request_ids):016x}",
+            sent_at_ms=sent_at_ms,
+            region=self.region,
+            zone=self.zone,
+            gateway=environment.gateway_names.get(connection.address, ""),
+            method=request.method,
+            host=request.host,
+            path=request.path,
+            api_key=request.api_key,
+            body_digest=digest_body(request.body),
+            deadline_ms=deadline_ms - sent_at_ms,
+            is_probe=is_probe,
+        )
+        environment.records.attempts.append(attempt)
+        return attempt
+
+    async def _send_attempt(
+        self, connection: _ClientConnection, request: ClientRequest, deadline_ms: float, is_probe: bool = False
+    ) -> AttemptResult:
+        """Send one attempt on a connection and record it."""
+        attempt = self._record_attempt(connection, request, deadline_ms, is_probe)
+        address, timeout_ms = connection.address, attempt.deadline_ms
+        # A paused gateway reads nothing: idempotent attempts are abandoned there in time for another one.
+        if request.is_idempotent and not self._environment.is_reading(address):
+            timeout_ms = min(timeout_ms, UNREAD_TIMEOUT_MS, timeout_ms / 3)
+        encoded = _encode_request(request, attempt)
+        try:
+            async with asyncio.timeout(max(0.001, timeout_ms / 1000)):
+                await self._wait_for_outbound_link(address, self._delay_ms(address))
+                connection.writer.write(encoded)
+                status_line, headers, body = await read_message(connection.reader)
+                await self._wait_for_inbound_link(address, self._delay_ms(address))
+        except (OSError, EOFError, ValueError, TimeoutError, asyncio.LimitOverrunError):
+            connection.writer.transport.abort()
+            self._failed_addresses.add(address)
+            attempt.ended_at_ms = now()
+            return AttemptResult()
+        attempt.ended_at_ms = now()
+        attempt.is_complete = True
+        attempt.status = int(status_line.split()[1])
+        attempt.response_digest = digest_body(body)
+        attempt.seal = headers.get("hallhitch-response-seal", "")
+        attempt.echoed_id = headers.get("hallhitch-request-id", "")
+        self._release_connection(connection, headers)
+        retry_after = headers.get("retry-after", "")
+        retry_after_ms = float(retry_after) * 1000 if retry_after.replace(".", "", 1).isdigit() else 0.0
+        return AttemptResult(attempt.status, retry_after_ms=retry_after_ms)
+
+    def _release_connection(self, connection: _ClientConnection, headers: Mapping[str, str]) -> None:
+        """Keep a connection for a later request, or close it."""
+        parameters = dict(part.strip().partition("=")[::2] for part in headers.get("keep-alive", "").split(","))
+        timeout = parameters.get("timeout", "")
+        idle_timeout_ms = float(timeout) * 1000 if timeout.isdigit() else DEFAULT_IDLE_TIMEOUT_MS
+        is_closing = headers.get("connection", "").lower() == "close"
+        is_outdated = bool(self.addresses) and connection.address not in self.addresses
+        if not self._keeps_connections or is_closing or is_outdated:
+            connection.writer.close()
+        else:
+            connection.usable_until_ms = now() + min(idle_timeout_ms, DEFAULT_IDLE_TIMEOUT_MS)
+            self._idle.append(connection)
+
+    async def probe(self, address: str, request: ClientRequest) -> int:
+        """Send one attempt to this gateway and return its status; 0 = none."""
+        connection = await self._open_connection(address)
+        if connection is None:
+            return 0
+        deadline_ms = now() + request.deadline_ms
+        return (await self._send_attempt(connection, request, deadline_ms, is_probe=True)).status
+
+
+def _encode_request(request: ClientRequest, attempt: ClientAttempt) -> bytes:
+    lines = [
+        f"{request.method} {request.path} HTTP/1.1",
+        f"Host: {request.host}",
+        f"Hallhitch-Request-Id: {attempt.id}",
+        f"Hallhitch-Deadline-Remaining: {max(1, attempt.deadline_ms):.0f}",
+    ]
+    if request.api_key:
+        lines.append(f"Authorization: Token {request.api_key}")
+    if request.body:
+        lines.append(f"Content-Length: {len(request.body)}")
+    return "\r\n".join(lines).encode() + b"\r\n\r\n" + request.body
--- /dev/null
+++ b/hallhitch/lab/emulator/errors.py
@@ -0,0 +1,26 @@
+"""Errors of the emulator."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from pathlib import Path
+
+
+class EmulatorError(Exception):
+    """The emulator cannot go on."""
+
+
+class ProcessExitedError(EmulatorError):
+    """A process of the system ended by itself."""
+
+    def __init__(self, descriptions: Sequence[str]) -> None:
+        super().__init__("; ".join(descriptions))
+        self.descriptions = descriptions
+
+
+class ConditionTimeout(EmulatorError, TimeoutError):
+    """A condition did not become true in time; `directory` has the logs."""
+
+    def __init__(self, reason: str, directory: Path) -> None:
+        super().__init__(f"{reason}; logs are in {directory}")
+        self.directory = directory
--- /dev/null
+++ b/hallhitch/lab/emulator/process_rig.py
@@ -0,0 +1,291 @@
+"""The system's programs as real processes on loopback: their settings files, starts, ends and faults.
+
+A machine has a host, a settings file and, where it has a disk, a data directory, all of which outlive its process. The
+rig ends nothing but what it started.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import shutil
+import signal
+import sys
+import tomllib
+from collections.abc import Sequence
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Final
+
+from hallhitch.lab.emulator.connection_owners import Address
+from hallhitch.lab.emulator.node_file import Machine, listen_addresses, node_file_text
+from hallhitch.lab.emulator.ports import INTERNAL_OFFSET
+from hallhitch.lab.emulator.records import FaultInterval, Records
+from hallhitch.lab.emulator.spec import EmulatorSpec
+from hallhitch.node.clock import now
+
+ROOT: Final = Path(__file__).parents[3]
+RELAYED_PROGRAM: Final = "hallhitch.lab.emulator.relayed_program"
+DEPLOY_FILE: Final = ROOT / "deploy" / "system.toml"
+RESTART_DELAY_S: Final = 0.3  # after a process ended by itself
+MAX_RESTARTS: Final = 3  # of a process that ends by itself: beyond it, it ends at every start
+KILL_TIMEOUT_S: Final = 10.0  # for a killed process to be gone
+INHERITED_VARIABLES: Final = ("PATH", "HOME", "LANG", "VIRTUAL_ENV")
+MAX_SEEDS: Final = 3
+FIRST_COORDINATOR_HOST: Final = 101  # last number of its address
+FIRST_GATEWAY_HOST: Final = 1
+FIRST_SUCCESSOR_HOST: Final = 120  # beyond all other machines but backends
+
+
+@dataclass(frozen=True, slots=True)
+class Role:
+    """A role of the deploy file: the program's module, its class of machines, the services that it has."""
+
+    module: str
+    machine_class: str
+    serves: tuple[str, ...]
+
+
+def read_roles(path: Path = DEPLOY_FILE) -> dict[str, Role]:
+    """Return the roles as they are deployed, by name."""
+    with open(path, "rb") as file:
+        tables = tomllib.load(file)["roles"]
+    return {name: Role(table["run"].split()[-1], table["on"], tuple(table["serves"])) for name, table in tables.items()}
+
+
+class ProcessRig:
+    """All machines of an emulator and their processes. `is_relayed`: relays stand between the processes."""
+
+    def __init__(
+        self,
+        spec: EmulatorSpec,
+        base_port: int,
+        directory: Path,
+        platform: Address,
+        records: Records,
+        is_relayed: bool = False,
+    ) -> None:
+        self.spec = spec
+        self.base_port = base_port
+        self.roles = read_roles()
+        self.machines: dict[str, Machine] = {}
+        self.removed: list[Machine] = []
+        self.unexpected_exit = asyncio.Event()
+        self._is_relayed = is_relayed
+        self._platform = platform
+        self._records = records
+        self._directory = directory
+        self._machine_count = 0
+        self._add_initial_machines()
+
+    # --- Machines.
+
+    def _add_initial_machines(self) -> None:
+        spec = self.spec
+        zone_numbers = spec.zone_numbers()
+        for number in range(spec.coordinators):
+            location = zone_numbers[number % len(zone_numbers)]
+            self._add_initial("coordinator", f"core-{number + 1}", location, FIRST_COORDINATOR_HOST + number)
+        for region, zone in zone_numbers:
+            for number in range(spec.gateways_per_zone):
+                name = f"edge-{region}{zone}{number + 1}"
+                self._add_initial("gateway", name, (region, zone), FIRST_GATEWAY_HOST + number)
+
+    def _add_initial(self, role: str, name: str, location: tuple[int, int], host_number: int) -> None:
+        region, zone = location
+        host = f"127.{region}.{zone}.{host_number}"
+        self._add(role, name, host, self.spec.zone_name(region, zone), self.spec.region_name(region))
+
+    def _add(self, role: str, name: str, host: str, zone: str, region: str) -> Machine:
+        self._machine_count += 1
+        machine = Machine(
+            name,
+            role,
+            self.roles[role].serves,
+            host,
+            zone,
+            region,
+            number=self._machine_count,
+            directory=self._directory / name,
+        )
+        self.machines[name] = machine
+        return machine
+
+    def add_successor(self, old: Machine) -> Machine:
+        """Add an empty machine with the role and zone of another, at a host of its own, without starting it."""
+        network, kind = old.host.rpartition(".")[0], old.name.partition("-")[0]
+        host = f"{network}.{FIRST_SUCCESSOR_HOST + self._machine_count}"
+        machine = self._add(old.role, f"{kind}-{self._machine_count + 1}", host, old.zone, old.region)
+        machine.is_initial = False
+        return machine
+
+    def with_role(self, role: str) -> list[Machine]:
+        """Return all machines of a role."""
+        return [machine for machine in self.machines.values() if machine.role == role]
+
+    def with_service(self, service: str) -> list[Machine]:
+        """Return all machines that serve `edge`, `control_plane` or `directory`."""
+        return [machine for machine in self.machines.values() if service in machine.serves]
+
+    def process_names(self) -> dict[int, str]:
+        """Return the names of the machines whose processes run, by pid."""
+        return {
+            machine.process.pid: machine.name
+            for machine in self.machines.values()
+            if machine.process is not None and machine.is_running
+        }
+
+    def seed_addresses(self) -> list[str]:
+        """Return the seeds that are written into settings files."""
+        seeds = self.with_service("control_plane")[:MAX_SEEDS]
+        return [listen_addresses(machine, self.base_port)["controlPlane"] for machine in seeds]
+
+    # --- Starts.
+
+    def write_node_file(self, machine: Machine, is_first_start: bool, seeds: Sequence[str] | None = None) -> Path:
+        """Write a machine's settings file atomically."""
+        machine.data_directory.mkdir(parents=True, exist_ok=True)
+        path, partial_path = machine.directory / "settings.toml", machine.directory / "settings.part"
+        partial_path.write_text(
+            node_file_text(
+                self.spec, machine, self.base_port, seeds or self.seed_addresses(), is_first_start, self._platform
+            )
+        )
+        partial_path.replace(path)
+        return path
+
+    async def start(self, machine: Machine) -> None:
+        """Start a machine's process, with the settings of this moment."""
+        path = self.write_node_file(machine, machine.is_initial and not machine.was_started)
+        environment = {name: os.environ[name] for name in INHERITED_VARIABLES if name in os.environ}
+        arguments = [self.roles[machine.role].module]
+        if self._is_relayed:
+            internal_port = self.base_port + INTERNAL_OFFSET
+            arguments = [RELAYED_PROGRAM, *arguments, str(machine.number), machine.host, str(internal_port)]
+        with open(machine.log_file, "ab") as log:
+            process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-O",
+                "-m",
+                *arguments,
+                cwd=ROOT,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                env=environment | {"HALLHITCH_NODE_FILE": str(path)},
+            )
+        machine.process = process
+        machine.was_started = True
+        machine.is_end_requested = False
+        machine.is_paused = False
+        self._records.process_starts.append((now(), machine.name))
+        machine.watcher = asyncio.get_running_loop().create_task(self._watch(machine, process))
+
+    async def _watch(self, machine: Machine, process: asyncio.subprocess.Process) -> None:
+        """Restart a process that ends by itself, unless it does at every start."""
+        exit_code = await process.wait()
+        if not machine.is_end_requested:
+            machine.unexpected_exit_codes.append(exit_code)
+            self.unexpected_exit.set()
+            await asyncio.sleep(RESTART_DELAY_S)
+            if len(machine.unexpected_exit_codes) <= MAX_RESTARTS and not machine.is_end_requested:
+                await self.start(machine)
+
+    def describe_unexpected_exits(self) -> list[str]:
+        """Return which processes ended by themselves, with their exit codes and the last lines of their logs."""
+        descriptions = []
+        for machine in (*self.machines.values(), *self.removed):
+            if machine.unexpected_exit_codes:
+                exit_codes = ", ".join(map(str, machine.unexpected_exit_codes))
+                last_line = (machine.last_lines(1) or ["no log"])[0]
+                descriptions.append(f"{machine.name} ended by itself ({exit_codes}): {last_line}")
+        return descriptions
+
+    async def start_all(self) -> None:
+        """Start all machines that do not run."""
+        await asyncio.gather(*(self.start(machine) for machine in self.machines.values() if not machine.is_running))
+
+    # --- Faults.
+
+    def record_fault(self, machine: Machine, fault: str, begin_ms: float, end_ms: float) -> None:
+        """Record a fault of a machine."""
+        targets = ("core", machine.name) if machine.role == "coordinator" else (machine.name,)
+        self._records.fault_intervals += [FaultInterval(begin_ms, end_ms, target, fault) for target in targets]
+
+    def _record_recovery(self, machine: Machine, fault: str) -> None:
+        """Record the fault of a machine that is down until now."""
+        if machine.down_since_ms is not None:
+            self.record_fault(machine, fault, machine.down_since_ms, now())
+            machine.down_since_ms = None
+
+    async def kill(self, machine: Machine, wipes_disk: bool = False) -> None:
+        """Kill a process, which stays down until `restart`, and wipe its disk where told to."""
+        await self._end(machine, signal.SIGKILL)
+        if wipes_disk:
+            shutil.rmtree(machine.data_directory, ignore_errors=True)
+
+    async def terminate(self, machine: Machine, timeout_ms: float | None = None) -> int:
+        """Send SIGTERM, kill the process after a time-out (None: the grace period), and return its exit code."""
+        return await self._end(machine, signal.SIGTERM, timeout_ms)
+
+    async def _end(self, machine: Machine, signal_number: signal.Signals, timeout_ms: float | None = None) -> int:
+        process = machine.process
+        if process is None or process.returncode is not None:
+            return 0
+        machine.is_end_requested, machine.down_since_ms = True, now()
+        process.send_signal(signal_number)
+        timeout_ms = self.spec.grace_period_ms if timeout_ms is None else timeout_ms
+        try:
+            async with asyncio.timeout(timeout_ms / 1000):
+                return await process.wait()
+        except TimeoutError:
+            process.kill()
+            return await process.wait()
+
+    async def restart(self, machine: Machine, fault: str = "down") -> None:
+        """Start a process again that was ended by `kill` or `terminate`."""
+        await self.start(machine)
+        self._record_recovery(machine, fault)
+
+    async def remove(self, machine: Machine) -> int:
+        """Terminate a process for good, with its machine and its disk; return its exit code."""
+        exit_code = await self.terminate(machine)
+        self._record_recovery(machine, "removed")
+        shutil.rmtree(machine.data_directory, ignore_errors=True)
+        self.removed.append(self.machines.pop(machine.name))
+        return exit_code
+
+    def pause(self, machine: Machine) -> None:
+        """Pause a process: to the others it is as if it were cut off."""
+        if machine.process is not None and machine.is_running:
+            machine.is_paused, machine.down_since_ms = True, now()
+            machine.process.send_signal(signal.SIGSTOP)
+
+    def resume(self, machine: Machine) -> None:
+        """Resume a paused process."""
+        if machine.process is not None and machine.is_running and machine.is_paused:
+            machine.is_paused = False
+            machine.process.send_signal(signal.SIGCONT)
+            self._record_recovery(machine, "paused")
+
+    def reload_seeds(self, machine: Machine, seeds: Sequence[str]) -> None:
+        """Write other seeds into a settings file and let the process read it again."""
+        self.write_node_file(machine, False, seeds)
+        if machine.process is not None and machine.is_running:
+            machine.process.send_signal(signal.SIGHUP)
+
+    async def close(self) -> None:
+        """End all that was started here."""
+        running = [machine for machine in self.machines.values() if machine.is_running]
+        for machine in self.machines.values():
+            machine.is_end_requested = True
+        for machine in running:
+            if machine.process is not None:
+                machine.process.send_signal(signal.SIGCONT)
+                machine.process.kill()
+        for machine in self.machines.values():
+            if machine.process is not None:
+                await asyncio.wait_for(machine.process.wait(), KILL_TIMEOUT_S)
+            if machine.watcher is not None:
+                machine.watcher.cancel()
+            self._record_recovery(machine, "down")
--- /dev/null
+++ b/hallhitch/lab/emulator/record_index.py
@@ -0,0 +1,68 @@
+"""Look-ups over the records of a run that several rules need."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterator
+from functools import lru_cache
+from typing import Final, NamedTuple
+
+from hallhitch.lab.emulator.config_semantics import NON_IDEMPOTENT, find_route, sent_configs
+from hallhitch.lab.emulator.records import BackendArrival, ClientAttempt, Records
+
+LOOKUP_CACHE_SIZE: Final = 4096  # entries: a run asks for the same paths and keys again and again
+
+
+def attempts_by_id(records: Records) -> dict[str, ClientAttempt]:
+    """Return all attempts by their ids."""
+    return {attempt.id: attempt for attempt in records.attempts}
+
+
+def executions_by_id(records: Records) -> dict[str, list[BackendArrival]]:
+    """Return the arrivals that a backend began to execute, by the ids of their requests."""
+    executions: dict[str, list[BackendArrival]] = defaultdict(list)
+    for arrival in records.arrivals:
+        if arrival.started_at_ms is not None:
+            executions[arrival.id].append(arrival)
+    return executions
+
+
+def non_idempotent_ids(records: Records) -> set[str]:
+    """Return the ids of requests that may run once at most: any configuration calls their route non-idempotent."""
+    configs = sent_configs(records.operations).documents()
+
+    @lru_cache(LOOKUP_CACHE_SIZE)
+    def is_non_idempotent(host: str, path: str) -> bool:
+        routes = (find_route(config, host, path) for config in configs)
+        return any(route is not None and route.document["routeKind"] == NON_IDEMPOTENT for route in routes)
+
+    return {attempt.id for attempt in records.attempts if is_non_idempotent(attempt.host, attempt.path)}
+
+
+class Transit(NamedTuple):
+    """When a request was sent by its client, and when it arrived at a backend."""
+
+    sent_at_ms: float
+    arrived_at_ms: float
+
+
+class WindowCount(NamedTuple):
+    """How many requests were both sent and arrived in the window that ends at a moment."""
+
+    ends_at_ms: float
+    requests: int
+
+
+def count_in_sliding_windows(transits: list[Transit], window_ms: float) -> Iterator[WindowCount]:
+    """Yield a count for the window that ends with each arrival.
+
+    Requests that were sent before the window are left out: on their way they may have been delayed into it.
+    """
+    transits = sorted(transits, key=lambda transit: transit.arrived_at_ms)
+    first = 0
+    for number, (_, ends_at_ms) in enumerate(transits):
+        begins_at_ms = ends_at_ms - window_ms
+        while transits[first].arrived_at_ms < begins_at_ms:
+            first += 1
+        count = sum(1 for transit in transits[first : number + 1] if transit.sent_at_ms >= begins_at_ms)
+        yield WindowCount(ends_at_ms, count)
--- /dev/null
+++ b/hallhitch/lab/emulator/rules.py
@@ -0,0 +1,52 @@
+"""The checker of the rules: it reads the records of the emulated parties, and knows nothing of the system's insides.
+
+Each rule is a pure function from records and bounds to violations; it reads no clock and no socket. Where the
+operators' page gives a rule more room than records can show, the rule here gives at least as much; what is left out is
+named in docs/operate/own-world.md.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Final
+
+from hallhitch.lab.emulator.config_rules import check_config_versions
+from hallhitch.lab.emulator.execution_rules import (
+    check_allowed_regions,
+    check_duplicate_execution,
+    check_refused_execution,
+    check_request_integrity,
+    check_response_integrity,
+    check_routes,
+)
+from hallhitch.lab.emulator.load_rules import (
+    check_cold_load,
+    check_drain,
+    check_evacuation,
+    check_quota,
+    check_retry_budget,
+)
+from hallhitch.lab.emulator.records import CheckBounds, Records, Violation
+
+Rule = Callable[[Records, CheckBounds], list[Violation]]
+
+# The names are those of the operators' page.
+RULES: Final[dict[str, Rule]] = {
+    "TWICE": check_duplicate_execution,
+    "REFUSED": check_refused_execution,
+    "MIXED": check_response_integrity,
+    "UNASKED": check_request_integrity,
+    "ROUTE": check_routes,
+    "HOME": check_allowed_regions,
+    "DRAIN": check_drain,
+    "EVAC": check_evacuation,
+    "FAILBACK": check_cold_load,
+    "QUOTA": check_quota,
+    "BUDGET": check_retry_budget,
+    "CONFIG": check_config_versions,
+}
+
+
+def check_records(records: Records, bounds: CheckBounds) -> dict[str, list[Violation]]:
+    """Return the violations of each rule; a rule that holds has an empty list."""
+    return {name: rule(records, bounds) for name, rule in RULES.items()}
--- /dev/null
+++ b/tests/system/emulator/emulated_parties.py
@@ -0,0 +1,81 @@
+"""Single emulated parties for tests: one backend, requests to it, a server with scripted replies."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import AsyncIterator, Awaitable, Callable
+from typing import Final
+
+from hallhitch.lab.emulator.backend import Backend, BackendSpec
+from hallhitch.lab.emulator.backend_fleet import BackendFleet
+from hallhitch.lab.emulator.network_paths import NetworkPaths
+from hallhitch.lab.emulator.ports import reserve_ports
+from hallhitch.lab.emulator.records import Records
+from hallhitch.lab.http_wire import Reader, Writer, read_message
+
+TEST_TIMEOUT_S: Final = 20.0  # after which a wait was in vain
+BACKEND_HOST: Final = "127.1.1.200"
+BACKEND_LOCATION: Final = ("zone-1a", "region-1")
+SCRIPTED_HOST: Final = "127.1.1.1"
+Message = tuple[str, dict[str, str], bytes]  # first line, headers, body
+
+
+def run_with_timeout(body: Callable[[], Awaitable[None]]) -> None:
+    """Run a test's coroutine within the time-out."""
+    asyncio.run(asyncio.wait_for(body(), TEST_TIMEOUT_S))
+
+
+@contextlib.asynccontextmanager
+async def running_backend(spec: BackendSpec, is_cold: bool = False) -> AsyncIterator[Backend]:
+    """One backend, `b1`, of a fleet of its own."""
+    base_port, reservation = reserve_ports()
+    fleet = BackendFleet(Records(), NetworkPaths(0, 0, {}), base_port)
+    try:
+        yield await fleet.start_backend("b1", spec, BACKEND_HOST, BACKEND_LOCATION, is_cold)
+    finally:
+        fleet.close()
+        reservation.close()
+
+
+def encode_request(id: str, deadline_ms: int = 5000, path: str = "/look/1", **headers: str) -> bytes:
+    """Encode a request; names of headers have _ for -."""
+    lines = [f"GET {path} HTTP/1.1", "Host: x", f"Hallhitch-Deadline-Remaining: {deadline_ms}"]
+    lines += [f"Hallhitch-Request-Id: {id}"] if id else []
+    lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
+    return "\r\n".join(lines).encode() + b"\r\n\r\n"
+
+
+async def send_request(backend: Backend, request: bytes) -> Message | None:
+    """Return the response on a connection of its own; None where it broke without one."""
+    reader, writer = await asyncio.open_connection(*backend.address)
+    try:
+        writer.write(request)
+        return await asyncio.wait_for(read_message(reader), TEST_TIMEOUT_S)
+    except (OSError, EOFError):
+        return None
+    finally:
+        writer.close()
+
+
+def status_of(message: Message | None) -> int:
+    """Return a response's status; 0 = none."""
+    return int(message[0].split()[1]) if message is not None else 0
+
+
+async def wait_for_arrivals(backend: Backend, count: int) -> None:
+    """Wait until so many requests have arrived."""
+    while len(backend.fleet.records.arrivals) < count:
+        await asyncio.sleep(0)
+
+
+async def start_scripted_server(port: int, reply: Callable[[str, dict[str, str], bytes], bytes]) -> asyncio.Server:
+    """Start a server at SCRIPTED_HOST that sends what `reply` returns for each message."""
+
+    async def serve(reader: Reader, writer: Writer) -> None:
+        with contextlib.suppress(OSError, EOFError):
+            while True:
+                writer.write(reply(*await read_message(reader)))
+        writer.close()
+
+    return await asyncio.start_server(serve, SCRIPTED_HOST, port)
