--- a/hallhitch/planes/data/backend_connection.py
+++ b/hallhitch/planes/data/backend_connection.py
@@ -1,283 +1,320 @@
-"""One connection to a backend: one attempt at a time is written to it and its answer is read.
+"""One connection to a backend: it carries one attempt at a time and reads the response.
 
-It owns what the bytes on it belong to: what comes unasked, for another request or behind an answer is no answer.
+It decides which request the bytes that arrive belong to. Invariants:
+- At most one attempt is carried; the next one is written only after the response to the last was read completely and
+  nothing followed it.
+- Bytes that arrive while nothing is carried, or behind a response, close the connection: no later request can be given
+  them as its response.
+- A response that names another request is dropped, and its connection is not used again.
+
+Times are steady milliseconds.
 """
 
 from __future__ import annotations
 
 import asyncio
-import socket
-from typing import TYPE_CHECKING, cast
+from collections.abc import Callable
+from typing import Final, Protocol, cast
 
 from hallhitch.net.flow import Broken, Flow
 from hallhitch.net.http import Malformed, Message
-from hallhitch.planes.data.http_messages import BackendReader, attempt_head, judge
+from hallhitch.planes.data.http_messages import CHUNKED_LINE, encode_attempt_head
+from hallhitch.planes.data.http_readers import BackendReader, BodyMemory
+from hallhitch.planes.data.idle_reuse import IdleReuse
 from hallhitch.planes.data.interfaces import Outcome
+from hallhitch.planes.data.response_classification import classify_response, response_id_of
+from hallhitch.planes.data.transports import DISCONNECTED, JOINED_WRITE_MAX_BYTES, configure_socket
+from hallhitch.planes.data.upstream_attempt import UpstreamAttempt
+from hallhitch.planes.values import Backend
+
+# A backend's host acknowledges within a round trip, across regions too; five seconds are many retransmissions.
+UNACKNOWLEDGED_TIMEOUT_MS: Final = 5000
+# A backend that had closed the idle connection resets it when the request arrives: one round trip, with a margin.
+STALE_REUSE_SIGN_MS: Final = 250.0
+KEEP_ALIVE_MAX_DIGITS: Final = 6  # a time-out of more digits, in seconds, is not believed
+
+
+class BackendConnectionOwner(Protocol):
+    """The pool of a backend, as far as its connections need it."""
 
-if TYPE_CHECKING:
-    from hallhitch.planes.data.connection_pools import Attempt, ConnectionPool
+    backend: Backend
 
-UNHEARD = 5000  # ms without an acknowledgement by the backend's machine after which its connection is given up
-AT_ONCE = 250.0  # ms within which a connection that was closed at rest shows it
-TOGETHER = 64 * 1024  # bytes of a body that are worth copying behind their head
+    @property
+    def idle_reuse(self) -> IdleReuse:
+        """What is known of how long the backend keeps idle connections."""
+
+    def on_connection_made(self, connection: BackendConnection) -> None:
+        """Count a connection as open."""
+
+    def on_connection_free(self, connection: BackendConnection) -> None:
+        """Reuse a connection that carries nothing."""
+
+    def on_connection_closed(self, connection: BackendConnection) -> None:
+        """Forget a connection."""
 
 
 class BackendConnection(asyncio.Protocol):
     """One connection to one backend."""
 
     __slots__ = (
-        "pool",
-        "transport",
-        "reader",
         "attempt",
-        "flow",
+        "body_flow",
         "idle_since",
-        "told",
-        "heard",
-        "_age",
-        "_fresh",
-        "_verdict",
-        "_spoilt",
-        "_closed",
+        "keep_alive_ms",
+        "received_at",
+        "_pool",
+        "_clock",
+        "_transport",
+        "_reader",
+        "_head_outcome",
+        "_idle_before_ms",
+        "_is_unused",
+        "_must_not_be_reused",
+        "_is_closed",
         "_upload",
-        "_drained",
+        "_write_resumed",
         "__weakref__",
     )
 
-    def __init__(self, pool: ConnectionPool) -> None:
-        self.pool = pool
-        self.transport: asyncio.Transport | None = None
-        self.reader = BackendReader(pool.pools.room_for_bodies)
-        self.attempt: Attempt | None = None
-        self.flow: Flow | None = None  # the body in passing
-        self.idle_since = 0.0  # 0 = it never rested
-        self.told = 0.0  # ms for which the backend keeps it at rest, as far as it told
-        self.heard = 0.0  # when bytes came last
-        self._verdict = Outcome.OK  # of the head of the answer in passing
-        self._age = 0.0  # for how long it had rested before this attempt
-        self._fresh = True  # whether nothing was asked on it before
-        self._spoilt = False  # whether it is not to be used again
-        self._closed = False
+    def __init__(self, pool: BackendConnectionOwner, clock: Callable[[], float], body_memory: BodyMemory) -> None:
+        self._pool = pool
+        self._clock = clock
+        self._transport: asyncio.Transport = DISCONNECTED
+        self._reader = BackendReader(body_memory)
+        self.attempt: UpstreamAttempt | None = None  # what it carries
+        self.body_flow: Flow | None = None  # the response body that is being streamed
+        self.idle_since = 0.0  # 0 = it was never idle
+        self.keep_alive_ms = 0.0  # how long the backend says that it keeps it idle; 0 = it does not say
+        self.received_at = 0.0  # when bytes came last
+        self._head_outcome = Outcome.OK  # of the response that is being streamed
+        self._idle_before_ms = 0.0  # for how long it was idle before this attempt
+        self._is_unused = True  # whether no request was completed on it yet
+        self._must_not_be_reused = False
+        self._is_closed = False
         self._upload: asyncio.Task[None] | None = None
-        self._drained: asyncio.Future[None] | None = None
+        self._write_resumed: asyncio.Future[None] | None = None  # set while the transport's buffer is full
 
     # Called by the pool.
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether it is open, as far as this side knows."""
-        return not self._closed and self.transport is not None and not self.transport.is_closing()
-
-    def carry(self, attempt: Attempt) -> None:
-        """Write an attempt and wait for its answer."""
-        assert self.transport is not None
-        now = self.pool.pools.clock()
-        self.attempt, attempt.connection, attempt.written = attempt, self, now
-        self._age = now - self.idle_since if self.idle_since else 0.0
-        self.heard = now
-        self.reader.bodiless = attempt.method == b"HEAD"
-        data = attempt_head(attempt.shared, attempt.ends - now, attempt.backend.instance)
-        if attempt.flow is not None:
-            self._upload = asyncio.get_running_loop().create_task(self._pass_up(attempt, data, attempt.flow))
-        elif len(attempt.body) <= TOGETHER:
-            self.transport.write(data + attempt.body)
+        return not self._is_closed and not self._transport.is_closing()
+
+    def carry(self, attempt: UpstreamAttempt) -> None:
+        """Write an attempt and wait for its response."""
+        now = self._clock()
+        request = attempt.request
+        self.attempt, attempt.written_at = attempt, now
+        self._idle_before_ms = now - self.idle_since if self.idle_since else 0.0
+        self.received_at = now
+        self._reader.is_head_request = request.method == b"HEAD"
+        head = encode_attempt_head(request.head_prefix, request.deadline_ms - now, attempt.backend.instance)
+        if request.body_flow is not None:
+            self._upload = asyncio.get_running_loop().create_task(
+                self._stream_request(head, request.body_flow, is_chunked(request.head_prefix))
+            )
+        elif len(request.body) <= JOINED_WRITE_MAX_BYTES:
+            self._transport.write(head + request.body)
         else:
-            self.transport.write(data)
-            self.transport.write(attempt.body)
+            self._transport.write(head)
+            self._transport.write(request.body)
 
     def close(self) -> None:
         """Close it, whatever it carries."""
-        if not self._closed and self.transport is not None:
-            self.transport.abort()
-            self._over(Outcome.CONNECTION_LOST)
+        if not self._is_closed and self._transport is not DISCONNECTED:
+            self._transport.abort()
+            self._end_attempt(Outcome.CONNECTION_LOST)
 
     def give_up(self) -> None:
-        """What it carries never ends."""
-        if self.transport is not None:
-            self.transport.abort()
-        self._over(Outcome.TIMED_OUT)
+        """Close it because what it carries does not end."""
+        self._transport.abort()
+        self._end_attempt(Outcome.TIMED_OUT)
 
-    # Called by the loop.
+    # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        transport = cast(asyncio.Transport, transport)  # uvloop's own is none by inheritance
-        self.transport = transport
-        self.pool.connections.add(self)
-        self.pool.pools.open += 1
-        sock = transport.get_extra_info("socket")
-        if sock is not None:
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNHEARD)
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses
+        self._pool.on_connection_made(self)
+        configure_socket(self._transport, UNACKNOWLEDGED_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        if self._closed:
+        if self._is_closed:
             return
-        if self.attempt is None:
-            return self.close()  # nothing was asked: it belongs to no request
-        self.heard = self.pool.pools.clock()
-        behind = False
+        attempt = self.attempt
+        if attempt is None:
+            return self.close()  # unsolicited: it belongs to no request
+        self.received_at = self._clock()
+        has_excess_bytes = False
         try:
-            answers = self.reader.feed(data)
+            responses = self._reader.feed(data)
         except Malformed:
-            answers, behind = self.reader.completed(), True
-        if self.flow is not None:
-            return self._passed(self.flow, behind or bool(answers))
-        for number, answer in enumerate(answers):
-            if answer.status >= 200 and self._take(answer, behind or number + 1 < len(answers)):
+            responses, has_excess_bytes = self._reader.completed(), True
+        if self.body_flow is not None:
+            return self._advance_stream(attempt, self.body_flow, has_excess_bytes or bool(responses))
+        for number, response in enumerate(responses, 1):
+            if response.status < 200:
+                continue  # informational: the response is still to come
+            if self._accept(attempt, response, has_excess_bytes or number < len(responses)):
                 return
-        if behind:
-            self.close_spoilt()
+        if has_excess_bytes:
+            self._close_invalid()
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self._closed:
+        if self._is_closed:
             return
         attempt = self.attempt
         if attempt is None:
-            if self.idle_since and not self._spoilt:
-                now = self.pool.pools.clock()
-                self.pool.trust.on_closed(now, self.pool.backend.instance, now - self.idle_since)
-            return self._over(Outcome.CONNECTION_LOST)
-        if error is None and self.flow is None:
-            for answer in self.reader.end():  # a body that went on to the end of the connection
-                if answer.status >= 200 and self._take(answer, True):
+            if self.idle_since and not self._must_not_be_reused:
+                now = self._clock()
+                self._pool.idle_reuse.on_closed(now, self._pool.backend.instance, now - self.idle_since)
+            return self._end_attempt(Outcome.CONNECTION_LOST)
+        if error is None and self.body_flow is None:
+            for response in self._reader.end():  # a body that is framed by the end of its connection
+                if response.status >= 200 and self._accept(attempt, response, True):
                     return
-        begun = self.flow is not None or self.reader.partial
-        self._over(Outcome.INVALID_RESPONSE if begun else Outcome.CONNECTION_LOST)
+        has_begun = self.body_flow is not None or self._reader.partial
+        self._end_attempt(Outcome.INVALID_RESPONSE if has_begun else Outcome.CONNECTION_LOST)
 
     def pause_writing(self) -> None:
-        self._drained = asyncio.get_running_loop().create_future()
+        self._write_resumed = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        if self._drained is not None and not self._drained.done():
-            self._drained.set_result(None)
-        self._drained = None
-
-    # What came.
-
-    def _take(self, answer: Message, behind: bool) -> bool:
-        """An answer is there, whole or passing; False: it is another request's, and ours is still to come."""
-        attempt = self.attempt
-        assert attempt is not None
-        outcome = judge(answer, attempt.request_id, self._fresh)
-        if outcome is None:
-            self._spoilt = True
-            if answer.flow is not None:
-                answer.flow.abandon()
+        if self._write_resumed is not None and not self._write_resumed.done():
+            self._write_resumed.set_result(None)
+        self._write_resumed = None
+
+    # Responses.
+
+    def _accept(self, attempt: UpstreamAttempt, response: Message, has_excess_bytes: bool) -> bool:
+        """Take a response, complete or streaming; return whether it is this attempt's and not another request's."""
+        request_id, response_id = attempt.request.request_id, response_id_of(response)
+        if response_id is not None and response_id != request_id:
+            self._must_not_be_reused = True
+            if response.flow is not None:
+                response.flow.abandon()
             return False
-        if answer.flow is not None:
-            if outcome is Outcome.INVALID_RESPONSE or answer.flow.broken:
-                self.close_spoilt()
-                return True
-            self.flow, self._verdict = answer.flow, outcome
-            flow = answer.flow
-            attempt.lag = self.pool.pools.clock() - (attempt.written or 0.0)
-            self._spoilt = self._spoilt or not answer.keep
-            flow.taken = self._room_again
-            if outcome is Outcome.OK:
-                attempt.owner.passing(attempt, answer)
-            else:
-                flow.abandon()  # nobody is served an error that long
-            self._passed(flow, behind)
-            return True
-        self._done(outcome, answer, answer.keep and not behind)
+        outcome = classify_response(response, response_id, request_id, self._is_unused)
+        if response.flow is None:
+            self._complete(attempt, outcome, response, response.keep and not has_excess_bytes)
+        elif outcome is Outcome.INVALID_RESPONSE or response.flow.broken:
+            self._close_invalid()
+        else:
+            self._begin_stream(attempt, outcome, response, response.flow)
+            self._advance_stream(attempt, response.flow, has_excess_bytes)
         return True
 
-    def _passed(self, flow: Flow, behind: bool) -> None:
-        """More of the body in passing has come."""
-        assert self.transport is not None
+    def _begin_stream(self, attempt: UpstreamAttempt, outcome: Outcome, response: Message, flow: Flow) -> None:
+        """Hand a response over whose body is still coming."""
+        self.body_flow, self._head_outcome = flow, outcome
+        attempt.latency_ms = self._clock() - (attempt.written_at or 0.0)
+        self._must_not_be_reused = self._must_not_be_reused or not response.keep
+        flow.taken = self._resume_reading
+        if outcome is Outcome.OK:
+            attempt.owner.on_streaming_response(response, flow)
+        else:
+            flow.abandon()  # an error is not worth streaming: its client gets a reply of this gateway's own
+
+    def _advance_stream(self, attempt: UpstreamAttempt, flow: Flow, has_excess_bytes: bool) -> None:
+        """Act on more of the body that is being streamed."""
         if flow.ended:
-            self.flow = None
-            self._done(self._verdict, None, not behind)
-        elif flow.broken or behind:
-            self.close_spoilt()
+            self.body_flow = None
+            self._complete(attempt, self._head_outcome, None, not has_excess_bytes)
+        elif flow.broken or has_excess_bytes:
+            self._close_invalid()
         elif flow.waits:
-            self.transport.pause_reading()
-
-    def _room_again(self) -> None:
-        if self.transport is not None and self.usable():
-            self.transport.resume_reading()
-
-    def _done(self, outcome: Outcome, answer: Message | None, keep: bool) -> None:
-        """The answer is whole: the connection is kept if all on it is clean."""
-        attempt = self.attempt
-        assert attempt is not None and self.transport is not None
-        if answer is not None:
-            self._learn(answer)
-        uploading = self._upload is not None and not self._upload.done()
-        clean = (
-            keep
-            and not self._spoilt
-            and not uploading
-            and not self.reader.partial
-            and self.usable()
-            and not self.transport.get_write_buffer_size()
-        )
-        self.attempt, self._fresh = None, False
-        self.reader.release()
-        if clean:
-            self.pool.free(self)
+            self._transport.pause_reading()
+
+    def _resume_reading(self) -> None:
+        if self.is_usable():
+            self._transport.resume_reading()
+
+    def _complete(
+        self, attempt: UpstreamAttempt, outcome: Outcome, response: Message | None, may_keep_connection: bool
+    ) -> None:
+        """End the attempt, its response being complete; reuse the connection if nothing is left over on it."""
+        if response is not None:
+            self._learn_keep_alive(response)
+        is_reusable = may_keep_connection and self._is_clean()
+        self.attempt, self._is_unused = None, False
+        self._reader.release_memory()
+        if is_reusable:
+            self._pool.on_connection_free(self)
         else:
             self._drop()
-        attempt.end(self.pool.pools.clock(), outcome, answer)
-
-    def _learn(self, answer: Message) -> None:
-        """How long the backend keeps a connection that rests."""
-        value = answer.headers.get(b"keep-alive")
-        if value is not None:
-            for part in value.split(b","):
-                name, _, number = part.strip().partition(b"=")
-                if name.lower() == b"timeout" and number.isdigit() and len(number) < 7:
-                    self.told = 1000.0 * int(number)
-
-    def close_spoilt(self) -> None:
-        """What came is no answer, or not all of one."""
-        if self.transport is not None:
-            self.transport.abort()
-        self._over(Outcome.INVALID_RESPONSE)
-
-    def _over(self, outcome: Outcome) -> None:
-        """The connection has ended; so has what it carried."""
+        attempt.end(self._clock(), outcome, response)
+
+    def _is_clean(self) -> bool:
+        """Whether nothing of the last request or response is left on the connection."""
+        is_uploading = self._upload is not None and not self._upload.done()
+        return (
+            not self._must_not_be_reused
+            and not is_uploading
+            and not self._reader.partial
+            and self.is_usable()
+            and not self._transport.get_write_buffer_size()
+        )
+
+    def _learn_keep_alive(self, response: Message) -> None:
+        """Record how long the backend says that it keeps an idle connection."""
+        value = response.headers.get(b"keep-alive")
+        if value is None:
+            return
+        for parameter in value.split(b","):
+            name, _, number = parameter.strip().partition(b"=")
+            if name.lower() == b"timeout" and number.isdigit() and len(number) <= KEEP_ALIVE_MAX_DIGITS:
+                self.keep_alive_ms = 1000.0 * int(number)
+
+    # The end of the connection.
+
+    def _close_invalid(self) -> None:
+        """Close it because what came is no response, or not a complete one."""
+        self._transport.abort()
+        self._end_attempt(Outcome.INVALID_RESPONSE)
+
+    def _end_attempt(self, outcome: Outcome) -> None:
+        """End the attempt that it carries together with the connection."""
         attempt, self.attempt = self.attempt, None
-        now = self.pool.pools.clock()
-        if (
-            attempt is not None
-            and attempt.written is not None
-            and outcome is Outcome.CONNECTION_LOST
-            and not self._closed
-            and now - attempt.written < AT_ONCE
-        ):
-            self.pool.trust.on_reset(now, self._age)
+        now = self._clock()
+        if attempt is not None and self._was_stale(attempt, outcome, now):
+            self._pool.idle_reuse.on_reset(now, self._idle_before_ms)
         self._drop()
         if attempt is not None:
             attempt.end(now, outcome)
 
+    def _was_stale(self, attempt: UpstreamAttempt, outcome: Outcome, now: float) -> bool:
+        """Whether the backend probably had closed the connection before the attempt was written to it."""
+        if outcome is not Outcome.CONNECTION_LOST or attempt.written_at is None or self._is_closed:
+            return False
+        return now - attempt.written_at < STALE_REUSE_SIGN_MS
+
     def _drop(self) -> None:
-        if self._closed:
+        if self._is_closed:
             return
-        self._closed = True
-        if self.transport is not None:
-            self.transport.abort()
+        self._is_closed = True
+        self._transport.abort()
         if self._upload is not None:
             self._upload.cancel()
-        self.flow = None
-        self.reader.release()
-        self.reader.close()
-        self.pool.gone(self)
-
-    async def _pass_up(self, attempt: Attempt, head: bytes, flow: Flow) -> None:
-        """Send a long request on as it comes; one that breaks off ends the connection, so that nothing runs."""
-        assert self.transport is not None
+        self.body_flow = None
+        self._reader.release_memory()
+        self._reader.close()
+        self._pool.on_connection_closed(self)
+
+    # A request whose body is streamed.
+
+    async def _stream_request(self, head: bytes, body: Flow, chunked: bool) -> None:
+        """Forward a long request as it comes; if it breaks off, close the connection, so that the backend drops it."""
         try:
-            async for data in flow.written(head, chunked=head_is_chunked(attempt)):
-                self.transport.write(data)
-                while self._drained is not None:
-                    await self._drained
+            async for data in body.written(head, chunked=chunked):
+                self._transport.write(data)
+                while self._write_resumed is not None:
+                    await self._write_resumed
         except Broken:
-            self._over(Outcome.CONNECTION_LOST)
+            self._end_attempt(Outcome.CONNECTION_LOST)
 
 
-def head_is_chunked(attempt: Attempt) -> bool:
-    """Whether its body goes in chunks."""
-    return b"\r\nTransfer-Encoding: chunked\r\n" in attempt.shared
+def is_chunked(head_prefix: bytes) -> bool:
+    """Whether the body behind this head is sent in chunks."""
+    return b"\r\n" + CHUNKED_LINE + b"\r\n" in head_prefix
--- a/hallhitch/planes/data/connection_pools.py
+++ b/hallhitch/planes/data/connection_pools.py
@@ -1,237 +1,32 @@
-"""Connections to backends: a pool for each life of a backend, and the attempts that they carry.
+"""All connections to backends: a pool for each incarnation of a backend, and the bound on all together.
 
-An attempt is written to one connection and ends once, with an outcome. Nothing here chooses a backend or tries again.
+It chooses no backend and repeats nothing: an attempt goes to the backend that it names and ends once.
+
+Invariants:
+- Between two calls `open_count + opening_count` is the number of sockets to backends; it stays within
+  `max_connections`.
+- A backend that is draining, gone or moved to another address has no pool in `_pools`: no attempt starts there.
+
+Times are steady milliseconds.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections import deque
 from collections.abc import Callable, Iterable, Mapping
-from typing import Protocol
+from typing import Final
 
-from hallhitch.net.flow import Flow
-from hallhitch.net.http import Message
-from hallhitch.planes.data.backend_connection import BackendConnection
-from hallhitch.planes.data.http_messages import Room
+from hallhitch.planes.data.connection_pool import ConnectionPool
+from hallhitch.planes.data.http_readers import BodyMemory
 from hallhitch.planes.data.idle_reuse import IdleReuse
 from hallhitch.planes.data.interfaces import Outcome
+from hallhitch.planes.data.upstream_attempt import UpstreamAttempt
 from hallhitch.planes.values import Backend, Service
 
-CONNECT_NEAR, CONNECT_FAR = 150.0, 500.0  # ms for a connection to come up, in the own region and in others
-LATE = 15.0  # ms of grace for events that wait behind a busy loop
-CROWDED = 30.0  # ms that an attempt waits for a connection where no more may be opened
-OVERDUE = 1500.0  # ms past its end after which an attempt is given up: its backend has stopped long ago
-STALLED = 10_000.0  # ms without a byte after which an answer in passing is
-
-
-class Owner(Protocol):
-    """Who an attempt belongs to."""
-
-    def passing(self, attempt: Attempt, answer: Message) -> None:
-        """Its long answer has begun to come; the attempt ends with the answer's body."""
-
-    def ended(self, attempt: Attempt, outcome: Outcome, answer: Message | None) -> None:
-        """It is over; OK, FAILED and DECLINED bring the answer, unless it passed."""
-
-
-class Attempt:
-    """One request on its way to one backend."""
-
-    __slots__ = (
-        "owner",
-        "backend",
-        "unsafe",
-        "ends",
-        "method",
-        "request_id",
-        "shared",
-        "body",
-        "flow",
-        "began",
-        "written",
-        "over",
-        "connection",
-        "lag",
-        "patience",
-        "silent",
-    )
-
-    def __init__(
-        self,
-        owner: Owner,
-        backend: Backend,
-        *,
-        unsafe: bool,
-        ends: float,
-        method: bytes,
-        request_id: bytes | None,
-        shared: bytes,
-        body: bytes,
-        flow: Flow | None,
-        began: float,
-        patience: float,
-    ) -> None:
-        """`shared` is the head's part that all attempts have in common; moments are steady ms."""
-        self.owner, self.backend, self.unsafe, self.ends = owner, backend, unsafe, ends
-        self.method, self.request_id, self.shared, self.body, self.flow = method, request_id, shared, body, flow
-        self.began, self.patience = began, patience
-        self.written: float | None = None  # when; None = no byte of it went out
-        self.over = False
-        self.silent = False  # whether its owner gave up waiting for it alone
-        self.lag = 0.0  # ms from its writing to its answer
-        self.connection: BackendConnection | None = None
-
-    def end(self, now: float, outcome: Outcome, answer: Message | None = None) -> None:
-        """Tell its owner, once."""
-        if not self.over:
-            self.over = True
-            self.lag = self.lag or now - (self.written if self.written is not None else self.began)
-            self.owner.ended(self, outcome, answer)
-
-
-class ConnectionPool:
-    """The connections to one life of a backend."""
-
-    def __init__(self, pools: ConnectionPools, backend: Backend) -> None:
-        self.pools, self.backend = pools, backend
-        self.idle: list[BackendConnection] = []  # the newest last
-        self.connections: set[BackendConnection] = set()
-        self.waiting: deque[Attempt] = deque()  # for a connection
-        self.opening = 0
-        self.retired = False
-
-    @property
-    def trust(self) -> IdleReuse:
-        """What is known of the service's resting connections."""
-        return self.pools.trust_of(self.backend.service)
-
-    def send(self, attempt: Attempt) -> None:
-        """Carry it on a connection that rests, or on a new one; it may be over when this returns."""
-        if self.retired:
-            return attempt.end(self.pools.clock(), Outcome.CANCELLED)
-        connection = self._pick(attempt.unsafe)
-        if connection is not None:
-            return connection.carry(attempt)
-        self.waiting.append(attempt)
-        if self.opening >= len(self.waiting):
-            return
-        if self._room():
-            self._open()
-            return
-        connection = self._pick(False)
-        if connection is not None:  # an older one is better than none
-            self.waiting.remove(attempt)
-            connection.carry(attempt)
-        elif not self.opening:
-            asyncio.get_running_loop().call_later(CROWDED / 1000, self.take_back, attempt)
-
-    def take_back(self, attempt: Attempt) -> bool:
-        """Let it go if nothing of it was written; whether so."""
-        if attempt.written is None and not attempt.over and attempt in self.waiting:
-            self.waiting.remove(attempt)
-            attempt.end(self.pools.clock(), Outcome.CANCELLED)
-            return True
-        return False
-
-    def _pick(self, unsafe: bool) -> BackendConnection | None:
-        now, trust = self.pools.clock(), self.trust
-        while self.idle:
-            connection = self.idle[-1]
-            if connection.usable():
-                if now - connection.idle_since > trust.max_idle_ms(now, connection.told, unsafe):
-                    return None  # the others have rested longer
-                return self.idle.pop()
-            connection.close()
-        return None
-
-    def _room(self) -> bool:
-        return len(self.connections) + self.opening < self.pools.most_for(self.backend.service) and self.pools.room()
-
-    def _open(self) -> None:
-        self.opening += 1
-        self.pools.opening += 1
-        self.pools.count("opened")
-        task = asyncio.get_running_loop().create_task(self._connect())
-        self.pools.tasks.add(task)
-        task.add_done_callback(self.pools.tasks.discard)
-
-    async def _connect(self) -> None:
-        loop, backend = asyncio.get_running_loop(), self.backend
-        most = CONNECT_NEAR if backend.region == self.pools.region else CONNECT_FAR
-        connecting = loop.create_task(
-            loop.create_connection(lambda: BackendConnection(self), backend.host, backend.port)
-        )
-        connection: BackendConnection | None = None
-        try:
-            done, _ = await asyncio.wait((connecting,), timeout=most / 1000)
-            if not done:  # it may be our own loop that was late
-                await asyncio.wait((connecting,), timeout=LATE / 1000)
-            if connecting.done():
-                connection = connecting.result()[1]
-            else:
-                connecting.cancel()
-        except OSError:
-            pass
-        finally:
-            self.opening -= 1
-            self.pools.opening -= 1
-        if connection is not None and connection.usable():
-            self.free(connection)
-        else:
-            self._unreachable()
-
-    def _unreachable(self) -> None:
-        """One connection did not come up: whoever waits, and for no other that may, knows."""
-        now = self.pools.clock()
-        self.pools.count("unreachable")
-        while len(self.waiting) > self.opening:
-            self.waiting.popleft().end(now, Outcome.UNREACHABLE)
-
-    def free(self, connection: BackendConnection) -> None:
-        """A connection has nothing to carry: whoever waits longest gets it."""
-        now = self.pools.clock()
-        while self.waiting:
-            attempt = self.waiting.popleft()
-            if self.retired or attempt.ends - now < 1:
-                attempt.end(now, Outcome.CANCELLED)
-                continue
-            return connection.carry(attempt)
-        if self.retired:
-            return connection.close()
-        connection.idle_since = now
-        self.idle.append(connection)
-
-    def gone(self, connection: BackendConnection) -> None:
-        """A connection is closed."""
-        if connection in self.connections:
-            self.connections.remove(connection)
-            self.pools.open -= 1
-        if connection in self.idle:
-            self.idle.remove(connection)
-        self.pools.drop_if_done(self)
-        if self.waiting and not self.opening and self._room():
-            self._open()
-
-    def retire(self) -> None:
-        """Its backend is leaving or gone: nothing new goes there, what is out ends by itself."""
-        self.retired = True
-        for connection in list(self.idle):
-            connection.close()
-        now = self.pools.clock()
-        while self.waiting:
-            self.waiting.popleft().end(now, Outcome.CANCELLED)
-        self.pools.drop_if_done(self)
-
-    def sweep(self, now: float) -> None:
-        """Close what rested too long, give up what never ends."""
-        while self.idle and now - self.idle[0].idle_since > self.trust.max_idle_ms(now, self.idle[0].told, False):
-            self.idle[0].close()
-        for connection in [connection for connection in self.connections if connection.attempt is not None]:
-            attempt = connection.attempt
-            stalled = connection.flow is not None and now - connection.heard > STALLED
-            if attempt is not None and now > attempt.ends + OVERDUE and (connection.flow is None or stalled):
-                connection.give_up()
+# With one connection, a long request would block all others to the same backend.
+MIN_CONNECTIONS_TO_BACKEND: Final = 2
+# Gateways divide a service's limit evenly and use half of their share, so that a gateway unknown to them finds room.
+BACKEND_LIMIT_DIVISOR: Final = 2
 
 
 class ConnectionPools:
@@ -241,103 +36,119 @@
         self,
         clock: Callable[[], float],
         region: str,
-        most: int,
-        figures: dict[str, int],
-        room: Room,
+        max_connections: int,
+        event_counts: dict[str, int],
+        body_memory: BodyMemory,
     ) -> None:
-        """`most` bounds all connections together, resting ones too; `room` is for answers held whole."""
-        self.clock, self.region, self.most, self.figures = clock, region, most, figures
-        self.room_for_bodies = room
-        self.open = self.opening = 0  # connections
-        self.tasks: set[asyncio.Task[None]] = set()
-        self._pools: dict[str, ConnectionPool] = {}
-        self._leaving: set[ConnectionPool] = set()  # retired, with something still out
-        self._trust: dict[str, IdleReuse] = {}
+        """`max_connections` bounds all connections together, idle ones included."""
+        self.clock = clock
+        self.region = region
+        self.max_connections = max_connections
+        self.body_memory = body_memory
+        self.open_count = 0
+        self.opening_count = 0
+        self.connect_tasks: set[asyncio.Task[None]] = set()
+        self._event_counts = event_counts
+        self._pools: dict[str, ConnectionPool] = {}  # by backend instance
+        self._retired: set[ConnectionPool] = set()  # with attempts in flight
+        self._idle_reuse: dict[str, IdleReuse] = {}  # by service
         self._services: Mapping[str, Service] = {}
-        self._gateways = 1
+        self._gateway_count = 1
+
+    def count(self, event: str) -> None:
+        """Add one to an event count."""
+        self._event_counts[event] = self._event_counts.get(event, 0) + 1
 
-    def count(self, name: str) -> None:
-        """Add one to a figure."""
-        self.figures[name] = self.figures.get(name, 0) + 1
+    # What other planes know.
 
-    def services(self, services: Mapping[str, Service]) -> None:
-        """The services of the configuration: how many connections their backends take."""
+    def set_services(self, services: Mapping[str, Service]) -> None:
+        """Replace the configuration's services, which limit the connections to their backends."""
         self._services = services
-        self._trust = {name: trust for name, trust in self._trust.items() if name in services}
+        self._idle_reuse = {name: reuse for name, reuse in self._idle_reuse.items() if name in services}
 
-    def gateways(self, number: int) -> None:
-        """How many gateways share the backends."""
-        self._gateways = max(1, number)
+    def set_gateway_count(self, count: int) -> None:
+        """Set how many gateways share the backends."""
+        self._gateway_count = max(1, count)
 
-    def backends(self, entries: Iterable[Backend]) -> None:
-        """All backends there are; connections to others, and to those that leave, are let go once they rest."""
-        there = {entry.instance: entry for entry in entries if not entry.is_draining}
+    def set_backends(self, entries: Iterable[Backend]) -> None:
+        """Replace the list of backends; the pools of draining, removed and moved ones are retired."""
+        present = {entry.instance: entry for entry in entries if not entry.is_draining}
         for instance, pool in list(self._pools.items()):
-            entry = there.get(instance)
-            old = pool.backend
-            if entry is None or (entry.host, entry.port, entry.service) != (old.host, old.port, old.service):
-                del self._pools[instance]
-                self._leaving.add(pool)
-                pool.retire()
-            else:
+            entry = present.get(instance)
+            if entry is not None and _is_same_address(entry, pool.backend):
                 pool.backend = entry
-        for instance, entry in there.items():
+                continue
+            del self._pools[instance]
+            self._retired.add(pool)
+            pool.retire()
+        for instance, entry in present.items():
             if instance not in self._pools:
                 self._pools[instance] = ConnectionPool(self, entry)
 
-    def send(self, attempt: Attempt) -> None:
-        """Carry an attempt to its backend; VOID where there is no such backend any more."""
+    # Attempts.
+
+    def send(self, attempt: UpstreamAttempt) -> None:
+        """Carry an attempt to its backend; it ends as CANCELLED where that is draining or gone."""
         pool = self._pools.get(attempt.backend.instance)
         if pool is None:
             attempt.end(self.clock(), Outcome.CANCELLED)
         else:
             pool.send(attempt)
 
-    def take_back(self, attempt: Attempt) -> bool:
-        """End an attempt as VOID if nothing of it was written; whether so."""
+    def withdraw(self, attempt: UpstreamAttempt) -> bool:
+        """End an attempt as CANCELLED if nothing of it was written; return whether so."""
         pool = self._pools.get(attempt.backend.instance)
-        return pool is not None and pool.take_back(attempt)
+        return pool is not None and pool.withdraw(attempt)
 
-    def trust_of(self, service: str) -> IdleReuse:
-        """What is known of one service's resting connections."""
-        trust = self._trust.get(service)
-        if trust is None:
-            trust = self._trust[service] = IdleReuse()
-        return trust
+    # Called by the pools.
 
-    def most_for(self, service: str) -> int:
-        """How many connections this gateway opens to one backend of a service."""
+    def idle_reuse_of(self, service: str) -> IdleReuse:
+        """Return what is known of how long a service's backends keep idle connections."""
+        idle_reuse = self._idle_reuse.get(service)
+        if idle_reuse is None:
+            idle_reuse = self._idle_reuse[service] = IdleReuse()
+        return idle_reuse
+
+    def max_connections_to(self, service: str) -> int:
+        """Return how many connections this gateway may have to one backend of a service."""
         entry = self._services.get(service)
-        return max(2, entry.max_connections // (2 * self._gateways)) if entry is not None else 2
+        if entry is None:
+            return MIN_CONNECTIONS_TO_BACKEND
+        return max(MIN_CONNECTIONS_TO_BACKEND, entry.max_connections // (BACKEND_LIMIT_DIVISOR * self._gateway_count))
 
-    def room(self) -> bool:
-        """Whether one more may be opened; the one that rested longest makes room if need be."""
-        if self.open + self.opening < self.most:
+    def make_room(self) -> bool:
+        """Return whether one more connection may be opened; at the bound the longest idle one is closed for it."""
+        if self.open_count + self.opening_count < self.max_connections:
             return True
-        oldest = min(
+        longest_idle = min(
             (pool.idle[0] for pool in self._pools.values() if pool.idle),
             key=lambda connection: connection.idle_since,
             default=None,
         )
-        if oldest is not None:
-            oldest.close()
-        return oldest is not None
+        if longest_idle is None:
+            return False
+        longest_idle.close()
+        return True
+
+    def forget_if_drained(self, pool: ConnectionPool) -> None:
+        """Forget a retired pool that has no connection any more."""
+        if pool.is_retired and not pool.connections and not pool.opening_count:
+            self._retired.discard(pool)
 
-    def drop_if_done(self, pool: ConnectionPool) -> None:
-        """Forget a retired pool that has nothing open."""
-        if pool.retired and not pool.connections and not pool.opening:
-            self._leaving.discard(pool)
+    # Time.
 
-    def sweep(self, now: float) -> None:
-        """Look after all connections; to be called a few times a second."""
-        for pool in [*self._pools.values(), *self._leaving]:
+    def expire_idle(self, now: float) -> None:
+        """Apply the time-outs of all connections; to be called a few times a second."""
+        for pool in [*self._pools.values(), *self._retired]:
             if pool.connections:
-                pool.sweep(now)
-            self.drop_if_done(pool)
+                pool.expire_idle(now)
+            self.forget_if_drained(pool)
 
     def close(self) -> None:
-        """Close everything, whatever is out."""
-        for pool in [*self._pools.values(), *self._leaving]:
-            pool.retire()
-            for connection in list(pool.connections):
-                connection.close()
+        """Close all connections, whatever they carry."""
+        for pool in [*self._pools.values(), *self._retired]:
+            pool.close()
+
+
+def _is_same_address(new: Backend, old: Backend) -> bool:
+    return (new.host, new.port, new.service) == (old.host, old.port, old.service)
--- a/hallhitch/planes/data/http_messages.py
+++ b/hallhitch/planes/data/http_messages.py
@@ -1,28 +1,26 @@
-"""What goes over the sockets of the data plane: readers that keep all fields, heads, and what an answer stands for.
+"""Heads of HTTP/1.1 messages that the gateway writes, and the checks of those that it forwards.
 
-Pure functions over bytes and messages; no socket, no clock.
+Pure functions over bytes and messages: no socket, no clock. Field names are compared in lower case, as
+`net.http.Message.headers` holds them; forwarded lines keep the peer's spelling and order. Times are milliseconds.
+
+Sources: RFC 9110 (fields, hop-by-hop fields) and RFC 9112 (framing; request smuggling in section 11.2).
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import Final
 
 from hallhitch.net.flow import Flow
-from hallhitch.net.http import AnswerReader, Message, RequestReader, origin_of
-from hallhitch.planes.data.interfaces import Outcome
-from hallhitch.planes.values import RequestLimits
-
-HELD = 1024 * 1024  # bytes of an answer that is held whole before any of it goes on, if there is room
-KEPT = 64 * 1024  # bytes of a body that nobody has to make room for
-ANSWER_HEAD = 64 * 1024
-ANSWER_MOST = 1 << 40  # an answer may be as long as it likes: past HELD it passes in pieces
+from hallhitch.net.http import Message, origin_of
 
-REQUEST_ID, SEAL = b"hallhitch-request-id", b"hallhitch-response-seal"
-NOT_EXECUTED = b"hallhitch-not-executed"
-DEADLINE = b"hallhitch-deadline-remaining"
+REQUEST_ID: Final = b"hallhitch-request-id"
+RESPONSE_SEAL: Final = b"hallhitch-response-seal"
+NOT_EXECUTED: Final = b"hallhitch-not-executed"
+DEADLINE_REMAINING: Final = b"hallhitch-deadline-remaining"
 
-HOP = frozenset(
+HOP_BY_HOP_FIELDS: Final = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -37,19 +35,25 @@
         b"proxy-authentication-info",
     )
 )
-# Besides these, what the length of the body is, is said anew; and what only this system may say or know.
-NOT_SENT = HOP | {
+# Written anew for each attempt (length, deadline, expected instance), or not for a backend to see from a client:
+# credentials, and a tenant name that a client could forge.
+REQUEST_FIELDS_NOT_FORWARDED: Final = HOP_BY_HOP_FIELDS | {
     b"content-length",
     b"authorization",
     b"hallhitch-tenant-name",
     b"hallhitch-expected-instance",
-    DEADLINE,
+    DEADLINE_REMAINING,
 }
-NOT_ANSWERED = HOP | {b"content-length"}
-# What may come once only: who reads the first and who reads the last must not see two requests.
-ONCE = frozenset((b"host", b"content-length", b"transfer-encoding", b"authorization", REQUEST_ID))
+RESPONSE_FIELDS_NOT_FORWARDED: Final = HOP_BY_HOP_FIELDS | {b"content-length"}
+# Parties that read the first of several and parties that read the last would see two different requests.
+SINGLETON_REQUEST_FIELDS: Final = frozenset(
+    (b"host", b"content-length", b"transfer-encoding", b"authorization", REQUEST_ID)
+)
+CHUNKED_LINE: Final = b"Transfer-Encoding: chunked"
+MIN_RETRY_AFTER_MS: Final = 1.0  # the resolution of the Retry-After that this gateway writes
+MIN_DEADLINE_REMAINING_MS: Final = 1  # the field carries whole milliseconds; zero would be an expired request
 
-REASONS = {
+REASON_PHRASES: Final[Mapping[int, bytes]] = {
     200: b"OK",
     201: b"Created",
     202: b"Accepted",
@@ -82,133 +86,48 @@
 }
 
 
-class Room:
-    """The bytes of long bodies that this process holds."""
-
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
-
-    def take(self, more: int) -> bool:
-        """Make room for so many more; whether there is."""
-        if self.held + more > self.most:
-            return False
-        self.held += more
-        return True
-
-
-class ClientReader(RequestReader):
-    """Reads requests off a client's connection, with all their fields."""
-
-    def __init__(self, limits: RequestLimits, hold: Callable[[int], bool]) -> None:
-        """Bodies past KEPT are whole as long as `hold` makes room; then they pass in pieces."""
-        super().__init__(
-            True,
-            hold,
-            head_most=limits.max_head_bytes,
-            body_most=min(KEPT, limits.max_body_bytes),
-            long_most=limits.max_body_bytes,
-        )
-
-    def on_message_begin(self) -> None:
-        super().on_message_begin()
-        self._message.fields = []
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        super().on_header(name, value)
-        if self._in_head and self._message.fields is not None:
-            self._message.fields.append((name, value))
-
-
-class BackendReader(AnswerReader):
-    """Reads answers off a backend's connection, with all their fields.
-
-    Those longer than HELD pass in pieces, and so does what is longer than KEPT where there is no room for it.
-    """
-
-    def __init__(self, room: Room) -> None:
-        super().__init__(True, head_most=ANSWER_HEAD, body_most=KEPT, long_most=ANSWER_MOST)
-        self._room, self._taken = room, 0
-        self.bodiless = False  # whether the request was HEAD: a length without a body
-
-    def on_message_begin(self) -> None:
-        super().on_message_begin()
-        self._message.fields = []
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        super().on_header(name, value)
-        if self._in_head and self._message.fields is not None:
-            self._message.fields.append((name, value))
-
-    def on_headers_complete(self) -> None:
-        super().on_headers_complete()
-        self._early = self._message.length is not None and self._message.length > HELD
-        if self.bodiless and self.parser.get_status_code() >= 200:
-            # The parser knows of no HEAD and would wait for a body: the connection is not used again.
-            self.on_message_complete()
-            self._done[-1].keep = False
-
-    def _passes(self, more: int) -> bool:
-        if self._early or self._size > HELD or not self._room.take(more):
-            return True
-        self._taken += more
-        return False
-
-    def release(self) -> None:
-        """What was read is somebody else's."""
-        self._room.held -= self._taken
-        self._taken = 0
-
-
 @dataclass(slots=True)
 class Reply:
-    """What a client gets: `fields` are whole header lines, `length` that of a body that passes or is left out."""
+    """The response that a client gets, from a backend or from this gateway."""
 
     status: int
-    fields: bytes = b""
+    field_lines: bytes = b""  # whole header lines, but for framing and connection management
     body: bytes = b""
-    flow: Flow | None = None
-    length: int | None = None
-    close: bool = False
-
+    body_flow: Flow | None = None  # the body where it is streamed
+    content_length: int | None = None  # of a body that is streamed, or left out for HEAD; None: not declared
+    must_close: bool = False  # whether the client connection ends with this reply
 
-def named_by_connection(message: Message) -> frozenset[bytes]:
-    """The fields that this message's Connection names as its own."""
-    if b"connection" not in message.headers:
-        return frozenset()
-    values = [value for name, value in message.fields or () if name.lower() == b"connection"]
-    return frozenset(part.strip().lower() for value in values for part in value.split(b","))
+    def has_no_body(self, method: bytes) -> bool:
+        """Whether it goes out without a body, whatever its fields declare."""
+        return method == b"HEAD" or self.status in (204, 304)
 
 
-def end_to_end(message: Message, dropped: frozenset[bytes]) -> list[bytes]:
-    """The header lines that go on, in order, as they came."""
-    dropped |= named_by_connection(message)
-    return [name + b": " + value for name, value in message.fields or () if name.lower() not in dropped]
+def is_malformed(request: Message) -> bool:
+    """Whether two recipients could read different requests from it, or it names no host."""
+    headers = request.headers
+    if any(name in SINGLETON_REQUEST_FIELDS for name in request.twice):
+        return True
+    if b"transfer-encoding" in headers and (
+        b"content-length" in headers or headers[b"transfer-encoding"].lower() != b"chunked"
+    ):
+        return True
+    if request.version == "1.1":
+        return b"host" not in headers
+    return request.version != "1.0"
 
 
-def malformed(request: Message) -> bool:
-    """Whether two readers could see different requests in it, or it names no host."""
-    headers = request.headers
-    return (
-        any(name in ONCE for name in request.twice)
-        or b"transfer-encoding" in headers
-        and (b"content-length" in headers or headers[b"transfer-encoding"].lower() != b"chunked")
-        or b"host" not in headers
-        and request.version == "1.1"
-        or request.version not in ("1.0", "1.1")
-    )
+# Requests as backends get them.
 
 
-def request_head(request: Message, tenant: str | None) -> bytes:
-    """The head of a request as it goes to any backend, but for what differs from one attempt to the next."""
+def encode_head_prefix(request: Message, tenant_name: str | None) -> bytes:
+    """Encode the part of a request's head that is the same for each attempt."""
     lines = [b"%s %s HTTP/1.1" % (request.method, origin_of(request.target))]
-    lines += end_to_end(request, NOT_SENT)
-    if tenant is not None:
-        lines.append(b"Hallhitch-Tenant-Name: " + tenant.encode())
+    lines += _end_to_end_lines(request, REQUEST_FIELDS_NOT_FORWARDED)
+    if tenant_name is not None:
+        lines.append(b"Hallhitch-Tenant-Name: " + tenant_name.encode())
     headers = request.headers
     if request.flow is not None:
-        lines.append(
-            b"Transfer-Encoding: chunked" if request.length is None else b"Content-Length: %d" % request.length
-        )
+        lines.append(CHUNKED_LINE if request.length is None else b"Content-Length: %d" % request.length)
     elif (
         request.body
         or b"content-length" in headers
@@ -219,94 +138,92 @@
     return b"\r\n".join(lines) + b"\r\n"
 
 
-def attempt_head(shared: bytes, left: float, instance: str) -> bytes:
-    """The whole head of one attempt: with what is left of its time, and the one backend that may run it."""
+def encode_attempt_head(head_prefix: bytes, remaining_ms: float, instance: str) -> bytes:
+    """Encode the head of one attempt: the remaining time, and the only instance that may run the request."""
     return b"%sHallhitch-Deadline-Remaining: %d\r\nHallhitch-Expected-Instance: %s\r\n\r\n" % (
-        shared,
-        max(1, int(left)),
+        head_prefix,
+        max(MIN_DEADLINE_REMAINING_MS, int(remaining_ms)),
         instance.encode(),
     )
 
 
-def judge(answer: Message, request_id: bytes | None, fresh: bool) -> Outcome | None:
-    """What an answer's head stands for; None: it belongs to another request.
+# Replies as clients get them.
+
 
-    `fresh`: nothing else was ever asked on its connection, so that an answer without an id can only be ours.
+def forwarded_reply(response: Message) -> Reply:
+    """Return the reply that forwards a backend's response.
+
+    A status by which clients conclude that the request never ran becomes 502 where the backend did not state that.
     """
-    headers, status = answer.headers, answer.status
-    own = headers.get(REQUEST_ID) or None
-    if own != request_id and own is not None:
-        return None
-    if (
-        REQUEST_ID in answer.twice
-        or own is None
-        and request_id is not None
-        and not fresh
-        or headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked"
-    ):
-        return Outcome.INVALID_RESPONSE
-    if status == 421:
-        return Outcome.MISDIRECTED
-    if NOT_EXECUTED in headers and status >= 400:
-        return Outcome.DECLINED
-    if status >= 500 or status in (408, 429):  # the last two promise what this backend does not
-        return Outcome.SERVER_ERROR
-    if 200 <= status < 300:
-        framed = answer.length is not None or b"transfer-encoding" in headers or status == 204
-        if (
-            SEAL not in headers
-            or SEAL in answer.twice
-            or b"content-encoding" in headers
-            or NOT_EXECUTED in headers
-            or own is None
-            and request_id is not None
-            or not framed
-        ):
-            return Outcome.INVALID_RESPONSE
-    return Outcome.OK
-
-
-def reply_of(answer: Message) -> Reply:
-    """A backend's answer as its client gets it; a status that promises more than the backend did becomes 502."""
-    status = answer.status
-    if status in (408, 421, 429, 503) and NOT_EXECUTED not in answer.headers:
+    status = response.status
+    if status in (408, 421, 429, 503) and NOT_EXECUTED not in response.headers:
         status = 502
-    lines = end_to_end(answer, NOT_ANSWERED)
-    return Reply(status, b"".join([line + b"\r\n" for line in lines]), answer.body, answer.flow, answer.length)
+    lines = _end_to_end_lines(response, RESPONSE_FIELDS_NOT_FORWARDED)
+    field_lines = b"".join([line + b"\r\n" for line in lines])
+    return Reply(status, field_lines, response.body, response.flow, response.length)
 
 
-def own_reply(status: int, request: Message | None, after: float | None = None, close: bool = False) -> Reply:
-    """An answer of this gateway's own; `after` (ms) tells when to come back."""
-    fields = b""
+def local_reply(
+    status: int, request: Message | None, retry_after_ms: float | None = None, must_close: bool = False
+) -> Reply:
+    """Return a reply of this gateway's own; `request` is None where none could be read."""
+    lines = b""
     if request is not None and REQUEST_ID in request.headers and REQUEST_ID not in request.twice:
-        fields = b"Hallhitch-Request-Id: " + request.headers[REQUEST_ID] + b"\r\n"
-    if after is not None:
-        fields += b"Retry-After: %.3f\r\n" % (max(1.0, after) / 1000.0)
+        lines = b"Hallhitch-Request-Id: " + request.headers[REQUEST_ID] + b"\r\n"
+    if retry_after_ms is not None:
+        lines += b"Retry-After: %.3f\r\n" % (max(MIN_RETRY_AFTER_MS, retry_after_ms) / 1000.0)
     if status == 401:
-        fields += b"WWW-Authenticate: Token\r\n"
-    return Reply(status, fields, close=close)
+        lines += b"WWW-Authenticate: Token\r\n"
+    return Reply(status, lines, must_close=must_close)
 
 
-def reply_head(reply: Reply, method: bytes, version: str, close: bool, keep_alive: bytes = b"") -> bytes:
-    """The head of a reply; `keep_alive` is the line that tells how long this connection may rest."""
-    status = reply.status
-    if status == 204 or status == 304 or status < 200:
-        size = b""
-    elif reply.flow is not None or method == b"HEAD":
-        if reply.length is not None:
-            size = b"Content-Length: %d\r\n" % reply.length
-        else:
-            size = b"Transfer-Encoding: chunked\r\n" if version == "1.1" and reply.flow is not None else b""
+def encode_reply_head(
+    reply: Reply, method: bytes, version: str, closes_connection: bool, keep_alive_line: bytes = b""
+) -> bytes:
+    """Encode the head of a reply to a request of this method and HTTP version.
+
+    `keep_alive_line` tells the client for how long its connection may stay idle.
+    """
+    if closes_connection:
+        connection_lines = b"Connection: close\r\n"
+    elif version == "1.0":
+        connection_lines = b"Connection: keep-alive\r\n" + keep_alive_line
     else:
-        size = b"Content-Length: %d\r\n" % len(reply.body)
-    ending = (
-        b"Connection: close\r\n"
-        if close
-        else (b"Connection: keep-alive\r\n" + keep_alive if version == "1.0" else keep_alive)
+        connection_lines = keep_alive_line
+    return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (
+        reply.status,
+        REASON_PHRASES.get(reply.status, b"-"),
+        reply.field_lines,
+        _framing_line(reply, method, version),
+        connection_lines,
     )
-    return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, REASONS.get(status, b"-"), reply.fields, size, ending)
 
 
-def bodiless(reply: Reply, method: bytes) -> bool:
-    """Whether this reply goes without its body."""
-    return method == b"HEAD" or reply.status in (204, 304)
+def _framing_line(reply: Reply, method: bytes, version: str) -> bytes:
+    """Return the line that says where a reply's body ends; none where the end of the connection does."""
+    status = reply.status
+    if status == 204 or status == 304 or status < 200:
+        return b""
+    if reply.body_flow is None and method != b"HEAD":
+        return b"Content-Length: %d\r\n" % len(reply.body)
+    if reply.content_length is not None:
+        return b"Content-Length: %d\r\n" % reply.content_length
+    is_chunked = version == "1.1" and reply.body_flow is not None
+    return CHUNKED_LINE + b"\r\n" if is_chunked else b""
+
+
+# Fields that are forwarded.
+
+
+def _end_to_end_lines(message: Message, not_forwarded: frozenset[bytes]) -> list[bytes]:
+    """Return the header lines to forward, in the order in which they came."""
+    not_forwarded |= _connection_options(message)
+    return [name + b": " + value for name, value in message.fields or () if name.lower() not in not_forwarded]
+
+
+def _connection_options(message: Message) -> frozenset[bytes]:
+    """Return the names of fields that a message's Connection field declares as hop-by-hop."""
+    if b"connection" not in message.headers:
+        return frozenset()
+    values = [value for name, value in message.fields or () if name.lower() == b"connection"]
+    return frozenset(part.strip().lower() for value in values for part in value.split(b","))
--- /dev/null
+++ b/hallhitch/planes/data/http_readers.py
@@ -0,0 +1,119 @@
+"""Readers of HTTP messages on client and backend connections, and the memory that buffered bodies may take.
+
+The readers keep every header field in order, because the gateway forwards what it does not understand. A body is
+buffered while memory lasts and streamed through a `Flow` after that. Sizes are bytes.
+
+Invariant: `BodyMemory.used_bytes` is the sum of what all readers and client connections have reserved and not released.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Final
+
+from hallhitch.net.http import AnswerReader, RequestReader
+from hallhitch.planes.values import RequestLimits
+
+# A response that breaks off while it is buffered can still be retried; once it is streamed to the client, it cannot.
+BUFFERED_RESPONSE_MAX_BYTES: Final = 1024 * 1024
+# A body this short is buffered without a reservation: the bound on connections bounds their sum.
+UNRESERVED_BODY_MAX_BYTES: Final = 64 * 1024
+RESPONSE_HEAD_MAX_BYTES: Final = 64 * 1024
+# Practically unbounded: a response longer than BUFFERED_RESPONSE_MAX_BYTES is streamed and takes no memory.
+RESPONSE_BODY_MAX_BYTES: Final = 1 << 40
+
+
+class BodyMemory:
+    """The memory of this process for buffered bodies longer than UNRESERVED_BODY_MAX_BYTES."""
+
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self.used_bytes = 0
+
+    def reserve(self, size: int) -> bool:
+        """Reserve so many more bytes if the limit allows; return whether it did."""
+        if self.used_bytes + size > self.limit_bytes:
+            return False
+        self.used_bytes += size
+        return True
+
+    def reserve_unconditionally(self, size: int) -> None:
+        """Account for bytes that are in memory already, even past the limit."""
+        self.used_bytes += size
+
+    def release(self, size: int) -> None:
+        """Release so many reserved bytes."""
+        self.used_bytes -= size
+
+
+class ClientReader(RequestReader):
+    """Reads requests, with all their header fields, from a client connection."""
+
+    def __init__(self, limits: RequestLimits, reserve: Callable[[int], bool]) -> None:
+        """Buffer a body past UNRESERVED_BODY_MAX_BYTES as long as `reserve` grants memory; then stream it."""
+        super().__init__(
+            True,
+            reserve,
+            head_most=limits.max_head_bytes,
+            body_most=min(UNRESERVED_BODY_MAX_BYTES, limits.max_body_bytes),
+            long_most=limits.max_body_bytes,
+        )
+
+    def on_message_begin(self) -> None:
+        super().on_message_begin()
+        self._message.fields = []
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        super().on_header(name, value)
+        if self._in_head and self._message.fields is not None:
+            self._message.fields.append((name, value))
+
+
+class BackendReader(AnswerReader):
+    """Reads responses, with all their header fields, from a backend connection.
+
+    A response longer than BUFFERED_RESPONSE_MAX_BYTES is streamed, and so is one longer than
+    UNRESERVED_BODY_MAX_BYTES when no memory is left.
+    """
+
+    def __init__(self, body_memory: BodyMemory) -> None:
+        super().__init__(
+            True,
+            head_most=RESPONSE_HEAD_MAX_BYTES,
+            body_most=UNRESERVED_BODY_MAX_BYTES,
+            long_most=RESPONSE_BODY_MAX_BYTES,
+        )
+        self._body_memory = body_memory
+        self._reserved_bytes = 0
+        self.is_head_request = False  # the response to HEAD declares a length and has no body
+
+    def on_message_begin(self) -> None:
+        super().on_message_begin()
+        self._message.fields = []
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        super().on_header(name, value)
+        if self._in_head and self._message.fields is not None:
+            self._message.fields.append((name, value))
+
+    def on_headers_complete(self) -> None:
+        super().on_headers_complete()
+        length = self._message.length
+        self._early = length is not None and length > BUFFERED_RESPONSE_MAX_BYTES
+        if self.is_head_request and self.parser.get_status_code() >= 200:
+            # The parser does not know that the request was HEAD and would wait for a body. Its state is wrong from
+            # here on, so that the connection cannot be reused.
+            self.on_message_complete()
+            self._done[-1].keep = False
+
+    def _passes(self, more: int) -> bool:
+        if self._early or self._size > BUFFERED_RESPONSE_MAX_BYTES or not self._body_memory.reserve(more):
+            return True
+        self._reserved_bytes += more
+        return False
+
+    def release_memory(self) -> None:
+        """Release the reservation for the response that was read: it has been handed over or dropped."""
+        if self._reserved_bytes:
+            self._body_memory.release(self._reserved_bytes)
+            self._reserved_bytes = 0
--- /dev/null
+++ b/hallhitch/planes/data/request_admission.py
@@ -0,0 +1,92 @@
+"""Admission of a request: its route, tenant, regions, priority, service and deadline, or the reply that rejects it.
+
+No I/O, and no decision on load: quota and load shedding come after it. Times are steady milliseconds.
+"""
+
+from __future__ import annotations
+
+import math
+import zlib
+from dataclasses import dataclass
+from typing import Final
+
+from hallhitch.net.http import Message, path_of
+from hallhitch.planes.data.context import DataPlaneContext
+from hallhitch.planes.data.http_messages import DEADLINE_REMAINING, REQUEST_ID, Reply, is_malformed, local_reply
+from hallhitch.planes.data.interfaces import RequestInfo
+from hallhitch.planes.values import ClusterConfig, Route, Tenant
+
+# For a gateway that has no configuration yet, and for a tenant that shares no region with its route.
+NOT_CONFIGURED_RETRY_AFTER_MS: Final = 1000.0
+CRC32_RANGE: Final = 2**32
+
+
+@dataclass(slots=True)
+class AdmittedRequest:
+    """A request that may be forwarded, on behalf of a tenant or anonymously."""
+
+    info: RequestInfo
+    tenant: Tenant | None
+
+
+def admit(context: DataPlaneContext, request: Message, received_at: float) -> AdmittedRequest | Reply:
+    """Admit a request, or return the reply that rejects it; `received_at` is when its head was read."""
+    config, now = context.config, context.clock()
+    headers = request.headers
+    if is_malformed(request):
+        return local_reply(400, request, must_close=True)
+    if config is None:
+        return local_reply(503, request, NOT_CONFIGURED_RETRY_AFTER_MS)
+    host = headers.get(b"host", b"").decode("latin-1").partition(":")[0].lower()
+    route = config.find_route(host, path_of(request.target).decode("latin-1"))
+    if route is None:
+        return local_reply(404, request)
+    tenant = _find_tenant(config, request)
+    if tenant is None and config.tenants and not route.is_public:
+        return local_reply(401, request)
+    regions = route.allowed_regions
+    if tenant is not None and tenant.allowed_regions:
+        regions = regions & tenant.allowed_regions if regions else tenant.allowed_regions
+        if not regions:
+            return local_reply(503, request, NOT_CONFIGURED_RETRY_AFTER_MS)  # route and tenant share no region
+    priority = route.priority if tenant is None or tenant.priority is None else tenant.priority
+    remaining_ms = parse_deadline_ms(headers.get(DEADLINE_REMAINING), route.timeout_ms)
+    deadline_ms = received_at + min(route.timeout_ms, remaining_ms)
+    service = choose_service(route, headers.get(REQUEST_ID, b""))
+    return AdmittedRequest(RequestInfo(route, service, regions, priority, now, deadline_ms), tenant)
+
+
+def _find_tenant(config: ClusterConfig, request: Message) -> Tenant | None:
+    """Return the tenant whose API key a request carries."""
+    if not config.tenants:
+        return None
+    return config.tenants_by_api_key.get(parse_api_key(request.headers.get(b"authorization", b"")))
+
+
+def parse_api_key(authorization: bytes) -> str:
+    """Return the API key in an Authorization field; "" where there is none."""
+    scheme, _, key = authorization.partition(b" ")
+    return key.strip().decode("latin-1") if scheme.lower() == b"token" else ""
+
+
+def parse_deadline_ms(value: bytes | None, default_ms: float) -> float:
+    """Return how long the client says that it will wait; the default where that is missing or no such number."""
+    try:
+        remaining_ms = float(value) if value is not None else default_ms
+    except ValueError:
+        return default_ms
+    return remaining_ms if math.isfinite(remaining_ms) and remaining_ms >= 0 else default_ms
+
+
+def choose_service(route: Route, request_id: bytes) -> str:
+    """Return a service of the route in proportion to the weights; the same for the same request id."""
+    services = route.weighted_services
+    if len(services) == 1:
+        return services[0][0]
+    position = zlib.crc32(request_id) / CRC32_RANGE * sum(weight for _, weight in services)
+    for service, weight in services:
+        position -= weight
+        if position < 0:
+            return service
+    # Rounding may leave a position past the last service.
+    return max(services, key=lambda entry: entry[1])[0]
--- a/hallhitch/planes/data/request_handler.py
+++ b/hallhitch/planes/data/request_handler.py
@@ -1,359 +1,314 @@
-"""One request from read to answered: admission, the tenant's quota, attempts as the decisions tell, the reply.
+"""One request from its admission to its reply: quota, attempts as the load balancer decides, and the reply.
 
-It owns what was sent where and whether it may have run. It must never promise a client (429, 503) what it does not
-know, and never write an unsafe request to a second backend while the first may have run it.
+It owns which attempts are in flight and whether the request may have run. Invariants:
+- A reply by which clients conclude that the request never ran (503, 429) is sent only if no attempt that has ended may
+  have run it, and none is in flight.
+- An unsafe request is written to another backend only after every attempt before it ended without having run.
+- The tenant's quota unit is refunded if and only if every attempt has ended and none may have run.
+
+`run` is one task a request; attempts call back from the event loop and wake it. Times are steady milliseconds,
+durations milliseconds.
 """
 
 from __future__ import annotations
 
 import asyncio
-import math
-import zlib
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any, Protocol
-
-from hallhitch.net.http import Message, path_of
-from hallhitch.planes.data.connection_pools import Attempt, ConnectionPools
-from hallhitch.planes.data.http_messages import (
-    DEADLINE,
-    REQUEST_ID,
-    Reply,
-    malformed,
-    own_reply,
-    reply_of,
-    request_head,
-)
-from hallhitch.planes.data.interfaces import (
-    Enqueue,
-    Forward,
-    LoadBalancingPolicy,
-    Outcome,
-    QuotaCounter,
-    Reject,
-    RequestInfo,
-)
-from hallhitch.planes.values import ClusterConfig, QuotaDecision, RequestLimits, Route, Tenant
-
-UNKNOWING = 1000.0  # ms after which a client may ask again a gateway that knows no configuration yet
-LATE_AFTER = 100.0  # and one whose request found no room in its time
-MARGIN_MOST, MARGIN_SHARE = 20.0, 0.05  # ms and share of its time by which an answer comes before the client gives up
-COUNTING_MOST, COUNTING_SHARE = 1000.0, 0.4  # of its time that the counter may take
-BREATH = 5.0  # ms before the decisions are asked again after they named a backend that could not be tried
-FOREVER = 600_000.0
-
-
-@dataclass(slots=True)
-class Context:
-    """What all requests of this gateway share."""
-
-    decisions: LoadBalancingPolicy[Any]
-    counter: QuotaCounter
-    pools: ConnectionPools
-    clock: Callable[[], float]
-    figures: dict[str, int]
-    config: ClusterConfig | None = None
-    leaving: bool = False
-    plain: RequestLimits = field(default_factory=RequestLimits)
-
-    @property
-    def limits(self) -> RequestLimits:
-        """What a client may send and how long it may take."""
-        return self.config.limits if self.config is not None else self.plain
-
-    def count(self, name: str) -> None:
-        """Add one to a figure."""
-        self.figures[name] = self.figures.get(name, 0) + 1
-
-
-class Presence(Protocol):
-    """The client, as far as its request needs to know."""
-
-    left: bool  # whether it went away
+from typing import Any, Final, Protocol
+
+from hallhitch.net.flow import Flow
+from hallhitch.net.http import Message
+from hallhitch.planes.data.context import DataPlaneContext
+from hallhitch.planes.data.http_messages import REQUEST_ID, Reply, encode_head_prefix, forwarded_reply, local_reply
+from hallhitch.planes.data.interfaces import Enqueue, Forward, Outcome, Reject, RequestInfo
+from hallhitch.planes.data.request_admission import AdmittedRequest, admit
+from hallhitch.planes.data.upstream_attempt import UpstreamAttempt, UpstreamRequest
+from hallhitch.planes.values import QuotaDecision, Tenant
+
+# For a request that found no backend with capacity before its deadline: capacity may be free again soon.
+NO_CAPACITY_RETRY_AFTER_MS: Final = 100.0
+# The reply leaves so long before the deadline, at most, that it arrives while the client still waits.
+REPLY_MARGIN_MAX_MS: Final = 20.0
+REPLY_MARGIN_RATIO: Final = 0.05
+# What the quota counter may take of the request's time: the larger part is for the backend.
+QUOTA_TIMEOUT_MIN_MS: Final = 1.0
+QUOTA_TIMEOUT_MAX_MS: Final = 1000.0
+QUOTA_TIMEOUT_RATIO: Final = 0.4
+# After an attempt that ended at once the load balancer could name the same backend again, in a loop without end.
+RESELECT_DELAY_MS: Final = 5.0
+MIN_RECHECK_DELAY_MS: Final = 1.0
+# Bounds one timer; the loop waits again after it.
+TIMER_MAX_MS: Final = 600_000.0
+# Statuses below 500 by which a backend means itself or its load; other 4xx mean the request.
+RETRYABLE_CLIENT_ERRORS: Final = frozenset((408, 421, 429))
+
+
+class ClientPresence(Protocol):
+    """The client, as far as its request needs it."""
+
+    is_gone: bool  # whether it closed its connection, or its sending side
 
 
 class RequestHandler:
-    """One request under way."""
+    """Handles one request; the owner of its attempts."""
 
     __slots__ = (
         "_context",
         "_request",
+        "_received_at",
         "_client",
-        "_read",
-        "_route",
-        "_tenant",
-        "_taken",
-        "_ask",
-        "_exchange",
-        "_out",
-        "_sent",
-        "_ran",
-        "_good",
-        "_own",
-        "_finished",
-        "_wake",
-        "_woken",
-        "_timer",
-        "_shared",
+        "_info",
+        "_upstream_request",
+        "_balancer_state",
+        "_quota_decision",
+        "_in_flight",
+        "_written_count",
+        "_may_have_run",
+        "_winning_response",
+        "_error_response",
+        "_is_finished",
+        "_reply_by",
+        "_next_decision_at",
+        "_has_changed",
+        "_wakeup",
     )
-
-    def __init__(self, context: Context, request: Message, read: float, client: Presence) -> None:
-        """`read`: when its head was read (steady ms)."""
-        self._context, self._request, self._read, self._client = context, request, read, client
-        self._route: Route | None = None
-        self._tenant: Tenant | None = None
-        self._taken: QuotaDecision | None = None
-        self._out: list[Attempt] = []  # not yet over
-        self._sent = 0  # attempts of which something was written
-        self._ran = False  # whether one that is over may have run
-        self._good: Message | None = None  # the answer that wins
-        self._own: Message | None = None  # a backend's own whole answer that is worth less
-        self._finished = False
-        self._wake: asyncio.Future[None] | None = None
-        self._woken = False
-        self._timer: asyncio.TimerHandle | None = None
-        self._shared = b""
+    # Set in `run`, before there is any attempt.
+    _info: RequestInfo
+    _upstream_request: UpstreamRequest
+    _balancer_state: Any
+
+    def __init__(self, context: DataPlaneContext, request: Message, received_at: float, client: ClientPresence) -> None:
+        """`received_at`: when the request's head was read."""
+        self._context = context
+        self._request = request
+        self._received_at = received_at
+        self._client = client
+        self._quota_decision: QuotaDecision | None = None  # the unit that may have to be refunded
+        self._in_flight: list[UpstreamAttempt] = []
+        self._written_count = 0  # attempts that have ended and were written
+        self._may_have_run = False  # by an attempt that has ended
+        self._winning_response: Message | None = None
+        self._error_response: Message | None = None  # a backend's complete 5xx, for want of a better one
+        self._is_finished = False
+        self._reply_by = 0.0
+        self._next_decision_at = 0.0  # unless an attempt ends before
+        self._has_changed = False  # whether an attempt ended, or timed out, since the last decision
+        self._wakeup: asyncio.Future[None] | None = None
 
     async def run(self) -> Reply:
-        """The reply to this request; never raises but for what is wrong in this program."""
-        reply = self._admit()
-        if reply is not None:
-            return reply
-        context, route = self._context, self._route
-        assert route is not None
-        if self._tenant is not None and self._tenant.rate_per_s > 0:
-            reply = await self._counted(self._tenant)
-            if reply is not None:
-                return reply
+        """Handle the request and return its reply."""
+        context = self._context
+        admitted = admit(context, self._request, self._received_at)
+        if isinstance(admitted, Reply):
+            return admitted
+        self._info = admitted.info
+        if admitted.tenant is not None and admitted.tenant.rate_per_s > 0:
+            rejection = await self._charge_quota(admitted.tenant)
+            if rejection is not None:
+                return rejection
         now = context.clock()
-        self._shared = request_head(self._request, self._tenant.name if self._tenant is not None else None)
-        exchange = self._exchange = context.decisions.begin_request(now, self._ask)
+        self._upstream_request = self._make_upstream_request(admitted)
+        self._balancer_state = context.load_balancer.begin_request(now, admitted.info)
         try:
-            return await self._attempts(exchange, route)
+            return await self._run_attempts()
         finally:
-            self._finished = True
-            for attempt in list(self._out):
-                context.pools.take_back(attempt)
-            context.decisions.finish_request(context.clock(), exchange)
-            self._settle()
-
-    # Admission.
-
-    def _admit(self) -> Reply | None:
-        """The refusal of a request that goes nowhere; None: its route, tenant and question are known."""
-        request, config, now = self._request, self._context.config, self._context.clock()
-        headers = request.headers
-        if malformed(request):
-            return own_reply(400, request, close=True)
-        if config is None:
-            return own_reply(503, request, UNKNOWING)
-        host = headers.get(b"host", b"").decode("latin-1").partition(":")[0].lower()
-        route = config.find_route(host, path_of(request.target).decode("latin-1"))
-        if route is None:
-            return own_reply(404, request)
-        tenant = None
-        if config.tenants:
-            tenant = config.tenants_by_api_key.get(key_of(headers.get(b"authorization", b"")))
-            if tenant is None and not route.is_public:
-                return own_reply(401, request)
-        homes = route.allowed_regions
-        if tenant is not None and tenant.allowed_regions:
-            homes = homes & tenant.allowed_regions if homes else tenant.allowed_regions
-            if not homes:
-                return own_reply(503, request, UNKNOWING)  # no region is home to both
-        priority = route.priority if tenant is None or tenant.priority is None else tenant.priority
-        ends = self._read + min(route.timeout_ms, deadline_of(headers.get(DEADLINE), route.timeout_ms))
-        self._route, self._tenant = route, tenant
-        service = service_of(route, headers.get(REQUEST_ID, b""))
-        self._ask = RequestInfo(route, service, homes, priority, now, ends)
-        return None
+            self._is_finished = True
+            self._withdraw_attempts()
+            context.load_balancer.finish_request(context.clock(), self._balancer_state)
+            self._refund_if_never_run()
+
+    def _make_upstream_request(self, admitted: AdmittedRequest) -> UpstreamRequest:
+        request, info, tenant = self._request, admitted.info, admitted.tenant
+        return UpstreamRequest(
+            method=request.method,
+            request_id=request.headers.get(REQUEST_ID) or None,
+            head_prefix=encode_head_prefix(request, tenant.name if tenant is not None else None),
+            body=request.body,
+            body_flow=request.flow,
+            is_unsafe=not info.route.is_idempotent,
+            deadline_ms=info.deadline_ms,
+        )
+
+    # Quota.
 
-    async def _counted(self, tenant: Tenant) -> Reply | None:
-        """Add one to the tenant's count and read it; None: it is within."""
-        left = self._ask.deadline_ms - self._context.clock()
-        taken = await self._context.counter.admit(tenant, max(1.0, min(COUNTING_MOST, left * COUNTING_SHARE)))
-        if taken.is_admitted:
-            self._taken = taken
+    async def _charge_quota(self, tenant: Tenant) -> Reply | None:
+        """Count the request against the tenant's quota; return the reply that rejects it, if it is not admitted."""
+        remaining_ms = self._info.deadline_ms - self._context.clock()
+        timeout_ms = max(QUOTA_TIMEOUT_MIN_MS, min(QUOTA_TIMEOUT_MAX_MS, remaining_ms * QUOTA_TIMEOUT_RATIO))
+        decision = await self._context.quota_counter.admit(tenant, timeout_ms)
+        if decision.is_admitted:
+            self._quota_decision = decision
             return None
-        self._context.count("counter_silent" if taken.is_counter_unavailable else "over_quota")
-        return own_reply(503 if taken.is_counter_unavailable else 429, self._request, taken.retry_after_ms)
+        if decision.is_counter_unavailable:
+            self._context.count("quota_counter_unavailable")
+            return local_reply(503, self._request, decision.retry_after_ms)
+        self._context.count("over_quota")
+        return local_reply(429, self._request, decision.retry_after_ms)
+
+    def _refund_if_never_run(self) -> None:
+        """Refund the tenant's quota unit once it is certain that the request never ran."""
+        is_certain = self._is_finished and not self._in_flight and not self._may_have_run
+        if self._quota_decision is not None and is_certain:
+            self._context.quota_counter.refund(self._quota_decision)
+            self._quota_decision = None
 
     # Attempts.
 
-    async def _attempts(self, exchange: Any, route: Route) -> Reply:
-        context, clock, client = self._context, self._context.clock, self._client
-        unsafe = not route.is_idempotent
-        ask = self._ask
-        limit = ask.deadline_ms - min(MARGIN_MOST, MARGIN_SHARE * (ask.deadline_ms - self._read))
-        again = 0.0  # when the decisions are asked next, unless something ends before
+    async def _run_attempts(self) -> Reply:
+        """Start attempts as the load balancer decides until there is a reply."""
+        clock, client, info = self._context.clock, self._client, self._info
+        is_unsafe = self._upstream_request.is_unsafe
+        margin_ms = min(REPLY_MARGIN_MAX_MS, REPLY_MARGIN_RATIO * (info.deadline_ms - self._received_at))
+        self._reply_by = info.deadline_ms - margin_ms
         while True:
             now = clock()
-            if self._good is not None:
-                return reply_of(self._good)
-            if now >= limit:
-                return self._no_answer(504)
-            if client.left and not self._out:
-                return self._no_answer(502)
-            self._lose_patience(exchange, now)
-            woken, self._woken = self._woken, False
-            if client.left or unsafe and (self._ran or self._out):
-                if not self._out:
-                    return self._no_answer(502)  # it may have run, and may not run again
-                again = limit
-            elif woken or now >= again:
-                step = context.decisions.next_action(now, exchange)
-                if isinstance(step, Forward):
-                    if self._sent + len(self._out) >= max(1, route.max_attempts) or self._request_is_spent():
-                        if not self._out:
-                            return self._no_answer(502, LATE_AFTER)
-                        again = limit
-                    else:
-                        attempt = self._send(step, unsafe, now)
-                        again = limit
-                        if attempt.over and attempt.written is None:  # it ended at once, and would at once again
-                            again, self._woken = now + BREATH, False
-                elif isinstance(step, Enqueue):
-                    again = now + max(1.0, step.recheck_after_ms)
-                elif self._out:
-                    again = limit  # what is out may still answer, and may still run
-                elif isinstance(step, Reject):
-                    return self._no_answer(502, step.retry_after_ms)
-                else:
-                    return self._no_answer(step.status)
-            until = min([limit, again, *(a.patience for a in self._out if not a.silent)])
-            await self._wait(until)
-
-    def _send(self, step: Forward, unsafe: bool, now: float) -> Attempt:
-        request = self._request
-        request_id = request.headers.get(REQUEST_ID) or None
-        attempt = Attempt(
-            self,
-            step.backend,
-            unsafe=unsafe,
-            ends=self._ask.deadline_ms,
-            method=request.method,
-            request_id=request_id,
-            shared=self._shared,
-            body=request.body,
-            flow=request.flow,
-            began=now,
-            patience=now + step.hedge_delay_ms,
-        )
-        self._out.append(attempt)
+            if self._winning_response is not None:
+                return forwarded_reply(self._winning_response)
+            if now >= self._reply_by:
+                return self._fallback_reply(504)
+            if client.is_gone and not self._in_flight:
+                return self._fallback_reply(502)
+            self._mark_overdue(now)
+            has_changed, self._has_changed = self._has_changed, False
+            must_not_retry = client.is_gone or is_unsafe and (self._may_have_run or bool(self._in_flight))
+            if must_not_retry:
+                if not self._in_flight:
+                    return self._fallback_reply(502)
+                self._next_decision_at = self._reply_by
+            elif has_changed or now >= self._next_decision_at:
+                reply = self._act(now)
+                if reply is not None:
+                    return reply
+            await self._wait(self._next_event_at())
+
+    def _act(self, now: float) -> Reply | None:
+        """Carry out the load balancer's next action; return the reply if there is nothing more to wait for."""
+        action = self._context.load_balancer.next_action(now, self._balancer_state)
+        if isinstance(action, Forward):
+            return self._forward(action, now)
+        if isinstance(action, Enqueue):
+            self._next_decision_at = now + max(MIN_RECHECK_DELAY_MS, action.recheck_after_ms)
+            return None
+        if self._in_flight:
+            self._next_decision_at = self._reply_by  # what is in flight may still be answered, and may still run
+            return None
+        if isinstance(action, Reject):
+            return self._fallback_reply(502, action.retry_after_ms)
+        return self._fallback_reply(action.status)
+
+    def _forward(self, action: Forward, now: float) -> Reply | None:
+        """Start an attempt unless no more are allowed; return the reply if nothing is in flight then."""
+        attempt_count = self._written_count + len(self._in_flight)
+        is_exhausted = attempt_count >= max(1, self._info.route.max_attempts) or self._is_body_consumed()
+        if is_exhausted and not self._in_flight:
+            return self._fallback_reply(502, NO_CAPACITY_RETRY_AFTER_MS)
+        self._next_decision_at = self._reply_by
+        if is_exhausted:
+            return None
+        attempt = UpstreamAttempt(self, self._upstream_request, action.backend, now, action.hedge_delay_ms)
+        self._in_flight.append(attempt)
         self._context.pools.send(attempt)
-        return attempt
+        if attempt.is_ended and attempt.written_at is None:
+            self._next_decision_at, self._has_changed = now + RESELECT_DELAY_MS, False
+        return None
 
-    def _request_is_spent(self) -> bool:
-        """Whether its body passed already, to another backend."""
-        return self._request.flow is not None and (
-            self._sent > 0 or any(attempt.written is not None for attempt in self._out)
-        )
+    def _is_body_consumed(self) -> bool:
+        """Whether the body was streamed to a backend already, and cannot be sent again."""
+        if self._request.flow is None:
+            return False
+        return self._written_count > 0 or any(attempt.written_at is not None for attempt in self._in_flight)
 
-    def _lose_patience(self, exchange: Any, now: float) -> None:
-        """Tell the decisions of attempts that have been silent for too long; take back what was not even written."""
-        for attempt in [a for a in self._out if not a.silent and now >= a.patience]:
-            if attempt.written is None and self._context.pools.take_back(attempt):
+    def _mark_overdue(self, now: float) -> None:
+        """Report attempts whose hedge delay is over as timed out; withdraw those that were not even written."""
+        for attempt in [a for a in self._in_flight if not a.is_overdue and now >= a.hedge_at]:
+            if attempt.written_at is None and self._context.pools.withdraw(attempt):
                 continue
-            attempt.silent = True
-            self._woken = True
-            if attempt.written is not None:
-                self._context.decisions.on_attempt_ended(
-                    now, exchange, attempt.backend, Outcome.TIMED_OUT, now - attempt.written
+            attempt.is_overdue = True
+            self._has_changed = True
+            if attempt.written_at is not None:
+                self._context.load_balancer.on_attempt_ended(
+                    now, self._balancer_state, attempt.backend, Outcome.TIMED_OUT, now - attempt.written_at
                 )
 
-    def _no_answer(self, status: int, after: float = LATE_AFTER) -> Reply:
-        """The reply where no backend's good answer is there, and nothing more is sent: 503 only if it never runs."""
-        for attempt in list(self._out):
-            self._context.pools.take_back(attempt)
-        if self._own is not None:
-            return reply_of(self._own)
-        if self._ran or self._out:
-            return own_reply(status, self._request)
-        return own_reply(503, self._request, after)
+    def _withdraw_attempts(self) -> None:
+        """Withdraw every attempt that was not written."""
+        for attempt in list(self._in_flight):
+            self._context.pools.withdraw(attempt)
+
+    def _fallback_reply(self, status: int, retry_after_ms: float = NO_CAPACITY_RETRY_AFTER_MS) -> Reply:
+        """Return the reply when no response won: this status, but 503 if the request certainly never runs."""
+        self._withdraw_attempts()
+        if self._error_response is not None:
+            return forwarded_reply(self._error_response)
+        if self._may_have_run or self._in_flight:
+            return local_reply(status, self._request)
+        return local_reply(503, self._request, retry_after_ms)
+
+    # Waiting.
+
+    def _next_event_at(self) -> float:
+        hedges = (attempt.hedge_at for attempt in self._in_flight if not attempt.is_overdue)
+        return min([self._reply_by, self._next_decision_at, *hedges])
 
     async def _wait(self, until: float) -> None:
-        """Until something ends, or a moment; what has come by then is looked at first, if this process was late."""
-        if self._woken:
+        """Wait until an attempt ends, or until a moment."""
+        if self._has_changed:
             return
-        delay = until - self._context.clock()
-        if delay <= 0:
+        delay_ms = until - self._context.clock()
+        if delay_ms <= 0:
             return
         loop = asyncio.get_running_loop()
-        wake = self._wake = loop.create_future()
-        timer = loop.call_later(min(delay, FOREVER) / 1000, self._rouse)
+        wakeup = self._wakeup = loop.create_future()
+        timer = loop.call_later(min(delay_ms, TIMER_MAX_MS) / 1000, self._wake)
         try:
-            await wake
+            await wakeup
         finally:
             timer.cancel()
-            self._wake = None
-        if not self._woken:
-            await asyncio.sleep(0)  # timers run before sockets are read: an answer may lie there
+            self._wakeup = None
+        if not self._has_changed:
+            # The event loop runs timers before it reads sockets: a response may be there if this process was late.
+            await asyncio.sleep(0)
 
-    def _rouse(self) -> None:
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+    def _wake(self) -> None:
+        if self._wakeup is not None and not self._wakeup.done():
+            self._wakeup.set_result(None)
 
     # Called by the attempts.
 
-    def passing(self, attempt: Attempt, answer: Message) -> None:
-        """A long answer has begun to come."""
-        assert answer.flow is not None
-        if self._good is not None or self._finished:
-            answer.flow.abandon()
+    def on_streaming_response(self, response: Message, body: Flow) -> None:
+        """Take a long response whose body is still coming, unless there is a reply already."""
+        if self._winning_response is not None or self._is_finished:
+            body.abandon()
             return
-        self._good, self._woken = answer, True
-        self._rouse()
+        self._winning_response, self._has_changed = response, True
+        self._wake()
 
-    def ended(self, attempt: Attempt, outcome: Outcome, answer: Message | None) -> None:
-        """An attempt is over: the decisions are told in any case, the client if it still waits."""
+    def on_attempt_ended(self, attempt: UpstreamAttempt, outcome: Outcome, response: Message | None) -> None:
+        """Record the end of an attempt; the load balancer learns of it even after the reply."""
         context = self._context
-        self._out.remove(attempt)
-        self._sent += attempt.written is not None
+        self._in_flight.remove(attempt)
+        self._written_count += attempt.written_at is not None
         context.count(f"attempt_{outcome.value}")
-        self._ran = self._ran or outcome.may_have_run
-        if answer is not None and not self._finished:
-            if outcome is Outcome.OK:
-                self._good = self._good or answer
-            elif outcome is Outcome.SERVER_ERROR:
-                self._own = answer
-            elif outcome is Outcome.DECLINED and 400 <= answer.status < 500 and answer.status not in (408, 421, 429):
-                self._good = self._good or answer  # the request itself is at fault: no other backend would run it
-        context.decisions.on_attempt_ended(context.clock(), self._exchange, attempt.backend, outcome, attempt.lag)
-        if self._finished:
-            self._settle()
-        self._woken = True
-        self._rouse()
-
-    def _settle(self) -> None:
-        """Give the tenant's unit back once it is sure that the request never ran."""
-        if self._taken is not None and self._finished and not self._out and not self._ran:
-            self._context.counter.refund(self._taken)
-            self._taken = None
-
-
-def key_of(value: bytes) -> str:
-    """The key in an Authorization field; "" where there is none."""
-    scheme, _, key = value.partition(b" ")
-    return key.strip().decode("latin-1") if scheme.lower() == b"token" else ""
-
-
-def deadline_of(value: bytes | None, default: float) -> float:
-    """The ms that the client said it waits; `default` where it did not say so clearly."""
-    try:
-        left = float(value) if value is not None else default
-    except ValueError:
-        return default
-    return left if math.isfinite(left) and left >= 0 else default
-
-
-def service_of(route: Route, request_id: bytes) -> str:
-    """The service of a request by the weights of its route's split; the same for the same id."""
-    split = route.weighted_services
-    if len(split) == 1:
-        return split[0][0]
-    at = zlib.crc32(request_id) / 2**32 * sum(weight for _, weight in split)
-    for service, weight in split:
-        at -= weight
-        if at < 0:
-            return service
-    return max(split, key=lambda part: part[1])[0]
+        self._may_have_run = self._may_have_run or outcome.may_have_run
+        if response is not None and not self._is_finished:
+            self._keep_response(outcome, response)
+        context.load_balancer.on_attempt_ended(
+            context.clock(), self._balancer_state, attempt.backend, outcome, attempt.latency_ms
+        )
+        if self._is_finished:
+            self._refund_if_never_run()
+        self._has_changed = True
+        self._wake()
+
+    def _keep_response(self, outcome: Outcome, response: Message) -> None:
+        """Keep a complete response if it can become the reply."""
+        if outcome is Outcome.SERVER_ERROR:
+            self._error_response = response
+            return
+        # The request itself is at fault: no other backend would run it.
+        is_request_error = (
+            outcome is Outcome.DECLINED
+            and 400 <= response.status < 500
+            and response.status not in RETRYABLE_CLIENT_ERRORS
+        )
+        if outcome is Outcome.OK or is_request_error:
+            self._winning_response = self._winning_response or response
--- /dev/null
+++ b/hallhitch/planes/data/response_classification.py
@@ -0,0 +1,54 @@
+"""What the head of a backend's response says about the request: whose response it is, and whether the request ran.
+
+Pure functions over messages. The backend contract: every response repeats the request's id
+(`Hallhitch-Request-Id`); a 2xx response carries exactly one seal (`Hallhitch-Response-Seal`) and no content coding;
+`Hallhitch-Not-Executed` on an error states that the backend did not run the request.
+"""
+
+from __future__ import annotations
+
+from hallhitch.net.http import Message
+from hallhitch.planes.data.http_messages import NOT_EXECUTED, REQUEST_ID, RESPONSE_SEAL
+from hallhitch.planes.data.interfaces import Outcome
+
+
+def response_id_of(response: Message) -> bytes | None:
+    """Return the id of the request that a response says it answers; None if it names none."""
+    return response.headers.get(REQUEST_ID) or None
+
+
+def classify_response(
+    response: Message, response_id: bytes | None, request_id: bytes | None, is_first_on_connection: bool
+) -> Outcome:
+    """Return the outcome of an attempt from the head of its response.
+
+    `response_id` is `request_id` or None: a response to another request is not classified.
+    `is_first_on_connection`: no other request was sent on the connection, so that a response without an id can only
+    be this request's.
+    """
+    headers, status = response.headers, response.status
+    lacks_id = response_id is None and request_id is not None
+    if (
+        REQUEST_ID in response.twice
+        or lacks_id
+        and not is_first_on_connection
+        or headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked"
+    ):
+        return Outcome.INVALID_RESPONSE
+    if status == 421:
+        return Outcome.MISDIRECTED
+    if NOT_EXECUTED in headers and status >= 400:
+        return Outcome.DECLINED
+    if status >= 500 or status in (408, 429):  # without the field, 408 and 429 do not say that the request never ran
+        return Outcome.SERVER_ERROR
+    if 200 <= status < 300 and (lacks_id or not _is_intact_success(response)):
+        return Outcome.INVALID_RESPONSE
+    return Outcome.OK
+
+
+def _is_intact_success(response: Message) -> bool:
+    """Whether a 2xx response is sealed once, as the backend encoded it, and shows where its body ends."""
+    headers = response.headers
+    is_framed = response.length is not None or b"transfer-encoding" in headers or response.status == 204
+    is_sealed_once = RESPONSE_SEAL in headers and RESPONSE_SEAL not in response.twice
+    return is_framed and is_sealed_once and b"content-encoding" not in headers and NOT_EXECUTED not in headers
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -77,11 +77,11 @@
         started_at, grace_period_ms = now(), self._node.bounds.grace_period_ms
         self._is_leaving = True
         self._sync.publish_self()
-        self._data.leave()
+        self._data.start_draining()
         await self._quota.release_all()
         await asyncio.sleep(grace_period_ms * LISTEN_RATIO / 1000)
         self._data.close_listener()
-        await self._data.drained(started_at + grace_period_ms * FINISH_RATIO)
+        await self._data.wait_drained(started_at + grace_period_ms * FINISH_RATIO)
         self._sync.stop()
         self._links.close()
 
--- a/tests/system/data/front_rig.py
+++ b/tests/system/data/front_rig.py
@@ -264,7 +264,7 @@
 
     async def client(self) -> Peer:
         """A client's connection."""
-        peer = Peer(*await asyncio.open_connection("127.0.0.1", self.plane.front.port))
+        peer = Peer(*await asyncio.open_connection("127.0.0.1", self.plane.listener.port))
         self._peers.append(peer)
         return peer
 
--- a/tests/system/data/test_attempt_endings.py
+++ b/tests/system/data/test_attempt_endings.py
@@ -237,7 +237,7 @@
         backends.told.set()
         # What comes late now belongs to nobody, and above all not to the next request.
         again = await rig.ask(request(2, b"x"))
-        while rig.plane.front.tasks:
+        while rig.plane.listener.request_tasks:
             await asyncio.sleep(0)
         assert status == expected(ending, unsafe, attempts)
         assert again[0].split()[1] == b"200" and again[2] == b"ran id-2" and backends.ran[b"id-2"] == 1
@@ -267,10 +267,10 @@
         await rig.backend("b-2", backends)
         first, _, body = await rig.ask(request(1, b"x"))
         assert first.split()[1] == b"200" and body == b"ran id-1" and not rig.count.back
-        rig.plane._pools.most = 0
+        rig.plane._pools.max_connections = 0
         for pool in rig.plane._pools._pools.values():
             pool.retire()
-            pool.retired = False
+            pool.is_retired = False
         first, fields, _ = await rig.ask(request(2, b"x"))
         assert first.split()[1] == b"503" and b"retry-after" in fields
         assert len(rig.count.back) == 1 and not backends.came[b"id-2"]
--- a/tests/system/data/test_attempts_connections.py
+++ b/tests/system/data/test_attempts_connections.py
@@ -42,7 +42,7 @@
         assert backend.connections == connections
     for line in pool.idle:
         line.idle_since -= 5000
-    pool.sweep(rig.plane.context.clock())
+    pool.expire_idle(rig.plane.context.clock())
     assert not pool.idle and not pool.connections
 
 
@@ -58,31 +58,31 @@
         await peer.whole()
         answer = HEAD + b"Content-Length: 2\r\n\r\nok"
         peer.write(answer if late else answer + behind)
-        while late and len(rig.decisions.told) < rig.plane.figures["requests"]:
+        while late and len(rig.decisions.told) < rig.plane.event_counts["requests"]:
             await asyncio.sleep(0)
         if late:
             peer.write(behind)
         if behind:
             await peer.reader.read()  # it is the gateway that closes such a connection
 
-    assert rig.plane._sweeper is not None
-    rig.plane._sweeper.cancel()  # and not because the connection rested for long
+    assert rig.plane._expiry_timer is not None
+    rig.plane._expiry_timer.cancel()  # and not because the connection rested for long
     rig.plane.set_config(word(route("non_idempotent")))
     await rig.backend("b-1", script)
     client = await rig.client()
     for _ in range(2):
         client.write(get(method="POST"))
         assert (await client.whole())[2] == b"ok"
-        while rig.plane._pools.open:
+        while rig.plane._pools.open_count:
             await asyncio.sleep(0)
-    assert rig.plane.figures["opened"] == 2 and rig.decisions.told == [("b-1", Outcome.OK)] * 2
+    assert rig.plane.event_counts["opened"] == 2 and rig.decisions.told == [("b-1", Outcome.OK)] * 2
 
 
 @rigged()
 async def test_connections_stay_within_the_share_of_this_gateway(rig: Rig) -> None:
     backend = Asked(says(), held=True)
     await rig.backend("b-1", backend)
-    rig.plane._pools.services({"shop": Service("shop", "/health", 4, 0.0, 0.0)})
+    rig.plane._pools.set_services({"shop": Service("shop", "/health", 4, 0.0, 0.0)})
     asked = asyncio.gather(*(rig.ask(get(id=f"id-{n}")) for n in range(6)))
     while len(backend.seen) < 2:
         await asyncio.sleep(0)
@@ -134,7 +134,7 @@
 async def test_descriptors_are_kept_for_those_at_work(rig: Rig) -> None:
     backend = Asked(says(), held=True)
     await rig.backend("b-1", backend)
-    rig.plane.front._most = 2
+    rig.plane.listener.max_connections = 2
     working, resting = await rig.client(), await rig.client()
     working.write(get())
     await backend.come.wait()
@@ -149,12 +149,12 @@
 async def test_answers_held_whole_take_room_until_their_client_has_them(rig: Rig) -> None:
     """Where there is no room they pass in pieces; either way none is left taken."""
     await rig.backend("b-1", Asked(says(LONG)))
-    room = rig.plane.front.room
+    room = rig.plane.listener.body_memory
     client = await rig.client()
-    for most in (room.most, 100_000):
-        room.most = most
+    for most in (room.limit_bytes, 100_000):
+        room.limit_bytes = most
         client.write(get())
         assert (await client.whole())[2] == LONG
-        while room.held:
+        while room.used_bytes:
             await asyncio.sleep(0)
     assert rig.decisions.told == [("b-1", Outcome.OK)] * 2
--- a/tests/system/data/test_attempts_outcomes.py
+++ b/tests/system/data/test_attempts_outcomes.py
@@ -143,7 +143,7 @@
     more = "Hallhitch-Deadline-Remaining: 60\r\n" + KEYED
     assert (await rig.ask(get(method="POST", more=more)))[0].split()[1] == b"504"
     assert not rig.count.back
-    rig.plane._pools.most = 1  # its only connection is out still
+    rig.plane._pools.max_connections = 1  # its only connection is out still
     first, fields, _ = await rig.ask(get(method="POST", id="id-2", more=more))
     assert first.split()[1] == b"503" and b"retry-after" in fields and len(rig.count.back) == 1
     assert rig.decisions.told[-1] == ("b-1", Outcome.CANCELLED)
@@ -190,10 +190,10 @@
     client.write(get())
     await slow.come.wait()
     client.reset()
-    while not all(client.left for client in rig.plane.front.clients):
+    while not all(client.is_gone for client in rig.plane.listener.connections):
         await asyncio.sleep(0)
     slow.go.set()
-    while rig.plane.front.tasks:
+    while rig.plane.listener.request_tasks:
         await asyncio.sleep(0)
     assert rig.decisions.told == [("b-1", Outcome.DECLINED)] and not other.seen
 
@@ -208,6 +208,6 @@
     rig.plane.set_backends([])
     slow.go.set()
     assert (await client.whole())[2] == b"ok"
-    assert rig.plane._pools.open == 0
+    assert rig.plane._pools.open_count == 0
     client.write(get())
     assert (await client.whole())[0].split()[1] == b"503"
--- a/tests/system/data/test_front_requests.py
+++ b/tests/system/data/test_front_requests.py
@@ -39,7 +39,7 @@
         assert fields[b"host"] == b"shop.example"
         assert 2000 < int(fields[b"hallhitch-deadline-remaining"]) <= 3000
         assert not fields.keys() & {b"authorization", b"hallhitch-tenant-name", b"x-two", b"connection"}
-    assert rig.plane.figures["opened"] == 1
+    assert rig.plane.event_counts["opened"] == 1
 
 
 @rigged()
@@ -171,15 +171,15 @@
     client, resting = await rig.client(), await rig.client()
     client.write(get())
     await backend.come.wait()
-    rig.plane.leave()
+    rig.plane.start_draining()
     rig.plane.close_listener()
-    rig.plane.front.sweep(rig.plane.context.clock() + 2000)
+    rig.plane.listener.expire_idle(rig.plane.context.clock() + 2000)
     backend.go.set()
     _, fields, body = await client.whole()
     assert body == b"late" and fields[b"connection"] == b"close"
     assert await client.reader.read() == b"" and await resting.reader.read() == b""
     client.writer.close()
-    assert await rig.plane.drained(rig.plane.context.clock() + 5000)
+    assert await rig.plane.wait_drained(rig.plane.context.clock() + 5000)
 
 
 @rigged()
@@ -187,11 +187,11 @@
     dribbling, resting = await rig.client(), await rig.client()
     dribbling.write(b"GET / HTTP/1.1\r\n")
     clock = rig.plane.context.clock
-    while not rig.plane.front.reading or len(rig.plane.front.clients) < 2:
+    while not rig.plane.listener.timers.reading_since or len(rig.plane.listener.connections) < 2:
         await asyncio.sleep(0)
-    rig.plane.front.sweep(clock() + 3500)
+    rig.plane.listener.expire_idle(clock() + 3500)
     assert (await dribbling.whole())[0].split()[1] == b"408"
-    rig.plane.front.sweep(clock() + 15_500)
+    rig.plane.listener.expire_idle(clock() + 15_500)
     assert await resting.reader.read() == b""
 
 
@@ -199,7 +199,7 @@
 async def test_long_requests_pass_in_pieces_where_no_room_is_left(rig: Rig) -> None:
     backend = Asked(says())
     await rig.backend("b-1", backend)
-    rig.plane.front.room.most = 500_000
+    rig.plane.listener.body_memory.limit_bytes = 500_000
     body = bytes(range(256)) * 12_000
     assert (await rig.ask(get(method="POST", body=body)))[2] == b"ok"
-    assert backend.seen[0][2] == body and rig.plane.front.room.held == 0
+    assert backend.seen[0][2] == body and rig.plane.listener.body_memory.used_bytes == 0
--- a/tests/system/data/test_last_answer.py
+++ b/tests/system/data/test_last_answer.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 from hallhitch.node.clock import now
-from hallhitch.planes.data.http_listener import LINGER, ClientConnection
+from hallhitch.planes.data.client_connection import ClientConnection
+from hallhitch.planes.data.http_listener import LINGER_TIMEOUT_MS
 from tests.system.data.front_rig import Asked, Rig, get, rigged, says
 
 
@@ -43,19 +44,19 @@
 async def test_a_last_answer_that_leaves_slowly_is_not_cut(rig: Rig) -> None:
     """All of it is written, part of it waits in this process, and seconds pass; its time begins when it has left."""
     await rig.backend("b-1", Asked(says(b"whole")))
-    front, link = rig.plane.front, FullLink()
+    front, link = rig.plane.listener, FullLink()
     client = ClientConnection(front)
     client.connection_made(link)
     client.data_received(get(more="Connection: close\r\n"))
     await link.ended.wait()
     moment = now()
     for _ in range(5):
-        moment += LINGER + 1
-        front.sweep(moment)
+        moment += LINGER_TIMEOUT_MS + 1
+        front.expire_idle(moment)
         assert not link.aborted and link.waiting.endswith(b"whole")
     link.waiting = b""
-    front.sweep(moment + LINGER - 1)
+    front.expire_idle(moment + LINGER_TIMEOUT_MS - 1)
     assert not link.aborted
-    front.sweep(moment + LINGER)
+    front.expire_idle(moment + LINGER_TIMEOUT_MS)
     assert link.aborted
     client.connection_lost(None)
