--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -39,10 +39,10 @@
 from hallhitch.net.pacing import Pacing
 from hallhitch.net.routes import RouteTable
 from hallhitch.net.sockets import inherited, listen
-from hallhitch.ops.address import Reply, SecondAddress
-from hallhitch.ops.beside import Beside
-from hallhitch.ops.figures import CONTENT_TYPE, Figures
-from hallhitch.ops.state import Call, Drain
+from hallhitch.ops.hot_restart.sibling_monitor import SiblingMonitor
+from hallhitch.ops.lifecycle import Command, Lifecycle
+from hallhitch.ops.metrics import CONTENT_TYPE, GatewayMetrics
+from hallhitch.ops.operator_server import OperatorReply, OperatorServer
 
 if TYPE_CHECKING:
     from hallhitch.membership.roster import Counted
@@ -111,11 +111,11 @@
     core = core_for("module", told.seed)
     members = None if peers_file is None else members_of(peers_file, told, shared, deadlines, loop, counts)
     pacing = Pacing(settings.gateways, not settings.push_list, told.seed)
-    figures, drain = Figures(kind.name for kind in settings.classes), Drain()
+    metrics, lifecycle = GatewayMetrics(kind.name for kind in settings.classes), Lifecycle()
     routes = RouteTable(loop, deadlines, told.zones, core.post, pacing)
     shares = budget(told.sockets, told.ops is not None)
     clients, spare = shares.clients, shares.spare
-    core.hop = hops = Hops(routes, core, deadlines, loop, settings, shares.hops, figures.attempted)
+    core.hop = hops = Hops(routes, core, deadlines, loop, settings, shares.hops, metrics.record_attempt)
     if told.known is not None:
         routes.post(told.known)
     fronts: dict[Ingress | LimitServer, Callable[[], socket.socket]] = {}  # and where each gets its listener
@@ -139,56 +139,56 @@
         spare,
         told.inherited is not None,
         told.memory // HELD_SHARE,
-        lambda: drain.welcome,
-        figures.ended,
+        lambda: lifecycle.is_healthy,
+        metrics.record_request,
     )
     fronts[ingress] = (
         partial(bound, "listen", told.listen) if told.inherited is None else partial(bound, "EDGE_FD", told.inherited)
     )
-    figures.levels = {
+    metrics.gauges = {
         "in_flight": lambda: ingress.in_flight,
         "backends_known": lambda: len(routes.entries),
         "backends_excluded": core.gateway.unavailable_count,
     }
     serving = False
 
-    def evacuate(call: Call) -> Reply:
-        if drain.take(call):
-            log.info("asked to " + call.value, state=drain.state.value)
+    def apply(command: Command) -> OperatorReply:
+        if lifecycle.apply(command):
+            log.info("lifecycle changed", command=command.value, state=lifecycle.state.value)
         for front in fronts:
-            if drain.welcome:
+            if lifecycle.is_healthy:
                 front.rejoin()
             else:
                 front.drain()
         if members is not None:
-            if drain.welcome:
+            if lifecycle.is_healthy:
                 members.rejoin()
             else:
                 members.leave()
-        return Reply(200, drain.state.value + "\n")
+        return OperatorReply(200, lifecycle.state.value + "\n")
 
-    def ready() -> Reply:
-        yes = serving and not drain.ending
-        return Reply(200 if yes else 503, ("ready" if yes else "not ready") + "\n")
+    def ready() -> OperatorReply:
+        is_ready = serving and not lifecycle.is_stopping
+        return OperatorReply(200 if is_ready else 503, ("ready" if is_ready else "not ready") + "\n")
 
     calls = {
         ("GET", "/api/ready"): ready,
-        ("GET", "/api/telemetry"): lambda: Reply(200, figures.text(), CONTENT_TYPE),
-        ("PUT", "/api/evacuate"): lambda: evacuate(Call.EVACUATE),
-        ("PUT", "/api/rejoin"): lambda: evacuate(Call.REJOIN),
+        ("GET", "/api/telemetry"): lambda: OperatorReply(200, metrics.render(), CONTENT_TYPE),
+        ("PUT", "/api/evacuate"): lambda: apply(Command.EVACUATE),
+        ("PUT", "/api/rejoin"): lambda: apply(Command.REJOIN),
     }
     if members is not None:
-        figures.also = members.figures
-        calls["GET", "/api/members"] = lambda: Reply(200, members.text(), "application/json")
-    second = None
+        metrics.render_extra = members.figures
+        calls["GET", "/api/members"] = lambda: OperatorReply(200, members.text(), "application/json")
+    operator_server = None
     if told.ops is not None:
-        second = SecondAddress(calls, deadlines, loop, shares.ops)
-        second.open(bound("ops", told.ops))
+        operator_server = OperatorServer(calls, deadlines, loop, shares.ops)
+        operator_server.open(bound("ops", told.ops))
 
     # Only where the platform may start a process beside this one.
-    beside = Beside(shared, deadlines, core.gateway, hops.idleness)
-    beside.take_over()
-    ingress.ask = beside.look
+    siblings = SiblingMonitor(shared, deadlines, core.gateway, hops.idleness)
+    siblings.restore_state()
+    ingress.ask = siblings.check
 
     def retune() -> None:
         for one in cores:
@@ -202,9 +202,9 @@
         retune()
 
     def close() -> None:
-        if drain.take(Call.TERM):
+        if lifecycle.apply(Command.TERMINATE):
             log.info("ending")
-            beside.ends()
+            siblings.stop_writing()
             if members is not None:
                 members.leave()
         for front in fronts:
@@ -216,16 +216,16 @@
             fresh = config.read(previous=told)
             found = counter_of(fresh, read_resp(resp_file))
         except Exception as error:  # whatever the files hold, what was read before goes on
-            figures.reloads_failed += 1
+            metrics.reloads_failed += 1
             log.error("configuration not taken", error=f"{type(error).__name__}: {error}")
             return
-        figures.reloads_ok += 1
+        metrics.reloads_ok += 1
         kept = [f.name for f in fields(told) if f.name not in MOVES and getattr(told, f.name) != getattr(fresh, f.name)]
         moved = fresh.discovery != told.discovery or fresh.zones != told.zones
         tuned = fresh.settings != told.settings
         told = replace(fresh, **{f.name: getattr(told, f.name) for f in fields(told) if f.name in STAYS})
         if tuned:
-            figures.know(kind.name for kind in fresh.settings.classes)
+            metrics.add_classes(kind.name for kind in fresh.settings.classes)
             retune()
             for front in fronts:
                 front.retune(fresh.settings)
@@ -264,19 +264,19 @@
     if settings.push_list:  # else the first answer may be long in coming, for all that ask
         await routes.heard(FIRST_LIST)
     # Nobody can connect before all is ready: what waits in a listener's line is taken, and its time runs.
-    for front, listener in fronts.items() if not drain.ending else ():
+    for front, listener in fronts.items() if not lifecycle.is_stopping else ():
         front.open(listener())
         serving = True
-    beside.serves([*(front.share for front in fronts), hops.share, share])
+    siblings.start_serving([*(front.share for front in fronts), hops.share, share])
     log.info("serving", gateway=told.name, listen=f"{told.listen[0]}:{told.listen[1]}")
     for front in fronts:
         await front.closed()
     if members is not None:
         members.close()
     routes.close()
-    if second is not None:
-        second.close()
-    beside.close()
+    if operator_server is not None:
+        operator_server.close()
+    siblings.close()
     log.info("ended", counts=dict(COUNTS))
 
 
--- a/hallhitch/messages/peer_links.py
+++ b/hallhitch/messages/peer_links.py
@@ -11,6 +11,7 @@
 
 import asyncio
 from collections.abc import Callable
+from typing import Final
 
 from hallhitch.messages.addressing import Identity, cluster_id, split_address
 from hallhitch.messages.connection import ACKNOWLEDGEMENT_TIMEOUT_MS, ConnectionContext
@@ -20,7 +21,7 @@
 from hallhitch.node.clock import now
 from hallhitch.node.errors import RequestNotSent, RequestRejected, RequestTimeout
 
-LISTEN_BACKLOG = 512  # connections: every gateway of a large fleet may connect to a restarted process at once
+LISTEN_BACKLOG: Final = 512  # connections
 
 
 class PeerLinks:
--- a/hallhitch/node/http_server.py
+++ b/hallhitch/node/http_server.py
@@ -19,9 +19,9 @@
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 from hallhitch.node.settings import HostPort
 
-MAX_HEAD_BYTES: Final = 64 * 1024  # the usual limit of proxies, far above the heads of these calls
+MAX_HEAD_BYTES: Final = 64 * 1024
 DEFAULT_MAX_BODY_BYTES: Final = 1024 * 1024
-LISTEN_BACKLOG: Final = 512  # connections: probes and operators of a large fleet at once
+LISTEN_BACKLOG: Final = 512  # connections
 CLOSE_TIMEOUT_S: Final = 1.0  # callers move on after a second
 REASON_PHRASES: Final = {
     200: "OK",
--- a/hallhitch/node/settings.py
+++ b/hallhitch/node/settings.py
@@ -2,10 +2,8 @@
 
 Read and checked, but used by no decision of the programs:
 
-- `NodeSettings.role`, `serves`: the program that is started and `listen_addresses` tell the same.
-- `NodeSettings.cloud_api_rate_per_s`: the endpoint list is read at fixed intervals far below it.
-- `RuleBounds.ack_timeout_ms`, `evacuation_ms`, `seed_lag_ms`: bounds by which runs are judged, not times that a program
-  waits for.
+- `NodeSettings.role`, `serves`, `cloud_api_rate_per_s`.
+- `RuleBounds.ack_timeout_ms` (the simulation's rules are checked by it), `evacuation_ms`, `seed_lag_ms`.
 """
 
 from __future__ import annotations
--- a/hallhitch/node/settings_file.py
+++ b/hallhitch/node/settings_file.py
@@ -16,8 +16,8 @@
 
 MAX_PORT: Final = 65535
 # For files that leave them out.
-DEFAULT_MEMORY_MB: Final = 256  # the smallest machine class
-DEFAULT_MAX_OPEN_FILES: Final = 1024  # the usual soft limit of a process
+DEFAULT_MEMORY_MB: Final = 256
+DEFAULT_MAX_OPEN_FILES: Final = 1024
 DEFAULT_CLOUD_API_RATE_PER_S: Final = 1.0
 DEFAULT_ENDPOINT_LIST_LAG_MS: Final = 1000.0
 
--- a/hallhitch/ops/__init__.py
+++ b/hallhitch/ops/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' side of one gateway: the second address, figures, drain, replacement of the process.
+"""The operators' side of one gateway: its HTTP address, metrics, lifecycle and hot restart.
 
-It decides nothing on traffic, and knows nothing of the hosted parts.
+Decides nothing about traffic and does not depend on the hosted service.
 """
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -21,7 +21,7 @@
 from hallhitch.membership.messages import FORM, Ping, encode
 from hallhitch.membership.model import Record, State
 from hallhitch.settings_file import read
-from tests.ops import test_replacement
+from tests.ops.hot_restart.replacement_case import ReplacementCase
 from tests.stand_ins import ROOT, Program, free_port, soon
 
 # A third of the usual periods: a busy machine is late by less than the least suspicion, 1.2 s.
@@ -382,11 +382,11 @@
             self.sound(f)
 
 
-class InService(test_replacement.Replacement):
+class InService(ReplacementCase):
     """A replacement of the process: the old one and the new one live together under one name, by design."""
 
     def peers(self, program: Program) -> list[str]:
-        path = Path(self.shared) / "peers.toml"
+        path = Path(self.shared_folder) / "peers.toml"
         path.write_text(f'listen = "{self.place}"\ncluster = "one"\n{QUICK}')
         return ["--peers", str(path)]
 
@@ -410,9 +410,9 @@
 
     async def test_no_conflict_and_home_again_once_the_old_one_ended(self) -> None:
         """Guards against a replacement shown as two of one name, or one that nobody finds at its address any more."""
-        new = Program(self.shared, self.discovery.address, self.counter.address, self.nodes, self.give_up)
+        new = Program(self.shared_folder, self.discovery.address, self.counter.address, self.nodes, self.give_up)
         new.config["ops"] = f"127.0.0.1:{free_port()}"
-        self.started(new)
+        self.prepare_program(new)
         await new.start(*self.peers(new))
         await new.logged('"serving"')
         both = await self.wait(self.program, lambda found: len(found["members"]) == 2)
@@ -427,10 +427,6 @@
         self.assertEqual({m["state"] for m in found["members"] if not m["self"]}, {"left"})
 
 
-for name in [name for name in vars(test_replacement.Replacement) if name.startswith("test_")]:
-    setattr(InService, name, None)  # the replacement's own cases run where they stand
-
-
 class Off(unittest.TestCase):
     """Where nobody asked for it."""
 
--- /dev/null
+++ b/tests/ops/hot_restart/test_replacement.py
@@ -0,0 +1,202 @@
+"""Replacement of a process under load, with and without a shared folder, during drains and uploads."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import resource
+import signal
+import socket
+import subprocess
+import sys
+import tempfile
+from pathlib import Path
+
+from hallhitch.net.budget import budget
+from hallhitch.ops.hot_restart.sibling_locks import SiblingLocks
+from hallhitch.ops.hot_restart.state_transfer import FILE_NAME, VERSION
+from tests.ops.hot_restart.replacement_case import ReplacementCase
+from tests.stand_ins import GUARD, ROOT, http, read_http, soon
+
+MAX_LATE_CLIENTS = 2  # that a process may accept before it detects its sibling
+
+
+class Replacement(ReplacementCase):
+    """Replacement of the process."""
+
+    async def test_every_request_is_answered_once_under_load(self) -> None:
+        """Guards against requests lost or sent on twice, and against a listener that ends with the first process."""
+        self.assertEqual(set(await self.replace_under_load(8, keep_alive=True)) - {"200", "429"}, set())
+
+    async def test_every_request_is_answered_once_under_overload(self) -> None:
+        """Guards against newcomers lost between two processes that both are at the bound of their clients."""
+        self.program.config["limits"] = {"sockets": 128}
+        await self.program.stop()
+        await self.program.start()
+        await self.program.logged('"serving"')
+        crowd = budget(128, True).clients
+        statuses = await self.replace_under_load(crowd, keep_alive=False)
+        self.assertEqual(set(statuses) - {"200", "429", "503", "retried"}, set())
+
+    async def test_a_successor_serves_without_transferred_state_if_the_folder_is_full_or_unwritable(self) -> None:
+        """Guards against a replacement that fails for want of a place to write state to."""
+        resource.prlimit(self.program.process.pid, resource.RLIMIT_FSIZE, (0, 0))  # as on a full disk
+        await self.program.logged("state not written")
+        self.assertEqual(
+            [path.name for path in Path(self.shared_folder).glob("hallhitch.*[0-9]")], [], "a partial file stays"
+        )
+        (Path(self.shared_folder) / FILE_NAME).unlink(missing_ok=True)
+        for folder in (self.shared_folder, __file__):  # one where nothing was left, and one that is no folder
+            self.shared_folder = folder
+            successor, predecessor = await self.start_successor(), self.program
+            predecessor.process.terminate()
+            self.assertEqual(await soon(predecessor.process.wait()), 0)
+            self.program = successor
+            self.assertIn(" 200 ", (await self.ask(self.request()))[0])
+
+    async def test_learned_state_is_restored_and_a_damaged_file_is_ignored(self) -> None:
+        """Guards against a replacement that starts from nothing, and against one that cannot start for a bad file."""
+        path = Path(self.shared_folder) / "hallhitch.learned"
+        successor = await self.start_successor("state restored")
+        self.assertEqual(json.loads(path.read_text())["version"], VERSION)
+        await successor.stop()
+        self.shared_folder = f"{self.shared_folder}/missing"
+        for text in (None, "{", "[]", json.dumps({"version": VERSION}), '{"version": 1}', "x" * 100_000):
+            if text is not None:
+                path.write_text(text)
+            successor = await self.start_successor()
+            successor.process.kill()
+            await successor.process.wait()
+
+    async def test_a_process_beyond_its_half_leaves_clients_to_its_sibling(self) -> None:
+        """Guards against clients turned away, or descriptors of two processes past the limit of one."""
+        self.program.config["limits"] = {"sockets": 128}
+        await self.program.stop()
+        await self.program.start()
+        await self.program.logged('"serving"')
+        successor = await self.start_successor()
+        await self.program.logged('"is_serving": true')
+        connections = []
+        for n in range(30):  # as many as both together may hold
+            reader, writer = await self.program.connect()
+            self.addCleanup(writer.close)
+            writer.write(self.request(customer=f"{n:016x}"))
+            self.assertIn(" 200 ", (await soon(read_http(reader)))[0])
+            connections.append((reader, writer))
+        for n, (reader, writer) in enumerate(connections):
+            writer.write(self.request(customer=f"{n:016x}"))
+            self.assertIn(" 200 ", (await soon(read_http(reader)))[0])
+        served = [
+            f['svc_requests{class="inspect",outcome="served"}']
+            for f in (await self.program.figures(), await successor.figures())
+        ]
+        self.assertEqual(sum(served), 60)
+        self.assertLessEqual(max(served), 2 * budget(128, True).clients // 2 + 2 * MAX_LATE_CLIENTS)
+        predecessor, self.program = self.program, successor
+        self.assertEqual((await predecessor.stop())[0], 0)
+
+    async def test_no_idle_client_is_closed_for_one_that_the_sibling_can_accept(self) -> None:
+        """Guards against idle clients let go in the moment in which the other has just begun to take clients."""
+        self.program.config["limits"] = {"sockets": 128}
+        await self.program.stop()
+        await self.program.start()
+        await self.program.logged('"serving"')
+        sibling = SiblingLocks(self.shared_folder)  # a process of this gateway, as far as the first can see
+        self.addCleanup(sibling.close)
+        await self.program.logged('"is_serving": false')
+        connections = []
+        for n in range(budget(128, True).clients // 2):
+            connections.append(await self.program.connect())
+            self.addCleanup(connections[n][1].close)
+            connections[n][1].write(self.request(customer=f"{n:016x}"))
+            self.assertIn(" 200 ", (await soon(read_http(connections[n][0])))[0])
+        sibling.announce_serving()
+        for _ in range(3):
+            self.addCleanup((await self.program.connect())[1].close)
+        for n, (reader, writer) in enumerate(connections):
+            writer.write(self.request(customer=f"{n:016x}"))
+            self.assertIn(" 200 ", (await soon(read_http(reader)))[0])
+        sibling.close()
+
+    async def test_a_successor_killed_before_it_is_ready_fails_no_request(self) -> None:
+        """Guards against a first process that stops serving before the second one can."""
+        successor = await self.start_successor()
+        successor.process.kill()
+        await soon(successor.process.wait())
+        for _ in range(3):
+            self.assertIn(" 200 ", (await self.ask(self.request()))[0])
+
+    async def test_open_requests_are_finished_by_the_predecessor(self) -> None:
+        """Guards against an answer lost because its process was replaced meanwhile."""
+        self.nodes[0].reply = lambda n: None
+        reader, writer = await self.program.connect()
+        writer.write(self.request())
+        await soon(self.nodes[0].came.get())
+        successor, predecessor = await self.start_successor(), self.program
+        predecessor.process.terminate()
+        await predecessor.logged('"ending"')
+        self.nodes[0].reply = lambda n: http(200, b"by the second")
+        self.assertEqual((await self.ask(self.request(customer="0000000000000002")))[2], b"by the second")
+        next(iter(self.nodes[0].writers)).write(http(200, b"by the first"))
+        self.assertEqual((await soon(read_http(reader)))[2], b"by the first")
+        writer.close()
+        self.assertEqual(await soon(predecessor.process.wait()), 0)
+        self.program = successor
+
+    async def test_processes_replace_each_other_also_after_a_kill(self) -> None:
+        """Guards against a lock, a state file or a listener that outlives its process and stops the next."""
+        for end in ("terminate", "kill", "terminate"):
+            successor, predecessor = await self.start_successor(), self.program
+            getattr(predecessor.process, end)()
+            await soon(predecessor.process.wait())
+            self.program = successor
+            self.assertIn(" 200 ", (await self.ask(self.request()))[0])
+            self.assertEqual((await successor.call("/api/ready"))[0], 200)
+
+    async def test_a_replacement_during_a_drain_and_a_reload(self) -> None:
+        """Guards against a state of the old process that the new one inherits, or that keeps the old from ending."""
+        await self.program.call("/api/evacuate", "PUT")
+        successor, predecessor = await self.start_successor(), self.program
+        predecessor.process.send_signal(signal.SIGHUP)
+        await predecessor.logged("configuration taken")
+        predecessor.process.terminate()
+        self.assertEqual(await soon(predecessor.process.wait()), 0)
+        self.program = successor
+        self.assertIn(" 200 ", (await self.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0])
+
+    async def test_an_upload_in_progress_is_finished_by_the_predecessor(self) -> None:
+        """Guards against an upload lost because its process was told to end in the middle of it."""
+        body = bytes(300_000)
+        head, _, _ = self.request("reject", 1500).partition(b"\r\n\r\n")
+        reader, writer = await self.program.connect()
+        self.addCleanup(writer.close)
+        writer.write(head.replace(b"Content-Length: 4", b"Content-Length: 300000") + b"\r\n\r\n" + body[:200_000])
+        self.assertIn(" 200 ", (await self.ask(b"GET /_health HTTP/1.1\r\n\r\n"))[0])
+        successor, predecessor = await self.start_successor(), self.program
+        predecessor.process.terminate()
+        await predecessor.logged('"ending"')
+        writer.write(body[200_000:])
+        line, headers, _ = await soon(read_http(reader))
+        self.assertEqual((line.split()[1], headers["connection"]), ("200", "close"))
+        self.assertEqual(await soon(predecessor.process.wait()), 0)
+        self.program = successor
+
+    async def test_a_descriptor_that_is_no_listener_is_reported_in_one_line(self) -> None:
+        """Guards against a gateway that starts and serves nobody."""
+        with tempfile.TemporaryDirectory() as folder, socket.socket() as other:
+            path = f"{folder}/config.json"
+            with open(path, "w") as file:
+                json.dump(self.program.config | {"ops": None}, file)
+            for value in ("x", "77", str(other.fileno())):
+                run = await asyncio.to_thread(
+                    subprocess.run,
+                    [sys.executable, "-m", "hallhitch"],
+                    cwd=ROOT,
+                    capture_output=True,
+                    text=True,
+                    timeout=GUARD,
+                    env={"EDGE_CONFIG": path, "EDGE_FD": value},
+                    pass_fds=(other.fileno(),),
+                )
+                self.assertEqual((run.returncode, len(run.stderr.splitlines())), (2, 1), run.stderr)
+                self.assertIn("EDGE_FD", run.stderr)
--- a/tests/ops/test_second_address.py
+++ b/tests/ops/test_operator_server.py
@@ -7,7 +7,7 @@
 import unittest
 
 from hallhitch.net.budget import OPS
-from hallhitch.ops.figures import Figures
+from hallhitch.ops.metrics import GatewayMetrics
 from tests.stand_ins import GatewayCase, Reader, Writer, http, read_http, soon
 
 HEALTH = b"GET /_health HTTP/1.1\r\n\r\n"
@@ -185,9 +185,9 @@
 
     def test_labels_are_escaped_and_classes_that_vanish_keep_their_counts(self) -> None:
         """Guards against a class name that breaks every line behind it."""
-        figures = Figures(['a"b\\c\nd'])
-        figures.ended('a"b\\c\nd', "served")
-        figures.know(["new"])
-        lines = figures.text().splitlines()
+        metrics = GatewayMetrics(['a"b\\c\nd'])
+        metrics.record_request('a"b\\c\nd', "served")
+        metrics.add_classes(["new"])
+        lines = metrics.render().splitlines()
         self.assertIn('svc_requests{class="a\\"b\\\\c\\nd",outcome="served"} 1', lines)
         self.assertIn('svc_requests{class="new",outcome="failed"} 0', lines)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -418,7 +418,7 @@
         arguments = []
         if self.ops:
             self.program.config["ops"] = f"127.0.0.1:{free_port()}"
-        self.started(self.program)
+        self.prepare_program(self.program)
         if self.resp:
             self.resp_address = f"127.0.0.1:{free_port()}"
             path = Path(folder.name) / "resp.toml"
@@ -432,8 +432,8 @@
         """The check nodes that it knows from its start on."""
         return [Backend(f"b{n}") for n in range(self.backends)]
 
-    def started(self, program: Program) -> None:
-        """What a case sets of a program before its start."""
+    def prepare_program(self, program: Program) -> None:
+        """Set what a test case needs in a program before its start."""
 
     async def asyncTearDown(self) -> None:
         code, errors = await self.program.stop()
