--- a/hallhitch/planes/data/__init__.py
+++ b/hallhitch/planes/data/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: a client's request from socket to backend and back; it knows not where its knowledge came from."""
+"""The data plane: client requests from listener to backend and back. It imports no other plane: state is passed in."""
