--- a/hallhitch/planes/quota/sliding_window.py
+++ b/hallhitch/planes/quota/sliding_window.py
@@ -3,7 +3,8 @@
 Invariant: the count over a length is at least what was counted within that length, and at most what was counted
 within the length and two slots. A slot that lies in the window in part counts in full.
 
-Moments are ms of one process's steady clock, and never go back.
+Callers call `advance` once for each request, then any of the methods that say they need it. Times are ms of one
+process's steady clock, and never go back.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 import math
 from typing import Final
 
-SLOT_MS: Final = 50.0  # a hundredth of the usual window of 5 s: so much too long is the window counted
+SLOT_MS: Final = 50.0  # a hundredth of the usual window of 5 s; the window counts up to two slots more than its length
 SLOT_NUMBERS: Final = 1 << 14  # slot numbers wrap around at this: far more than any window has slots
 
 
@@ -24,7 +25,7 @@
         self._slots = math.ceil(length_ms / SLOT_MS) + 1
         self._short_slots = self._slots_of(short_length_ms)
         self._ring = [0] * self._slots
-        self._head = int(now // SLOT_MS)  # number of the current slot, counted from moment 0
+        self._head = int(now // SLOT_MS)  # number of the current slot, counted from time 0 of the clock
         self.total = 0
         self.short_total = 0
 
@@ -51,16 +52,15 @@
         self._short_slots = self._slots_of(short_length_ms)
         self.short_total = sum(self._ring[self._index(age)] for age in range(self._short_slots))
 
-    def add(self, now: float, units: int) -> int:
-        """Count units now; return the number of their slot, for `refund`."""
-        self.advance(now)
+    def add(self, units: int) -> int:
+        """Count units now; return the number of their slot, for `refund`; needs `advance` before."""
         self._ring[self._head % self._slots] += units
         self.total += units
         self.short_total += units
         return self._head % SLOT_NUMBERS
 
     def add_at(self, counted_at: float, units: int) -> None:
-        """Count units at a past moment if it still lies in the window; needs `advance` before."""
+        """Count units at a past time if it still lies in the window; needs `advance` before."""
         age = max(0, self._head - int(counted_at // SLOT_MS))
         if age >= self._slots:
             return
@@ -70,9 +70,10 @@
             self.short_total += units
 
     def units_by_cell(self, now: float, cells: int, cell_ms: float) -> list[int]:
-        """Return the units in each of so many spans, newest first, none in an older span than its own.
+        """Return the units in each of `cells` spans of `cell_ms`, newest first.
 
-        The last span takes what is older still.
+        Units are reported in the span that holds the end of their slot, so never as older than they are; the last
+        span also holds everything older.
         """
         self.advance(now)
         units_by_cell = [0] * cells
@@ -85,7 +86,7 @@
         return units_by_cell
 
     def refund(self, now: float, slot_number: int, units: int) -> bool:
-        """Take units out of the slot they were counted in; False where it is gone or has not so many."""
+        """Take units out of the slot they were counted in; False where it has expired or holds fewer."""
         self.advance(now)
         age = (self._head - slot_number) % SLOT_NUMBERS
         index = self._index(age)
--- a/hallhitch/planes/quota/tenant_counter.py
+++ b/hallhitch/planes/quota/tenant_counter.py
@@ -4,9 +4,9 @@
 window holds at least what was admitted in any span that ends at the last moment at which an earlier holder may have
 counted (`LeaseStart.exclusive_since`). Where the predecessor's report is known, that is the report, and all that the
 limits allow for the time after it: a lease duration, or nothing where the report is final. Otherwise it is all that
-the limits allow for a whole window.
+the limits allow for a full window.
 
-Moments are steady ms of this process.
+Times are steady ms of this process.
 """
 
 from __future__ import annotations
@@ -29,10 +29,12 @@
 from hallhitch.planes.values import Tenant
 
 NEVER: Final = float("-inf")
-# In so long every gateway has had a newer configuration, or admits nothing by an older one.
+# Within this time every gateway has received a newer configuration, or admits nothing by an older one.
 CONFIG_PROPAGATION_MS: Final = 15_000.0
 CELLS_PER_WINDOW: Final = 8  # of a usage report: finer ones make claims longer, coarser ones count longer than needed
-LEASE_GENERATIONS: Final = 1 << 13  # a slot of a lease is told apart from those of so many leases after it
+LEASE_GENERATIONS: Final = (
+    1 << 13
+)  # generations wrap around at this: more leases than begin while a refund is in flight
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +46,7 @@
 
     is_over_limit: bool
     total: int
-    slot: int
+    slot: int = 0  # of admitted units
     retry_after_ms: float = 0.0
     is_over_share: bool = False
 
@@ -155,17 +157,21 @@
         holder_window, tenant_window = windows.holder_window, windows.tenant_window
         holder_window.advance(now)
         tenant_window.advance(now)
-        tenant_limits = windows.tenant_units, windows.tenant_short_units
-        if not tenant_window.fits(units, *tenant_limits):
-            retry_after_ms = tenant_window.ms_until_capacity(now, units, *tenant_limits)
-            return CountResult(True, tenant_window.total, 0, retry_after_ms)
-        tenant_window.add(now, units)
-        holder_limits = windows.holder_units, windows.holder_short_units
-        if not holder_window.fits(units, *holder_limits):
-            retry_after_ms = holder_window.ms_until_capacity(now, units, *holder_limits)
-            return CountResult(True, tenant_window.total, 0, retry_after_ms, is_over_share=True)
-        slot_number = holder_window.add(now, units)
-        return CountResult(False, holder_window.total, bucket.lease_generation * SLOT_NUMBERS + slot_number)
+        if not tenant_window.fits(units, windows.tenant_units, windows.tenant_short_units):
+            retry_after_ms = tenant_window.ms_until_capacity(
+                now, units, windows.tenant_units, windows.tenant_short_units
+            )
+            return CountResult(is_over_limit=True, total=tenant_window.total, retry_after_ms=retry_after_ms)
+        tenant_window.add(units)
+        if not holder_window.fits(units, windows.holder_units, windows.holder_short_units):
+            retry_after_ms = holder_window.ms_until_capacity(
+                now, units, windows.holder_units, windows.holder_short_units
+            )
+            return CountResult(
+                is_over_limit=True, total=tenant_window.total, retry_after_ms=retry_after_ms, is_over_share=True
+            )
+        slot = bucket.lease_generation * SLOT_NUMBERS + holder_window.add(units)
+        return CountResult(is_over_limit=False, total=holder_window.total, slot=slot)
 
     def refund(self, now: float, tenant: str, units: int, slot: int) -> bool:
         """Return units to the slot they were counted in; False where that slot or the lease is gone."""
@@ -182,12 +188,14 @@
 
     def _current_windows(self, now: float, bucket: _BucketState, tenant: str, limit: RateLimit) -> _TenantWindows:
         """Return a tenant's windows, changed to this limit and number of gateways if they have others."""
-        is_new_count_known = now - self._configured_at > CONFIG_PROPAGATION_MS
-        if self._max_gateways != self._configured_max_gateways and is_new_count_known:
+        is_count_changing = self._max_gateways != self._configured_max_gateways
+        if is_count_changing and now - self._configured_at > CONFIG_PROPAGATION_MS:
             self._max_gateways = self._configured_max_gateways
         windows = bucket.tenants.get(tenant)
-        if windows is not None and windows.limit == limit and windows.max_gateways == self._max_gateways:
-            return windows
+        if windows is not None:
+            has_same_limits = windows.limit == limit and windows.max_gateways == self._max_gateways
+            if has_same_limits:
+                return windows
         windows = bucket.tenants[tenant] = self._make_windows(now, bucket, tenant, limit)
         return windows
 
@@ -245,7 +253,7 @@
 
 
 def _reported_units(report: PredecessorReport | None, tenant: str) -> Sequence[int] | None:
-    """Return a tenant's units by cell as reported, None where the report leaves them open."""
+    """Return a tenant's units by cell as reported, None where the report does not determine them."""
     if report is None:
         return None
     units = report.usage.units_by_tenant.get(tenant)
--- a/tests/system/quota/test_sliding_window.py
+++ b/tests/system/quota/test_sliding_window.py
@@ -33,7 +33,8 @@
     additions: list[Addition] = []
     for pause_ms, units, refunds in steps:
         now += pause_ms
-        additions.append(Addition(now, units, window.add(now, units)))
+        window.advance(now)
+        additions.append(Addition(now, units, window.add(units)))
         refunded = additions[len(additions) // 2]
         if refunds and window.refund(now, refunded.slot, refunded.units):
             refunded.units = 0
@@ -49,7 +50,7 @@
 
 def test_capacity_is_back_after_the_returned_time() -> None:
     window = SlidingWindow(1000.0, 5000.0, 500.0)
-    window.add(1000.0, 4)
+    window.add(4)
     window.advance(1900.0)
     wait_ms = window.ms_until_capacity(1900.0, 1, 4, 4)
     window.advance(1900.0 + wait_ms - 1)
@@ -60,9 +61,10 @@
 
 def test_refund_succeeds_once_and_only_while_the_slot_exists() -> None:
     window = SlidingWindow(0.0, 5000.0, 500.0)
-    slot = window.add(0.0, 1)
+    slot = window.add(1)
     assert window.refund(4000.0, slot, 1) and window.total == 0
     assert not window.refund(4000.0, slot, 1)
-    slot = window.add(4000.0, 1)
-    window.add(9500.0, 1)
+    slot = window.add(1)
+    window.advance(9500.0)
+    window.add(1)
     assert not window.refund(9500.0, slot, 1) and window.total == 1
