--- a/benchmarks/counted_gateway.py
+++ b/benchmarks/counted_gateway.py
@@ -37,7 +37,7 @@
                 tables[f"module {name}"] = len(value)
             elif hasattr(value, "__dict__"):
                 tables |= {f"module {name}.{n}": len(v) for n, v in vars(value).items() if hasattr(v, "__len__")}
-        tables["open"] = len(core.open)
+        tables["open"] = len(core.open_exchanges)
         tables["deadlines"] = len(core.deadlines)
     return {
         "s": round(time.monotonic() - began),
--- a/hallhitch/control/serve.py
+++ b/hallhitch/control/serve.py
@@ -26,7 +26,7 @@
 from hallhitch.control.secrets import Checker
 from hallhitch.control.settings import ApiSettings, ControlSettings
 from hallhitch.control.writer import Writer
-from hallhitch.core.addresses import address_of
+from hallhitch.core.addresses import parse_address
 from hallhitch.core.invariants import COUNTS
 from hallhitch.net.sockets import listen
 from hallhitch.tls.certificates import Certificates, fingerprint
@@ -133,7 +133,7 @@
         )
         ca = settings.tls.client_ca
         certificates = Certificates(settings.path(settings.tls.folder, file), settings.path(ca, file) if ca else None)
-        listener = listen(address_of(settings.api.listen))
+        listener = listen(parse_address(settings.api.listen))
     except BaseException:
         store.close()
         raise
--- a/hallhitch/core/__init__.py
+++ b/hallhitch/core/__init__.py
@@ -1,1 +1,1 @@
-"""What every front shares: exchanges, deadlines and the module's actor. It knows no wire."""
+"""What all fronts share: exchanges, deadlines and the actor of the decision module. Independent of any wire format."""
--- a/hallhitch/core/actor.py
+++ b/hallhitch/core/actor.py
@@ -2,59 +2,62 @@
 
 from __future__ import annotations
 
-from typing import Generic, TypeVar
+from typing import Final, Generic, TypeVar
 
 import structlog
 
 from hallhitch.core.deadlines import Scheduler
 from hallhitch.core.invariants import COUNTS
 
-M = TypeVar("M")
+MAX_MAILBOX_MESSAGES: Final = 4096
+MessageT = TypeVar("MessageT")
 log = structlog.get_logger()
 
 
-class Actor(Generic[M]):
-    """Takes the messages of its mailbox in order, all that have come in one turn of the loop."""
+class Actor(Generic[MessageT]):
+    """Handles the messages of its mailbox in order, in one turn of the loop all that have come by then."""
 
-    def __init__(self, name: str, scheduler: Scheduler, most: int = 4096) -> None:
-        self.name, self._scheduler, self._most = name, scheduler, most
-        self._mail: list[M] = []
-        self._awake = False
+    def __init__(self, name: str, scheduler: Scheduler, max_messages: int = MAX_MAILBOX_MESSAGES) -> None:
+        self.name = name
+        self._scheduler = scheduler
+        self._max_messages = max_messages
+        self._mailbox: list[MessageT] = []
+        self._is_scheduled = False
 
-    def post(self, message: M) -> bool:
-        """Leave a message; False says that the mailbox is full and the message was not taken."""
-        if len(self._mail) >= self._most:
+    def post(self, message: MessageT) -> bool:
+        """Append a message to the mailbox; return False if the mailbox is full and the message was dropped."""
+        if len(self._mailbox) >= self._max_messages:
             COUNTS["mailbox_full"] += 1
             return False
-        self._mail.append(message)
-        if not self._awake:
-            self._awake = True
+        self._mailbox.append(message)
+        if not self._is_scheduled:
+            self._is_scheduled = True
             self._scheduler.call_soon(self._run)
         return True
 
     def _run(self) -> None:
-        self._awake = False
-        mail, self._mail = self._mail, []
-        if mail:
-            self.turn(mail)
-
-    def turn(self, mail: list[M]) -> None:
-        """Take what has come; a failure costs its own message only."""
-        for message in mail:
+        self._is_scheduled = False
+        messages, self._mailbox = self._mailbox, []
+        if messages:
+            self.handle_batch(messages)
+
+    def handle_batch(self, messages: list[MessageT]) -> None:
+        """Handle the messages of one turn; a failure affects its own message only."""
+        for message in messages:
             try:
-                self.receive(message)
+                self.handle(message)
             except Exception as error:
-                self.crashed(error)
-                self.spoilt(message)
+                self.record_failure(error)
+                self.on_message_failed(message)
 
-    def crashed(self, error: Exception) -> None:
-        """Log and count an exception."""
+    def record_failure(self, error: Exception) -> None:
+        """Count and log an unexpected exception with its traceback."""
         COUNTS["actor_failed"] += 1
         log.error("actor failed", actor=self.name, exc_info=error)
 
-    def receive(self, message: M) -> None:
-        """Act on one message."""
+    def handle(self, message: MessageT) -> None:
+        """Handle one message."""
         raise NotImplementedError
 
-    def spoilt(self, message: M) -> None:
-        """Put right what a failed message leaves behind."""
+    def on_message_failed(self, message: MessageT) -> None:
+        """Clean up after a message whose handling raised."""
--- a/hallhitch/core/grants.py
+++ b/hallhitch/core/grants.py
@@ -1,4 +1,4 @@
-"""Grants: the one local server of a limit server, whose every attempt is served by being made."""
+"""The one local server of a limit server: an attempt to reach it is itself the grant."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from hallhitch.decision import api
 from hallhitch.decision.policy import STALL
 
-LOCAL = "local"
-ROUTE = api.ServerList("full", (api.ServerEntry(LOCAL, "up"),))
+LOCAL_SERVER = "local"
+LOCAL_SERVER_LIST = api.ServerList("full", (api.ServerEntry(LOCAL_SERVER, "up"),))
 
 
 class GrantHop:
-    """Ends every attempt at once; the exchange's payload is its class."""
+    """Ends every attempt at once as served; the payload of its exchange is its class."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
 
     def start(self, attempt: Attempt) -> None:
-        """Grant."""
-        # A grant takes no time. Told so, the module would learn a work of nothing and divide by it; it is
-        # told the very time that it assumes before it has learned any, so that it learns nothing.
+        """Grant the request."""
+        # A grant takes no time, but from a time of 0 the module would learn a work of 0 and divide by it. It gets the
+        # time that it assumes before it has learned any, so that it learns nothing.
         assert isinstance(attempt.payload, api.RequestClass)
-        self._core.ended(attempt, "ok", lag=attempt.payload.aim / STALL)
+        self._core.on_attempt_ended(attempt, "ok", lag=attempt.payload.aim / STALL)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Nothing is ever out."""
+        """Do nothing: no attempt is ever in flight."""
--- a/hallhitch/core/invariants.py
+++ b/hallhitch/core/invariants.py
@@ -1,14 +1,14 @@
-"""What must hold: asserted in debug builds, counted under -O. Other counts of note are kept beside it."""
+"""Checks of invariants, raised in debug builds and counted under -O, and counters of rare events."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-COUNTS: Counter[str] = Counter()
+COUNTS: Counter[str] = Counter()  # by event; logged when the process stops
 
 
 def invariant(holds: bool, name: str) -> bool:
-    """Check what must hold; where asserts are off, count the breach and let the caller go on."""
+    """Assert an invariant; under -O count a violation and return whether it holds."""
     if not holds:
         COUNTS[f"broken:{name}"] += 1
         assert holds, name
--- a/hallhitch/core/ports.py
+++ b/hallhitch/core/ports.py
@@ -1,4 +1,4 @@
-"""The ports through which the core's actions leave; fronts and transports implement them."""
+"""The ports through which the core acts; fronts and transports implement them."""
 
 from __future__ import annotations
 
@@ -7,38 +7,44 @@
 
 
 class AnswerPort(Protocol):
-    """Where the one final answer of an exchange goes; exactly one of these is called, once."""
+    """Receives the one final answer of an exchange: exactly one of the methods is called, once."""
 
-    def served(self, payload: object) -> None: ...
+    def on_served(self, payload: object) -> None:
+        """Answer with what a server returned."""
 
-    def refused(self, advice: float) -> None: ...
+    def on_rejected(self, advice: float) -> None:
+        """Reject the request; the client may retry after `advice` ms."""
 
-    def failed(self) -> None: ...
+    def on_failed(self) -> None:
+        """Answer that no result is known."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt handed to a hop; the hop reports its end once."""
+    """One attempt to serve an exchange, handed to a transport that reports its end once. Times in ms."""
 
-    exchange: int
-    number: int
+    exchange_id: int
+    number: int  # among the attempts of its exchange, from 0
     server: str
-    sent: float
-    ends: float
-    payload: object  # what the front took in, for the hop alone to read
-    passing: bool = False  # whether it holds its request no longer whole: nobody can begin it again
-    wanted: bool = True  # false once the exchange has had its answer: nothing may be written any more
+    sent_at: float
+    ends_at: float
+    payload: object  # what the front received; only the transport reads it
+    is_streaming: bool = False  # parts of the request were forwarded and dropped: it cannot be retried
+    is_wanted: bool = True  # False once the exchange has its answer: nothing more may be written
 
 
 class HopPort(Protocol):
     """Carries attempts to servers."""
 
-    def start(self, attempt: Attempt) -> None: ...
+    def start(self, attempt: Attempt) -> None:
+        """Start an attempt."""
 
-    def cancel(self, attempt: Attempt) -> None: ...
+    def cancel(self, attempt: Attempt) -> None:
+        """Cancel an attempt."""
 
 
 class CounterPort(Protocol):
-    """Adds to a named count; the total comes back to the core in call order."""
+    """Adds to a named counter; the totals come back to the core in the order of the calls."""
 
-    def add(self, name: int, units: float, lifetime: float) -> None: ...
+    def add(self, name: int, units: float, lifetime: float) -> None:
+        """Add units to a counter that expires `lifetime` ms after it was created."""
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -23,9 +23,9 @@
 import uvloop
 
 from hallhitch import __version__, logs
-from hallhitch.core.addresses import address_of
+from hallhitch.core.addresses import parse_address
 from hallhitch.core.deadlines import Clock, Deadlines
-from hallhitch.core.grants import ROUTE, GrantHop
+from hallhitch.core.grants import LOCAL_SERVER_LIST, GrantHop
 from hallhitch.core.invariants import COUNTS
 from hallhitch.core.module import Core
 from hallhitch.decision import api
@@ -64,7 +64,7 @@
     if resp is not None and resp.counter is not None:
         from hallhitch.resp.counter import RespCounterCodec
 
-        return address_of(resp.counter), RespCounterCodec
+        return parse_address(resp.counter), RespCounterCodec
     if told.counter is not None:
         return told.counter, partial(HttpCounterCodec, told.counter[0])
     return None
@@ -99,7 +99,7 @@
     def meet(core: Core) -> None:
         if place is not None:  # without one, the settings keep the module from calling
             core.counter = counters[core] = CounterClient(
-                *place, core.counted, deadlines, loop, told.settings.counter_timeout
+                *place, core.on_counter_reply, deadlines, loop, told.settings.counter_timeout
             )
 
     cores: list[Core] = []
@@ -122,13 +122,13 @@
     if resp is not None:
         limits = core_for("limits", told.seed + 1, batch=1)
         limits.hop = GrantHop(limits)
-        limits.post(ROUTE)
+        limits.post(LOCAL_SERVER_LIST)
         most = min(resp.connections, clients // 2)
         clients -= most + spare
         from hallhitch.resp.server import LimitServer
 
         fronts[LimitServer(limits, settings, deadlines, loop, most, spare)] = partial(
-            bound, "listen (RESP)", address_of(resp.listen)
+            bound, "listen (RESP)", parse_address(resp.listen)
         )
     ingress = Ingress(
         core,
@@ -192,7 +192,7 @@
 
     def retune() -> None:
         for one in cores:
-            one.retune(replace(told.settings, processes=processes))
+            one.apply_settings(replace(told.settings, processes=processes))
         if members is not None:  # who is there goes before how many the settings speak of
             members.again()
 
--- a/hallhitch/lab/hopping.py
+++ b/hallhitch/lab/hopping.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from hallhitch.core.deadlines import Deadlines, Entry
+from hallhitch.core.deadlines import Deadline, Deadlines
 from hallhitch.core.module import Core
 from hallhitch.core.ports import Attempt
 from hallhitch.decision import api
@@ -95,17 +95,17 @@
     journal: Journal
     now: Callable[[], float]
 
-    def served(self, payload: object) -> None:
+    def on_served(self, payload: object) -> None:
         """The answer of a node."""
         self.journal.add(self.now(), "answer", self.id, "served", payload)
         self.done("served", 0.0)
 
-    def refused(self, advice: float) -> None:
+    def on_rejected(self, advice: float) -> None:
         """To come back later."""
         self.journal.add(self.now(), "answer", self.id, "refused", 0)
         self.done("refused", advice)
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         """Nothing is known."""
         self.journal.add(self.now(), "answer", self.id, "failed", 0)
         self.done("failed", 0.0)
@@ -119,7 +119,7 @@
     idle: float | None = None
     sent: bool = False
     over: bool = False
-    limit: Entry | None = None
+    limit: Deadline | None = None
 
 
 class ModelHops:
@@ -158,8 +158,8 @@
         assert isinstance(ask, Ask)
         node = self._nodes.get(attempt.server)
         job = _Job(attempt, ask, node)
-        self._jobs[attempt.exchange, attempt.number] = job
-        job.limit = self._deadlines.at(attempt.ends, lambda: self._stop(job, "timeout"))
+        self._jobs[attempt.exchange_id, attempt.number] = job
+        job.limit = self._deadlines.call_at(attempt.ends_at, lambda: self._stop(job, "timeout"))
         if (self._number, attempt.server) in self._network.cut:
             self._later(CONNECT, self._end, job, "unreachable")
         elif self._reused(job):
@@ -175,7 +175,7 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """Give an attempt up."""
-        job = self._jobs.get((attempt.exchange, attempt.number))
+        job = self._jobs.get((attempt.exchange_id, attempt.number))
         if job is not None:
             self._stop(job, "cancelled")
 
@@ -197,7 +197,7 @@
             return
         a, node, now = job.attempt, job.node, self._time()
         assert node is not None
-        if not a.wanted or a.ends - now < 1 or not self.up.get(a.server, False):
+        if not a.is_wanted or a.ends_at - now < 1 or not self.up.get(a.server, False):
             return self._end(job, "void")
         node.connections += 1
         job.sent = True
@@ -222,7 +222,7 @@
             job.ask.id,
             job.attempt.number,
             intent.work,
-            job.attempt.ends,
+            job.attempt.ends_at,
             intent.key,
             kind.repeat_window,
             kind.effect != api.SAFE,
@@ -242,9 +242,9 @@
         if job.over:
             return
         job.over = True
-        self._deadlines.drop(job.limit)
+        self._deadlines.cancel(job.limit)
         a = job.attempt
-        del self._jobs[a.exchange, a.number]
+        del self._jobs[a.exchange_id, a.number]
         if job.sent:
             self._journal.add(self._time(), "done", job.ask.id, a.number, outcome)
             self._idleness.learn(job.idle, outcome == "reset")
@@ -252,7 +252,7 @@
                 self._idle.setdefault(a.server, []).append((self._time(), job.node.born))
             elif job.node is not None:
                 job.node.connections -= 1
-        self._core.ended(a, outcome, echo if outcome == "ok" else None)
+        self._core.on_attempt_ended(a, outcome, echo if outcome == "ok" else None)
 
     def _way(self, job: _Job) -> float:
         return self._network.delay(self._zone, job.node.zone if job.node is not None else self._zone)
@@ -279,13 +279,13 @@
             nonlocal told
             if not told:
                 told = True
-                self._core.deadlines.drop(limit)
-                self._core.counted(name, outcome, total, self._time() - began)
+                self._core.deadlines.cancel(limit)
+                self._core.on_counter_reply(name, outcome, total, self._time() - began)
 
         def reply(outcome: str, total: float) -> None:
             self._time.call_later(self._network.delay(self._zone, 0) / 1000, tell, outcome, total)
 
-        limit = self._core.deadlines.after(self._world.counter_timeout, lambda: tell("timeout", 0.0))
+        limit = self._core.deadlines.call_after(self._world.counter_timeout, lambda: tell("timeout", 0.0))
         self._time.call_later(
             self._network.delay(self._zone, 0) / 1000, self._counter.call, name, units, lifetime, reply
         )
--- a/hallhitch/lab/world.py
+++ b/hallhitch/lab/world.py
@@ -185,7 +185,7 @@
         def leave() -> None:
             if not over and gateway is self.gateways.get(number):
                 self.journal.add(self.time.now, "leave", id)
-                gateway.come(lambda: gateway.core.leave(exchange))
+                gateway.come(lambda: gateway.core.on_client_gone(exchange))
 
         def begin() -> None:
             nonlocal exchange
--- a/hallhitch/membership/link.py
+++ b/hallhitch/membership/link.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from hallhitch.core.addresses import address_of, written
+from hallhitch.core.addresses import format_address, parse_address
 from hallhitch.core.invariants import COUNTS
 from hallhitch.membership.messages import SIZE_MOST, Datagram, Unreadable, decode, encode
 
@@ -56,7 +56,7 @@
         self.close()
         self._sock = sock
         self._loop.add_reader(sock, self._ready)
-        return written(sock.getsockname())
+        return format_address(sock.getsockname())
 
     def close(self) -> None:
         """Neither send nor receive any more."""
@@ -72,7 +72,7 @@
             self.dropped["unsent"] += 1
             return
         with contextlib.suppress(OSError):
-            self._sock.sendto(data, address_of(address))
+            self._sock.sendto(data, parse_address(address))
             self.sent += 1
             self.bytes_out += len(data)
             return
@@ -91,7 +91,7 @@
                 break
             except OSError:  # somebody's port was closed: told here, of a datagram sent before
                 continue
-            self._take(size, written(source))
+            self._take(size, format_address(source))
         self._heard()
 
     def _take(self, size: int, source: str) -> None:
--- a/hallhitch/membership/service.py
+++ b/hallhitch/membership/service.py
@@ -14,8 +14,8 @@
 import msgspec
 import structlog
 
-from hallhitch.core.addresses import written
-from hallhitch.core.deadlines import Deadlines, Entry
+from hallhitch.core.addresses import format_address
+from hallhitch.core.deadlines import Deadline, Deadlines
 from hallhitch.membership.conduct import Conduct
 from hallhitch.membership.link import Link
 from hallhitch.membership.messages import Datagram
@@ -58,7 +58,7 @@
         self._version, self._rng = version[:24], rng
         self._instance, self._kin = instance, instance if kin is None else kin
         self._told = told
-        self._timer: Entry | None = None
+        self._timer: Deadline | None = None
         self._due = 0.0
         self._home = True
         self._state = ""
@@ -80,7 +80,7 @@
                 raise
             here = self._link.open((address[0], 0))
             self._home = False
-            self._deadlines.after(HOME, self._go_home)
+            self._deadlines.call_after(HOME, self._go_home)
         me = Record(
             self._name,
             self._instance,
@@ -94,7 +94,8 @@
         now = self._deadlines.clock()
         # Where the file says that this gateway is, another process of it may be.
         seeds = dict.fromkeys(
-            written(numeric(seed)) for seed in (*self.settings.seeds, self.settings.advertise or self.settings.listen)
+            format_address(numeric(seed))
+            for seed in (*self.settings.seeds, self.settings.advertise or self.settings.listen)
         )
         self.swim = Swim(me, self.settings.cluster, self.settings.tuning(), self._rng, tuple(seeds), self._allowed)
         self._roster = Roster(me, self._told, self.settings.damping(), now)
@@ -125,13 +126,13 @@
     def close(self) -> None:
         """Be gone."""
         self._link.close()
-        self._deadlines.drop(self._timer)
+        self._deadlines.cancel(self._timer)
         self.swim = None
 
     # Driving.
 
     def _advertised(self, here: str) -> str:
-        return written(numeric(self.settings.advertise)) if self.settings.advertise and self._home else here
+        return format_address(numeric(self.settings.advertise)) if self.settings.advertise and self._home else here
 
     def _hear(self, message: Datagram) -> None:
         if self.swim is not None:
@@ -158,8 +159,8 @@
             self._turned()
         due = self._conduct.wake
         if self._timer is None or due < self._due or due > self._due + 1:
-            self._deadlines.drop(self._timer)
-            self._timer, self._due = self._deadlines.at(due, self._tick), due
+            self._deadlines.cancel(self._timer)
+            self._timer, self._due = self._deadlines.call_at(due, self._tick), due
 
     def _tell(self, counted: Counted) -> None:
         if (counted.seen, counted.counted) != (self.told.seen, self.told.counted):
@@ -190,7 +191,7 @@
         try:
             here = self._link.open(numeric(self.settings.listen))
         except OSError:
-            self._deadlines.after(HOME, self._go_home)
+            self._deadlines.call_after(HOME, self._go_home)
             return
         self._home = True
         self.swim.move(self._advertised(here), self._deadlines.clock())
--- a/hallhitch/membership/settings.py
+++ b/hallhitch/membership/settings.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, Struct
 
-from hallhitch.core.addresses import address_of
+from hallhitch.core.addresses import parse_address
 from hallhitch.membership.messages import Cluster
 from hallhitch.membership.model import NAME_MOST, Word
 from hallhitch.membership.roster import Damping
@@ -97,7 +97,7 @@
 
 def numeric(text: str) -> tuple[str, int]:
     """Host and port of an address in numbers: names are not looked up."""
-    host, port = address_of(text)
+    host, port = parse_address(text)
     ipaddress.ip_address(host)
     return host, port
 
--- a/hallhitch/net/acceptor.py
+++ b/hallhitch/net/acceptor.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from hallhitch.core.actor import Actor
-from hallhitch.core.deadlines import Deadlines, Entry, Scheduler
+from hallhitch.core.deadlines import Deadline, Deadlines, Scheduler
 from hallhitch.core.invariants import COUNTS
 from hallhitch.net.flow import Broken, Flow
 from hallhitch.net.sockets import Listening, alive, cut, tune
@@ -58,7 +58,7 @@
         self.goes_on = False  # whether what is half read came in more than one piece
         self.heard = deadlines.clock()  # when something last came, or the connection
         self.begun = 0.0  # when what is half read began to come; 0 if nothing is
-        self._limit: Entry | None = None
+        self._limit: Deadline | None = None
         self._writer: asyncio.Task[None] | None = None
         self._posted = 0  # messages handed over and not yet written
         self._unsent: list[bytes | Sent] = []
@@ -154,10 +154,10 @@
         except (OSError, asyncio.CancelledError):
             pass
         except Exception as error:
-            self.crashed(error)
+            self.record_failure(error)
         finally:
             self.ended = True
-            self._deadlines.drop(self._limit)
+            self._deadlines.cancel(self._limit)
             if self._writer is not None:
                 self._writer.cancel()
             self.left()
@@ -179,7 +179,7 @@
             with contextlib.suppress(OSError):
                 self._sock.send(message)
 
-    def receive(self, message: bytes | Sent) -> None:
+    def handle(self, message: bytes | Sent) -> None:
         """Write a message, behind those that wait."""
         if self.ended:
             if isinstance(message, Sent):
@@ -231,16 +231,16 @@
 
     async def _all(self, data: bytes) -> None:
         """Write all of it, as long as the client goes on taking some."""
-        self._limit = self._deadlines.after(WRITE_MOST, self.end)
+        self._limit = self._deadlines.call_after(WRITE_MOST, self.end)
         try:
             await asyncio.get_running_loop().sock_sendall(self._sock, data)
         finally:
-            self._deadlines.drop(self._limit)
+            self._deadlines.cancel(self._limit)
 
     def _written(self) -> None:
         """All that was to be written has left."""
         if self.ending and not self._posted and not self.owes:
-            self._limit = self._deadlines.after(LINGER_LONG if self.unread else LINGER, self.end)
+            self._limit = self._deadlines.call_after(LINGER_LONG if self.unread else LINGER, self.end)
             try:
                 self._sock.shutdown(socket.SHUT_WR)
             except OSError:
@@ -302,7 +302,7 @@
         self.closing = False  # for good, to end the process
         self.draining = False  # clients are sent elsewhere, and the process runs on
         self._closed = asyncio.Event()
-        self._looks: Entry | None = None  # the next look at the idle connections of a drain
+        self._looks: Deadline | None = None  # the next look at the idle connections of a drain
 
     @property
     def leaving(self) -> bool:
@@ -316,7 +316,7 @@
     def open(self, listener: socket.socket) -> None:
         """Accept clients from now on."""
         self._listening.open(listener)
-        self.deadlines.after(LOOK, self._look)
+        self.deadlines.call_after(LOOK, self._look)
 
     def admit(self, sock: socket.socket) -> None:
         """Take in a connection."""
@@ -397,7 +397,7 @@
                 self._overdue(peer)
         for peer in [one for one in self.passing if one.late(now)]:
             self._overdue(peer)
-        self.deadlines.after(LOOK, self._look)
+        self.deadlines.call_after(LOOK, self._look)
 
     def _overdue(self, peer: Peer) -> None:
         self.used(peer)
@@ -426,13 +426,13 @@
         """Send clients elsewhere: each connection ends with its next answer, or once it was idle for long enough."""
         if not self.draining:
             self.draining = True
-            self.deadlines.drop(self._looks)
-            self._looks = self.deadlines.after(DRAIN_HEARD, lambda: self._part(DRAIN_SPREAD / DRAIN_LOOK))
+            self.deadlines.cancel(self._looks)
+            self._looks = self.deadlines.call_after(DRAIN_HEARD, lambda: self._part(DRAIN_SPREAD / DRAIN_LOOK))
 
     def rejoin(self) -> None:
         """Keep clients again."""
         self.draining = False
-        self.deadlines.drop(self._looks)
+        self.deadlines.cancel(self._looks)
 
     def _part(self, looks: float) -> None:
         """End a part of the idle connections, all that are left once `looks` looks have passed."""
@@ -440,7 +440,7 @@
         idle = [p for p in self._peers if p.idle and p.heard < since]
         for peer in idle[: math.ceil(len(idle) / max(1.0, looks))]:
             peer.part()
-        self._looks = self.deadlines.after(DRAIN_LOOK, lambda: self._part(looks - 1))
+        self._looks = self.deadlines.call_after(DRAIN_LOOK, lambda: self._part(looks - 1))
 
     def close(self) -> None:
         """Begin to end: go on accepting for a while, then finish what is open."""
@@ -450,9 +450,9 @@
         if self._shared:  # what nobody has taken yet is the other process's
             self._listening.close()
             self._check()
-            self.deadlines.after(SHARED_IDLE, self._end_idle)
+            self.deadlines.call_after(SHARED_IDLE, self._end_idle)
         else:
-            self.deadlines.after(ACCEPT_AFTER_TERM, self._stop)
+            self.deadlines.call_after(ACCEPT_AFTER_TERM, self._stop)
 
     def _stop(self) -> None:
         self._listening.close(rest=True)  # what the machine accepted meanwhile has been taken too
@@ -467,7 +467,7 @@
         for peer in [p for p in self._peers if p.idle]:
             peer.part()
         if self._peers:
-            self.deadlines.after(50.0, self._end_idle)
+            self.deadlines.call_after(50.0, self._end_idle)
 
     async def closed(self) -> None:
         """Wait until the last client has its answer."""
--- a/hallhitch/net/config.py
+++ b/hallhitch/net/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from hallhitch.core.addresses import address_of
+from hallhitch.core.addresses import parse_address
 from hallhitch.decision import api
 from hallhitch.decision.settings import WireError, need, number, section, settings_of
 from hallhitch.net.budget import LEAST
@@ -80,7 +80,7 @@
 
     def address(name: str, variable: str) -> tuple[str, int]:
         try:
-            return address_of(environ.get(variable) or need(top, name, str))
+            return parse_address(environ.get(variable) or need(top, name, str))
         except ValueError as error:
             raise WireError(f"field '{name}': {error}") from error
 
--- a/hallhitch/net/counter.py
+++ b/hallhitch/net/counter.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from hallhitch.core.actor import Actor
-from hallhitch.core.deadlines import Deadlines, Entry, Scheduler
+from hallhitch.core.deadlines import Deadline, Deadlines, Scheduler
 from hallhitch.core.invariants import COUNTS
 from hallhitch.net.http import AnswerReader, Malformed, Message
 from hallhitch.net.sockets import connect, cut
@@ -96,7 +96,7 @@
     lane: Lane
     written: bool = False
     told: bool = False
-    limit: Entry | None = None
+    limit: Deadline | None = None
 
 
 class Lane(Actor[Call]):
@@ -110,14 +110,14 @@
         self._sock: socket.socket | None = None
         self._heard = 0.0  # when a byte last came, or the oldest call out was written
         self.answered = 0.0  # when an answer last came
-        self._begun: Entry | None = None  # the end of patience with an answer that has begun
+        self._begun: Deadline | None = None  # the end of patience with an answer that has begun
         self._task: asyncio.Task[None] | None = None
         self._before: Lane | None = None  # the lane at the old address whose calls end before any here
         self._after: Lane | None = None  # the lane at the new address that has this one's work now
 
     def take(self, call: Call) -> None:
         """Take a call; it has its answer within the time-out whatever happens."""
-        call.limit = self._deadlines.after(self._client.timeout, lambda: call.lane._overdue(call))
+        call.limit = self._deadlines.call_after(self._client.timeout, lambda: call.lane._overdue(call))
         if not self.post(call):
             self._tell(call, "unreachable")
 
@@ -133,12 +133,12 @@
             self._drop()
         for call in calls:
             if not call.written:
-                to.receive(call)
+                to.handle(call)
 
-    def receive(self, message: Call) -> None:
+    def handle(self, message: Call) -> None:
         """Write a call, or begin to connect for it."""
         if self._after is not None:
-            return self._after.receive(message)
+            return self._after.handle(message)
         if message.told:
             return
         message.lane = self
@@ -155,7 +155,7 @@
         else:
             self._begin()
 
-    def spoilt(self, message: Call) -> None:
+    def on_message_failed(self, message: Call) -> None:
         """A call that could not be written never reached the counter."""
         self._lost()
 
@@ -200,10 +200,10 @@
                     if self._task is not mine:
                         break
                     if not self._codec.partial:
-                        self._deadlines.drop(self._begun)
+                        self._deadlines.cancel(self._begun)
                         self._begun = None
                     elif self._begun is None:
-                        self._begun = self._deadlines.after(BEGUN_MOST, self._stuck)
+                        self._begun = self._deadlines.call_after(BEGUN_MOST, self._stuck)
             finally:
                 cut(sock)
                 sock.close()
@@ -213,7 +213,7 @@
             COUNTS["counter_spoilt"] += 1
         except Exception as error:
             if not isinstance(error, OSError):
-                self.crashed(error)
+                self.record_failure(error)
         if self._task is mine:
             self._lost()
 
@@ -221,7 +221,7 @@
         """Let go of the connection; the next call opens another."""
         if self._sock is not None:
             cut(self._sock)
-        self._deadlines.drop(self._begun)
+        self._deadlines.cancel(self._begun)
         task, self._task, self._sock, self._begun = self._task, None, None, None
         if task is not None:
             task.cancel()
@@ -254,7 +254,7 @@
             COUNTS["counter_late"] += 1
             return
         call.told = True
-        self._deadlines.drop(call.limit)
+        self._deadlines.cancel(call.limit)
         self._client.told(call.name, outcome, total, self._deadlines.clock() - call.begun)
         if self._after is not None and self._after._before is self and all(c.told for c in self._calls):
             self._after._before = None
--- a/hallhitch/net/hops.py
+++ b/hallhitch/net/hops.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from hallhitch.core.actor import Actor
-from hallhitch.core.deadlines import Deadlines, Entry, Scheduler
+from hallhitch.core.deadlines import Deadline, Deadlines, Scheduler
 from hallhitch.core.invariants import COUNTS
 from hallhitch.core.ports import Attempt
 from hallhitch.decision import api
@@ -45,9 +45,9 @@
 class Told(Protocol):
     """Where an attempt's end is reported."""
 
-    def ended(self, a: Attempt, outcome: str, payload: object = None) -> bool: ...
+    def on_attempt_ended(self, a: Attempt, outcome: str, payload: object = None) -> bool: ...
 
-    def passes(self, a: Attempt) -> None: ...
+    def on_streaming_started(self, a: Attempt) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -72,7 +72,7 @@
     passed: bool = False  # its long answer was passed on as it came
     over: bool = False
     task: asyncio.Task[None] | None = None
-    limit: Entry | None = None
+    limit: Deadline | None = None
 
 
 class Idleness:
@@ -134,12 +134,12 @@
         self._hops, self.server = hops, server
         self.idle: deque[Connection] = deque()  # newest last
 
-    def receive(self, message: Job) -> None:
+    def handle(self, message: Job) -> None:
         """Begin an attempt."""
         if not message.over:
             message.task = asyncio.get_running_loop().create_task(self._carry(message))
 
-    def spoilt(self, message: Job) -> None:
+    def on_message_failed(self, message: Job) -> None:
         """An attempt that could not even begin never ran."""
         self._hops.end(message, "unreachable")
 
@@ -156,7 +156,7 @@
             outcome, answer = "error", None
         except Exception as error:
             if not isinstance(error, OSError):
-                self.crashed(error)
+                self.record_failure(error)
             outcome, answer = "reset" if job.written else "unreachable", None
         if job.written and outcome != "cancelled":
             self._hops.idleness.learn(job.idle, outcome == "reset")
@@ -172,8 +172,8 @@
         if connection.idle_since:
             job.idle = self._hops.deadlines.clock() - connection.idle_since
         # The connecting took time: all that the decision rested on is looked at once more.
-        left = a.ends - self._hops.deadlines.clock()
-        if not a.wanted or left < 1 or not self._hops.routes.up(self.server):
+        left = a.ends_at - self._hops.deadlines.clock()
+        if not a.is_wanted or left < 1 or not self._hops.routes.up(self.server):
             return "void", None
         request = a.payload
         assert isinstance(request, Message)
@@ -200,13 +200,13 @@
         """Send a long request on as it comes; its time at the server begins with its last byte."""
         loop, flow = asyncio.get_running_loop(), request.flow
         assert flow is not None
-        self._hops.told.passes(job.attempt)
+        self._hops.told.on_streaming_started(job.attempt)
         try:
             async for data in flow.written(self._head(request, left), chunked=request.length is None):
                 await loop.sock_sendall(connection.sock, data)
         except (OSError, Broken):
             return cut(connection.sock)
-        job.attempt.sent = self._hops.deadlines.clock()
+        job.attempt.sent_at = self._hops.deadlines.clock()
         self._written(job)
 
     async def _hear(self, job: Job, connection: Connection) -> tuple[str, Message | None]:
@@ -236,16 +236,16 @@
                         return outcome_of(answer), None  # nobody is served an error: the rest is not read
                     if answer.flow.broken:
                         raise Malformed(400)
-                    self._hops.deadlines.drop(limit)
+                    self._hops.deadlines.cancel(limit)
                     await self._pass(job, connection, answer, answer.flow)
                     return "ok", answer
                 if answer is not None:
                     return outcome_of(answer), answer
                 # What has begun to come goes on coming, or never ends; a slow network is no reason yet.
-                self._hops.deadlines.drop(limit)
-                limit = self._hops.deadlines.after(self._hops.connect_timeout, lambda: slow(job))
+                self._hops.deadlines.cancel(limit)
+                limit = self._hops.deadlines.call_after(self._hops.connect_timeout, lambda: slow(job))
         finally:
-            self._hops.deadlines.drop(limit)
+            self._hops.deadlines.cancel(limit)
 
     async def _pass(self, job: Job, connection: Connection, answer: Message, flow: Flow) -> None:
         """Pass a long answer on: the attempt has ended well, the rest comes as fast as the client takes it."""
@@ -267,11 +267,11 @@
                 while flow.waits:
                     taken.clear()
                     await taken.wait()
-                limit = self._hops.deadlines.after(PASS_MOST, lambda: cut(connection.sock))
+                limit = self._hops.deadlines.call_after(PASS_MOST, lambda: cut(connection.sock))
                 try:
                     size = await loop.sock_recv_into(connection.sock, buffer)
                 finally:
-                    self._hops.deadlines.drop(limit)
+                    self._hops.deadlines.cancel(limit)
                 if not size:
                     connection.reader.end()
                     break
@@ -376,8 +376,8 @@
     def start(self, attempt: Attempt) -> None:
         """Begin an attempt."""
         job = Job(attempt)
-        self._jobs[attempt.exchange, attempt.number] = job
-        job.limit = self.deadlines.at(attempt.ends, lambda: self.stop(job, "timeout"))
+        self._jobs[attempt.exchange_id, attempt.number] = job
+        job.limit = self.deadlines.call_at(attempt.ends_at, lambda: self.stop(job, "timeout"))
         hop = self._hops.get(attempt.server)
         if hop is None:
             hop = self._hops[attempt.server] = Hop(self, attempt.server, self._scheduler)
@@ -386,7 +386,7 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """Give up an attempt: its connection is closed before anything else is written."""
-        job = self._jobs.get((attempt.exchange, attempt.number))
+        job = self._jobs.get((attempt.exchange_id, attempt.number))
         if job is not None:
             self.stop(job, "cancelled")
 
@@ -403,9 +403,9 @@
         if job.over:
             return False
         job.over = True
-        self.deadlines.drop(job.limit)
-        del self._jobs[job.attempt.exchange, job.attempt.number]
-        return self.told.ended(job.attempt, outcome, answer)
+        self.deadlines.cancel(job.limit)
+        del self._jobs[job.attempt.exchange_id, job.attempt.number]
+        return self.told.on_attempt_ended(job.attempt, outcome, answer)
 
     def close(self, connection: Connection) -> None:
         """Close one connection."""
@@ -435,7 +435,7 @@
                 self.close(hop.idle.popleft())
             if place is None and not any(j.attempt.server == server for j in self._jobs.values()):
                 del self._hops[server]
-        self.deadlines.after(1000.0, self._prune)
+        self.deadlines.call_after(1000.0, self._prune)
 
 
 def read_answer(reader: AnswerReader, data: memoryview) -> Message | None:
--- a/hallhitch/net/ingress.py
+++ b/hallhitch/net/ingress.py
@@ -165,7 +165,7 @@
             self._broken = 408
             self._reader.fail()
             if self._flow is not None and self._exchange:  # its own request, which never comes whole
-                self._ingress.core.leave(self._exchange)
+                self._ingress.core.on_client_gone(self._exchange)
                 return self._give(408, close=True)
             self._next()
 
@@ -198,7 +198,7 @@
         self._flow = None
         self._ingress.passing.discard(self)
         if self._exchange:
-            self._ingress.core.complete(self._exchange)
+            self._ingress.core.on_request_complete(self._exchange)
 
     def left(self) -> None:
         """The client has gone: nothing more is owed."""
@@ -208,7 +208,7 @@
         if self.broke:
             self._outcome = "failed"
         if self._exchange:
-            self._ingress.core.leave(self._exchange)
+            self._ingress.core.on_client_gone(self._exchange)
         self._over()
 
     def _next(self) -> None:
@@ -232,7 +232,7 @@
             self._klass = named[1].name
             self._ingress.in_flight += 1
         if self._spare:
-            self.refused(1000.0, status=503)
+            self.on_rejected(1000.0, status=503)
         else:
             try:
                 self._exchange = self._ingress.begin(request, path, self, terms, named)
@@ -240,7 +240,7 @@
                 if request.flow is not None:
                     request.flow.taken = self.proceed
                     if request.flow.ended:
-                        self._ingress.core.complete(self._exchange)
+                        self._ingress.core.on_request_complete(self._exchange)
                     else:
                         self._flow = request.flow
                         self._ingress.passing.add(self)
@@ -252,7 +252,7 @@
         """Leave a client that sends what cannot be accepted unread for a while: floods must cost little."""
         COUNTS["unacceptable"] += 1
         self._slow = True
-        self._ingress.deadlines.after(PAUSE * 2 ** min(self._errors, PAUSES), self._go_on)
+        self._ingress.deadlines.call_after(PAUSE * 2 ** min(self._errors, PAUSES), self._go_on)
         self._errors += 1
 
     def _go_on(self) -> None:
@@ -263,17 +263,17 @@
 
     # The one final answer.
 
-    def served(self, payload: object) -> None:
+    def on_served(self, payload: object) -> None:
         """Pass a server's answer on, as it comes if it is long."""
         assert isinstance(payload, Message)
         kind = payload.headers.get(b"content-type")
         self._give(200, payload.body, b"Content-Type: %s\r\n" % kind if kind else b"", passes=payload)
 
-    def refused(self, advice: float, status: int = 429) -> None:
+    def on_rejected(self, advice: float, status: int = 429) -> None:
         """Tell the client to come back later."""
         self._give(status, headers=b"Retry-After: %.3f\r\n" % max(0.001, advice / 1000))
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         """Tell the client that nothing is known."""
         self._give(502)
 
--- a/hallhitch/net/routes.py
+++ b/hallhitch/net/routes.py
@@ -12,7 +12,7 @@
 import structlog
 
 from hallhitch.core.actor import Actor
-from hallhitch.core.addresses import address_of
+from hallhitch.core.addresses import parse_address
 from hallhitch.core.deadlines import Deadlines, Scheduler
 from hallhitch.core.invariants import COUNTS
 from hallhitch.decision import api
@@ -44,7 +44,7 @@
         host, site = need(e, "host", str), e.get("site")
         zone = zones.index(site) if site in zones else 0
         try:
-            dials[host] = address_of(need(e, "dial", str))
+            dials[host] = parse_address(need(e, "dial", str))
         except ValueError as error:
             raise WireError(f"field 'dial' {error}") from error
         entries.append(
@@ -81,7 +81,7 @@
         self.entries: dict[str, api.ServerEntry] = {}
         self.dials: dict[str, tuple[str, int]] = {}
 
-    def receive(self, message: News) -> None:
+    def handle(self, message: News) -> None:
         """Apply what was told."""
         self.seq = message.seq
         if message.list.mode != "changes":
--- a/hallhitch/net/sockets.py
+++ b/hallhitch/net/sockets.py
@@ -86,7 +86,7 @@
         if self._open and not self._pausing:
             self._pausing = True
             self._loop.remove_reader(self._listener)
-            self._deadlines.after(delay, self._again)
+            self._deadlines.call_after(delay, self._again)
 
     def close(self, rest: bool = False) -> None:
         """Take none any more, but for those that wait if `rest` says so.
@@ -136,7 +136,7 @@
 
     async def __aenter__(self) -> None:
         self._task = asyncio.current_task()
-        self._entry = self._deadlines.after(self._delay, self._cancel)
+        self._entry = self._deadlines.call_after(self._delay, self._cancel)
 
     def _cancel(self) -> None:
         self._hit = True
@@ -144,7 +144,7 @@
             self._task.cancel()
 
     async def __aexit__(self, kind: type[BaseException] | None, *_: object) -> None:
-        self._deadlines.drop(self._entry)
+        self._deadlines.cancel(self._entry)
         if self._hit and self._task is not None and self._task.uncancel() == 0:
             raise TimeoutError
 
--- a/hallhitch/ops/hot_restart/sibling_monitor.py
+++ b/hallhitch/ops/hot_restart/sibling_monitor.py
@@ -90,7 +90,7 @@
 
     def _check_periodically(self) -> None:
         self.check()
-        self._deadlines.after(CHECK_INTERVAL_MS, self._check_periodically)
+        self._deadlines.call_after(CHECK_INTERVAL_MS, self._check_periodically)
 
     def _write_periodically(self, folder: str) -> None:
         if self._is_stopping:
@@ -99,4 +99,4 @@
         if self._was_written and not is_written:
             log.warning("state not written", folder=folder)
         self._was_written = is_written
-        self._deadlines.after(WRITE_INTERVAL_MS, lambda: self._write_periodically(folder))
+        self._deadlines.call_after(WRITE_INTERVAL_MS, lambda: self._write_periodically(folder))
--- a/hallhitch/resp/server.py
+++ b/hallhitch/resp/server.py
@@ -53,15 +53,15 @@
         self.reply, self.exchange = reply, 0
         self.session.flush()
 
-    def served(self, payload: object) -> None:
+    def on_served(self, payload: object) -> None:
         """Granted."""
         self.fill(codec.array([codec.integer(1), codec.integer(0)]))
 
-    def refused(self, advice: float) -> None:
+    def on_rejected(self, advice: float) -> None:
         """Refused, with the time after which to ask again."""
         self.fill(codec.array([codec.integer(0), codec.integer(max(1, math.ceil(advice)))]))
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         """Nothing was decided in time."""
         self.fill(codec.error("FAILED no decision within the deadline"))
 
@@ -167,7 +167,7 @@
         """The client has gone: nothing more is owed."""
         for slot in self._slots:
             if slot.exchange:
-                self._server.core.leave(slot.exchange)
+                self._server.core.on_client_gone(slot.exchange)
         self._slots.clear()
 
     # Commands.
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -189,25 +189,25 @@
     def start(attempt: Attempt) -> None:
         was(attempt)
         others = [name for name, up in gateway.hops.up.items() if up and name != attempt.server]
-        if attempt.number == 0 and others and attempt.exchange % 40 == 0:
-            copy = Attempt(attempt.exchange, 50, others[0], attempt.sent, attempt.ends, attempt.payload)
-            gateway.core.deadlines.after(5.0, lambda: was(copy))
+        if attempt.number == 0 and others and attempt.exchange_id % 40 == 0:
+            copy = Attempt(attempt.exchange_id, 50, others[0], attempt.sent_at, attempt.ends_at, attempt.payload)
+            gateway.core.deadlines.call_after(5.0, lambda: was(copy))
 
     gateway.hops.start = start  # type: ignore[method-assign]
 
 
 def double_answer(gateway: ModelGateway) -> None:
     """A refusal is said twice."""
-    was = gateway.core._final
+    was = gateway.core._finish
 
-    def final(exchange: int, answer: Any) -> None:
-        def twice(x: Any) -> None:
-            answer(x)
-            answer(x)
+    def final(exchange_id: int, answer: Any) -> None:
+        def twice(exchange: Any) -> None:
+            answer(exchange)
+            answer(exchange)
 
-        was(exchange, twice)
+        was(exchange_id, twice)
 
-    gateway.core._final = final  # type: ignore[method-assign]
+    gateway.core._finish = final  # type: ignore[method-assign]
 
 
 def late_drain(gateway: ModelGateway) -> None:
@@ -229,12 +229,12 @@
 
 def quota_twice(gateway: ModelGateway) -> None:
     """Each gateway grants the whole quota to itself: it reads half of the counter's totals."""
-    was = gateway.core.counted
+    was = gateway.core.on_counter_reply
 
     def counted(name: int, outcome: str, total: float, lag: float) -> None:
         was(name, outcome, total * 0.4, lag)
 
-    gateway.core.counted = counted  # type: ignore[method-assign]
+    gateway.core.on_counter_reply = counted  # type: ignore[method-assign]
 
 
 def any_pod(gateway: ModelGateway) -> None:
@@ -249,11 +249,12 @@
     """Some requests are never answered."""
     was = gateway.core._close
 
-    def close(exchange: int) -> Any:
-        x = was(exchange)
-        if x is not None and exchange % 50 == 0:
-            x.answer = type("Nobody", (), {name: lambda *_: None for name in ("served", "refused", "failed")})()
-        return x
+    def close(exchange_id: int) -> Any:
+        exchange = was(exchange_id)
+        if exchange is not None and exchange_id % 50 == 0:
+            answer_methods = ("on_served", "on_rejected", "on_failed")
+            exchange.answer = type("Nobody", (), {name: lambda *_: None for name in answer_methods})()
+        return exchange
 
     gateway.core._close = close  # type: ignore[method-assign]
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.core.deadlines import DROPPED_MOST, Deadlines
+from hallhitch.core.deadlines import MAX_CANCELLED, Deadlines
 
 
 class Loop:
@@ -71,12 +71,12 @@
         for number, (what, value) in enumerate(steps):
             if what == "at":
                 when = loop.now + value
-                plan[number] = when, number, deadlines.at(when, partial(done.append, number))
+                plan[number] = when, number, deadlines.call_at(when, partial(done.append, number))
             elif what == "drop" and value in plan:
-                deadlines.drop(plan.pop(value)[2])
+                deadlines.cancel(plan.pop(value)[2])
             elif what == "pass":
                 loop.run(loop.now + value)
-                deadlines.sweep()
+                deadlines.run_due()
                 for _, due, _ in sorted(one[:2] + (0,) for one in plan.values() if one[0] <= loop.now):
                     expected.append(due)
                     del plan[due]
@@ -87,26 +87,26 @@
         """Guards against memory that grows with requests whose deadlines were all dropped."""
         loop = Loop()
         deadlines = Deadlines(lambda: loop.now, loop)
-        live = [deadlines.after(10_000.0 + n, lambda: None) for n in range(100)]
+        live = [deadlines.call_after(10_000.0 + n, lambda: None) for n in range(100)]
         for n in range(20_000):
-            deadlines.drop(deadlines.after(5000.0 + n % 7, lambda: None))
-            self.assertLessEqual(len(deadlines._due), 2 * (len(live) + DROPPED_MOST))
+            deadlines.cancel(deadlines.call_after(5000.0 + n % 7, lambda: None))
+            self.assertLessEqual(len(deadlines._heap), 2 * (len(live) + MAX_CANCELLED))
         self.assertEqual(len(deadlines), len(live))
 
     def test_a_drop_while_sweeping(self) -> None:
         """Guards against a sweep that acts on what an act of its own has dropped."""
         loop, done = Loop(), list[str]()
         deadlines = Deadlines(lambda: loop.now, loop)
-        others = [deadlines.at(5.0, lambda: done.append("dropped")) for _ in range(DROPPED_MOST + 10)]
+        others = [deadlines.call_at(5.0, lambda: done.append("dropped")) for _ in range(MAX_CANCELLED + 10)]
 
         def drop() -> None:
             for other in others:
-                deadlines.drop(other)
+                deadlines.cancel(other)
 
-        deadlines.at(1.0, drop)
-        deadlines.at(6.0, lambda: done.append("kept"))
+        deadlines.call_at(1.0, drop)
+        deadlines.call_at(6.0, lambda: done.append("kept"))
         loop.now = 10.0
-        deadlines.sweep()
+        deadlines.run_due()
         self.assertEqual(done, ["kept"])
 
     def test_one_wake_for_one_deadline(self) -> None:
@@ -114,7 +114,7 @@
         loop, done = Loop(), list[float]()
         deadlines = Deadlines(lambda: loop.now, loop)
         for n in range(20):
-            deadlines.at(10.4 * n + 0.4, lambda: done.append(loop.now))
+            deadlines.call_at(10.4 * n + 0.4, lambda: done.append(loop.now))
         loop.run(300.0)
         self.assertEqual(len(done), 20)
         self.assertLessEqual(loop.woken, 21)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -83,7 +83,7 @@
                 begun.put_nowait(waited)
                 return 1
 
-            def leave(self, exchange: int) -> None:
+            def on_client_gone(self, exchange: int) -> None:
                 pass
 
         loop = asyncio.get_running_loop()
