--- a/hallhitch/planes/data/connection_pool.py
+++ b/hallhitch/planes/data/connection_pool.py
@@ -55,7 +55,7 @@
     def max_connections_to(self, service: str) -> int:
         """Return how many connections this gateway may have to one backend of a service."""
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Return whether one more connection may be opened, after closing an idle one if need be."""
 
     def forget_if_drained(self, pool: ConnectionPool) -> None:
@@ -126,7 +126,7 @@
 
     def _may_open(self) -> bool:
         count = len(self.connections) + self.opening_count
-        return count < self._owner.max_connections_to(self.backend.service) and self._owner.make_room()
+        return count < self._owner.max_connections_to(self.backend.service) and self._owner.ensure_capacity()
 
     def _open(self) -> None:
         self.opening_count += 1
--- a/hallhitch/planes/data/connection_pools.py
+++ b/hallhitch/planes/data/connection_pools.py
@@ -116,7 +116,7 @@
             return MIN_CONNECTIONS_TO_BACKEND
         return max(MIN_CONNECTIONS_TO_BACKEND, entry.max_connections // (BACKEND_LIMIT_DIVISOR * self._gateway_count))
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
         """Return whether one more connection may be opened; at the bound the longest idle one is closed for it."""
         if self.open_count + self.opening_count < self.max_connections:
             return True
