--- a/hallhitch/planes/quota/bucket_placement.py
+++ b/hallhitch/planes/quota/bucket_placement.py
@@ -1,9 +1,9 @@
 """Which gateway should hold which bucket, by rendezvous hashing. Owns this gateway's view of gateways and holders.
 
 Every gateway ranks all gateways for each bucket alike; the first in the ranking should hold the bucket, and the next
-ones stand in for it after a while. Nothing here makes a lease safe: a wrong view costs time, not correctness.
+ones acquire it where the first does not. Nothing here makes a lease safe: a wrong view costs time, not correctness.
 
-Rendezvous (highest random weight) hashing: Thaler and Ravishankar, 1998. Moments are steady ms of this process.
+Rendezvous (highest random weight) hashing: Thaler and Ravishankar, 1998. Times are steady ms of this process.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 from hallhitch.planes.quota.limits import BUCKET_COUNT
 
-# For so long a bucket stays free for each gateway before this one in its ranking: longer than a claim interval, so
-# that the other one has begun to acquire it.
+# How long each gateway that ranks before this one has to acquire a free bucket: longer than a claim interval, so that
+# it has sent a claim by then.
 ACQUIRE_STAGGER_MS: Final = 350.0
-# After the first view of the gateways nothing is acquired for so long, as the view grows at first.
+# Nothing is acquired for this long after the first view of the gateways, which is still growing.
 VIEW_SETTLING_MS: Final = 300.0
-# After a rejected attempt, at least a claim interval, as the release of its votes goes out with the next claim; the
-# gateways then retry in the order of the ranking, so that votes do not split once more.
+# Delay after a rejected attempt: a claim interval, as the release of its votes goes out with the next claim, and then
+# the stagger for each rank, so that the gateways do not split the votes once more.
 REJECTED_RETRY_MS: Final = 300.0
 RETRY_STAGGER_MS: Final = 100.0
 UNRANKED_RETRY_MS: Final = 500.0  # where this gateway is in no ranking, as after an attempt that timed out
 
-HELD_ELSEWHERE: Final = math.inf  # in place of the moment since which a bucket is free
+HELD_ELSEWHERE: Final = math.inf  # in place of the time since which a bucket is free
 
 
 def rank_gateways(gateways: Iterable[str]) -> list[list[str]]:
@@ -83,11 +83,11 @@
                 self._free_since[bucket] = now
 
     def mark_free(self, now: float, bucket: int) -> None:
-        """Record that this gateway holds a bucket no more."""
+        """Record that this gateway no longer holds a bucket."""
         self._free_since[bucket] = now
 
     def defer(self, bucket: int, until: float) -> None:
-        """Do not acquire a bucket before a moment."""
+        """Do not acquire a bucket before a time."""
         self._retry_at[bucket] = until
 
     def can_acquire(self, now: float) -> bool:
@@ -102,7 +102,7 @@
         return now - max(free_since, self._settled_at) >= ACQUIRE_STAGGER_MS * self._rank(bucket)
 
     def retry_delay_ms(self, bucket: int) -> float:
-        """Return how long to wait after a rejected attempt: the longer, the more gateways should hold the bucket."""
+        """Return how long to wait after a rejected attempt: the longer, the lower this gateway ranks for the bucket."""
         ranking = self._ranking[bucket]
         if self._own_address not in ranking:
             return UNRANKED_RETRY_MS
--- a/hallhitch/planes/quota/coordinator_view.py
+++ b/hallhitch/planes/quota/coordinator_view.py
@@ -29,7 +29,7 @@
         return is_changed
 
     def set_gateway_count(self, coordinator: str, count: int, membership: LeaseMembership) -> None:
-        """Record how many gateways a coordinator has seen, 0 where it cannot say."""
+        """Record how many gateways a coordinator has seen, 0 where it does not know."""
         if count:
             self._gateway_counts[coordinator] = count
         if membership.has_quorum(self._gateway_counts):
--- a/hallhitch/planes/quota/counter_client.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -1,8 +1,8 @@
 """The quota counter as the data plane uses it: one unit for one request, from the holder or the local reserve.
 
-Owns what this gateway observes of each holder as a caller: round-trip time and silence. Invariants: no request is
-admitted unless a holder or the local reserve has counted it; a failed call is a decision, not an error. A unit whose
-call got no response may have been counted, so that the count is at times too high, but not too low.
+Owns what this gateway observes of each holder as a caller: its round-trip time, and whether it responds. Invariants:
+no request is admitted unless a holder or the local reserve has counted it; a failed call leads to a decision, not to an
+error. A unit whose call got no response may have been counted: the count may be too high, but never too low.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 # Time-out of a call to a holder whose round-trip time is not known yet, and of a refund.
 INITIAL_CALL_TIMEOUT_MS: Final = 800.0
-# The least time-out of a call, and so the least time after which silence says something of the holder.
+# The least time-out of a call. A call that had less time and failed does not count against its holder.
 MIN_CALL_TIMEOUT_MS: Final = 200.0
 # Added to the round-trip time's bound; a chosen value.
 CALL_TIMEOUT_SLACK_MS: Final = 50.0
-# A holder that did not respond is left alone for so long; one single call then tries it (a half-open breaker).
+# Time without calls after a holder did not respond; then one trial call at a time (a half-open circuit breaker).
 HOLDER_BACKOFF_MS: Final = 300.0
-# A holder that said that it does not hold a bucket is not asked about that bucket for so long.
+# Time without calls about one bucket after its presumed holder replied that it does not hold it.
 NOT_HOLDER_BACKOFF_MS: Final = 200.0
-# The client's retry delay where nobody could count its request.
+# The client's retry delay where neither a holder nor the reserve could count its request.
 UNAVAILABLE_RETRY_MS: Final = 400.0
-# The least retry delay for a tenant over its limit. Room comes unit by unit, and many wait for it: a client that
-# comes back at once is mostly rejected once more.
+# The least retry delay for a tenant over its limit. Its capacity frees unit by unit, and many requests wait for it: a
+# client that retries at once is mostly rejected again.
 MIN_RETRY_AFTER_MS: Final = 250.0
 
 UNLIMITED: Final = QuotaDecision(is_admitted=True)
@@ -68,21 +68,21 @@
     # Measured apart from the link's own round trip, as long replies on a link delay short ones.
     round_trip: RoundTripEstimate = field(default_factory=RoundTripEstimate)
     last_response_at: float = float("-inf")
-    silent_until: float = 0.0  # 0 = it responded to the last call
+    backoff_until: float = 0.0  # 0 = it responded to the last call
     is_trial_running: bool = False
 
     @property
-    def is_silent(self) -> bool:
+    def is_unresponsive(self) -> bool:
         """Whether it did not respond to the last call."""
-        return self.silent_until > 0
+        return self.backoff_until > 0
 
     def can_call(self, now: float) -> bool:
         """Return whether to call it: always while it responds, else once at a time after the backoff."""
-        is_trial_due = not self.is_trial_running and now >= self.silent_until
-        return is_trial_due or not self.is_silent
+        is_trial_due = not self.is_trial_running and now >= self.backoff_until
+        return is_trial_due or not self.is_unresponsive
 
     def call_timeout_ms(self) -> float:
-        """Return how long nearly every response takes at most."""
+        """Return the time-out of a call, which nearly every response meets."""
         if not self.round_trip.has_samples:
             return INITIAL_CALL_TIMEOUT_MS
         return max(
@@ -91,7 +91,7 @@
 
     def record_response(self, called_at: float, responded_at: float) -> None:
         """Record that a call was answered."""
-        self.silent_until = 0.0
+        self.backoff_until = 0.0
         self.last_response_at = responded_at
         self.round_trip.observe(responded_at - called_at)
 
@@ -100,7 +100,7 @@
         had_enough_time = timeout_ms >= MIN_CALL_TIMEOUT_MS
         has_responded_since = self.last_response_at > called_at
         if had_enough_time and not has_responded_since:
-            self.silent_until = failed_at + HOLDER_BACKOFF_MS
+            self.backoff_until = failed_at + HOLDER_BACKOFF_MS
         self.round_trip.observe(failed_at - called_at)
 
 
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _UnitRequest:
-    """A unit that is asked for at a moment, and how long its request may wait."""
+    """A request for one unit of a tenant's quota, and how long it may take."""
 
     tenant: str
     limit: RateLimit
@@ -198,7 +198,7 @@
 
     async def _ask_holder(self, holder: str, contact: _HolderContact, request: _UnitRequest) -> QuotaDecision:
         """Return the decision by a holder, or by the reserve where it does not respond or cannot count."""
-        contact.is_trial_running = contact.is_silent
+        contact.is_trial_running = contact.is_unresponsive
         try:
             response = await self._count_at_holder(holder, contact, request)
         except PeerCallError:
--- a/hallhitch/planes/quota/held_lease.py
+++ b/hallhitch/planes/quota/held_lease.py
@@ -5,7 +5,7 @@
   membership it also runs for as long as it did before the change.
 - A vote on a claim that was sent before the lease began prolongs nothing (`first_renewal`).
 
-Moments are steady ms of this process.
+Times are steady ms of this process.
 """
 
 from __future__ import annotations
--- a/hallhitch/planes/quota/lease.py
+++ b/hallhitch/planes/quota/lease.py
@@ -2,10 +2,10 @@
 
 The tenants' names are hashed into buckets (`limits.bucket_of`). The gateway that holds the lease on a bucket counts
 the requests of its tenants. A lease is a quorum of unexpired votes, each of one coordinator (`lease_table.py`), as
-the gateway that claimed them reckons it (`lease_client.py`).
+the gateway that claimed them counts it (`lease_client.py`).
 
-Moments (`now`, `*_at`, `*_since`, `*_until`) are ms of the steady clock of the process that keeps them; they never
-cross the network. Lengths are `*_ms`.
+Points in time (`now`, `*_at`, `*_since`, `*_until`) are ms of the steady clock of the process that keeps them; they
+never cross the network. Durations are `*_ms`.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
     age_ms: float
 
     def receive(self, now: float) -> PredecessorReport:
-        """Return the report with the latest moment, by the recipient's clock, at which the coordinator had it."""
+        """Return the report with the latest time, by the recipient's clock, at which the coordinator may have got it."""
         received_at = now - self.age_ms
         return PredecessorReport(self.holder, self.incarnation, self.sequence, self.usage, self.is_final, received_at)
 
@@ -134,7 +134,7 @@
 
     `is_accepted`: False where the claim was stale or addressed to another incarnation, and nothing was voted.
     `idle_ms` goes with the claim's `acquire`, in its order: for how long no other claimant has had this coordinator's
-    vote (0 where rejected). `gateways_seen`: claimants of the last minute; 0 while not all may have been heard.
+    vote (0 where rejected). `gateways_seen`: claimants of the last minute; 0 while some may not have claimed yet.
     `predecessors`: by acquired bucket, where the last holder is known. `membership`: where the claim's was older.
     """
 
--- a/hallhitch/planes/quota/lease_acquisition.py
+++ b/hallhitch/planes/quota/lease_acquisition.py
@@ -4,7 +4,7 @@
 had answered a claim before that moment and answers, in the same incarnation, another claim sent after it. A
 coordinator that restarts forgets its votes, so one round of votes proves nothing.
 
-Moments are steady ms of this process.
+Times are steady ms of this process.
 """
 
 from __future__ import annotations
--- a/hallhitch/planes/quota/lease_client.py
+++ b/hallhitch/planes/quota/lease_client.py
@@ -16,7 +16,7 @@
 votes end within a lease duration; and M1 counts alone only once the cluster state has dropped M0, at least a lease
 duration and a margin later. A gateway may learn of any of this late: its claims of the older membership are rejected.
 
-Joint consensus: Ongaro and Ousterhout (Raft), 2014. Moments are steady ms of this process.
+Joint consensus: Ongaro and Ousterhout (Raft), 2014. Times are steady ms of this process.
 """
 
 from __future__ import annotations
@@ -108,7 +108,7 @@
     def set_membership(self, now: float, membership: LeaseMembership) -> bool:
         """Set whose votes count from now on; return whether it is newer than the last, which is kept otherwise.
 
-        A lease that runs goes on by the votes it has: the gateway might as well have heard of the change later.
+        A running lease continues on the votes it has: the gateway might as well have learned of the change later.
         """
         previous = self._membership
         if membership.version <= previous.version:
@@ -184,7 +184,9 @@
         expires_at = self._vote_expiry(sent)
         for bucket in sent.claim.renew:
             lease = self._held.get(bucket)
-            if bucket in votes.rejected or lease is None or sent.claim.sequence < lease.first_renewal:
+            if lease is None or bucket in votes.rejected:
+                continue
+            if sent.claim.sequence < lease.first_renewal:  # the lease began after this claim was sent
                 continue
             if not self._held.is_running(now, bucket):
                 self._release(now, bucket, has_counted=True)
@@ -199,7 +201,7 @@
             acquisition = self._acquisitions.get(bucket)
             if acquisition is None or sent.claim.sequence < acquisition.first_claim:
                 continue
-            if acquisition.is_timed_out(now):  # a vote may have expired and been given again in so long a time
+            if acquisition.is_timed_out(now):  # by now a vote may have expired and been given again
                 self._abandon(now, bucket, TIMED_OUT_RETRY_MS)
             elif bucket in votes.rejected:
                 claim_at_once |= self._on_rejection(now, bucket, coordinator, acquisition)
--- a/hallhitch/planes/quota/lease_coordinator.py
+++ b/hallhitch/planes/quota/lease_coordinator.py
@@ -16,7 +16,7 @@
 
 
 class LeaseCoordinator:
-    """Votes on claims of gateways; `incarnation` tells this start of the process from its others."""
+    """Votes on claims of gateways; `incarnation` distinguishes this start of the process from others."""
 
     def __init__(self, clock: Callable[[], float] = steady_now, incarnation: int | None = None) -> None:
         self._clock = clock
--- a/hallhitch/planes/quota/lease_release.py
+++ b/hallhitch/planes/quota/lease_release.py
@@ -1,9 +1,9 @@
 """The buckets that a gateway gives up. Owns what its next claims announce of them.
 
 Invariant: a release is announced in every claim of the next lease duration, so that each coordinator that has a vote
-for this gateway hears of it; after that its vote has expired anyway.
+for this gateway may receive it; after that its vote has expired anyway.
 
-Moments are steady ms of this process.
+Times are steady ms of this process.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class PendingReleases:
-    """The releases that coordinators may not have heard of yet, by bucket."""
+    """The releases that coordinators may not have received yet, by bucket."""
 
     def __init__(self) -> None:
         self._releases: dict[int, Release] = {}
@@ -34,7 +34,7 @@
         self._releases[bucket] = release
 
     def cancel(self, bucket: int) -> None:
-        """Announce the release of a bucket no more, as it is to be acquired again."""
+        """Stop announcing the release of a bucket, as it is to be acquired again."""
         self._releases.pop(bucket, None)
 
     def expire(self, now: float) -> None:
--- a/hallhitch/planes/quota/lease_table.py
+++ b/hallhitch/planes/quota/lease_table.py
@@ -28,8 +28,8 @@
 
 # A gateway counts as one that may exist for so long after its last claim: a minute, as LocalReserve remembers counts.
 CLAIMANT_RETENTION_MS: Final = 60_000.0
-# Versions of one change of members in which both sets count (joint, settled). A larger step between two known versions
-# may have skipped a quorum set that was added and dropped in between.
+# Versions of one change of members in which both sets count (joint, then final). A larger step between two known
+# versions may have skipped a quorum set that was added and dropped in between.
 JOINT_VERSIONS_PER_CHANGE: Final = 2
 # Sequence numbers of ended incarnations are removed once there are clearly more than live claimants may have.
 SEQUENCES_PER_CLAIMANT: Final = 4
@@ -126,10 +126,10 @@
         }
 
     def _accept(self, now: float, claim: LeaseClaim) -> bool:
-        """Record a claim; False where it must not be voted on.
+        """Record a claim; return whether it may be voted on.
 
-        A claim that was overtaken would undo a newer one; one for an earlier incarnation of this coordinator builds
-        on votes that are forgotten; one of an older membership may be counted without the members of today.
+        An overtaken claim would undo a newer one; one for an earlier incarnation of this coordinator relies on votes
+        that are forgotten; one of an older membership may be counted without the current members.
         """
         if claim.coordinator_incarnation != self._incarnation or not self._membership.members:
             return False
@@ -220,7 +220,7 @@
             if now - seen_at > CLAIMANT_RETENTION_MS:
                 del self._last_seen_at[address]
         if len(self._last_claims) > SEQUENCES_PER_CLAIMANT * len(self._last_seen_at) + SPARE_SEQUENCES:
-            # No claim of an incarnation that was silent for so long is still in flight.
+            # No claim of an incarnation that has sent none for this long is still in flight.
             self._last_claims = {
                 claimant: last_claim
                 for claimant, last_claim in self._last_claims.items()
--- a/hallhitch/planes/quota/limits.py
+++ b/hallhitch/planes/quota/limits.py
@@ -4,7 +4,7 @@
 tenant. The holder of the tenant's bucket has HOLDER_SHARE of that, the local reserves of all gateways have the rest.
 Invariant: the holder's limit and the sum of all reserves' limits never exceed USABLE_SHARE of the rule's limit.
 
-Units are requests; lengths are ms.
+Units are requests; durations are ms.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 USABLE_SHARE: Final = 0.97
 # Of a reserve. So much is admitted evenly, which is all that a process that has just started may use.
 EVEN_RESERVE_SHARE: Final = 0.8
-# A reserve's short window has room for so many units, or is made longer, as limits are rounded down to whole units.
+# A reserve's short window is made so long that it admits this many units, as limits are rounded down to integers.
 MIN_RESERVE_UNITS: Final = 3.0
-# So many units of a tenant with a large enough burst may come at once, whatever its rate.
+# Units that a tenant with a large enough burst may use at once, whatever its rate.
 SMALL_BURST_UNITS: Final = 30.0
-# The holder's short window has room for so many units: fewer would reject the random waves of an even stream.
+# Units that the holder's short window admits at least: fewer would reject the random fluctuation of an even stream.
 MIN_HOLDER_WINDOW_UNITS: Final = 20.0
 # A new process waits out one short window of its reserve, so that window is short, but longer than a network delay.
 MIN_RESERVE_WINDOW_MS: Final = 250.0
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantLimits:
-    """What a tenant is given by all parts together: in a short window, and in the rule's window."""
+    """What holder and reserves together may admit of a tenant: in a short window, and in the rule's window."""
 
     short: WindowLimit
     full_units: float
@@ -102,10 +102,10 @@
     def holder_short_window(self, limit: RateLimit, max_gateways: int = 0) -> WindowLimit:
         """Return a shorter window for the holder, with its share of the holder's limit.
 
-        So a tenant over its limit is admitted evenly, not all at once and then not at all, and a new holder that
-        knows nothing of the past waits for little more than that window. The more room it has on top for the waves of
-        a random stream, the sooner all of the holder's limit may have been used up before; the reserves absorb waves
-        too.
+        A tenant over its limit is then admitted evenly rather than in one burst a window, and a new holder without a
+        usage report waits for little more than the short window. On top of the share comes its square root, for the
+        fluctuation of a random stream. More would let the holder's limit be used up sooner, and the reserves absorb
+        fluctuation too.
         """
         holder_limit = self.holder_limit(limit, max_gateways)
         max_windows = min(int(self.window_ms / MIN_HOLDER_WINDOW_MS), int(holder_limit / MIN_HOLDER_WINDOW_UNITS))
@@ -114,11 +114,11 @@
         return WindowLimit(self.window_ms / windows, min(share + math.sqrt(share), holder_limit))
 
     def tenant_limits(self, limit: RateLimit, max_gateways: int = 0) -> TenantLimits:
-        """Return what a tenant is given of all parts together.
+        """Return what holder and reserves together may admit of a tenant.
 
-        A token bucket would have a window of burst over rate with the burst as its limit. The short window, which is
-        the holder's, has its share of that, and room for the waves of a random stream and for small bursts. In a
-        longer one all that is admitted would come at once, more than holder and reserves have room for just then.
+        The short window is as long as the holder's. It admits the configured rate and, for the fluctuation of a random
+        stream, twice the square root of that and two units; or a small burst where that is more. A longer window would
+        admit its units all at once, more than holder and reserves have capacity for at that time.
         """
         window_ms = self.holder_short_window(limit, max_gateways).window_ms
         full_units = self._configured_units(limit)
@@ -129,9 +129,9 @@
     def reserve_limits(self, limit: RateLimit, gateways: float) -> ReserveLimits:
         """Return one gateway's reserve where there are at most so many gateways.
 
-        The short window divides the rule's window without remainder, so that no more fits into that than
-        EVEN_RESERVE_SHARE of the reserve. It is as short as a few units still fit into it, as a process that starts
-        waits it out. The rest of the reserve may be used at once, where a holder has died.
+        The short window divides the rule's window without remainder, so that the latter admits no more than
+        EVEN_RESERVE_SHARE of the reserve. It is as short as MIN_RESERVE_UNITS allow, as a process that starts waits it
+        out. The rest of the reserve may be used at once, where a holder has died.
         """
         reserve_limit = self._reserve_limit(limit, gateways)
         if reserve_limit < MIN_RESERVE_UNITS:
--- a/hallhitch/planes/quota/local_reserve.py
+++ b/hallhitch/planes/quota/local_reserve.py
@@ -6,7 +6,7 @@
 of coordinators has reported a count. A new process waits out a window before it uses its share of it, as its last
 incarnation may have used it.
 
-Moments are steady ms of this process.
+Times are steady ms of this process.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _TenantReserve:
-    """The units of one tenant in the windows. Single moments: they are few, slots would take more memory."""
+    """The units of one tenant in the windows, each by itself: they are few, and slots would take more memory."""
 
     even: deque[_AdmittedUnit] = field(default_factory=deque)
     at_once: deque[_AdmittedUnit] = field(default_factory=deque)
@@ -63,7 +63,8 @@
     def observe_gateways(self, now: float, gateways: int, *, is_quorum: bool) -> None:
         """Record a number of gateways that may exist; a single process may know of few, a quorum of most."""
         is_first_window_over = now - self._started_at > self._quota.window_ms
-        if is_quorum and gateways > 0 and is_first_window_over:
+        is_quorum_count = is_quorum and gateways > 0
+        if is_quorum_count and is_first_window_over:
             self._has_quorum_count = True
         if now - self._span_began_at > GATEWAY_COUNT_MEMORY_MS:
             self._gateways_seen_before = self._gateways_seen
@@ -98,7 +99,7 @@
                     return
 
     def drop_expired(self, now: float) -> None:
-        """Remove the windows in which no unit lies any more."""
+        """Remove the reserves whose units have all left their windows."""
         for tenant, reserve in [*self._reserves.items()]:
             if all(not window or now - window[-1].admitted_at > self._quota.window_ms for window in reserve.windows):
                 del self._reserves[tenant]
--- a/hallhitch/planes/quota/plane.py
+++ b/hallhitch/planes/quota/plane.py
@@ -1,6 +1,6 @@
 """The quota plane of one gateway: message handlers, and the loop that sends claims. Decides nothing itself.
 
-Owns the claim loop and the claims in flight. Lengths are ms.
+Owns the claim loop and the claims in flight. Durations are ms.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 IDLE_CLAIM_INTERVAL_MS: Final = 900.0  # where the claim is a heartbeat only: more than one in each lease duration
 MIN_CLAIM_GAP_MS: Final = 20.0  # votes of several coordinators that come together are answered by one claim
 CLAIM_TIMEOUT_MS: Final = 700.0  # as long as an attempt to acquire (lease_acquisition.ACQUIRE_TIMEOUT_MS)
-MAX_CLAIMS_IN_FLIGHT: Final = 3  # to one coordinator: those of CLAIM_TIMEOUT_MS, if it is silent
+MAX_CLAIMS_IN_FLIGHT: Final = 3  # to one coordinator: as many as are sent in CLAIM_TIMEOUT_MS without a response
 MAX_RELEASE_CLAIMS: Final = 2  # at shutdown: the response to the first may name a newer membership or incarnation
-RESERVE_CLEANUP_INTERVAL_MS: Final = 20_000.0  # of memory only: a few windows
+RESERVE_CLEANUP_INTERVAL_MS: Final = 20_000.0  # a few windows; frees memory, decides nothing
 
 
 class QuotaPlane:
