--- a/hallhitch/planes/control/acceptor.py
+++ b/hallhitch/planes/control/acceptor.py
@@ -1,7 +1,7 @@
 """The acceptor of a coordinator: decisions of `acceptor_state`, one after another, each on disk before its reply.
 
 Invariants.
-- *Durable before visible*: `DurableAcceptor.state` is what the disk holds, and no reply tells of more.
+- *Durable before visible*: `DurableAcceptor.state` is what the disk holds, and no reply reveals more than that.
 - *No blocking*: the event loop never waits for the disk (see `storage_thread`), and no queue grows behind a disk that
   hangs: a request that has waited for `QUEUE_TIMEOUT_MS` is given up.
 """
@@ -22,7 +22,8 @@
 from hallhitch.planes.control.state_store import LoadResult, StateStore
 from hallhitch.planes.control.storage_thread import BlockingRunner
 
-QUEUE_TIMEOUT_MS: Final = 1500.0  # above the 850 ms of an operator's change: nobody waits for the reply any more
+# Above operator_api.ORDER_TIMEOUT_MS (850), so that whoever sent an operator's change has given up by then.
+QUEUE_TIMEOUT_MS: Final = 1500.0
 
 STORAGE_STEP: Final = "keep"  # the step that errors name; part of the error replies that peers get
 
@@ -33,7 +34,7 @@
     def __init__(self, address: str, store: StateStore | None, run: BlockingRunner, clock: Callable[[], float]) -> None:
         self.state = AcceptorState(address, is_recovering=True)
         self.rivals = RivalBallots(address)
-        self.rival_ended = asyncio.Event()  # set once an accept ends what proposers wait for; cleared by who waits
+        self.rival_ended = asyncio.Event()  # set by the accept of a rival ballot; the waiting proposer clears it
         self._store, self._run, self._clock = store, run, clock
         self._lock = asyncio.Lock()  # held while a request is decided and written
         self._tasks: set[asyncio.Future[Any]] = set()
@@ -91,7 +92,7 @@
             if after is self.state:  # nothing to write, so readers need not wait for a disk that hangs
                 return Envelope(acceptor_report=report)
         self._record_contention(request)
-        # Shielded: the write goes on where the caller leaves, and no other request is decided before its end.
+        # Shielded: the write completes though the caller leaves, and no other request is decided before that.
         return await asyncio.shield(self._start_task(self._handle_in_turn(request)))
 
     async def accept_from_peer(self, ballot: BallotMessage, state: ClusterState) -> None:
@@ -106,7 +107,7 @@
             self.rival_ended.set()
 
     async def _handle_in_turn(self, request: Envelope) -> Envelope:
-        """Answer a request after those before it, unless that takes too long."""
+        """Answer a request once those before it are answered, unless that takes too long."""
         arrived_ms = self._clock()
         try:
             async with asyncio.timeout(QUEUE_TIMEOUT_MS / 1000):
--- a/hallhitch/planes/control/acceptor_state.py
+++ b/hallhitch/planes/control/acceptor_state.py
@@ -2,8 +2,8 @@
 
 Invariants.
 - *Monotonic*: `promised` never falls, and `accepted <= promised`.
-- *Durable before visible*: each method returns the state after a message beside the reply. The caller writes the state
-  to disk before it sends the reply (see `acceptor`); this module knows no clock, socket or disk.
+- *Durable before visible*: each method returns an `Answer`, the state after a message beside the reply. The caller
+  writes the state to disk before it sends the reply (see `acceptor`); this module knows no clock, socket or disk.
 - *No vote without memory*: a recovering replica, which does not know what it voted before, grants nothing.
 
 Incarnations. A replica that lost its disk may have promised and accepted what it no longer knows, and a slow proposer
@@ -18,7 +18,7 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
-from typing import Final
+from typing import Final, Generic, NamedTuple, TypeVar
 
 from hallhitch.messages.system_pb2 import (
     Accept,
@@ -38,10 +38,22 @@
 # few matter at a time; the bound keeps addresses that are never seen again from piling up.
 MAX_NON_MEMBER_INCARNATIONS: Final = 16
 
+ReplyT = TypeVar("ReplyT", Promise, Accepted, AcceptorReport)
+
+
+class Answer(NamedTuple, Generic[ReplyT]):
+    """The state after a message, and the reply to it, which is sent once that state is on disk.
+
+    `state_after` is the very object that answered where the message changes nothing, so that nothing is written.
+    """
+
+    state_after: AcceptorState
+    reply: ReplyT
+
 
 @dataclass(frozen=True, slots=True)
 class AcceptorState:
-    """What one replica has promised and accepted; replaced as a whole by each change."""
+    """What one replica has promised and accepted; each change makes a new value."""
 
     address: str
     promised: Ballot = INITIAL_BALLOT
@@ -55,48 +67,48 @@
         """The state that this replica holds and its ballot; no state where it is recovering."""
         return BallotedState() if self.is_recovering else BallotedState(self.accepted, self.state)
 
-    def prepare(self, request: Prepare) -> tuple[AcceptorState, Promise]:
-        """Promise to refuse lower ballots and report the accepted state, or refuse; return the state after it."""
+    def prepare(self, request: Prepare) -> Answer[Promise]:
+        """Promise to refuse lower ballots and report the accepted state, or refuse."""
         if self.is_recovering:
-            return self, Promise(is_recovering=True, incarnations=self.incarnations)
+            return Answer(self, Promise(is_recovering=True, incarnations=self.incarnations))
         ballot = Ballot.from_message(request.ballot)
         accepted = self.accepted.to_message()
         if ballot <= self.promised:
             refusal = Promise(promised=self.promised.to_message(), accepted=accepted, incarnations=self.incarnations)
-            return self, refusal
+            return Answer(self, refusal)
         promise = Promise(ok=True, promised=request.ballot, accepted=accepted, incarnations=self.incarnations)
         if self._must_send_state(request.known_ballot):
             promise.state.CopyFrom(self.state)
-        return replace(self, promised=ballot), promise
+        return Answer(replace(self, promised=ballot), promise)
 
-    def accept(self, request: Accept) -> tuple[AcceptorState, Accepted]:
-        """Accept a state unless a higher ballot was promised; return the state after it.
+    def accept(self, request: Accept) -> Answer[Accepted]:
+        """Accept a state unless a higher ballot was promised.
 
-        The request may come from any process that met the proposal, not only from its proposer.
+        The request may come from any process that has seen the proposal, not only from its proposer.
         """
         if self.is_recovering:
-            return self, Accepted(is_recovering=True, incarnations=self.incarnations)
+            return Answer(self, Accepted(is_recovering=True, incarnations=self.incarnations))
         ballot = Ballot.from_message(request.ballot)
         refusal = Accepted(promised=self.promised.to_message(), incarnations=self.incarnations)
         if ballot < self.promised:
-            return self, refusal
+            return Answer(self, refusal)
         acceptance = Accepted(ok=True, promised=request.ballot, incarnations=self.incarnations)
         if ballot == self.accepted:
-            return self, acceptance
+            return Answer(self, acceptance)
         state = request.state
         if request.HasField("base_ballot"):
             if Ballot.from_message(request.base_ballot) != self.accepted:
-                return self, refusal
+                return Answer(self, refusal)
             state = apply_delta(state, self.state)
-        return replace(self, promised=ballot, accepted=ballot, state=state), acceptance
+        return Answer(replace(self, promised=ballot, accepted=ballot, state=state), acceptance)
 
-    def report(self, query: AcceptorQuery) -> tuple[AcceptorState, AcceptorReport]:
-        """Report what is promised and accepted; return the state after it.
+    def report(self, query: AcceptorQuery) -> Answer[AcceptorReport]:
+        """Report what is promised and accepted.
 
         The state changes only where the query names a newer incarnation of the replica that sent it.
         """
         if self.is_recovering:
-            return self, AcceptorReport(incarnations=self.incarnations)
+            return Answer(self, AcceptorReport(incarnations=self.incarnations))
         after = self
         if query.incarnation > self.incarnations.get(query.address, 0):
             after = replace(self, incarnations=self._with_incarnation(query.address, query.incarnation))
@@ -108,7 +120,7 @@
         )
         if self._must_send_state(query.known_ballot):
             report.state.CopyFrom(self.state)
-        return after, report
+        return Answer(after, report)
 
     def _must_send_state(self, known_ballot: BallotMessage) -> bool:
         """Return whether the sender lacks the state: it holds another ballot, or the ballot does not identify it."""
--- a/hallhitch/planes/control/ballot.py
+++ b/hallhitch/planes/control/ballot.py
@@ -38,7 +38,7 @@
 class BallotedState:
     """A cluster state and the ballot under which it was accepted; not to be changed.
 
-    The default stands for no state: it has no members and the initial ballot.
+    The default represents the absence of a state: it has no members and the initial ballot.
     """
 
     ballot: Ballot = INITIAL_BALLOT
--- a/hallhitch/planes/control/ballot_attempt.py
+++ b/hallhitch/planes/control/ballot_attempt.py
@@ -25,7 +25,7 @@
     SendAccepts,
 )
 
-PREPARE_TIMEOUT_MS: Final = 900.0  # above the 850 ms that an operator's change is given: later promises serve nobody
+PREPARE_TIMEOUT_MS: Final = 900.0  # above operator_api.ORDER_TIMEOUT_MS (850): later promises come too late to be used
 ACCEPT_TIMEOUT_MS: Final = 2500.0  # an accept may carry a large configuration over a slow link
 SPARE_ACCEPTS_WAIT_MS: Final = 150.0  # for the accepts beyond a majority, so that more disks than needed hold a change
 REPLY_MARGIN_MS: Final = 20.0  # before the first caller's deadline, in which nothing more is waited for
@@ -76,7 +76,7 @@
         self._unanswered = set(proposal.recipients)
         self._prepares_sent_ms = math.inf
         self._has_measured_phase = False
-        self._refusal_deadline_ms = math.inf  # set by the first refusal: silent replicas are not waited for long
+        self._refusal_deadline_ms = math.inf  # set by the first refusal: unresponsive replicas are not waited for long
 
     async def run(self) -> BallotResult:
         """Send the messages until the outcome is clear."""
@@ -111,7 +111,8 @@
                 return result
         elif self._on_accept_answer(answer):
             return self._commit()
-        if proposal.has_failed() or (answer.is_refusal and self._is_overtaken()):
+        is_overtaken = answer.is_refusal and self._is_overtaken()
+        if is_overtaken or proposal.has_failed():
             return Abandoned()
         if answer.is_refusal:
             deadline_ms = self._context.clock() + self._context.phase.rival_timeout_ms
--- a/hallhitch/planes/control/config_digests.py
+++ b/hallhitch/planes/control/config_digests.py
@@ -1,4 +1,4 @@
-"""Which content each configuration version stands for, by the digests of the newest configurations taken.
+"""Which content each configuration version has, by the digests of the newest committed configurations.
 
 Owns the comparison of contents and the outcome of a change that an operator sent. Invariants.
 - *One content a version*: a content is confirmed under a version only if the committed state recorded its digest there.
@@ -17,12 +17,12 @@
 from hallhitch.messages.system_pb2 import ClusterState, ConfigDigest
 
 MAX_CONFIG_DIGESTS: Final = 256  # more changes than an operator resends within `ackTimeout`; some 6 kB of state
-DIGEST_BYTES: Final = 16  # contents meet by chance once in 2**64 configurations
-MAX_EXACT_INTEGER: Final = 2.0**53  # below this each integer is a float of its own
+DIGEST_BYTES: Final = 16  # two contents collide by chance among some 2**64 configurations
+MAX_EXACT_INTEGER: Final = 2.0**53  # below this a float represents each integer exactly
 
 
 class ConfigOutcome(enum.Enum):
-    """What the committed state says of a configuration that an operator sent; the values are the API's."""
+    """What became of a configuration that an operator sent, by the committed state; the values are the API's."""
 
     RECORDED = "recorded"  # this content was taken under its version; a newer one may be in force since
     SUPERSEDED = "superseded"  # its version is not above the one in force, and not among those kept
--- a/hallhitch/planes/control/contention.py
+++ b/hallhitch/planes/control/contention.py
@@ -19,7 +19,7 @@
 
 INITIAL_PHASE_MS: Final = 150.0  # assumed before a phase was measured: the longest round trip between regions
 MIN_RIVAL_TIMEOUT_MS: Final = 20.0
-MAX_RIVAL_TIMEOUT_MS: Final = 400.0  # under half of what an operator's change is given
+MAX_RIVAL_TIMEOUT_MS: Final = 400.0  # under half of operator_api.ORDER_TIMEOUT_MS
 RIVAL_TIMEOUT_PHASES: Final = 2.0  # own phases that a rival is given: its way to a majority may be longer
 PHASE_DECAY_RATIO: Final = 0.8  # of the longest phase measured that still counts after a shorter one
 
@@ -34,13 +34,13 @@
         self._prepared_at_ms = float("-inf")
 
     def record_prepare(self, ballot: Ballot, now_ms: float) -> None:
-        """Record a prepare that arrived, or that an answer told of."""
+        """Record a prepare that arrived, or that a peer's refusal names."""
         is_own = ballot.proposer.rpartition("#")[0] == self._address
         if ballot > self.prepared and not is_own:
             self.prepared, self._prepared_at_ms = ballot, now_ms
 
     def record_accept(self, ballot: Ballot) -> bool:
-        """Record an accept likewise; return whether it ends the ballot that others wait for."""
+        """Record an accept likewise; return whether it ends the rival ballot that is waited for."""
         ends_rival = self.accepted < self.prepared <= ballot
         self.accepted = max(self.accepted, ballot)
         return ends_rival
--- a/hallhitch/planes/control/member_calls.py
+++ b/hallhitch/planes/control/member_calls.py
@@ -25,7 +25,7 @@
 
     @property
     def is_refusal(self) -> bool:
-        """Whether the replica has met a higher ballot."""
+        """Whether the replica refused because it knows a higher ballot."""
         if self.envelope.HasField("promise"):
             promise = self.envelope.promise
             return not promise.ok and not promise.is_recovering
--- a/hallhitch/planes/control/membership.py
+++ b/hallhitch/planes/control/membership.py
@@ -65,8 +65,8 @@
 
 
 def has_founding_conflict(own: BallotedState, peer: BallotedState) -> bool:
-    """Return whether two states that no ballot ever changed were founded with different members."""
-    if not own.ballot == peer.ballot == INITIAL_BALLOT:
+    """Return whether two founding states, which no ballot has changed yet, name different members."""
+    if own.ballot != INITIAL_BALLOT or peer.ballot != INITIAL_BALLOT:
         return False
     if not own.state.members or not peer.state.members:
         return False
--- a/hallhitch/planes/control/pending_changes.py
+++ b/hallhitch/planes/control/pending_changes.py
@@ -1,11 +1,11 @@
 """The changes whose callers wait, and what the ballot under way has applied of them. No I/O; the clock is handed in.
 
 Invariants.
-- *No change without its caller*: a change is applied only while its caller waits, judged by the clock as well: a
-  process that was suspended finds the end of a change by the clock before its time-out has run. `state_transitions`
-  says why a change that comes late must not be applied.
+- *No change without its caller*: a change is applied only while its caller waits and its deadline has not passed by the
+  clock. The clock is read as well, because in a process that was suspended the time-out may not have fired yet. For why
+  a late change is not applied see `state_transitions`.
 - *No read from old promises*: a read is applied only by a ballot that began after it was requested, as promises may be
-  older than the read, and a ballot that writes nothing would not show what was accepted in between.
+  older than the read, and a ballot that writes nothing would not reveal what was accepted in between.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
     @property
     def has_caller(self) -> bool:
-        """Whether anybody waits for the ballot under way."""
+        """Whether a caller still waits for a change that the ballot under way has applied, or may yet apply."""
         return any(change in self._waiting for change in self._applied or self._waiting)
 
     @property
@@ -86,7 +86,7 @@
     def apply(self, state: ClusterState, can_change_members: bool) -> ClusterState:
         """Return the state after all changes that may be applied, one after another.
 
-        A change of members that may not be made on top of the current ones leaves the other changes alone.
+        A change of members that may not be made on top of the current ones is left out, and the others are applied.
         """
         for change in self._waiting:
             if change.outcome.done() or self._clock() >= change.deadline_ms:
--- a/hallhitch/planes/control/proposal.py
+++ b/hallhitch/planes/control/proposal.py
@@ -184,9 +184,9 @@
     def _find_newest_state(self, voters: set[str]) -> BallotedState:
         """Return the newest of the basis and the states that the voters hold.
 
-        The basis may be newer than all that its own members hold: the end of a change of members that only a replica
-        which left has accepted. A state chosen later would have been found, so the basis is as good as found. Without
-        it, its members and those before them would be prepared in turn for ever.
+        The basis may be newer than all that its own members hold: the end of a change of members, accepted only by a
+        replica that the change removes. A state chosen after it would show among the promises, so building on the basis
+        loses nothing. Without it, its members and those before them would be prepared in turn without end.
         """
         candidates = [self._basis, *(self._promised_states[voter] for voter in voters)]
         return max(candidates, key=lambda candidate: candidate.ballot)
--- a/hallhitch/planes/control/proposer.py
+++ b/hallhitch/planes/control/proposer.py
@@ -27,8 +27,8 @@
 from hallhitch.planes.control.proposal import FoundingConflict, MembershipChanged, Proposal
 from hallhitch.planes.control.state_transitions import StateTransition
 
-# Backoff between ballots that came to nothing: from about a round trip between regions up to a few of them. The pause
-# is drawn from this part of it to the whole, so that proposers which failed together do not begin together again.
+# Backoff between ballots that failed: from about a round trip between regions up to a few of them. The pause is drawn
+# from MIN_BACKOFF_RATIO of it up to all of it, so that proposers which failed together do not begin together again.
 INITIAL_BACKOFF_MS: Final = 20.0
 MAX_BACKOFF_MS: Final = 200.0
 MIN_BACKOFF_RATIO: Final = 0.2
@@ -49,7 +49,7 @@
 
 
 class Proposer:
-    """Puts changes to the consensus. `incarnation` tells this process from earlier ones of its machine."""
+    """Puts changes to the consensus. `incarnation` distinguishes this process from earlier ones of its machine."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
             self._work.cancel()
 
     def _withdraw(self, change: PendingChange) -> None:
-        """Remove a change; a ballot for which nobody waits any more ends, as others may wait behind it."""
+        """Remove a change; cancel the ballot under way if no caller is left, as later changes wait for its end."""
         self._pending.discard(change)
         if self._ballot is not None and not self._pending.has_caller:
             self._ballot.cancel()
@@ -124,14 +124,16 @@
                 continue
             restarts += 1
             may_restart_at_once = restart_from is not None and restarts <= MAX_IMMEDIATE_RESTARTS
-            if self._pending and not may_restart_at_once and self._context.rival_wait_ms() <= 0:
+            if may_restart_at_once or not self._pending:
+                continue
+            if self._context.rival_wait_ms() <= 0:  # otherwise the wait for the rival is pause enough
                 await self._back_off(backoff_ms)
                 backoff_ms = min(2 * backoff_ms, MAX_BACKOFF_MS)
 
     async def _back_off(self, backoff_ms: float) -> None:
         """Sleep for a random part of the backoff, which is at least as long as the ballot took, within the maximum.
 
-        Over long ways, proposers that began again sooner would chase each other for ever.
+        With long round trips, proposers that began again sooner would undo each other's ballots again and again.
         """
         longest_ms = max(backoff_ms, min(self._clock() - self.ballot_started_ms, MAX_BACKOFF_MS))
         await asyncio.sleep(self._rng.uniform(MIN_BACKOFF_RATIO, 1.0) * longest_ms / 1000)
@@ -155,7 +157,7 @@
             this_task = asyncio.current_task()
             if this_task is not None and this_task.cancelling():
                 raise  # the process ends, not only this ballot
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  # a fault in one ballot ends that ballot, not the proposer
             self._log.exception("ballot failed", error)
         finally:
             self._ballot = None
--- a/hallhitch/planes/control/recovery_quorum.py
+++ b/hallhitch/planes/control/recovery_quorum.py
@@ -56,10 +56,10 @@
         return max(accepted, key=lambda balloted: balloted.ballot, default=BallotedState())
 
     def _is_set_covered(self, members: frozenset[str]) -> bool:
-        """Return whether too few are silent for a majority of this set to consist of them and this replica."""
+        """Return whether the members without a report are too few to form a majority together with this replica."""
         peers = members - {self.address}
         if not peers:
-            return True  # this replica was the only member: what others know of its state is all there is
+            return True  # this replica was the only member: nobody else can report what it accepted
         majority = len(members) // 2 + 1
         peers_in_majority = majority - (self.address in members)
         return len(peers & self._reports.keys()) >= len(peers) - peers_in_majority + 1
--- a/hallhitch/planes/control/state_recovery.py
+++ b/hallhitch/planes/control/state_recovery.py
@@ -26,7 +26,8 @@
 class StateRecovery:
     """Founding and recovery of one replica.
 
-    `other_replicas` returns whom to query; `query_peer` queries one of them and returns None where it does not answer.
+    `other_replicas` returns the addresses to query; `query_peer` returns a replica's report, None where it does not
+    answer.
     """
 
     def __init__(
--- a/hallhitch/planes/control/state_store.py
+++ b/hallhitch/planes/control/state_store.py
@@ -42,13 +42,13 @@
 STORED_STATE_KEY: Final = b"value"  # of a generation: the ClusterState without its configuration
 STORED_CONTENT_KEY: Final = b"content"  # of a generation: the content database's name; of that one: the configuration
 
-RECORD_DIGEST_BYTES: Final = 16  # before each record; torn bytes pass for whole ones by chance once in 2**128
+RECORD_DIGEST_BYTES: Final = 16  # before each record; a torn record passes the check by chance once in 2**128
 FOUNDING_GENERATION: Final = 1
 
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What a start found on the disk."""
+    """What a starting process read from the disk."""
 
     state: AcceptorState | None  # to go on from; None where no generation is usable
     is_empty: bool  # whether the directory holds nothing that any vote was written to
@@ -73,7 +73,7 @@
         self._storage = storage
         self._address, self._cluster = address, cluster
         self._number = 0  # of the newest generation that was ever begun
-        self._synced_contents: set[str] = set()  # databases of contents that are surely on the disk
+        self._synced_contents: set[str] = set()  # content databases known to be on the disk
         self._durable: _Generation | None = None  # the newest generation that is
 
     def load(self) -> LoadResult:
@@ -163,7 +163,11 @@
                 self._storage.remove_file(f"{database}{suffix}")
 
     def _read_generation(self, number: int) -> AcceptorState:
-        """Read a generation and its content; raises CorruptDatabaseError."""
+        """Read a generation and its content.
+
+        Raises:
+            CorruptDatabaseError: a database cannot be read, or is not what its name says.
+        """
         database = _generation_name(number)
         records = self._read_database(database)
         try:
@@ -185,15 +189,23 @@
         return replace(acceptor_state, state=state)
 
     def _read_database(self, database: str) -> dict[bytes, bytes]:
-        """Read the verified records of a database; raises CorruptDatabaseError."""
+        """Read the verified records of a database.
+
+        Raises:
+            CorruptDatabaseError: the database cannot be read, or a record is torn or not this replica's.
+        """
         try:
             stored = self._storage.read_database(database)
-        except Exception as error:  # the reader raises whatever a torn index makes of it
+        except Exception as error:  # noqa: BLE001  # dbm.dumb evaluates the index: a torn one raises anything
             raise CorruptDatabaseError(database, f"cannot be read: {type(error).__name__}: {error}") from None
         return self._verify_records(database, stored)
 
     def _verify_records(self, database: str, stored: Mapping[bytes, bytes]) -> dict[bytes, bytes]:
-        """Return the records without their digests; raises CorruptDatabaseError."""
+        """Return the records without their digests.
+
+        Raises:
+            CorruptDatabaseError: a record is torn or not this replica's.
+        """
         records = {}
         for key, stored_record in stored.items():
             digest, record = stored_record[:RECORD_DIGEST_BYTES], stored_record[RECORD_DIGEST_BYTES:]
--- a/hallhitch/planes/control/storage.py
+++ b/hallhitch/planes/control/storage.py
@@ -1,7 +1,7 @@
 """The data directory of a replica: `dbm.dumb` databases that are written once, and explicit syncs.
 
-`dbm.dumb` is part of the standard library; it neither syncs its files nor survives a torn write. Both are the matter of
-`state_store`, which decides what is synced when and detects torn records.
+`dbm.dumb` is part of the standard library; it neither syncs its files nor survives a torn write. `state_store` handles
+both: it decides what is synced when, and detects torn records.
 """
 
 from __future__ import annotations
@@ -26,7 +26,11 @@
         """Write a new database under a base name; nothing of it is synced."""
 
     def read_database(self, base: str) -> dict[bytes, bytes]:
-        """Return all records of a database; raises any exception where it is torn."""
+        """Return all records of a database.
+
+        Raises:
+            Exception: of any type, where the database is torn.
+        """
 
     def sync_file(self, name: str) -> None:
         """Sync the content of one file to the disk."""
--- a/hallhitch/planes/control/storage_thread.py
+++ b/hallhitch/planes/control/storage_thread.py
@@ -13,7 +13,7 @@
 class StorageThread:
     """A thread for blocking calls, one after another; started by the first of them.
 
-    It is a daemon: a disk may hang for long, and the process ends all the same.
+    It is a daemon thread: a disk that hangs does not keep the process from exiting.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,11 @@
         self._thread: threading.Thread | None = None
 
     async def run(self, call: Callable[[], None]) -> None:
-        """Run the call in the thread and wait for it; raises what it raised."""
+        """Run the call in the thread and wait for it.
+
+        Raises:
+            Exception: whatever the call raised.
+        """
         if self._thread is None:
             self._thread = threading.Thread(target=self._run_jobs, name="disk", daemon=True)
             self._thread.start()
@@ -32,7 +36,7 @@
             failure: Exception | None = None
             try:
                 call()
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001  # the thread's outermost edge: `run` raises it to the caller
                 failure = error
             try:
                 loop.call_soon_threadsafe(_complete, done, failure)
--- a/hallhitch/planes/control/vote_eligibility.py
+++ b/hallhitch/planes/control/vote_eligibility.py
@@ -20,7 +20,7 @@
 
 
 class VoteEligibility:
-    """The findings against this replica in the reports of others."""
+    """What the reports of other replicas say against this one."""
 
     def __init__(self, address: str, acceptor: DurableAcceptor) -> None:
         self._address, self._acceptor = address, acceptor
--- a/hallhitch/planes/control/vote_tally.py
+++ b/hallhitch/planes/control/vote_tally.py
@@ -20,14 +20,14 @@
         self._granted: dict[str, dict[str, int]] = {}  # the incarnations that came with each granted vote
 
     def add(self, member: str, is_granted: bool, incarnations: Mapping[str, int]) -> None:
-        """Count the answer of a member, with the incarnations that it knows."""
+        """Count the answer of a member, with the incarnations of replicas that it knows."""
         if is_granted:
             self._granted[member] = dict(incarnations)
         else:
             self.refusals.add(member)
 
     def valid_votes(self) -> set[str]:
-        """Return the members whose votes were granted and are not void."""
+        """Return the members that granted their vote, without those whose vote is void."""
         return {
             member
             for member, incarnations in self._granted.items()
--- a/hallhitch/planes/quota/lease.py
+++ b/hallhitch/planes/quota/lease.py
@@ -81,7 +81,7 @@
     age_ms: float
 
     def receive(self, now: float) -> PredecessorReport:
-        """Return the report with the latest time, by the recipient's clock, at which the coordinator may have got it."""
+        """Return the report as received at the latest time, by the recipient's clock, that its age allows."""
         received_at = now - self.age_ms
         return PredecessorReport(self.holder, self.incarnation, self.sequence, self.usage, self.is_final, received_at)
 
