--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -295,7 +295,7 @@
     def build() -> LoadBalancer:
         balancer = LoadBalancer(LoadBalancerSettings(own.name, own.zone, own.region), random.Random(1))
         balancer.set_config(0.0, config)
-        balancer.set_gateways(0.0, own.name, [own, *peers])
+        balancer.set_gateways(0.0, [own, *peers])
         balancer.set_backends(0.0, entries)
         return balancer
 
--- a/hallhitch/lab/data_plane_comparison.py
+++ b/hallhitch/lab/data_plane_comparison.py
@@ -50,7 +50,7 @@
     def set_backends(self, now: float, entries: Sequence[Backend]) -> None:
         """Not needed."""
 
-    def set_gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
+    def set_gateways(self, now: float, entries: Sequence[Gateway]) -> None:
         """Not needed."""
 
     def set_config(self, now: float, config: ClusterConfig) -> None:
--- a/hallhitch/lab/data_plane_model.py
+++ b/hallhitch/lab/data_plane_model.py
@@ -43,7 +43,7 @@
         for gateway in cluster.gateways:
             policy = make_policy(cluster, _settings(gateway), Random(cluster.rng.random()))
             self.policies[gateway.name] = policy
-            cluster.env.process(self._publish_lists(gateway, policy))
+            cluster.env.process(self._publish_lists(policy))
         for request_class in MIX:
             for zone in cluster.region_by_zone:
                 cluster.env.process(self._clients(request_class, zone))
@@ -68,7 +68,7 @@
                 result.retry_budget_use = max(result.retry_budget_use, retries / allowed)
         return result
 
-    def _publish_lists(self, gateway: Gateway, policy: LoadBalancingPolicy[Any]) -> SimProcess:
+    def _publish_lists(self, policy: LoadBalancingPolicy[Any]) -> SimProcess:
         """Keep one gateway's lists and configuration up to date, each list with a lag."""
         cluster = self.cluster
         policy.set_config(cluster.now(), cluster.config())
@@ -77,7 +77,7 @@
             entries = self._endpoint_list()
             yield cluster.env.timeout(MAX_LIST_LAG_MS * cluster.rng.random())
             policy.set_backends(cluster.now(), entries)
-            policy.set_gateways(cluster.now(), gateway.name, cluster.gateways)
+            policy.set_gateways(cluster.now(), cluster.gateways)
             if evacuated_zones != cluster.evacuated_zones:
                 evacuated_zones = cluster.evacuated_zones
                 policy.set_config(cluster.now(), cluster.config())
--- a/hallhitch/planes/data/interfaces.py
+++ b/hallhitch/planes/data/interfaces.py
@@ -95,8 +95,8 @@
     def set_backends(self, now: float, entries: Sequence[Backend]) -> None:
         """Replace the list of all backends, draining ones included."""
 
-    def set_gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
-        """Replace the list of all live gateways; `own` is the name of this one."""
+    def set_gateways(self, now: float, entries: Sequence[Gateway]) -> None:
+        """Replace the list of all live gateways; this one counts whether it is listed or not."""
 
     def set_config(self, now: float, config: ClusterConfig) -> None:
         """Replace the cluster configuration."""
--- a/hallhitch/planes/data/load_balancer.py
+++ b/hallhitch/planes/data/load_balancer.py
@@ -77,7 +77,7 @@
         """Replace the list of all backends."""
         self._topology.set_backends(now, entries)
 
-    def set_gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
+    def set_gateways(self, now: float, entries: Sequence[Gateway]) -> None:
         """Replace the list of all live gateways."""
         self._topology.set_gateways(now, entries)
 
--- a/hallhitch/planes/data/plane.py
+++ b/hallhitch/planes/data/plane.py
@@ -83,9 +83,9 @@
         self._load_balancer.set_backends(self._clock(), entries)
         self._pools.set_backends(entries)
 
-    def set_gateways(self, own: str, entries: Sequence[Gateway]) -> None:
-        """Replace the list of all live gateways; `own` is the name of this one."""
-        self._load_balancer.set_gateways(self._clock(), own, entries)
+    def set_gateways(self, entries: Sequence[Gateway]) -> None:
+        """Replace the list of all live gateways."""
+        self._load_balancer.set_gateways(self._clock(), entries)
         self._pools.set_gateway_count(sum(1 for entry in entries if entry.frontend))
 
     # Shutdown.
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -161,7 +161,7 @@
         self._gateways_version = self._hub.gateways.version
         gateways = [gateway for gateway in self._hub.gateways.values() if gateway.frontend]
         self._quota.set_gateways(gateways)
-        self._data.set_gateways(self._node.name, gateways)
+        self._data.set_gateways(gateways)
 
 
 def _load_balancer_settings(node: NodeSettings) -> LoadBalancerSettings:
--- a/tests/system/data/load_balancer_harness.py
+++ b/tests/system/data/load_balancer_harness.py
@@ -66,7 +66,7 @@
         settings = LoadBalancerSettings(own.name, own.zone, own.region, 0.2, 10_000.0, 1000.0, 1.5, 5.0, 800.0)
         self.balancer = LoadBalancer(settings, Random(seed))
         self.balancer.set_config(0.0, cluster_config(evacuated_zones))
-        self.balancer.set_gateways(0.0, own.name, gateways)
+        self.balancer.set_gateways(0.0, gateways)
         self.balancer.set_backends(0.0, list(entries))
         self.balancer.begin_request(0.0, ANY_REQUEST.arriving(0.0))  # the window of the retry budget begins
 
--- a/tests/system/data/stub_policies.py
+++ b/tests/system/data/stub_policies.py
@@ -35,7 +35,7 @@
         """Select among these from now on."""
         self.backends = list(entries)
 
-    def set_gateways(self, now: float, own: str, entries: Sequence[Gateway]) -> None:
+    def set_gateways(self, now: float, entries: Sequence[Gateway]) -> None:
         """Ignore other gateways."""
 
     def set_config(self, now: float, config: ClusterConfig) -> None:
