--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -37,10 +37,10 @@
 from hallhitch.lab.fleet.timeline import Trouble
 from hallhitch.lab.scenario import Fault, Scenario, replaced
 from hallhitch.lab.virtual import VirtualTime
-from hallhitch.membership.messages import FORM, Ping, encode
-from hallhitch.membership.model import Record, State
-from hallhitch.membership.places import Places
-from hallhitch.membership.roster import Counted, Damping
+from hallhitch.membership.damped_view import DampingSettings, GatewayCounts
+from hallhitch.membership.messages import PROTOCOL_VERSION, Ping, encode
+from hallhitch.membership.records import MemberRecord, MemberState
+from hallhitch.membership.rendezvous import RendezvousRanking
 from hallhitch.settings_file import read
 
 ROOT = Path(__file__).parents[1] / "scenarios"
@@ -79,12 +79,12 @@
     c.time.run(c.time.now + 20_000)
     c.links.end(loss)
     c.until(c.agreed, HEALED)
-    found["false"] = float(sum(n.state is State.FAILED for n in c.noted))
-    found["accusations"] = float(sum(p.swim.counts.accusations for p in c.peers.values()))
+    found["false"] = float(sum(n.state is MemberState.FAILED for n in c.noted))
+    found["accusations"] = float(sum(p.swim.counters.accusations for p in c.peers.values()))
     dead, when = c.peers[size - 1], c.time.now
-    key = dead.swim.me.key
+    key = dead.swim.local.key
     c.kill(size - 1)
-    gone: Callable[[], int] = lambda: sum(p.swim.members[key].record.state is State.FAILED for p in c.there())  # noqa: E731
+    gone: Callable[[], int] = lambda: sum(p.swim.members[key].record.state is MemberState.FAILED for p in c.there())  # noqa: E731
     c.until(lambda: gone() > 0, HEALED)
     found["first"] = (c.time.now - when) / 1000
     c.until(lambda: gone() == size - 1, HEALED)
@@ -257,8 +257,8 @@
     def kept(names: list[str]) -> dict[str, set[str]]:
         few, found = math.ceil(FEW * max(1.0, len(names) / len(servers))), {}
         for name in names:
-            places = Places(name)
-            places.follow(names)
+            places = RendezvousRanking(name)
+            places.set_gateways(names)
             found[name] = {server for server in servers if places.rank(server) < few}
         return found
 
@@ -279,7 +279,7 @@
     """Print how places and budgets move in a release, in a mass death and behind a split: damped and as it comes."""
     size, servers = 60, [f"node-{n}" for n in range(100)]
     few = math.ceil(FEW * max(1.0, size / len(servers)))
-    settings = {"damped": Damping(), "as it comes": Damping(0.0, 0.0, 200.0, 1.0, 0.0, 1.0)}
+    settings = {"damped": DampingSettings(), "as it comes": DampingSettings(0.0, 0.0, 200.0, 1.0, 0.0, 1.0)}
 
     def release(c: Cluster) -> None:
         for tenth in range(10):
@@ -312,7 +312,7 @@
 
             def follow(
                 number: int,
-                counted: Counted,
+                counted: GatewayCounts,
                 kept: dict[int, set[str]] = kept,
                 began: float = began,
                 moved: dict[int, dict[int, int]] = moved,
@@ -324,7 +324,7 @@
                     second = int(clock.now / 1000)
                     change = len(now ^ kept.get(number, now))
                     moved.setdefault(number, {})[second] = moved.setdefault(number, {}).get(second, 0) + change
-                    budgets.append(counted.counted)
+                    budgets.append(counted.budget_count)
                 kept[number] = now
 
             c = Cluster(size, 1, clock, damping=told, follow=follow)
@@ -352,7 +352,17 @@
                 ("noise", os.urandom(400)),
                 (
                     "well formed, another cluster",
-                    encode(Ping(FORM, "other", Record("x", 1, 0, State.ALIVE, "127.0.0.1:1", 1), 0, (), 1, 1)),
+                    encode(
+                        Ping(
+                            PROTOCOL_VERSION,
+                            "other",
+                            MemberRecord("x", 1, 0, MemberState.ALIVE, "127.0.0.1:1", 1),
+                            0,
+                            (),
+                            1,
+                            1,
+                        )
+                    ),
                 ),
             ):
                 for rate in (0, 1_000, 20_000):
--- a/hallhitch/cli/check.py
+++ b/hallhitch/cli/check.py
@@ -12,7 +12,7 @@
 from hallhitch.lab.cases import Cases, cases
 from hallhitch.lab.fleet.timeline import TimeLine
 from hallhitch.lab.scenario import Scenario
-from hallhitch.membership.settings import Peers
+from hallhitch.membership.settings import MembershipSettings
 from hallhitch.resp.config import RespConfig
 from hallhitch.settings_file import SettingsError, read
 
@@ -21,7 +21,7 @@
     "tenant": TenantFile,
     "resp": RespConfig,
     "scenario": Scenario,
-    "peers": Peers,
+    "peers": MembershipSettings,
     "timeline": TimeLine,
     "cases": Cases,
 }
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -45,8 +45,8 @@
 from hallhitch.ops.operator_server import OperatorReply, OperatorServer
 
 if TYPE_CHECKING:
-    from hallhitch.membership.roster import Counted
-    from hallhitch.membership.service import Members
+    from hallhitch.membership.damped_view import GatewayCounts
+    from hallhitch.membership.service import MembershipService
     from hallhitch.resp.config import RespConfig
     from hallhitch.resp.server import LimitServer
 
@@ -104,9 +104,9 @@
 
     cores: list[Core] = []
 
-    def counts(found: Counted) -> None:
+    def counts(found: GatewayCounts) -> None:
         for one in cores:
-            one.post(api.Peers(found.seen, found.counted, found.rank))
+            one.post(api.Peers(found.placement_count, found.budget_count, found.rank))
 
     core = core_for("module", told.seed)
     members = None if peers_file is None else members_of(peers_file, told, shared, deadlines, loop, counts)
@@ -178,8 +178,8 @@
         ("PUT", "/api/rejoin"): lambda: apply(Command.REJOIN),
     }
     if members is not None:
-        metrics.render_extra = members.figures
-        calls["GET", "/api/members"] = lambda: OperatorReply(200, members.text(), "application/json")
+        metrics.render_extra = members.metrics_text
+        calls["GET", "/api/members"] = lambda: OperatorReply(200, members.view_json(), "application/json")
     operator_server = None
     if told.ops is not None:
         operator_server = OperatorServer(calls, deadlines, loop, shares.ops)
@@ -194,7 +194,7 @@
         for one in cores:
             one.apply_settings(replace(told.settings, processes=processes))
         if members is not None:  # who is there goes before how many the settings speak of
-            members.again()
+            members.republish()
 
     def share(lives: bool, serves: bool) -> None:
         nonlocal processes
@@ -286,26 +286,25 @@
     shared: str | None,
     deadlines: Deadlines,
     loop: asyncio.AbstractEventLoop,
-    counts: Callable[[Counted], None],
-) -> Members:
+    counts: Callable[[GatewayCounts], None],
+) -> MembershipService:
     """This gateway among the others, as the file says; `shared` is the folder of all processes of this gateway."""
-    from hallhitch.membership.kin import kin_of
-    from hallhitch.membership.service import Members
-    from hallhitch.membership.settings import read
+    from hallhitch.membership.errors import MemberNameError
+    from hallhitch.membership.gateway_id import read_gateway_id
+    from hallhitch.membership.service import GatewayIdentity, MembershipService
+    from hallhitch.membership.settings import read_settings
 
     try:
-        return Members(
-            read(path),
-            told.name,
-            __version__,
+        return MembershipService(
+            read_settings(path),
+            GatewayIdentity(told.name, __version__, read_gateway_id(shared)),
             told.settings.gateways,
-            kin_of(shared),
             deadlines,
             loop,
             random.Random(),
             counts,
         )
-    except ValueError as error:
+    except MemberNameError as error:
         raise WireError(f"field 'name': {error}") from error
 
 
--- a/hallhitch/lab/fleet/cluster.py
+++ b/hallhitch/lab/fleet/cluster.py
@@ -14,11 +14,13 @@
 from hallhitch.lab.fleet.timeline import TimeLine, Trouble, numbers
 from hallhitch.lab.streams import Stream, Streams
 from hallhitch.lab.virtual import EPOCH, Handle, VirtualTime
-from hallhitch.membership.conduct import Conduct
+from hallhitch.membership.damped_view import DampedView, DampingSettings, GatewayCounts
+from hallhitch.membership.member_view import MemberChange
 from hallhitch.membership.messages import Datagram, encode
-from hallhitch.membership.model import Record, State
-from hallhitch.membership.roster import Counted, Damping, Roster
-from hallhitch.membership.swim import Change, Swim, Tuning
+from hallhitch.membership.protocol import MembershipProtocol
+from hallhitch.membership.protocol_settings import ProtocolSettings
+from hallhitch.membership.records import MemberRecord, MemberState
+from hallhitch.membership.swim import Swim
 
 WAY = (0.2, 0.8)  # ms that a datagram takes one way
 CLUSTER = "lab"
@@ -32,8 +34,8 @@
     by: int
     about: str
     instance: int
-    state: State
-    was: State | None
+    state: MemberState
+    was: MemberState | None
 
 
 @dataclass(slots=True, eq=False)
@@ -41,23 +43,23 @@
     """One process: it may stand still, and then what comes waits."""
 
     number: int
-    conduct: Conduct
+    protocol: MembershipProtocol
     alive: bool = True
     waiting: list[Datagram] | None = None  # while it stands still
     timer: Handle | None = None
-    counted: list[Counted] = field(default_factory=list)
+    counted: list[GatewayCounts] = field(default_factory=list)
     sent: int = 0
     bytes: int = 0
 
     @property
     def swim(self) -> Swim:
         """Its view."""
-        return self.conduct.swim
+        return self.protocol.swim
 
     @property
-    def roster(self) -> Roster:
+    def damped_view(self) -> DampedView:
         """Whom it counts on."""
-        return self.conduct.roster
+        return self.protocol.damped_view
 
 
 class Cluster:
@@ -68,16 +70,20 @@
         count: int,
         seed: int,
         time: VirtualTime | None = None,
-        tuning: Tuning | None = None,
-        damping: Damping | None = None,
+        tuning: ProtocolSettings | None = None,
+        damping: DampingSettings | None = None,
         seeds: int = 3,
         told: int | None = None,
         sized: bool = False,
         slow: Callable[[int], float] = lambda number: 0.0,
-        follow: Callable[[int, Counted], None] = lambda number, counted: None,
+        follow: Callable[[int, GatewayCounts], None] = lambda number, counted: None,
     ) -> None:
         self.time, self.count = time or VirtualTime(), count
-        self._streams, self.tuning, self.damping = Streams(seed), tuning or Tuning(), damping or Damping()
+        self._streams, self.tuning, self.damping = (
+            Streams(seed),
+            tuning or ProtocolSettings(),
+            damping or DampingSettings(),
+        )
         self._seeds = tuple(address(n) for n in range(min(seeds, count)))
         self._told, self._sized, self._slow, self._follow = count if told is None else told, sized, slow, follow
         self.links = Links(count, self._streams.of("links"))
@@ -100,9 +106,9 @@
         """All are there and know each other, as after a long quiet."""
         for number in range(self.count):
             self._made(number, "", None)
-        records = [peer.swim.me for peer in self.peers.values()]
+        records = [peer.swim.local for peer in self.peers.values()]
         for peer in self.peers.values():
-            peer.swim.know(records, self.time.now)
+            peer.swim.restore(records, self.time.now)
             peer.swim.start(self.time.now)
             self._done(peer)
 
@@ -110,10 +116,15 @@
         self._starts[number] += 1
         rng = random.Random(self._streams.of(f"member {number} start {self._starts[number]}").random())
         instance = rng.getrandbits(63)
-        me = Record(name or f"g{number}", instance, 0, State.ALIVE, address(number), instance if kin is None else kin)
+        me = MemberRecord(
+            name or f"g{number}", instance, 0, MemberState.ALIVE, address(number), instance if kin is None else kin
+        )
         now = self.time.now
         peer = self.peers[number] = Peer(
-            number, Conduct(Swim(me, CLUSTER, self.tuning, rng, self._seeds), Roster(me, self._told, self.damping, now))
+            number,
+            MembershipProtocol(
+                Swim(me, CLUSTER, self.tuning, rng, self._seeds), DampedView(me, self._told, self.damping, now)
+            ),
         )
         return peer
 
@@ -183,11 +194,14 @@
 
     def agreed(self) -> bool:
         """Whether all that live hold the same to be there, and nobody else."""
-        living = {peer.swim.me.key for peer in self.peers.values() if peer.alive and peer.swim.me.state.there}
+        living = {
+            peer.swim.local.key for peer in self.peers.values() if peer.alive and peer.swim.local.state.is_present
+        }
         return bool(living) and all(
-            {r.key: r.state for r in peer.swim.records() if r.state.there} == dict.fromkeys(living, State.ALIVE)
+            {r.key: r.state for r in peer.swim.records() if r.state.is_present}
+            == dict.fromkeys(living, MemberState.ALIVE)
             for peer in self.there()
-            if peer.swim.me.state.there
+            if peer.swim.local.state.is_present
         )
 
     def until(self, holds: Callable[[], bool], most: float, step: float = 100.0) -> float:
@@ -200,21 +214,21 @@
     # Driving.
 
     def _done(self, peer: Peer) -> None:
-        step = peer.conduct.done(self.time.now)
-        for to, message in step.out:
+        step = peer.protocol.finish_step(self.time.now)
+        for to, message in step.outgoing:
             peer.sent += 1
             if self._sized:
                 peer.bytes += len(encode(message))
             self._carry(peer.number, int(to.rpartition(":")[2]) - 1, message)
         for change in step.changes:
             self._note(peer, change)
-        if step.counted is not None:
-            peer.counted.append(step.counted)
-            self._follow(peer.number, step.counted)
+        if step.counts is not None:
+            peer.counted.append(step.counts)
+            self._follow(peer.number, step.counts)
         if peer.timer is not None:
             peer.timer.cancel()
         # A busy process comes late to its timers.
-        peer.timer = self.time.at(peer.conduct.wake + self._slow(peer.number), self._tick, peer)
+        peer.timer = self.time.at(peer.protocol.next_wake() + self._slow(peer.number), self._tick, peer)
 
     def _tick(self, peer: Peer) -> None:
         if peer.alive and peer.waiting is None and self.peers.get(peer.number) is peer:
@@ -246,12 +260,12 @@
             self._hear(peer, message)
 
     def _hear(self, peer: Peer, message: Datagram) -> None:
-        peer.swim.hear(message, self.time.now)
+        peer.swim.handle_message(message, self.time.now)
         self._done(peer)
 
-    def _note(self, peer: Peer, change: Change) -> None:
+    def _note(self, peer: Peer, change: MemberChange) -> None:
         r = change.record
-        self.noted.append(Noted(self.time.now - EPOCH, peer.number, r.name, r.instance, r.state, change.was))
+        self.noted.append(Noted(self.time.now - EPOCH, peer.number, r.name, r.instance, r.state, change.previous_state))
 
 
 def address(number: int) -> str:
--- a/hallhitch/lab/world.py
+++ b/hallhitch/lab/world.py
@@ -17,7 +17,7 @@
 from hallhitch.lab.streams import Streams
 from hallhitch.lab.traffic import Intent, Traffic, draw
 from hallhitch.lab.virtual import EPOCH, VirtualTime
-from hallhitch.membership.roster import Counted
+from hallhitch.membership.damped_view import GatewayCounts
 
 AFTER = 1_500.0  # ms past the longest deadline for which a run goes on once nothing new is asked
 FRONT_BLIND = (900.0, 3_500.0)  # ms for which requests go on coming to a gateway that is dead
@@ -136,11 +136,11 @@
         if self.cluster is not None and number in self.cluster.peers:
             self.cluster.start(number)
 
-    def _follow(self, number: int, counted: Counted) -> None:
+    def _follow(self, number: int, counted: GatewayCounts) -> None:
         """A gateway hears of places and budgets, if it lives."""
         gateway = self.gateways.get(number)
         if gateway is not None:
-            gateway.meet(api.Peers(counted.seen, counted.counted, counted.rank))
+            gateway.meet(api.Peers(counted.placement_count, counted.budget_count, counted.rank))
 
     # Clients.
 
--- a/hallhitch/membership/__init__.py
+++ b/hallhitch/membership/__init__.py
@@ -1,4 +1,8 @@
-"""Which gateways there are: who lives, who failed, who left, and what follows for places and budgets.
+"""Membership of the gateways: who is alive, failed or gone, and what follows for server placement and budgets.
 
-It never learns of quotas, tenants or requests, and never judges a server. The platform's `run` imports none of it.
+Used by `hallhitch --peers` alone; the system's own programs have their membership in `planes/`. It knows nothing of
+quotas, tenants or requests, and judges no server.
+
+`swim` is the protocol's state machine, `damped_view` derives counts from its view, `protocol` joins the two. None of
+them does I/O or reads a clock: `service` and `udp_transport` do.
 """
--- a/hallhitch/membership/messages.py
+++ b/hallhitch/membership/messages.py
@@ -1,105 +1,109 @@
-"""The datagrams: msgspec's MessagePack, at most 1,400 bytes each. What cannot be read is nobody's member.
+"""The datagrams: msgspec's MessagePack, at most 1,400 bytes each.
 
-Every message names its cluster and form first; `news` rides on all of them.
+Every message starts with the protocol version and the cluster's name, and carries member updates (`updates`). Fields
+are positional on the wire; tags and the order of fields are fixed by PROTOCOL_VERSION.
 """
 
 from __future__ import annotations
 
-from typing import Annotated
+from typing import Annotated, Final
 
 import msgspec
 from msgspec import Meta, Struct
 
-from hallhitch.membership.model import Drawn, Record
+from hallhitch.membership.errors import DatagramError, RejectReason
+from hallhitch.membership.records import MemberRecord, RandomId
 
-FORM = 1  # of the messages: another one is not understood
-SIZE_MOST = 1_400  # bytes of a datagram
-ROOM = 780  # bytes of it for news: what is left beside three records and the rest, all as long as they may be
-NEWS_MOST = 64  # records in one message: more than ROOM holds
+PROTOCOL_VERSION: Final = 1  # messages of another version are rejected
+MAX_DATAGRAM_BYTES: Final = 1_400  # below a path MTU of 1,500 bytes with IPv6 and UDP headers
+# What remains of a datagram for updates beside three records and the other fields, all of them at full length.
+UPDATE_BUDGET_BYTES: Final = 780
+MAX_UPDATES: Final = 64  # records in one message: more than fit UPDATE_BUDGET_BYTES
 
-Cluster = Annotated[str, Meta(min_length=1, max_length=40, pattern=r"^[A-Za-z0-9._-]+$")]
-Sum = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-News = Annotated[tuple[Record, ...], Meta(max_length=NEWS_MOST)]
-After = Annotated[str, Meta(max_length=64)]
+ClusterName = Annotated[str, Meta(min_length=1, max_length=40, pattern=r"^[A-Za-z0-9._-]+$")]
+ViewDigest = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
+Updates = Annotated[tuple[MemberRecord, ...], Meta(max_length=MAX_UPDATES)]
+Cursor = Annotated[str, Meta(max_length=64)]
 
 
 class Message(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What all have."""
+    """Fields of every message."""
 
-    form: int
-    cluster: Cluster
-    sender: Record
-    sum: Sum  # of the sender's view
-    news: News
+    protocol_version: int
+    cluster: ClusterName
+    sender: MemberRecord
+    view_digest: ViewDigest  # of the sender's view
+    updates: Updates
 
 
 class Ping(Message, tag="ping", frozen=True):
-    """Are you there? `target` is the instance that is meant."""
+    """Probe of the instance `target_instance`."""
 
-    seq: Drawn
-    target: Drawn
+    sequence: RandomId
+    target_instance: RandomId
 
 
 class Ack(Message, tag="ack", frozen=True):
-    """The instance `target` is there: the sender itself, or one that it pinged for somebody."""
+    """Reply that `target_instance` runs: the sender itself, or a member that it pinged on request."""
 
-    seq: Drawn
-    target: Drawn
+    sequence: RandomId
+    target_instance: RandomId
 
 
 class Nack(Message, tag="nack", frozen=True):
-    """The sender is there, and did not hear of whom it was asked about."""
+    """Reply to a PingRequest that the sender runs and has no answer from the target."""
 
-    seq: Drawn
+    sequence: RandomId
 
 
-class PingFor(Message, tag="for", frozen=True):
-    """Ping that one for the sender."""
+class PingRequest(Message, tag="for", frozen=True):
+    """Request to ping `target` on the sender's behalf (an indirect probe)."""
 
-    seq: Drawn
-    target: Record
+    sequence: RandomId
+    target: MemberRecord
 
 
 class Sync(Message, tag="sync", frozen=True):
-    """The part of the sender's view with names past `after` up to `until` (empty: to the end), as `news`.
+    """One page of a view exchange: the sender's present members past `after` up to `until` (empty: to the end).
 
-    `turn` counts the messages of one exchange, which is bounded. An even one asks for that part of the other's view.
+    `page_number` counts the messages of one exchange. A page of even number asks for the same range of the
+    receiver's view.
     """
 
-    after: After
-    until: After
-    turn: Annotated[int, Meta(ge=0, le=100_000)]
+    after: Cursor
+    until: Cursor
+    page_number: Annotated[int, Meta(ge=0, le=100_000)]
 
 
-Datagram = Ping | Ack | Nack | PingFor | Sync
+Datagram = Ping | Ack | Nack | PingRequest | Sync
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Datagram)
 
 
-class Unreadable(Exception):
-    """A datagram that is none of ours; the text is the reason it is counted under."""
-
-
 def encode(message: Datagram) -> bytes:
-    """A datagram's bytes."""
+    """Encode a message as a datagram."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes, cluster: str) -> Datagram:
-    """A message, or Unreadable."""
-    if len(data) > SIZE_MOST:
-        raise Unreadable("size")
+    """Decode a datagram of this cluster.
+
+    Raises:
+        DatagramError: The datagram is too long, malformed, or of another protocol version or cluster.
+    """
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise DatagramError(RejectReason.SIZE)
     try:
         message: Datagram = _decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
-        raise Unreadable("form") from error
-    if message.form != FORM:
-        raise Unreadable("form")
+        raise DatagramError(RejectReason.FORMAT) from error
+    if message.protocol_version != PROTOCOL_VERSION:
+        raise DatagramError(RejectReason.FORMAT)
     if message.cluster != cluster:
-        raise Unreadable("cluster")
+        raise DatagramError(RejectReason.CLUSTER)
     return message
 
 
-def size(record: Record) -> int:
-    """Bytes that a record takes in a datagram."""
+def encoded_size(record: MemberRecord) -> int:
+    """Return the bytes that a record takes in a datagram."""
     return len(_encoder.encode(record))
--- /dev/null
+++ b/hallhitch/membership/records.py
@@ -0,0 +1,100 @@
+"""Member records and their precedence: which of two records of one member holds. No I/O, no clock.
+
+| received \\ held | alive | suspect | failed | left |
+| --- | --- | --- | --- | --- |
+| alive | newer | newer | newer | newer |
+| suspect | same or newer | newer | newer | newer |
+| failed | same or newer: suspected first | same or newer | newer | newer |
+| left | same or newer | same or newer | same or newer | newer |
+
+"newer" means a greater incarnation, which only the member itself raises. Records of one member are totally ordered by
+(incarnation, state), so processes that received the same records hold the same view. The one exception is a failure
+reported of a member that is held alive: the receiver suspects it first, so that the member can always refute.
+
+Source: Das, Gupta, Motivala: SWIM (DSN 2002), section 4.2, with the state LEFT added.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from enum import IntEnum
+from typing import Annotated, Final
+
+import xxhash
+from msgspec import Meta, Struct
+
+# Lengths in characters. Three records of these lengths beside UPDATE_BUDGET_BYTES of updates fit one datagram.
+MAX_NAME_LENGTH: Final = 40
+MAX_LABEL_LENGTH: Final = 24  # of a zone or version
+MAX_ADDRESS_LENGTH: Final = 48
+MAX_INCARNATION: Final = 1 << 48
+DIGEST_MASK: Final = (1 << 63) - 1  # a digest is a non-negative 64-bit integer on the wire
+
+MemberName = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH, pattern=r"^[A-Za-z0-9._:/@-]+$")]
+Label = Annotated[str, Meta(max_length=MAX_LABEL_LENGTH, pattern=r"^[A-Za-z0-9._:/@+-]*$")]
+Address = Annotated[str, Meta(min_length=3, max_length=MAX_ADDRESS_LENGTH, pattern=r"^[0-9A-Fa-f.:\[\]]+$")]
+RandomId = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]  # 63 random bits
+
+
+class MemberState(IntEnum):
+    """A member's state; at one incarnation the greater value takes precedence."""
+
+    ALIVE = 0
+    SUSPECT = 1  # did not answer; present until its time to refute is over
+    FAILED = 2
+    LEFT = 3  # announced its own departure
+
+    @property
+    def is_present(self) -> bool:
+        """Whether a member in this state counts as present."""
+        return self <= MemberState.SUSPECT
+
+
+MemberKey = tuple[str, int]  # name and instance: two processes of one name are two members
+
+
+class MemberRecord(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """The state of one member as sent between processes."""
+
+    name: MemberName
+    instance: RandomId  # drawn at each start
+    incarnation: Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
+    state: MemberState
+    address: Address  # of its UDP socket
+    gateway_id: RandomId  # equal for the processes of one gateway: an old one and its replacement
+    zone: Label = ""
+    version: Label = ""
+    accuser: RandomId = 0  # instance that suspects it or declared it failed
+
+    @property
+    def key(self) -> MemberKey:
+        """The member's identity."""
+        return self.name, self.instance
+
+    @property
+    def precedence(self) -> tuple[int, int]:
+        """Order of records of one member; the greatest holds."""
+        return self.incarnation, self.state
+
+
+def record_digest(record: MemberRecord) -> int:
+    """Return 63 bits of a present member, to be summed over a view.
+
+    Views with equal sums are equal but for chance. Suspicions are left out, as they end soon either way.
+    """
+    return DIGEST_MASK & xxhash.xxh3_64_intdigest(
+        f"{record.name}\0{record.instance}\0{record.incarnation}\0{record.address}".encode()
+    )
+
+
+def gateway_ids(records: Iterable[MemberRecord]) -> dict[MemberKey, int]:
+    """Map each present process to its gateway's id, the least one that processes of that gateway carry.
+
+    Processes of one name at one address are one gateway too: only the last of them can still run.
+    """
+    present = [record for record in records if record.state.is_present]
+    id_by_location: dict[tuple[str, str], int] = {}
+    for record in present:
+        location = record.name, record.address
+        id_by_location[location] = min(record.gateway_id, id_by_location.get(location, record.gateway_id))
+    return {record.key: id_by_location[record.name, record.address] for record in present}
--- a/tests/membership/test_hard_cases.py
+++ b/tests/membership/test_hard_cases.py
@@ -6,14 +6,14 @@
 
 from hallhitch.lab.fleet.cluster import Cluster, Peer
 from hallhitch.lab.fleet.timeline import TimeLine, Trouble
-from hallhitch.membership.model import State
-from hallhitch.membership.swim import Tuning
+from hallhitch.membership.protocol_settings import ProtocolSettings
+from hallhitch.membership.records import MemberState
 
 SEEDS = (1, 2, 3)
 LONG = 60_000.0  # ms: past all bounds asked for here
 
 
-def held(peer: Peer, name: str) -> set[State]:
+def held(peer: Peer, name: str) -> set[MemberState]:
     """How a view holds the members of a name."""
     return {record.state for record in peer.swim.records() if record.name == name}
 
@@ -37,7 +37,7 @@
         cluster.begin(Trouble(kind, 0.0, seconds, **fields), seconds * 1000)  # type: ignore[arg-type]
 
     def failures(self, cluster: Cluster) -> list[str]:
-        return [n.about for n in cluster.noted if n.state is State.FAILED]
+        return [n.about for n in cluster.noted if n.state is MemberState.FAILED]
 
     def heals(self, cluster: Cluster, within: float) -> None:
         """One view again, within so many ms."""
@@ -63,16 +63,16 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 c = self.cluster(seed)
-                old = c.peers[4].swim.me.instance
+                old = c.peers[4].swim.local.instance
                 c.kill(4)
                 self.run_for(c, 1_500)
-                new = c.start(4).swim.me.instance
+                new = c.start(4).swim.local.instance
                 self.heals(c, 10_000)
                 for peer in c.there():
                     states = {key[1]: h.record.state for key, h in peer.swim.members.items() if key[0] == "g4"}
-                    self.assertIsNot(states.get(old, State.FAILED), State.ALIVE)
+                    self.assertIsNot(states.get(old, MemberState.FAILED), MemberState.ALIVE)
                     if peer.number != 4:
-                        self.assertIs(states[new], State.ALIVE)
+                        self.assertIs(states[new], MemberState.ALIVE)
                     self.assertEqual(peer.swim.conflicts, {})
 
     def test_a_process_that_stood_still_accuses_nobody_when_it_wakes(self) -> None:
@@ -82,14 +82,14 @@
                 c = self.cluster(seed)
                 self.trouble(c, 40.0, "stop", whom=("g4",))
                 self.run_for(c, 39_000)
-                self.assertTrue(all(held(p, "g4") == {State.FAILED} for p in c.there()))
+                self.assertTrue(all(held(p, "g4") == {MemberState.FAILED} for p in c.there()))
                 before = set(self.failures(c))
                 self.heals(c, 20_000)
                 self.run_for(c, 5_000)
-                self.assertEqual(c.peers[4].swim.counts.accusations, 0)
+                self.assertEqual(c.peers[4].swim.counters.accusations, 0)
                 self.assertEqual(set(self.failures(c)), before)
-                self.assertGreater(c.peers[4].swim.me.incarnation, 0)
-                self.assertEqual(c.peers[4].swim.counts.stalls, 1)
+                self.assertGreater(c.peers[4].swim.local.incarnation, 0)
+                self.assertEqual(c.peers[4].swim.counters.stalls, 1)
 
     def test_a_slow_process_has_nobody_failed(self) -> None:
         """Guards against a gateway under load that comes late to everything and gives up those who answered."""
@@ -115,17 +115,17 @@
                 self.run_for(c, 20_000)
                 self.assertTrue(c.agreed())
                 self.assertEqual(self.failures(c), [])
-                self.assertTrue(all(held(p, "g4") == {State.LEFT} for p in c.there()))
+                self.assertTrue(all(held(p, "g4") == {MemberState.LEFT} for p in c.there()))
 
     def test_a_drained_one_returns_with_a_new_incarnation(self) -> None:
         """Guards against a drain that cannot be taken back."""
         c = self.cluster(1)
         c.peers[4].swim.leave(c.time.now)
         self.run_for(c, 5_000)
-        self.assertTrue(all(held(p, "g4") == {State.LEFT} for p in c.there() if p.number != 4))
+        self.assertTrue(all(held(p, "g4") == {MemberState.LEFT} for p in c.there() if p.number != 4))
         c.peers[4].swim.rejoin(c.time.now)
         self.heals(c, 10_000)
-        self.assertEqual(c.peers[4].swim.me.incarnation, 1)
+        self.assertEqual(c.peers[4].swim.local.incarnation, 1)
 
     def test_all_restarted_at_once_find_each_other_though_two_seeds_are_dead(self) -> None:
         """Guards against a cluster that only ever grew from its first member."""
@@ -137,7 +137,7 @@
                     c.kill(number)
                 self.run_for(c, 1_500)
                 self.heals(c, 10_000)
-                self.assertEqual({p.swim.count for p in c.there()}, {7})
+                self.assertEqual({p.swim.present_count for p in c.there()}, {7})
                 c.start(0)  # a seed that comes back
                 self.heals(c, 15_000)
 
@@ -147,7 +147,7 @@
         for number in range(3, 9):
             c.start(number)
         self.run_for(c, 30_000)
-        self.assertEqual({p.swim.count for p in c.there()}, {1})
+        self.assertEqual({p.swim.present_count for p in c.there()}, {1})
         c.start(1)
         self.heals(c, 15_000)
 
@@ -163,9 +163,9 @@
         self.run_for(c, 10_000)
         for peer in c.there():
             self.assertEqual(list(peer.swim.conflicts), ["g4"])
-            self.assertEqual(peer.swim.counts.conflicts, 1)
-            self.assertEqual(peer.swim.count, 10)
-        places = [c.peers[number].roster.places.rank("node-7") for number in range(10)]
+            self.assertEqual(peer.swim.counters.conflicts, 1)
+            self.assertEqual(peer.swim.present_count, 10)
+        places = [c.peers[number].damped_view.ranking.rank("node-7") for number in range(10)]
         self.assertEqual(sorted(places), list(range(10)))  # a place each
         c.kill(9)
         self.heals(c, 20_000)
@@ -182,10 +182,10 @@
         self.run_for(c, 8_000)
         for peer in c.there():
             self.assertEqual(peer.swim.conflicts, {})
-            self.assertEqual(len(peer.roster.places.names), 4)
+            self.assertEqual(len(peer.damped_view.ranking.gateways), 4)
         c.term(3)
         self.run_for(c, 8_000)
-        self.assertEqual([len(p.roster.places.names) for p in c.there()], [4] * 4)
+        self.assertEqual([len(p.damped_view.ranking.gateways) for p in c.there()], [4] * 4)
         self.assertEqual(self.failures(c), [])
 
 
@@ -209,8 +209,8 @@
                 self.trouble(c, 40.0, "cut", whom=("g4",), one_way=True)
                 self.run_for(c, 39_000)
                 others = [p for p in c.there() if p.number != 4]
-                self.assertTrue(all(held(p, "g4") == {State.FAILED} for p in others))
-                self.assertEqual({p.swim.count for p in others}, {8})
+                self.assertTrue(all(held(p, "g4") == {MemberState.FAILED} for p in others))
+                self.assertEqual({p.swim.present_count for p in others}, {8})
                 self.heals(c, 25_000)
 
     def test_splits_heal_into_one_view(self) -> None:
@@ -242,7 +242,7 @@
                     c.time.after(2_000.0 * number, c.begin, Trouble("term", 0.0, 1.0, (f"g{number}",)), 1_000.0)
                 self.run_for(c, 22_000)
                 self.heals(c, 25_000)
-                self.assertEqual({p.swim.count for p in c.there()}, {9})
+                self.assertEqual({p.swim.present_count for p in c.there()}, {9})
 
     def test_a_third_of_all_datagrams_lost_and_doubled(self) -> None:
         """Guards against members given up for lost datagrams."""
@@ -282,14 +282,14 @@
         c = self.cluster(1)
         c.kill(4)
         self.run_for(c, 30_000)
-        self.assertEqual({p.swim.news for p in c.there()}, {0})
+        self.assertEqual({p.swim.pending_updates for p in c.there()}, {0})
         before = sum(p.sent for p in c.there())
         self.run_for(c, 10_000)
         self.assertLess((sum(p.sent for p in c.there()) - before) / len(c.there()) / 10, 6)
 
     def test_members_are_held_up_to_a_bound_and_the_gone_make_room(self) -> None:
         """Guards against memory that grows with what datagrams name."""
-        c = Cluster(6, 1, tuning=Tuning(members=4))
+        c = Cluster(6, 1, tuning=ProtocolSettings(max_members=4))
         c.start_all()
         self.run_for(c, 5_000)
         self.assertEqual({len(p.swim.members) for p in c.there()}, {4})
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -18,8 +18,8 @@
 from hallhitch.lab.fleet.processes import Fleet, View, own, states, there
 from hallhitch.lab.fleet.timeline import Trouble
 from hallhitch.lab.scenario import Scenario, replaced
-from hallhitch.membership.messages import FORM, Ping, encode
-from hallhitch.membership.model import Record, State
+from hallhitch.membership.messages import PROTOCOL_VERSION, Ping, encode
+from hallhitch.membership.records import MemberRecord, MemberState
 from hallhitch.settings_file import read
 from tests.ops.hot_restart.replacement_case import ReplacementCase
 from tests.stand_ins import ROOT, Program, free_port, soon
@@ -58,7 +58,7 @@
 
     def failed(self, f: Fleet, number: int) -> list[str]:
         """Whom a gateway's log calls failed."""
-        return [name for line in f.logged(number, "gateways failed") for name in line["names"]]
+        return [name for line in f.logged(number, "members failed") for name in line["names"]]
 
     def sound(self, f: Fleet) -> None:
         """No rule was broken, and no gateway failed inside."""
@@ -255,10 +255,10 @@
                 line["event"]
                 for line in f.lines[0]
                 if line["event"]
-                in ("cut off from gateways, or they are gone", "gateways are back", "goes by those that are there")
+                in ("membership partition suspected", "membership partition healed", "missing members expired")
             ]
-            self.assertEqual(turns[::2], ["cut off from gateways, or they are gone"] * (len(turns) // 2), turns)
-            self.assertEqual(turns[-1], "gateways are back")
+            self.assertEqual(turns[::2], ["membership partition suspected"] * (len(turns) // 2), turns)
+            self.assertEqual(turns[-1], "membership partition healed")
             for number in range(6):
                 excluded = (await f.view(number, "/api/telemetry")).split("svc_backends_excluded ")[-1].split()[0]
                 self.assertEqual(excluded, "0")
@@ -273,7 +273,9 @@
             await f.until(lambda views: sees("n3")(views[3]))
             self.assertEqual((await f.view(3))["budgets"], 4)
             await f.until(lambda views: views[3]["budgets"] == 1)
-            self.assertEqual([line["budgets"] for line in f.logged(3, "counts on gateways")][-4:], [4, 3, 2, 1])
+            self.assertEqual(
+                [line["budget_count"] for line in f.logged(3, "gateway counts changed")][-4:], [4, 3, 2, 1]
+            )
             f.over(cut)
             await f.agreed()
             await f.until(lambda views: all(v["places"] == 4 for v in views.values()))
@@ -336,7 +338,7 @@
             await f.drive()
             self.sound(f)
             for number in range(4):
-                self.assertEqual(len(f.logged(number, "two gateways under one name")), 1)
+                self.assertEqual(len(f.logged(number, "member name conflict")), 1)
                 self.assertIn("svc_members_conflicts 1\n", await f.view(number, "/api/telemetry"))
             ran = {event[4] for event in f.journal.events if event[1] == "send"}
             self.assertEqual(ran, {0, 1, 2, 3})
@@ -350,18 +352,18 @@
         async with fleet(3) as f:
             await f.agreed()
             before = {n: states(v) for n, v in (await f.views()).items()}
-            me = Record("evil", 1, 0, State.ALIVE, "127.9.9.9:9", 1)
-            lie = tuple(Record(f"x{n}", n, 0, State.ALIVE, "192.168.1.1:9", n) for n in range(8))
-            good = encode(Ping(FORM, f"fleet-{f.port}", me, 0, (), 1, 1))
+            me = MemberRecord("evil", 1, 0, MemberState.ALIVE, "127.9.9.9:9", 1)
+            lie = tuple(MemberRecord(f"x{n}", n, 0, MemberState.ALIVE, "192.168.1.1:9", n) for n in range(8))
+            good = encode(Ping(PROTOCOL_VERSION, f"fleet-{f.port}", me, 0, (), 1, 1))
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 for data in (
                     b"",
                     b"\xff" * 1400,
                     good[:-3],
                     b"x" * 4000,
-                    encode(Ping(FORM, "other", me, 0, (), 1, 1)),
-                    encode(Ping(FORM + 1, f"fleet-{f.port}", me, 0, (), 1, 1)),
-                    encode(Ping(FORM, f"fleet-{f.port}", lie[0], 0, lie, 1, 1)),
+                    encode(Ping(PROTOCOL_VERSION, "other", me, 0, (), 1, 1)),
+                    encode(Ping(PROTOCOL_VERSION + 1, f"fleet-{f.port}", me, 0, (), 1, 1)),
+                    encode(Ping(PROTOCOL_VERSION, f"fleet-{f.port}", lie[0], 0, lie, 1, 1)),
                 ):
                     sock.sendto(data, (own(0), f.port))
                 for _ in range(3_000):
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -12,51 +12,53 @@
 
 from hallhitch.decision import api
 from hallhitch.decision.policy import FEW, Gateway
-from hallhitch.membership.model import Record, State
-from hallhitch.membership.places import Places
-from hallhitch.membership.roster import Counted, Damping, Roster
+from hallhitch.membership.damped_view import DampedView, DampingSettings, GatewayCounts
+from hallhitch.membership.records import MemberRecord, MemberState
+from hallhitch.membership.rendezvous import RendezvousRanking
 
 SERVERS = [f"node-{n}" for n in range(100)]
 STEP = 200.0  # ms between looks here
 
 
-def record(name: str, state: State = State.ALIVE, instance: int = 1, kin: int = 0, address: str = "") -> Record:
-    return Record(name, instance, 0, state, address or f"127.0.0.1:{instance}", kin or instance)
+def record(
+    name: str, state: MemberState = MemberState.ALIVE, instance: int = 1, kin: int = 0, address: str = ""
+) -> MemberRecord:
+    return MemberRecord(name, instance, 0, state, address or f"127.0.0.1:{instance}", kin or instance)
 
 
 def kept(name: str, names: list[str], servers: list[str] = SERVERS) -> set[str]:
     """The servers that a gateway keeps to among these."""
-    places, few = Places(name), math.ceil(FEW * max(1.0, len(names) / len(servers)))
-    places.follow(names)
+    places, few = RendezvousRanking(name), math.ceil(FEW * max(1.0, len(names) / len(servers)))
+    places.set_gateways(names)
     return {server for server in servers if places.rank(server) < few}
 
 
 class Run:
     """A roster looked at over time."""
 
-    def __init__(self, me: str = "g0", told: int = 10, damping: Damping | None = None) -> None:
+    def __init__(self, me: str = "g0", told: int = 10, damping: DampingSettings | None = None) -> None:
         self.me, self.now = record(me), 1_000.0
-        self.roster = Roster(self.me, told, damping or Damping(), self.now)
-        self.told: list[tuple[float, Counted]] = []
-        self.states: dict[str, State] = {}
+        self.roster = DampedView(self.me, told, damping or DampingSettings(), self.now)
+        self.told: list[tuple[float, GatewayCounts]] = []
+        self.states: dict[str, MemberState] = {}
 
     def go(self, seconds: float) -> Run:
         ends = self.now + seconds * 1000
         while self.now < ends:
             self.now += STEP
             records = [self.me, *(record(n, s, 10 + i) for i, (n, s) in enumerate(sorted(self.states.items())))]
-            found = self.roster.look(records, self.now)
+            found = self.roster.evaluate(records, self.now)
             if found is not None:
                 self.told.append((self.now, found))
         return self
 
-    def turn(self, state: State, *names: str) -> Run:
+    def turn(self, state: MemberState, *names: str) -> Run:
         self.states |= dict.fromkeys(names, state)
         return self
 
     @property
     def last(self) -> tuple[int, int]:
-        return self.told[-1][1].seen, self.told[-1][1].counted
+        return self.told[-1][1].placement_count, self.told[-1][1].budget_count
 
 
 def names(first: int, last: int) -> list[str]:
@@ -88,11 +90,11 @@
     @settings(max_examples=60, deadline=None, derandomize=True)
     def test_followed_step_by_step_or_counted_anew_is_the_same(self, views: list[set[int]]) -> None:
         """Guards against places that drift from the view they are of."""
-        places = Places("me")
+        places = RendezvousRanking("me")
         for view in views:
-            places.follow(f"g{n}" for n in view)
-            fresh = Places("me")
-            fresh.follow(f"g{n}" for n in view)
+            places.set_gateways(f"g{n}" for n in view)
+            fresh = RendezvousRanking("me")
+            fresh.set_gateways(f"g{n}" for n in view)
             for server in SERVERS[:20]:
                 self.assertEqual(places.rank(server), fresh.rank(server))
 
@@ -104,8 +106,8 @@
         for what, told, most in (("any", views, 1.05), ("halves", halves, 1.0 + 1e-9)):
             shares = dict.fromkeys(SERVERS, 0.0)
             for name, view in told.items():
-                places = Places(name)
-                places.follow(view)
+                places = RendezvousRanking(name)
+                places.set_gateways(view)
                 for server in SERVERS:
                     most = min(FEW, len(view))
                     if (rank := places.rank(server)) < most:  # as the module's `cold_pause` has it
@@ -119,7 +121,7 @@
     """What the module hears, and when."""
 
     def start(self, count: int = 10) -> Run:
-        run = Run(told=count).turn(State.ALIVE, *names(1, count)).go(70)
+        run = Run(told=count).turn(MemberState.ALIVE, *names(1, count)).go(70)
         self.assertEqual(run.last, (count, count))
         return run
 
@@ -132,26 +134,26 @@
         draw = random.Random(1)
         for _ in range(100):
             now = 1e6
-            roster, here = Roster(record("g0"), 2, Damping(), now), [record("g0"), record("g1", instance=2)]
-            roster.look(here, now)
+            roster, here = DampedView(record("g0"), 2, DampingSettings(), now), [record("g0"), record("g1", instance=2)]
+            roster.evaluate(here, now)
             now = 2**20 - draw.uniform(0, 2_000)  # a sum past that power of two rounds
             here.append(record("g2", instance=3))
-            while "g2" not in roster.places.names:
-                roster.look(here, now)
-                self.assertGreater(roster.wake, now)
-                now = min(roster.wake, now + 1e6)
+            while "g2" not in roster.ranking.gateways:
+                roster.evaluate(here, now)
+                self.assertGreater(roster.wake_at, now)
+                now = min(roster.wake_at, now + 1e6)
 
     def test_a_suspicion_changes_nothing(self) -> None:
         """Guards against connections moved for a doubt."""
         run = self.start()
         before = len(run.told)
-        run.turn(State.SUSPECT, "g3", "g4").go(30)
+        run.turn(MemberState.SUSPECT, "g3", "g4").go(30)
         self.assertEqual(len(run.told), before)
 
     def test_one_that_failed_counts_for_budgets_for_a_stated_time(self) -> None:
         """Guards against budgets taken over at once from one that may only be cut off."""
         run = self.start(20)
-        run.turn(State.FAILED, *names(6, 20)).go(2)
+        run.turn(MemberState.FAILED, *names(6, 20)).go(2)
         self.assertEqual(run.last, (6, 20))
         run.go(12)
         self.assertEqual(run.last[1], 20)
@@ -163,18 +165,18 @@
     def test_one_that_left_is_counted_no_more_at_once(self) -> None:
         """Guards against a release that leaves everybody with a part too small."""
         run = self.start()
-        run.turn(State.LEFT, "g9").go(1.5)
+        run.turn(MemberState.LEFT, "g9").go(1.5)
         self.assertEqual(run.last, (9, 9))
 
     def test_many_that_return_are_taken_back_in_steps_all_in_one_order(self) -> None:
         """Guards against a wave of connections when a split heals."""
         for me in ("g0", "g5"):
-            run = Run(me=me, told=60).turn(State.ALIVE, *(set(names(0, 60)) - {me})).go(70)
-            run.turn(State.FAILED, *names(30, 60)).go(20)
+            run = Run(me=me, told=60).turn(MemberState.ALIVE, *(set(names(0, 60)) - {me})).go(70)
+            run.turn(MemberState.FAILED, *names(30, 60)).go(20)
             self.assertEqual(run.last[0], 30)
             healed, began = run.now, len(run.told)
-            run.turn(State.ALIVE, *names(30, 60)).go(40)
-            steps = [(at, found.seen) for at, found in run.told[began:]]
+            run.turn(MemberState.ALIVE, *names(30, 60)).go(40)
+            steps = [(at, found.placement_count) for at, found in run.told[began:]]
             self.assertGreaterEqual(next(at for at, seen in steps if seen > 30) - healed, 5_000)
             sizes = [30, *(seen for _, seen in steps)]
             self.assertLessEqual(max((b - a) / a for a, b in itertools.pairwise(sizes)), 0.1)
@@ -187,21 +189,21 @@
         before = len(run.told)
         for tenth in range(10):
             some = names(max(1, tenth * 10), tenth * 10 + 10)
-            run.turn(State.LEFT, *some).go(1).turn(State.ALIVE, *some).go(9)
+            run.turn(MemberState.LEFT, *some).go(1).turn(MemberState.ALIVE, *some).go(9)
         run.go(10)
         times = [at for at, found in run.told[before:]]
         self.assertGreaterEqual(min(b - a for a, b in itertools.pairwise(times)), 200)
-        self.assertGreaterEqual(min(found.counted for _, found in run.told[before:]), 90)
+        self.assertGreaterEqual(min(found.budget_count for _, found in run.told[before:]), 90)
         self.assertEqual(run.last, (100, 100))
 
     def test_two_under_one_name_have_a_place_each_and_two_of_one_gateway_have_one(self) -> None:
         """Guards against a conflict in which both take the same part, and a replacement that counts twice."""
         twins = [record("g1", instance=5, kin=5), record("g1", instance=6, kin=6)]
-        self.assertEqual(sorted(Roster.names(twins)), ["g1", "g1/6"])
+        self.assertEqual(sorted(DampedView.placement_states(twins)), ["g1", "g1/6"])
         kin = [record("g1", instance=5, kin=9), record("g1", instance=6, kin=9)]
-        self.assertEqual(sorted(Roster.names(kin)), ["g1"])
+        self.assertEqual(sorted(DampedView.placement_states(kin)), ["g1"])
         moved = [record("g1", instance=5, address="127.0.0.1:1"), record("g1", instance=6, address="127.0.0.1:1")]
-        self.assertEqual(sorted(Roster.names(moved)), ["g1"])
+        self.assertEqual(sorted(DampedView.placement_states(moved)), ["g1"])
 
 
 class Module(unittest.TestCase):
@@ -226,8 +228,8 @@
         wrong = [self.module() for _ in range(40)]
         self.assertLess(len({s.entry.server for made in wrong for s in made.subset}), 20)
         for number, made in enumerate(wrong):
-            places = Places(f"g{number}")
-            places.follow(names(0, 40))
+            places = RendezvousRanking(f"g{number}")
+            places.set_gateways(names(0, 40))
             made.handle(21_000.0, [api.Peers(40, 40, places.rank)])
         keepers = {
             server: sum(any(s.entry.server == server for s in made.subset) for made in wrong) for server in SERVERS
