--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -38,6 +38,7 @@
 from hallhitch.node.settings_file import read_settings
 from hallhitch.planes.distribution.config_compiler import EMPTY_CONFIG, compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
+from hallhitch.planes.distribution.ports import SyncContext
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.distribution.versioned_map import Version
 from hallhitch.planes.quota import bucket_placement
@@ -142,7 +143,7 @@
         self.incarnation = random.getrandbits(60) + 1
         self.links = PeerLinks(node.cluster_name, self._handle)
         self.hub = StateHub(self.incarnation)
-        self.follower = GatewaySync(self.links, self.hub, self._own, node.seed_addresses)
+        self.follower = GatewaySync(SyncContext(self.links, self.hub, self._own), node.seed_addresses)
         self.quota = QuotaPlane(self.node, self.links)
         self.config, self._gateways = EMPTY_CONFIG, Version()
 
--- a/hallhitch/lab/simulation/machine.py
+++ b/hallhitch/lab/simulation/machine.py
@@ -15,6 +15,7 @@
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.settings import NodeSettings, RuleBounds
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
+from hallhitch.planes.distribution.ports import SyncContext
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import Gateway
 from hallhitch.programs.coordinator import CoordinatorProgram
@@ -34,7 +35,8 @@
         self._incarnation = runtime.random.getrandbits(62) + 1
         self._links = runtime.connect(node.cluster_name, node.internal_address, self._incarnation, self._handle)
         self.hub = StateHub(self._incarnation, runtime.clock)
-        self._sync = GatewaySync(self._links, self.hub, self._describe, node.seed_addresses, runtime.clock, node.bounds)
+        context = SyncContext(self._links, self.hub, self._describe, runtime.clock, node.bounds)
+        self._sync = GatewaySync(context, node.seed_addresses)
 
     async def start(self) -> None:
         """Serve peers and follow the coordinators."""
@@ -166,7 +168,7 @@
         self, loop: ProcessLoop, rng: random.Random, thread: DiskThread, is_first_start: bool
     ) -> None:
         node = self.simulation.coordinator_node(self.host, is_first_start)
-        runtime = Runtime(clock=loop.now_ms, random=rng, disk=self.disk, run=thread.run)
+        runtime = Runtime(clock=loop.now_ms, random=rng, storage=self.disk, run_blocking=thread.run)
         program = self.program = CoordinatorProgram(node, runtime)
         self._observe(program._hub, self.simulation.history.coordinator_observations)
         await program.start()
@@ -211,7 +213,7 @@
         self, loop: ProcessLoop, rng: random.Random, thread: DiskThread, is_first_start: bool
     ) -> None:
         node = self.simulation.gateway_node(self.host, is_first_start)
-        program = self.program = GatewayFollower(node, Runtime(clock=loop.now_ms, random=rng, run=thread.run))
+        program = self.program = GatewayFollower(node, Runtime(clock=loop.now_ms, random=rng, run_blocking=thread.run))
         history = self.simulation.history
         self._observe(program.hub, history.gateway_observations)
         history.gateway_lifetimes[self.process_name] = Interval(self.simulation.network.now_s, float("inf"))
--- a/hallhitch/planes/discovery/directory.py
+++ b/hallhitch/planes/discovery/directory.py
@@ -1,4 +1,4 @@
-"""The directory: tells clients which gateways to connect to. Decided without I/O.
+"""The directory: which gateways a client should connect to. Decided without I/O.
 
 Clients get the gateways of their own region that are ready and not leaving, and those of others if these are few.
 """
@@ -23,14 +23,14 @@
 def nearest_gateways(
     gateways: Iterable[Gateway], region: str, zone: str, region_by_zone: Mapping[str, str]
 ) -> list[Gateway]:
-    """Return the gateways for a client of this place, by name, those of its region first.
+    """Return the gateways for a client in this region or zone, by name, those of its region first.
 
-    If they are too many for one reply, those of its zone come first: a different part for each zone, so that no gateway
-    stays without clients.
+    If they are too many for one reply, those of its zone come first: clients of each zone get a different subset, so
+    that no gateway is left without clients.
     """
     region = region or region_by_zone.get(zone, "")
     usable = sorted(
-        (gateway for gateway in gateways if gateway.frontend and gateway.is_ready and not gateway.is_leaving),
+        (gateway for gateway in gateways if gateway.serves_clients and gateway.is_available),
         key=lambda gateway: gateway.name,
     )
     chosen = [gateway for gateway in usable if gateway.region == region]
--- a/hallhitch/planes/discovery/endpoint_list_reader.py
+++ b/hallhitch/planes/discovery/endpoint_list_reader.py
@@ -22,7 +22,7 @@
 
 
 class EndpointListReader:
-    """Reads the list while `is_due` says so, and hands each reading to `on_reading`."""
+    """Reads the list whenever `is_due` returns True, and hands each reading to `on_reading`."""
 
     def __init__(
         self,
--- a/hallhitch/planes/discovery/platform_client.py
+++ b/hallhitch/planes/discovery/platform_client.py
@@ -13,7 +13,7 @@
 from hallhitch.planes.discovery.errors import EndpointListError
 
 PAGE_TIMEOUT_S: Final = 1.0  # for one page; the list is then requested anew
-MAX_PAGES: Final = 2000  # of one list: a platform that repeats its tokens does not keep a reader busy for ever
+MAX_PAGES: Final = 2000  # of one list: bounds a reading where the platform repeats its page tokens
 READ_BYTES: Final = 65536
 
 
--- a/hallhitch/planes/distribution/coordinator_sync.py
+++ b/hallhitch/planes/distribution/coordinator_sync.py
@@ -5,18 +5,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable, Collection, Iterable
+from collections.abc import Awaitable, Collection, Iterable
 from typing import Final
 
 from hallhitch.messages.system_pb2 import Envelope, StateRequest
-from hallhitch.node.clock import now
-from hallhitch.node.settings import RuleBounds
 from hallhitch.planes.discovery.gateway_registry import GatewayRegistry, merge_gateways
 from hallhitch.planes.distribution.peer_sync import PeerSync
-from hallhitch.planes.distribution.ports import PeerCaller
-from hallhitch.planes.distribution.state_hub import StateHub
+from hallhitch.planes.distribution.ports import SyncContext
 from hallhitch.planes.distribution.state_messages import decode_gateway
-from hallhitch.planes.values import Gateway
 
 WARMUP_MS: Final = 600.0  # after its start, in which a coordinator knows too few gateways to share them
 LIVE_PEER_MS: Final = 1800.0  # a coordinator that replied within it is live; as long as a gateway's heartbeat time-out
@@ -25,22 +21,12 @@
 class CoordinatorSync:
     """Owns the hub's gateways and coordinators, and the pulls from peers."""
 
-    def __init__(
-        self,
-        links: PeerCaller,
-        hub: StateHub,
-        own_entry: Callable[[], Gateway],
-        clock: Callable[[], float] = now,
-        bounds: RuleBounds | None = None,
-    ) -> None:
-        """`own_entry` returns this coordinator as its peers shall know it."""
-        self._hub = hub
-        self._own_entry = own_entry
-        self._clock = clock
-        self._started_at = clock()
+    def __init__(self, context: SyncContext) -> None:
+        self._hub, self._own_entry, self._clock = context.hub, context.own_entry, context.clock
+        self._started_at = self._clock()
         self._registry = GatewayRegistry()
-        self._peers = PeerSync(links, hub, own_entry, self._merge_gateways, clock, bounds)
-        hub.shares_gateways = False
+        self._peers = PeerSync(context, self._merge_gateways)
+        self._hub.shares_gateways = False
 
     def add_peers(self, addresses: Iterable[str]) -> None:
         """Start to pull from these coordinators, except from this one and those that are known already."""
@@ -52,12 +38,12 @@
 
     def gateway_count(self) -> int:
         """Return how many live gateways serve clients."""
-        return sum(1 for gateway in self._hub.gateways.values() if gateway.frontend)
+        return sum(gateway.serves_clients for gateway in self._hub.gateways.values())
 
     def respond(self, request: StateRequest) -> Awaitable[Envelope]:
         """Record the requester, a gateway or a coordinator, and reply with what it lacks."""
         requester = decode_gateway(request.requester)
-        if requester.frontend:
+        if requester.serves_clients:
             self._registry.record_heartbeat(self._clock(), requester)
             self._merge_gateways()
         elif requester.address:
--- a/hallhitch/planes/distribution/gateway_sync.py
+++ b/hallhitch/planes/distribution/gateway_sync.py
@@ -13,20 +13,17 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable, Sequence
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from typing import Final
 
 from hallhitch.messages.system_pb2 import Envelope, StateUpdate
-from hallhitch.node.clock import now
 from hallhitch.node.errors import PeerCallError
 from hallhitch.node.logs import ComponentLogger
-from hallhitch.node.settings import RuleBounds
 from hallhitch.planes.distribution.peer_order import rendezvous_order
 from hallhitch.planes.distribution.peer_replica import HOLD_MS, PeerReplica
-from hallhitch.planes.distribution.ports import PeerCaller
-from hallhitch.planes.distribution.state_hub import StateHub
-from hallhitch.planes.values import Gateway, LeaseMembership
+from hallhitch.planes.distribution.ports import SyncContext
+from hallhitch.planes.values import LeaseMembership
 
 STARTUP_WAIT_MS: Final = 800.0  # for the replies of the seeds, after the start of the process
 RETRY_PAUSE_MS: Final = 100.0  # after no peer replied
@@ -59,28 +56,16 @@
     `start` creates the task that does; it and the requests under way end with `stop`.
     """
 
-    def __init__(
-        self,
-        links: PeerCaller,
-        hub: StateHub,
-        own_entry: Callable[[], Gateway],
-        seeds: Sequence[str],
-        clock: Callable[[], float] = now,
-        bounds: RuleBounds | None = None,
-    ) -> None:
-        """`own_entry` returns this gateway as its peers shall know it now."""
-        self._links = links
-        self._hub = hub
-        self._own_entry = own_entry
+    def __init__(self, context: SyncContext, seeds: Sequence[str]) -> None:
+        self._links, self._hub, self._own_entry = context.links, context.hub, context.own_entry
+        self._clock, self._bounds = context.clock, context.bounds
         self._seeds = tuple(seeds)
-        self._clock = clock
-        self._bounds = bounds or RuleBounds()
         self._log = ComponentLogger("distribution")
         self._task: asyncio.Task[None] | None = None
         self._replicas: dict[str, PeerReplica] = {}
         self._pending: dict[str, _PendingRequest] = {}  # by address
         self._awaited_address = ""  # of the peer whose reply `_run` waits for
-        self.is_startup_complete = False  # whether the seeds have replied, or had their time
+        self.is_startup_complete = False  # whether a majority of the seeds has replied, or STARTUP_WAIT_MS are over
 
     def start(self) -> None:
         """Start to pull."""
@@ -115,7 +100,7 @@
             try:
                 if not await self._follow_coordinators(self.coordinators()):
                     await self._pull_from_gateways()
-            except Exception as error:  # whatever failed, state has to flow on
+            except Exception as error:  # noqa: BLE001  # whatever failed in one pull, the next is made
                 self._log.exception("state pull failed", error)
             await asyncio.sleep(RETRY_PAUSE_MS / 1000)
 
@@ -146,12 +131,12 @@
 
     async def _follow_without_lease(self, replicas: Iterable[PeerReplica]) -> bool:
         """Pull once from the coordinator whose lease expired last; return whether it replied."""
-        is_replied = await self._pull(max(replicas, key=lambda replica: replica.quorum_contact_at), HOLD_MS)
+        has_reply = await self._pull(max(replicas, key=lambda replica: replica.quorum_contact_at), HOLD_MS)
         if not self._hub.config.serial or not len(self._hub.backends):
             # Such a coordinator gives no first configuration; the gateways that it knows may have the one in force.
             for _ in range(BOOTSTRAP_PULLS):
                 await self._pull_newest(self._peer_gateways(), 0.0)
-        return is_replied
+        return has_reply
 
     async def _pull_from_gateways(self) -> None:
         """Pull from gateways until a coordinator replies, or it is time to go through all of them again."""
@@ -171,9 +156,13 @@
     async def _wait_for_replies(self, requests: set[asyncio.Task[bool]], needed: int, deadline: float) -> bool:
         """Wait until as many requests as needed have had a reply; return whether they had by the deadline."""
         pending, replies = set(requests), 0
-        while pending and replies < needed and self._clock() < deadline:
-            remaining_s = max(0.0, deadline - self._clock()) / 1000
-            done, pending = await asyncio.wait(pending, timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED)
+        while pending and replies < needed:
+            remaining_ms = deadline - self._clock()
+            if remaining_ms <= 0:
+                break
+            done, pending = await asyncio.wait(
+                pending, timeout=remaining_ms / 1000, return_when=asyncio.FIRST_COMPLETED
+            )
             replies += sum(_has_reply(request) for request in done)
         return replies >= needed
 
@@ -183,7 +172,7 @@
         addresses = {
             gateway.name: gateway.address
             for gateway in self._hub.gateways.values()
-            if gateway.frontend and gateway.name != name
+            if gateway.serves_clients and gateway.name != name
         }
         preferred = rendezvous_order(name, addresses)[:PEER_GATEWAYS]
         return [self._replica(addresses[peer], is_coordinator=False) for peer in preferred]
@@ -213,7 +202,9 @@
         self._awaited_address = replica.address
         request = self._request(replica, hold_ms, with_view=True)
         await asyncio.wait({request}, timeout=(hold_ms + self._reply_timeout_ms(replica)) / 1000)
-        return request.done() and (request.cancelled() or request.result())
+        if not request.done():
+            return False
+        return request.cancelled() or request.result()
 
     def _request(self, replica: PeerReplica, hold_ms: float, *, with_view: bool) -> asyncio.Task[bool]:
         """Return the request to this peer that is under way; send one if there is none."""
@@ -270,13 +261,15 @@
 
     def _apply(self, replica: PeerReplica, update: StateUpdate, requested_at: float, *, with_view: bool) -> None:
         """Apply a reply; coordinators and members come from peers with a valid lease, and from others at first."""
+        hub = self._hub
         replica.record_reply(update, requested_at, self._bounds.serving_lease_ms)
-        if update.coordinators and (not replica.is_lease_expired or not self._hub.coordinators):
-            self._hub.coordinators = tuple(update.coordinators)
-        if update.members and (not replica.is_lease_expired or not self._hub.members):
-            self._hub.members = tuple(update.members)
-        self._hub.update_lease_membership(LeaseMembership.from_message(update.lease_membership))
-        replica.apply(update, self._hub, requested_at, with_view=with_view)
+        has_lease = not replica.is_lease_expired
+        if has_lease or not hub.coordinators:
+            hub.coordinators = tuple(update.coordinators) or hub.coordinators
+        if has_lease or not hub.members:
+            hub.members = tuple(update.members) or hub.members
+        hub.update_lease_membership(LeaseMembership.from_message(update.lease_membership))
+        replica.apply(update, hub, requested_at, with_view=with_view)
 
 
 def _has_reply(request: asyncio.Task[bool]) -> bool:
--- a/hallhitch/planes/distribution/peer_replica.py
+++ b/hallhitch/planes/distribution/peer_replica.py
@@ -1,8 +1,9 @@
-"""What a process knows of one peer that it pulls from: its state, its contact with a quorum, the time of its replies.
+"""What a process knows of one peer that it pulls from: its state, its quorum contact, its round-trip time.
 
-A peer tells points in time as ages, of its endpoint list and of its contact with a majority. They are counted back from
-the earliest moment at which the reply can have been written: when it was requested, and for how long the peer says that
-it held it back. A reply that was long on its way, or that a suspended process sends when it resumes, never looks fresh.
+A peer reports points in time as ages: of its endpoint list, and of its contact with a majority. An age is subtracted
+from the earliest time at which the reply can have been written, which is the time of the request plus the time for
+which the peer reports to have held the reply back. So a reply that was delayed on its way, or that a suspended process
+sends when it resumes, never looks fresh.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
         self.incarnation = 0
         self.quorum_contact_at = NEVER  # when a majority last confirmed this peer, at the latest
         self.is_lease_expired = True  # whether its serving lease had expired when it replied last
-        self.serving_lease_ms = 0.0  # for which a contact with a majority lets a coordinator speak for the cluster
+        self.serving_lease_ms = 0.0  # how long after a contact with a majority a coordinator may answer for the cluster
         self.round_trip = RoundTripEstimate()
         self.backends: VersionedReplica[ListedBackend] = VersionedReplica()
         self.gateways: VersionedReplica[Gateway] = VersionedReplica()
@@ -101,7 +102,8 @@
         if not update.HasField("config"):
             return
         is_first = not hub.config.serial
-        if is_first and self._is_coordinator and self.is_lease_expired:
+        lacks_lease = self._is_coordinator and self.is_lease_expired
+        if is_first and lacks_lease:
             return
         config = update.config
         hub.update_config(
@@ -112,7 +114,7 @@
         """Apply gateways and holders; a peer without a lease may add the gateways that it knows, and removes none."""
         is_fresh = not self.is_lease_expired and self.quorum_contact_at >= hub.view_contact_at
         if not is_fresh and self._clock() - hub.view_contact_at <= self.serving_lease_ms:
-            return  # the view is from a peer in fresher contact
+            return  # the current view is from a peer with a newer quorum contact
         is_new_source = hub.view_source != self.address
         has_new_gateways = is_new_source or update.HasField("gateways")
         if has_new_gateways and self.gateways.is_complete:
@@ -120,7 +122,8 @@
             hub.set_gateways({**kept, **self.gateways.items})
             hub.view_source = self.address
         has_new_holders = is_new_source or update.HasField("holders")
-        if has_new_holders and (is_fresh or not hub.holders):
+        may_set_holders = is_fresh or not hub.holders
+        if has_new_holders and may_set_holders:
             hub.set_holders(self.holders)
         if is_fresh:
             hub.view_contact_at = self.quorum_contact_at
--- a/hallhitch/planes/distribution/peer_sync.py
+++ b/hallhitch/planes/distribution/peer_sync.py
@@ -10,13 +10,9 @@
 from typing import Final
 
 from hallhitch.messages.system_pb2 import Envelope
-from hallhitch.node.clock import now
 from hallhitch.node.errors import PeerCallError
-from hallhitch.node.settings import RuleBounds
 from hallhitch.planes.distribution.peer_replica import HOLD_MS, PeerReplica
-from hallhitch.planes.distribution.ports import PeerCaller
-from hallhitch.planes.distribution.state_hub import StateHub
-from hallhitch.planes.values import Gateway
+from hallhitch.planes.distribution.ports import SyncContext
 
 RETRY_PAUSE_MS: Final = 200.0  # after a peer did not reply
 MAX_REPLY_TIMEOUT_RATIO: Final = 0.6  # of contactWindow: a reply that takes longer beyond the hold is given up
@@ -26,34 +22,23 @@
 class PeerSync:
     """Pulls the state of all other coordinators, until `stop`."""
 
-    def __init__(
-        self,
-        links: PeerCaller,
-        hub: StateHub,
-        own_entry: Callable[[], Gateway],
-        on_attempt: Callable[[], None],
-        clock: Callable[[], float] = now,
-        bounds: RuleBounds | None = None,
-    ) -> None:
+    def __init__(self, context: SyncContext, on_attempt: Callable[[], None]) -> None:
         """`on_attempt` is called after each reply, and after each request that had none."""
-        self._links = links
-        self._hub = hub
-        self._own_entry = own_entry
+        self._context = context
+        self._clock, self._bounds = context.clock, context.bounds
         self._on_attempt = on_attempt
-        self._clock = clock
-        self._bounds = bounds or RuleBounds()
         self.replicas: dict[str, PeerReplica] = {}  # by address
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def add_peers(self, addresses: Iterable[str]) -> None:
         """Start to pull from these coordinators, except from this one and those that are known already."""
         for address in addresses:
-            if address != self._own_entry().address and address not in self._tasks:
+            if address != self._context.own_entry().address and address not in self._tasks:
                 replica = self.replicas[address] = PeerReplica(address, self._clock)
                 self._tasks[address] = asyncio.ensure_future(self._follow(replica))
 
     def remove_peer(self, address: str) -> None:
-        """Stop to pull from a coordinator, and forget its state."""
+        """Stop pulling from a coordinator, and forget its state."""
         task = self._tasks.pop(address, None)
         if task is not None:
             task.cancel()
@@ -62,11 +47,11 @@
     def remove_unresponsive(self, kept: Collection[str]) -> None:
         """Remove the peers that have not replied for long, except members and seeds (`kept`).
 
-        One that is back pulls from this coordinator, which adds it again.
+        A peer that comes back pulls from this coordinator, which adds it again.
         """
-        oldest = self._clock() - REMOVE_AFTER_WINDOWS * self._bounds.contact_window_ms
+        kept_since = self._clock() - REMOVE_AFTER_WINDOWS * self._bounds.contact_window_ms
         for address, replica in list(self.replicas.items()):
-            if address not in kept and max(replica.replied_at, replica.created_at) < oldest:
+            if address not in kept and max(replica.replied_at, replica.created_at) < kept_since:
                 self.remove_peer(address)
 
     def stop(self) -> None:
@@ -90,11 +75,11 @@
 
     async def _pull(self, replica: PeerReplica) -> bool:
         """Send one request and apply its reply; return whether there was one."""
-        requested_at = self._clock()
-        request = replica.build_request(self._own_entry(), self._hub, HOLD_MS, direct_only=True)
+        context, requested_at = self._context, self._clock()
+        request = replica.build_request(context.own_entry(), context.hub, HOLD_MS, direct_only=True)
         timeout_ms = HOLD_MS + replica.reply_timeout_ms(MAX_REPLY_TIMEOUT_RATIO * self._bounds.contact_window_ms)
         try:
-            reply = await self._links.call(replica.address, Envelope(state_request=request), timeout_ms)
+            reply = await context.links.call(replica.address, Envelope(state_request=request), timeout_ms)
         except PeerCallError:
             replica.round_trip.observe(max(1.0, self._clock() - requested_at - HOLD_MS))
             return False
@@ -102,7 +87,7 @@
             return False
         update = reply.state_update
         replica.record_reply(update, requested_at, self._bounds.serving_lease_ms)
-        replica.apply(update, self._hub, requested_at, with_view=False)
+        replica.apply(update, context.hub, requested_at, with_view=False)
         self.add_peers(update.coordinators)
         self._on_attempt()
         return True
--- a/hallhitch/planes/distribution/state_hub.py
+++ b/hallhitch/planes/distribution/state_hub.py
@@ -29,7 +29,7 @@
 from hallhitch.planes.values import Gateway, LeaseMembership
 
 MAX_DRAINED_BACKENDS: Final = 4096  # remembered after they left the list: a page that lags may still show them
-NO_QUORUM_CONTACT: Final = -1.0  # the age of a contact that never was, as on the wire
+NO_QUORUM_CONTACT: Final = -1.0  # on the wire, in place of the contact's age where there was none
 MAX_HOLD_MS: Final = 1000.0  # bound on how long a peer may have its reply held back
 NEVER: Final = float("-inf")
 MIN_LIST_AGE_MS: Final = 0.1  # on the wire 0 means that no list is known
@@ -60,7 +60,7 @@
         self.on_change: list[Callable[[], None]] = []
         self._waiters: set[asyncio.Future[None]] = set()
 
-    # State that becomes known.
+    # Updates of the state.
 
     def notify(self) -> None:
         """Wake the replies that are held back, and call the listeners."""
@@ -181,7 +181,9 @@
 
     def _lacks_config(self, request: StateRequest) -> bool:
         known_serial = request.known_versions["config"].number
-        return self.config.serial > known_serial and (bool(known_serial) or self.can_bootstrap_peers())
+        if self.config.serial <= known_serial:
+            return False
+        return known_serial > 0 or self.can_bootstrap_peers()
 
     def _add_backends(self, update: StateUpdate, request: StateRequest, now_ms: float) -> bool:
         if not self._knows_backends:
--- a/hallhitch/planes/distribution/versioned_map.py
+++ b/hallhitch/planes/distribution/versioned_map.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delta(Generic[ValueT]):
-    """What a replica lacks: the whole map (`is_snapshot`), or what changed since the version that the replica has.
+    """What a replica lacks: the full map (`is_snapshot`), or what changed since the version that the replica has.
 
     With `has_more_chunks` it is only a part of that, and leads to `version`, which is not yet the newest.
     """
@@ -43,7 +43,7 @@
 
 
 class VersionedMap(Generic[ValueT]):
-    """A map that can tell what changed since an earlier version."""
+    """A map that returns what changed since an earlier version."""
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
@@ -98,7 +98,7 @@
         return True
 
     def replace(self, items: Mapping[str, ValueT]) -> bool:
-        """Set the whole map; return whether that changed it."""
+        """Set the full content of the map; return whether that changed it."""
         changed = False
         for key in [key for key in self._items if key not in items]:
             changed |= self.remove(key)
@@ -142,7 +142,7 @@
     def __init__(self) -> None:
         self.version = Version()
         self.items: dict[str, ValueT] = {}
-        self.is_complete = False  # whether `items` is the whole map at `version`, and no chunk is missing
+        self.is_complete = False  # whether `items` is the full map at `version`, and no chunk is missing
 
     def apply(self, delta: Delta[ValueT]) -> bool:
         """Apply a delta; return False if it does not follow from `version`, so that a snapshot has to be requested."""
--- a/hallhitch/planes/quota/plane.py
+++ b/hallhitch/planes/quota/plane.py
@@ -75,10 +75,10 @@
 
     def set_gateways(self, gateways: Sequence[Gateway]) -> None:
         """Set the live processes; those with a frontend are the gateways."""
-        serving = [gateway for gateway in gateways if gateway.frontend]
+        serving = [gateway for gateway in gateways if gateway.serves_clients]
         now = self._clock()
         self._reserve.observe_gateways(now, len(serving), is_quorum=False)
-        candidates = [gateway.address for gateway in serving if gateway.is_ready and not gateway.is_leaving]
+        candidates = [gateway.address for gateway in serving if gateway.is_available]
         self._lease_client.set_gateways(now, candidates)
         self._claim_at_once.set()
 
--- a/hallhitch/planes/quota/tenant_counter.py
+++ b/hallhitch/planes/quota/tenant_counter.py
@@ -32,9 +32,7 @@
 # Within this time every gateway has received a newer configuration, or admits nothing by an older one.
 CONFIG_PROPAGATION_MS: Final = 15_000.0
 CELLS_PER_WINDOW: Final = 8  # of a usage report: finer ones make claims longer, coarser ones count longer than needed
-LEASE_GENERATIONS: Final = (
-    1 << 13
-)  # generations wrap around at this: more leases than begin while a refund is in flight
+LEASE_GENERATIONS: Final = 1 << 13  # lease generations wrap around at this; a refund applies to its own lease alone
 
 
 @dataclass(frozen=True, slots=True)
--- a/hallhitch/planes/values.py
+++ b/hallhitch/planes/values.py
@@ -134,6 +134,16 @@
     is_ready: bool = False
     is_leaving: bool = False
 
+    @property
+    def serves_clients(self) -> bool:
+        """Whether it is a gateway with a listener for clients; a coordinator has none."""
+        return bool(self.frontend)
+
+    @property
+    def is_available(self) -> bool:
+        """Whether it may be given new work: it is ready and does not shut down."""
+        return self.is_ready and not self.is_leaving
+
 
 @dataclass(frozen=True, slots=True)
 class LeaseMembership:
--- a/hallhitch/programs/coordinator.py
+++ b/hallhitch/programs/coordinator.py
@@ -24,9 +24,10 @@
 from hallhitch.planes.discovery.gateway_registry import gateways_to_record
 from hallhitch.planes.discovery.platform_client import EndpointListReading, PlatformClient
 from hallhitch.planes.distribution.coordinator_sync import CoordinatorSync
+from hallhitch.planes.distribution.ports import SyncContext
 from hallhitch.planes.distribution.state_hub import NEVER, StateHub
 from hallhitch.planes.quota.lease import CLOCK_MARGIN_MS, LEASE_DURATION_MS
-from hallhitch.planes.quota.lease_coordinator import LeaseCoordinator
+from hallhitch.planes.quota.lease_coordinator import INCARNATION_BITS, LeaseCoordinator
 from hallhitch.planes.values import Gateway
 from hallhitch.programs.running import main
 from hallhitch.programs.runtime import Runtime
@@ -36,6 +37,7 @@
 MAX_GATEWAYS_INTERVAL_MS: Final = 1000.0  # between attempts to record it, and the time-out of one
 HANDOVER_RATIO: Final = 0.5  # of gracePeriod, to hand the membership over; the rest is for calls under way
 MAX_BODY_BYTES: Final = 32 * 1024 * 1024  # of an operator's call: the largest configuration that is accepted
+RNG_SEED_BITS: Final = 64  # so that no two processes draw the same sequence
 
 
 class CoordinatorProgram:
@@ -49,22 +51,22 @@
         self._had_quorum_contact = False
         self._links = runtime.connect(node.cluster_name, node.internal_address, self._incarnation, self._handle)
         self._hub = StateHub(self._incarnation, self._clock)
-        self._sync = CoordinatorSync(self._links, self._hub, self._own_entry, self._clock, node.bounds)
+        self._sync = CoordinatorSync(SyncContext(self._links, self._hub, self._own_entry, self._clock, node.bounds))
         self._control = ControlPlane(
             node,
             self._links,
             self._on_commit,
             ReplicaEnvironment(
-                storage=runtime.disk,
-                run_blocking=runtime.run,
+                storage=runtime.storage,
+                run_blocking=runtime.run_blocking,
                 clock=self._clock,
-                rng=random.Random(runtime.random.getrandbits(64)),
+                rng=random.Random(runtime.random.getrandbits(RNG_SEED_BITS)),
             ),
             lease_ms=LEASE_DURATION_MS + CLOCK_MARGIN_MS,
         )
         self._hub.quorum_contact_age_ms = lambda: self._control.lease.age_ms(self._clock())
         self._hub.can_bootstrap_peers = lambda: self._control.has_quorum_contact
-        self._leases = LeaseCoordinator(self._clock, runtime.random.getrandbits(48))
+        self._leases = LeaseCoordinator(self._clock, runtime.random.getrandbits(INCARNATION_BITS))
         self._operator_api = OperatorApi(node, self._control, self._clock)
         self._operator_server = HttpServer("operator", self._operator_api.handle, MAX_BODY_BYTES)
         self._directory = Directory(node.region_by_zone, node.bounds.max_ttl_ms)
@@ -150,7 +152,7 @@
     def _on_commit(self, state: ClusterState) -> None:
         self._hub.members = tuple(state.members)
         self._hub.update_lease_membership(self._control.lease_membership)
-        max_gateways = int(state.annotations.get(MAX_GATEWAYS_ANNOTATION, "0"))
+        max_gateways = _recorded_max_gateways(state)
         self._hub.update_config(state.serial, state.config_version, state.config, state.evacuations, max_gateways)
         self._sync.add_peers(state.members)
 
@@ -190,14 +192,21 @@
         """Record in the cluster state how many gateways there may be, when more are seen; the first reader does."""
         while True:
             await asyncio.sleep(MAX_GATEWAYS_INTERVAL_MS / 1000)
-            recorded = int(self._control.committed_state.annotations.get(MAX_GATEWAYS_ANNOTATION, "0"))
+            recorded = _recorded_max_gateways(self._control.committed_state)
             max_gateways = gateways_to_record(self._sync.gateway_count(), recorded)
-            if max_gateways is None or self._reader_rank() != 0 or not self._control.has_quorum_contact:
+            if max_gateways is None or self._reader_rank() != 0:
+                continue
+            if not self._control.has_quorum_contact:
                 continue
             change = state_transitions.annotate(MAX_GATEWAYS_ANNOTATION, str(max_gateways))
             with contextlib.suppress(PeerCallError, TimeoutError):
                 await self._control.propose(change, MAX_GATEWAYS_INTERVAL_MS)
 
 
+def _recorded_max_gateways(state: ClusterState) -> int:
+    """Return the upper bound on gateways that is recorded in the cluster state; 0 = none is."""
+    return int(state.annotations.get(MAX_GATEWAYS_ANNOTATION, "0"))
+
+
 if __name__ == "__main__":
     main(CoordinatorProgram)
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -20,6 +20,7 @@
 from hallhitch.planes.discovery.directory import Directory
 from hallhitch.planes.distribution.config_compiler import EMPTY_CONFIG, compile_config
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
+from hallhitch.planes.distribution.ports import SyncContext
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.distribution.versioned_map import Version
 from hallhitch.planes.quota.plane import QuotaPlane
@@ -43,9 +44,8 @@
         self._is_ready = self._is_leaving = False
         self._links = runtime.connect(node.cluster_name, node.internal_address, self._incarnation, self._handle)
         self._hub = StateHub(self._incarnation, runtime.clock)
-        self._sync = GatewaySync(
-            self._links, self._hub, self._own_entry, node.seed_addresses, runtime.clock, node.bounds
-        )
+        context = SyncContext(self._links, self._hub, self._own_entry, runtime.clock, node.bounds)
+        self._sync = GatewaySync(context, node.seed_addresses)
         self._quota = QuotaPlane(node, self._links, runtime.clock)
         load_balancer = LoadBalancer(_load_balancer_settings(node), random.Random(self._incarnation))
         self._data = DataPlane(node, load_balancer, self._quota.counter, runtime.clock)
@@ -159,7 +159,7 @@
         if self._hub.gateways.version == self._gateways_version:
             return
         self._gateways_version = self._hub.gateways.version
-        gateways = [gateway for gateway in self._hub.gateways.values() if gateway.frontend]
+        gateways = [gateway for gateway in self._hub.gateways.values() if gateway.serves_clients]
         self._quota.set_gateways(gateways)
         self._data.set_gateways(gateways)
 
--- a/hallhitch/programs/running.py
+++ b/hallhitch/programs/running.py
@@ -1,7 +1,7 @@
 """Runs a program: reads the settings file, starts the event loop, handles signals, shuts down in order.
 
 SIGTERM and SIGINT shut the program down, SIGHUP reads the settings file again. If the settings file cannot be used, the
-exit code is 2 and one line on standard error says why.
+exit code is 2 and one line on standard error gives the reason.
 """
 
 from __future__ import annotations
@@ -40,10 +40,8 @@
 def main(build: Callable[[NodeSettings], Program]) -> None:
     """Run a program until SIGTERM or SIGINT."""
     logs.configure()
-    path = os.environ.get(SETTINGS_FILE_VARIABLE, "")
     try:
-        if not path:
-            raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it names the settings file")
+        path = _settings_path()
         node = read_settings(path)
     except SettingsError as error:
         print(error, file=sys.stderr)
@@ -51,6 +49,13 @@
     uvloop.run(_run(build(node), path))
 
 
+def _settings_path() -> str:
+    path = os.environ.get(SETTINGS_FILE_VARIABLE, "")
+    if not path:
+        raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it names the settings file")
+    return path
+
+
 async def _run(program: Program, path: str) -> None:
     log, loop, is_ending = logs.ComponentLogger("node"), asyncio.get_running_loop(), asyncio.Event()
 
@@ -59,7 +64,7 @@
             program.apply_settings(read_settings(path))
             log.info("settings reloaded")
         except SettingsError as error:
-            log.error("settings rejected", error=error)
+            log.error("settings rejected", error=error)  # noqa: TRY400  # the operator's file is at fault: no traceback
 
     loop.add_signal_handler(signal.SIGTERM, is_ending.set)
     loop.add_signal_handler(signal.SIGINT, is_ending.set)
--- a/hallhitch/programs/runtime.py
+++ b/hallhitch/programs/runtime.py
@@ -1,6 +1,6 @@
-"""What a program takes from its surroundings: clock, random numbers, links, disk.
+"""What a program uses of its environment: clock, random numbers, links, disk.
 
-A simulation passes its own `Runtime`; the programs themselves are the same in simulation and in service.
+A simulation passes its own `Runtime`; the programs themselves are the same in simulation and in production.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from hallhitch.planes.control.storage import Storage
 from hallhitch.planes.control.storage_thread import BlockingRunner
 
-INCARNATION_BITS: Final = 62  # fit a uint64 of a message, and hardly ever meet: 0 stands for unknown
+INCARNATION_BITS: Final = 62  # fits a uint64 of a message, so large that two never meet; 0 is left for "unknown"
 
 
 class Transport(Protocol):
@@ -41,22 +41,22 @@
 
 
 def connect(cluster: str, address: str, incarnation: int, handler: CallHandler) -> Transport:
-    """Return the links of a process over TCP."""
+    """Create the links of a process, over TCP."""
     return PeerLinks(cluster, handler, address, incarnation)
 
 
 @dataclass(frozen=True, slots=True)
 class Runtime:
-    """The surroundings of one process; the defaults are those in service.
+    """The environment of one process; the defaults are those in production.
 
-    `disk` replaces the data directory of the settings, and `run` the thread that waits for it; None keeps them.
+    `storage` replaces the data directory of the settings, `run_blocking` the thread that waits for it; None keeps them.
     """
 
     clock: Callable[[], float] = now  # steady ms
     random: random.Random = field(default_factory=random.SystemRandom)
     connect: Connect = connect
-    disk: Storage | None = None
-    run: BlockingRunner | None = None
+    storage: Storage | None = None
+    run_blocking: BlockingRunner | None = None
 
     def draw_incarnation(self) -> int:
         """Return a random number above 0 that identifies one incarnation of a process."""
--- a/tests/system/distribution/simulated_core.py
+++ b/tests/system/distribution/simulated_core.py
@@ -69,8 +69,8 @@
             clock=self.peers.clock,
             random=random.Random(address),
             connect=lambda cluster, own, incarnation, handler: ProgramLink(self, own, handler),
-            disk=InMemoryStorage(),
-            run=run,
+            storage=InMemoryStorage(),
+            run_blocking=run,
         )
         return CoordinatorProgram(replace(coordinator_settings(address, True, SEEDS, 1), listen_addresses={}), runtime)
 
--- a/tests/system/distribution/simulated_peers.py
+++ b/tests/system/distribution/simulated_peers.py
@@ -14,6 +14,7 @@
 from hallhitch.node.settings import RuleBounds
 from hallhitch.planes.discovery.endpoint_list import ListedBackend
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
+from hallhitch.planes.distribution.ports import SyncContext
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import Gateway
 
@@ -69,7 +70,7 @@
         """Add a gateway, not started."""
         hub = self.hubs[f"{name}:1"] = StateHub(len(self.hubs) + 1, self.clock)
         link = SimulatedLink(self, f"{name}:1")
-        return GatewaySync(link, hub, lambda: make_gateway(name), seeds, self.clock, BOUNDS)
+        return GatewaySync(SyncContext(link, hub, lambda: make_gateway(name), self.clock, BOUNDS), seeds)
 
     async def transmit(self, sender: str, recipient: str) -> None:
         """Wait for one message's delay; for ever over a cut link."""
--- a/tests/system/distribution/test_peer_sync.py
+++ b/tests/system/distribution/test_peer_sync.py
@@ -5,6 +5,7 @@
 import asyncio
 
 from hallhitch.planes.distribution.peer_sync import REMOVE_AFTER_WINDOWS, PeerSync
+from hallhitch.planes.distribution.ports import SyncContext
 from tests.system.distribution.simulated_peers import (
     BOUNDS,
     SimulatedLink,
@@ -19,7 +20,7 @@
         hub, responsive = peers.add_coordinator("c1:1", 1), peers.add_coordinator("c2:1", 1)
         responsive.coordinators = ("c2:1",)
         link = SimulatedLink(peers, "c1:1")
-        sync = PeerSync(link, hub, lambda: make_gateway("c1"), lambda: None, peers.clock, BOUNDS)
+        sync = PeerSync(SyncContext(link, hub, lambda: make_gateway("c1"), peers.clock, BOUNDS), lambda: None)
         sync.add_peers(["c2:1", "c3:1", "gone:1"])
         await asyncio.sleep(REMOVE_AFTER_WINDOWS * BOUNDS.contact_window_ms / 1000 + 1)
         sync.remove_unresponsive({"c3:1"})
--- a/tests/system/distribution/test_state_hub.py
+++ b/tests/system/distribution/test_state_hub.py
@@ -10,6 +10,7 @@
 from hallhitch.node.errors import RequestTimeout
 from hallhitch.planes.distribution.gateway_sync import GatewaySync
 from hallhitch.planes.distribution.peer_replica import PeerReplica
+from hallhitch.planes.distribution.ports import SyncContext
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.values import LeaseMembership
 from tests.system.distribution.simulated_peers import (
@@ -96,7 +97,7 @@
     gateway_hub.update_config(7, 21, b"", ["z"])
     gateway_hub.update_backends(now(), [make_backend("a")])
     links = DirectLinks({"core:1": without_lease, "other:1": gateway_hub})
-    sync = GatewaySync(links, hub, lambda: make_gateway("me"), ["core:1"])
+    sync = GatewaySync(SyncContext(links, hub, lambda: make_gateway("me")), ["core:1"])
     assert asyncio.run(sync._follow_coordinators(["gone:1", "core:1"]))
     assert hub.config.serial == 7 and list(hub.config.evacuated_zones) == ["z"] and len(hub.backends) == 1
 
