--- a/benchmarks/feed.py
+++ b/benchmarks/feed.py
@@ -30,7 +30,7 @@
 from hallhitch.hosting.model import Catalogue, Client, Head, Kind, Limits, Plan
 from hallhitch.hosting.rows import Row
 from hallhitch.tls import authority
-from hallhitch.tls.certificates import fingerprint
+from hallhitch.tls.certificate_files import certificate_fingerprint
 from tests.control_plane import ControlPlane, change, seed
 
 GATEWAYS = 4
@@ -42,8 +42,8 @@
     with tempfile.TemporaryDirectory() as folder:
         plane = ControlPlane(Path(folder))
         await plane.start()
-        certificate = authority.issue(plane.folder / "tls", "gateways", ["gateways"], client=True)
-        shown = fingerprint(ssl.PEM_cert_to_DER_cert(certificate.read_text()))
+        certificate = authority.issue_certificate(plane.folder / "tls", "gateways", ["gateways"], client=True)
+        shown = certificate_fingerprint(ssl.PEM_cert_to_DER_cert(certificate.read_text()))
         held: dict[int, int] = {}
         news = asyncio.Event()
 
--- a/hallhitch/cli/demo.py
+++ b/hallhitch/cli/demo.py
@@ -42,9 +42,9 @@
     file = folder / "control.toml"
     file.write_text(SETTINGS.format(port=port))
     if not (folder / "tls" / "ca.crt").exists():
-        authority.make_authority(folder / "tls")
+        authority.create_authority(folder / "tls")
     if not (folder / "tls" / "default.crt").exists():
-        authority.issue(folder / "tls", "default", ["localhost", "127.0.0.1"])
+        authority.issue_certificate(folder / "tls", "default", ["localhost", "127.0.0.1"])
     if not (folder / "operator.token").exists():
         secret_file(folder / "operator.token", first_operator(read(str(file), ControlSettings), str(file)))
     return file
--- a/hallhitch/cli/main.py
+++ b/hallhitch/cli/main.py
@@ -22,7 +22,7 @@
 from hallhitch.cli.trace import trace
 from hallhitch.control.store import StoreError
 from hallhitch.settings_file import SettingsError
-from hallhitch.tls.certificates import CertificateError
+from hallhitch.tls.errors import CertificateError
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
--- a/hallhitch/cli/tls.py
+++ b/hallhitch/cli/tls.py
@@ -8,7 +8,7 @@
 
 from hallhitch.cli.output import as_json
 from hallhitch.tls import authority
-from hallhitch.tls.certificates import describe
+from hallhitch.tls.inspection import describe_certificate
 
 FOLDER = click.argument("folder", type=click.Path())
 
@@ -22,7 +22,7 @@
 @FOLDER
 def dev_ca(folder: str) -> None:
     """Make a local authority in FOLDER: ca.crt is what callers trust."""
-    click.echo(str(authority.make_authority(Path(folder))))
+    click.echo(str(authority.create_authority(Path(folder))))
 
 
 @tls.command()
@@ -30,14 +30,14 @@
 @click.argument("name")
 @click.argument("hosts", nargs=-1, required=True)
 @click.option("--client", is_flag=True, help="One that names a caller, not a server.")
-@click.option("--days", type=float, default=authority.DAYS, show_default=True)
+@click.option("--days", type=float, default=authority.DEFAULT_VALIDITY_DAYS, show_default=True)
 def issue(folder: str, name: str, hosts: tuple[str, ...], client: bool, days: float) -> None:
     """Issue FOLDER/NAME.crt and .key for HOSTS, replacing what is there."""
-    click.echo(str(authority.issue(Path(folder), name, list(hosts), client, days)))
+    click.echo(str(authority.issue_certificate(Path(folder), name, list(hosts), client, days)))
 
 
 @tls.command()
 @click.argument("certificate", type=click.Path())
 def inspect(certificate: str) -> None:
     """Say what a certificate holds, and whether its key goes with it."""
-    as_json(describe(Path(certificate)))
+    as_json(describe_certificate(Path(certificate)))
--- a/hallhitch/control/serve.py
+++ b/hallhitch/control/serve.py
@@ -29,7 +29,8 @@
 from hallhitch.core.addresses import parse_address
 from hallhitch.core.invariants import COUNTS
 from hallhitch.net.sockets import listen
-from hallhitch.tls.certificates import Certificates, fingerprint
+from hallhitch.tls.certificate_files import certificate_fingerprint
+from hallhitch.tls.certificate_store import CertificateStore
 
 HANDSHAKE = 5.0  # seconds for TLS
 FAREWELL = 0.3  # seconds for the other side to end TLS too: an idle caller may never look
@@ -53,7 +54,7 @@
         super().connection_made(transport)
         shown = transport.get_extra_info("ssl_object")
         if shown is not None and (der := shown.getpeercert(True)):
-            self.app_state = {**self.app_state, "certificate": fingerprint(der)}
+            self.app_state = {**self.app_state, "certificate": certificate_fingerprint(der)}
         self._arm()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -132,7 +133,9 @@
             store, found.catalogue, found.history, clock, keys, settings.store.snapshot_each, settings.store.keep
         )
         ca = settings.tls.client_ca
-        certificates = Certificates(settings.path(settings.tls.folder, file), settings.path(ca, file) if ca else None)
+        certificates = CertificateStore(
+            settings.path(settings.tls.folder, file), settings.path(ca, file) if ca else None
+        )
         listener = listen(parse_address(settings.api.listen))
     except BaseException:
         store.close()
@@ -171,7 +174,7 @@
     log.info("ended", counts=dict(COUNTS), version=writer.catalogue.version, batches=writer.batches)
 
 
-def _server(settings: ControlSettings, app: Any, listener: socket.socket, certificates: Certificates) -> Server:
+def _server(settings: ControlSettings, app: Any, listener: socket.socket, certificates: CertificateStore) -> Server:
     """uvicorn, told what it may not decide by itself."""
     api = settings.api
     quiet = logging.getLogger("uvicorn")
@@ -195,7 +198,7 @@
     return Server(config, listener, certificates.context)
 
 
-async def _look(certificates: Certificates, seconds: float) -> None:
+async def _look(certificates: CertificateStore, seconds: float) -> None:
     """Take replaced certificates without being told."""
     while True:
         await asyncio.sleep(seconds)
--- a/hallhitch/tls/__init__.py
+++ b/hallhitch/tls/__init__.py
@@ -1,1 +1,1 @@
-"""Certificates and keys: by host name from a folder, reloaded in service; a local authority for trials."""
+"""TLS certificates: pairs by host name from a directory, reloaded in service, and a local authority for trials."""
--- /dev/null
+++ b/hallhitch/tls/errors.py
@@ -0,0 +1,14 @@
+"""Errors of certificates and keys."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+
+class CertificateError(Exception):
+    """A certificate, its key or their directory cannot be used."""
+
+    def __init__(self, path: Path, problem: str) -> None:
+        super().__init__(f"{path}: {problem}")
+        self.path = path
+        self.problem = problem
--- a/tests/control/test_api.py
+++ b/tests/control/test_api.py
@@ -9,7 +9,7 @@
 import uuid
 
 from hallhitch.tls import authority
-from hallhitch.tls.certificates import fingerprint
+from hallhitch.tls.certificate_files import certificate_fingerprint
 from tests.control_plane import PLAN, ControlCase, change, issue, seed
 from tests.stand_ins import soon
 
@@ -262,8 +262,8 @@
     async def test_an_operator_by_certificate(self) -> None:
         """Guards against a certificate that names nobody being taken for an operator."""
         folder = self.plane.folder / "tls"
-        known, unknown = (authority.issue(folder, name, [name], client=True) for name in ("ann", "bob"))
-        shown = fingerprint(ssl.PEM_cert_to_DER_cert(known.read_text()))
+        known, unknown = (authority.issue_certificate(folder, name, [name], client=True) for name in ("ann", "bob"))
+        shown = certificate_fingerprint(ssl.PEM_cert_to_DER_cert(known.read_text()))
         made = await change(self.root, "PUT", "/v1/operators/ann", {"scope": "operator", "certificate": shown})
         self.assertEqual(made.status_code, 201)
         for certificate, status in ((known, 200), (unknown, 401)):
--- a/tests/control_plane.py
+++ b/tests/control_plane.py
@@ -43,8 +43,8 @@
             f'[store]\nfolder = "store"\n[api]\n{lines}\n[tls]\nfolder = "tls"\n'
             'client_ca = "tls/ca.crt"\nlook_seconds = 0.05\n'
         )
-        authority.make_authority(folder / "tls")
-        authority.issue(folder / "tls", "default", ["127.0.0.1", "localhost"])
+        authority.create_authority(folder / "tls")
+        authority.issue_certificate(folder / "tls", "default", ["127.0.0.1", "localhost"])
         self.token = first_operator(read(str(self.file), ControlSettings), str(self.file))
         self.trust = ssl.create_default_context(cafile=str(folder / "tls" / "ca.crt"))
         self.said: list[str] = []
--- a/tests/hosted/test_link.py
+++ b/tests/hosted/test_link.py
@@ -14,7 +14,7 @@
 from hallhitch.hosted.saved import Saved
 from hallhitch.hosting.model import Catalogue, Kind
 from hallhitch.tls import authority
-from hallhitch.tls.certificates import fingerprint
+from hallhitch.tls.certificate_files import certificate_fingerprint
 from tests.cli.test_commands import run as command
 from tests.control_plane import ControlCase, ControlPlane, change, seed
 from tests.stand_ins import soon
@@ -61,8 +61,8 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.certificate = authority.issue(self.plane.folder / "tls", "gateways", ["gateways"], client=True)
-        shown = fingerprint(ssl.PEM_cert_to_DER_cert(self.certificate.read_text()))
+        self.certificate = authority.issue_certificate(self.plane.folder / "tls", "gateways", ["gateways"], client=True)
+        shown = certificate_fingerprint(ssl.PEM_cert_to_DER_cert(self.certificate.read_text()))
         made = await change(self.root, "PUT", "/v1/operators/gateways", {"scope": "gateway", "certificate": shown})
         self.assertEqual(made.status_code, 201, made.text)
         await seed(self.root, "acme")
