--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -50,7 +50,7 @@
 from hallhitch.planes.quota.lease import LeaseClaim, UsageReport
 from hallhitch.planes.quota.limits import QuotaRule, RateLimit
 from hallhitch.planes.quota.tenant_counter import TenantCounter
-from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestKind, Route, Service
+from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestKind, Route, Service, WeightedService
 
 LETTERS = "abcdefghijkmnpqrstuvwxyz23456789"
 LARGE = 1e7  # bytes of a configuration from which the kernel tells what it holds; tracing takes too long
@@ -286,7 +286,8 @@
 def choosing(backends: int, gateways: int) -> Row:
     """One decision over so many backends of one service, and a rebuild of its endpoints, seen from one gateway."""
     service = Service("s", "/health", 100, 0.0, 0.0)
-    route = Route("r", "h", "/", RequestKind.IDEMPOTENT, 3000.0, 800.0, 0, (("s", 1.0),), 2, True)
+    services = (WeightedService("s", 1.0),)
+    route = Route("r", "h", "/", RequestKind.IDEMPOTENT, 3000.0, 800.0, 0, services, 2, True)
     own = gateway(0)
     config = ClusterConfig(1, 1, {"h": (route,)}, {"s": service}, {}, {})
     peers = [replace(gateway(n * 28), zone=f"namaka-{n % 2 * 28}", region="region-0") for n in range(1, gateways)]
--- a/hallhitch/lab/data_plane_cases.py
+++ b/hallhitch/lab/data_plane_cases.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from hallhitch.planes.values import ANY_REGION, RequestKind, Route
+from hallhitch.planes.values import ANY_REGION, RequestKind, Route, WeightedService
 
 
 @dataclass(frozen=True)
@@ -23,7 +23,7 @@
     @property
     def service(self) -> str:
         """The service of the route."""
-        return self.route.weighted_services[0][0]
+        return self.route.weighted_services[0].service
 
 
 def _route(
@@ -34,7 +34,7 @@
     priority: int,
     allowed_regions: frozenset[str] = ANY_REGION,
 ) -> Route:
-    split = ((service, 1.0),)
+    split = (WeightedService(service, 1.0),)
     timeout_ms = 4 * latency_target_ms
     return Route(
         name, "h", f"/{name}/", kind, timeout_ms, latency_target_ms, priority, split, 2, False, allowed_regions
--- a/hallhitch/planes/data/request_admission.py
+++ b/hallhitch/planes/data/request_admission.py
@@ -82,11 +82,11 @@
     """Return a service of the route in proportion to the weights; the same for the same request id."""
     services = route.weighted_services
     if len(services) == 1:
-        return services[0][0]
+        return services[0].service
     position = zlib.crc32(request_id) / CRC32_RANGE * sum(weight for _, weight in services)
     for service, weight in services:
         position -= weight
         if position < 0:
             return service
     # Rounding may leave a position past the last service.
-    return max(services, key=lambda entry: entry[1])[0]
+    return max(services, key=lambda entry: entry.weight).service
--- a/hallhitch/planes/discovery/gateway_registry.py
+++ b/hallhitch/planes/discovery/gateway_registry.py
@@ -45,11 +45,17 @@
     for gateways in remote:
         for address, gateway in gateways.items():
             known = merged.get(address)
-            if known is None or (gateway.is_leaving and gateway.incarnation == known.incarnation):
-                merged[address] = gateway
+            if known is not None and not _is_departure(gateway, known):
+                continue
+            merged[address] = gateway
     return merged
 
 
+def _is_departure(gateway: Gateway, known: Gateway) -> bool:
+    """Return whether an entry shows that the known incarnation of a gateway is leaving."""
+    return gateway.is_leaving and gateway.incarnation == known.incarnation
+
+
 def gateways_to_record(seen: int, recorded: int) -> int | None:
     """Return the upper bound on gateways to record in the cluster state; None if the recorded one still holds.
 
--- a/hallhitch/planes/distribution/config_compiler.py
+++ b/hallhitch/planes/distribution/config_compiler.py
@@ -12,7 +12,15 @@
 from typing import Any, Final
 
 from hallhitch.node.durations import parse_duration_ms
-from hallhitch.planes.values import ClusterConfig, RequestKind, RequestLimits, Route, Service, Tenant
+from hallhitch.planes.values import (
+    ClusterConfig,
+    RequestKind,
+    RequestLimits,
+    Route,
+    Service,
+    Tenant,
+    WeightedService,
+)
 
 EMPTY_CONFIG: Final = ClusterConfig(serial=0, version=-1, routes={}, services={}, tenants={}, tenants_by_api_key={})
 DEFAULT_TIMEOUT_MS: Final = 30_000.0  # of a route without `timeout`
@@ -61,18 +69,18 @@
         timeout_ms=timeout_ms,
         latency_target_ms=_parse_duration_ms(entry.get("targetLatency"), timeout_ms * DEFAULT_TARGET_SHARE),
         priority=int(entry.get("priority", 0)),
-        weighted_services=_weighted_services(entry),
+        weighted_services=_compile_weighted_services(entry),
         max_attempts=int(entry.get("maxAttempts", 1)),
         is_public=bool(entry.get("public", False)),
         allowed_regions=frozenset(entry.get("allowedRegions") or ()),
     )
 
 
-def _weighted_services(entry: Mapping[str, Any]) -> tuple[tuple[str, float], ...]:
+def _compile_weighted_services(entry: Mapping[str, Any]) -> tuple[WeightedService, ...]:
     split = entry.get("trafficSplit")
     if not split:
-        return ((entry["targetService"], 1.0),)
-    return tuple((target["targetService"], float(target.get("weight", 1))) for target in split)
+        return (WeightedService(entry["targetService"], 1.0),)
+    return tuple(WeightedService(target["targetService"], float(target.get("weight", 1))) for target in split)
 
 
 def _compile_service(name: str, entry: Mapping[str, Any]) -> Service:
--- a/hallhitch/planes/values.py
+++ b/hallhitch/planes/values.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import Final
+from typing import Final, NamedTuple
 
 from hallhitch.messages.system_pb2 import LeaseMembershipMessage
 
@@ -24,9 +24,16 @@
     DOWNLOAD = "download"
 
 
+class WeightedService(NamedTuple):
+    """A service that a route sends requests to, and its weight among those of the route."""
+
+    service: str
+    weight: float
+
+
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route of the configuration; `weighted_services` has at least one (service, weight)."""
+    """One route of the configuration; `weighted_services` is not empty."""
 
     name: str
     host: str
@@ -35,7 +42,7 @@
     timeout_ms: float
     latency_target_ms: float  # a response within it has its full value
     priority: int
-    weighted_services: tuple[tuple[str, float], ...]
+    weighted_services: tuple[WeightedService, ...]
     max_attempts: int
     is_public: bool
     allowed_regions: frozenset[str] = ANY_REGION  # where backends and gateways may serve it; empty = anywhere
@@ -81,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterConfig:
-    """The cluster configuration, compiled for look-ups and replaced as a whole.
+    """The cluster configuration, compiled for look-ups; a change makes a new value.
 
     `serial` is incremented by each committed change (of configuration or evacuation); `version` is the operator's
     `configVersion`, -1 as long as there is no configuration.
--- a/tests/system/data/data_plane_harness.py
+++ b/tests/system/data/data_plane_harness.py
@@ -15,7 +15,16 @@
 from hallhitch.node.settings import NodeSettings, RuleBounds
 from hallhitch.planes.data.interfaces import LoadBalancingPolicy
 from hallhitch.planes.data.plane import DataPlane
-from hallhitch.planes.values import Backend, ClusterConfig, RequestKind, RequestLimits, Route, Service, Tenant
+from hallhitch.planes.values import (
+    Backend,
+    ClusterConfig,
+    RequestKind,
+    RequestLimits,
+    Route,
+    Service,
+    Tenant,
+    WeightedService,
+)
 from tests.system.data.scripted_peers import Peer, ReceivedMessage, Script
 from tests.system.data.stub_policies import LONG_WAIT_MS, EachBackendOncePolicy, StubQuotaCounter
 
@@ -59,7 +68,7 @@
         "timeout_ms": 5000.0,
         "latency_target_ms": 500.0,
         "priority": 1,
-        "weighted_services": (("shop", 1.0),),
+        "weighted_services": (WeightedService("shop", 1.0),),
         "max_attempts": 3,
         "is_public": False,
     } | overrides
--- a/tests/system/data/load_balancer_harness.py
+++ b/tests/system/data/load_balancer_harness.py
@@ -8,7 +8,16 @@
 from hallhitch.planes.data.interfaces import Action, Forward, Outcome, RequestInfo
 from hallhitch.planes.data.load_balancer import LoadBalancer, LoadBalancerSettings
 from hallhitch.planes.data.request_state import RequestState
-from hallhitch.planes.values import Backend, ClusterConfig, Gateway, RequestKind, RequestLimits, Route, Service
+from hallhitch.planes.values import (
+    Backend,
+    ClusterConfig,
+    Gateway,
+    RequestKind,
+    RequestLimits,
+    Route,
+    Service,
+    WeightedService,
+)
 
 REGION_BY_ZONE = {"a1": "a", "a2": "a", "b1": "b"}
 START_MS = 20_000.0  # past the first window of the retry budget, so that its slack counts
@@ -26,7 +35,7 @@
 
     def arriving(self, now: float) -> RequestInfo:
         """A request that arrives now, on a route with a latency target of 400 ms and a time-out of 2000 ms."""
-        split = (("s", 1.0),)
+        split = (WeightedService("s", 1.0),)
         route = Route("r", "h", "/", self.kind, 2000.0, 400.0, self.priority, split, self.max_attempts, False)
         return RequestInfo(route, "s", self.allowed_regions, self.priority, now, now + 2000.0)
 
