--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -3,8 +3,8 @@
 Owns the parts of the replica, their tasks, and the rounds in which the replica observes its peers. Invariants:
 
 - `committed_state` is held by a majority of each set of members; see `committed_state`.
-- Nothing is proposed while the replica does not know what it voted before, or has left; see `state_recovery`,
-  `vote_eligibility` and `graceful_departure`.
+- Nothing is proposed after the replica has left or met another founding; see `graceful_departure`, `vote_eligibility`.
+- A recovering replica changes no members, and its own vote counts for nothing; see `state_recovery`, `acceptor_state`.
 """
 
 from __future__ import annotations
--- a/hallhitch/planes/control/serving_lease.py
+++ b/hallhitch/planes/control/serving_lease.py
@@ -1,6 +1,7 @@
 """The serving lease of a coordinator: how long it may answer for the core. No I/O, no clock.
 
-Moments are arguments, in ms of the process's steady clock. Invariants:
+A valid lease allows reads and first configurations of gateways. It does not allow acknowledgements: these need a
+committed ballot, with or without a lease. Moments are arguments, in ms of the process's steady clock. Invariants:
 
 - *Confirmed when asked*: `confirmed_at_ms` is the moment at which a read was sent that found a majority of each set of
   members with nothing newer than what is known here, or at which a ballot of this process began that was committed.
