--- a/hallhitch/cli/check.py
+++ b/hallhitch/cli/check.py
@@ -13,13 +13,13 @@
 from hallhitch.lab.fleet.timeline import TimeLine
 from hallhitch.lab.scenario import Scenario
 from hallhitch.membership.settings import MembershipSettings
-from hallhitch.resp.config import RespConfig
+from hallhitch.resp.settings import RespSettings
 from hallhitch.settings_file import SettingsError, read
 
 FORMS: dict[str, type[Any]] = {
     "control": ControlSettings,
     "tenant": TenantFile,
-    "resp": RespConfig,
+    "resp": RespSettings,
     "scenario": Scenario,
     "peers": MembershipSettings,
     "timeline": TimeLine,
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -47,8 +47,8 @@
 if TYPE_CHECKING:
     from hallhitch.membership.damped_view import GatewayCounts
     from hallhitch.membership.service import MembershipService
-    from hallhitch.resp.config import RespConfig
     from hallhitch.resp.server import LimitServer
+    from hallhitch.resp.settings import RespSettings
 
 MOVES = {"discovery", "counter", "settings", "zones", "file", "known", "seed"}  # what SIGHUP changes, or a start alone
 STAYS = {"name", "listen", "sockets", "memory", "ops", "inherited"}  # what holds until the next start
@@ -58,11 +58,11 @@
 
 
 def counter_of(
-    told: config.Config, resp: RespConfig | None
+    told: config.Config, resp: RespSettings | None
 ) -> tuple[tuple[str, int], Callable[[], CounterCodec]] | None:
     """Where the counter is and what it speaks."""
     if resp is not None and resp.counter is not None:
-        from hallhitch.resp.counter import RespCounterCodec
+        from hallhitch.resp.counter_codec import RespCounterCodec
 
         return parse_address(resp.counter), RespCounterCodec
     if told.counter is not None:
@@ -70,13 +70,13 @@
     return None
 
 
-def read_resp(path: str | None) -> RespConfig | None:
+def read_resp(path: str | None) -> RespSettings | None:
     """The file of the RESP front, if there is one."""
     if path is None:
         return None
-    from hallhitch.resp import config as resp_config
+    from hallhitch.resp.settings import read_settings
 
-    return resp_config.read(path)
+    return read_settings(path)
 
 
 async def serve(told: config.Config, resp_file: str | None, peers_file: str | None = None) -> None:
--- a/hallhitch/lab/counter_sides.py
+++ b/hallhitch/lab/counter_sides.py
@@ -8,7 +8,7 @@
 
 from hallhitch.lab.http_wire import Reader, Writer, answer, read_message
 from hallhitch.lab.services import Counter
-from hallhitch.resp.codec import CommandReader, array, bulk, error, simple
+from hallhitch.resp.codec import CommandReader, encode_array, encode_bulk_string, encode_error, encode_simple_string
 
 
 class Ordered:
@@ -83,36 +83,41 @@
                 slot = answers.place()
                 if name == b"MULTI" and queued is None:
                     queued, spoilt = [], False
-                    answers.give(slot, simple("OK"))
+                    answers.give(slot, encode_simple_string("OK"))
                 elif name == b"EXEC" and queued is not None:
                     calls, queued = queued, None
                     if spoilt:
-                        answers.give(slot, error("EXECABORT Transaction discarded because of previous errors."))
+                        answers.give(slot, encode_error("EXECABORT Transaction discarded because of previous errors."))
                     else:
                         self._run(calls, answers, slot)
                 elif queued is not None and _known(words):
                     queued.append(words)
-                    answers.give(slot, simple("QUEUED"))
+                    answers.give(slot, encode_simple_string("QUEUED"))
                 else:
                     spoilt = queued is not None
-                    answers.give(slot, error(f"ERR unknown command '{name.decode(errors='replace')}' here"))
-            if commands.broken:
+                    answers.give(slot, encode_error(f"ERR unknown command '{name.decode(errors='replace')}' here"))
+            if commands.framing_error:
                 return
 
     def _run(self, calls: list[list[bytes]], answers: Ordered, slot: list[bytes | None]) -> None:
         lives = {words[1]: float(words[4]) for words in calls if words[0].upper() == b"SET"}
         adds = [words for words in calls if words[0].upper() == b"INCRBYFLOAT"]
         if len(adds) != 1 or adds[0][1] not in lives:
-            return answers.give(slot, error("ERR a call is one name's SET and INCRBYFLOAT"))
+            return answers.give(slot, encode_error("ERR a call is one name's SET and INCRBYFLOAT"))
 
         def reply(outcome: str, total: float) -> None:
             if outcome == "unreachable":
                 return answers.abort()
             if outcome != "ok":
-                return answers.give(slot, error("BUSY the queue is full"))
-            made = simple("OK") if total == float(adds[0][2]) else bulk(None)  # NX: nil where the name was there
+                return answers.give(slot, encode_error("BUSY the queue is full"))
+            made = (
+                encode_simple_string("OK") if total == float(adds[0][2]) else encode_bulk_string(None)
+            )  # NX: nil where the name was there
             answers.give(
-                slot, array([made if words[0].upper() == b"SET" else bulk(b"%.7g" % total) for words in calls])
+                slot,
+                encode_array(
+                    [made if words[0].upper() == b"SET" else encode_bulk_string(b"%.7g" % total) for words in calls]
+                ),
             )
 
         self._counter.call(int(adds[0][1]), float(adds[0][2]), lives[adds[0][1]], reply)
--- a/hallhitch/resp/config.py
+++ b/hallhitch/resp/settings.py
@@ -1,4 +1,4 @@
-"""The file that turns the RESP front on; `deploy/resp.toml` is one."""
+"""The settings file that turns the RESP server on (`--resp FILE`); `deploy/resp.toml` is an example."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from hallhitch.settings_file import read as read_file
 
 
-class RespConfig(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the front listens, the RESP counter if there is one, and how many clients it takes."""
+class RespSettings(Struct, frozen=True, forbid_unknown_fields=True):
+    """Where the server listens, the RESP counter if there is one, and how many clients it accepts."""
 
     listen: str
     counter: str | None = None
@@ -24,6 +24,10 @@
             checked("counter", lambda: parse_address(self.counter or ""))
 
 
-def read(path: str) -> RespConfig:
-    """Read the file; SettingsError names the field that is wrong."""
-    return read_file(path, RespConfig)
+def read_settings(path: str) -> RespSettings:
+    """Read and check the file.
+
+    Raises:
+        SettingsError: The file cannot be used; the text names the field.
+    """
+    return read_file(path, RespSettings)
