--- /dev/null
+++ b/tests/membership/fleet_case.py
@@ -0,0 +1,58 @@
+"""Fleets of real gateway processes with membership, and what their tests ask of them."""
+
+from __future__ import annotations
+
+import asyncio
+import unittest
+from collections.abc import Callable
+from typing import Any
+
+from hallhitch.lab.checker import check
+from hallhitch.lab.fleet.processes import Fleet, View, states, there
+from hallhitch.lab.scenario import Scenario, replaced
+from hallhitch.settings_file import read
+from tests.stand_ins import ROOT
+
+# Under two thirds of the default periods: a busy machine is late by less than the least suspicion, 1.2 s.
+FAST_SETTINGS = (
+    "[periods]\nprobe_s = 0.3\nanswer_s = 0.12\nreach_s = 0.6\nexchange_s = 0.5\n"
+    "[follow]\nsettle_s = 0.5\npause_s = 1.0\nstep_s = 0.3\nhold_s = 30.0\nfade_s = 4.0\n"
+)
+
+
+def make_fleet(
+    gateways: int, seconds: float = 8.0, kind: type[Fleet] = Fleet, file: str = FAST_SETTINGS, **options: Any
+) -> Fleet:
+    """Return a fleet in front of a few nodes, to be entered as a context."""
+    scenario = replaced(
+        read(str(ROOT / "scenarios" / "calm.toml"), Scenario),
+        {"world.gateways": gateways, "world.nodes": 4, "seconds": seconds},
+    )
+    return kind(scenario, 1, file=file, **options)
+
+
+def all_views_hold(name: str, state: str) -> Callable[[dict[int, View]], bool]:
+    """Return a condition: all views hold a member in a state."""
+    return lambda views: all(states(view).get(name) == state for view in views.values())
+
+
+def sees_exactly(*names: str) -> Callable[[View], bool]:
+    """Return a condition: a view holds these members present, and no other."""
+    return lambda view: sorted(there(view)) == sorted(names)
+
+
+class FleetCase(unittest.IsolatedAsyncioTestCase):
+    """A test with a fleet of gateway processes."""
+
+    async def asyncSetUp(self) -> None:
+        asyncio.get_running_loop().set_debug(False)
+
+    def reported_failures(self, fleet: Fleet, number: int) -> list[str]:
+        """Return the members that a gateway's log reports as failed."""
+        return [name for line in fleet.logged(number, "members failed") for name in line["names"]]
+
+    def assert_sound(self, fleet: Fleet) -> None:
+        """Check that the run broke no rule, and that no gateway logged an internal failure."""
+        self.assertEqual([str(breach) for breach in check(fleet.journal.events)], [])
+        for number in range(fleet.count):
+            self.assertEqual(fleet.logged(number, "actor failed"), [])
--- /dev/null
+++ b/tests/membership/test_foreign_members.py
@@ -0,0 +1,73 @@
+"""Gateways with one name, and datagrams from elsewhere."""
+
+from __future__ import annotations
+
+import os
+import socket
+from typing import Any
+
+from hallhitch.lab.fleet.processes import Fleet, own, states
+from hallhitch.membership.messages import PROTOCOL_VERSION, Ping, encode
+from hallhitch.membership.records import MemberRecord, MemberState
+from tests.membership.fleet_case import FleetCase, make_fleet
+
+
+class NameConflictTest(FleetCase):
+    """A gateway that is configured with the name of another."""
+
+    async def test_two_gateways_with_one_name_are_a_conflict_and_both_serve(self) -> None:
+        class Twins(Fleet):
+            def _config(self, number: int) -> dict[str, Any]:
+                return super()._config(number) | ({"name": "n1"} if number == 3 else {})
+
+        async with make_fleet(4, kind=Twins) as fleet:
+            await fleet.until(
+                lambda views: len(views) == 4
+                and all(list(v["conflicts"]) == ["n1"] and v["places"] == 4 for v in views.values())
+            )
+            await fleet.drive()
+            self.assert_sound(fleet)
+            for number in range(4):
+                self.assertEqual(len(fleet.logged(number, "member name conflict")), 1)
+                self.assertIn("svc_members_conflicts 1\n", await fleet.view(number, "/api/telemetry"))
+            ran = {event[4] for event in fleet.journal.events if event[1] == "send"}
+            self.assertEqual(ran, {0, 1, 2, 3})
+
+
+class ForeignDatagramsTest(FleetCase):
+    """What else may come to the socket."""
+
+    async def test_foreign_datagrams_change_no_view_and_are_counted(self) -> None:
+        async with make_fleet(3) as fleet:
+            await fleet.agreed()
+            before = {n: states(v) for n, v in (await fleet.views()).items()}
+            me = MemberRecord("evil", 1, 0, MemberState.ALIVE, "127.9.9.9:9", 1)
+            lie = tuple(MemberRecord(f"x{n}", n, 0, MemberState.ALIVE, "192.168.1.1:9", n) for n in range(8))
+            good = encode(Ping(PROTOCOL_VERSION, f"fleet-{fleet.port}", me, 0, (), 1, 1))
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+                for data in (
+                    b"",
+                    b"\xff" * 1400,
+                    good[:-3],
+                    b"x" * 4000,
+                    encode(Ping(PROTOCOL_VERSION, "other", me, 0, (), 1, 1)),
+                    encode(Ping(PROTOCOL_VERSION + 1, f"fleet-{fleet.port}", me, 0, (), 1, 1)),
+                    encode(Ping(PROTOCOL_VERSION, f"fleet-{fleet.port}", lie[0], 0, lie, 1, 1)),
+                ):
+                    sock.sendto(data, (own(0), fleet.port))
+                for _ in range(3_000):
+                    sock.sendto(os.urandom(64), (own(0), fleet.port))
+
+            def counted(text: str) -> dict[str, int]:
+                return {
+                    line.split('"')[1]: int(line.split()[-1])
+                    for line in text.splitlines()
+                    if line.startswith("svc_members_datagrams_dropped{")
+                }
+
+            while not (found := counted(await fleet.view(0, "/api/telemetry")))["cluster"] or not found["form"]:
+                pass
+            self.assertGreaterEqual(found["size"], 1)
+            self.assertEqual({n: states(v) for n, v in (await fleet.views()).items()}, before)
+            await fleet.agreed()
+            self.assert_sound(fleet)
