--- a/hallhitch/membership/damped_view.py
+++ b/hallhitch/membership/damped_view.py
@@ -59,8 +59,8 @@
 
 def _least_id_by_name(ids: dict[MemberKey, int]) -> dict[str, int]:
     least: dict[str, int] = {}
-    for (name, _), gateway_id in ids.items():
-        least[name] = min(gateway_id, least.get(name, gateway_id))
+    for key, gateway_id in ids.items():
+        least[key.name] = min(gateway_id, least.get(key.name, gateway_id))
     return least
 
 
--- a/hallhitch/membership/member_table.py
+++ b/hallhitch/membership/member_table.py
@@ -75,7 +75,7 @@
         """Return the members of a name."""
         return list(self._keys_by_name.get(name, ()))
 
-    def has_room(self, name: str) -> bool:
+    def can_add(self, name: str) -> bool:
         """Return whether another member of this name fits."""
         is_name_full = len(self._keys_by_name.get(name, ())) >= MAX_RECORDS_PER_NAME
         return not is_name_full and len(self.by_key) < self._max_members
@@ -96,10 +96,10 @@
     def remove(self, key: MemberKey) -> None:
         """Remove a member that failed or left."""
         del self.by_key[key]
-        keys = self._keys_by_name[key[0]]
+        keys = self._keys_by_name[key.name]
         keys.discard(key)
         if not keys:
-            del self._keys_by_name[key[0]]
+            del self._keys_by_name[key.name]
 
     def store(self, member: Member, record: MemberRecord, was_present: bool) -> None:
         """Replace a member's record and keep the digest and the cursors."""
--- a/hallhitch/membership/member_view.py
+++ b/hallhitch/membership/member_view.py
@@ -177,14 +177,14 @@
         return is_accusation and is_suspected and record.incarnation == member.record.incarnation
 
     def _add(self, record: MemberRecord, now: float) -> None:
-        if not self._make_room(record.name):
+        if not self._ensure_capacity(record.name):
             self.counters.records_dropped += 1
             return
         self.set_record(self.table.add(record, now), record, now, is_known=False)
 
-    def _make_room(self, name: str) -> bool:
+    def _ensure_capacity(self, name: str) -> bool:
         """Evict a member that failed or left where another of this name would not fit."""
-        if self.table.has_room(name):
+        if self.table.can_add(name):
             return True
         evicted = self.table.oldest_absent(name)
         if evicted is None:
--- a/hallhitch/membership/outbox.py
+++ b/hallhitch/membership/outbox.py
@@ -17,6 +17,16 @@
     message: Datagram
 
 
+class MessageHeader(NamedTuple):
+    """The leading fields of a message, in the order of the wire."""
+
+    protocol_version: int
+    cluster: str
+    sender: MemberRecord
+    view_digest: int
+    updates: tuple[MemberRecord, ...]
+
+
 class Outbox:
     """Builds and collects messages."""
 
@@ -61,14 +71,14 @@
         )
         self._add(address, page)
 
-    def _header(self, recipient: Member | None) -> tuple[int, str, MemberRecord, int, tuple[MemberRecord, ...]]:
+    def _header(self, recipient: Member | None) -> MessageHeader:
         """Return the leading fields. An accused recipient gets its accusation first, so that it can refute."""
         view = self._view
         updates = view.updates.take(view.present_count)
         if recipient is not None and recipient.record.state is not MemberState.ALIVE:
             accusation = recipient.record
             updates = [accusation, *(record for record in updates if record.key != accusation.key)]
-        return PROTOCOL_VERSION, self._cluster, view.local, view.table.digest, tuple(updates)
+        return MessageHeader(PROTOCOL_VERSION, self._cluster, view.local, view.table.digest, tuple(updates))
 
     def _add(self, address: str, message: Datagram) -> None:
         self._outgoing.append(OutgoingDatagram(address, message))
--- a/hallhitch/membership/prober.py
+++ b/hallhitch/membership/prober.py
@@ -74,7 +74,7 @@
     def on_ack(self, ack: Ack, now: float) -> bool:
         """End the probe in flight if this is its answer; return whether it is."""
         probe = self._probe
-        if probe is None or probe.sequence != ack.sequence or probe.key[1] != ack.target_instance:
+        if probe is None or probe.sequence != ack.sequence or probe.key.instance != ack.target_instance:
             return False
         self._probe = None
         self._view.health.adjust(-1)
--- a/hallhitch/membership/records.py
+++ b/hallhitch/membership/records.py
@@ -18,7 +18,7 @@
 
 from collections.abc import Iterable
 from enum import IntEnum
-from typing import Annotated, Final
+from typing import Annotated, Final, NamedTuple
 
 import xxhash
 from msgspec import Meta, Struct
@@ -50,7 +50,11 @@
         return self <= MemberState.SUSPECT
 
 
-MemberKey = tuple[str, int]  # name and instance: two processes of one name are two members
+class MemberKey(NamedTuple):
+    """A member's identity: two processes of one name are two members."""
+
+    name: str
+    instance: int
 
 
 class MemberRecord(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -69,7 +73,7 @@
     @property
     def key(self) -> MemberKey:
         """The member's identity."""
-        return self.name, self.instance
+        return MemberKey(self.name, self.instance)
 
     @property
     def precedence(self) -> tuple[int, int]:
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -43,7 +43,7 @@
     new_instance = cluster.start(4).swim.local.instance
     assert_agreed_within(cluster, 10_000)
     for peer in cluster.there():
-        states = {key[1]: member.record.state for key, member in peer.swim.members.items() if key[0] == "g4"}
+        states = {key.instance: member.record.state for key, member in peer.swim.members.items() if key.name == "g4"}
         assert states.get(crashed_instance, MemberState.FAILED) is not MemberState.ALIVE
         if peer.number != 4:
             assert states[new_instance] is MemberState.ALIVE
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -142,5 +142,5 @@
     for sender, record in ((outside_sender, longest_record(2)), (longest_record(1), outside_target)):
         swim.handle_message(PingRequest(PROTOCOL_VERSION, CLUSTER, sender, 9, (record,), 1, record), NOW)
     assert {address for address, _ in swim.take_outgoing()} <= {longest_record(1).address}
-    assert ("a", 1) not in swim.members
-    assert ("b", 2) not in swim.members
+    assert MemberKey("a", 1) not in swim.members
+    assert MemberKey("b", 2) not in swim.members
