--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from hallhitch.net.http import AnswerReader, Message, RequestReader, answer
-from hallhitch.net.sockets import listen, tune
+from hallhitch.net.sockets import configure_socket, open_listener
 
 BUFFER = 16_384
 
@@ -34,7 +34,7 @@
     if idle:
         sock = idle.pop()
     else:
-        sock = tune(socket.socket())
+        sock = configure_socket(socket.socket())
         await loop.sock_connect(sock, address)
     await loop.sock_sendall(sock, head_of(request))
     reader, buffer = AnswerReader(), bytearray(BUFFER)
@@ -58,7 +58,7 @@
 
 async def serve(port: int, addresses: list[str]) -> None:
     """Accept for ever."""
-    loop, listener = asyncio.get_running_loop(), listen(("127.0.0.1", port))
+    loop, listener = asyncio.get_running_loop(), open_listener(("127.0.0.1", port))
     pools: list[tuple[tuple[str, int], deque[socket.socket]]] = []
     for address in addresses:
         host, _, at = address.partition(":")
@@ -67,7 +67,7 @@
     print("serving", flush=True)
     while True:
         sock, _ = await loop.sock_accept(listener)
-        task = loop.create_task(client(tune(sock), nodes))
+        task = loop.create_task(client(configure_socket(sock), nodes))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
 
--- a/hallhitch/control/serve.py
+++ b/hallhitch/control/serve.py
@@ -28,7 +28,7 @@
 from hallhitch.control.writer import Writer
 from hallhitch.core.addresses import parse_address
 from hallhitch.core.invariants import COUNTS
-from hallhitch.net.sockets import listen
+from hallhitch.net.sockets import open_listener
 from hallhitch.tls.certificate_files import certificate_fingerprint
 from hallhitch.tls.certificate_store import CertificateStore
 
@@ -136,7 +136,7 @@
         certificates = CertificateStore(
             settings.path(settings.tls.folder, file), settings.path(ca, file) if ca else None
         )
-        listener = listen(parse_address(settings.api.listen))
+        listener = open_listener(parse_address(settings.api.listen))
     except BaseException:
         store.close()
         raise
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -1,4 +1,4 @@
-"""One real gateway: `python -m hallhitch`.
+"""The process of one gateway: `python -m hallhitch`.
 
 The RESP front and membership are imported only where they are asked for: their settings files need what the platform
 does not install.
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from dataclasses import fields, replace
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Final
 
 import structlog
 import uvloop
@@ -31,14 +31,15 @@
 from hallhitch.decision import api
 from hallhitch.decision.policy import Gateway
 from hallhitch.decision.settings import WireError
-from hallhitch.net import config
-from hallhitch.net.budget import budget
-from hallhitch.net.counter import CounterClient, CounterCodec, HttpCounterCodec
-from hallhitch.net.hops import Hops
+from hallhitch.net.config import GatewayConfig, read_config
+from hallhitch.net.counter import CounterClient
+from hallhitch.net.counter_codec import CounterCodec, HttpCounterCodec
+from hallhitch.net.descriptor_budget import divide_descriptors
 from hallhitch.net.ingress import Ingress
-from hallhitch.net.pacing import Pacing
 from hallhitch.net.routes import RouteTable
-from hallhitch.net.sockets import inherited, listen
+from hallhitch.net.sockets import inherit_listener, open_listener
+from hallhitch.net.upstream.client import UpstreamClient
+from hallhitch.net.watch_backoff import WatchBackoff
 from hallhitch.ops.hot_restart.sibling_monitor import SiblingMonitor
 from hallhitch.ops.lifecycle import Command, Lifecycle
 from hallhitch.ops.metrics import CONTENT_TYPE, GatewayMetrics
@@ -50,245 +51,334 @@
     from hallhitch.resp.server import LimitServer
     from hallhitch.resp.settings import RespSettings
 
-MOVES = {"discovery", "counter", "settings", "zones", "file", "known", "seed"}  # what SIGHUP changes, or a start alone
-STAYS = {"name", "listen", "sockets", "memory", "ops", "inherited"}  # what holds until the next start
-FIRST_LIST = 500.0  # ms to wait at a start for discovery's word: the list held so far may name servers long gone
-HELD_SHARE = 16  # of the memory, as one part: bytes of long requests that are kept whole until they have come
+# Fields of the configuration that a reload changes, or that matter at the start alone.
+RELOADABLE_FIELDS: Final = frozenset(("discovery", "counter", "settings", "zones", "file", "known", "seed"))
+# Fields that hold until the next start, whatever a reload brings.
+FIXED_FIELDS: Final = frozenset(("name", "listen", "sockets", "memory", "ops", "inherited"))
+# For discovery's first answer at a start: the saved list may name servers that are long gone. Not Final: tests set it.
+FIRST_UPDATE_TIMEOUT_MS = 500.0
+UPLOAD_BUFFER_PARTS: Final = 16  # of the memory, long requests that are buffered get one part
+GC_THRESHOLDS: Final = (20_000, 20, 20)  # the objects of a request die with it, nearly all without a cycle
 log = structlog.get_logger()
 
+CounterEndpoint = tuple[tuple[str, int], Callable[[], CounterCodec]]
+
+
+class GatewayProcess:
+    """The parts of one gateway, wired together; owns their order at start, reload and stop."""
+
+    def __init__(self, config: GatewayConfig, resp_file: str | None, peers_file: str | None) -> None:
+        """Build the parts; nothing is listened to yet, but for the operators' address."""
+        resp = read_resp(resp_file)
+        self._config = config
+        self._resp_file = resp_file
+        self._peers_file = peers_file
+        self._loop = asyncio.get_running_loop()
+        self._deadlines = Deadlines(Clock(), self._loop)
+        self._processes = 1  # of this gateway, that serve
+        self._is_serving = False
+        self._cores: list[Core] = []
+        self._counters: dict[Core, CounterClient] = {}
+        self._counter_endpoint = find_counter(config, resp)
+        shared_folder = os.environ.get("TMPDIR") if config.inherited is not None else None
+        settings = config.settings
+
+        self._core = self._make_core("module", config.seed)
+        self._membership = self._make_membership(shared_folder)
+        backoff = WatchBackoff(settings.gateways, not settings.push_list, config.seed)
+        self._metrics = GatewayMetrics(kind.name for kind in settings.classes)
+        self._lifecycle = Lifecycle()
+        self._routes = RouteTable(self._loop, self._deadlines, config.zones, self._core.post, backoff)
+        self._budget = divide_descriptors(config.sockets, config.ops is not None)
+        self._upstream = UpstreamClient(
+            self._routes,
+            self._core,
+            self._deadlines,
+            self._loop,
+            settings,
+            self._budget.upstream,
+            self._metrics.record_attempt,
+        )
+        self._core.hop = self._upstream
+        if config.known is not None:
+            self._routes.post(config.known)
+        self._fronts: dict[Ingress | LimitServer, Callable[[], socket.socket]] = {}  # and what opens their listeners
+        clients = self._budget.clients
+        if resp is not None:
+            clients -= self._add_limit_server(resp)
+        self._ingress = self._add_ingress(clients)
+        self._metrics.gauges = {
+            "in_flight": lambda: self._ingress.in_flight,
+            "backends_known": lambda: len(self._routes.entries),
+            "backends_excluded": self._core.gateway.unavailable_count,
+        }
+        self._operator_server = self._make_operator_server()
+        # Without a shared folder the platform starts no process beside this one.
+        self._siblings = SiblingMonitor(shared_folder, self._deadlines, self._core.gateway, self._upstream.idle_times)
+        self._siblings.restore_state()
+        self._ingress.check_sibling = self._siblings.check
+
+    async def run(self) -> None:
+        """Serve until the last client has its answer after SIGTERM; SIGHUP reloads the configuration."""
+        self._loop.add_signal_handler(signal.SIGTERM, self._stop)
+        self._loop.add_signal_handler(signal.SIGINT, self._stop)
+        self._loop.add_signal_handler(signal.SIGHUP, self._reload)
+        self._start_membership()
+        self._routes.watch(self._config.discovery)
+        gc.collect()
+        gc.freeze()
+        gc.set_threshold(*GC_THRESHOLDS)
+        if self._config.settings.push_list:  # otherwise the first answer may take long, as all gateways ask
+            await self._routes.wait_until_updated(FIRST_UPDATE_TIMEOUT_MS)
+        # Clients cannot connect before all is ready: what waits in a backlog is accepted, and its time runs.
+        for front, open_front_listener in self._fronts.items() if not self._lifecycle.is_stopping else ():
+            front.open(open_front_listener())
+            self._is_serving = True
+        listeners = [front.on_sibling_changed for front in self._fronts]
+        self._siblings.start_serving([*listeners, self._upstream.on_sibling_changed, self._on_sibling_changed])
+        host, port = self._config.listen
+        log.info("serving", gateway=self._config.name, listen=f"{host}:{port}")
+        for front in self._fronts:
+            await front.wait_closed()
+        self._close()
+
+    # Building of parts.
+
+    def _make_core(self, name: str, seed: int, batch_size: int = 0) -> Core:
+        core = Core(Gateway(self._config.settings, seed), self._deadlines, self._loop, name, batch_size)
+        self._cores.append(core)
+        self._connect_counter(core)
+        return core
 
-def counter_of(
-    told: config.Config, resp: RespSettings | None
-) -> tuple[tuple[str, int], Callable[[], CounterCodec]] | None:
-    """Where the counter is and what it speaks."""
-    if resp is not None and resp.counter is not None:
-        from hallhitch.resp.counter_codec import RespCounterCodec
-
-        return parse_address(resp.counter), RespCounterCodec
-    if told.counter is not None:
-        return told.counter, partial(HttpCounterCodec, told.counter[0])
-    return None
+    def _connect_counter(self, core: Core) -> None:
+        if self._counter_endpoint is None:  # the settings keep the module from calling a counter
+            return
+        address, make_codec = self._counter_endpoint
+        core.counter = self._counters[core] = CounterClient(
+            address,
+            make_codec,
+            core.on_counter_reply,
+            self._deadlines,
+            self._loop,
+            self._config.settings.counter_timeout,
+        )
 
+    def _make_membership(self, shared_folder: str | None) -> MembershipService | None:
+        if self._peers_file is None:
+            return None
+        return make_membership(
+            self._peers_file, self._config, shared_folder, self._deadlines, self._loop, self._on_gateways_counted
+        )
 
-def read_resp(path: str | None) -> RespSettings | None:
-    """The file of the RESP front, if there is one."""
-    if path is None:
-        return None
-    from hallhitch.resp.settings import read_settings
+    def _add_limit_server(self, resp: RespSettings) -> int:
+        """Add the RESP front; return how many client connections it takes."""
+        from hallhitch.resp.server import LimitServer
 
-    return read_settings(path)
+        core = self._make_core("limits", self._config.seed + 1, batch_size=1)
+        core.hop = GrantHop(core)
+        core.post(LOCAL_SERVER_LIST)
+        spare = self._budget.spare
+        max_clients = min(resp.connections, self._budget.clients // 2)
+        server = LimitServer(core, self._config.settings, self._deadlines, self._loop, max_clients, spare)
+        self._fronts[server] = partial(open_or_inherit, "listen (RESP)", parse_address(resp.listen))
+        return max_clients + spare
+
+    def _add_ingress(self, max_clients: int) -> Ingress:
+        config = self._config
+        ingress = Ingress(
+            self._core,
+            config.settings,
+            self._deadlines,
+            self._loop,
+            max_clients,
+            self._budget.spare,
+            config.inherited is not None,
+            config.memory // UPLOAD_BUFFER_PARTS,
+            lambda: self._lifecycle.is_healthy,
+            self._metrics.record_request,
+        )
+        if config.inherited is None:
+            self._fronts[ingress] = partial(open_or_inherit, "listen", config.listen)
+        else:
+            self._fronts[ingress] = partial(open_or_inherit, "EDGE_FD", config.inherited)
+        return ingress
+
+    def _make_operator_server(self) -> OperatorServer | None:
+        calls: dict[tuple[str, str], Callable[[], OperatorReply]] = {
+            ("GET", "/api/ready"): self._readiness,
+            ("GET", "/api/telemetry"): lambda: OperatorReply(200, self._metrics.render(), CONTENT_TYPE),
+            ("PUT", "/api/evacuate"): lambda: self._apply(Command.EVACUATE),
+            ("PUT", "/api/rejoin"): lambda: self._apply(Command.REJOIN),
+        }
+        membership = self._membership
+        if membership is not None:
+            self._metrics.render_extra = membership.metrics_text
+            calls["GET", "/api/members"] = lambda: OperatorReply(200, membership.view_json(), "application/json")
+        if self._config.ops is None:
+            return None
+        server = OperatorServer(calls, self._deadlines, self._loop, self._budget.operators)
+        server.open(open_or_inherit("ops", self._config.ops))
+        return server
+
+    def _start_membership(self) -> None:
+        if self._membership is None:
+            return
+        try:
+            self._membership.start()
+        except OSError as error:
+            raise WireError(f"{self._peers_file}: field 'listen': {error}") from error
 
+    # Operators' calls.
 
-async def serve(told: config.Config, resp_file: str | None, peers_file: str | None = None) -> None:
-    """Wire the parts together and run until SIGTERM; SIGHUP has the files read again."""
-    resp = read_resp(resp_file)
-    processes, shared = 1, os.environ.get("TMPDIR") if told.inherited is not None else None
-    loop = asyncio.get_running_loop()
-    deadlines = Deadlines(Clock(), loop)
-    settings = told.settings
+    def _apply(self, command: Command) -> OperatorReply:
+        """Drain the gateway, or end the draining."""
+        if self._lifecycle.apply(command):
+            log.info("lifecycle changed", command=command.value, state=self._lifecycle.state.value)
+        for front in self._fronts:
+            if self._lifecycle.is_healthy:
+                front.stop_draining()
+            else:
+                front.start_draining()
+        if self._membership is not None:
+            if self._lifecycle.is_healthy:
+                self._membership.rejoin()
+            else:
+                self._membership.leave()
+        return OperatorReply(200, self._lifecycle.state.value + "\n")
 
-    counters: dict[Core, CounterClient] = {}
-    place = counter_of(told, resp)
+    def _readiness(self) -> OperatorReply:
+        is_ready = self._is_serving and not self._lifecycle.is_stopping
+        return OperatorReply(200 if is_ready else 503, ("ready" if is_ready else "not ready") + "\n")
 
-    def core_for(name: str, seed: int, batch: int = 0) -> Core:
-        core = Core(Gateway(settings, seed), deadlines, loop, name, batch)
-        cores.append(core)
-        meet(core)
-        return core
+    # Changes.
 
-    def meet(core: Core) -> None:
-        if place is not None:  # without one, the settings keep the module from calling
-            core.counter = counters[core] = CounterClient(
-                *place, core.on_counter_reply, deadlines, loop, told.settings.counter_timeout
-            )
-
-    cores: list[Core] = []
-
-    def counts(found: GatewayCounts) -> None:
-        for one in cores:
-            one.post(api.Peers(found.placement_count, found.budget_count, found.rank))
-
-    core = core_for("module", told.seed)
-    members = None if peers_file is None else members_of(peers_file, told, shared, deadlines, loop, counts)
-    pacing = Pacing(settings.gateways, not settings.push_list, told.seed)
-    metrics, lifecycle = GatewayMetrics(kind.name for kind in settings.classes), Lifecycle()
-    routes = RouteTable(loop, deadlines, told.zones, core.post, pacing)
-    shares = budget(told.sockets, told.ops is not None)
-    clients, spare = shares.clients, shares.spare
-    core.hop = hops = Hops(routes, core, deadlines, loop, settings, shares.hops, metrics.record_attempt)
-    if told.known is not None:
-        routes.post(told.known)
-    fronts: dict[Ingress | LimitServer, Callable[[], socket.socket]] = {}  # and where each gets its listener
-    if resp is not None:
-        limits = core_for("limits", told.seed + 1, batch=1)
-        limits.hop = GrantHop(limits)
-        limits.post(LOCAL_SERVER_LIST)
-        most = min(resp.connections, clients // 2)
-        clients -= most + spare
-        from hallhitch.resp.server import LimitServer
+    def _on_gateways_counted(self, counts: GatewayCounts) -> None:
+        for core in self._cores:
+            core.post(api.Peers(counts.placement_count, counts.budget_count, counts.rank))
 
-        fronts[LimitServer(limits, settings, deadlines, loop, most, spare)] = partial(
-            bound, "listen (RESP)", parse_address(resp.listen)
-        )
-    ingress = Ingress(
-        core,
-        settings,
-        deadlines,
-        loop,
-        clients,
-        spare,
-        told.inherited is not None,
-        told.memory // HELD_SHARE,
-        lambda: lifecycle.is_healthy,
-        metrics.record_request,
-    )
-    fronts[ingress] = (
-        partial(bound, "listen", told.listen) if told.inherited is None else partial(bound, "EDGE_FD", told.inherited)
-    )
-    metrics.gauges = {
-        "in_flight": lambda: ingress.in_flight,
-        "backends_known": lambda: len(routes.entries),
-        "backends_excluded": core.gateway.unavailable_count,
-    }
-    serving = False
-
-    def apply(command: Command) -> OperatorReply:
-        if lifecycle.apply(command):
-            log.info("lifecycle changed", command=command.value, state=lifecycle.state.value)
-        for front in fronts:
-            if lifecycle.is_healthy:
-                front.rejoin()
-            else:
-                front.drain()
-        if members is not None:
-            if lifecycle.is_healthy:
-                members.rejoin()
-            else:
-                members.leave()
-        return OperatorReply(200, lifecycle.state.value + "\n")
+    def _on_sibling_changed(self, is_running: bool, is_serving: bool) -> None:
+        self._processes = 1 + is_serving
+        self._apply_settings()
 
-    def ready() -> OperatorReply:
-        is_ready = serving and not lifecycle.is_stopping
-        return OperatorReply(200 if is_ready else 503, ("ready" if is_ready else "not ready") + "\n")
+    def _apply_settings(self) -> None:
+        for core in self._cores:
+            core.apply_settings(replace(self._config.settings, processes=self._processes))
+        if self._membership is not None:  # the members that are seen go before the number that the settings give
+            self._membership.republish()
 
-    calls = {
-        ("GET", "/api/ready"): ready,
-        ("GET", "/api/telemetry"): lambda: OperatorReply(200, metrics.render(), CONTENT_TYPE),
-        ("PUT", "/api/evacuate"): lambda: apply(Command.EVACUATE),
-        ("PUT", "/api/rejoin"): lambda: apply(Command.REJOIN),
-    }
-    if members is not None:
-        metrics.render_extra = members.metrics_text
-        calls["GET", "/api/members"] = lambda: OperatorReply(200, members.view_json(), "application/json")
-    operator_server = None
-    if told.ops is not None:
-        operator_server = OperatorServer(calls, deadlines, loop, shares.ops)
-        operator_server.open(bound("ops", told.ops))
-
-    # Only where the platform may start a process beside this one.
-    siblings = SiblingMonitor(shared, deadlines, core.gateway, hops.idleness)
-    siblings.restore_state()
-    ingress.ask = siblings.check
-
-    def retune() -> None:
-        for one in cores:
-            one.apply_settings(replace(told.settings, processes=processes))
-        if members is not None:  # who is there goes before how many the settings speak of
-            members.republish()
-
-    def share(lives: bool, serves: bool) -> None:
-        nonlocal processes
-        processes = 1 + serves
-        retune()
-
-    def close() -> None:
-        if lifecycle.apply(Command.TERMINATE):
-            log.info("ending")
-            siblings.stop_writing()
-            if members is not None:
-                members.leave()
-        for front in fronts:
-            front.close()
-
-    def reread() -> None:
-        nonlocal told, place
+    def _reload(self) -> None:
+        """Apply the configuration's file; a file that cannot be used changes nothing."""
         try:
-            fresh = config.read(previous=told)
-            found = counter_of(fresh, read_resp(resp_file))
-        except Exception as error:  # whatever the files hold, what was read before goes on
-            metrics.reloads_failed += 1
+            fresh = read_config(previous=self._config)
+            counter_endpoint = find_counter(fresh, read_resp(self._resp_file))
+        except Exception as error:  # the outermost edge of a signal: whatever the files hold, the gateway goes on
+            self._metrics.reloads_failed += 1
             log.error("configuration not taken", error=f"{type(error).__name__}: {error}")
             return
-        metrics.reloads_ok += 1
-        kept = [f.name for f in fields(told) if f.name not in MOVES and getattr(told, f.name) != getattr(fresh, f.name)]
-        moved = fresh.discovery != told.discovery or fresh.zones != told.zones
-        tuned = fresh.settings != told.settings
-        told = replace(fresh, **{f.name: getattr(told, f.name) for f in fields(told) if f.name in STAYS})
-        if tuned:
-            metrics.add_classes(kind.name for kind in fresh.settings.classes)
-            retune()
-            for front in fronts:
-                front.retune(fresh.settings)
-            hops.retune(fresh.settings)
-        if moved:  # the whole list is asked for: numbers are each discovery's own, and zones are places in it
-            routes.retune(fresh.zones)
-            routes.watch(fresh.discovery)
-        before, place = place, found
-        for one in cores:
-            if one not in counters:
-                meet(one)
-            elif found is not None:
-                counters[one].retune(fresh.settings.counter_timeout)
-                if before is None or before[0] != found[0]:
-                    counters[one].move(*found)
+        self._metrics.reloads_ok += 1
+        previous = self._config
+        fixed = {field.name: getattr(previous, field.name) for field in fields(previous) if field.name in FIXED_FIELDS}
+        self._config = replace(fresh, **fixed)
+        if fresh.settings != previous.settings:
+            self._metrics.add_classes(kind.name for kind in fresh.settings.classes)
+            self._apply_settings()
+            for front in self._fronts:
+                front.apply_settings(fresh.settings)
+            self._upstream.apply_settings(fresh.settings)
+        if fresh.discovery != previous.discovery or fresh.zones != previous.zones:
+            # The whole list is asked for: sequence numbers are each discovery's own, and zones are positions.
+            self._routes.set_zones(fresh.zones)
+            self._routes.watch(fresh.discovery)
+        self._move_counters(counter_endpoint)
         log.info(
             "configuration taken",
             discovery=fresh.discovery,
-            counter=found and found[0],
+            counter=counter_endpoint and counter_endpoint[0],
             classes=[kind.name for kind in fresh.settings.classes],
-            kept_until_restart=kept,
+            kept_until_restart=changed_fixed_fields(previous, fresh),
         )
 
-    loop.add_signal_handler(signal.SIGTERM, close)
-    loop.add_signal_handler(signal.SIGINT, close)
-    loop.add_signal_handler(signal.SIGHUP, reread)
-    if members is not None:
-        try:
-            members.start()
-        except OSError as error:
-            raise WireError(f"{peers_file}: field 'listen': {error}") from error
-    routes.watch(told.discovery)
-    gc.collect()
-    gc.freeze()
-    gc.set_threshold(20_000, 20, 20)  # what a request makes dies with it, and most of it in no cycle
-    if settings.push_list:  # else the first answer may be long in coming, for all that ask
-        await routes.heard(FIRST_LIST)
-    # Nobody can connect before all is ready: what waits in a listener's line is taken, and its time runs.
-    for front, listener in fronts.items() if not lifecycle.is_stopping else ():
-        front.open(listener())
-        serving = True
-    siblings.start_serving([*(front.share for front in fronts), hops.share, share])
-    log.info("serving", gateway=told.name, listen=f"{told.listen[0]}:{told.listen[1]}")
-    for front in fronts:
-        await front.closed()
-    if members is not None:
-        members.close()
-    routes.close()
-    if operator_server is not None:
-        operator_server.close()
-    siblings.close()
-    log.info("ended", counts=dict(COUNTS))
-
-
-def members_of(
+    def _move_counters(self, endpoint: CounterEndpoint | None) -> None:
+        previous, self._counter_endpoint = self._counter_endpoint, endpoint
+        for core in self._cores:
+            if core not in self._counters:
+                self._connect_counter(core)
+            elif endpoint is not None:
+                self._counters[core].set_timeout(self._config.settings.counter_timeout)
+                if previous is None or previous[0] != endpoint[0]:
+                    self._counters[core].move(*endpoint)
+
+    def _stop(self) -> None:
+        """Begin to stop, at SIGTERM."""
+        if self._lifecycle.apply(Command.TERMINATE):
+            log.info("ending")
+            self._siblings.stop_writing()
+            if self._membership is not None:
+                self._membership.leave()
+        for front in self._fronts:
+            front.stop()
+
+    def _close(self) -> None:
+        if self._membership is not None:
+            self._membership.close()
+        self._routes.close()
+        if self._operator_server is not None:
+            self._operator_server.close()
+        self._siblings.close()
+        log.info("ended", counts=dict(COUNTS))
+
+
+async def serve(config: GatewayConfig, resp_file: str | None, peers_file: str | None = None) -> None:
+    """Run a gateway until SIGTERM.
+
+    Raises:
+        WireError: a part of the configuration cannot be used.
+    """
+    await GatewayProcess(config, resp_file, peers_file).run()
+
+
+def find_counter(config: GatewayConfig, resp: RespSettings | None) -> CounterEndpoint | None:
+    """Return the counter's address and what encodes its calls, None if there is no counter."""
+    if resp is not None and resp.counter is not None:
+        from hallhitch.resp.counter_codec import RespCounterCodec
+
+        return parse_address(resp.counter), RespCounterCodec
+    if config.counter is not None:
+        return config.counter, partial(HttpCounterCodec, config.counter[0])
+    return None
+
+
+def read_resp(path: str | None) -> RespSettings | None:
+    """Return the settings of the RESP front, None if there is none."""
+    if path is None:
+        return None
+    from hallhitch.resp.settings import read_settings
+
+    return read_settings(path)
+
+
+def changed_fixed_fields(previous: GatewayConfig, fresh: GatewayConfig) -> list[str]:
+    """Return the fields that a reload would change and that hold until the next start."""
+    return [
+        field.name
+        for field in fields(previous)
+        if field.name not in RELOADABLE_FIELDS and getattr(previous, field.name) != getattr(fresh, field.name)
+    ]
+
+
+def make_membership(
     path: str,
-    told: config.Config,
-    shared: str | None,
+    config: GatewayConfig,
+    shared_folder: str | None,
     deadlines: Deadlines,
     loop: asyncio.AbstractEventLoop,
-    counts: Callable[[GatewayCounts], None],
+    on_counted: Callable[[GatewayCounts], None],
 ) -> MembershipService:
-    """This gateway among the others, as the file says; `shared` is the folder of all processes of this gateway."""
+    """Return this gateway's part in the membership; `shared_folder` is that of all processes of this gateway.
+
+    Raises:
+        WireError: the gateway's name cannot be a member's.
+    """
     from hallhitch.membership.errors import MemberNameError
     from hallhitch.membership.gateway_id import read_gateway_id
     from hallhitch.membership.service import GatewayIdentity, MembershipService
@@ -297,35 +387,38 @@
     try:
         return MembershipService(
             read_settings(path),
-            GatewayIdentity(told.name, __version__, read_gateway_id(shared)),
-            told.settings.gateways,
+            GatewayIdentity(config.name, __version__, read_gateway_id(shared_folder)),
+            config.settings.gateways,
             deadlines,
             loop,
             random.Random(),
-            counts,
+            on_counted,
         )
     except MemberNameError as error:
         raise WireError(f"field 'name': {error}") from error
 
 
-def bound(field: str, place: tuple[str, int] | int) -> socket.socket:
-    """A listener at an address or of a descriptor, or a word on why there is none."""
+def open_or_inherit(field: str, place: tuple[str, int] | int) -> socket.socket:
+    """Return a listener at an address or of a descriptor.
+
+    Raises:
+        WireError: there is none; the message names the field.
+    """
     try:
-        return inherited(place) if isinstance(place, int) else listen(place)
+        return inherit_listener(place) if isinstance(place, int) else open_listener(place)
     except OSError as error:
         raise WireError(f"field '{field}': {error}") from error
 
 
 def main() -> int:
-    """Start; a bad configuration is one line and exit code 2."""
+    """Start a gateway; an unusable configuration is one line and exit code 2."""
     parser = argparse.ArgumentParser(prog="hallhitch", description="One gateway, configured by EDGE_CONFIG.")
     parser.add_argument("--resp", metavar="FILE", help="also answer RESP commands for limits, as FILE says")
     parser.add_argument("--peers", metavar="FILE", help="know the other gateways, as FILE says")
     arguments = parser.parse_args()
     logs.configure()
     try:
-        told = config.read()
-        uvloop.run(serve(told, arguments.resp, arguments.peers))
+        uvloop.run(serve(read_config(), arguments.resp, arguments.peers))
     except WireError as error:
         print(f"hallhitch: {error}", file=sys.stderr)
         return 2
--- a/hallhitch/lab/hopping.py
+++ b/hallhitch/lab/hopping.py
@@ -17,7 +17,8 @@
 from hallhitch.lab.streams import Stream
 from hallhitch.lab.traffic import Intent
 from hallhitch.lab.virtual import Handle, VirtualTime
-from hallhitch.net.hops import IDLE_SHARE, Idleness
+from hallhitch.net.upstream.client import MAX_IDLE_RATIO
+from hallhitch.net.upstream.idle_times import IdleTimeStatistics
 
 CONNECT = 250.0  # ms for a connection that never comes up
 
@@ -142,7 +143,7 @@
         self._deadlines = core.deadlines
         self._idle: dict[str, list[tuple[float, float]]] = {}  # since when, and the node's start
         self._jobs: dict[tuple[int, int], _Job] = {}
-        self._idleness = Idleness(time)
+        self._idle_times = IdleTimeStatistics(time)
         self.up: dict[str, bool] = {}
 
     def told(self, news: api.ServerList) -> None:
@@ -182,7 +183,7 @@
     def _reused(self, job: _Job) -> bool:
         node, now = job.node, self._time()
         pool = self._idle.get(job.attempt.server, [])
-        most = min(self._idleness.most(), self._world.keepalive * IDLE_SHARE)
+        most = min(self._idle_times.max_idle_ms(), self._world.keepalive * MAX_IDLE_RATIO)
         while pool:
             since, born = pool.pop()
             if node is not None:
@@ -247,7 +248,7 @@
         del self._jobs[a.exchange_id, a.number]
         if job.sent:
             self._journal.add(self._time(), "done", job.ask.id, a.number, outcome)
-            self._idleness.learn(job.idle, outcome == "reset")
+            self._idle_times.observe(job.idle, outcome == "reset")
             if keep and job.node is not None and self.up.get(a.server, False):
                 self._idle.setdefault(a.server, []).append((self._time(), job.node.born))
             elif job.node is not None:
--- a/hallhitch/net/__init__.py
+++ b/hallhitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform front: HTTP to clients, hops, discovery and the counter."""
+"""The platform front of a gateway: HTTP to clients, servers, discovery and the quota counter."""
--- a/hallhitch/net/config.py
+++ b/hallhitch/net/config.py
@@ -1,4 +1,4 @@
-"""What a gateway is told at its start: the environment and the JSON file it names."""
+"""The configuration of a gateway at its start and at each reload: the environment and the JSON file that it names."""
 
 from __future__ import annotations
 
@@ -6,19 +6,22 @@
 import os
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Final
 
 from hallhitch.core.addresses import parse_address
 from hallhitch.decision import api
 from hallhitch.decision.settings import WireError, need, number, section, settings_of
-from hallhitch.net.budget import LEAST
-from hallhitch.net.routes import News, news_of
+from hallhitch.net.descriptor_budget import MIN_DESCRIPTORS
+from hallhitch.net.route_updates import RouteUpdate, parse_update
 
-OPTIONAL = ("aim-stretch",)  # keys that may be absent anywhere
+OPTIONAL_KEYS: Final = ("aim-stretch",)  # that may be absent anywhere
+DEFAULT_DESCRIPTORS: Final = 1024.0
+DEFAULT_MEMORY_MB: Final = 64.0
+BYTES_PER_MB: Final = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class GatewayConfig:
     """A gateway's configuration, read and checked."""
 
     name: str
@@ -26,64 +29,106 @@
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
-    sockets: int
+    sockets: int  # descriptors that the process may open
     memory: int  # bytes
     settings: api.Settings
     zones: list[str]
-    known: News | None
-    ops: tuple[str, int] | None  # where operators call; None where nobody does
+    known: RouteUpdate | None
+    ops: tuple[str, int] | None  # the operators' address
     inherited: int | None  # the descriptor of the clients' listener, where the platform holds it
-    file: dict[str, Any]  # what the file held
+    file: dict[str, Any]  # the content of the file
 
 
-def lacking(old: Any, new: Any, name: str = "") -> str:
-    """The first field of `old` that `new` lacks or holds as another kind of value; empty where there is none.
+def find_missing_field(old: Any, new: Any, name: str = "") -> str:
+    """Return the first field of `old` that `new` lacks or holds as another kind of value, "" if there is none.
 
-    Records of one list must each hold what all of the old ones did.
+    Each record of a list must hold what all records of the old list did.
     """
-    if kind(old) != kind(new):
+    if json_kind(old) != json_kind(new):
         return name or "the file"
     if isinstance(old, dict):
-        below = (
+        fields = (
             (f"{name}.{key}" if name else key, value, new.get(key))
             for key, value in old.items()
-            if value is not None and key not in OPTIONAL
+            if value is not None and key not in OPTIONAL_KEYS
         )
-        return next(filter(None, (lacking(value, there, field) for field, value, there in below)), "")
-    if isinstance(old, list) and old and all(isinstance(one, dict) for one in old):
-        shared = {key: old[0][key] for key in old[0] if all(kind(o.get(key)) == kind(old[0][key]) for o in old)}
-        return next(filter(None, (lacking(shared, one, f"{name}[{n}]") for n, one in enumerate(new))), "")
+        missing = (find_missing_field(old_value, new_value, field) for field, old_value, new_value in fields)
+        return next(filter(None, missing), "")
+    if isinstance(old, list) and old and all(isinstance(record, dict) for record in old):
+        shared = {
+            key: value
+            for key, value in old[0].items()
+            if all(json_kind(record.get(key)) == json_kind(value) for record in old)
+        }
+        missing = (find_missing_field(shared, record, f"{name}[{index}]") for index, record in enumerate(new))
+        return next(filter(None, missing), "")
     return ""
 
 
-def kind(value: Any) -> type:
-    """What a value is, with all numbers alike."""
+def json_kind(value: Any) -> type:
+    """Return the type of a JSON value, float for all numbers."""
     return float if type(value) is int else type(value)
 
 
-def read(environ: Mapping[str, str] = os.environ, previous: Config | None = None) -> Config:
-    """Read the configuration; WireError names the field that is wrong.
+def read_config(environ: Mapping[str, str] = os.environ, previous: GatewayConfig | None = None) -> GatewayConfig:
+    """Read the configuration.
 
-    The environment tells what held at the start: with a `previous` one, the file's word on discovery goes first, and
-    a file that lacks anything which that one held is cut short or not meant.
+    The environment holds what was true at the start: with a `previous` configuration the file's discovery goes before
+    the environment's, and a file that lacks any field of the previous one is rejected as truncated.
+
+    Raises:
+        WireError: a field is missing or wrong; the message names it.
     """
+    top = _load(environ)
+    if previous is not None and (field := find_missing_field(previous.file, top)):
+        raise WireError(f"field '{field}' is missing or of the wrong type")
+
+    def address(name: str, variable: str) -> tuple[str, int]:
+        try:
+            return parse_address(environ.get(variable) or need(top, name, str))
+        except ValueError as error:
+            raise WireError(f"field '{name}': {error}") from error
+
+    settings, zones = _read_settings(top)
+    seed = _read_seed(top)
+    sockets = _read_sockets(top)
+    memory = int(number(section(top, "limits"), "memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MB)
+    known = top.get("known")
+    has_operators = environ.get("EDGE_OPS") or top.get("ops") is not None
+    operators = address("ops", "EDGE_OPS") if has_operators else None
+    descriptor = environ.get("EDGE_FD") or None
+    if descriptor is not None and not descriptor.isdigit():
+        raise WireError("EDGE_FD is no descriptor")
+    return GatewayConfig(
+        name=environ.get("EDGE_NAME") or need(top, "name", str),
+        listen=address("listen", "EDGE_LISTEN"),
+        discovery=address("discovery", "" if previous else "EDGE_DISCOVERY"),
+        counter=address("counter", "") if settings.has_counter else None,
+        seed=seed,
+        sockets=sockets,
+        memory=memory,
+        settings=settings,
+        zones=zones,
+        known=parse_update(known, zones, is_saved=True) if known is not None else None,
+        ops=operators,
+        inherited=None if descriptor is None else int(descriptor),
+        file=top,
+    )
+
+
+def _load(environ: Mapping[str, str]) -> Any:
     path = environ.get("EDGE_CONFIG")
     if not path:
         raise WireError("EDGE_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            top = json.load(file)
+            return json.load(file)
     except (OSError, ValueError) as error:
         raise WireError(f"EDGE_CONFIG: {error}") from error
-    if previous is not None and (field := lacking(previous.file, top)):
-        raise WireError(f"field '{field}' is missing or of the wrong type")
 
-    def address(name: str, variable: str) -> tuple[str, int]:
-        try:
-            return parse_address(environ.get(variable) or need(top, name, str))
-        except ValueError as error:
-            raise WireError(f"field '{name}': {error}") from error
 
+def _read_settings(top: Any) -> tuple[api.Settings, list[str]]:
+    """Return the settings of the decision module and the names of the zones."""
     info = need(top, "settings", dict)
     try:
         settings = settings_of(info)
@@ -92,31 +137,18 @@
     zones = info.get("zones") or []
     if not isinstance(zones, list):
         raise WireError("field 'zones' is missing or of the wrong type")
+    return settings, zones
+
+
+def _read_seed(top: Any) -> int:
     try:
-        seed = int(need(top, "seed", str), 16)
+        return int(need(top, "seed", str), 16)
     except ValueError as error:
         raise WireError("field 'seed' is no hexadecimal number") from error
-    sockets = int(number(section(top, "limits"), "sockets", 1024.0))
-    if sockets < LEAST:
-        raise WireError(f"field 'sockets' is too small: {LEAST} is the least")
-    memory = int(number(section(top, "limits"), "memory_mb", 64.0) * (1 << 20))
-    known = top.get("known")
-    ops = address("ops", "EDGE_OPS") if environ.get("EDGE_OPS") or top.get("ops") is not None else None
-    descriptor = environ.get("EDGE_FD") or None
-    if descriptor is not None and not descriptor.isdigit():
-        raise WireError("EDGE_FD is no descriptor")
-    return Config(
-        environ.get("EDGE_NAME") or need(top, "name", str),
-        address("listen", "EDGE_LISTEN"),
-        address("discovery", "" if previous else "EDGE_DISCOVERY"),
-        address("counter", "") if settings.has_counter else None,
-        seed,
-        sockets,
-        memory,
-        settings,
-        zones,
-        news_of(known, zones, saved=True) if known is not None else None,
-        ops,
-        None if descriptor is None else int(descriptor),
-        top,
-    )
+
+
+def _read_sockets(top: Any) -> int:
+    sockets = int(number(section(top, "limits"), "sockets", DEFAULT_DESCRIPTORS))
+    if sockets < MIN_DESCRIPTORS:
+        raise WireError(f"field 'sockets' is too small: {MIN_DESCRIPTORS} is the least")
+    return sockets
--- a/hallhitch/net/counter.py
+++ b/hallhitch/net/counter.py
@@ -1,211 +1,165 @@
-"""The counter client: pipelined calls over few connections, answers in call order, each within its time."""
+"""The client of the quota counter: pipelined calls over a few connections, each answered within its time-out.
+
+Invariants:
+- The calls of one name use one connection, and their replies are reported in the order of the calls.
+- Each call is reported exactly once: as its reply, as `timeout` if it was written, else as `unreachable`.
+- After a move to another address no call is written there before the calls that were written at the old one have
+  been reported.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import math
-import re
 import socket
 from collections import deque
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
+from typing import Final
 
 from hallhitch.core.actor import Actor
 from hallhitch.core.deadlines import Deadline, Deadlines, Scheduler
 from hallhitch.core.invariants import COUNTS
-from hallhitch.net.http import AnswerReader, Malformed, Message
-from hallhitch.net.sockets import connect, cut
-
-LANES = 2  # connections; a name always takes the same one, so that its answers come in call order
-IDLE_MOST = 3000.0  # ms after which an idle connection is not used again; the counter closes at 10 s or less
-SILENT_MOST = 300.0  # ms without a byte while calls wait for an answer: the connection is replaced
-DEAF_SHARE = 0.8  # of the time-out, without a byte while another connection has answers: the same
-BEGUN_MOST = 25.0  # ms for an answer that has begun to come whole: it is written in one piece, or spoilt
-PIPE_MOST = 256  # calls written and unanswered on one connection, those given up included
-NUMBER = re.compile(rb"\s*[+-]?(\d+\.?\d*|\.\d+)([eE][+-]?\d{1,3})?\s*")
-
-Counted = Callable[[int, str, float, float], None]
-
-
-class CounterCodec(Protocol):
-    """Writes calls and reads answers; one codec serves one connection."""
-
-    @property
-    def partial(self) -> bool: ...
-
-    def call(self, name: int, units: float, lifetime: float) -> bytes: ...
-
-    def feed(self, data: memoryview) -> Iterator[tuple[str, float]]: ...
-
-
-def total_of(text: bytes) -> float:
-    """A total; what Python alone takes for a number (nan, inf, 1_0) is none."""
-    if not NUMBER.fullmatch(text) or not math.isfinite(total := float(text)):
-        raise Malformed(400)
-    return total
+from hallhitch.net.counter_codec import CounterCodec
+from hallhitch.net.http import Malformed
+from hallhitch.net.sockets import connect, shut_down
 
+CONNECTION_COUNT: Final = 2
+MAX_IDLE_MS: Final = 3000.0  # for a connection to be used again; the counter closes idle ones at 10 s or less
+# Without a byte while calls wait for replies, after which the connection is replaced. Not Final: a test sets it.
+UNRESPONSIVE_TIMEOUT_MS = 300.0
+UNRESPONSIVE_BESIDE_ACTIVE_RATIO: Final = 0.8  # of the time-out: the same, while another connection gets replies
+PARTIAL_REPLY_TIMEOUT_MS: Final = 25.0  # for a reply that has begun: it is written at once, or malformed
+MAX_PIPELINED_CALLS: Final = 256  # written on one connection and without a reply, timed-out ones included
+READ_BUFFER_BYTES: Final = 8192
 
-class HttpCounterCodec:
-    """The platform's counter."""
-
-    def __init__(self, host: str) -> None:
-        self._host, self._reader = host.encode(), AnswerReader()
-
-    @property
-    def partial(self) -> bool:
-        """Whether an answer has begun and not ended."""
-        return self._reader.partial
-
-    def call(self, name: int, units: float, lifetime: float) -> bytes:
-        """One call as bytes."""
-        return b"POST /tally/%d?n=%s&keep_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n" % (
-            name,
-            f"{units:.7g}".encode(),
-            max(1, round(lifetime)),
-            self._host,
-        )
-
-    def feed(self, data: memoryview) -> Iterator[tuple[str, float]]:
-        """The answers that have come whole, as outcome and total, up to the first that cannot be read."""
-        spoilt = None
-        try:
-            answers = self._reader.feed(data)
-        except Malformed as error:
-            answers, spoilt = self._reader.completed(), error
-        yield from map(self._outcome, answers)
-        if spoilt is not None:
-            raise spoilt
-
-    def _outcome(self, answer: Message) -> tuple[str, float]:
-        if answer.status in (503, 400, 404):
-            return "full", 0.0  # nothing added
-        if answer.status != 200:
-            raise Malformed(400)
-        return "ok", total_of(answer.body)
+ReplyCallback = Callable[[int, str, float, float], None]  # name, outcome, total, duration in ms
 
 
 @dataclass(slots=True, eq=False)
-class Call:
-    """One call; `told` once the core has had its answer."""
+class CounterCall:
+    """One call; `is_reported` once the core has its outcome."""
 
     name: int
     units: float
     lifetime: float
-    begun: float
-    lane: Lane
-    written: bool = False
-    told: bool = False
-    limit: Deadline | None = None
+    began_at: float
+    connection: CounterConnection
+    is_written: bool = False
+    is_reported: bool = False
+    deadline: Deadline | None = None
 
 
-class Lane(Actor[Call]):
-    """One connection to the counter and the calls on it, oldest first."""
+class CounterConnection(Actor[CounterCall]):
+    """One connection to the counter and its calls, the oldest first."""
 
-    def __init__(self, counter: CounterClient, number: int, scheduler: Scheduler) -> None:
+    def __init__(self, client: CounterClient, number: int, scheduler: Scheduler) -> None:
         super().__init__(f"counter {number}", scheduler)
-        self._client, self._deadlines = counter, counter.deadlines
-        self._address, self._codec = counter.address, counter.codec()
-        self._calls: deque[Call] = deque()  # answers not come yet, those told 'timeout' included
+        self._client = client
+        self._deadlines = client.deadlines
+        self._address = client.address
+        self._codec = client.make_codec()
+        self._calls: deque[CounterCall] = deque()  # without a reply, those reported as timed out included
         self._sock: socket.socket | None = None
-        self._heard = 0.0  # when a byte last came, or the oldest call out was written
-        self.answered = 0.0  # when an answer last came
-        self._begun: Deadline | None = None  # the end of patience with an answer that has begun
+        self._active_at = 0.0  # when a byte last came, or the oldest call was written
+        self.replied_at = 0.0  # when a reply last came
+        self._partial_deadline: Deadline | None = None  # for a reply that has begun
         self._task: asyncio.Task[None] | None = None
-        self._before: Lane | None = None  # the lane at the old address whose calls end before any here
-        self._after: Lane | None = None  # the lane at the new address that has this one's work now
+        self._predecessor: CounterConnection | None = None  # at the old address; its calls end before any here
+        self._successor: CounterConnection | None = None  # at the new address; it gets the calls that come here
 
-    def take(self, call: Call) -> None:
-        """Take a call; it has its answer within the time-out whatever happens."""
-        call.limit = self._deadlines.call_after(self._client.timeout, lambda: call.lane._overdue(call))
+    def submit(self, call: CounterCall) -> None:
+        """Submit a call; it is reported within the time-out whatever happens."""
+        call.deadline = self._deadlines.call_after(self._client.timeout_ms, lambda: call.connection._on_timeout(call))
         if not self.post(call):
-            self._tell(call, "unreachable")
-
-    def hand_over(self, to: Lane) -> None:
-        """Leave all that is not written yet to a lane at another address; what is written ends first."""
-        to._before, self._before, self._after = self._before, None, to
-        calls, self._calls = self._calls, deque(call for call in self._calls if call.written)
-        if to._before is not None:
-            to._before._after = to  # this lane never came to write
-        elif any(not call.told for call in self._calls):
-            to._before = self
-        if to._before is not self:
-            self._drop()
+            self._report(call, "unreachable")
+
+    def hand_over(self, successor: CounterConnection) -> None:
+        """Move the calls that are not written yet to a connection at another address."""
+        successor._predecessor, self._predecessor, self._successor = self._predecessor, None, successor
+        calls, self._calls = self._calls, deque(call for call in self._calls if call.is_written)
+        if successor._predecessor is not None:
+            successor._predecessor._successor = successor  # this connection has written nothing
+        elif any(not call.is_reported for call in self._calls):
+            successor._predecessor = self
+        if successor._predecessor is not self:
+            self._disconnect()
         for call in calls:
-            if not call.written:
-                to.handle(call)
-
-    def handle(self, message: Call) -> None:
-        """Write a call, or begin to connect for it."""
-        if self._after is not None:
-            return self._after.handle(message)
-        if message.told:
+            if not call.is_written:
+                successor.handle(call)
+
+    def handle(self, message: CounterCall) -> None:
+        """Write a call, or connect for it."""
+        if self._successor is not None:
+            return self._successor.handle(message)
+        if message.is_reported:
             return
-        message.lane = self
+        message.connection = self
         now = self._deadlines.clock()
-        if self._sock is not None and not self._calls and now - self._heard > IDLE_MOST:
-            self._drop()
-        if len(self._calls) >= PIPE_MOST:
-            self._lost()  # a new connection, and all answers still in call order
+        if self._sock is not None and not self._calls and now - self._active_at > MAX_IDLE_MS:
+            self._disconnect()
+        if len(self._calls) >= MAX_PIPELINED_CALLS:
+            self._on_lost()  # a new connection, so that all replies come in the order of the calls
         if not self._calls:
-            self._heard = now
+            self._active_at = now
         self._calls.append(message)
         if self._sock is not None:
             self._write([message])
         else:
-            self._begin()
+            self._start()
 
-    def on_message_failed(self, message: Call) -> None:
-        """A call that could not be written never reached the counter."""
-        self._lost()
+    def on_message_failed(self, message: CounterCall) -> None:
+        """End the connection: a call that could not be written has not reached the counter."""
+        self._on_lost()
 
-    def _begin(self) -> None:
-        """Connect, if there is anything to write and no older call elsewhere goes before it."""
-        if self._task is None and self._calls and self._before is None:
+    def _start(self) -> None:
+        """Connect, if there are calls and none of the predecessor go before them."""
+        if self._task is None and self._calls and self._predecessor is None:
             self._task = asyncio.get_running_loop().create_task(self._serve())
 
-    def _write(self, calls: list[Call]) -> None:
+    def _write(self, calls: list[CounterCall]) -> None:
         assert self._sock is not None
-        data = b"".join(self._codec.call(c.name, c.units, c.lifetime) for c in calls)
+        data = b"".join(self._codec.call(call.name, call.units, call.lifetime) for call in calls)
         try:
             sent = self._sock.send(data)
         except OSError:
             sent = 0
         for call in calls:
-            call.written = sent == len(data) or len(calls) > 1 and sent > 0
-        if sent != len(data):  # a full buffer means a counter that reads no more
-            self._lost()
+            call.is_written = sent == len(data) or len(calls) > 1 and sent > 0
+        if sent != len(data):  # a full buffer means that the counter reads no more
+            self._on_lost()
 
     async def _serve(self) -> None:
-        """Connect, write what waits, and read answers until the connection ends."""
-        loop, buffer = asyncio.get_running_loop(), bytearray(8192)
-        view, mine = memoryview(buffer), asyncio.current_task()
+        """Connect, write the calls that wait, and read replies until the connection ends or is replaced."""
+        loop, buffer = asyncio.get_running_loop(), bytearray(READ_BUFFER_BYTES)
+        view, task = memoryview(buffer), asyncio.current_task()
         try:
-            sock = await connect(self._address, self._deadlines, self._client.timeout)
-            self._sock, self._codec, self._heard = sock, self._client.codec(), self._deadlines.clock()
+            sock = await connect(self._address, self._deadlines, self._client.timeout_ms)
+            self._sock, self._codec, self._active_at = sock, self._client.make_codec(), self._deadlines.clock()
             try:
-                self._calls = deque(c for c in self._calls if not c.told)  # else given up unwritten
+                self._calls = deque(call for call in self._calls if not call.is_reported)
                 if self._calls:
                     self._write(list(self._calls))
-                while self._task is mine:
+                while self._task is task:
                     size = await loop.sock_recv_into(sock, buffer)
                     if not size:
                         break
-                    self._heard = self._deadlines.clock()
+                    self._active_at = self._deadlines.clock()
                     for outcome, total in self._codec.feed(view[:size]):
                         if not self._calls:
-                            raise Malformed(400)  # nobody asked
-                        self.answered = self._heard
-                        self._tell(self._calls.popleft(), outcome, total)
-                    if self._task is not mine:
+                            raise Malformed(400)  # a reply that belongs to no call
+                        self.replied_at = self._active_at
+                        self._report(self._calls.popleft(), outcome, total)
+                    if self._task is not task:
                         break
                     if not self._codec.partial:
-                        self._deadlines.cancel(self._begun)
-                        self._begun = None
-                    elif self._begun is None:
-                        self._begun = self._deadlines.call_after(BEGUN_MOST, self._stuck)
+                        self._deadlines.cancel(self._partial_deadline)
+                        self._partial_deadline = None
+                    elif self._partial_deadline is None:
+                        self._partial_deadline = self._deadlines.call_after(
+                            PARTIAL_REPLY_TIMEOUT_MS, self._on_partial_reply
+                        )
             finally:
-                cut(sock)
+                shut_down(sock)
                 sock.close()
         except asyncio.CancelledError:
             pass
@@ -214,52 +168,61 @@
         except Exception as error:
             if not isinstance(error, OSError):
                 self.record_failure(error)
-        if self._task is mine:
-            self._lost()
+        if self._task is task:
+            self._on_lost()
 
-    def _drop(self) -> None:
-        """Let go of the connection; the next call opens another."""
+    def _disconnect(self) -> None:
+        """Close the connection; the next call opens another."""
         if self._sock is not None:
-            cut(self._sock)
-        self._deadlines.cancel(self._begun)
-        task, self._task, self._sock, self._begun = self._task, None, None, None
+            shut_down(self._sock)
+        self._deadlines.cancel(self._partial_deadline)
+        task, self._task, self._sock, self._partial_deadline = self._task, None, None, None
         if task is not None:
             task.cancel()
 
-    def _lost(self) -> None:
-        """The connection is gone: every call on it ends, in order."""
-        self._drop()
+    def _on_lost(self) -> None:
+        """Close the connection and report all its calls, in order."""
+        self._disconnect()
         calls, self._calls = self._calls, deque()
         for call in calls:
-            self._tell(call, "timeout" if call.written else "unreachable")
+            self._report(call, "timeout" if call.is_written else "unreachable")
 
-    def _stuck(self) -> None:
-        """An answer began and did not end: it would swallow all that come behind it."""
+    def _on_partial_reply(self) -> None:
+        """End the connection: a reply that is not completed would swallow all replies behind it."""
         COUNTS["counter_spoilt"] += 1
-        self._lost()
+        self._on_lost()
 
-    def _overdue(self, call: Call) -> None:
-        if call.told:
+    def _on_timeout(self, call: CounterCall) -> None:
+        if call.is_reported:
             return
-        self._tell(call, "timeout" if call.written else "unreachable")
-        # Deaf where another connection hears: this one is dead. Where none does, the counter may be slow.
-        quiet, since = self._deadlines.clock() - self._heard, max(call.begun, self._heard)
-        most = SILENT_MOST if self._client.heard() <= since else self._client.timeout * DEAF_SHARE
-        if self._sock is not None and quiet > most:
+        self._report(call, "timeout" if call.is_written else "unreachable")
+        # Silent while another connection gets replies: this one is dead. Where none does, the counter may be slow.
+        silent_ms = self._deadlines.clock() - self._active_at
+        silent_since = max(call.began_at, self._active_at)
+        is_only_silent_one = self._client.last_reply_at() > silent_since
+        limit_ms = (
+            self._client.timeout_ms * UNRESPONSIVE_BESIDE_ACTIVE_RATIO
+            if is_only_silent_one
+            else UNRESPONSIVE_TIMEOUT_MS
+        )
+        if self._sock is not None and silent_ms > limit_ms:
             COUNTS["counter_replaced"] += 1
-            self._lost()
+            self._on_lost()
 
-    def _tell(self, call: Call, outcome: str, total: float = 0.0) -> None:
-        if call.told:
+    def _report(self, call: CounterCall, outcome: str, total: float = 0.0) -> None:
+        if call.is_reported:
             COUNTS["counter_late"] += 1
             return
-        call.told = True
-        self._deadlines.cancel(call.limit)
-        self._client.told(call.name, outcome, total, self._deadlines.clock() - call.begun)
-        if self._after is not None and self._after._before is self and all(c.told for c in self._calls):
-            self._after._before = None
-            self._after._begin()
-            self._drop()
+        call.is_reported = True
+        self._deadlines.cancel(call.deadline)
+        self._client.on_reply(call.name, outcome, total, self._deadlines.clock() - call.began_at)
+        successor = self._successor
+        if successor is None or successor._predecessor is not self:
+            return
+        if all(earlier.is_reported for earlier in self._calls):
+            successor._predecessor = None
+            successor._start()
+            self._disconnect()
 
 
 class CounterClient:
@@ -268,32 +231,39 @@
     def __init__(
         self,
         address: tuple[str, int],
-        codec: Callable[[], CounterCodec],
-        told: Counted,
+        make_codec: Callable[[], CounterCodec],
+        on_reply: ReplyCallback,
         deadlines: Deadlines,
         scheduler: Scheduler,
-        timeout: float,
+        timeout_ms: float,
     ) -> None:
-        self.address, self.codec, self.told = address, codec, told
-        self.deadlines, self.timeout, self._scheduler = deadlines, timeout, scheduler
-        self._lanes = [Lane(self, number, scheduler) for number in range(LANES)]
+        self.address = address
+        self.make_codec = make_codec
+        self.on_reply = on_reply
+        self.deadlines = deadlines
+        self.timeout_ms = timeout_ms
+        self._scheduler = scheduler
+        self._connections = self._make_connections()
 
     def add(self, name: int, units: float, lifetime: float) -> None:
-        """Add units to a name; the total comes back through `told`."""
-        lane = self._lanes[name % LANES]
-        lane.take(Call(name, units, lifetime, self.deadlines.clock(), lane))
+        """Add units to a name; the total comes back through `on_reply`."""
+        connection = self._connections[name % CONNECTION_COUNT]
+        connection.submit(CounterCall(name, units, lifetime, self.deadlines.clock(), connection))
 
-    def heard(self) -> float:
-        """When any connection last brought an answer."""
-        return max(lane.answered for lane in self._lanes)
+    def last_reply_at(self) -> float:
+        """Return when a reply last came on any connection."""
+        return max(connection.replied_at for connection in self._connections)
 
-    def retune(self, timeout: float) -> None:
-        """Wait so many milliseconds for an answer from now on."""
-        self.timeout = timeout
+    def set_timeout(self, timeout_ms: float) -> None:
+        """Change the time-out of the calls that follow."""
+        self.timeout_ms = timeout_ms
 
-    def move(self, address: tuple[str, int], codec: Callable[[], CounterCodec]) -> None:
+    def move(self, address: tuple[str, int], make_codec: Callable[[], CounterCodec]) -> None:
         """Call the counter at another address from now on."""
-        self.address, self.codec = address, codec
-        old, self._lanes = self._lanes, [Lane(self, n, self._scheduler) for n in range(LANES)]
-        for lane, new in zip(old, self._lanes, strict=True):
-            lane.hand_over(new)
+        self.address, self.make_codec = address, make_codec
+        previous, self._connections = self._connections, self._make_connections()
+        for old, new in zip(previous, self._connections, strict=True):
+            old.hand_over(new)
+
+    def _make_connections(self) -> list[CounterConnection]:
+        return [CounterConnection(self, number, self._scheduler) for number in range(CONNECTION_COUNT)]
--- a/hallhitch/net/flow.py
+++ b/hallhitch/net/flow.py
@@ -1,7 +1,7 @@
-"""A body on its way from a connection that is read to one that is written, one piece at a time.
+"""A body in passing from a connection that is read to one that is written, piece by piece.
 
-It owns the pieces that have come and were not taken yet. It never reads or writes: the reader asks for room before it
-reads on, so that a body in passing holds no more than what one read brought.
+Owns the pieces that were received and not taken yet; it reads and writes nothing itself. The reader waits until the
+pieces were taken before it reads on, so that a body in passing holds no more than one read brought.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Broken(Exception):
-    """The body ended before it was whole."""
+    """The body broke off before it was complete."""
 
 
 class Flow:
@@ -20,11 +20,11 @@
 
     def __init__(self) -> None:
         self._pieces: deque[bytes] = deque()
-        self.ended = False  # whether it came whole
-        self.broken = False  # whether it never will
-        self.abandoned = False  # whether nobody takes it any more
-        self._came: asyncio.Future[None] | None = None
-        self.taken: Callable[[], None] = lambda: None  # told when pieces were taken, or never will be
+        self.ended = False  # it is complete
+        self.broken = False  # it broke off, and is never complete
+        self.abandoned = False  # nobody takes it any more
+        self._changed: asyncio.Future[None] | None = None
+        self.taken: Callable[[], None] = lambda: None  # called when pieces were taken, or never will be
 
     @property
     def waits(self) -> bool:
@@ -32,46 +32,51 @@
         return bool(self._pieces) and not self.abandoned
 
     def put(self, piece: bytes) -> None:
-        """The next piece has come."""
+        """Append the next piece."""
         if not self.abandoned:
             self._pieces.append(piece)
             self._wake()
 
     def end(self) -> None:
-        """It came whole."""
+        """Mark the body as complete."""
         self.ended = True
         self._wake()
 
     def fail(self) -> None:
-        """It breaks off here, unless it came whole."""
+        """Break the body off, unless it is complete."""
         if not self.ended:
             self.broken = True
             self._pieces.clear()
             self._wake()
 
     def abandon(self) -> None:
-        """Nobody takes the rest."""
+        """Drop the rest: nobody takes it."""
         self.abandoned = True
         self._pieces.clear()
         self._wake()
         self.taken()
 
     async def take(self) -> bytes:
-        """What has come, at least one byte of it; nothing at its end. Raises Broken."""
+        """Wait for the next pieces and return them, b"" at the end of the body.
+
+        Raises:
+            Broken: the body broke off, or was abandoned.
+        """
         while not self._pieces and not self.ended:
             if self.broken or self.abandoned:
                 raise Broken
-            self._came = asyncio.get_running_loop().create_future()
-            await self._came
+            self._changed = asyncio.get_running_loop().create_future()
+            await self._changed
         pieces, self._pieces = self._pieces, deque()
         if pieces:
             self.taken()
         return pieces[0] if len(pieces) == 1 else b"".join(pieces)
 
     async def written(self, head: bytes, chunked: bool) -> AsyncIterator[bytes]:
-        """The message as it goes out: its head with the first piece, the others, the end if it is chunked.
+        """Yield the message as it is written: its head with the first piece, the others, and the last chunk.
 
-        Raises Broken.
+        Raises:
+            Broken: the body broke off, or was abandoned.
         """
         while piece := await self.take():
             yield head + (chunk(piece) if chunked else piece)
@@ -80,10 +85,10 @@
             yield chunk(b"")
 
     def _wake(self) -> None:
-        if self._came is not None and not self._came.done():
-            self._came.set_result(None)
+        if self._changed is not None and not self._changed.done():
+            self._changed.set_result(None)
 
 
 def chunk(piece: bytes) -> bytes:
-    """A piece as a chunk of a body without a length; nothing is the body's end."""
+    """Return a piece as a chunk of a body without a length; an empty piece is the last chunk."""
     return b"%x\r\n%s\r\n" % (len(piece), piece)
--- a/hallhitch/net/http.py
+++ b/hallhitch/net/http.py
@@ -1,21 +1,30 @@
-"""The HTTP/1.1 codec: bounded parsing with httptools, and the writing of heads."""
+"""The HTTP/1.1 codec: bounded parsing with httptools, and the encoding of answers' heads.
+
+Invariants:
+- No more of a message than its bounds allow is buffered, whatever the peer sends.
+- A trailer changes nothing of what the head said.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Final
 
 import httptools
 
 from hallhitch.net.flow import Flow
 
-BODY_MOST = 64 * 1024  # bytes of a body that is read whole
-LONG_MOST = 34 * 1024 * 1024  # and of one that passes in pieces
-HEAD_MOST = 16 * 1024
+MAX_BODY_BYTES: Final = 64 * 1024  # of a body that is buffered
+MAX_LONG_BODY_BYTES: Final = 34 * 1024 * 1024  # of a body that is passed on in pieces
+MAX_HEAD_BYTES: Final = 16 * 1024
+MAX_LENGTH_DIGITS: Final = 18  # of Content-Length; more are taken for too long
+FIELD_OVERHEAD_BYTES: Final = 4  # of a header field beside name and value: colon, space, line end
+MAX_CHUNK_OVERHEAD_RATIO: Final = 8  # bytes read for each of the body: chunks of one byte are six
 
 
 class Malformed(Exception):
-    """What came is not acceptable; `status` says how to answer it."""
+    """Bytes that are not acceptable; `status` is the answer to a client that sent them."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -24,31 +33,31 @@
 
 @dataclass(slots=True)
 class Message:
-    """One request or answer, whole."""
+    """One request or answer."""
 
     method: bytes = b""
     target: bytes = b""
     status: int = 0
-    headers: dict[bytes, bytes] = field(default_factory=dict)  # names in lower case; the last of each
+    headers: dict[bytes, bytes] = field(default_factory=dict)  # by name in lower case; the last one of each
     twice: list[bytes] = field(default_factory=list)  # names that came more than once
-    fields: list[tuple[bytes, bytes]] | None = None  # all of them as they came, where a reader keeps them
+    fields: list[tuple[bytes, bytes]] | None = None  # all as they came, where a reader keeps them
     body: bytes = b""
-    flow: Flow | None = None  # the body, where it is long and passes in pieces
-    length: int | None = None  # of the body as its head says; None where it does not
+    flow: Flow | None = None  # the body, where it is passed on in pieces
+    length: int | None = None  # of the body by its head; None if it gives none
     version: str = "1.1"
     keep: bool = True
 
 
 def refused(size: int) -> bool:
-    """No room for any bytes."""
+    """Return False: there is no room to buffer a long body."""
     return False
 
 
 class _Reader:
-    """What reading requests and answers have in common; `feed` returns the messages completed."""
+    """What readers of requests and of answers have in common."""
 
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser
-    # Whether what is declared long passes from its first byte on, as that is what its receiver waits for.
+    # Whether a body that is declared long is passed on from its first byte, as its receiver waits for that.
     _passes_early = False
 
     def __init__(
@@ -56,29 +65,33 @@
         long: bool = False,
         hold: Callable[[int], bool] = refused,
         *,
-        head_most: int = HEAD_MOST,
-        body_most: int = BODY_MOST,
-        long_most: int = LONG_MOST,
+        head_most: int = MAX_HEAD_BYTES,
+        body_most: int = MAX_BODY_BYTES,
+        long_most: int = MAX_LONG_BODY_BYTES,
     ) -> None:
-        """Bodies past `body_most` are refused; if `long`, they pass in pieces once `hold` gives no more room for them.
+        """Refuse bodies above `body_most`; if `long`, pass them on in pieces once `hold` reserves no more room.
 
-        A message that passes is given out where it begins to, and its flow then tells of the rest.
+        A message that is passed on is returned when that begins; its flow has the rest.
         """
         self._head_most, self._body_most = head_most, body_most
         self._long_most, self._hold = long_most if long else body_most, hold
         self._message = Message()
         self._parts: list[bytes] = []
         self._size = 0
-        self._head = self._fields = 0  # bytes read while in the head; bytes of the fields that came whole
-        self._raw = 0  # bytes read since the last whole message
+        self._head = self._fields = 0  # bytes read within the head; bytes of its complete fields
+        self._raw = 0  # bytes read since the last complete message
         self._in_head = True
-        self._early = False  # whether this body passes from its first byte on
+        self._early = False  # whether this body is passed on from its first byte
         self._done: list[Message] = []
-        self._refused = 0  # the status of what was refused in the middle of a read
-        self.partial = False  # whether a message has begun and not ended
+        self._refused = 0  # the status of what was refused within a read
+        self.partial = False  # whether a message is partly received
 
     def feed(self, data: bytes | memoryview) -> list[Message]:
-        """Take what was read; what cannot be accepted raises Malformed, and breaks a body that passes."""
+        """Parse received bytes and return the messages that are complete, or begin to be passed on.
+
+        Raises:
+            Malformed: the bytes are not acceptable; a body in passing is broken off.
+        """
         self._head += len(data) if self._in_head else 0
         self._raw += len(data)
         status = 0
@@ -91,8 +104,8 @@
         if self._raw > self._head_most and not status:
             if self._in_head and self._head > self._head_most:
                 status = 431
-            # Chunk extensions or trailers without end are in no field and no body; chunks of one byte are six.
-            elif self._raw > self._head_most + 8 * max(self._body_most, self._size):
+            # Endless chunk extensions or trailers belong to no field and no body.
+            elif self._raw > self._head_most + MAX_CHUNK_OVERHEAD_RATIO * max(self._body_most, self._size):
                 status = 413
         if status:
             self.fail()
@@ -100,33 +113,33 @@
         return self.completed()
 
     def fail(self) -> None:
-        """Nothing more comes: a body that passes breaks off."""
+        """Break off a body in passing: nothing more comes."""
         if self._message.flow is not None:
             self._message.flow.fail()
 
     def close(self) -> None:
-        """Nothing more is read. Parser and reader hold each other, and what was read, until one lets go."""
+        """Release the parser and what was read: parser and reader hold each other."""
         self.fail()
         del self.parser
         self._message, self._parts, self._done, self._hold = Message(), [], [], refused
 
     def completed(self) -> list[Message]:
-        """The messages completed and not yet taken: before an error too, some may be."""
+        """Return the messages that are complete and were not returned yet, also those before an error."""
         done, self._done = self._done, []
         return done
 
     @property
     def begun(self) -> Message | None:
-        """The message whose body is coming, if one is."""
+        """The message whose body is being received, if any."""
         return self._message if self.partial and not self._in_head else None
 
     @property
     def size(self) -> int:
-        """Bytes of that body so far."""
+        """The bytes of that body so far."""
         return self._size
 
     def pass_on(self) -> None:
-        """Let the body that is coming pass in pieces from here on."""
+        """Pass the body that is being received on in pieces from here on."""
         message = self._message
         if message.flow is None:
             message.flow = Flow()
@@ -137,18 +150,18 @@
             self._finish(message)
             self._done.append(message)
 
-    # Called by the parser.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
         self._message, self._parts, self._size = Message(), [], 0
         self.partial = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._fields += len(name) + len(value) + 4
+        self._fields += len(name) + len(value) + FIELD_OVERHEAD_BYTES
         if self._fields > self._head_most:
             self._refuse(431)
         if not self._in_head:
-            return  # a trailer: nothing here rests on one, and none may change what the head said
+            return  # a trailer
         name, value = name.lower(), value.strip(b" \t")
         if name in self._message.headers:
             self._message.twice.append(name)
@@ -158,7 +171,7 @@
         self._in_head = False
         length = self._message.headers.get(b"content-length")
         if length is not None and length.isdigit():
-            self._message.length = int(length) if len(length) <= 18 else self._long_most + 1
+            self._message.length = int(length) if len(length) <= MAX_LENGTH_DIGITS else self._long_most + 1
             if self._message.length > self._body_most:
                 if self._message.length > self._long_most:
                     self._refuse(413)
@@ -175,23 +188,24 @@
             self.pass_on()
 
     def _passes(self, more: int) -> bool:
-        """Whether a body that has grown by so much passes in pieces from here on."""
+        """Return whether a body that has grown by so much is passed on from here on."""
         return not self._hold(more)
 
     def on_message_complete(self) -> None:
-        m = self._message
-        m.keep = self.parser.should_keep_alive()
-        if m.flow is not None:
-            m.flow.end()
+        message = self._message
+        message.keep = self.parser.should_keep_alive()
+        if message.flow is not None:
+            message.flow.end()
         else:
-            m.body = b"".join(self._parts)
-            self._finish(m)
-            self._done.append(m)
+            message.body = b"".join(self._parts)
+            self._finish(message)
+            self._done.append(message)
         self._parts, self._early = [], False
-        self.partial, self._in_head, self._head, self._fields, self._raw = False, True, 0, 0, 0
+        self.partial, self._in_head = False, True
+        self._head = self._fields = self._raw = 0
 
     def _finish(self, message: Message) -> None:
-        """Fill in the first line."""
+        """Set the fields of the first line."""
         raise NotImplementedError
 
     def _refuse(self, status: int) -> None:
@@ -200,19 +214,19 @@
 
 
 class RequestReader(_Reader):
-    """Reads requests off one connection."""
+    """Reads the requests of one connection."""
 
     def __init__(
         self,
         long: bool = False,
         hold: Callable[[int], bool] = refused,
         *,
-        head_most: int = HEAD_MOST,
-        body_most: int = BODY_MOST,
-        long_most: int = LONG_MOST,
+        head_most: int = MAX_HEAD_BYTES,
+        body_most: int = MAX_BODY_BYTES,
+        long_most: int = MAX_LONG_BODY_BYTES,
     ) -> None:
         super().__init__(long, hold, head_most=head_most, body_most=body_most, long_most=long_most)
-        self.expects = False  # whether a client waits to be told to send its body
+        self.expects = False  # whether the client waits for 100 Continue
         self.parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
@@ -237,7 +251,7 @@
 
 
 class AnswerReader(_Reader):
-    """Reads answers off one connection."""
+    """Reads the answers of one connection."""
 
     _passes_early = True
 
@@ -245,15 +259,15 @@
         self,
         long: bool = False,
         *,
-        head_most: int = HEAD_MOST,
-        body_most: int = BODY_MOST,
-        long_most: int = LONG_MOST,
+        head_most: int = MAX_HEAD_BYTES,
+        body_most: int = MAX_BODY_BYTES,
+        long_most: int = MAX_LONG_BODY_BYTES,
     ) -> None:
         super().__init__(long, head_most=head_most, body_most=body_most, long_most=long_most)
         self.parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
 
     def end(self) -> list[Message]:
-        """The connection has ended in order: so has a body that said neither its length nor chunks."""
+        """Return what the end of the connection completes: a body with neither a length nor chunks."""
         message = self.begun
         if message is None or message.length is not None or b"transfer-encoding" in message.headers:
             return []
@@ -269,7 +283,7 @@
 
 
 def origin_of(target: bytes) -> bytes:
-    """The origin form of a request's target: what the absolute one names beside its host."""
+    """Return the origin form of a request's target, which the absolute form has behind its host."""
     if not target.startswith(b"/"):
         scheme, mark, rest = target.partition(b"://")
         if mark and scheme.lower() in (b"http", b"https"):
@@ -279,11 +293,11 @@
 
 
 def path_of(target: bytes) -> bytes:
-    """The path that a request's target names, in the origin form or the absolute one."""
+    """Return the path of a request's target, in the origin form or the absolute one."""
     return origin_of(target).partition(b"?")[0]
 
 
-REASONS = {
+REASON_PHRASES: Final = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -301,16 +315,16 @@
 
 
 def head(status: int, length: int | None, *, headers: bytes = b"", close: bool = False, version: str = "1.1") -> bytes:
-    """An answer's head; without a length, its body comes in chunks, or to the end of a connection of HTTP/1.0."""
+    """Return an answer's head; a body without a length comes in chunks, to HTTP/1.0 until the connection ends."""
     ending = b"Connection: close\r\n" if close else b"Connection: keep-alive\r\n" if version == "1.0" else b""
     size = (
         b"Content-Length: %d\r\n" % length
         if length is not None
         else (b"" if version == "1.0" else b"Transfer-Encoding: chunked\r\n")
     )
-    return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, REASONS[status], size, headers, ending)
+    return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, REASON_PHRASES[status], size, headers, ending)
 
 
 def answer(status: int, body: bytes = b"", *, headers: bytes = b"", close: bool = False, version: str = "1.1") -> bytes:
-    """One whole answer."""
+    """Return a complete answer."""
     return head(status, len(body), headers=headers, close=close, version=version) + body
--- a/hallhitch/net/routes.py
+++ b/hallhitch/net/routes.py
@@ -1,174 +1,156 @@
-"""The route table: discovery's list, watched all the time, told to the module and to the hops."""
+"""The route table: discovery's list of servers, watched all the time, for the decision module and the transports."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import json
+import socket
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
+from typing import Final
 
 import structlog
 
 from hallhitch.core.actor import Actor
-from hallhitch.core.addresses import parse_address
 from hallhitch.core.deadlines import Deadlines, Scheduler
 from hallhitch.core.invariants import COUNTS
 from hallhitch.decision import api
-from hallhitch.decision.settings import WireError, need, number, word
-from hallhitch.net.http import AnswerReader
-from hallhitch.net.pacing import Pacing
-from hallhitch.net.sockets import Within, connect, cut, pause
-
-HOLD = 1000.0  # ms a watch waits at discovery: a connection that is dead without a word is noticed after that
-GRACE = 5000.0  # ms past that at which a silent watch is given up: a crowded discovery takes its watches in turn
-CONNECT = 500.0  # ms for a connection to discovery to come up
-STATES = {"active": "up", "leaving": "drain", "left": "gone"}
+from hallhitch.decision.settings import WireError
+from hallhitch.net.http import AnswerReader, Message
+from hallhitch.net.route_updates import RouteUpdate, parse_update
+from hallhitch.net.sockets import connect, shut_down
+from hallhitch.net.timeouts import DeadlineTimeout, sleep_ms
+from hallhitch.net.watch_backoff import WatchBackoff
+
+WATCH_HOLD_MS: Final = 1000.0  # that discovery holds a watch: a dead connection is detected after it
+FIRST_WATCH_HOLD_MS: Final = 1.0  # what is known at the start may be old: discovery is to answer at once
+WATCH_GRACE_MS: Final = 5000.0  # past the hold, for a crowded discovery that answers its watches in turn
+CONNECT_TIMEOUT_MS: Final = 500.0
+READ_BUFFER_BYTES: Final = 65_536
+WHOLE_LIST: Final = -1  # in place of a sequence number
 log = structlog.get_logger()
 
 
-@dataclass(frozen=True, slots=True)
-class News:
-    """What discovery told: the module's form, and where each server listens."""
-
-    seq: int
-    list: api.ServerList
-    dials: dict[str, tuple[str, int]]
-
-
-def news_of(m: Any, zones: list[str], saved: bool = False) -> News:
-    """Read a list or changes of it."""
-    entries, dials = [], {}
-    for e in need(m, "hosts", list):
-        host, site = need(e, "host", str), e.get("site")
-        zone = zones.index(site) if site in zones else 0
-        try:
-            dials[host] = parse_address(need(e, "dial", str))
-        except ValueError as error:
-            raise WireError(f"field 'dial' {error}") from error
-        entries.append(
-            api.ServerEntry(
-                host,
-                word(e, "health", STATES),
-                zone,
-                int(number(e, "block")),
-                number(e, "born_ms"),
-                number(e, "share", 1.0),
-            )
-        )
-    mode = "saved" if saved else "full" if m.get("whole") else "changes"
-    return News(need(m, "seq", int), api.ServerList(mode, tuple(entries)), dials)
-
-
-class RouteTable(Actor[News]):
-    """Holds the list as last told; `told` passes every change on."""
+class RouteTable(Actor[RouteUpdate]):
+    """The list as last received; `on_update` gets every update of it."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         deadlines: Deadlines,
         zones: list[str],
-        told: Callable[[api.ServerList], object],
-        pacing: Pacing,
+        on_update: Callable[[api.ServerList], object],
+        backoff: WatchBackoff,
     ) -> None:
         super().__init__("route table", scheduler)
-        self._deadlines, self._zones, self._told = deadlines, zones, told
-        self._pacing = pacing
-        self.seq = 0
+        self._deadlines = deadlines
+        self._zones = zones
+        self._on_update = on_update
+        self._backoff = backoff
+        self._sequence = 0
         self._watch: asyncio.Task[None] | None = None
-        self._heard = asyncio.Event()
+        self._was_updated = asyncio.Event()
         self.entries: dict[str, api.ServerEntry] = {}
-        self.dials: dict[str, tuple[str, int]] = {}
-
-    def handle(self, message: News) -> None:
-        """Apply what was told."""
-        self.seq = message.seq
-        if message.list.mode != "changes":
-            self.entries, self.dials = {}, {}
-        for entry in message.list.entries:
+        self._addresses: dict[str, tuple[str, int]] = {}
+
+    def handle(self, message: RouteUpdate) -> None:
+        """Apply an update."""
+        self._sequence = message.sequence
+        if message.server_list.mode != "changes":
+            self.entries, self._addresses = {}, {}
+        for entry in message.server_list.entries:
             self.entries[entry.server] = entry
-            self.dials[entry.server] = message.dials[entry.server]
+            self._addresses[entry.server] = message.addresses[entry.server]
             if entry.state == "gone":
-                del self.entries[entry.server], self.dials[entry.server]
-        self._told(message.list)
+                del self.entries[entry.server], self._addresses[entry.server]
+        self._on_update(message.server_list)
 
-    def up(self, server: str) -> bool:
-        """Whether a server is listed and wants new work."""
+    def is_up(self, server: str) -> bool:
+        """Return whether a server is listed and accepts new work."""
         entry = self.entries.get(server)
         return entry is not None and entry.state == "up"
 
+    def location_of(self, server: str) -> tuple[tuple[str, int], float] | None:
+        """Return a server's address and when it started, None if it is not listed."""
+        entry = self.entries.get(server)
+        return None if entry is None else (self._addresses[server], entry.started)
+
     def watch(self, address: tuple[str, int]) -> None:
         """Follow discovery at this address from now on, and nowhere else."""
-        moved = self._watch is not None
+        is_moved = self._watch is not None
         self.close()
-        # Numbers are each discovery's own: at another address the whole list comes first.
-        self._watch = asyncio.get_running_loop().create_task(self._follow(address, moved))
+        # Sequence numbers are each discovery's own: at another address the whole list comes first.
+        self._watch = asyncio.get_running_loop().create_task(self._follow(address, is_moved))
 
-    def where(self, server: str) -> tuple[tuple[str, int], float] | None:
-        """Where a server listens and when it started, if it is listed."""
-        entry = self.entries.get(server)
-        return None if entry is None else (self.dials[server], entry.started)
-
-    async def heard(self, most: float) -> None:
-        """Wait until discovery has first answered, for so many milliseconds at most."""
+    async def wait_until_updated(self, timeout_ms: float) -> None:
+        """Wait until discovery has answered for the first time, `timeout_ms` at most."""
         with contextlib.suppress(TimeoutError):
-            async with Within(self._deadlines, most):
-                await self._heard.wait()
+            async with DeadlineTimeout(self._deadlines, timeout_ms):
+                await self._was_updated.wait()
 
-    def retune(self, zones: list[str]) -> None:
-        """Read lists by these zones from now on."""
+    def set_zones(self, zones: list[str]) -> None:
+        """Read updates by these zones from now on."""
         self._zones = zones
 
     def close(self) -> None:
-        """Follow nothing any more."""
+        """Stop following discovery."""
         if self._watch is not None:
             self._watch.cancel()
 
-    async def _follow(self, address: tuple[str, int], whole: bool) -> None:
-        """Ask for what is newer than is known, for ever; for the whole list first, if so told."""
-        asked = -1 if whole else self.seq
-        await pause(self._deadlines, self._pacing.first(whole))
+    async def _follow(self, address: tuple[str, int], is_moved: bool) -> None:
+        """Watch for updates until cancelled; after a move, for the whole list first."""
+        sequence = WHOLE_LIST if is_moved else self._sequence
+        await sleep_ms(self._deadlines, self._backoff.first_delay_ms(is_moved))
         while True:
             try:
-                sock = await connect(address, self._deadlines, CONNECT)
-            except OSError:  # a time-out among them; discovery has done nothing for it
-                await pause(self._deadlines, self._pacing.failed(reached=False))
+                sock = await connect(address, self._deadlines, CONNECT_TIMEOUT_MS)
+            except OSError:  # also a time-out: discovery has done no work for it
+                await sleep_ms(self._deadlines, self._backoff.retry_delay_ms(is_reached=False))
                 continue
             reader = AnswerReader()
             try:
                 while True:
-                    # What is known at the start may be old: discovery is not to hold its word on that back.
-                    hold = HOLD if self._heard.is_set() else 1.0
-                    asked = await self._ask(sock, reader, address, asked, hold)
-                    self._pacing.answered()
-                    self._heard.set()
-            except Exception as error:  # whatever discovery says, the watch goes on
+                    hold_ms = WATCH_HOLD_MS if self._was_updated.is_set() else FIRST_WATCH_HOLD_MS
+                    sequence = await self._ask(sock, reader, address, sequence, hold_ms)
+                    self._backoff.reset()
+                    self._was_updated.set()
+            except Exception as error:  # the outermost edge of the task: whatever discovery sends, the watch goes on
                 COUNTS["watch_failed"] += 1
                 log.warning("watch failed", error=f"{type(error).__name__}: {error}")
             finally:
-                cut(sock)
+                shut_down(sock)
                 sock.close()
                 reader.close()
-            await pause(self._deadlines, self._pacing.failed(reached=True))
+            await sleep_ms(self._deadlines, self._backoff.retry_delay_ms(is_reached=True))
+
+    async def _ask(
+        self, sock: socket.socket, reader: AnswerReader, address: tuple[str, int], sequence: int, hold_ms: float
+    ) -> int:
+        """Ask for what is newer than `sequence`; return the sequence number of the answer.
 
-    async def _ask(self, sock: Any, reader: AnswerReader, address: tuple[str, int], after: int, hold: float) -> int:
+        Raises:
+            OSError: the connection broke, or was closed by discovery.
+            WireError: the answer cannot be used.
+        """
         loop = asyncio.get_running_loop()
-        query = f"?from={after}&hold_ms={hold:.0f}" if after >= 0 else ""
+        query = f"?from={sequence}&hold_ms={hold_ms:.0f}" if sequence >= 0 else ""
         head = f"GET /catalog/members{query} HTTP/1.1\r\nHost: {address[0]}\r\n\r\n"
         await loop.sock_sendall(sock, head.encode())
-        buffer = bytearray(65536)
-        async with Within(self._deadlines, HOLD + GRACE):
+        buffer = bytearray(READ_BUFFER_BYTES)
+        async with DeadlineTimeout(self._deadlines, WATCH_HOLD_MS + WATCH_GRACE_MS):
             while True:
                 size = await loop.sock_recv_into(sock, buffer)
                 if not size:
                     raise ConnectionError("discovery closed the watch")
-                for m in reader.feed(memoryview(buffer)[:size]):
-                    if m.status != 200:
-                        raise WireError(f"discovery answered {m.status}")
-                    news = news_of(json.loads(m.body), self._zones)
-                    if news.list.entries or news.list.mode == "full":
-                        self.post(news)
-                    if not m.keep:
-                        raise ConnectionError("discovery ended the connection")
-                    return news.seq
+                for answer in reader.feed(memoryview(buffer)[:size]):
+                    return self._apply(answer)
+
+    def _apply(self, answer: Message) -> int:
+        if answer.status != 200:
+            raise WireError(f"discovery answered {answer.status}")
+        update = parse_update(json.loads(answer.body), self._zones)
+        if update.server_list.entries or update.server_list.mode == "full":
+            self.post(update)
+        if not answer.keep:
+            raise ConnectionError("discovery ended the connection")
+        return update.sequence
--- a/hallhitch/net/sockets.py
+++ b/hallhitch/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets as every part of the program opens, takes and closes them."""
+"""Sockets as every part of the program opens, accepts and closes them."""
 
 from __future__ import annotations
 
@@ -7,180 +7,169 @@
 import errno
 import socket
 from collections.abc import Callable
+from typing import Final
 
 import structlog
 
 from hallhitch.core.deadlines import Deadlines
 from hallhitch.core.invariants import COUNTS
+from hallhitch.net.timeouts import DeadlineTimeout
 
-ACCEPTS = 64  # connections taken in one turn, so that those already taken are served meanwhile
-ACCEPT_AGAIN = 10.0  # ms to wait where the machine has no descriptor left
-GONE = (errno.ECONNABORTED, errno.EPROTO)  # who was there has left again: no failure of ours
+LISTEN_BACKLOG: Final = 1024
+MAX_ACCEPTS_PER_TURN: Final = 64  # of the loop, so that the connections already accepted are served meanwhile
+ACCEPT_RETRY_MS: Final = 10.0  # where the machine has no descriptor left
+CLIENT_GONE_ERRNOS: Final = (errno.ECONNABORTED, errno.EPROTO)  # a client left before it was accepted
 log = structlog.get_logger()
 
 
-def tune(sock: socket.socket) -> socket.socket:
-    """Settings of every connection."""
+def configure_socket(sock: socket.socket) -> socket.socket:
+    """Set the options of a connection and return it."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def listen(address: tuple[str, int]) -> socket.socket:
-    """A listening socket on this address only."""
+def open_listener(address: tuple[str, int]) -> socket.socket:
+    """Return a listening socket on this address only."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setblocking(False)
     sock.bind(address)
-    sock.listen(1024)
+    sock.listen(LISTEN_BACKLOG)
     return sock
 
 
-def inherited(number: int) -> socket.socket:
-    """A listening socket that the platform holds, and other processes beside this one; OSError if it is none."""
-    sock = socket.socket(fileno=number)
+def inherit_listener(descriptor: int) -> socket.socket:
+    """Return a listening socket that the platform holds and other processes share.
+
+    Raises:
+        OSError: the descriptor is no listening socket.
+    """
+    sock = socket.socket(fileno=descriptor)
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        sock.detach()  # whatever it is, it is not ours to close
-        raise OSError(f"descriptor {number} is no listening socket")
+        sock.detach()  # it belongs to somebody else, who closes it
+        raise OSError(f"descriptor {descriptor} is no listening socket")
     sock.setblocking(False)
     return sock
 
 
-class Listening:
-    """Takes connections off a listener, which other processes may take from as well.
+async def connect(address: tuple[str, int], deadlines: Deadlines, timeout_ms: float) -> socket.socket:
+    """Open a connection.
+
+    Raises:
+        OSError: the address cannot be reached; TimeoutError, which is one, after `timeout_ms`.
+    """
+    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+    sock = configure_socket(socket.socket(family, socket.SOCK_STREAM))
+    try:
+        async with DeadlineTimeout(deadlines, timeout_ms):
+            await asyncio.get_running_loop().sock_connect(sock, address)
+    except BaseException:
+        sock.close()
+        raise
+    return sock
+
+
+def shut_down(sock: socket.socket) -> None:
+    """End a connection at once, also where a read of it is pending in the loop."""
+    with contextlib.suppress(OSError):
+        sock.shutdown(socket.SHUT_RDWR)
+
+
+def is_open_and_silent(sock: socket.socket) -> bool:
+    """Return whether an idle connection is still open and nothing has come on it."""
+    try:
+        sock.recv(1, socket.MSG_PEEK)
+    except BlockingIOError:
+        return True
+    except OSError:
+        return False
+    return False
+
 
-    A callback of the loop, not a task: a connection that a cancelled task had just taken would be lost.
+class Listener:
+    """Accepts connections of a listening socket, of which other processes may accept as well.
+
+    It is a callback of the loop, not a task: a connection that a cancelled task had just accepted would be lost.
     """
 
     def __init__(
         self, admit: Callable[[socket.socket], None], deadlines: Deadlines, loop: asyncio.AbstractEventLoop
     ) -> None:
-        self._admit, self._deadlines, self._loop = admit, deadlines, loop
-        self._open = False
-        self._resting = self._pausing = False
-        # Since when a connection that is just being taken may have waited; 0 once those that came first are taken.
-        self.opened = 0.0
+        self._admit = admit
+        self._deadlines = deadlines
+        self._loop = loop
+        self._is_open = False
+        self._is_resting = False
+        self._is_paused = False
+        # Since when a connection that is just being accepted may have waited; 0 once the first ones are accepted.
+        self.opened_at = 0.0
 
     @property
-    def listens(self) -> bool:
-        """Whether connections are taken."""
-        return self._open
+    def is_listening(self) -> bool:
+        """Whether connections are accepted."""
+        return self._is_open
 
     def open(self, listener: socket.socket) -> None:
-        """Take connections off this listener from now on."""
-        self._open, self._listener, self.opened = True, listener, self._deadlines.clock()
-        self._loop.add_reader(self._listener, self._ready)
-
-    def rest(self, resting: bool) -> None:
-        """Leave connections where they wait for a while, for another process that takes them too; or go on."""
-        if self._open and resting != self._resting:
-            self._resting = resting
-            if resting:
+        """Accept connections of this socket from now on."""
+        self._is_open = True
+        self._listener = listener
+        self.opened_at = self._deadlines.clock()
+        self._loop.add_reader(self._listener, self._on_ready)
+
+    def set_resting(self, is_resting: bool) -> None:
+        """Leave connections to another process that accepts them too, or accept them again."""
+        if self._is_open and is_resting != self._is_resting:
+            self._is_resting = is_resting
+            if is_resting:
                 self._loop.remove_reader(self._listener)
-            elif not self._pausing:
-                self._loop.add_reader(self._listener, self._ready)
+            elif not self._is_paused:
+                self._loop.add_reader(self._listener, self._on_ready)
 
-    def pause(self, delay: float) -> None:
-        """Take none for some ms: what comes meanwhile waits in the listener's line."""
-        if self._open and not self._pausing:
-            self._pausing = True
+    def pause(self, delay_ms: float) -> None:
+        """Accept nothing for a while: connections wait in the backlog."""
+        if self._is_open and not self._is_paused:
+            self._is_paused = True
             self._loop.remove_reader(self._listener)
-            self._deadlines.call_after(delay, self._again)
+            self._deadlines.call_after(delay_ms, self._resume)
 
-    def close(self, rest: bool = False) -> None:
-        """Take none any more, but for those that wait if `rest` says so.
+    def close(self, accept_waiting: bool = False) -> None:
+        """Stop listening; `accept_waiting` accepts what waits in the backlog first.
 
-        Only closed, never shut down: that would end it for every process that holds it.
+        The socket is closed and not shut down, which would end it for every process that holds it.
         """
-        if not self._open:
+        if not self._is_open:
             return
         self._loop.remove_reader(self._listener)
-        while rest and self._take():
+        while accept_waiting and self._accept():
             pass
-        self._open = False
+        self._is_open = False
         self._listener.close()
 
-    def _ready(self) -> None:
-        for _ in range(ACCEPTS):
-            if self._resting or self._pausing or not self._take():
+    def _on_ready(self) -> None:
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if self._is_resting or self._is_paused or not self._accept():
                 break
-        self.opened = 0.0
+        self.opened_at = 0.0
 
-    def _take(self) -> bool:
+    def _accept(self) -> bool:
+        """Accept a connection; return whether another one may be waiting."""
         try:
             sock = self._listener.accept()[0]
         except BlockingIOError:
             return False
         except OSError as error:
-            if error.errno in GONE:
+            if error.errno in CLIENT_GONE_ERRNOS:
                 return True
             COUNTS["accept_failed"] += 1
             log.warning("accept failed", error=str(error))
-            self.pause(ACCEPT_AGAIN)
+            self.pause(ACCEPT_RETRY_MS)
             return False
         self._admit(sock)
         return True
 
-    def _again(self) -> None:
-        self._pausing = False
-        if self._open and not self._resting:
-            self._loop.add_reader(self._listener, self._ready)
-
-
-class Within:
-    """Ends what runs inside it with TimeoutError after some milliseconds, by the one deadline structure."""
-
-    def __init__(self, deadlines: Deadlines, delay: float) -> None:
-        self._deadlines, self._delay, self._hit = deadlines, delay, False
-
-    async def __aenter__(self) -> None:
-        self._task = asyncio.current_task()
-        self._entry = self._deadlines.call_after(self._delay, self._cancel)
-
-    def _cancel(self) -> None:
-        self._hit = True
-        if self._task is not None:
-            self._task.cancel()
-
-    async def __aexit__(self, kind: type[BaseException] | None, *_: object) -> None:
-        self._deadlines.cancel(self._entry)
-        if self._hit and self._task is not None and self._task.uncancel() == 0:
-            raise TimeoutError
-
-
-async def pause(deadlines: Deadlines, delay: float) -> None:
-    """Wait some milliseconds."""
-    with contextlib.suppress(TimeoutError):
-        async with Within(deadlines, delay):
-            await asyncio.get_running_loop().create_future()
-
-
-async def connect(address: tuple[str, int], deadlines: Deadlines, timeout: float) -> socket.socket:
-    """A new connection, within a time-out in milliseconds; raises OSError."""
-    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    sock = tune(socket.socket(family, socket.SOCK_STREAM))
-    try:
-        async with Within(deadlines, timeout):
-            await asyncio.get_running_loop().sock_connect(sock, address)
-    except BaseException:
-        sock.close()
-        raise
-    return sock
-
-
-def cut(sock: socket.socket) -> None:
-    """End a connection now, also where a read of it still hangs in the loop."""
-    with contextlib.suppress(OSError):
-        sock.shutdown(socket.SHUT_RDWR)
-
-
-def alive(sock: socket.socket) -> bool:
-    """Whether an idle connection is still open and silent, as it must be."""
-    try:
-        sock.recv(1, socket.MSG_PEEK)
-    except BlockingIOError:
-        return True
-    except OSError:
-        return False
-    return False
+    def _resume(self) -> None:
+        self._is_paused = False
+        if self._is_open and not self._is_resting:
+            self._loop.add_reader(self._listener, self._on_ready)
--- /dev/null
+++ b/hallhitch/net/upstream/server.py
@@ -0,0 +1,156 @@
+"""One server: an actor that runs the attempts of its mailbox, and the pool of its idle connections."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from typing import Final
+
+from hallhitch.core.actor import Actor
+from hallhitch.core.deadlines import Scheduler
+from hallhitch.core.invariants import COUNTS
+from hallhitch.net.flow import Broken
+from hallhitch.net.http import Malformed, Message
+from hallhitch.net.sockets import connect, is_open_and_silent, shut_down
+from hallhitch.net.timeouts import sleep_ms
+from hallhitch.net.upstream.context import UpstreamAttempt, UpstreamConnection, UpstreamContext, close_connection
+from hallhitch.net.upstream.receive import Result, receive_answer
+from hallhitch.net.upstream.request_head import encode_head
+
+# Between two attempts on a connection: excess bytes of the first one's answer show in that time.
+REUSE_DELAY_MS: Final = 2.0
+
+
+class UpstreamServer(Actor[UpstreamAttempt]):
+    """One server; its mailbox holds attempts to start."""
+
+    def __init__(self, context: UpstreamContext, server: str, scheduler: Scheduler) -> None:
+        super().__init__(f"hop {server}", scheduler)
+        self._context = context
+        self.server = server
+        self.idle: deque[UpstreamConnection] = deque()  # the newest last
+
+    def handle(self, message: UpstreamAttempt) -> None:
+        """Start an attempt."""
+        if not message.is_over:
+            message.task = asyncio.get_running_loop().create_task(self._run_attempt(message))
+
+    def on_message_failed(self, message: UpstreamAttempt) -> None:
+        """Report an attempt that could not be started."""
+        self._context.end(message, "unreachable")
+
+    async def _run_attempt(self, running: UpstreamAttempt) -> None:
+        """Run one attempt to its end; whatever goes wrong is an outcome."""
+        try:
+            outcome, answer = await self._attempt(running)
+        except asyncio.CancelledError:
+            outcome, answer = "cancelled", None  # already reported by whoever cancelled it
+        except Malformed:
+            # It ran, and the server goes on: its next answer may be as good as any. As a reset, it would eject the
+            # server, and all others with it where all answers are malformed alike.
+            COUNTS["answer_spoilt"] += 1
+            outcome, answer = "error", None
+        except Exception as error:
+            if not isinstance(error, OSError):
+                self.record_failure(error)
+            outcome, answer = "reset" if running.is_written else "unreachable", None
+        if running.is_written and outcome != "cancelled":
+            self._context.idle_times.observe(running.idle_ms, outcome == "reset")
+        connection, running.connection = running.connection, None
+        is_reusable = answer is not None and answer.keep and (running.is_streamed or not running.is_over)
+        if connection is not None and not (is_reusable and self._return_to_pool(connection)):
+            close_connection(connection)
+        self._context.end(running, outcome, answer)
+
+    async def _attempt(self, running: UpstreamAttempt) -> Result:
+        attempt, loop = running.attempt, asyncio.get_running_loop()
+        running.connection = connection = await self._take_from_pool() or await self._open()
+        if connection.idle_since:
+            running.idle_ms = self._context.deadlines.clock() - connection.idle_since
+        # Connecting took time: what the decision rested on is checked once more.
+        remaining_ms = attempt.ends_at - self._context.deadlines.clock()
+        if not attempt.is_wanted or remaining_ms < 1 or not self._context.routes.is_up(self.server):
+            return "void", None
+        request = attempt.payload
+        assert isinstance(request, Message)
+        upload = None
+        if request.flow is None:
+            await loop.sock_sendall(connection.sock, encode_head(request, remaining_ms) + request.body)
+            self._on_written(running)
+        else:
+            upload = loop.create_task(self._upload(running, connection, request, remaining_ms))
+        try:
+            outcome, answer = await receive_answer(self._context, running, connection)
+        finally:
+            if upload is not None:
+                upload.cancel()
+        if answer is not None and not running.is_written:
+            answer.keep = False
+        return outcome, answer
+
+    def _on_written(self, running: UpstreamAttempt) -> None:
+        running.is_written = True
+        self._context.on_attempt_written()
+
+    async def _upload(
+        self, running: UpstreamAttempt, connection: UpstreamConnection, request: Message, remaining_ms: float
+    ) -> None:
+        """Forward a long request while it comes; its time at the server begins with its last byte."""
+        loop, flow = asyncio.get_running_loop(), request.flow
+        assert flow is not None
+        self._context.reports.on_streaming_started(running.attempt)
+        try:
+            async for data in flow.written(encode_head(request, remaining_ms), chunked=request.length is None):
+                await loop.sock_sendall(connection.sock, data)
+        except (OSError, Broken):
+            return shut_down(connection.sock)
+        running.attempt.sent_at = self._context.deadlines.clock()
+        self._on_written(running)
+
+    # The pool of connections.
+
+    async def _take_from_pool(self) -> UpstreamConnection | None:
+        """Return the newest idle connection that may be used; close those that may not."""
+        location, clock = self._context.routes.location_of(self.server), self._context.deadlines.clock
+        max_idle_ms = self._context.idle_times.max_idle_ms()
+        while self.idle:
+            connection = self.idle.pop()
+            try:
+                idle_ms = clock() - connection.idle_since
+                if idle_ms < REUSE_DELAY_MS and connection.location == location:
+                    await sleep_ms(self._context.deadlines, REUSE_DELAY_MS - idle_ms)
+                if idle_ms <= max_idle_ms and connection.location == location and is_open_and_silent(connection.sock):
+                    return connection
+            except BaseException:
+                close_connection(connection)
+                raise
+            close_connection(connection)
+        return None
+
+    async def _open(self) -> UpstreamConnection:
+        """Open a connection.
+
+        Raises:
+            OSError: there is no room for one, the server is not listed, or it cannot be reached.
+        """
+        if not self._context.has_room():
+            raise OSError("no descriptor left for a connection to a server")
+        self._context.connecting += 1
+        try:
+            location = self._context.routes.location_of(self.server)
+            if location is None:
+                raise OSError("the server is not listed any more")
+            sock = await connect(location[0], self._context.deadlines, self._context.connect_timeout_ms)
+            return UpstreamConnection(sock, location)
+        finally:
+            self._context.connecting -= 1
+            COUNTS["hop_connects"] += 1
+
+    def _return_to_pool(self, connection: UpstreamConnection) -> bool:
+        """Keep a connection as idle; return False if its server accepts nothing new."""
+        if not self._context.routes.is_up(self.server):
+            return False
+        # Whether it is still open and silent is checked when it is used again.
+        connection.idle_since = self._context.deadlines.clock()
+        self.idle.append(connection)
+        return True
--- a/hallhitch/ops/hot_restart/state_transfer.py
+++ b/hallhitch/ops/hot_restart/state_transfer.py
@@ -105,10 +105,10 @@
 class IdleTimes(Protocol):
     """The statistics of idle connections that are transferred."""
 
-    def told(self) -> list[IdleTimeRow]:
+    def export_rows(self) -> list[IdleTimeRow]:
         """Return the rows to transfer."""
 
-    def take(self, rows: Iterable[IdleTimeRow]) -> None:
+    def import_rows(self, rows: Iterable[IdleTimeRow]) -> None:
         """Add transferred rows."""
 
 
@@ -124,7 +124,7 @@
                 name: [module.service_ms[name], module.learned_at[name], module.class_error_ratio[name]]
                 for name in module.service_ms
             },
-            "idle": idle_times.told(),
+            "idle": idle_times.export_rows(),
             "customers": customer_rows(module),
         }
     )
@@ -154,7 +154,7 @@
 
 def apply_state(state: TransferredState, module: LearningModule, idle_times: IdleTimes) -> None:
     """Apply transferred state for the classes and plans of the present settings."""
-    idle_times.take(state.idle_times)
+    idle_times.import_rows(state.idle_times)
     module.concurrency_limit = state.concurrency_limit
     module.ask_ratio = state.ask_ratio
     for name, (service_ms, learned_at, error_ratio) in state.classes.items():
--- a/hallhitch/ops/operator_server.py
+++ b/hallhitch/ops/operator_server.py
@@ -19,7 +19,8 @@
 from hallhitch.core.deadlines import Deadlines
 from hallhitch.core.invariants import COUNTS
 from hallhitch.net.http import Malformed, Message, RequestReader, answer, path_of
-from hallhitch.net.sockets import Listening, Within, cut, tune
+from hallhitch.net.sockets import Listener, configure_socket, shut_down
+from hallhitch.net.timeouts import DeadlineTimeout
 
 READ_TIMEOUT_MS: Final = 5000.0  # for a caller to send its call
 WRITE_TIMEOUT_MS: Final = 1000.0  # for a caller to read its answer
@@ -51,7 +52,7 @@
         self._deadlines = deadlines
         self._loop = loop
         self._has_call: dict[asyncio.Task[None], bool] = {}  # oldest connection first; was its call received
-        self._listening = Listening(self._admit, deadlines, loop)
+        self._listening = Listener(self._admit, deadlines, loop)
 
     def open(self, listener: socket.socket) -> None:
         """Start answering calls."""
@@ -71,7 +72,7 @@
                 return sock.close()
             self._has_call.pop(oldest_incomplete)
             oldest_incomplete.cancel()
-        task = self._loop.create_task(self._serve(tune(sock)))
+        task = self._loop.create_task(self._serve(configure_socket(sock)))
         self._has_call[task] = False
         task.add_done_callback(lambda done: self._has_call.pop(done, None))
 
@@ -81,20 +82,20 @@
             try:
                 reply = await self._reply_to_call(sock)
                 if reply is not None:
-                    async with Within(self._deadlines, WRITE_TIMEOUT_MS):
+                    async with DeadlineTimeout(self._deadlines, WRITE_TIMEOUT_MS):
                         await self._loop.sock_sendall(sock, encode_reply(reply))
                     sock.shutdown(socket.SHUT_WR)
-                    async with Within(self._deadlines, LINGER_MS):
+                    async with DeadlineTimeout(self._deadlines, LINGER_MS):
                         while await self._loop.sock_recv(sock, READ_SIZE_BYTES):
                             pass
             finally:
-                cut(sock)
+                shut_down(sock)
 
     async def _reply_to_call(self, sock: socket.socket) -> OperatorReply | None:
         """Read a call and return its answer, None if the caller has disconnected."""
         reader = RequestReader()
         try:
-            async with Within(self._deadlines, READ_TIMEOUT_MS):
+            async with DeadlineTimeout(self._deadlines, READ_TIMEOUT_MS):
                 request = await self._read_request(sock, reader)
         except Malformed as error:
             return OperatorReply(error.status, "unreadable\n")
--- a/hallhitch/resp/counter_codec.py
+++ b/hallhitch/resp/counter_codec.py
@@ -7,7 +7,7 @@
 
 import hiredis
 
-from hallhitch.net.counter import total_of
+from hallhitch.net.counter_codec import parse_total
 from hallhitch.net.http import Malformed
 
 REPLIES_PER_CALL: Final = 4  # to MULTI; to SET and INCRBYFLOAT, as queued; to EXEC
@@ -69,4 +69,4 @@
         return "full", 0.0
     if not isinstance(exec_reply, list) or len(exec_reply) != 2 or not isinstance(exec_reply[1], bytes):
         raise Malformed(400)
-    return "ok", total_of(exec_reply[1])
+    return "ok", parse_total(exec_reply[1])
--- a/hallhitch/resp/server.py
+++ b/hallhitch/resp/server.py
@@ -19,14 +19,15 @@
 from hallhitch.core.deadlines import Deadlines
 from hallhitch.core.module import Core
 from hallhitch.decision import api
-from hallhitch.net.acceptor import Acceptor, Peer
+from hallhitch.net.acceptor import Acceptor
+from hallhitch.net.client_connection import ClientConnection
 from hallhitch.resp.session import LimitDecider, Session
 
 
 class LimitServer(Acceptor):
     """Accepts RESP clients; idle connections stay open as long as there is room."""
 
-    idle_most = math.inf
+    max_idle_ms = math.inf
 
     def __init__(
         self,
@@ -34,16 +35,16 @@
         settings: api.Settings,
         deadlines: Deadlines,
         scheduler: asyncio.AbstractEventLoop,
-        most: int,
+        max_clients: int,
         spare: int,
     ) -> None:
-        super().__init__(deadlines, scheduler, most, spare)
+        super().__init__(deadlines, scheduler, max_clients, spare)
         self._decider = LimitDecider(core, settings)
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Use other settings for commands from now on."""
         self._decider.settings = settings
 
-    def peer(self, sock: socket.socket, spare: bool) -> Peer:
+    def make_connection(self, sock: socket.socket, spare: bool) -> ClientConnection:
         """Return a new connection's actor."""
         return Session(self, sock, spare, self._decider)
--- a/hallhitch/resp/session.py
+++ b/hallhitch/resp/session.py
@@ -13,7 +13,8 @@
 from hallhitch.core.invariants import COUNTS
 from hallhitch.core.module import Core
 from hallhitch.decision import api
-from hallhitch.net.acceptor import Acceptor, Peer
+from hallhitch.net.acceptor import Acceptor
+from hallhitch.net.client_connection import ClientConnection
 from hallhitch.resp import codec
 from hallhitch.resp.commands import (
     PROTOCOL_VERSION,
@@ -65,12 +66,13 @@
         self.fill(codec.encode_error("FAILED no decision within the deadline"))
 
 
-class Session(Peer):
+class Session(ClientConnection):
     """The actor of one connection."""
 
     def __init__(self, acceptor: Acceptor, connection: socket.socket, is_spare: bool, decider: LimitDecider) -> None:
         """`is_spare` marks a connection beyond the limit, which only gets an error."""
         super().__init__(acceptor, connection, acceptor.deadlines, acceptor.scheduler)
+        self._acceptor = acceptor
         self._is_spare = is_spare
         self._decider = decider
         self._reader = codec.CommandReader()
@@ -90,25 +92,25 @@
     # The connection, as its acceptor sees it.
 
     @property
-    def owes(self) -> bool:
+    def owes_answer(self) -> bool:
         """Whether a reply is owed."""
         return bool(self._slots) or self._writing > 0
 
     @property
-    def partial(self) -> bool:
+    def is_partial(self) -> bool:
         """Whether a command is read in part, or read and not executed."""
         return bool(self._unexecuted) or self._reader.has_partial_command
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether so many replies are owed that no more is read."""
-        return len(self._slots) + self._writing >= MAX_PIPELINE_DEPTH and not self.ending
+        return len(self._slots) + self._writing >= MAX_PIPELINE_DEPTH and not self.is_ending
 
-    def overdue(self) -> None:
+    def on_overdue(self) -> None:
         """Reply that the command took too long to arrive, and end the connection."""
         self._end_with_error("ERR a command must come whole within seconds")
 
-    def take(self, data: memoryview) -> None:
+    def on_data(self, data: memoryview) -> None:
         """Execute the commands that this data completes."""
         self._unexecuted.extend(self._reader.feed(data))
         if self._reader.framing_error:
@@ -116,15 +118,15 @@
             self._unexecuted.append(None)  # reported in its turn, behind the replies to earlier commands
         self._execute_pending()
 
-    def wrote(self, count: int) -> None:
+    def on_written(self, count: int) -> None:
         """Account for replies that were written, and go on with what waited for them."""
         self._writing -= count
         self._execute_pending()
-        if not self.owes:
-            self._acceptor.rests(self)
-        self.proceed()
+        if not self.owes_answer:
+            self._acceptor.on_idle(self)
+        self.resume_reading()
 
-    def left(self) -> None:
+    def on_closed(self) -> None:
         """Abandon the exchanges of a client that is gone."""
         for slot in self._slots:
             if slot.exchange_id:
@@ -142,9 +144,9 @@
 
     def _execute_pending(self) -> None:
         """Execute the commands that were read, as far as the depth allows."""
-        while self._unexecuted and not self.ending and not self.full:
+        while self._unexecuted and not self.is_ending and not self.is_full:
             command = self._unexecuted.popleft()
-            self._acceptor.used(self)
+            self._acceptor.on_active(self)
             if self._is_spare:
                 self._end_with_error("ERR max number of clients reached")
             elif not isinstance(command, list):
@@ -153,7 +155,7 @@
                 self._execute(command)
 
     def _end_with_error(self, text: str) -> None:
-        self.ending = True
+        self.is_ending = True
         self._new_slot().fill(codec.encode_error(text))
 
     def _execute(self, command: list[object]) -> None:
@@ -162,13 +164,13 @@
             name, *arguments = parse_words(command)
             if name.upper() == b"TAKE":
                 self._take(arguments, slot)
-                self.accepted = True
+                self.had_accepted_request = True
                 return
             execute = self._immediate_commands.get(name.upper())
             if execute is None:
                 raise CommandError(f"unknown command '{name[:64].decode(errors='replace')}'")
             reply = execute(arguments)
-            self.accepted = True
+            self.had_accepted_request = True
         except CommandError as error:
             reply = codec.encode_error(f"ERR {error}")
         slot.fill(reply)
@@ -228,5 +230,5 @@
         raise CommandError("unknown subcommand or wrong number of arguments for 'client'")
 
     def _quit(self, arguments: list[bytes]) -> bytes:
-        self.ending = True
+        self.is_ending = True
         return codec.encode_simple_string("OK")
--- a/tests/net/test_config.py
+++ b/tests/net/test_config.py
@@ -1,4 +1,4 @@
-"""Reading of the configuration file, apart from any process: what is taken, and what is turned down whole."""
+"""The configuration file: what is accepted, and what is rejected."""
 
 from __future__ import annotations
 
@@ -52,19 +52,19 @@
         self.path = Path(folder.name) / "config.json"
         self.first = self.read(json.dumps(self.good), None)
 
-    def read(self, text: str, previous: config.Config | None) -> config.Config:
+    def read(self, text: str, previous: config.GatewayConfig | None) -> config.GatewayConfig:
         """Read a file of this text."""
         self.path.write_text(text)
-        return config.read({"EDGE_CONFIG": str(self.path)}, previous)
+        return config.read_config({"EDGE_CONFIG": str(self.path)}, previous)
 
-    def test_cut_off_at_any_byte_it_is_turned_down(self) -> None:
+    def test_a_file_truncated_at_any_byte_is_rejected(self) -> None:
         """Guards against half a file taken for a whole one."""
         text = json.dumps(self.good)
         for end in range(len(text)):
             with self.assertRaises(WireError, msg=text[:end][-20:]):
                 self.read(text[:end], self.first)
 
-    def test_with_any_key_missing_it_is_turned_down_and_the_key_named(self) -> None:
+    def test_a_file_without_any_of_its_keys_is_rejected_and_the_key_named(self) -> None:
         """Guards against defaults in place of what a file has lost, in one record of a list too."""
         found = [at for at in paths(self.good) if at[-1] != "window"]  # which one class alone has
         self.assertGreater(len(found), 50)
@@ -99,7 +99,9 @@
             max_size=8,
         )
     )
-    def test_after_any_files_it_is_as_one_begun_with_the_last_good(self, files: list[tuple[str, Any, Any]]) -> None:
+    def test_after_any_files_the_configuration_is_that_of_the_last_valid_one(
+        self, files: list[tuple[str, Any, Any]]
+    ) -> None:
         """Guards against anything that a file turned down, or one before the last, leaves behind."""
         told, last = self.first, json.dumps(self.good)
         for what, which, how in files:
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -1,4 +1,4 @@
-"""The codec alone: every form of a message, cut anywhere, is the same message."""
+"""The HTTP codec: every form of a message, split anywhere, is read as the same message."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 
 from hallhitch.net.flow import Flow
-from hallhitch.net.http import BODY_MOST, AnswerReader, Malformed, Message, RequestReader, origin_of, path_of
+from hallhitch.net.http import MAX_BODY_BYTES, AnswerReader, Malformed, Message, RequestReader, origin_of, path_of
 
 LONG = bytes(range(256)) * 300  # past what is read whole
 CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n"
 
 
 def chunks(body: bytes, size: int, extension: bytes = b"") -> bytes:
-    """A body in chunks of a size, with trailers."""
+    """Return a body in chunks of a size, with trailers."""
     parts = [body[n : n + size] for n in range(0, len(body), size)]
     return b"".join(b"%X%s\r\n%s\r\n" % (len(p), extension, p) for p in parts) + b"0\r\nReq-Id: not this\r\n\r\n"
 
@@ -38,15 +38,15 @@
     b"HTTP/1.1 200 OK\r\nA: b\r\n" + CHUNKED + chunks(LONG, 70_000): LONG,
 }
 # Answers that have no body, whatever their head says of one.
-BARE = [
+BODILESS = [
     b"HTTP/1.1 %d X\r\nA: b\r\n%s\r\n" % (status, framing)
     for status in (204, 304)
     for framing in (b"", b"Content-Length: 5\r\n", b"Transfer-Encoding: chunked\r\n")
 ]
 
 
-def whole(message: Message) -> bytes:
-    """A message's body, however it came."""
+def body_of(message: Message) -> bytes:
+    """Return a message's body, buffered or passed on."""
     flow = message.flow
     if flow is None:
         return message.body
@@ -55,7 +55,7 @@
 
 
 def read(reader: RequestReader | AnswerReader, data: bytes, cuts: list[int]) -> list[Message]:
-    """Feed data in pieces."""
+    """Feed data in pieces; return the messages."""
     places = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
     return [m for a, b in zip(places, places[1:], strict=False) for m in reader.feed(data[a:b])]
 
@@ -65,41 +65,43 @@
 
     @settings(max_examples=60, deadline=None)
     @given(st.lists(st.integers(0, 1 << 20), max_size=30), st.booleans())
-    def test_requests_cut_anywhere(self, cuts: list[int], held: bool) -> None:
+    def test_requests_are_read_however_they_are_split(self, cuts: list[int], held: bool) -> None:
         """Guards against a message that depends on how it was cut, and a trailer taken for a header."""
         for data, body in REQUESTS.items():
             reader = RequestReader(long=True, hold=(lambda size: True) if held else (lambda size: False))
             (message,) = read(reader, data, cuts)
-            self.assertEqual((path_of(message.target), message.headers[b"a"], whole(message)), (b"/a", b"b", body))
+            self.assertEqual((path_of(message.target), message.headers[b"a"], body_of(message)), (b"/a", b"b", body))
             self.assertNotIn(b"req-id", message.headers)
-            self.assertEqual(message.flow is not None, len(body) > BODY_MOST and not held)
+            self.assertEqual(message.flow is not None, len(body) > MAX_BODY_BYTES and not held)
             self.assertFalse(reader.partial)
 
     @settings(max_examples=60, deadline=None)
     @given(st.lists(st.integers(0, 1 << 20), max_size=30))
-    def test_answers_cut_anywhere(self, cuts: list[int]) -> None:
+    def test_answers_are_read_however_they_are_split(self, cuts: list[int]) -> None:
         """Guards against answers of any framing that are lost, or altered by how they were cut."""
         for data, body in ANSWERS.items():
             reader = AnswerReader(long=True)
             messages = read(reader, data, cuts) + reader.end()
             message = [m for m in messages if m.status >= 200][0]
-            self.assertEqual((message.status, message.headers[b"a"], whole(message)), (200, b"b", body))
+            self.assertEqual((message.status, message.headers[b"a"], body_of(message)), (200, b"b", body))
 
-    @given(st.lists(st.integers(0, 1 << 20), max_size=30), st.sampled_from(BARE))
-    def test_what_has_no_body_is_whole_at_its_head(self, cuts: list[int], bare: bytes) -> None:
+    @given(st.lists(st.integers(0, 1 << 20), max_size=30), st.sampled_from(BODILESS))
+    def test_an_answer_without_a_body_is_complete_at_its_head(self, cuts: list[int], bodiless: bytes) -> None:
         """Guards against a wait for a body that never comes, and against the next answer taken for it."""
-        first, second = read(AnswerReader(long=True), bare + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", cuts)
+        first, second = read(
+            AnswerReader(long=True), bodiless + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", cuts
+        )
         self.assertEqual((first.headers[b"a"], first.body, first.keep), (b"b", b"", True))
         self.assertEqual((second.status, second.body), (200, b"abc"))
 
-    def test_every_byte_by_itself(self) -> None:
+    def test_requests_are_read_byte_by_byte(self) -> None:
         """Guards against forms that only whole pieces get through."""
         for data, body in REQUESTS.items():
             reader = RequestReader(long=True)
             (message,) = [m for n in range(len(data)) for m in reader.feed(data[n : n + 1])]
-            self.assertEqual(whole(message), body)
+            self.assertEqual(body_of(message), body)
 
-    def test_an_end_in_order_ends_only_what_has_no_other_end(self) -> None:
+    def test_the_end_of_a_connection_completes_only_bodies_without_a_length(self) -> None:
         """Guards against half an answer taken for a whole one."""
         for data in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
@@ -109,7 +111,7 @@
             reader = AnswerReader(long=True)
             self.assertEqual((reader.feed(data), reader.end()), ([], []))
 
-    def test_what_is_too_long_is_refused_at_its_head_or_when_it_shows(self) -> None:
+    def test_a_body_that_is_too_long_is_rejected_at_its_head_or_when_it_shows(self) -> None:
         """Guards against bodies without end, and against 3 GB begun to be passed on."""
         for declared in (b"3221225472", b"9" * 30):
             with self.assertRaises(Malformed):
@@ -124,7 +126,7 @@
                 flow._pieces.clear()
         self.assertTrue(flow.broken)
 
-    def test_targets(self) -> None:
+    def test_absolute_targets_are_reduced_to_the_origin_form(self) -> None:
         """Guards against an absolute form passed on, or read for another path."""
         for target, origin in (
             (b"/a?b", b"/a?b"),
--- a/tests/net/test_pacing.py
+++ b/tests/net/test_watch_backoff.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hallhitch.net.pacing import AGAIN_MOST, MOVE, TURN, Pacing
+from hallhitch.net.watch_backoff import MAX_MOVE_DELAY_MS, MAX_RETRY_DELAY_MS, WATCH_COST_MS, WatchBackoff
 
 PATIENCE = 2000.0  # ms that a call waits at discovery before it fails
 LONG = 600_000.0  # ms that are played
@@ -39,32 +39,34 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 400])
-def test_all_get_their_watch_in_turn(gateways: int) -> None:
+def test_every_gateway_gets_its_watch_at_a_polled_discovery(gateways: int) -> None:
     """Guards against a line at discovery that fails every call in it (day herd: none in 20 s)."""
-    pacings = [Pacing(gateways, True, seed) for seed in range(gateways)]
-    began = watched(gateways, TURN, lambda n: pacings[n].first(False), lambda n: pacings[n].failed(True))
-    assert max(began) < 4 * gateways * TURN + PATIENCE
+    backoffs = [WatchBackoff(gateways, True, seed) for seed in range(gateways)]
+    began = watched(
+        gateways, WATCH_COST_MS, lambda n: backoffs[n].first_delay_ms(False), lambda n: backoffs[n].retry_delay_ms(True)
+    )
+    assert max(began) < 4 * gateways * WATCH_COST_MS + PATIENCE
     if gateways == 40:  # the same line, with gateways that begin together and come again at once
         chance = random.Random(5)
-        stormed = watched(gateways, TURN, lambda n: 0.0, lambda n: 100.0 * chance.random())
+        stormed = watched(gateways, WATCH_COST_MS, lambda n: 0.0, lambda n: 100.0 * chance.random())
         assert sum(t < LONG for t in stormed) < gateways / 2
 
 
-def test_waits_grow_scatter_and_are_bounded() -> None:
+def test_delays_grow_are_random_and_bounded() -> None:
     """Guards against gateways that come again together, and against one that hardly comes again at all."""
-    pacing = Pacing(40, True, 1)
-    waits = [pacing.failed(True) for _ in range(2000)]
-    assert waits[0] >= 20 * TURN and max(waits) <= 80 * TURN and len(set(waits)) == len(waits)
-    pacing.answered()
-    assert pacing.failed(True) <= 40 * TURN
-    assert max(Pacing(40, True, n).first(True) for n in range(99)) <= MOVE
+    backoff = WatchBackoff(40, True, 1)
+    waits = [backoff.retry_delay_ms(True) for _ in range(2000)]
+    assert waits[0] >= 20 * WATCH_COST_MS and max(waits) <= 80 * WATCH_COST_MS and len(set(waits)) == len(waits)
+    backoff.reset()
+    assert backoff.retry_delay_ms(True) <= 40 * WATCH_COST_MS
+    assert max(WatchBackoff(40, True, n).first_delay_ms(True) for n in range(99)) <= MAX_MOVE_DELAY_MS
 
 
-def test_what_costs_discovery_nothing_is_asked_at_once() -> None:
+def test_watches_that_cost_discovery_nothing_start_at_once() -> None:
     """Guards against a list that is late for no reason: changes that come by themselves, refused connections."""
-    pushed = Pacing(40, False, 1)
-    assert pushed.first(False) == pushed.first(True) == 0.0
-    assert pushed.failed(True) <= 100.0
-    refusing = Pacing(40, True, 1)
-    refused = [refusing.failed(False) for _ in range(99)]
-    assert refused[0] <= 100.0 and max(refused) <= AGAIN_MOST
+    pushed = WatchBackoff(40, False, 1)
+    assert pushed.first_delay_ms(False) == pushed.first_delay_ms(True) == 0.0
+    assert pushed.retry_delay_ms(True) <= 100.0
+    refusing = WatchBackoff(40, True, 1)
+    refused = [refusing.retry_delay_ms(False) for _ in range(99)]
+    assert refused[0] <= 100.0 and max(refused) <= MAX_RETRY_DELAY_MS
--- a/tests/ops/hot_restart/test_replacement.py
+++ b/tests/ops/hot_restart/test_replacement.py
@@ -12,7 +12,7 @@
 import tempfile
 from pathlib import Path
 
-from hallhitch.net.budget import budget
+from hallhitch.net.descriptor_budget import divide_descriptors
 from hallhitch.ops.hot_restart.sibling_locks import SiblingLocks
 from hallhitch.ops.hot_restart.state_transfer import FILE_NAME, VERSION
 from tests.ops.hot_restart.replacement_case import ReplacementCase
@@ -34,7 +34,7 @@
         await self.program.stop()
         await self.program.start()
         await self.program.logged('"serving"')
-        crowd = budget(128, True).clients
+        crowd = divide_descriptors(128, True).clients
         statuses = await self.replace_under_load(crowd, keep_alive=False)
         self.assertEqual(set(statuses) - {"200", "429", "503", "retried"}, set())
 
@@ -91,7 +91,7 @@
             for f in (await self.program.figures(), await successor.figures())
         ]
         self.assertEqual(sum(served), 60)
-        self.assertLessEqual(max(served), 2 * budget(128, True).clients // 2 + 2 * MAX_LATE_CLIENTS)
+        self.assertLessEqual(max(served), 2 * divide_descriptors(128, True).clients // 2 + 2 * MAX_LATE_CLIENTS)
         predecessor, self.program = self.program, successor
         self.assertEqual((await predecessor.stop())[0], 0)
 
@@ -105,7 +105,7 @@
         self.addCleanup(sibling.close)
         await self.program.logged('"is_serving": false')
         connections = []
-        for n in range(budget(128, True).clients // 2):
+        for n in range(divide_descriptors(128, True).clients // 2):
             connections.append(await self.program.connect())
             self.addCleanup(connections[n][1].close)
             connections[n][1].write(self.request(customer=f"{n:016x}"))
--- a/tests/ops/hot_restart/test_state_transfer.py
+++ b/tests/ops/hot_restart/test_state_transfer.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from hallhitch.decision import Gateway, api
-from hallhitch.net.hops import Idleness
+from hallhitch.net.upstream.idle_times import IdleTimeStatistics
 from hallhitch.ops.hot_restart import state_transfer
 
 
@@ -30,9 +30,9 @@
     return SimpleNamespace(**({"config": SimpleNamespace(plans=())} | base | changes))
 
 
-def idle(clock: float = 0.0) -> Idleness:
-    """What hops have learned of idle connections."""
-    return Idleness(lambda: clock)
+def idle(clock: float = 0.0) -> IdleTimeStatistics:
+    """Statistics of idle connections."""
+    return IdleTimeStatistics(lambda: clock)
 
 
 def gateway_of(plans: tuple[api.Plan, ...]) -> Gateway:
@@ -74,12 +74,12 @@
         """Guards against requests lost on dropped connections with each replacement, until that is learned anew."""
         old, new = idle(1000.0), idle(1500.0)
         for _ in range(2):
-            old.learn(300.0, True)
+            old.observe(300.0, True)
         state_transfer.write_state(self.folder, learner(), old, 1000.0)
         state = state_transfer.read_state(self.folder, 1500.0)
         assert state is not None
         state_transfer.apply_state(state, learner(), new)
-        self.assertEqual((old.most(), new.most()), (256.0, 256.0))
+        self.assertEqual((old.max_idle_ms(), new.max_idle_ms()), (256.0, 256.0))
 
     def test_a_customers_quota_window_is_restored_and_not_restarted(self) -> None:
         """Guards against a burst for every customer with each replacement, and against units counted twice."""
@@ -130,7 +130,9 @@
             state_transfer.write_state(self.folder, learner(**wrong), idle(), 1000.0)
             self.assertIsNone(state_transfer.read_state(self.folder, 1000.0), wrong)
         for row in ((0.5, 0.1, 0.0), (True, 0.1, 0.0), (65, 0.1, 0.0), (3, 1.5, 0.0), (3, 0.1, 5000.0), (3, 0.1)):
-            state_transfer.write_state(self.folder, learner(), SimpleNamespace(told=lambda row=row: [row]), 1000.0)
+            state_transfer.write_state(
+                self.folder, learner(), SimpleNamespace(export_rows=lambda row=row: [row]), 1000.0
+            )
             self.assertIsNone(state_transfer.read_state(self.folder, 1000.0), row)
 
     @settings(max_examples=200, deadline=None)
--- a/tests/ops/test_operator_server.py
+++ b/tests/ops/test_operator_server.py
@@ -1,4 +1,4 @@
-"""The second address of the real program: its calls, its figures, and a drain, as clients and staff see them."""
+"""The operators' address of the real program: its calls, its metrics, and draining."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 import json
 import unittest
 
-from hallhitch.net.budget import OPS
+from hallhitch.net.descriptor_budget import OPERATOR_DESCRIPTORS
 from hallhitch.ops.metrics import GatewayMetrics
 from tests.stand_ins import GatewayCase, Reader, Writer, http, read_http, soon
 
 HEALTH = b"GET /_health HTTP/1.1\r\n\r\n"
 
 
-def requests(figures: dict[str, int], klass: str) -> tuple[int, ...]:
+def request_counts(figures: dict[str, int], klass: str) -> tuple[int, ...]:
     """Served, refused and failed of a class."""
     return tuple(figures[f'svc_requests{{class="{klass}",outcome="{o}"}}'] for o in ("served", "refused", "failed"))
 
 
-class Second(GatewayCase):
-    """A gateway with a second address."""
+class OperatorAddress(GatewayCase):
+    """A gateway with an operators' address."""
 
     ops = True
 
@@ -32,7 +32,7 @@
         self.assertEqual((line.split()[1], headers.get("connection")), ("200", None))
         return reader, writer
 
-    async def test_the_calls_and_no_others(self) -> None:
+    async def test_only_known_calls_are_answered(self) -> None:
         """Guards against a call by another method or name that acts, and against one that hangs unanswered."""
         cases = [
             ("GET", "/api/ready", 200),
@@ -50,16 +50,16 @@
         writer.close()
         self.assertIn(" 200 ", (await self.ask(HEALTH))[0])
 
-    async def test_callers_that_say_nothing_are_in_nobodys_way(self) -> None:
+    async def test_silent_callers_make_room_for_others(self) -> None:
         """Guards against descriptors, or the second address itself, taken by callers who only connect."""
-        silent = [await self.program.connect(self.program.config["ops"]) for _ in range(2 * OPS)]
+        silent = [await self.program.connect(self.program.config["ops"]) for _ in range(2 * OPERATOR_DESCRIPTORS)]
         silent[-1][1].write(b"PUT /api/evac")
         self.assertEqual((await self.program.call("/api/ready"))[0], 200)
         self.assertEqual(await soon(silent[0][0].read()), b"", "the oldest made room")
         for _, writer in silent:
             writer.close()
 
-    async def test_the_figures_are_what_clients_and_servers_saw(self) -> None:
+    async def test_metrics_match_what_clients_and_servers_saw(self) -> None:
         """Guards against requests counted twice, never, or for a class that nobody has."""
         answers = [http(500), http(200), http(200, b"spoilt", Content_Length="x"), http(503, Srv_Declined="1")]
         self.nodes[0].reply = lambda n: answers[n] if n < len(answers) else http(200)
@@ -82,7 +82,7 @@
                 writer.close()
         answered.cancel()
         figures = await self.program.figures()
-        pairs = zip(requests(figures, "inspect"), requests(figures, "reject"), strict=True)
+        pairs = zip(request_counts(figures, "inspect"), request_counts(figures, "reject"), strict=True)
         answers_told = [sum(pair) for pair in pairs]
         self.assertEqual(answers_told, [seen.count("200"), seen.count("429"), seen.count("502") + seen.count("400")])
         self.assertEqual((figures["svc_in_flight"], figures["svc_attempts"]), (1, self.nodes[0].taken))
@@ -92,13 +92,13 @@
         await soon(self.nodes[0].ended.get())
         self.assertEqual((await self.program.figures())["svc_in_flight"], 0, "a client that left is nobody's")
 
-    async def test_a_drain_sends_clients_away_and_a_rejoin_ends_it(self) -> None:
+    async def test_draining_closes_connections_until_a_rejoin(self) -> None:
         """Guards against clients that stay: idle, in the middle of a request, new, or asking without end."""
         idle, busy = await self.client(), await self.client()
         self.nodes[0].reply = lambda n: None
         busy[1].write(self.request())
         await soon(self.nodes[0].came.get())
-        half = await self.client_half()
+        half = await self.partial_client()
         for _ in range(2):
             self.assertEqual(await self.program.call("/api/evacuate", "PUT"), (200, "draining\n"))
         self.assertIn(" 503 ", (await self.ask(HEALTH))[0])
@@ -115,7 +115,7 @@
         self.assertIn(" 200 ", (await self.ask(HEALTH))[0])
         await self.client()
 
-    async def test_a_rejoin_in_the_middle_of_a_drain_keeps_who_is_still_there(self) -> None:
+    async def test_a_rejoin_during_a_drain_keeps_the_open_connections(self) -> None:
         """Guards against a drain that goes on ending connections after it was taken back."""
         kept = [await self.client() for _ in range(10)]
         await self.program.call("/api/evacuate", "PUT")
@@ -125,7 +125,7 @@
             line, headers, _ = await soon(read_http(reader))
             self.assertEqual(headers.get("connection"), None, line)
 
-    async def test_who_never_stops_asking_leaves_too(self) -> None:
+    async def test_a_drain_ends_connections_that_pipeline_without_end(self) -> None:
         """Guards against a drain that one pipelining client, or one that comes again at once, holds up for ever."""
         reader, writer = await self.program.connect()
         self.addCleanup(writer.close)
@@ -143,14 +143,14 @@
             _, headers, _ = await self.ask(self.request(customer="0000000000000003"))
             self.assertEqual(headers["connection"], "close")
 
-    async def client_half(self) -> tuple[Reader, Writer]:
+    async def partial_client(self) -> tuple[Reader, Writer]:
         """A client in the middle of sending a request."""
         reader, writer = await self.program.connect()
         self.addCleanup(writer.close)
         writer.write(self.request()[:10])
         return reader, writer
 
-    async def test_a_drain_outlasts_a_reload_and_ends_with_the_process(self) -> None:
+    async def test_a_drain_survives_a_reload_and_ends_with_the_process(self) -> None:
         """Guards against a signal that brings clients back, and against a drained process that never ends."""
         await self.program.call("/api/evacuate", "PUT")
         text = json.dumps(self.program.config)
@@ -159,7 +159,7 @@
         self.program.process.terminate()
         self.assertEqual(await soon(self.program.process.wait()), 0)
 
-    async def test_answers_come_in_a_flood(self) -> None:
+    async def test_calls_are_answered_under_overload(self) -> None:
         """Guards against a second address that waits for the traffic's end."""
         self.nodes[0].reply = lambda n: None
         flood = [await self.program.connect() for _ in range(100)]
@@ -171,17 +171,17 @@
             writer.close()
 
 
-class NoSecond(GatewayCase):
-    """A gateway without a second address."""
+class NoOperatorAddress(GatewayCase):
+    """A gateway without an operators' address."""
 
-    async def test_a_drain_cannot_be_asked_for_by_clients(self) -> None:
+    async def test_clients_cannot_order_a_drain(self) -> None:
         """Guards against operators' calls at the clients' address."""
         self.assertIn(" 404 ", (await self.ask(b"PUT /api/evacuate HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))[0])
         self.assertIn(" 200 ", (await self.ask(HEALTH))[0])
 
 
-class Text(unittest.TestCase):
-    """The text form."""
+class MetricsText(unittest.TestCase):
+    """The text format."""
 
     def test_labels_are_escaped_and_classes_that_vanish_keep_their_counts(self) -> None:
         """Guards against a class name that breaks every line behind it."""
--- a/tests/resp/test_session.py
+++ b/tests/resp/test_session.py
@@ -44,10 +44,10 @@
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
     """Run a session; yield the client's end of its connection."""
     loop = asyncio.get_running_loop()
-    server = LimitServer(cast(Core, core), SETTINGS, Deadlines(Clock(), loop), loop, most=1, spare=1)
+    server = LimitServer(cast(Core, core), SETTINGS, Deadlines(Clock(), loop), loop, max_clients=1, spare=1)
     server_end, client_end = socket.socketpair()
     server_end.setblocking(False)
-    task = loop.create_task(server.peer(server_end, is_spare).run())
+    task = loop.create_task(server.make_connection(server_end, is_spare).run())
     reader, writer = await asyncio.open_connection(sock=client_end)
     try:
         yield reader, writer
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -3,13 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-import math
 import signal
-import unittest
 
-from hallhitch.net.budget import budget
-from hallhitch.net.counter import HttpCounterCodec
-from hallhitch.net.hops import FORGET, Idleness
+from hallhitch.net.counter_codec import HttpCounterCodec
+from hallhitch.net.descriptor_budget import divide_descriptors
 from hallhitch.net.http import Malformed
 from tests.stand_ins import GUARD, GatewayCase, Writer, command, http, read_head, read_http, read_reply, soon
 
@@ -166,7 +163,7 @@
     async def test_who_has_asked_is_read_before_anybody_gives_way(self) -> None:
         """Guards against a burst in which newcomers push each other out, with their requests unread."""
         self.program.process.send_signal(signal.SIGSTOP)
-        burst = [await self.program.connect() for _ in range(budget(self.sockets, False).clients + 20)]
+        burst = [await self.program.connect() for _ in range(divide_descriptors(self.sockets, False).clients + 20)]
         for n, (_, writer) in enumerate(burst):
             writer.write(self.request(customer=f"{n:016x}"))
             await writer.drain()
@@ -253,44 +250,6 @@
         self.assertEqual(self.nodes[0].connections, 2)
 
 
-class Idle(unittest.TestCase):
-    """How long connections may stand idle, as their ends teach."""
-
-    def test_what_breaks_when_idle_is_not_used_idle(self) -> None:
-        """Guards against requests written to connections that servers have dropped without a word."""
-        now = 0.0
-        idleness = Idleness(lambda: now)
-        for n in range(200):
-            idleness.learn(None, n % 10 == 0)
-            idleness.learn(50.0, n % 10 == 0)
-            idleness.learn(300.0, n % 2 == 0)
-        self.assertEqual(idleness.most(), 256.0)
-        now = 10 * FORGET
-        self.assertEqual(idleness.most(), math.inf, "it must be tried again some day")
-
-    def test_two_in_a_row_are_enough_and_a_longer_one_that_holds_acquits(self) -> None:
-        """Guards against a dozen requests lost before the drop is learned, and idle times shunned that are in order."""
-        idleness = Idleness(lambda: 0.0)
-        for _ in range(50):
-            idleness.learn(300.0, False)
-        idleness.learn(300.0, True)
-        self.assertEqual(idleness.most(), math.inf, "one is no rule")
-        idleness.learn(300.0, True)
-        self.assertEqual(idleness.most(), 256.0)
-        for _ in range(5):
-            idleness.learn(900.0, False)
-        idleness.learn(900.0, True)  # has it told anew
-        self.assertEqual(idleness.most(), math.inf)
-
-    def test_breaks_that_have_nothing_to_do_with_idleness_change_nothing(self) -> None:
-        """Guards against a connection for each request where new ones break as often."""
-        idleness = Idleness(lambda: 0.0)
-        for n in range(200):
-            for idle in (None, 5.0, 300.0):
-                idleness.learn(idle, n % 3 == 0)
-        self.assertEqual(idleness.most(), math.inf)
-
-
 class BadCounter(GatewayCase):
     """Totals that cannot be read."""
 
@@ -323,7 +282,7 @@
     """One connection to the counter of two that says nothing more."""
 
     give_up = 50.0
-    fault = "import hallhitch.net.counter as c; c.SILENT_MOST = 1e9"
+    fault = "import hallhitch.net.counter as c; c.UNRESPONSIVE_TIMEOUT_MS = 1e9"
 
     async def test_a_deaf_connection_is_replaced_while_the_other_hears(self) -> None:
         """Guards against a counter taken for silent, and every quota open, for one dead connection."""
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -41,7 +41,7 @@
 
     async def test_no_client_is_taken_before_the_list_is_known_to_be_new(self) -> None:
         """Guards against requests sent to servers that went while the gateway was down."""
-        await self.again.start(fault="import hallhitch.gateway as g; g.FIRST_LIST = 15000.0")
+        await self.again.start(fault="import hallhitch.gateway as g; g.FIRST_UPDATE_TIMEOUT_MS = 15000.0")
         self.assertIn("from=1&hold_ms=1 ", await soon(self.agent.came.get()))
         with self.assertRaises(ConnectionRefusedError):
             await self.again.connect()
@@ -63,7 +63,7 @@
 
     async def test_an_end_before_the_start_is_complete(self) -> None:
         """Guards against a process that cannot be ended while it waits for discovery."""
-        await self.again.start(fault="import hallhitch.gateway as g; g.FIRST_LIST = 1000.0")
+        await self.again.start(fault="import hallhitch.gateway as g; g.FIRST_UPDATE_TIMEOUT_MS = 1000.0")
         await soon(self.agent.came.get())
         self.assertEqual((await self.again.stop())[0], 0)
 
@@ -99,5 +99,5 @@
         time.sleep(0.05)  # a processor that stands still, not a wait for anything
         self.assertGreaterEqual(await soon(begun.get()), 50.0)
         client.close()
-        ingress.close()
-        await soon(ingress.closed())
+        ingress.stop()
+        await soon(ingress.wait_closed())
