--- a/hallhitch/core/grants.py
+++ b/hallhitch/core/grants.py
@@ -11,7 +11,7 @@
 LOCAL_SERVER_LIST = api.ServerList("full", (api.ServerEntry(LOCAL_SERVER, "up"),))
 
 
-class GrantHop:
+class LocalGrants:
     """Ends every attempt at once as served; the payload of its exchange is its class."""
 
     def __init__(self, core: Core) -> None:
--- a/hallhitch/core/module.py
+++ b/hallhitch/core/module.py
@@ -19,7 +19,7 @@
 from hallhitch.core.actor import Actor
 from hallhitch.core.deadlines import Deadline, Deadlines, Scheduler
 from hallhitch.core.invariants import COUNTS, invariant
-from hallhitch.core.ports import AnswerPort, Attempt, CounterPort, HopPort
+from hallhitch.core.ports import AnswerPort, Attempt, CounterPort, UpstreamPort
 from hallhitch.decision import api
 from hallhitch.decision.policy import Gateway
 
@@ -58,7 +58,7 @@
 class Core(Actor[api.Event]):
     """Hands the events of each turn to the module in one call and carries out its actions."""
 
-    hop: HopPort
+    upstream: UpstreamPort
     counter: CounterPort
 
     def __init__(
@@ -157,7 +157,7 @@
         # The module cancels none of these: it regards them as the client's.
         for attempt in self._attempts_of(exchange):
             if attempt.is_streaming:
-                self.hop.cancel(attempt)
+                self.upstream.cancel(attempt)
 
     def _attempts_of(self, exchange: Exchange) -> list[Attempt]:
         """Return the attempts of an exchange that are in flight."""
@@ -231,7 +231,7 @@
             case api.Cancel(id=exchange_id, attempt=number):
                 attempt = self._in_flight.get((exchange_id, number))
                 if attempt is not None:
-                    self.hop.cancel(attempt)
+                    self.upstream.cancel(attempt)
             case api.Refuse(id=exchange_id, advice=advice):
                 self._finish(
                     exchange_id, lambda exchange: exchange.answer.on_rejected(advice or DEFAULT_RETRY_AFTER_MS)
@@ -268,7 +268,7 @@
         if now >= ends_at or number >= self.gateway.config.attempts:
             self.on_attempt_ended(attempt, "void")
         else:
-            self.hop.start(attempt)
+            self.upstream.start(attempt)
 
     # Final answers.
 
--- a/hallhitch/core/ports.py
+++ b/hallhitch/core/ports.py
@@ -33,7 +33,7 @@
     is_wanted: bool = True  # False once the exchange has its answer: nothing more may be written
 
 
-class HopPort(Protocol):
+class UpstreamPort(Protocol):
     """Carries attempts to servers."""
 
     def start(self, attempt: Attempt) -> None:
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -25,7 +25,7 @@
 from hallhitch import __version__, logs
 from hallhitch.core.addresses import parse_address
 from hallhitch.core.deadlines import Clock, Deadlines
-from hallhitch.core.grants import LOCAL_SERVER_LIST, GrantHop
+from hallhitch.core.grants import LOCAL_SERVER_LIST, LocalGrants
 from hallhitch.core.invariants import COUNTS
 from hallhitch.core.module import Core
 from hallhitch.decision import api
@@ -99,7 +99,7 @@
             self._budget.upstream,
             self._metrics.record_attempt,
         )
-        self._core.hop = self._upstream
+        self._core.upstream = self._upstream
         if config.known is not None:
             self._routes.post(config.known)
         self._fronts: dict[Ingress | LimitServer, Callable[[], socket.socket]] = {}  # and what opens their listeners
@@ -175,7 +175,7 @@
         from hallhitch.resp.server import LimitServer
 
         core = self._make_core("limits", self._config.seed + 1, batch_size=1)
-        core.hop = GrantHop(core)
+        core.upstream = LocalGrants(core)
         core.post(LOCAL_SERVER_LIST)
         spare = self._budget.spare
         max_clients = min(resp.connections, self._budget.clients // 2)
--- a/hallhitch/lab/hopping.py
+++ b/hallhitch/lab/hopping.py
@@ -315,7 +315,7 @@
         module = chooser(world, settings, seed, board)
         self.core = Core(module, Deadlines(self._time, self._time), self._time, f"gateway {number}")
         self.hops = ModelHops(self.core, zone, nodes, network, world, self._time, journal, stream, number)
-        self.core.hop = self.hops
+        self.core.upstream = self.hops
         self.core.counter = ModelCounter(self.core, zone, counter, network, world, self._time)
         journal.add(time.now, "gateway", number, "up")
         self.told(api.ServerList("saved", known), log=False)
