--- a/Makefile
+++ b/Makefile
@@ -18,8 +18,8 @@
 
 # The long forms of what `test` does by a few dozen: kills under load, generated calls, the control plane in virtual time.
 soak: build
-	HALLHITCH_SOAK_ROUNDS=400 HALLHITCH_FUZZ_EXAMPLES=300 $(PY) -m pytest -n 2 tests/control/test_kill.py \
-		tests/control/test_fuzz.py
+	HALLHITCH_SOAK_ROUNDS=400 HALLHITCH_FUZZ_EXAMPLES=300 $(PY) -m pytest -n 2 tests/administration/test_kill.py \
+		tests/administration/test_fuzz.py
 	HALLHITCH_SIMULATION_SEEDS=$(SIMULATION_SEEDS) $(PY) -m pytest -n 4 tests/system/simulation/test_simulation.py
 
 lint: build
--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -28,16 +28,16 @@
 import numpy as np
 
 from benchmarks.resident import resident
-from hallhitch.control.backups import backup
-from hallhitch.control.opening import open_store
-from hallhitch.control.settings import ControlSettings
-from hallhitch.control.store import PIECE, connect, digest, write_snapshot_head
-from hallhitch.hosting.draft import build
-from hallhitch.hosting.history import encode_rows
-from hallhitch.hosting.model import Client, Credential, Head, Kind, Limits, Plan, Scope, Verifier
-from hallhitch.hosting.rows import Row, rows_of
+from hallhitch.administration.backups import backup
+from hallhitch.administration.opening import open_store
+from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.store import PIECE, connect, digest, write_snapshot_head
+from hallhitch.catalog.draft import build
+from hallhitch.catalog.history import encode_rows
+from hallhitch.catalog.model import Client, Credential, Head, Kind, Limits, Plan, Scope, Verifier
+from hallhitch.catalog.rows import Row, rows_of
 from hallhitch.settings_file import read
-from tests.control_plane import ControlPlane
+from tests.administration_plane import ControlPlane
 
 ADMINS = 32
 
--- a/benchmarks/feed.py
+++ b/benchmarks/feed.py
@@ -23,15 +23,15 @@
 import numpy as np
 import structlog
 
-from hallhitch.hosted.link import Link, trusting
-from hallhitch.hosted.saved import Saved
-from hallhitch.hosting.draft import build
-from hallhitch.hosting.feed import Follower, whole_lines
-from hallhitch.hosting.model import Catalogue, Client, Head, Kind, Limits, Plan
-from hallhitch.hosting.rows import Row
+from hallhitch.catalog.draft import build
+from hallhitch.catalog.feed import Follower, whole_lines
+from hallhitch.catalog.model import Catalogue, Client, Head, Kind, Limits, Plan
+from hallhitch.catalog.rows import Row
+from hallhitch.catalog_sync.link import Link, trusting
+from hallhitch.catalog_sync.saved import Saved
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
-from tests.control_plane import ControlPlane, change, seed
+from tests.administration_plane import ControlPlane, change, seed
 
 GATEWAYS = 4
 
--- a/hallhitch/control/api/app.py
+++ b/hallhitch/administration/api/app.py
@@ -12,17 +12,17 @@
 from litestar.openapi.spec import Components, SecurityScheme
 
 from hallhitch import __version__
-from hallhitch.control.api.calls import Service
-from hallhitch.control.api.feed import FEED
-from hallhitch.control.api.guard import Guard
-from hallhitch.control.api.problems import MEDIA, ProblemError, hidden
-from hallhitch.control.api.resources import HANDLERS, allowed
-from hallhitch.control.clock import WallClock
-from hallhitch.control.publisher import Publisher
-from hallhitch.control.secrets import Checker
-from hallhitch.control.settings import ApiSettings
-from hallhitch.control.store import SqliteStore
-from hallhitch.control.writer import Writer
+from hallhitch.administration.api.calls import Service
+from hallhitch.administration.api.feed import FEED
+from hallhitch.administration.api.guard import Guard
+from hallhitch.administration.api.problems import MEDIA, ProblemError, hidden
+from hallhitch.administration.api.resources import HANDLERS, allowed
+from hallhitch.administration.clock import WallClock
+from hallhitch.administration.publisher import Publisher
+from hallhitch.administration.secrets import Checker
+from hallhitch.administration.settings import ApiSettings
+from hallhitch.administration.store import SqliteStore
+from hallhitch.administration.writer import Writer
 
 log = structlog.get_logger()
 
--- a/hallhitch/control/api/bodies.py
+++ b/hallhitch/administration/api/bodies.py
@@ -6,7 +6,7 @@
 import re
 from typing import Any
 
-from hallhitch.control.api.problems import ProblemError
+from hallhitch.administration.api.problems import ProblemError
 
 DEPTH = 32  # far more than any body here has
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"', re.DOTALL)
--- a/hallhitch/control/api/calls.py
+++ b/hallhitch/administration/api/calls.py
@@ -15,13 +15,13 @@
 from litestar import Request, Response
 from msgspec import Struct
 
-from hallhitch.control.api import views
-from hallhitch.control.api.bodies import merge, strict
-from hallhitch.control.api.problems import ProblemError, hidden, refused
-from hallhitch.control.writer import Call, Halted, KeyReused, NoLonger, Overloaded, Planned, Reply, Writer
-from hallhitch.hosting.access import Principal
-from hallhitch.hosting.changes import Change, Edit, Refused
-from hallhitch.hosting.model import TYPES, Catalogue, Kept, Kind
+from hallhitch.administration.api import views
+from hallhitch.administration.api.bodies import merge, strict
+from hallhitch.administration.api.problems import ProblemError, hidden, refused
+from hallhitch.administration.writer import Call, Halted, KeyReused, NoLonger, Overloaded, Planned, Reply, Writer
+from hallhitch.catalog.access import Principal
+from hallhitch.catalog.changes import Change, Edit, Refused
+from hallhitch.catalog.model import TYPES, Catalogue, Kept, Kind
 
 JSON = "application/json"
 TAGS = re.compile(r'\s*"(\d{1,15})\.(\d{1,15})"\s*')
--- a/hallhitch/control/api/feed.py
+++ b/hallhitch/administration/api/feed.py
@@ -9,14 +9,14 @@
 from litestar.response import Stream
 from msgspec import Meta, Struct
 
-from hallhitch.control.api import views
-from hallhitch.control.api.calls import Conn, service_of
-from hallhitch.control.api.problems import ProblemError
-from hallhitch.control.api.resources import CHANGE, READ, Answer, Key, answer
-from hallhitch.control.publisher import Crowded, Publisher
-from hallhitch.hosting.feed import FeedError
-from hallhitch.hosting.membership import Gateway, Taken
-from hallhitch.hosting.names import OPERATORS
+from hallhitch.administration.api import views
+from hallhitch.administration.api.calls import Conn, service_of
+from hallhitch.administration.api.problems import ProblemError
+from hallhitch.administration.api.resources import CHANGE, READ, Answer, Key, answer
+from hallhitch.administration.publisher import Crowded, Publisher
+from hallhitch.catalog.feed import FeedError
+from hallhitch.catalog.membership import Gateway, Taken
+from hallhitch.catalog.names import OPERATORS
 
 HOLD_MOST = 20_000  # ms that a question may wait for news
 MEDIA = "application/x-ndjson"
--- a/hallhitch/control/api/guard.py
+++ b/hallhitch/administration/api/guard.py
@@ -11,16 +11,16 @@
 from hashlib import blake2b
 from typing import Any
 
-from hallhitch.control.api.bodies import strict
-from hallhitch.control.api.problems import ProblemError
-from hallhitch.control.clock import WallClock
-from hallhitch.control.limits import Buckets
-from hallhitch.control.secrets import Busy, Checker
-from hallhitch.control.settings import ApiSettings
-from hallhitch.control.writer import Writer
+from hallhitch.administration.api.bodies import strict
+from hallhitch.administration.api.problems import ProblemError
+from hallhitch.administration.clock import WallClock
+from hallhitch.administration.limits import Buckets
+from hallhitch.administration.secrets import Busy, Checker
+from hallhitch.administration.settings import ApiSettings
+from hallhitch.administration.writer import Writer
+from hallhitch.catalog.access import Principal, Token, credential_of, holder_of, token_of, verifiers_of
+from hallhitch.catalog.model import Scope
 from hallhitch.core.invariants import COUNTS
-from hallhitch.hosting.access import Principal, Token, credential_of, holder_of, token_of, verifiers_of
-from hallhitch.hosting.model import Scope
 
 Scoped = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[Any]]
--- a/hallhitch/control/api/problems.py
+++ b/hallhitch/administration/api/problems.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct
 
-from hallhitch.hosting.changes import Refused
+from hallhitch.catalog.changes import Refused
 
 MEDIA = "application/problem+json"
 STATUS = {
--- a/hallhitch/control/api/resources.py
+++ b/hallhitch/administration/api/resources.py
@@ -12,16 +12,16 @@
 from litestar.openapi.datastructures import ResponseSpec
 from litestar.params import HeaderParameter, PathParameter, QueryParameter
 
-from hallhitch.control.api import calls, views
-from hallhitch.control.api.calls import Conn, Target, caller_of, service_of
-from hallhitch.control.api.problems import MEDIA, Problem, ProblemError, hidden
-from hallhitch.control.secrets import Checker, new_secret
-from hallhitch.control.store import SqliteStore
-from hallhitch.control.writer import Planned, Reply
-from hallhitch.hosting.access import Token, Verdict, may
-from hallhitch.hosting.changes import Change, Edit, Refused
-from hallhitch.hosting.model import TYPES, Catalogue, Client, Credential, Head, Host, Kept, Kind, Plan, Scope, Verifier
-from hallhitch.hosting.names import OPERATORS, client_of
+from hallhitch.administration.api import calls, views
+from hallhitch.administration.api.calls import Conn, Target, caller_of, service_of
+from hallhitch.administration.api.problems import MEDIA, Problem, ProblemError, hidden
+from hallhitch.administration.secrets import Checker, new_secret
+from hallhitch.administration.store import SqliteStore
+from hallhitch.administration.writer import Planned, Reply
+from hallhitch.catalog.access import Token, Verdict, may
+from hallhitch.catalog.changes import Change, Edit, Refused
+from hallhitch.catalog.model import TYPES, Catalogue, Client, Credential, Head, Host, Kept, Kind, Plan, Scope, Verifier
+from hallhitch.catalog.names import OPERATORS, client_of
 
 Key = Annotated[
     str,
--- a/hallhitch/control/api/views.py
+++ b/hallhitch/administration/api/views.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from hallhitch.hosting.history import Diff
-from hallhitch.hosting.model import (
+from hallhitch.catalog.history import Diff
+from hallhitch.catalog.model import (
     Catalogue,
     Client,
     Credential,
--- a/hallhitch/control/backups.py
+++ b/hallhitch/administration/backups.py
@@ -11,7 +11,7 @@
 import time
 from pathlib import Path
 
-from hallhitch.control.store import (
+from hallhitch.administration.store import (
     ASIDE,
     FILE,
     HALF,
@@ -25,10 +25,10 @@
     migrate,
     write_snapshot_head,
 )
-from hallhitch.control.store import digest as digest_of
-from hallhitch.hosting.history import encode_rows
-from hallhitch.hosting.model import Catalogue
-from hallhitch.hosting.rows import Row, rows_of
+from hallhitch.administration.store import digest as digest_of
+from hallhitch.catalog.history import encode_rows
+from hallhitch.catalog.model import Catalogue
+from hallhitch.catalog.rows import Row, rows_of
 
 PAGES = 512  # of a backup's step: writers get their turn between two
 
--- a/hallhitch/control/first.py
+++ b/hallhitch/administration/first.py
@@ -4,14 +4,14 @@
 
 import time
 
-from hallhitch.control.opening import initialise, open_store
-from hallhitch.control.secrets import ARGON, new_secret
-from hallhitch.control.settings import ControlSettings
-from hallhitch.control.store import Audited, StoreError
-from hallhitch.hosting.access import Token
-from hallhitch.hosting.changes import Change, Edit, apply
-from hallhitch.hosting.model import Catalogue, Credential, Kind, Scope, Verifier
-from hallhitch.hosting.names import OPERATORS
+from hallhitch.administration.opening import initialise, open_store
+from hallhitch.administration.secrets import ARGON, new_secret
+from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.store import Audited, StoreError
+from hallhitch.catalog.access import Token
+from hallhitch.catalog.changes import Change, Edit, apply
+from hallhitch.catalog.model import Catalogue, Credential, Kind, Scope, Verifier
+from hallhitch.catalog.names import OPERATORS
 
 ROOT = "root"
 
--- a/hallhitch/control/opening.py
+++ b/hallhitch/administration/opening.py
@@ -4,9 +4,9 @@
 
 from pathlib import Path
 
-from hallhitch.control.secrets import Keys
-from hallhitch.control.settings import ControlSettings
-from hallhitch.control.store import SqliteStore, StoreError
+from hallhitch.administration.secrets import Keys
+from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.store import SqliteStore, StoreError
 
 KEY_WORD = "key"  # where the store keeps which key file it goes with
 
--- a/hallhitch/control/publisher.py
+++ b/hallhitch/administration/publisher.py
@@ -12,10 +12,10 @@
 from collections.abc import AsyncIterator, Iterator
 from itertools import chain
 
-from hallhitch.control.writer import Writer
+from hallhitch.administration.writer import Writer
+from hallhitch.catalog.feed import lines_for
+from hallhitch.catalog.membership import Membership
 from hallhitch.core.invariants import COUNTS
-from hallhitch.hosting.feed import lines_for
-from hallhitch.hosting.membership import Membership
 
 WHOLES = 4  # transfers of everything at a time
 BUSY = 1.0, 5.0  # s, drawn, after which a gateway turned away may come back
--- a/hallhitch/control/secrets.py
+++ b/hallhitch/administration/secrets.py
@@ -22,8 +22,8 @@
 from cryptography.exceptions import InvalidTag
 from cryptography.hazmat.primitives.ciphers.aead import AESGCM
 
-from hallhitch.control.store import StoreError
-from hallhitch.hosting.model import Scope, Verifier
+from hallhitch.administration.store import StoreError
+from hallhitch.catalog.model import Scope, Verifier
 
 KEY_FILE, KEYED = "key", "keyed:"
 T = TypeVar("T")
--- a/hallhitch/control/serve.py
+++ b/hallhitch/administration/serve.py
@@ -19,13 +19,13 @@
 import uvicorn
 from uvicorn.protocols.http.h11_impl import H11Protocol
 
-from hallhitch.control.api.app import application
-from hallhitch.control.clock import WallClock
-from hallhitch.control.opening import open_store
-from hallhitch.control.publisher import Publisher
-from hallhitch.control.secrets import Checker
-from hallhitch.control.settings import ApiSettings, ControlSettings
-from hallhitch.control.writer import Writer
+from hallhitch.administration.api.app import application
+from hallhitch.administration.clock import WallClock
+from hallhitch.administration.opening import open_store
+from hallhitch.administration.publisher import Publisher
+from hallhitch.administration.secrets import Checker
+from hallhitch.administration.settings import ApiSettings, ControlSettings
+from hallhitch.administration.writer import Writer
 from hallhitch.core.addresses import parse_address
 from hallhitch.core.invariants import COUNTS
 from hallhitch.net.sockets import open_listener
--- a/hallhitch/control/store.py
+++ b/hallhitch/administration/store.py
@@ -17,8 +17,8 @@
 from msgspec import Struct
 from xxhash import xxh3_128_hexdigest
 
-from hallhitch.hosting.draft import build
-from hallhitch.hosting.history import (
+from hallhitch.catalog.draft import build
+from hallhitch.catalog.history import (
     Diff,
     History,
     decode_diff,
@@ -27,8 +27,8 @@
     encode_rows,
     patch,
 )
-from hallhitch.hosting.model import Catalogue
-from hallhitch.hosting.rows import WRAP, Row, hash_of, rows_of
+from hallhitch.catalog.model import Catalogue
+from hallhitch.catalog.rows import WRAP, Row, hash_of, rows_of
 
 FILE, LOCK, ASIDE, HALF = "state.db", "lock", "before-restore", "restore.tmp"
 PIECE = 2_000  # rows in a piece of a snapshot
--- a/hallhitch/control/writer.py
+++ b/hallhitch/administration/writer.py
@@ -17,15 +17,15 @@
 import structlog
 from msgspec import Struct
 
-from hallhitch.control.clock import WallClock
-from hallhitch.control.secrets import Keys
-from hallhitch.control.store import PIECE, Answer, Audited, Batch, SqliteStore, StoreError, Unavailable
+from hallhitch.administration.clock import WallClock
+from hallhitch.administration.secrets import Keys
+from hallhitch.administration.store import PIECE, Answer, Audited, Batch, SqliteStore, StoreError, Unavailable
+from hallhitch.catalog.access import Principal, credential_of
+from hallhitch.catalog.changes import Change, Refused, apply
+from hallhitch.catalog.history import Diff, History
+from hallhitch.catalog.model import Catalogue
+from hallhitch.catalog.rows import Row, rows_of
 from hallhitch.core.invariants import COUNTS, invariant
-from hallhitch.hosting.access import Principal, credential_of
-from hallhitch.hosting.changes import Change, Refused, apply
-from hallhitch.hosting.history import Diff, History
-from hallhitch.hosting.model import Catalogue
-from hallhitch.hosting.rows import Row, rows_of
 
 BATCH = 256  # calls in a transaction
 WAITING = 4_096  # calls that may wait; more are turned away
--- a/hallhitch/hosting/access.py
+++ b/hallhitch/catalog/access.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
-from hallhitch.hosting.model import Catalogue, Credential, Kind, Scope, Verifier
-from hallhitch.hosting.names import OPERATORS
+from hallhitch.catalog.model import Catalogue, Credential, Kind, Scope, Verifier
+from hallhitch.catalog.names import OPERATORS
 
 TOKEN = re.compile(r"hh_([a-z0-9-]{0,40})\.([a-z0-9-]{1,64})\.([A-Za-z0-9_-]{43})")
 
--- a/hallhitch/hosting/changes.py
+++ b/hallhitch/catalog/changes.py
@@ -10,10 +10,10 @@
 
 from msgspec import Struct
 
-from hallhitch.hosting import names
-from hallhitch.hosting.draft import Draft
-from hallhitch.hosting.history import Diff, delta
-from hallhitch.hosting.model import (
+from hallhitch.catalog import names
+from hallhitch.catalog.draft import Draft
+from hallhitch.catalog.history import Diff, delta
+from hallhitch.catalog.model import (
     Catalogue,
     Credential,
     Host,
@@ -22,7 +22,7 @@
     Scope,
     Tenant,
 )
-from hallhitch.hosting.rows import Row, canonical
+from hallhitch.catalog.rows import Row, canonical
 
 MOST_EDITS = 1_000  # of one change: what a gateway and a store take in one piece
 
--- a/hallhitch/hosting/draft.py
+++ b/hallhitch/catalog/draft.py
@@ -10,8 +10,8 @@
 
 from immutables import Map, MapMutation
 
-from hallhitch.hosting.model import Catalogue, Client, Credential, Kept, Kind, Tenant
-from hallhitch.hosting.rows import WRAP, Row, rows_of_tenant, sum_of
+from hallhitch.catalog.model import Catalogue, Client, Credential, Kept, Kind, Tenant
+from hallhitch.catalog.rows import WRAP, Row, rows_of_tenant, sum_of
 
 
 class _Part:
--- a/hallhitch/hosting/feed.py
+++ b/hallhitch/catalog/feed.py
@@ -23,11 +23,11 @@
 from msgspec import Raw, Struct
 from xxhash import xxh3_128_hexdigest
 
-from hallhitch.hosting.draft import Draft, set_parts
-from hallhitch.hosting.history import Diff, History, decode_diff, decode_rows, encode_diff, encode_rows, patch
-from hallhitch.hosting.model import Catalogue, Credential, Kept, Scope
-from hallhitch.hosting.names import OPERATORS
-from hallhitch.hosting.rows import WRAP, Row, rows_of, sum_of
+from hallhitch.catalog.draft import Draft, set_parts
+from hallhitch.catalog.history import Diff, History, decode_diff, decode_rows, encode_diff, encode_rows, patch
+from hallhitch.catalog.model import Catalogue, Credential, Kept, Scope
+from hallhitch.catalog.names import OPERATORS
+from hallhitch.catalog.rows import WRAP, Row, rows_of, sum_of
 
 PIECE = 200  # rows of a piece of the whole: about a millisecond's work to take in
 DIFF_MOST = 2_000  # rows of a diff; where more have changed the whole is sent, in pieces
--- a/hallhitch/hosting/history.py
+++ b/hallhitch/catalog/history.py
@@ -12,9 +12,9 @@
 import msgspec
 from msgspec import Raw, Struct
 
-from hallhitch.hosting.draft import Draft, set_parts
-from hallhitch.hosting.model import Catalogue, Kind
-from hallhitch.hosting.rows import Row, decode, rows_of, rows_of_tenant
+from hallhitch.catalog.draft import Draft, set_parts
+from hallhitch.catalog.model import Catalogue, Kind
+from hallhitch.catalog.rows import Row, decode, rows_of, rows_of_tenant
 
 Key = tuple[str, Kind, str]
 
--- a/hallhitch/hosting/rows.py
+++ b/hallhitch/catalog/rows.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 from xxhash import xxh3_128_intdigest
 
-from hallhitch.hosting.model import TYPES, Catalogue, Kept, Kind
+from hallhitch.catalog.model import TYPES, Catalogue, Kept, Kind
 
 WRAP = 1 << 128
 _encode = msgspec.json.Encoder(order="deterministic").encode
--- a/hallhitch/hosting/tenant_file.py
+++ b/hallhitch/catalog/tenant_file.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Struct
 
-from hallhitch.hosting import names
-from hallhitch.hosting.model import Client, Head, Host, Kind, Limits, Plan, Value
+from hallhitch.catalog import names
+from hallhitch.catalog.model import Client, Head, Host, Kind, Limits, Plan, Value
 
 ORDER = (Kind.TENANT, Kind.PLAN, Kind.CLIENT, Kind.HOST)
 Things = dict[tuple[Kind, str], Value]
--- a/hallhitch/hosted/link.py
+++ b/hallhitch/catalog_sync/link.py
@@ -19,10 +19,10 @@
 import httpx
 import structlog
 
+from hallhitch.catalog.feed import LINE_MOST, FeedError, Follower
+from hallhitch.catalog.model import Catalogue
+from hallhitch.catalog_sync.saved import Saved
 from hallhitch.core.invariants import COUNTS
-from hallhitch.hosted.saved import Saved
-from hallhitch.hosting.feed import LINE_MOST, FeedError, Follower
-from hallhitch.hosting.model import Catalogue
 
 HOLD = 5_000  # ms that a question waits for news: a third of a lease
 SILENT = 5.0  # s past that without a byte, and the connection is given up
--- a/hallhitch/hosted/saved.py
+++ b/hallhitch/catalog_sync/saved.py
@@ -13,9 +13,9 @@
 
 import structlog
 
+from hallhitch.catalog.feed import FeedError, read_whole, whole_lines
+from hallhitch.catalog.model import Catalogue
 from hallhitch.core.invariants import COUNTS
-from hallhitch.hosting.feed import FeedError, read_whole, whole_lines
-from hallhitch.hosting.model import Catalogue
 
 log = structlog.get_logger()
 
--- a/hallhitch/cli/check.py
+++ b/hallhitch/cli/check.py
@@ -7,8 +7,8 @@
 
 import click
 
-from hallhitch.control.settings import ControlSettings
-from hallhitch.hosting.tenant_file import TenantFile
+from hallhitch.administration.settings import ControlSettings
+from hallhitch.catalog.tenant_file import TenantFile
 from hallhitch.lab.cases import Cases, cases
 from hallhitch.lab.fleet.timeline import TimeLine
 from hallhitch.lab.scenario import Scenario
--- a/hallhitch/cli/control.py
+++ b/hallhitch/cli/control.py
@@ -6,12 +6,12 @@
 
 import click
 
+from hallhitch.administration import backups
+from hallhitch.administration.first import ROOT, first_operator
+from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.store import Loaded, StoreError
 from hallhitch.cli.demo import demo, secret_file
 from hallhitch.cli.output import as_json
-from hallhitch.control import backups
-from hallhitch.control.first import ROOT, first_operator
-from hallhitch.control.settings import ControlSettings
-from hallhitch.control.store import Loaded, StoreError
 from hallhitch.settings_file import read
 
 FILE = click.argument("file", type=click.Path())
@@ -61,7 +61,7 @@
     """Serve the administration API until SIGTERM."""
     import uvloop  # with the API's framework, half a second that other commands need not wait
 
-    from hallhitch.control.serve import serve
+    from hallhitch.administration.serve import serve
 
     try:
         uvloop.run(serve(_settings(file), file))
--- a/hallhitch/cli/demo.py
+++ b/hallhitch/cli/demo.py
@@ -10,12 +10,12 @@
 
 import click
 
+from hallhitch.administration.first import first_operator
+from hallhitch.administration.settings import ControlSettings
+from hallhitch.catalog.tenant_file import TenantFile
 from hallhitch.cli.api_client import Api
 from hallhitch.cli.output import Failure
 from hallhitch.cli.tenants import bring
-from hallhitch.control.first import first_operator
-from hallhitch.control.settings import ControlSettings
-from hallhitch.hosting.tenant_file import TenantFile
 from hallhitch.settings_file import read
 from hallhitch.tls import authority
 
--- a/hallhitch/cli/main.py
+++ b/hallhitch/cli/main.py
@@ -7,6 +7,7 @@
 import click
 
 from hallhitch import __version__, logs
+from hallhitch.administration.store import StoreError
 from hallhitch.cli.check import check
 from hallhitch.cli.control import control
 from hallhitch.cli.credentials import credentials
@@ -20,7 +21,6 @@
 from hallhitch.cli.tenants import tenants
 from hallhitch.cli.tls import tls
 from hallhitch.cli.trace import trace
-from hallhitch.control.store import StoreError
 from hallhitch.settings_file import SettingsError
 from hallhitch.tls.errors import CertificateError
 
--- a/hallhitch/cli/tenants.py
+++ b/hallhitch/cli/tenants.py
@@ -9,11 +9,11 @@
 import click
 import msgspec
 
+from hallhitch.catalog.changes import MOST_EDITS
+from hallhitch.catalog.model import TYPES, Kind, Value
+from hallhitch.catalog.tenant_file import Step, TenantFile, steps
 from hallhitch.cli.api_client import Api, api_of, connected
 from hallhitch.cli.output import Failure, as_json, table
-from hallhitch.hosting.changes import MOST_EDITS
-from hallhitch.hosting.model import TYPES, Kind, Value
-from hallhitch.hosting.tenant_file import Step, TenantFile, steps
 from hallhitch.settings_file import read
 
 JSON = click.option("--json", "plain", is_flag=True, help="Print JSON.")
--- a/tests/control/test_api.py
+++ b/tests/administration/test_api.py
@@ -10,7 +10,7 @@
 
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
-from tests.control_plane import PLAN, ControlCase, change, issue, seed
+from tests.administration_plane import PLAN, ControlCase, change, issue, seed
 from tests.stand_ins import soon
 
 ACME = "/v1/tenants/acme"
--- a/tests/control/test_fuzz.py
+++ b/tests/administration/test_fuzz.py
@@ -16,7 +16,7 @@
     status_code_conformance,
 )
 
-from tests.control_plane import ControlCase, seed
+from tests.administration_plane import ControlCase, seed
 
 CHECKS = [not_a_server_error, status_code_conformance, content_type_conformance, response_schema_conformance]
 EXAMPLES = int(os.environ.get("HALLHITCH_FUZZ_EXAMPLES", "12"))  # for each operation
--- a/tests/control/test_isolation.py
+++ b/tests/administration/test_isolation.py
@@ -9,7 +9,7 @@
 
 import httpx
 
-from tests.control_plane import ControlCase, change, issue, seed
+from tests.administration_plane import ControlCase, change, issue, seed
 
 OTHER, NOBODY = "bolt", "nobody"
 SECRET_WORDS = ("bolt", "spy-plan", "spy-client", "spy.example.org")
--- a/tests/control/test_kill.py
+++ b/tests/administration/test_kill.py
@@ -18,8 +18,8 @@
 
 import httpx
 
-from hallhitch.control import backups
-from tests.control_plane import ControlPlane, change, seed
+from hallhitch.administration import backups
+from tests.administration_plane import ControlPlane, change, seed
 from tests.stand_ins import GUARD, soon
 
 ROUNDS = int(os.environ.get("HALLHITCH_SOAK_ROUNDS", "24"))
@@ -30,7 +30,7 @@
 KILLS = {
     "before the commit": """
 import os
-from hallhitch.control import store
+from hallhitch.administration import store
 was = store._Batch.keep_answer
 def keep_answer(self, actor, key, answer):
     was(self, actor, key, answer)
@@ -40,7 +40,7 @@
 """,
     "after the commit": """
 import os
-from hallhitch.control import writer
+from hallhitch.administration import writer
 was = writer.Writer._commit
 def commit(self, calls, catalogue, now):
     done = was(self, calls, catalogue, now)
--- a/tests/control/test_trouble.py
+++ b/tests/administration/test_trouble.py
@@ -12,13 +12,13 @@
 import unittest
 from pathlib import Path
 
-from hallhitch.control import backups
-from hallhitch.control.clock import WallClock
-from hallhitch.control.store import MIGRATIONS, Damaged, SqliteStore, StoreError, connect
-from hallhitch.control.writer import DAY
-from hallhitch.hosting.changes import Change, Edit, apply
-from hallhitch.hosting.model import Catalogue, Head, Kind, Limits, Plan
-from tests.control_plane import PLAN, ControlCase, ControlPlane, change, issue, seed
+from hallhitch.administration import backups
+from hallhitch.administration.clock import WallClock
+from hallhitch.administration.store import MIGRATIONS, Damaged, SqliteStore, StoreError, connect
+from hallhitch.administration.writer import DAY
+from hallhitch.catalog.changes import Change, Edit, apply
+from hallhitch.catalog.model import Catalogue, Head, Kind, Limits, Plan
+from tests.administration_plane import PLAN, ControlCase, ControlPlane, change, issue, seed
 from tests.stand_ins import GUARD, ROOT
 
 ACME = "/v1/tenants/acme"
@@ -250,7 +250,7 @@
         store = SqliteStore(self.folder, create=True)
         catalogue = self.filled(store, 30)
         self.assertEqual(store.load().catalogue, catalogue)
-        from hallhitch.hosting.rows import rows_of
+        from hallhitch.catalog.rows import rows_of
 
         store.keep_piece(9, 0, list(rows_of(catalogue)))
         store.keep_snapshot(9, catalogue, 1, 4)
@@ -287,7 +287,7 @@
 
     def test_answers_end_after_a_day(self) -> None:
         """Guards against a table of answers that grows without end."""
-        from hallhitch.control.store import Answer
+        from hallhitch.administration.store import Answer
 
         store = SqliteStore(self.folder, create=True)
         for at in (0, 10, DAY):
--- a/tests/control_plane.py
+++ b/tests/administration_plane.py
@@ -19,8 +19,8 @@
 
 import httpx
 
-from hallhitch.control.first import first_operator
-from hallhitch.control.settings import ControlSettings
+from hallhitch.administration.first import first_operator
+from hallhitch.administration.settings import ControlSettings
 from hallhitch.settings_file import read
 from hallhitch.tls import authority
 from tests.stand_ins import GUARD, ROOT, free_port, soon
--- a/tests/hosting/test_admission.py
+++ b/tests/catalog/test_admission.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.hosting.admission import RESERVE, SAVED_MOST, Begin, Places, TurnedAway, Turns
+from hallhitch.catalog.admission import RESERVE, SAVED_MOST, Begin, Places, TurnedAway, Turns
 
 TENANTS = {"a": 1.0, "b": 2.0, "c": 0.5}
 OPS = st.lists(st.tuples(st.sampled_from(["take", "give"]), st.sampled_from(sorted(TENANTS))), max_size=120)
--- a/tests/hosting/test_catalogue.py
+++ b/tests/catalog/test_catalogue.py
@@ -8,13 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hallhitch.decision.policy import digest
-from hallhitch.hosting import names
-from hallhitch.hosting.access import Principal as Caller
-from hallhitch.hosting.access import Verdict, may, token_of
-from hallhitch.hosting.changes import Change, Edit, Refused, apply
-from hallhitch.hosting.draft import build
-from hallhitch.hosting.history import (
+from hallhitch.catalog import names
+from hallhitch.catalog.access import Principal as Caller
+from hallhitch.catalog.access import Verdict, may, token_of
+from hallhitch.catalog.changes import Change, Edit, Refused, apply
+from hallhitch.catalog.draft import build
+from hallhitch.catalog.history import (
     History,
     decode_diff,
     decode_rows,
@@ -23,7 +22,7 @@
     patch,
     whole,
 )
-from hallhitch.hosting.model import (
+from hallhitch.catalog.model import (
     Catalogue,
     Client,
     Credential,
@@ -35,8 +34,9 @@
     Scope,
     Verifier,
 )
-from hallhitch.hosting.rows import WRAP, rows_of, sum_of
-from hallhitch.hosting.tenant_file import TenantFile, steps
+from hallhitch.catalog.rows import WRAP, rows_of, sum_of
+from hallhitch.catalog.tenant_file import TenantFile, steps
+from hallhitch.decision.policy import digest
 
 FEW = st.sampled_from(["x", "y", "z"])
 HOSTS = st.sampled_from(["a.example.org", "b.example.org", "x.example.org"])
--- a/tests/hosting/test_feed.py
+++ b/tests/catalog/test_feed.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hallhitch.hosting.changes import Change, Edit, Refused, apply
-from hallhitch.hosting.feed import (
+from hallhitch.catalog.changes import Change, Edit, Refused, apply
+from hallhitch.catalog.feed import (
     AGAIN,
     AGAIN_MOST,
     FeedError,
@@ -22,10 +22,10 @@
     told,
     whole_lines,
 )
-from hallhitch.hosting.history import History
-from hallhitch.hosting.model import Catalogue, Client, Credential, Head, Kind, Plan, Scope, Verifier
-from hallhitch.hosting.rows import rows_of
-from tests.hosting.test_catalogue import changes, peopled
+from hallhitch.catalog.history import History
+from hallhitch.catalog.model import Catalogue, Client, Credential, Head, Kind, Plan, Scope, Verifier
+from hallhitch.catalog.rows import rows_of
+from tests.catalog.test_catalogue import changes, peopled
 
 
 def seen(catalogue: Catalogue) -> tuple[Any, ...]:
--- a/tests/hosting/test_membership.py
+++ b/tests/catalog/test_membership.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.hosting.membership import FORGOTTEN, GATEWAYS_MOST, LEASE, Membership, Taken
+from hallhitch.catalog.membership import FORGOTTEN, GATEWAYS_MOST, LEASE, Membership, Taken
 
 OPS = st.lists(
     st.tuples(
--- a/tests/hosting/test_sets.py
+++ b/tests/catalog/test_sets.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.hosting.sets import gateways_of
+from hallhitch.catalog.sets import gateways_of
 
 NAMES = st.sets(st.text("abcdef0123456789", min_size=1, max_size=6), min_size=1, max_size=12)
 
--- a/tests/hosted/test_link.py
+++ b/tests/catalog_sync/test_link.py
@@ -10,13 +10,13 @@
 
 import httpx
 
-from hallhitch.hosted.link import Link, trusting
-from hallhitch.hosted.saved import Saved
-from hallhitch.hosting.model import Catalogue, Kind
+from hallhitch.catalog.model import Catalogue, Kind
+from hallhitch.catalog_sync.link import Link, trusting
+from hallhitch.catalog_sync.saved import Saved
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
+from tests.administration_plane import ControlCase, ControlPlane, change, seed
 from tests.cli.test_commands import run as command
-from tests.control_plane import ControlCase, ControlPlane, change, seed
 from tests.stand_ins import soon
 
 
--- a/tests/hosted/test_saved.py
+++ b/tests/catalog_sync/test_saved.py
@@ -10,18 +10,18 @@
 import unittest
 from pathlib import Path
 
-from hallhitch.hosted.saved import Saved
-from hallhitch.hosting.changes import Change, Edit, apply
-from hallhitch.hosting.feed import read_whole, whole_lines
-from hallhitch.hosting.model import Catalogue, Kind, Plan
-from tests.hosting.test_catalogue import peopled
+from hallhitch.catalog.changes import Change, Edit, apply
+from hallhitch.catalog.feed import read_whole, whole_lines
+from hallhitch.catalog.model import Catalogue, Kind, Plan
+from hallhitch.catalog_sync.saved import Saved
+from tests.catalog.test_catalogue import peopled
 from tests.stand_ins import ROOT
 
 WRITER = """
 import sys
 from pathlib import Path
-from hallhitch.hosted.saved import Saved
-from tests.hosted.test_saved import grown
+from hallhitch.catalog_sync.saved import Saved
+from tests.catalog_sync.test_saved import grown
 saved = Saved(Path(sys.argv[1]))
 held = saved.load()
 version = held.version if held else 0
@@ -34,8 +34,8 @@
 FULL = """
 import resource, signal, sys
 from pathlib import Path
-from hallhitch.hosted.saved import Saved
-from tests.hosted.test_saved import grown
+from hallhitch.catalog_sync.saved import Saved
+from tests.catalog_sync.test_saved import grown
 signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
 resource.setrlimit(resource.RLIMIT_FSIZE, (700, 700))
 print(Saved(Path(sys.argv[1])).keep(grown(9)))
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -10,7 +10,7 @@
 import unittest
 from pathlib import Path
 
-from tests.control_plane import ControlCase, change
+from tests.administration_plane import ControlCase, change
 from tests.stand_ins import GUARD, ROOT
 
 TENANT = """
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -10,8 +10,9 @@
 
 HOSTED = (
     "hallhitch.cli",
-    "hallhitch.control",
-    "hallhitch.hosting",
+    "hallhitch.administration",
+    "hallhitch.catalog",
+    "hallhitch.catalog_sync",
     "hallhitch.tls",
     "hallhitch.resp",
     "hallhitch.settings_file",
--- a/tests/tls/test_tls_in_service.py
+++ b/tests/tls/test_tls_in_service.py
@@ -7,7 +7,7 @@
 import ssl
 
 from hallhitch.tls.authority import issue_certificate
-from tests.control_plane import ControlCase
+from tests.administration_plane import ControlCase
 from tests.stand_ins import soon
 
 
