--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -17,11 +17,12 @@
 import msgspec
 import structlog
 
-from hallhitch.lab import sockets, world
+from hallhitch.lab import virtual_run
 from hallhitch.lab.checker import check
 from hallhitch.lab.experiments import interval
 from hallhitch.lab.figures import Figures, figures
 from hallhitch.lab.scenario import Scenario, replaced
+from hallhitch.lab.sockets import run
 from hallhitch.settings_file import read
 
 ROOT = Path(__file__).parents[1] / "scenarios"
@@ -36,8 +37,8 @@
     by = min(1.0, seconds / told.seconds)
     faults = tuple(msgspec.structs.replace(f, at_s=f.at_s * by, for_s=f.for_s * by) for f in told.faults)
     told = msgspec.structs.replace(told, seconds=told.seconds * by, faults=faults)
-    virtual = world.play(told, seed)
-    real = sockets.play(told, seed)
+    virtual = virtual_run.play(told, seed)
+    real = run.play(told, seed)
     return (
         figures(virtual.journal.events, virtual.traffic, virtual.counter_calls),
         figures(real.journal.events, real.traffic, real.counter.calls),
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -29,7 +29,7 @@
 import structlog
 
 from hallhitch.decision.policy import FEW
-from hallhitch.lab import world
+from hallhitch.lab import virtual_run
 from hallhitch.lab.experiments import interval
 from hallhitch.lab.figures import figures
 from hallhitch.lab.fleet.cluster import Cluster
@@ -131,7 +131,7 @@
     async with Fleet(told, 1) as f:
         found = {"join": await f.agreed(180.0)}
         await asyncio.sleep(60.0 if size > 100 else 20.0)  # until the news of the start are told
-        pids = [process.pid for process in f._processes.values() if process is not None]
+        pids = [process.pid for process in f.processes.values() if process is not None]
         before, carried, began = sum(map(cpu_of, pids)), dict(f.carried), loop.time()
         await asyncio.sleep(seconds)
         lasted = loop.time() - began
@@ -157,7 +157,7 @@
     told = replaced(read(str(ROOT / "calm.toml"), Scenario), {"world.gateways": size, "world.nodes": 4})
     async with Fleet(told, 1, peers=False) as f:
         await asyncio.sleep(10.0)
-        pids = [process.pid for process in f._processes.values() if process is not None]
+        pids = [process.pid for process in f.processes.values() if process is not None]
         before, began = sum(map(cpu_of, pids)), asyncio.get_running_loop().time()
         await asyncio.sleep(seconds)
         return (sum(map(cpu_of, pids)) - before) / size / (asyncio.get_running_loop().time() - began) * 100
@@ -201,7 +201,7 @@
         }
         | sets,
     )
-    run = world.play(msgspec.structs.replace(told, faults=faults), seed)
+    run = virtual_run.play(msgspec.structs.replace(told, faults=faults), seed)
     found = figures(run.journal.events, run.traffic, run.counter_calls)
     return found.service, found.p99
 
@@ -345,7 +345,7 @@
     print("| --- | --- | --- | --- | --- |")
     async with Fleet(told, 1) as f:
         await f.agreed()
-        process = f._processes[0]
+        process = f.processes[0]
         assert process is not None
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for what, data in (
--- a/benchmarks/memory_of_a_day.py
+++ b/benchmarks/memory_of_a_day.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from hallhitch.lab.scenario import Scenario, replaced
-from hallhitch.lab.sockets import SocketRun
+from hallhitch.lab.sockets.run import SocketRun
 
 
 def lines(seconds: float, rate: float) -> list[list[dict[str, Any]]]:
--- a/hallhitch/cli/demo_fleet.py
+++ b/hallhitch/cli/demo_fleet.py
@@ -34,7 +34,7 @@
     from hallhitch.lab.figures import figures
     from hallhitch.lab.report import page
     from hallhitch.lab.scenario import Scenario, replaced
-    from hallhitch.lab.sockets import play
+    from hallhitch.lab.sockets.run import play
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     path = Path(scenario) if scenario.endswith(".toml") else SCENARIOS / f"{scenario}.toml"
--- a/hallhitch/cli/experiment.py
+++ b/hallhitch/cli/experiment.py
@@ -46,7 +46,7 @@
     from hallhitch.lab.checker import check
     from hallhitch.lab.figures import figures
     from hallhitch.lab.scenario import replaced
-    from hallhitch.lab.world import play
+    from hallhitch.lab.virtual_run import play
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     told = named(scenario)
--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -201,10 +201,12 @@
             (name, f"{getattr(even, name):.4g}")
             for name in ("moment_cv", "idle", "second_cv", "second_most", "run_least", "run_most", "herd_pairs")
         ]
-        + [("rig late, ms", f"{run.late:.1f}")],
+        + [("rig late, ms", f"{run.p99_send_delay_ms:.1f}")],
     )
-    if run.late > late:
-        raise Failure(f"one try in a hundred was sent {run.late:.0f} ms late by the rig itself: not to be believed")
+    if run.p99_send_delay_ms > late:
+        raise Failure(
+            f"one try in a hundred was sent {run.p99_send_delay_ms:.0f} ms late by the rig itself: not to be believed"
+        )
     for rule in broken[:3]:
         click.echo(str(rule), err=True)
     if broken:
--- a/hallhitch/lab/baselines.py
+++ b/hallhitch/lab/baselines.py
@@ -106,7 +106,7 @@
             self._look()
 
     def _look(self) -> None:
-        self._seen.append({name: node.held for name, node in self._nodes.items()})
+        self._seen.append({name: node.request_count for name, node in self._nodes.items()})
         self._time.after(SAMPLE, self._look)
 
     def held(self, name: str) -> float:
@@ -114,7 +114,7 @@
         if self._late:
             return float(self._seen[0].get(name, 0))
         node = self._nodes.get(name)
-        return float(node.held) if node is not None else 0.0
+        return float(node.request_count) if node is not None else 0.0
 
 
 def chooser(world: World, settings: api.Settings, seed: int, board: Board | None) -> Gateway:
--- a/hallhitch/lab/counter_sides.py
+++ b/hallhitch/lab/counter_sides.py
@@ -50,7 +50,7 @@
             first, *_ = await read_message(reader)
             path, _, query = first.split()[1].partition("?")
             told = dict(part.partition("=")[::2] for part in query.split("&"))
-            if self._counter.down:
+            if self._counter.is_down:
                 return
             slot = answers.place()
 
@@ -78,7 +78,7 @@
             for command in commands.feed(memoryview(data)):
                 words = command if isinstance(command, list) else []
                 name = bytes(words[0]).upper() if words else b""
-                if self._counter.down:
+                if self._counter.is_down:
                     return
                 slot = answers.place()
                 if name == b"MULTI" and queued is None:
--- a/hallhitch/lab/experiments.py
+++ b/hallhitch/lab/experiments.py
@@ -29,7 +29,7 @@
 from hallhitch.lab.checker import check
 from hallhitch.lab.figures import Figures, figures
 from hallhitch.lab.scenario import Scenario, replaced
-from hallhitch.lab.world import play
+from hallhitch.lab.virtual_run import play
 from hallhitch.settings_file import SettingsError, read
 
 DRAWS = 4_000  # of the bootstrap
--- a/hallhitch/lab/fleet/processes.py
+++ b/hallhitch/lab/fleet/processes.py
@@ -17,13 +17,15 @@
 from pathlib import Path
 from typing import Any, cast
 
+from hallhitch.lab.errors import GatewayNotRunningError
 from hallhitch.lab.fleet.links import Links
 from hallhitch.lab.fleet.timeline import TimeLine, Trouble, numbers
 from hallhitch.lab.http_wire import read_message
 from hallhitch.lab.scenario import Scenario
-from hallhitch.lab.sockets import SocketRun, Tick, free_port
+from hallhitch.lab.sockets.http_clients import OnSecond
+from hallhitch.lab.sockets.listener import free_port
+from hallhitch.lab.sockets.run import SocketRun
 from hallhitch.lab.streams import Streams
-from hallhitch.lab.world import FRONT_BLIND
 
 LOOK = 0.03  # s between looks at views
 GUARD = 60.0  # s after which a wait was in vain
@@ -73,7 +75,7 @@
         file: str = "",
         seeds: Iterable[int] = (0, 1, 2),
         numbered: Callable[[int], int] = lambda n: n,
-        tick: Tick | None = None,
+        tick: OnSecond | None = None,
     ) -> None:
         """`file` are further lines of each gateway's peers file."""
         super().__init__(scenario, seed, tick)
@@ -101,7 +103,7 @@
     async def __aexit__(self, *_: object) -> None:
         self.links.heal()
         self._moved.set()
-        await self.end()
+        await self.close()
         for relay in self.relays.values():
             relay.transport.close()
         self._temporary.cleanup()
@@ -122,18 +124,18 @@
             )
         await super().open(folder)
 
-    def index(self, number: int) -> int:
+    def gateway_index(self, number: int) -> int:
         """The number that a gateway is told to have."""
         return self._numbered(number)
 
-    def _place(self, number: int) -> tuple[str, int]:
+    def _gateway_address(self, number: int) -> tuple[str, int]:
         return own(number), self.port
 
-    def _config(self, number: int) -> dict[str, Any]:
-        return super()._config(number) | {"ops": f"{own(number)}:{self.ops_port}"}
+    def _gateway_config(self, number: int) -> dict[str, Any]:
+        return super()._gateway_config(number) | {"ops": f"{own(number)}:{self.ops_port}"}
 
-    def _arguments(self, number: int) -> list[str]:
-        return super()._arguments(number) + (["--peers", str(self.peers_file(number))] if self._peers else [])
+    def _gateway_arguments(self, number: int) -> list[str]:
+        return super()._gateway_arguments(number) + (["--peers", str(self.peers_file(number))] if self._peers else [])
 
     def peers_file(self, number: int) -> Path:
         """A gateway's file."""
@@ -145,7 +147,7 @@
         )
         return path
 
-    def said(self, number: int, line: bytes) -> None:
+    def on_log_line(self, number: int, line: bytes) -> None:
         """Keep what a gateway logs."""
         try:
             self.lines[number].append(json.loads(line))
@@ -180,14 +182,14 @@
         if not self.relays[sender].transport.is_closing():
             self.relays[sender].transport.sendto(data, (own(receiver), self.port))
 
-    async def passes(self, gateway: int, party: str) -> bool:
+    async def reaches(self, gateway: int, party: str) -> bool:
         """Whether what a gateway sends a party arrives; a stalled link holds it up."""
         one = f"g{gateway}"
         names = (party, "nodes") if party.startswith("node") else (party,)
         while any(self.links.stalled(one, name) for name in names):
             await self._moved.wait()
         cut = any(self.links.cut(one, name) or self.links.cut(name, one) for name in names)
-        return await super().passes(gateway, party) and not cut
+        return await super().reaches(gateway, party) and not cut
 
     # Troubles.
 
@@ -200,14 +202,14 @@
         """Have the time line happen from now on."""
         for trouble in self.line.troubles:
             for begins, ends in trouble.times():
-                self._later(begins / 1000, lambda t=trouble, ms=ends - begins: self.begin(t, ms / 1000))  # type: ignore[misc]
+                self.time.after(begins, self.begin, trouble, (ends - begins) / 1000)
 
     def begin(self, trouble: Trouble, seconds: float = 0.0) -> int:
         """A trouble begins now, for so many seconds (0: until `over`); the number to end a link's by."""
         whom = numbers(trouble.whom, self.count)
         if trouble.kind in ("kill", "restart", "term"):
             for number in whom:
-                self._spawn(
+                self.tasks.spawn(
                     self.ends(
                         number, trouble.kind == "term", None if not seconds and trouble.kind != "restart" else seconds
                     )
@@ -216,12 +218,12 @@
             for number in whom:
                 self.halt(number)
                 if seconds:
-                    self._later(seconds, lambda number=number: self.resume(number))  # type: ignore[misc]
+                    self.time.after(seconds * 1000, self.resume, number)
         else:
             held = self.links.begin(trouble)
             self._change()
             if seconds:
-                self._later(seconds, lambda: self.over(held))
+                self.time.after(seconds * 1000, self.over, held)
             return held
         return 0
 
@@ -239,35 +241,37 @@
 
     async def ends(self, number: int, planned: bool, back: float | None) -> None:
         """A process dies or is told to end; it is started again after `back` seconds, or not at all."""
-        process = self._processes[number]
-        assert process is not None
-        blind = self._faults.between(*FRONT_BLIND)
+        process = self.processes[number]
+        if process is None:
+            raise GatewayNotRunningError(number)
+        blind = self.router.draw_unaware_ms()
         if planned:
-            self._processes[number] = None  # no new clients; those that it has are served
+            self.processes[number] = None  # no new clients; those that it has are served
             process.send_signal(signal.SIGTERM)
         else:
             self.journal.add(self.time.now, "gateway", number, "killed")
             process.kill()
-            self._processes[number] = None
-            self._blind[number] = self.time.now + blind
+            self.processes[number] = None
+            self.router.notice_down_at(number, self.time.now + blind)
         await process.wait()
-        self.discovery.leave(number)
+        self.discovery.unwatch(number)
         if back is not None:
             await asyncio.sleep(back)
-            await self._gateway(number)
+            await self.start_gateway(number)
 
     def halt(self, number: int) -> None:
         """A process stands still until `resume`."""
-        process = self._processes[number]
-        assert process is not None
+        process = self.processes[number]
+        if process is None:
+            raise GatewayNotRunningError(number)
         self.journal.add(self.time.now, "gateway", number, "stopped")
-        self._stopped.add(number)
+        self.router.suspended.add(number)
         process.send_signal(signal.SIGSTOP)
 
     def resume(self, number: int) -> None:
         """It goes on."""
-        process = self._processes[number]
-        self._stopped.discard(number)
+        process = self.processes[number]
+        self.router.suspended.discard(number)
         if process is not None and process.returncode is None:
             self.journal.add(self.time.now, "gateway", number, "resumed")
             process.send_signal(signal.SIGCONT)
@@ -278,8 +282,8 @@
         """Gateways that run and do not stand still."""
         return [
             number
-            for number, process in sorted(self._processes.items())
-            if process is not None and number not in self._stopped
+            for number, process in sorted(self.processes.items())
+            if process is not None and number not in self.router.suspended
         ]
 
     async def view(self, number: int, path: str = "/api/members", host: str = "") -> Any:
--- a/hallhitch/lab/journal.py
+++ b/hallhitch/lab/journal.py
@@ -34,11 +34,11 @@
 
     def __init__(self, start: float = 0.0) -> None:
         self.events: list[Event] = []
-        self._start = start
+        self.started_at = start
 
     def add(self, now: float, name: str, *fields: Any) -> None:
         """Note an event."""
-        self.events.append((round(now - self._start, 3), name, *fields))
+        self.events.append((round(now - self.started_at, 3), name, *fields))
 
     def lines(self) -> Iterator[bytes]:
         """The log's lines."""
--- a/hallhitch/lab/services.py
+++ b/hallhitch/lab/services.py
@@ -1,148 +1,175 @@
-"""The quota counter and discovery, as they behave and misbehave."""
+"""Models of the quota counter and of discovery, with their faults. Times in ms."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Final
 
 from hallhitch.decision import api
 from hallhitch.lab.node import Node, Time
 from hallhitch.lab.scenario import Fault, World
 from hallhitch.lab.streams import Stream
 
+MAX_COUNT_LIFETIME_MS: Final = 60_000.0  # that the platform's counter grants a name
+SWEEP_COUNTS_ABOVE: Final = 50_000  # counts, from which on expired ones are removed: bounds the memory of long runs
+
 
 @dataclass(slots=True)
 class _Count:
     value: float
-    ends: float
+    expires_at: float
 
 
 class Counter:
-    """Adds to names and tells totals. Names lie on parts, each of which serves calls in turn."""
+    """Adds units to names and returns totals. Names are sharded; each shard serves its calls in turn.
+
+    Invariant: a call gets at most one reply; a silent counter, or one that goes down meanwhile, gives none.
+    """
 
     def __init__(self, world: World, time: Time, stream: Stream) -> None:
-        self._world, self._time, self._stream = world, time, stream
+        self._world = world
+        self._time = time
+        self._stream = stream
         self._counts: dict[int, _Count] = {}
-        self._free = [0.0] * world.counter_parts  # when each part has served all it was given
-        self.down = self.silent = False
-        self.slow = 1.0
-        self.broken_parts: set[int] = set()
-        self.calls = self.unanswered = 0
-
-    def call(self, name: int, units: float, lifetime: float, reply: Callable[[str, float], None]) -> None:
-        """A call has come; `reply` gets its outcome and total, or is never called."""
+        self._idle_at = [0.0] * world.counter_parts  # when each shard has served the calls that it was given
+        self.is_down = False
+        self.is_silent = False
+        self.slowdown = 1.0
+        self.failed_shards: set[int] = set()
+        self.calls = 0
+        self.unanswered = 0
+
+    def call(self, name: int, units: float, lifetime_ms: float, on_reply: Callable[[str, float], None]) -> None:
+        """Receive a call; `on_reply` gets its outcome and total, or is never called."""
         self.calls += 1
-        now, part = self._time.now, name % self._world.counter_parts
-        if self.silent:
+        now, shard = self._time.now, name % self._world.counter_parts
+        if self.is_silent:
             self.unanswered += 1
             return
-        if self.down or part in self.broken_parts:
-            reply("unreachable", 0.0)
+        if self.is_down or shard in self.failed_shards:
+            on_reply("unreachable", 0.0)
             return
-        each = 1000 * self._world.counter_parts / self._world.counter_per_s * self.slow
-        starts = max(now, self._free[part])
-        if starts - now > each * self._world.counter_queue:
-            reply("full", 0.0)
+        call_ms = 1000 * self._world.counter_parts / self._world.counter_per_s * self.slowdown
+        begins_at = max(now, self._idle_at[shard])
+        if begins_at - now > call_ms * self._world.counter_queue:
+            on_reply("full", 0.0)
             return
-        self._free[part] = starts + each
-        took = self._stream.between(*self._world.counter_ms) * self.slow
-        self._time.after(starts + took - now, self._serve, name, units, lifetime, reply)
+        self._idle_at[shard] = begins_at + call_ms
+        latency_ms = self._stream.between(*self._world.counter_ms) * self.slowdown
+        self._time.after(begins_at + latency_ms - now, self._serve, name, units, lifetime_ms, on_reply)
 
     def fail(self, fault: Fault) -> None:
-        """A fault begins."""
+        """Begin a fault."""
         if fault.kind == "counter_down":
-            self.down = True
+            self.is_down = True
         elif fault.kind == "counter_silent":
-            self.silent = True
+            self.is_silent = True
         elif fault.kind == "counter_slow":
-            self.slow = fault.size
+            self.slowdown = fault.size
         elif fault.kind == "counter_part":
-            self.broken_parts.add(0)
+            self.failed_shards.add(0)
 
     def recover(self, fault: Fault) -> None:
-        """A fault ends; where its numbers are lost, the counter comes back empty."""
-        self.down = self.silent = False
-        self.slow = 1.0
-        self.broken_parts.clear()
+        """End a fault; where its data is lost, the counter comes back empty."""
+        self.is_down = False
+        self.is_silent = False
+        self.slowdown = 1.0
+        self.failed_shards.clear()
         if fault.empty or fault.kind == "counter_empty":
             self._counts.clear()
 
-    def _serve(self, name: int, units: float, lifetime: float, reply: Callable[[str, float], None]) -> None:
-        if self.down or self.silent:
+    def totals(self) -> list[float]:
+        """The totals of all names, those that have expired but are not removed yet included."""
+        return [count.value for count in self._counts.values()]
+
+    def _serve(self, name: int, units: float, lifetime_ms: float, on_reply: Callable[[str, float], None]) -> None:
+        if self.is_down or self.is_silent:
             self.unanswered += 1
             return
         now = self._time.now
         count = self._counts.get(name)
-        if count is None or count.ends <= now:
-            count = self._counts[name] = _Count(0.0, now + min(60_000.0, lifetime))
-            if len(self._counts) > 50_000:
-                self._counts = {n: c for n, c in self._counts.items() if c.ends > now}
+        if count is None or count.expires_at <= now:
+            count = self._counts[name] = _Count(0.0, now + min(MAX_COUNT_LIFETIME_MS, lifetime_ms))
+            if len(self._counts) > SWEEP_COUNTS_ABOVE:
+                self._counts = {name: count for name, count in self._counts.items() if count.expires_at > now}
         count.value += units
-        reply("ok", float(f"{count.value:.7g}"))
+        on_reply("ok", float(f"{count.value:.7g}"))
 
 
-Told = Callable[[api.ServerList], None]
+OnServerList = Callable[[api.ServerList], None]
 
 
 class Discovery:
-    """The list of nodes; each gateway hears of a change some seconds late, and of none while discovery is down."""
+    """The list of nodes, published to watchers.
+
+    Invariants: a watcher receives its updates in their order, each after a delay of its own; while discovery is down it
+    receives none, and afterwards those that it missed.
+    """
 
     def __init__(self, world: World, time: Time, stream: Stream) -> None:
-        self._world, self._time, self._stream = world, time, stream
+        self._world = world
+        self._time = time
+        self._stream = stream
         self.entries: dict[str, api.ServerEntry] = {}
-        self._watchers: dict[int, Told] = {}
-        self._late: dict[int, float] = {}  # when each watcher's last news arrives: news keep their order
+        self._watchers: dict[int, OnServerList] = {}
+        self._last_delivery_at: dict[int, float] = {}  # by watcher: when the update sent last arrives
         self._missed: dict[int, list[api.ServerEntry]] = {}
-        self.down = False
+        self.is_down = False
 
-    def entry(self, node: Node, state: str) -> api.ServerEntry:
-        """A node's line."""
-        return api.ServerEntry(node.name, state, node.zone, node.cell, node.born, 1.0)
+    def register(self, node: Node) -> None:
+        """Add a node that was there before the run began; nobody is notified."""
+        self.entries[node.name] = self._entry(node, "up")
 
-    def set(self, node: Node, state: str) -> None:
-        """Something has changed."""
-        entry = self.entry(node, state)
+    def publish(self, node: Node, state: str) -> None:
+        """Publish a node's state: `up`, `drain` or `gone`."""
+        entry = self._entry(node, state)
         if state == "gone":
             self.entries.pop(node.name, None)
         else:
             self.entries[node.name] = entry
         for watcher in list(self._watchers):
-            if self.down:
+            if self.is_down:
                 self._missed.setdefault(watcher, []).append(entry)
             else:
-                self._tell(watcher, api.ServerList("changes", (entry,)))
+                self._send(watcher, api.ServerList("changes", (entry,)))
 
-    def up(self) -> None:
-        """Discovery is back: what was missed is told."""
-        self.down = False
+    def recover(self) -> None:
+        """Come back up: watchers are sent the updates that they missed."""
+        self.is_down = False
         for watcher, entries in sorted(self._missed.items()):
             if watcher in self._watchers:
-                self._tell(watcher, api.ServerList("changes", tuple(entries)))
+                self._send(watcher, api.ServerList("changes", tuple(entries)))
         self._missed.clear()
 
-    def watch(self, watcher: int, told: Told) -> None:
-        """Follow from now on: the whole list comes first, late like all else."""
-        self._watchers[watcher] = told
-        self._late[watcher] = 0.0
-        if not self.down:
-            self._tell(watcher, None)
+    def watch(self, watcher: int, on_server_list: OnServerList) -> None:
+        """Add a watcher; it is sent the full list first, with a delay like every update."""
+        self._watchers[watcher] = on_server_list
+        self._last_delivery_at[watcher] = 0.0
+        if not self.is_down:
+            self._send(watcher, None)
 
-    def hold(self, watcher: int, until: float) -> None:
-        """Tell this one nothing before that time; what comes meanwhile is told then, in order."""
-        self._late[watcher] = max(self._late.get(watcher, 0.0), until)
-
-    def leave(self, watcher: int) -> None:
-        """Stop following."""
+    def unwatch(self, watcher: int) -> None:
+        """Remove a watcher."""
         self._watchers.pop(watcher, None)
         self._missed.pop(watcher, None)
 
-    def _tell(self, watcher: int, news: api.ServerList | None) -> None:
-        told = self._watchers[watcher]
-        when = max(self._late[watcher], self._time.now + self._stream.between(*self._world.list_late))
-        self._late[watcher] = when
+    def delay_until(self, watcher: int, until: float) -> None:
+        """Deliver nothing to a watcher before a time; updates sent meanwhile arrive then, in order."""
+        self._last_delivery_at[watcher] = max(self._last_delivery_at.get(watcher, 0.0), until)
+
+    def _entry(self, node: Node, state: str) -> api.ServerEntry:
+        return api.ServerEntry(node.name, state, node.zone, node.cell, node.started_at, 1.0)
+
+    def _send(self, watcher: int, update: api.ServerList | None) -> None:
+        """Send an update, or the full list as it is on arrival; lost if the watcher is replaced meanwhile."""
+        on_server_list = self._watchers[watcher]
+        now = self._time.now
+        arrives_at = max(self._last_delivery_at[watcher], now + self._stream.between(*self._world.list_late))
+        self._last_delivery_at[watcher] = arrives_at
 
         def arrive() -> None:
-            if self._watchers.get(watcher) is told:
-                told(news or api.ServerList("full", tuple(self.entries.values())))
+            if self._watchers.get(watcher) is on_server_list:
+                on_server_list(update or api.ServerList("full", tuple(self.entries.values())))
 
-        self._time.after(when - self._time.now, arrive)
+        self._time.after(arrives_at - now, arrive)
--- /dev/null
+++ b/hallhitch/lab/sockets/environment.py
@@ -0,0 +1,55 @@
+"""The parts of a run on sockets that its emulated parties share."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+
+from hallhitch.decision import api
+from hallhitch.lab.http_wire import Reader
+from hallhitch.lab.journal import Journal
+from hallhitch.lab.model_network import ModelNetwork
+from hallhitch.lab.scenario import World
+from hallhitch.lab.services import Counter, Discovery
+from hallhitch.lab.sockets.listener import LoopTime
+from hallhitch.lab.traffic import Intent
+
+
+@dataclass(slots=True, eq=False)
+class AttemptInProgress:
+    """An attempt at a node: the connection that it came on, and whether its end is in the journal."""
+
+    reader: Reader
+    is_journalled: asyncio.Event = field(default_factory=asyncio.Event)
+
+
+@dataclass(slots=True)
+class RequestRegistry:
+    """The requests sent so far, by the id that each carries through its gateway to the nodes."""
+
+    intents: dict[int, Intent] = field(default_factory=dict)
+    gateways: dict[int, int] = field(default_factory=dict)  # number of the gateway that each was sent to
+    attempt_counts: dict[int, int] = field(default_factory=dict)
+    in_progress: dict[int, AttemptInProgress] = field(default_factory=dict)
+
+    def next_attempt_number(self, id: int) -> int:
+        """Number the next attempt of a request, from 0."""
+        number = self.attempt_counts.get(id, 0)
+        self.attempt_counts[id] = number + 1
+        return number
+
+
+@dataclass(frozen=True, slots=True)
+class SocketEnvironment:
+    """The models and records of a run."""
+
+    world: World
+    settings: api.Settings
+    time: LoopTime
+    journal: Journal
+    network: ModelNetwork
+    counter: Counter
+    discovery: Discovery
+    requests: RequestRegistry
+    reaches: Callable[[int, str], Awaitable[bool]]  # whether a gateway's bytes reach a party; waits on a stalled link
--- /dev/null
+++ b/hallhitch/lab/sockets/http_clients.py
@@ -0,0 +1,165 @@
+"""The clients of a run on sockets: real HTTP requests through the front, at the times that were drawn."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Final
+
+from hallhitch.decision import api
+from hallhitch.lab.client_request import ClientTry
+from hallhitch.lab.front_router import FrontRouter
+from hallhitch.lab.http_wire import Reader, Writer, read_message
+from hallhitch.lab.sockets.environment import SocketEnvironment
+from hallhitch.lab.sockets.listener import TaskOwner
+from hallhitch.lab.traffic import Intent
+
+OnSecond = Callable[[int, dict[str, int]], None]
+MAX_SLEEP_S: Final = 1.0  # while waiting for the next request, so that each second is reported in time
+RESPONSE_GRACE_S: Final = 1.0  # past a client's deadline, so that late answers are journalled as late
+REJECTED_CODES: Final = (429, 503)
+Connection = tuple[Reader, Writer]
+
+
+@dataclass(frozen=True, slots=True)
+class ClientAnswer:
+    """The outcome of a try: its status, and the gateway's advice when to retry."""
+
+    status: str
+    retry_after_ms: float = 0.0
+
+
+@dataclass(frozen=True, slots=True)
+class _SentTry:
+    id: int
+    gateway: int
+    client_try: ClientTry
+    began_at: float
+
+
+class HttpClients:
+    """Sends the drawn requests; `on_second` gets the counts of statuses so far, each second.
+
+    Connections to a gateway are pooled; each carries one request at a time.
+    """
+
+    def __init__(
+        self,
+        environment: SocketEnvironment,
+        router: FrontRouter,
+        tasks: TaskOwner,
+        addresses: dict[int, tuple[str, int]],
+        is_running: Callable[[int], bool],
+        on_second: OnSecond | None = None,
+    ) -> None:
+        self._environment = environment
+        self._settings = environment.settings
+        self._router = router
+        self._tasks = tasks
+        self._addresses = addresses
+        self._is_running = is_running
+        self._on_second = on_second
+        self._idle: dict[int, list[Connection]] = {}
+        self._last_id = 0
+        self.statuses: dict[str, int] = {}
+        self.send_delays_ms: list[float] = []  # by which requests were sent late: the rig's own cost
+
+    def drop_connections(self, gateway: int) -> None:
+        """Forget the pooled connections to a gateway, whose process is new."""
+        self._idle[gateway] = []
+
+    async def send_all(self, intents: list[Intent], begin_s: float) -> None:
+        """Send all requests at their times after `begin_s` on the monotonic clock."""
+        second = 0
+        for intent in intents:
+            due_s = begin_s + intent.at / 1000
+            while (remaining_s := due_s - time.monotonic()) > 0:
+                await asyncio.sleep(min(remaining_s, MAX_SLEEP_S))
+            while self._on_second is not None and second <= intent.at / 1000:
+                self._on_second(second, dict(self.statuses))
+                second += 1
+            self.send_delays_ms.append((time.monotonic() - due_s) * 1000)
+            self._tasks.spawn(self._send(ClientTry(intent)))
+
+    async def _send(self, client_try: ClientTry) -> None:
+        """Send a try, and the client's retry of it."""
+        preferred, spread = client_try.preferred_gateway, client_try.intent.customer.spread
+        number = self._router.route(preferred, spread, self._environment.time.now)
+        answer = ClientAnswer("nobody there")
+        if number is not None and self._is_running(number):
+            self._last_id += 1
+            requests = self._environment.requests
+            requests.intents[self._last_id] = client_try.intent
+            requests.gateways[self._last_id] = number
+            answer = await self._exchange(_SentTry(self._last_id, number, client_try, self._environment.time.now))
+        self.statuses[answer.status] = self.statuses.get(answer.status, 0) + 1
+        if answer.status != "served" and client_try.is_retried:
+            await asyncio.sleep(client_try.retry_delay_ms(answer.retry_after_ms) / 1000)
+            await self._send(ClientTry(client_try.intent, is_retry=True))
+
+    async def _exchange(self, sent: _SentTry) -> ClientAnswer:
+        """Send a try on a connection of its own for as long as it lasts.
+
+        A pooled connection that was closed between two requests is replaced by a new one, once: the gateway has not
+        read the request there.
+        """
+        is_journalled = False
+        deadline_ms = sent.client_try.deadline_ms
+        try:
+            for may_reuse in (True, False):
+                is_reused = may_reuse and bool(self._idle[sent.gateway])
+                reader, writer = await self._connect(sent.gateway, is_reused)
+                if not is_journalled:
+                    is_journalled = True
+                    sent.client_try.journal(
+                        self._environment.journal, self._settings, sent.id, sent.gateway, sent.began_at
+                    )
+                writer.write(self._request_bytes(sent, deadline_ms - (self._environment.time.now - sent.began_at)))
+                try:
+                    async with asyncio.timeout(deadline_ms / 1000 + RESPONSE_GRACE_S):
+                        status_line, headers, body = await read_message(reader)
+                except (asyncio.IncompleteReadError, ConnectionError) as error:
+                    writer.close()
+                    if is_reused and not getattr(error, "partial", b""):
+                        continue
+                    raise
+                answer = self._on_response(sent.id, status_line, headers, body)
+                if headers.get("connection") == "close":
+                    writer.close()
+                else:
+                    self._idle[sent.gateway].append((reader, writer))
+                return answer
+        except (OSError, EOFError, TimeoutError):
+            pass
+        return ClientAnswer("broken")
+
+    async def _connect(self, gateway: int, is_reused: bool) -> Connection:
+        if is_reused:
+            return self._idle[gateway].pop()
+        return await asyncio.open_connection(*self._addresses[gateway])
+
+    def _request_bytes(self, sent: _SentTry, remaining_ms: float) -> bytes:
+        intent = sent.client_try.intent
+        request_class = self._settings.classes[intent.klass]
+        is_safe = request_class.effect == api.SAFE
+        lines = [
+            f"{'GET' if is_safe else 'POST'} /{request_class.name}/{intent.customer.name} HTTP/1.1",
+            "Host: service.internal",
+            f"Req-Id: {sent.id:016x}",
+            f"X-Contract: {self._settings.plans[intent.customer.plan].name}",
+            f"Req-Deadline-Ms: {max(1, round(remaining_ms))}",
+            f"X-Metering: units=1,spread={intent.customer.spread},first={intent.customer.first}",
+        ]
+        body = b"" if is_safe else b"part"
+        if not is_safe:
+            lines += [f"Idempotency-Key: {intent.key}", f"Content-Length: {len(body)}"]
+        return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
+
+    def _on_response(self, id: int, status_line: str, headers: dict[str, str], body: bytes) -> ClientAnswer:
+        code = int(status_line.split()[1])
+        status = "served" if code == 200 else "refused" if code in REJECTED_CODES else "failed"
+        echo = int(body) if code == 200 and body.isdigit() else 0
+        self._environment.journal.add(self._environment.time.now, "answer", id, status, echo)
+        return ClientAnswer(status, 1000 * float(headers.get("retry-after", 0)))
--- /dev/null
+++ b/hallhitch/lab/sockets/listener.py
@@ -0,0 +1,83 @@
+"""What all emulated parties on loopback need: the event loop's time, a listener, a free port and an owner of tasks."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+import time
+from collections.abc import Awaitable, Callable, Coroutine
+from typing import Any
+
+from hallhitch.lab.http_wire import Reader, Writer
+
+
+class LoopTime:
+    """Unix ms on the running loop, for the models; advances with the monotonic clock."""
+
+    def __init__(self) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._unix_offset_ms = time.time() * 1000 - time.monotonic() * 1000
+
+    @property
+    def now(self) -> float:
+        return self._unix_offset_ms + time.monotonic() * 1000
+
+    def after(self, delay: float, callback: Callable[..., object], /, *args: object) -> object:
+        """Schedule a callback after a delay in milliseconds."""
+        return self._loop.call_later(max(0.0, delay) / 1000, callback, *args)
+
+
+class Listener:
+    """A listener on loopback whose connections can all be aborted at once."""
+
+    def __init__(self, serve: Callable[[Reader, Writer], Awaitable[None]]) -> None:
+        self._serve = serve
+        self._writers = set[Writer]()
+        self.address = ""
+
+    async def start(self) -> Listener:
+        """Listen on a free port."""
+        self._server = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
+        host, port = self._server.sockets[0].getsockname()[:2]
+        self.address = f"{host}:{port}"
+        return self
+
+    def stop(self) -> None:
+        """Close the listener and abort the open connections."""
+        self._server.close()
+        for writer in list(self._writers):
+            writer.transport.abort()
+
+    async def _on_connection(self, reader: Reader, writer: Writer) -> None:
+        self._writers.add(writer)
+        with contextlib.suppress(OSError, EOFError, asyncio.LimitOverrunError, ValueError, asyncio.CancelledError):
+            await self._serve(reader, writer)
+        self._writers.discard(writer)
+        writer.transport.abort()
+
+
+class TaskOwner:
+    """Owns the background tasks of a run."""
+
+    def __init__(self) -> None:
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a task of this owner."""
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def cancel(self) -> None:
+        """Cancel all tasks and wait for their end."""
+        for task in list(self._tasks):
+            task.cancel()
+        await asyncio.gather(*self._tasks, return_exceptions=True)
+
+
+def free_port() -> int:
+    """Find a port of loopback that nobody listens on."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return int(sock.getsockname()[1])
--- a/tests/lab/test_cases.py
+++ b/tests/lab/test_cases.py
@@ -15,8 +15,8 @@
 from hallhitch.lab.figures import figures
 from hallhitch.lab.journal import Event
 from hallhitch.lab.scenario import Scenario
-from hallhitch.lab.sockets import SocketRun
-from hallhitch.lab.world import play
+from hallhitch.lab.sockets.run import SocketRun
+from hallhitch.lab.virtual_run import play
 from hallhitch.settings_file import SettingsError
 from tests.cli.test_commands import run
 from tests.stand_ins import ROOT
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -8,9 +8,9 @@
 from hallhitch.core.ports import Attempt
 from hallhitch.decision import api
 from hallhitch.lab.checker import RULES, Broken, check
-from hallhitch.lab.hopping import ModelGateway
 from hallhitch.lab.journal import Event, Journal, read_lines
-from hallhitch.lab.world import play
+from hallhitch.lab.model_gateway import ModelGateway
+from hallhitch.lab.virtual_run import play
 from tests.lab.test_world import short
 from tests.stand_ins import ROOT
 
@@ -184,16 +184,16 @@
 
 def two_attempts(gateway: ModelGateway) -> None:
     """Every attempt goes out, and a moment later once more, elsewhere."""
-    was = gateway.hops.start
+    was = gateway.upstream.start
 
     def start(attempt: Attempt) -> None:
         was(attempt)
-        others = [name for name, up in gateway.hops.up.items() if up and name != attempt.server]
+        others = [name for name, up in gateway.upstream.is_up.items() if up and name != attempt.server]
         if attempt.number == 0 and others and attempt.exchange_id % 40 == 0:
             copy = Attempt(attempt.exchange_id, 50, others[0], attempt.sent_at, attempt.ends_at, attempt.payload)
             gateway.core.deadlines.call_after(5.0, lambda: was(copy))
 
-    gateway.hops.start = start  # type: ignore[method-assign]
+    gateway.upstream.start = start  # type: ignore[method-assign]
 
 
 def double_answer(gateway: ModelGateway) -> None:
@@ -212,18 +212,18 @@
 
 def late_drain(gateway: ModelGateway) -> None:
     """News of drains are kept from module and hops."""
-    was = gateway.hops.told, gateway.core.post
+    was = gateway.upstream.on_server_list, gateway.core.post
 
-    def told(news: api.ServerList) -> None:
-        kept = tuple(entry for entry in news.entries if entry.state == "up")
-        was[0](api.ServerList(news.mode, kept))
+    def on_server_list(update: api.ServerList) -> None:
+        up = tuple(entry for entry in update.entries if entry.state == "up")
+        was[0](api.ServerList(update.mode, up))
 
     def post(message: api.Event) -> bool:
         if isinstance(message, api.ServerList):
             message = api.ServerList(message.mode, tuple(e for e in message.entries if e.state == "up"))
         return was[1](message)
 
-    gateway.hops.told = told  # type: ignore[method-assign]
+    gateway.upstream.on_server_list = on_server_list  # type: ignore[method-assign]
     gateway.core.post = post  # type: ignore[method-assign]
 
 
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -13,7 +13,7 @@
 from hallhitch.lab.evenness import Arrival, evenness, heat
 from hallhitch.lab.journal import Event
 from hallhitch.lab.scenario import replaced
-from hallhitch.lab.world import play
+from hallhitch.lab.virtual_run import play
 from tests.cli.test_commands import run
 from tests.lab.test_cases import FILE
 from tests.lab.test_world import short
--- a/tests/lab/test_sockets.py
+++ b/tests/lab/test_sockets.py
@@ -11,7 +11,7 @@
 from hallhitch.lab.checker import check
 from hallhitch.lab.figures import figures
 from hallhitch.lab.scenario import Scenario, replaced
-from hallhitch.lab.sockets import SocketRun
+from hallhitch.lab.sockets.run import SocketRun
 from hallhitch.settings_file import read
 from tests.stand_ins import ROOT
 
@@ -71,7 +71,7 @@
         events = run.journal.events
         self.assertEqual([str(b) for b in check(events)], [])
         self.assertGreater(run.counter.calls, 50)
-        counted = [count.value for count in run.counter._counts.values()]
+        counted = run.counter.totals()
         self.assertGreater(sum(counted), 20.0, "units were added, not refused")
 
     async def test_all_nodes_are_replaced(self) -> None:
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -16,7 +16,7 @@
 from hallhitch.lab.figures import figures
 from hallhitch.lab.scenario import Scenario, replaced
 from hallhitch.lab.streams import Streams
-from hallhitch.lab.world import Result, Run, play
+from hallhitch.lab.virtual_run import Result, VirtualRun, play
 from hallhitch.settings_file import read
 from tests.stand_ins import ROOT
 
@@ -55,7 +55,7 @@
     def test_each_gateway_has_a_number_of_its_own_and_no_node_is_left_alone(self) -> None:
         """Guards against a lab whose gateways all take themselves for the first, and keep to the same few nodes."""
         base = replaced(short(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 40})
-        run = Run(base, 3)
+        run = VirtualRun(base, 3)
         modules = [gateway.core.gateway for gateway in run.gateways.values() if gateway is not None]
         self.assertEqual([module.config.index for module in modules], list(range(12)))
         run.time.run(run.time.now + 1.0)
--- a/tests/membership/test_foreign_members.py
+++ b/tests/membership/test_foreign_members.py
@@ -17,8 +17,8 @@
 
     async def test_two_gateways_with_one_name_are_a_conflict_and_both_serve(self) -> None:
         class Twins(Fleet):
-            def _config(self, number: int) -> dict[str, Any]:
-                return super()._config(number) | ({"name": "n1"} if number == 3 else {})
+            def _gateway_config(self, number: int) -> dict[str, Any]:
+                return super()._gateway_config(number) | ({"name": "n1"} if number == 3 else {})
 
         async with make_fleet(4, kind=Twins) as fleet:
             await fleet.until(
--- a/tests/membership/test_process_faults.py
+++ b/tests/membership/test_process_faults.py
@@ -68,9 +68,9 @@
             await asyncio.gather(*(fleet.ends(n, planned=False, back=0.5) for n in (2, 3, 4)))
             await fleet.agreed()  # by the remaining seed
             await asyncio.gather(*(fleet.ends(n, planned=False, back=None) for n in (2, 3, 4)))
-            await asyncio.gather(*(fleet._gateway(n) for n in (3, 4)))
+            await asyncio.gather(*(fleet.start_gateway(n) for n in (3, 4)))
             await fleet.until(lambda views: all(v["view"] == "alone" for v in views.values()))
-            await fleet._gateway(1)
+            await fleet.start_gateway(1)
             await fleet.agreed()
 
     async def test_stepping_wall_clock_has_no_effect(self) -> None:
@@ -88,7 +88,7 @@
         async with make_fleet(4, seconds=6.0) as fleet:
             await fleet.agreed()
             load = asyncio.create_task(fleet.drive())
-            process = fleet._processes[3]
+            process = fleet.processes[3]
             assert process is not None
             while not load.done():  # runs a third of the time
                 process.send_signal(signal.SIGSTOP)
