--- a/benchmarks/cpu_per_request.py
+++ b/benchmarks/cpu_per_request.py
@@ -20,11 +20,15 @@
 from typing import Any
 
 from benchmarks.memory_by_trouble import Quiet, QuietCounter
-from hallhitch.lab import load
+from hallhitch.lab.load.generator import LoadPlan, run_load
+from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
+from hallhitch.lab.load.tally import LoadTally
 from tests.stand_ins import ROOT, Backend, Discovery, Program, free_port, http
 
 TICK = 1e6 / os.sysconf("SC_CLK_TCK")
-MIX = load.Mix({"inspect": (0.78, 4000, False), "reject": (0.22, 1500, True)}, {"full-plant": 1.0}, 400, 64)
+MIX = RequestMix(
+    {"inspect": MixedClass(0.78, 4000, False), "reject": MixedClass(0.22, 1500, True)}, {"full-plant": 1.0}, 400, 64
+)
 
 
 def cpu_us(pid: int) -> float:
@@ -33,13 +37,13 @@
     return (int(fields[11]) + int(fields[12])) * TICK
 
 
-async def cost(pid: int, address: str, rate: float, seconds: float) -> tuple[float, load.Tally]:
+async def cost(pid: int, address: str, rate: float, seconds: float) -> tuple[float, LoadTally]:
     """us of CPU a request, at a rate, once it is warm."""
-    found = 0.0, load.Tally()
+    found = 0.0, LoadTally()
     for turn, long in enumerate((1.5, seconds)):
-        asked = load.lines(load.times("poisson", rate, long, 11 + turn), MIX, 3)
+        asked = make_requests(arrival_times("poisson", rate, long, 11 + turn), MIX, 3)
         before = cpu_us(pid)
-        tally = await asyncio.to_thread(load.run, load.Plan(address, "http", asked))
+        tally = await asyncio.to_thread(run_load, LoadPlan(address, "http", asked))
         found = (cpu_us(pid) - before) / max(1, tally.sent), tally
     return found
 
@@ -86,7 +90,7 @@
             rows.append(
                 f"| {rate:g} | {ours:.0f} | {theirs:.0f} | {ours / theirs:.1f} | {served:.3f} | "
                 f"{told.percentiles()[50.0]:.1f} / {other.percentiles()[50.0]:.1f} | "
-                f"{'yes' if told.valid and other.valid else 'no'} |"
+                f"{'yes' if told.is_valid and other.is_valid else 'no'} |"
             )
             print(rows[-1], flush=True)
     return rows
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -22,7 +22,9 @@
 from pathlib import Path
 
 from benchmarks.cpu_per_request import MIX, cpu_us, stood
-from hallhitch.lab import load
+from hallhitch.lab.load.generator import LoadPlan, run_load
+from hallhitch.lab.load.schedule import arrival_times, make_requests
+from hallhitch.lab.load.tally import LoadTally
 from tests.stand_ins import Program, free_port
 
 LIMITS = {"sockets": 384, "memory_mb": 80}
@@ -80,9 +82,9 @@
     guests = multiprocessing.get_context("spawn").Process(target=crowd, args=(program.listen, kind, seconds))
     if kind:
         guests.start()
-    plan = load.Plan(program.listen, "http", load.lines(load.times("poisson", rate, seconds, 5), MIX, 3))
+    plan = LoadPlan(program.listen, "http", make_requests(arrival_times("poisson", rate, seconds, 5), MIX, 3))
     before, began = cpu_us(program.process.pid), time.monotonic()
-    usual: Awaitable[load.Tally] = asyncio.to_thread(load.run, plan)
+    usual: Awaitable[LoadTally] = asyncio.to_thread(run_load, plan)
     calls, tally = await asyncio.gather(asked(program, seconds), usual)
     busy = (cpu_us(program.process.pid) - before) / (time.monotonic() - began) / 1e6
     lags = await told()
--- a/benchmarks/lagging_gateway.py
+++ b/benchmarks/lagging_gateway.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from hallhitch import gateway
-from hallhitch.lab.load import histogram
+from hallhitch.lab.load.tally import make_histogram
 
 EVERY = 5.0  # ms
 TOLD = (50.0, 99.0, 99.9, 100.0)
@@ -23,11 +23,11 @@
 
 async def watch(path: str) -> None:
     """Tell, for as long as the gateway runs."""
-    late = histogram()
+    late = make_histogram()
 
     def tell() -> None:
         nonlocal late
-        told, late = late, histogram()
+        told, late = late, make_histogram()
         with open(path, "a", encoding="utf-8") as file:
             print(json.dumps([told.get_value_at_percentile(share) / 1000 for share in TOLD]), file=file, flush=True)
 
--- a/hallhitch/cli/load.py
+++ b/hallhitch/cli/load.py
@@ -11,6 +11,7 @@
 from hallhitch.cli.output import Failure, as_json, table
 from hallhitch.settings_file import SettingsError
 
+# The platform's mix: class to share, deadline in ms, and whether a request has a body.
 CLASSES = {"inspect": (0.78, 4000, False), "reject": (0.22, 1500, True)}
 PLANS = {"small-shop": 0.5, "full-plant": 0.5}
 
@@ -50,39 +51,44 @@
     Times count from when a request was meant to go. Exit code 1 if the generator itself was late: such a run measures
     the generator.
     """
-    from hallhitch.lab import load as lab
+    from hallhitch.lab.load.generator import LoadPlan, run_load
+    from hallhitch.lab.load.protocols import parse_loopback_address
+    from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
+    from hallhitch.lab.load.tally import MAX_P99_SEND_DELAY_MS, PERCENTILES
+    from hallhitch.lab.load.trace_format import read_trace, write_trace
 
     try:
-        lab.loopback(address)
+        parse_loopback_address(address)
         if trace is not None:
             with open(trace, "rb") as file:
-                asked = lab.read_trace(file)
+                requests = read_trace(file)
         else:
-            asked = lab.lines(lab.times(shape, rate, seconds, seed), lab.Mix(CLASSES, PLANS, customers), seed)
+            mix = RequestMix({name: MixedClass(*fields) for name, fields in CLASSES.items()}, PLANS, customers)
+            requests = make_requests(arrival_times(shape, rate, seconds, seed), mix, seed)
     except (ValueError, OSError) as error:
         raise SettingsError(f"{trace or address}: {error}") from error
     if record is not None:
-        record.write_bytes(b"".join(lab.write_trace(asked)))
-    with click.progressbar(length=100, label=f"{len(asked)} requests", file=sys.stderr) as bar:
-        tally = lab.run(
-            lab.Plan(address, protocol, asked, workers), lambda share: bar.update(max(0, int(share * 100) - bar.pos))
-        )
+        record.write_bytes(b"".join(write_trace(requests)))
+    with click.progressbar(length=100, label=f"{len(requests)} requests", file=sys.stderr) as bar:
+        plan = LoadPlan(address, protocol, requests, workers)
+        tally = run_load(plan, lambda ratio: bar.update(max(0, int(ratio * 100) - bar.pos)))
     rows = [
-        (group, tally.times[group].get_total_count(), *(f"{ms:.1f}" for ms in tally.percentiles(group).values()))
-        for group in sorted(tally.times)
+        (group, histogram.get_total_count(), *(f"{ms:.1f}" for ms in tally.percentiles(group).values()))
+        for group, histogram in sorted(tally.latencies.items())
     ]
     if plain:
         as_json(
             {
                 "sent": tally.sent,
-                "valid": tally.valid,
-                "late_p99_ms": tally.late_p99,
+                "valid": tally.is_valid,
+                "late_p99_ms": tally.p99_send_delay_ms,
                 "statuses": dict(tally.statuses),
-                "ms": {group: {str(p): ms for p, ms in tally.percentiles(group).items()} for group in tally.times},
+                "ms": {group: {str(p): ms for p, ms in tally.percentiles(group).items()} for group in tally.latencies},
             }
         )
     else:
-        table(("", "requests", *(f"p{p:g} ms" for p in lab.PERCENTILES)), rows)
-        click.echo(f"the generator was at most {tally.late_p99:.2f} ms late for 99 of 100 requests")
-    if not tally.valid:
-        raise Failure(f"invalid: the generator was {tally.late_p99:.1f} ms late (p99; {lab.LATE_MOST:g} at most)")
+        table(("", "requests", *(f"p{p:g} ms" for p in PERCENTILES)), rows)
+        click.echo(f"the generator was at most {tally.p99_send_delay_ms:.2f} ms late for 99 of 100 requests")
+    if not tally.is_valid:
+        delay_ms = tally.p99_send_delay_ms
+        raise Failure(f"invalid: the generator was {delay_ms:.1f} ms late (p99; {MAX_P99_SEND_DELAY_MS:g} at most)")
--- a/hallhitch/cli/trace.py
+++ b/hallhitch/cli/trace.py
@@ -23,17 +23,20 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def inspect(file: Path) -> None:
     """Say what a trace holds."""
-    from hallhitch.lab import load as lab
+    from hallhitch.lab.load.trace_format import read_trace
 
     try:
         with open(file, "rb") as lines:
-            found = lab.read_trace(lines)
+            requests = read_trace(lines)
     except (ValueError, OSError) as error:
         raise SettingsError(f"{file}: {error}") from error
-    seconds = found[-1].at_ms / 1000 if found else 0.0
-    click.echo(f"{len(found)} requests in {seconds:.1f} s, {len({line.customer for line in found})} customers")
-    for name, of in (("class", [line.klass for line in found]), ("plan", [line.plan for line in found])):
-        table((name, "requests"), [(word, of.count(word)) for word in sorted(set(of))])
+    seconds = requests[-1].at_ms / 1000 if requests else 0.0
+    customers = {request.customer for request in requests}
+    click.echo(f"{len(requests)} requests in {seconds:.1f} s, {len(customers)} customers")
+    classes = [request.klass for request in requests]
+    plans = [request.plan for request in requests]
+    for column, values in (("class", classes), ("plan", plans)):
+        table((column, "requests"), [(value, values.count(value)) for value in sorted(set(values))])
 
 
 @trace.command("import")
@@ -57,22 +60,22 @@
 )
 def import_(file: Path, out: Path, form: str, plan: str, deadline_ms: int, body: int) -> None:
     """Make a trace of FILE: an access log in the common or combined format, or a table with a header (csv)."""
-    from hallhitch.lab import load as lab
-    from hallhitch.lab import traces
+    from hallhitch.lab.load.trace_format import write_trace
+    from hallhitch.lab.load.trace_import import AccessLogDefaults, ImportedTrace, import_access_log, import_csv
 
     if form == "access-log" and not plan:
         raise SettingsError("--plan: an access log does not know the plan; name it")
-    left = 0
     try:
         with open(file, encoding="utf-8", newline="") as lines:
             if form == "csv":
-                made = traces.from_csv(lines, deadline_ms)
+                imported = ImportedTrace(import_csv(lines, deadline_ms))
             else:
-                made, left = traces.from_access_log(lines, plan, deadline_ms, body)
-        out.write_bytes(b"".join(lab.write_trace(made)))
+                imported = import_access_log(lines, AccessLogDefaults(plan, deadline_ms, body))
+        out.write_bytes(b"".join(write_trace(imported.requests)))
     except (ValueError, OSError) as error:
         raise SettingsError(f"{file}: {error}") from error
-    click.echo(f"{len(made)} requests" + (f"; {left} left out, as they name no class and customer" if left else ""))
+    skipped = f"; {imported.skipped} left out, as they name no class and customer" if imported.skipped else ""
+    click.echo(f"{len(imported.requests)} requests{skipped}")
 
 
 @trace.command("record")
@@ -82,14 +85,14 @@
 @click.option("--seconds", type=click.FloatRange(0.1, 1e6), default=None, help="End by itself after that.")
 def record(out: Path, listen: str, to: str, seconds: float | None) -> None:
     """Pass requests on to a gateway and write down what was asked, until Ctrl-C."""
-    from hallhitch.lab.traces import Recorder
+    from hallhitch.lab.load.trace_recorder import TraceRecorder
 
-    async def run() -> Recorder:
+    async def run() -> TraceRecorder:
         end = asyncio.Event()
         for number in (signal.SIGINT, signal.SIGTERM):
             asyncio.get_running_loop().add_signal_handler(number, end.set)
         with open(out, "wb") as file:
-            recorder = Recorder(to, file)
+            recorder = TraceRecorder(to, file)
             await recorder.start(listen)
             click.echo(f"recording on {recorder.address}", err=True)
             sys.stderr.flush()
@@ -103,6 +106,6 @@
     except (ValueError, OSError) as error:
         raise SettingsError(f"{listen} to {to}: {error}") from error
     click.echo(
-        f"{recorder.recorded} requests; {recorder.left} named no class and customer; "
-        f"{recorder.unread} connections could not be read"
+        f"{recorder.recorded} requests; {recorder.skipped} named no class and customer; "
+        f"{recorder.unreadable_connections} connections could not be read"
     )
--- /dev/null
+++ b/hallhitch/lab/load/trace_recorder.py
@@ -0,0 +1,142 @@
+"""A recording proxy on loopback before a gateway: bytes pass both ways as they come, and each request is recorded.
+
+What is recorded is the request and when it had arrived completely, never a response. Times in ms since the first one.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import time
+from typing import IO, Final
+
+import msgspec
+
+from hallhitch.lab.load.protocols import parse_loopback_address
+from hallhitch.lab.load.trace_format import TraceRequest
+from hallhitch.lab.load.trace_import import REQUEST_PATH
+from hallhitch.net.http import Malformed, Message, RequestReader
+
+READ_BYTES: Final = 65_536
+
+
+def trace_request_of(message: Message, at_ms: float) -> TraceRequest | None:
+    """Read a request of the platform's protocol; None for one that names no class and customer."""
+    path = REQUEST_PATH.fullmatch(message.target.decode("latin-1"))
+    headers = message.headers
+    if path is None or b"x-contract" not in headers:
+        return None
+    metering = dict(part.strip().partition(b"=")[::2] for part in headers.get(b"x-metering", b"").split(b","))
+    try:
+        return TraceRequest(
+            at_ms,
+            path[1],
+            path[2].lower(),
+            headers[b"x-contract"].decode("latin-1"),
+            float(metering.get(b"units", b"1")),
+            int(headers[b"req-deadline-ms"]),
+            len(message.body),
+        )
+    except (KeyError, ValueError):
+        return None
+
+
+class TraceRecorder:
+    """The recording proxy.
+
+    A connection whose bytes are no HTTP requests is passed on all the same and counted in `unreadable_connections`;
+    requests that name no class and customer are counted in `skipped`.
+    """
+
+    def __init__(self, gateway_address: str, file: IO[bytes]) -> None:
+        self._gateway_address = parse_loopback_address(gateway_address)
+        self._file = file
+        self._first_request_at: float | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+        self.recorded = 0
+        self.skipped = 0
+        self.unreadable_connections = 0
+        self.address = ""
+
+    async def start(self, address: str) -> None:
+        """Listen.
+
+        Raises:
+            OSError: the address cannot be bound.
+            ValueError: it is no address of loopback.
+        """
+        host, port = parse_loopback_address(address)
+        self._server = await asyncio.start_server(self._serve, host, port)
+        self.address = "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
+
+    async def stop(self) -> None:
+        """Close the listener and the connections, and flush the file."""
+        self._server.close()
+        for task in list(self._tasks):
+            task.cancel()
+        await asyncio.gather(*self._tasks, return_exceptions=True)
+        self._file.flush()
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Relay a connection, in a task that `stop` cancels."""
+        task = asyncio.current_task()
+        if task is not None:
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+        upstream_writer: asyncio.StreamWriter | None = None
+        try:
+            upstream_reader, upstream_writer = await asyncio.open_connection(*self._gateway_address)
+            directions = [
+                asyncio.ensure_future(self._forward_requests(reader, upstream_writer)),
+                asyncio.ensure_future(self._forward(upstream_reader, writer)),
+            ]
+            try:
+                await asyncio.gather(*directions)
+            finally:
+                for direction in directions:
+                    direction.cancel()
+        except (OSError, asyncio.CancelledError):
+            pass
+        finally:
+            writer.transport.abort()
+            if upstream_writer is not None:
+                upstream_writer.transport.abort()
+
+    async def _forward_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Forward what a client sends, and record its requests as long as they can be read."""
+        parser: RequestReader | None = RequestReader()
+        while data := await reader.read(READ_BYTES):
+            writer.write(data)
+            if parser is not None and not self._record(parser, data):
+                parser = None
+            await writer.drain()
+        self._forward_end(writer)
+
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while data := await reader.read(READ_BYTES):
+            writer.write(data)
+            await writer.drain()
+        self._forward_end(writer)
+
+    def _forward_end(self, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(OSError):
+            writer.write_eof()
+
+    def _record(self, parser: RequestReader, data: bytes) -> bool:
+        """Record the requests that are complete with this data; whether the connection can be read on."""
+        try:
+            messages = parser.feed(data)
+        except Malformed:
+            self.unreadable_connections += 1
+            return False
+        for message in messages:
+            now = time.monotonic() * 1000
+            if self._first_request_at is None:
+                self._first_request_at = now
+            request = trace_request_of(message, round(now - self._first_request_at, 3))
+            if request is None:
+                self.skipped += 1
+                continue
+            self._file.write(msgspec.json.encode(request) + b"\n")
+            self.recorded += 1
+        return True
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -14,11 +14,16 @@
 import msgspec
 import numpy as np
 
-from hallhitch.lab import load
+from hallhitch.lab.load.generator import LoadPlan, LoadWorker
+from hallhitch.lab.load.protocols import parse_loopback_address
+from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
+from hallhitch.lab.load.trace_format import read_trace, write_trace
 from tests.cli.test_commands import run as command
 from tests.stand_ins import StandIn, http, read_http
 
-MIX = load.Mix({"inspect": (0.8, 4000, False), "reject": (0.2, 1500, True)}, {"small-shop": 1.0}, 50, 64)
+MIX = RequestMix(
+    {"inspect": MixedClass(0.8, 4000, False), "reject": MixedClass(0.2, 1500, True)}, {"small-shop": 1.0}, 50, 64
+)
 
 
 class JumpingLoop(asyncio.SelectorEventLoop):
@@ -94,19 +99,19 @@
         hosts = ("", "acme.example.org")
         asked = [
             msgspec.structs.replace(line, customer=f"{number:016x}", tenant=hosts[number % 2])
-            for number, line in enumerate(load.lines(load.times("poisson", 150.0, 5.0, 3), MIX, 3))
+            for number, line in enumerate(make_requests(arrival_times("poisson", 150.0, 5.0, 3), MIX, 3))
         ]
-        plan = load.Plan("127.0.0.1:9", "http", asked)
-        tally = self.loop.run_until_complete(load.Worker(plan, 0.0, self.loop.time, server.connect).run(asked))
+        plan = LoadPlan("127.0.0.1:9", "http", asked)
+        tally = self.loop.run_until_complete(LoadWorker(plan, 0.0, self.loop.time, server.connect).run(asked))
         true = [server.wrote[line.customer] * 1000 - line.at_ms for line in asked]
         found = tally.percentiles()
         for percent in (50.0, 90.0, 99.0, 99.9):
             truth = float(np.percentile(true, percent, method="inverted_cdf"))
             self.assertLess(abs(found[percent] - truth), 0.02 * truth, (percent, found[percent], truth))
         self.assertGreater(found[90.0], 1000.0)
-        self.assertTrue(tally.valid)
+        self.assertTrue(tally.is_valid)
         self.assertEqual(tally.statuses["served"], len(asked))
-        self.assertEqual(tally.times["tenant acme.example.org"].get_total_count(), len(asked) // 2)
+        self.assertEqual(tally.latencies["tenant acme.example.org"].get_total_count(), len(asked) // 2)
         self.assertIn(b"Host: acme.example.org\r\n", server.heard)
         self.assertGreater(server.connections, 250, "each request of the stall has gone")
 
@@ -132,17 +137,17 @@
     def test_a_generator_that_cannot_keep_up_says_so(self) -> None:
         """Guards against figures of a run that measured the generator."""
         server = Stalling(self.loop, (9.0, 9.0))
-        asked = load.lines(load.times("constant", 200.0, 1.0, 1), MIX, 1)
-        worker = load.Worker(load.Plan("127.0.0.1:9", "http", asked), 0.0, self.loop.time, server.connect)
+        asked = make_requests(arrival_times("constant", 200.0, 1.0, 1), MIX, 1)
+        worker = LoadWorker(LoadPlan("127.0.0.1:9", "http", asked), 0.0, self.loop.time, server.connect)
 
         def hog() -> None:
             self.loop.now += 0.4  # the process is kept from its work
 
         self.loop.call_at(0.2, hog)
         tally = self.loop.run_until_complete(worker.run(asked))
-        self.assertFalse(tally.valid)
+        self.assertFalse(tally.is_valid)
         self.assertGreater(tally.percentiles()[90.0], 100.0, "counted from when they were meant to go")
-        self.assertGreater(tally.late_p99, 100.0)
+        self.assertGreater(tally.p99_send_delay_ms, 100.0)
 
 
 class Prompt(StandIn):
@@ -175,8 +180,8 @@
 
         server = Odd()
         await server.start()
-        asked = load.lines(load.times("constant", 100.0, 1.0, 1), MIX, 1)
-        tally = await load.Worker(load.Plan(server.address, "http", asked), time.monotonic()).run(asked)
+        asked = make_requests(arrival_times("constant", 100.0, 1.0, 1), MIX, 1)
+        tally = await LoadWorker(LoadPlan(server.address, "http", asked), time.monotonic()).run(asked)
         rejects = sum(line.klass == "reject" for line in asked)
         self.assertEqual(tally.statuses["failed connection"], rejects)
         self.assertEqual(sum(tally.statuses.values()), len(asked))
@@ -212,28 +217,28 @@
     def test_shapes_ask_for_the_rate(self) -> None:
         """Guards against a shape that asks for more or less than was told."""
         for shape in ("poisson", "constant", "bursts", "ramp", "onoff"):
-            made = load.times(shape, 200.0, 20.0, 5)
+            made = arrival_times(shape, 200.0, 20.0, 5)
             self.assertEqual(made, sorted(made))
             self.assertLess(abs(len(made) / 4000 - 1), 0.06, shape)
-        ramp = load.times("ramp", 200.0, 20.0, 5)
+        ramp = arrival_times("ramp", 200.0, 20.0, 5)
         self.assertLess(sum(at < 10_000 for at in ramp), len(ramp) * 0.3)
-        self.assertEqual([at for at in load.times("onoff", 50.0, 4.0, 1) if 1000 <= at < 2000], [])
+        self.assertEqual([at for at in arrival_times("onoff", 50.0, 4.0, 1) if 1000 <= at < 2000], [])
 
     def test_a_trace_comes_back_as_it_was(self) -> None:
         """Guards against a replay of something else."""
-        asked = load.lines(load.times("bursts", 50.0, 4.0, 1), MIX, 1)
-        self.assertEqual(load.read_trace(load.write_trace(asked)), asked)
-        good = next(load.write_trace(asked[1:]))
-        for bad in (b"{}", b"x", b'{"at_ms":"1"}', next(load.write_trace(asked[:1]))):
+        asked = make_requests(arrival_times("bursts", 50.0, 4.0, 1), MIX, 1)
+        self.assertEqual(read_trace(write_trace(asked)), asked)
+        good = next(write_trace(asked[1:]))
+        for bad in (b"{}", b"x", b'{"at_ms":"1"}', next(write_trace(asked[:1]))):
             with self.subTest(line=bad), self.assertRaisesRegex(ValueError, "line 2"):
-                load.read_trace([good, bad])
+                read_trace([good, bad])
 
     def test_only_loopback(self) -> None:
         """Guards against load on anybody else's server."""
         for address in ("10.0.0.1:80", "192.168.1.1:80", "8.8.8.8:53", "example.org:80", "[2001:db8::1]:80"):
             with self.subTest(address=address), self.assertRaises(ValueError):
-                load.loopback(address)
-        self.assertEqual(load.loopback("127.9.9.9:80"), ("127.9.9.9", 80))
+                parse_loopback_address(address)
+        self.assertEqual(parse_loopback_address("127.9.9.9:80"), ("127.9.9.9", 80))
         with tempfile.TemporaryDirectory() as folder, contextlib.suppress(FileNotFoundError):
             done = command("load", "10.0.0.1:80", "--record", str(Path(folder) / "t"))
             self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
--- a/tests/lab/test_traces.py
+++ b/tests/lab/test_traces.py
@@ -11,8 +11,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.lab import load
-from hallhitch.lab.traces import Recorder, from_access_log, from_csv
+from hallhitch.lab.load.generator import LoadPlan, LoadWorker
+from hallhitch.lab.load.protocols import HttpProtocol, parse_loopback_address
+from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
+from hallhitch.lab.load.trace_format import TraceRequest, read_trace, write_trace
+from hallhitch.lab.load.trace_import import AccessLogDefaults, import_access_log, import_csv
+from hallhitch.lab.load.trace_recorder import TraceRecorder
 from tests.cli.test_commands import run as command
 from tests.stand_ins import StandIn, http, read_http, soon
 
@@ -46,46 +50,53 @@
         asyncio.get_running_loop().set_debug(False)
         self.gateway, self.file = Echo(), io.BytesIO()
         await self.gateway.start()
-        self.recorder = Recorder(self.gateway.address, self.file)
+        self.recorder = TraceRecorder(self.gateway.address, self.file)
         await self.recorder.start("127.0.0.1:0")
 
     async def asyncTearDown(self) -> None:
         await self.recorder.stop()
         await self.gateway.stop()
 
-    def trace(self) -> list[load.TraceLine]:
+    def trace(self) -> list[TraceRequest]:
         """What was recorded."""
-        return load.read_trace(self.file.getvalue().splitlines())
+        return read_trace(self.file.getvalue().splitlines())
 
     async def test_what_is_recorded_is_what_was_asked(self) -> None:
         """Guards against a trace that loses, changes or reorders requests on the way."""
-        mix = load.Mix({"inspect": (0.6, 4000, False), "reject": (0.4, 1500, True)}, {"a": 0.5, "b": 0.5}, 9, 70)
-        asked = load.lines(load.times("poisson", 100.0, 1.0, 2), mix, 2)
-        tally = await load.Worker(load.Plan(self.recorder.address, "http", asked), 0.0).run(asked)
+        mix = RequestMix(
+            {"inspect": MixedClass(0.6, 4000, False), "reject": MixedClass(0.4, 1500, True)},
+            {"a": 0.5, "b": 0.5},
+            9,
+            70,
+        )
+        asked = make_requests(arrival_times("poisson", 100.0, 1.0, 2), mix, 2)
+        tally = await LoadWorker(LoadPlan(self.recorder.address, "http", asked), 0.0).run(asked)
         self.assertEqual(tally.statuses["served"], len(asked))
         found = self.trace()
         self.assertEqual(
             sorted((x.klass, x.customer, x.plan, x.units, x.deadline_ms, x.body) for x in found),
             sorted((x.klass, x.customer, x.plan, x.units, x.deadline_ms, x.body) for x in asked),
         )
-        self.assertEqual((self.recorder.recorded, self.recorder.left, self.recorder.unread), (len(asked), 0, 0))
+        self.assertEqual(
+            (self.recorder.recorded, self.recorder.skipped, self.recorder.unreadable_connections), (len(asked), 0, 0)
+        )
 
     async def test_pieces_several_at_once_and_what_is_no_request(self) -> None:
         """Guards against a recorder that changes bytes, or breaks what it cannot read."""
-        reader, writer = await asyncio.open_connection(*load.loopback(self.recorder.address))
-        line = load.TraceLine(0.0, "inspect", f"{7:016x}", "a")
-        data = load.Http(1).request(line) * 2 + b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
+        reader, writer = await asyncio.open_connection(*parse_loopback_address(self.recorder.address))
+        line = TraceRequest(0.0, "inspect", f"{7:016x}", "a")
+        data = HttpProtocol(1).encode(line) * 2 + b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
         for byte in data:
             writer.write(bytes([byte]))
             await asyncio.sleep(0)
         for _ in range(3):
             await soon(read_http(reader))
         self.assertEqual([(x.klass, x.customer) for x in self.trace()], [("inspect", line.customer)] * 2)
-        self.assertEqual(self.recorder.left, 1)
-        other, odd = await asyncio.open_connection(*load.loopback(self.recorder.address))
+        self.assertEqual(self.recorder.skipped, 1)
+        other, odd = await asyncio.open_connection(*parse_loopback_address(self.recorder.address))
         odd.write(b"*1\r\n$4\r\nPING\r\n\r\n\r\n")
         await soon(other.read())
-        self.assertEqual(self.recorder.unread, 1)
+        self.assertEqual(self.recorder.unreadable_connections, 1)
         odd.close()
         writer.close()
 
@@ -116,7 +127,8 @@
 
     def test_an_access_log(self) -> None:
         """Guards against requests that move in time, across zones, or are taken for others."""
-        found, left = from_access_log(LOG.splitlines(), "small-shop", 3000, 50)
+        imported = import_access_log(LOG.splitlines(), AccessLogDefaults("small-shop", 3000, 50))
+        found = imported.requests
         self.assertEqual(
             [(x.at_ms, x.klass, x.customer, x.plan, x.deadline_ms, x.body) for x in found],
             [
@@ -125,11 +137,11 @@
                 (2000.0, "inspect", "00000000000000ab", "small-shop", 3000, 0),
             ],
         )
-        self.assertEqual(left, 1)
-        self.assertEqual(load.read_trace(load.write_trace(found)), found)
+        self.assertEqual(imported.skipped, 1)
+        self.assertEqual(read_trace(write_trace(found)), found)
         for bad in ("nothing", LOG.splitlines()[0].replace("Dec", "Foo"), '1 - - [x] "GET / HTTP/1.1" 200 1'):
             with self.subTest(line=bad), self.assertRaisesRegex(ValueError, "line 2"):
-                from_access_log([LOG.splitlines()[0], bad], "p", 1, 1)
+                import_access_log([LOG.splitlines()[0], bad], AccessLogDefaults("p", 1, 1))
 
     def test_a_table(self) -> None:
         """Guards against columns that are mixed up, and rows out of order that go back in time."""
@@ -138,7 +150,7 @@
             "2026-12-01T10:00:01.250+00:00,reject,b,p,2,64",
             "2026-12-01T10:00:01+00:00,inspect,a,p,,",
         ]
-        found = from_csv(rows, 900)
+        found = import_csv(rows, 900)
         self.assertEqual(
             [(x.at_ms, x.klass, x.customer, x.units, x.deadline_ms, x.body) for x in found],
             [(0.0, "inspect", "a", 1.0, 900, 0), (250.0, "reject", "b", 2.0, 900, 64)],
@@ -153,15 +165,15 @@
             ([rows[0], rows[2].replace(",,", ",nine,")], "line 2"),
         ):
             with self.subTest(rows=bad), self.assertRaisesRegex(ValueError, where):
-                from_csv(bad, 900)
+                import_csv(bad, 900)
 
     @given(st.lists(st.tuples(st.floats(0, 1e6), st.sampled_from(["x", "y"]), st.integers(0, 99)), max_size=20))
     def test_any_table_is_a_trace(self, rows: list[tuple[float, str, int]]) -> None:
         """Guards against an import that the load tool cannot read."""
         text = ["at_ms,class,customer,plan", *(f"{at!r},{klass},{who:016x},p" for at, klass, who in rows)]
-        found = from_csv(text, 100)
+        found = import_csv(text, 100)
         self.assertEqual(len(found), len(rows))
-        self.assertEqual(load.read_trace(load.write_trace(found)), found)
+        self.assertEqual(read_trace(write_trace(found)), found)
 
     def test_the_command(self) -> None:
         """Guards against bad input that costs more than a line."""
