--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -31,9 +31,9 @@
 from hallhitch.decision.policy import FEW
 from hallhitch.lab import virtual_run
 from hallhitch.lab.figures import figures
-from hallhitch.lab.fleet.cluster import Cluster
-from hallhitch.lab.fleet.processes import Fleet, own, states
-from hallhitch.lab.fleet.timeline import Trouble
+from hallhitch.lab.fleet.cluster import Cluster, ClusterOptions
+from hallhitch.lab.fleet.processes import GatewayFleet, gateway_host, member_states
+from hallhitch.lab.fleet.timeline import FleetFault
 from hallhitch.lab.scenario import Fault, Scenario, replaced
 from hallhitch.lab.statistics import bootstrap_interval
 from hallhitch.lab.virtual import VirtualTime
@@ -66,34 +66,34 @@
     """One seed: quiet, a third of all datagrams lost, a crash, a split in halves for 30 s."""
     quiet()
     size, seed = job
-    c = Cluster(size, seed, sized=True)
-    c.settled()
+    c = Cluster(size, seed, options=ClusterOptions(counts_bytes=True))
+    c.start_settled()
     c.time.run(c.time.now + 8_000)
-    sent, size_of = sum(p.sent for p in c.peers.values()), sum(p.bytes for p in c.peers.values())
+    sent, size_of = sum(p.sent for p in c.members.values()), sum(p.bytes for p in c.members.values())
     c.time.run(c.time.now + 10_000)
     found = {
-        "datagrams": (sum(p.sent for p in c.peers.values()) - sent) / size / 10,
-        "bytes": (sum(p.bytes for p in c.peers.values()) - size_of) / size / 10,
+        "datagrams": (sum(p.sent for p in c.members.values()) - sent) / size / 10,
+        "bytes": (sum(p.bytes for p in c.members.values()) - size_of) / size / 10,
     }
-    loss = c.links.begin(Trouble("drop", 0.0, share=0.3))
+    loss = c.links.begin(FleetFault("drop", 0.0, share=0.3))
     c.time.run(c.time.now + 20_000)
     c.links.end(loss)
-    c.until(c.agreed, HEALED)
-    found["false"] = float(sum(n.state is MemberState.FAILED for n in c.noted))
-    found["accusations"] = float(sum(p.swim.counters.accusations for p in c.peers.values()))
-    dead, when = c.peers[size - 1], c.time.now
+    c.run_until(c.is_agreed, HEALED)
+    found["false"] = float(sum(n.state is MemberState.FAILED for n in c.view_changes))
+    found["accusations"] = float(sum(p.swim.counters.accusations for p in c.members.values()))
+    dead, when = c.members[size - 1], c.time.now
     key = dead.swim.local.key
     c.kill(size - 1)
-    gone: Callable[[], int] = lambda: sum(p.swim.members[key].record.state is MemberState.FAILED for p in c.there())  # noqa: E731
-    c.until(lambda: gone() > 0, HEALED)
+    gone: Callable[[], int] = lambda: sum(p.swim.members[key].record.state is MemberState.FAILED for p in c.running())  # noqa: E731
+    c.run_until(lambda: gone() > 0, HEALED)
     found["first"] = (c.time.now - when) / 1000
-    c.until(lambda: gone() == size - 1, HEALED)
+    c.run_until(lambda: gone() == size - 1, HEALED)
     found["all"] = (c.time.now - when) / 1000
     if size <= 200:
-        split = c.links.begin(Trouble("split", 0.0, parts=(0.5, 0.5)))
+        split = c.links.begin(FleetFault("split", 0.0, parts=(0.5, 0.5)))
         c.time.run(c.time.now + 30_000)
         c.links.end(split)
-        found["healed"] = c.until(c.agreed, HEALED) / 1000
+        found["healed"] = c.run_until(c.is_agreed, HEALED) / 1000
     return found
 
 
@@ -128,34 +128,34 @@
     """One fleet without traffic: quiet, a crash, a split of 30 s."""
     told = replaced(read(str(ROOT / "calm.toml"), Scenario), {"world.gateways": size, "world.nodes": 4})
     loop = asyncio.get_running_loop()
-    async with Fleet(told, 1) as f:
-        found = {"join": await f.agreed(180.0)}
+    async with GatewayFleet(told, 1) as f:
+        found = {"join": await f.wait_until_agreed(180.0)}
         await asyncio.sleep(60.0 if size > 100 else 20.0)  # until the news of the start are told
         pids = [process.pid for process in f.processes.values() if process is not None]
-        before, carried, began = sum(map(cpu_of, pids)), dict(f.carried), loop.time()
+        before, carried, began = sum(map(cpu_of, pids)), dict(f.datagram_counts), loop.time()
         await asyncio.sleep(seconds)
         lasted = loop.time() - began
         found["cpu"] = (sum(map(cpu_of, pids)) - before) / size / lasted * 100
-        found["datagrams"] = (f.carried["datagrams"] - carried["datagrams"]) / size / lasted
-        found["bytes"] = (f.carried["bytes"] - carried["bytes"]) / size / lasted
+        found["datagrams"] = (f.datagram_counts["datagrams"] - carried["datagrams"]) / size / lasted
+        found["bytes"] = (f.datagram_counts["bytes"] - carried["bytes"]) / size / lasted
         name = f"n{size - 1}"
         began = loop.time()
-        await f.ends(size - 1, False, None)
-        await f.until(lambda views: any(states(v).get(name) == "failed" for v in views.values()), 180.0)
+        await f.end_process(size - 1, False, None)
+        await f.wait_until(lambda views: any(member_states(v).get(name) == "failed" for v in views.values()), 180.0)
         found["first"] = loop.time() - began
-        await f.until(lambda views: all(states(v).get(name) == "failed" for v in views.values()), 180.0)
+        await f.wait_until(lambda views: all(member_states(v).get(name) == "failed" for v in views.values()), 180.0)
         found["all"] = loop.time() - began
-        split = f.begin(Trouble("split", 0.0, parts=(0.5, 0.5)))
+        split = f.begin_fault(FleetFault("split", 0.0, parts=(0.5, 0.5)))
         await asyncio.sleep(30.0)
-        f.over(split)
-        found["healed"] = await f.agreed(180.0)
+        f.end_fault(split)
+        found["healed"] = await f.wait_until_agreed(180.0)
         return found
 
 
 async def without(size: int, seconds: float) -> float:
     """Processor time of the same fleet without membership, in hundredths of a core."""
     told = replaced(read(str(ROOT / "calm.toml"), Scenario), {"world.gateways": size, "world.nodes": 4})
-    async with Fleet(told, 1, peers=False) as f:
+    async with GatewayFleet(told, 1, has_membership=False) as f:
         await asyncio.sleep(10.0)
         pids = [process.pid for process in f.processes.values() if process is not None]
         before, began = sum(map(cpu_of, pids)), asyncio.get_running_loop().time()
@@ -283,14 +283,14 @@
 
     def release(c: Cluster) -> None:
         for tenth in range(10):
-            some = Trouble("term", 0.0, 1.0, (f"g{tenth * 6}-g{tenth * 6 + 5}",))
-            c.time.after(5_000 + tenth * 10_000, c.begin, some, 1_000.0)
+            some = FleetFault("term", 0.0, 1.0, (f"g{tenth * 6}-g{tenth * 6 + 5}",))
+            c.time.after(5_000 + tenth * 10_000, c.begin_fault, some, 1_000.0)
 
     def die(c: Cluster) -> None:
-        c.time.after(5_000, c.begin, Trouble("kill", 0.0, 5.0, ("g0-g41",)), 5_000.0)
+        c.time.after(5_000, c.begin_fault, FleetFault("kill", 0.0, 5.0, ("g0-g41",)), 5_000.0)
 
     def split(c: Cluster) -> None:
-        c.time.after(5_000, c.begin, Trouble("split", 0.0, parts=(0.5, 0.5)), 30_000.0)
+        c.time.after(5_000, c.begin_fault, FleetFault("split", 0.0, parts=(0.5, 0.5)), 30_000.0)
 
     print(
         "| what happens to 60 | | servers taken up or left a gateway | most in one second | times | least and most "
@@ -327,8 +327,8 @@
                     budgets.append(counted.budget_count)
                 kept[number] = now
 
-            c = Cluster(size, 1, clock, damping=told, follow=follow)
-            c.settled()
+            c = Cluster(size, 1, clock, ClusterOptions(damping=told, on_counts=follow))
+            c.start_settled()
             happens(c)
             c.time.run(began + 160_000)
             whole = [float(sum(by.values())) for by in moved.values()]
@@ -343,8 +343,8 @@
     told = replaced(read(str(ROOT / "calm.toml"), Scenario), {"world.gateways": 3, "world.nodes": 4})
     print("| datagrams a second | what | processor, % of a core | dropped as flood | view |")
     print("| --- | --- | --- | --- | --- |")
-    async with Fleet(told, 1) as f:
-        await f.agreed()
+    async with GatewayFleet(told, 1) as f:
+        await f.wait_until_agreed()
         process = f.processes[0]
         assert process is not None
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -370,13 +370,13 @@
                     began, sent = loop.time(), 0
                     while (past := loop.time() - began) < 5.0:
                         while sent < rate * past:
-                            sock.sendto(data, (own(0), f.port))
+                            sock.sendto(data, (gateway_host(0), f.port))
                             sent += 1
                         await asyncio.sleep(0.002)
                     used = (cpu_of(process.pid) - used) / 5.0 * 100
-                    figures_ = await f.view(0, "/api/telemetry")
+                    figures_ = await f.fetch(0, "/api/telemetry")
                     flood = figures_.split('reason="flood"} ')[1].split()[0]
-                    alive = sum(state == "alive" for state in states(await f.view(0)).values())
+                    alive = sum(state == "alive" for state in member_states(await f.fetch(0)).values())
                     print(f"| {rate} | {what} | {used:.1f} | {flood} | {alive} alive |", flush=True)
 
 
--- a/hallhitch/cli/check.py
+++ b/hallhitch/cli/check.py
@@ -10,7 +10,7 @@
 from hallhitch.administration.settings import ControlSettings
 from hallhitch.catalog.tenant_file import TenantFile
 from hallhitch.lab.cases import Cases, cases
-from hallhitch.lab.fleet.timeline import TimeLine
+from hallhitch.lab.fleet.timeline import FaultTimeline
 from hallhitch.lab.scenario import Scenario
 from hallhitch.membership.settings import MembershipSettings
 from hallhitch.resp.settings import RespSettings
@@ -22,7 +22,7 @@
     "resp": RespSettings,
     "scenario": Scenario,
     "peers": MembershipSettings,
-    "timeline": TimeLine,
+    "timeline": FaultTimeline,
     "cases": Cases,
 }
 
--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -41,15 +41,15 @@
 
 async def watch(run: Any) -> None:
     """Print how many each gateway sees, whenever that changes."""
-    from hallhitch.lab.fleet.processes import there
+    from hallhitch.lab.fleet.processes import present_members
 
     loop, before = asyncio.get_running_loop(), ""
     began = loop.time()
     while True:
         views = await run.views()
-        now = " ".join(f"{len(there(views[n])):>2}" if n in views else " -" for n in range(run.count))
+        now = " ".join(f"{len(present_members(views[n])):>2}" if n in views else " -" for n in range(run.count))
         words = {view["view"] for view in views.values()}
-        lost = "all see the same" if len({tuple(there(v)) for v in views.values()}) == 1 else "views differ"
+        lost = "all see the same" if len({tuple(present_members(v)) for v in views.values()}) == 1 else "views differ"
         if now != before:
             before = now
             click.echo(f"{loop.time() - began:>6.1f}  {now}   {lost}; {', '.join(sorted(words))}")
@@ -63,32 +63,32 @@
     """A dozen gateways under traffic: cut in two, healed, and what each sees of the others. Exit code 1 if a rule was
     broken or they did not come together again."""
     from hallhitch.lab.checker import check
-    from hallhitch.lab.fleet.processes import Fleet
-    from hallhitch.lab.fleet.timeline import Trouble
+    from hallhitch.lab.fleet.processes import GatewayFleet
+    from hallhitch.lab.fleet.timeline import FleetFault
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     told = prepared("calm", gateways, 45.0)
 
     async def play() -> Any:
-        async with Fleet(told, seed) as run:
+        async with GatewayFleet(told, seed) as run:
             click.echo(f"{gateways} gateways, {told.world.nodes} nodes; how many others and itself each sees")
             click.echo(f"{'s':>6}  " + " ".join(f"{f'n{n}':>2}"[:3] for n in range(gateways)))
             shown, load = asyncio.create_task(watch(run)), asyncio.create_task(run.drive())
-            click.echo(f"        one view after {await run.agreed():.1f} s")
-            cut = run.begin(Trouble("split", 0.0, parts=(0.5, 0.5)))
+            click.echo(f"        one view after {await run.wait_until_agreed():.1f} s")
+            cut = run.begin_fault(FleetFault("split", 0.0, parts=(0.5, 0.5)))
             click.echo("        the links between the first half and the second are cut")
             half = gateways - gateways // 2
-            took = await run.until(
+            took = await run.wait_until(
                 lambda views: all(
                     sum(m["state"] in ("alive", "suspect") for m in v["members"]) <= half for v in views.values()
                 )
             )
             click.echo(f"        each half by itself after {took:.1f} s; both go on serving")
             await asyncio.sleep(6.0)
-            run.over(cut)
+            run.end_fault(cut)
             click.echo("        the links are whole again")
-            click.echo(f"        one view after {await run.agreed():.1f} s")
-            took = await run.until(lambda views: all(v["places"] == gateways for v in views.values()))
+            click.echo(f"        one view after {await run.wait_until_agreed():.1f} s")
+            took = await run.wait_until(lambda views: all(v["places"] == gateways for v in views.values()))
             click.echo(f"        all count on all again after another {took:.1f} s")
             await load
             shown.cancel()
@@ -166,18 +166,18 @@
     from hallhitch.lab.evenness import evenness
     from hallhitch.lab.evenness_page import page
     from hallhitch.lab.figures import figures
-    from hallhitch.lab.fleet.processes import Fleet
-    from hallhitch.lab.fleet.timeline import TimeLine
+    from hallhitch.lab.fleet.processes import GatewayFleet
+    from hallhitch.lab.fleet.timeline import FaultTimeline
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     sizes = {"world.nodes": nodes, "traffic.rate": rate}
     told = prepared(scenario, gateways, seconds, {path: value for path, value in sizes.items() if value}, own)
-    faults = read(str(line), TimeLine) if line is not None else TimeLine()
+    faults = read(str(line), FaultTimeline) if line is not None else FaultTimeline()
 
     async def play() -> Any:
-        async with Fleet(told, seed, faults, peers=not without_peers) as run:
+        async with GatewayFleet(told, seed, faults, has_membership=not without_peers) as run:
             if not without_peers:
-                click.echo(f"one view after {await run.agreed():.1f} s")
+                click.echo(f"one view after {await run.wait_until_agreed():.1f} s")
                 shown = asyncio.create_task(watch(run))
             await run.drive()
             if not without_peers:
--- a/hallhitch/lab/emulator/network_paths.py
+++ b/hallhitch/lab/emulator/network_paths.py
@@ -12,7 +12,7 @@
 from typing import Final, Literal
 
 from hallhitch.lab.fleet.links import Links
-from hallhitch.lab.fleet.timeline import Trouble
+from hallhitch.lab.fleet.timeline import FleetFault
 from hallhitch.lab.streams import Streams
 from hallhitch.node.clock import now
 
@@ -72,7 +72,7 @@
         """Begin a fault of the links between processes and peers, by name (no peers: all); return its number."""
         target_names = tuple(map(self.link_name, targets))
         peer_names = tuple(map(self.link_name, peers))
-        number = self._links.begin(Trouble(kind, 0.0, whom=target_names, to=peer_names, one_way=one_way))
+        number = self._links.begin(FleetFault(kind, 0.0, whom=target_names, to=peer_names, one_way=one_way))
         self._notify()
         return number
 
@@ -88,7 +88,7 @@
     def is_blocked(self, sender: str, receiver: str) -> bool:
         """Whether nothing passes this way now."""
         source, target = self.link_name(sender), self.link_name(receiver)
-        return self._links.cut(source, target) or self._links.stalled(source, target)
+        return self._links.is_cut(source, target) or self._links.is_stalled(source, target)
 
     async def wait_for_link(self, sender: str, receiver: str, until_ms: float = 0.0) -> None:
         """Wait until a moment, and for as long as the link is blocked: what a cut holds back arrives later."""
--- a/hallhitch/lab/fleet/cluster.py
+++ b/hallhitch/lab/fleet/cluster.py
@@ -1,6 +1,7 @@
-"""Members in virtual time: the real state machines on modelled links, hundreds or a thousand of them.
+"""Membership in virtual time: the real protocol state machines on modelled links, hundreds or a thousand of them.
 
-What each learned of whom, and when, is kept; so detection, false accusations and the time to agree can be read from it.
+Each change of each member's view is recorded, so that detection times, false accusations and the time to agree can be
+read from it. Times in ms.
 """
 
 from __future__ import annotations
@@ -9,9 +10,10 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Final
 
 from hallhitch.lab.fleet.links import Links
-from hallhitch.lab.fleet.timeline import TimeLine, Trouble, numbers
+from hallhitch.lab.fleet.timeline import FaultTimeline, FleetFault, gateway_numbers
 from hallhitch.lab.streams import Stream, Streams
 from hallhitch.lab.virtual import EPOCH, Handle, VirtualTime
 from hallhitch.membership.damped_view import DampedView, DampingSettings, GatewayCounts
@@ -22,32 +24,35 @@
 from hallhitch.membership.records import MemberRecord, MemberState
 from hallhitch.membership.swim import Swim
 
-WAY = (0.2, 0.8)  # ms that a datagram takes one way
-CLUSTER = "lab"
+ONE_WAY_DELAY_MS: Final = (0.2, 0.8)
+TERMINATION_MS: Final = 500.0  # from SIGTERM to the end of the process
+SEED_COUNT: Final = 3  # members whose addresses each member is started with
+SOCKET_BUFFER_DATAGRAMS: Final = 256  # as many as the socket of a suspended process holds
+CLUSTER_NAME: Final = "lab"
 
 
-@dataclass(slots=True)
-class Noted:
-    """One change of one view."""
+@dataclass(frozen=True, slots=True)
+class ViewChange:
+    """One change of one member's view."""
 
-    at: float
-    by: int
+    at: float  # since the run began
+    by: int  # number of the member whose view changed
     about: str
     instance: int
     state: MemberState
-    was: MemberState | None
+    previous_state: MemberState | None
 
 
 @dataclass(slots=True, eq=False)
-class Peer:
-    """One process: it may stand still, and then what comes waits."""
+class ModelledMember:
+    """One process; while it is suspended, datagrams are queued for it."""
 
     number: int
     protocol: MembershipProtocol
-    alive: bool = True
-    waiting: list[Datagram] | None = None  # while it stands still
+    is_alive: bool = True
+    queued: list[Datagram] | None = None  # None while it runs
     timer: Handle | None = None
-    counted: list[GatewayCounts] = field(default_factory=list)
+    counts: list[GatewayCounts] = field(default_factory=list)
     sent: int = 0
     bytes: int = 0
 
@@ -58,216 +63,235 @@
 
     @property
     def damped_view(self) -> DampedView:
-        """Whom it counts on."""
+        """Its view, damped."""
         return self.protocol.damped_view
 
+    @property
+    def is_running(self) -> bool:
+        """Whether it is alive and not suspended."""
+        return self.is_alive and self.queued is None
+
+
+@dataclass(frozen=True, slots=True)
+class ClusterOptions:
+    """What is special about a run."""
+
+    protocol_settings: ProtocolSettings = field(default_factory=ProtocolSettings)
+    damping: DampingSettings = field(default_factory=DampingSettings)
+    counts_bytes: bool = False  # whether datagrams are encoded, to count their bytes
+    process_delay_ms: Callable[[int], float] = lambda number: 0.0  # by which a busy process handles events late
+    on_counts: Callable[[int, GatewayCounts], None] = lambda number, counts: None
+
 
 class Cluster:
-    """All members of a run. `follow` hears what follows for a gateway, by number; `sized` counts bytes too."""
+    """The members of a run."""
 
     def __init__(
-        self,
-        count: int,
-        seed: int,
-        time: VirtualTime | None = None,
-        tuning: ProtocolSettings | None = None,
-        damping: DampingSettings | None = None,
-        seeds: int = 3,
-        told: int | None = None,
-        sized: bool = False,
-        slow: Callable[[int], float] = lambda number: 0.0,
-        follow: Callable[[int, GatewayCounts], None] = lambda number, counted: None,
+        self, count: int, seed: int, time: VirtualTime | None = None, options: ClusterOptions | None = None
     ) -> None:
-        self.time, self.count = time or VirtualTime(), count
-        self._streams, self.tuning, self.damping = (
-            Streams(seed),
-            tuning or ProtocolSettings(),
-            damping or DampingSettings(),
-        )
-        self._seeds = tuple(address(n) for n in range(min(seeds, count)))
-        self._told, self._sized, self._slow, self._follow = count if told is None else told, sized, slow, follow
+        self.time = time or VirtualTime()
+        self.count = count
+        self._options = options or ClusterOptions()
+        self._initial_count = count
+        self._streams = Streams(seed)
+        self._seed_addresses = tuple(member_address(number) for number in range(min(SEED_COUNT, count)))
         self.links = Links(count, self._streams.of("links"))
-        self._way: Stream = self._streams.of("way")
-        self.peers: dict[int, Peer] = {}
+        self._delay_stream: Stream = self._streams.of("way")
+        self.members: dict[int, ModelledMember] = {}
         self._starts: Counter[int] = Counter()
-        self.noted: list[Noted] = []
-        self._held: list[tuple[int, int, Datagram]] = []  # on stalled links
+        self.view_changes: list[ViewChange] = []
+        self._stalled: list[tuple[int, int, Datagram]] = []  # sender, receiver and datagram on stalled links
 
     # Processes.
 
-    def start(self, number: int, name: str = "", kin: int | None = None) -> Peer:
-        """A process starts."""
-        peer = self._made(number, name, kin)
-        peer.swim.start(self.time.now)
-        self._done(peer)
-        return peer
+    def start(self, number: int, name: str = "", gateway_id: int | None = None) -> ModelledMember:
+        """Start a process; one with the `gateway_id` of another is its replacement."""
+        member = self._create(number, name, gateway_id)
+        member.swim.start(self.time.now)
+        self._finish_step(member)
+        return member
 
-    def settled(self) -> None:
-        """All are there and know each other, as after a long quiet."""
+    def start_settled(self) -> None:
+        """Start all processes with complete views, as after a long time without changes."""
         for number in range(self.count):
-            self._made(number, "", None)
-        records = [peer.swim.local for peer in self.peers.values()]
-        for peer in self.peers.values():
-            peer.swim.restore(records, self.time.now)
-            peer.swim.start(self.time.now)
-            self._done(peer)
-
-    def _made(self, number: int, name: str, kin: int | None) -> Peer:
+            self._create(number, "", None)
+        records = [member.swim.local for member in self.members.values()]
+        for member in self.members.values():
+            member.swim.restore(records, self.time.now)
+            member.swim.start(self.time.now)
+            self._finish_step(member)
+
+    def start_all(self, within_ms: float = 0.0) -> None:
+        """Schedule the start of all processes, evenly within a time."""
+        for number in range(self.count):
+            self.time.after(within_ms * number / self.count, self.start, number)
+
+    def _create(self, number: int, name: str, gateway_id: int | None) -> ModelledMember:
         self._starts[number] += 1
         rng = random.Random(self._streams.of(f"member {number} start {self._starts[number]}").random())
         instance = rng.getrandbits(63)
-        me = MemberRecord(
-            name or f"g{number}", instance, 0, MemberState.ALIVE, address(number), instance if kin is None else kin
-        )
-        now = self.time.now
-        peer = self.peers[number] = Peer(
-            number,
-            MembershipProtocol(
-                Swim(me, CLUSTER, self.tuning, rng, self._seeds), DampedView(me, self._told, self.damping, now)
-            ),
+        local = MemberRecord(
+            name or f"g{number}",
+            instance,
+            0,
+            MemberState.ALIVE,
+            member_address(number),
+            instance if gateway_id is None else gateway_id,
         )
-        return peer
-
-    def start_all(self, over: float = 0.0) -> None:
-        """All start, within so many ms."""
-        for number in range(self.count):
-            self.time.after(over * number / self.count, self.start, number)
+        options = self._options
+        swim = Swim(local, CLUSTER_NAME, options.protocol_settings, rng, self._seed_addresses)
+        damped_view = DampedView(local, self._initial_count, options.damping, self.time.now)
+        member = self.members[number] = ModelledMember(number, MembershipProtocol(swim, damped_view))
+        return member
 
     def kill(self, number: int) -> None:
-        """A process dies."""
-        self.peers[number].alive = False
-
-    def stop(self, number: int) -> None:
-        """A process stands still."""
-        self.peers[number].waiting = []
-
-    def go_on(self, number: int) -> None:
-        """It goes on, with what has come."""
-        peer = self.peers[number]
-        waiting, peer.waiting = peer.waiting or [], None
-        for message in waiting:
-            self._hear(peer, message)
-        self._tick(peer)
-
-    def term(self, number: int) -> None:
-        """A process is told to end: it leaves, and is gone a little later."""
-        peer = self.peers[number]
-        peer.swim.leave(self.time.now)
-        self._done(peer)
-        self.time.after(500.0, self._gone, peer)
-
-    def _gone(self, peer: Peer) -> None:
-        peer.alive = False
-
-    def play(self, line: TimeLine) -> None:
-        """Have all that a time line says happen."""
-        for trouble in line.troubles:
-            for begins, ends in trouble.times():
-                self.time.at(EPOCH + begins, self.begin, trouble, ends - begins)
-
-    def begin(self, trouble: Trouble, lasts: float) -> None:
-        """A trouble begins now."""
-        whom = [n for n in numbers(trouble.whom, self.count) if n in self.peers and self.peers[n].alive]
-        if trouble.kind in ("kill", "restart", "term"):
-            for number in whom:
-                (self.term if trouble.kind == "term" else self.kill)(number)
-                if lasts or trouble.kind == "restart":
-                    self.time.after(lasts, self.start, number)
-        elif trouble.kind == "stop":
-            for number in whom:
-                self.stop(number)
-                self.time.after(lasts, self.go_on, number)
+        """Kill a process (SIGKILL)."""
+        self.members[number].is_alive = False
+
+    def suspend(self, number: int) -> None:
+        """Stop a process (SIGSTOP)."""
+        self.members[number].queued = []
+
+    def resume(self, number: int) -> None:
+        """Continue a process (SIGCONT), with the datagrams that were queued."""
+        member = self.members[number]
+        queued, member.queued = member.queued or [], None
+        for message in queued:
+            self._handle(member, message)
+        self._on_timer(member)
+
+    def terminate(self, number: int) -> None:
+        """End a process (SIGTERM): it leaves, and is gone a little later."""
+        member = self.members[number]
+        member.swim.leave(self.time.now)
+        self._finish_step(member)
+        self.time.after(TERMINATION_MS, self._on_terminated, member)
+
+    def _on_terminated(self, member: ModelledMember) -> None:
+        member.is_alive = False
+
+    # Faults.
+
+    def schedule(self, timeline: FaultTimeline) -> None:
+        """Schedule all faults of a timeline."""
+        for fault in timeline.faults:
+            for begins_at, ends_at in fault.times():
+                self.time.at(EPOCH + begins_at, self.begin_fault, fault, ends_at - begins_at)
+
+    def begin_fault(self, fault: FleetFault, duration_ms: float) -> None:
+        """Begin a fault now."""
+        numbers = gateway_numbers(fault.whom, self.count)
+        targets = [n for n in numbers if n in self.members and self.members[n].is_alive]
+        if fault.kind in ("kill", "restart", "term"):
+            for number in targets:
+                if fault.kind == "term":
+                    self.terminate(number)
+                else:
+                    self.kill(number)
+                if duration_ms or fault.kind == "restart":
+                    self.time.after(duration_ms, self.start, number)
+        elif fault.kind == "stop":
+            for number in targets:
+                self.suspend(number)
+                self.time.after(duration_ms, self.resume, number)
         else:
-            self.time.after(lasts, self._over, self.links.begin(trouble))
+            self.time.after(duration_ms, self._end_link_fault, self.links.begin(fault))
 
-    def _over(self, number: int) -> None:
-        self.links.end(number)
-        held, self._held = self._held, []
-        for sender, receiver, message in held:
-            self._carry(sender, receiver, message)
+    def _end_link_fault(self, fault_id: int) -> None:
+        self.links.end(fault_id)
+        stalled, self._stalled = self._stalled, []
+        for sender, receiver, message in stalled:
+            self._send(sender, receiver, message)
 
     # Views.
 
-    def there(self) -> list[Peer]:
-        """Processes that live and do not stand still."""
-        return [peer for peer in self.peers.values() if peer.alive and peer.waiting is None]
+    def running(self) -> list[ModelledMember]:
+        """The processes that are alive and not suspended."""
+        return [member for member in self.members.values() if member.is_running]
 
-    def agreed(self) -> bool:
-        """Whether all that live hold the same to be there, and nobody else."""
-        living = {
-            peer.swim.local.key for peer in self.peers.values() if peer.alive and peer.swim.local.state.is_present
+    def is_agreed(self) -> bool:
+        """Whether all that run hold exactly the present members to be alive."""
+        present = {
+            member.swim.local.key
+            for member in self.members.values()
+            if member.is_alive and member.swim.local.state.is_present
         }
-        return bool(living) and all(
-            {r.key: r.state for r in peer.swim.records() if r.state.is_present}
-            == dict.fromkeys(living, MemberState.ALIVE)
-            for peer in self.there()
-            if peer.swim.local.state.is_present
+        expected = dict.fromkeys(present, MemberState.ALIVE)
+        return bool(present) and all(
+            {record.key: record.state for record in member.swim.records() if record.state.is_present} == expected
+            for member in self.running()
+            if member.swim.local.state.is_present
         )
 
-    def until(self, holds: Callable[[], bool], most: float, step: float = 100.0) -> float:
-        """Go on until something holds, and say how many ms that took; `most` where it did not."""
-        began = self.time.now
-        while not holds() and self.time.now - began < most:
-            self.time.run(self.time.now + step)
-        return min(most, self.time.now - began)
+    def run_until(self, condition: Callable[[], bool], limit_ms: float, step_ms: float = 100.0) -> float:
+        """Run until a condition holds, and return the ms that it took; `limit_ms` if it did not."""
+        began_at = self.time.now
+        while not condition() and self.time.now - began_at < limit_ms:
+            self.time.run(self.time.now + step_ms)
+        return min(limit_ms, self.time.now - began_at)
 
     # Driving.
 
-    def _done(self, peer: Peer) -> None:
-        step = peer.protocol.finish_step(self.time.now)
-        for to, message in step.outgoing:
-            peer.sent += 1
-            if self._sized:
-                peer.bytes += len(encode(message))
-            self._carry(peer.number, int(to.rpartition(":")[2]) - 1, message)
+    def _finish_step(self, member: ModelledMember) -> None:
+        """Carry out what a step of a member's state machine produced, and set its timer."""
+        step = member.protocol.finish_step(self.time.now)
+        for address, message in step.outgoing:
+            member.sent += 1
+            if self._options.counts_bytes:
+                member.bytes += len(encode(message))
+            self._send(member.number, int(address.rpartition(":")[2]) - 1, message)
         for change in step.changes:
-            self._note(peer, change)
+            self._record_change(member, change)
         if step.counts is not None:
-            peer.counted.append(step.counts)
-            self._follow(peer.number, step.counts)
-        if peer.timer is not None:
-            peer.timer.cancel()
-        # A busy process comes late to its timers.
-        peer.timer = self.time.at(peer.protocol.next_wake() + self._slow(peer.number), self._tick, peer)
-
-    def _tick(self, peer: Peer) -> None:
-        if peer.alive and peer.waiting is None and self.peers.get(peer.number) is peer:
-            peer.swim.tick(self.time.now)
-            self._done(peer)
-
-    def _carry(self, sender: int, receiver: int, message: Datagram) -> None:
-        one, other = f"g{sender}", f"g{receiver}"
-        if self.links.stalled(one, other):
-            self._held.append((sender, receiver, message))
+            member.counts.append(step.counts)
+            self._options.on_counts(member.number, step.counts)
+        if member.timer is not None:
+            member.timer.cancel()
+        wake_at = member.protocol.next_wake() + self._options.process_delay_ms(member.number)
+        member.timer = self.time.at(wake_at, self._on_timer, member)
+
+    def _on_timer(self, member: ModelledMember) -> None:
+        if member.is_running and self.members.get(member.number) is member:
+            member.swim.tick(self.time.now)
+            self._finish_step(member)
+
+    def _send(self, sender: int, receiver: int, message: Datagram) -> None:
+        sender_name, receiver_name = f"g{sender}", f"g{receiver}"
+        if self.links.is_stalled(sender_name, receiver_name):
+            self._stalled.append((sender, receiver, message))
             return
-        for late in self.links.copies(one, other):
-            self.time.after(late + self._way.between(*WAY), self._arrive, receiver, message)
+        for delay_ms in self.links.datagram_delays(sender_name, receiver_name):
+            one_way_ms = self._delay_stream.between(*ONE_WAY_DELAY_MS)
+            self.time.after(delay_ms + one_way_ms, self._arrive, receiver, message)
 
     def _arrive(self, receiver: int, message: Datagram) -> None:
-        peer = self.peers.get(receiver)
-        if peer is None or not peer.alive:
+        member = self.members.get(receiver)
+        if member is None or not member.is_alive:
             return
-        if peer.waiting is not None:
-            if len(peer.waiting) < 256:  # as many as its socket holds
-                peer.waiting.append(message)
-        elif late := self._slow(receiver):
-            self.time.after(late, self._heard_late, peer, message)
+        if member.queued is not None:
+            if len(member.queued) < SOCKET_BUFFER_DATAGRAMS:
+                member.queued.append(message)
+        elif delay_ms := self._options.process_delay_ms(receiver):
+            self.time.after(delay_ms, self._handle_late, member, message)
         else:
-            self._hear(peer, message)
+            self._handle(member, message)
 
-    def _heard_late(self, peer: Peer, message: Datagram) -> None:
-        if peer.alive and peer.waiting is None:
-            self._hear(peer, message)
+    def _handle_late(self, member: ModelledMember, message: Datagram) -> None:
+        if member.is_running:
+            self._handle(member, message)
 
-    def _hear(self, peer: Peer, message: Datagram) -> None:
-        peer.swim.handle_message(message, self.time.now)
-        self._done(peer)
+    def _handle(self, member: ModelledMember, message: Datagram) -> None:
+        member.swim.handle_message(message, self.time.now)
+        self._finish_step(member)
 
-    def _note(self, peer: Peer, change: MemberChange) -> None:
-        r = change.record
-        self.noted.append(Noted(self.time.now - EPOCH, peer.number, r.name, r.instance, r.state, change.previous_state))
+    def _record_change(self, member: ModelledMember, change: MemberChange) -> None:
+        record = change.record
+        at = self.time.now - EPOCH
+        self.view_changes.append(
+            ViewChange(at, member.number, record.name, record.instance, record.state, change.previous_state)
+        )
 
 
-def address(number: int) -> str:
-    """Where a member of a modelled cluster is reached."""
+def member_address(number: int) -> str:
+    """The address of a member of a modelled cluster."""
     return f"127.0.0.1:{number + 1}"
--- a/hallhitch/lab/fleet/links.py
+++ b/hallhitch/lab/fleet/links.py
@@ -1,88 +1,99 @@
-"""What becomes of what one party sends to another, by the troubles that there are now: free of I/O and of time."""
+"""The state of the links between parties under the faults in force: free of I/O and of time. Delays in ms."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from hallhitch.lab.fleet.timeline import Trouble, Whom, numbers, split
+from hallhitch.lab.fleet.timeline import FleetFault, Parties, gateway_numbers, partition_groups
 from hallhitch.lab.streams import Stream
 
 
 @dataclass(slots=True)
-class _Active:
-    trouble: Trouble
-    senders: frozenset[str]  # none: everybody
-    receivers: frozenset[str]
-    parts: list[frozenset[str]]
-
-    def befalls(self, sender: str, receiver: str) -> bool:
-        """Whether it befalls what goes this way."""
-        if self.trouble.kind == "split":
-            one = next((n for n, part in enumerate(self.parts) if sender in part), None)
-            other = next((n for n, part in enumerate(self.parts) if receiver in part), None)
-            return one is not None and other is not None and one != other
+class _ActiveFault:
+    fault: FleetFault
+    senders: frozenset[str]  # none means all
+    receivers: frozenset[str]  # none means all
+    groups: list[frozenset[str]]  # of a split
+
+    def affects(self, sender: str, receiver: str) -> bool:
+        """Whether it affects what is sent this way."""
+        if self.fault.kind == "split":
+            sender_group, receiver_group = self._group_of(sender), self._group_of(receiver)
+            is_known = sender_group is not None and receiver_group is not None
+            return is_known and sender_group != receiver_group
         if self._matches(sender, receiver):
             return True
-        return not self.trouble.one_way and self._matches(receiver, sender)
+        return not self.fault.one_way and self._matches(receiver, sender)
+
+    def _group_of(self, party: str) -> int | None:
+        return next((number for number, group in enumerate(self.groups) if party in group), None)
 
     def _matches(self, sender: str, receiver: str) -> bool:
-        return (not self.senders or sender in self.senders) and (not self.receivers or receiver in self.receivers)
+        is_sender = not self.senders or sender in self.senders
+        is_receiver = not self.receivers or receiver in self.receivers
+        return is_sender and is_receiver
 
 
 class Links:
-    """All links of a run, and what ails them."""
+    """All links of a run, and the faults in force."""
 
     def __init__(self, gateways: int, stream: Stream) -> None:
-        self._gateways, self._stream = gateways, stream
-        self._active: dict[int, _Active] = {}
-        self._number = 0
-
-    def begin(self, trouble: Trouble) -> int:
-        """A trouble begins; its number, to end it by."""
-        self._number += 1
-        self._active[self._number] = _Active(
-            trouble, self._names(trouble.whom), self._names(trouble.to), split(trouble.parts, self._gateways)
-        )
-        return self._number
-
-    def end(self, number: int) -> None:
-        """It is over."""
-        self._active.pop(number, None)
-
-    def heal(self) -> None:
-        """All are over."""
+        self._gateways = gateways
+        self._stream = stream
+        self._active: dict[int, _ActiveFault] = {}
+        self._last_id = 0
+
+    def begin(self, fault: FleetFault) -> int:
+        """Put a fault in force; returns the id to end it by."""
+        self._last_id += 1
+        senders, receivers = self._names(fault.whom), self._names(fault.to)
+        groups = partition_groups(fault.parts, self._gateways)
+        self._active[self._last_id] = _ActiveFault(fault, senders, receivers, groups)
+        return self._last_id
+
+    def end(self, fault_id: int) -> None:
+        """End a fault."""
+        self._active.pop(fault_id, None)
+
+    def end_all(self) -> None:
+        """End all faults."""
         self._active.clear()
 
-    def cut(self, sender: str, receiver: str) -> bool:
-        """Whether nothing passes this way, nor new connections."""
-        return any(a.trouble.kind in ("cut", "split") and a.befalls(sender, receiver) for a in self._active.values())
+    def is_cut(self, sender: str, receiver: str) -> bool:
+        """Whether neither data nor new connections pass this way."""
+        return any(
+            active.fault.kind in ("cut", "split") and active.affects(sender, receiver)
+            for active in self._active.values()
+        )
 
-    def stalled(self, sender: str, receiver: str) -> bool:
-        """Whether what is sent this way waits until it is over."""
-        return any(a.trouble.kind == "stall" and a.befalls(sender, receiver) for a in self._active.values())
+    def is_stalled(self, sender: str, receiver: str) -> bool:
+        """Whether what is sent this way waits until the fault ends."""
+        return any(
+            active.fault.kind == "stall" and active.affects(sender, receiver) for active in self._active.values()
+        )
 
-    def copies(self, sender: str, receiver: str) -> list[float]:
-        """How late each copy of a datagram arrives, in ms: none where it is lost."""
+    def datagram_delays(self, sender: str, receiver: str) -> list[float]:
+        """Draw the delay of each copy of a datagram that arrives; none if it is lost."""
         if not self._active:
             return [0.0]
-        late = [0.0]
+        delays_ms = [0.0]
         for active in self._active.values():
-            trouble = active.trouble
-            if not active.befalls(sender, receiver):
+            fault = active.fault
+            if not active.affects(sender, receiver):
                 continue
-            if trouble.kind in ("cut", "split"):
+            if fault.kind in ("cut", "split"):
                 return []
-            if trouble.kind == "drop":
-                late = [ms for ms in late if not self._stream.chance(trouble.share)]
-            elif trouble.kind == "duplicate":
-                late += [ms for ms in late if self._stream.chance(trouble.share)]
-            elif trouble.kind == "delay":
-                late = [
-                    ms + (self._stream.between(*trouble.delay_ms) if self._stream.chance(trouble.share) else 0.0)
-                    for ms in late
-                ]
-        return late
-
-    def _names(self, whom: Whom) -> frozenset[str]:
-        named = {f"g{n}" for n in numbers(whom, self._gateways)}
-        return frozenset(named | {name for name in whom if not name.startswith("g")})
+            if fault.kind == "drop":
+                delays_ms = [ms for ms in delays_ms if not self._stream.chance(fault.share)]
+            elif fault.kind == "duplicate":
+                delays_ms += [ms for ms in delays_ms if self._stream.chance(fault.share)]
+            elif fault.kind == "delay":
+                delays_ms = [ms + self._draw_delay(fault) for ms in delays_ms]
+        return delays_ms
+
+    def _draw_delay(self, fault: FleetFault) -> float:
+        return self._stream.between(*fault.delay_ms) if self._stream.chance(fault.share) else 0.0
+
+    def _names(self, parties: Parties) -> frozenset[str]:
+        gateways = {f"g{number}" for number in gateway_numbers(parties, self._gateways)}
+        return frozenset(gateways | {name for name in parties if not name.startswith("g")})
--- a/hallhitch/lab/fleet/processes.py
+++ b/hallhitch/lab/fleet/processes.py
@@ -1,8 +1,8 @@
-"""Several real gateways with faults between them: the world on sockets, and each gateway's datagrams over a relay.
+"""Real gateway processes with membership: a run on sockets with each gateway's datagrams over a relay.
 
-A gateway has a loopback address of its own and tells others the address of its relay. A relay is one socket: it knows
-who sent a datagram by the sender's address, and hands it on from the sender's relay. So a fleet of any size needs one
-relay socket a gateway, and every link between two can be cut, slowed or stalled by itself.
+A gateway has a loopback address of its own and advertises the address of its relay. A relay is one socket: it knows
+the sender of a datagram by the source address, and forwards it from the sender's relay. So a fleet of any size needs
+one relay socket a gateway, and the link between any two can be cut, delayed or stalled on its own.
 """
 
 from __future__ import annotations
@@ -13,85 +13,85 @@
 import socket
 import tempfile
 from collections import Counter
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any, cast
+from typing import Any, Final, cast
 
 from hallhitch.lab.errors import GatewayNotRunningError
 from hallhitch.lab.fleet.links import Links
-from hallhitch.lab.fleet.timeline import TimeLine, Trouble, numbers
+from hallhitch.lab.fleet.timeline import FaultTimeline, FleetFault, gateway_numbers
 from hallhitch.lab.http_wire import read_message
 from hallhitch.lab.scenario import Scenario
-from hallhitch.lab.sockets.http_clients import OnSecond
 from hallhitch.lab.sockets.listener import free_port
 from hallhitch.lab.sockets.run import SocketRun
 from hallhitch.lab.streams import Streams
 
-LOOK = 0.03  # s between looks at views
-GUARD = 60.0  # s after which a wait was in vain
-HELD_MOST = 4_096  # datagrams on stalled links
-View = dict[str, Any]  # what a gateway's second address tells of its members
+VIEW_POLL_S: Final = 0.03  # between looks at the gateways' views
+WAIT_TIMEOUT_S: Final = 60.0  # for a condition of the views to hold
+FETCH_TIMEOUT_S: Final = 5.0  # for a gateway's operator address to answer
+MAX_STALLED_DATAGRAMS: Final = 4_096  # that are kept on stalled links
+RELAY_BUFFER_BYTES: Final = 1 << 20  # of a relay's socket, so that bursts of a large fleet are not lost there
+SEEDS: Final = (0, 1, 2)  # gateways whose addresses each gateway is started with
+View = dict[str, Any]  # the answer of a gateway's /api/members
 
 
-def own(number: int) -> str:
-    """A gateway's address."""
+def gateway_host(number: int) -> str:
+    """The loopback address of a gateway."""
     return f"127.1.{number >> 8}.{1 + (number & 255)}" if number & 255 != 255 else f"127.1.{number >> 8}.0"
 
 
-def relay_of(number: int) -> str:
-    """Its relay's."""
-    return own(number).replace("127.1.", "127.2.", 1)
+def relay_host(number: int) -> str:
+    """The loopback address of a gateway's relay."""
+    return gateway_host(number).replace("127.1.", "127.2.", 1)
 
 
 class Relay(asyncio.DatagramProtocol):
-    """Stands where others believe a gateway to be."""
+    """Receives the datagrams for a gateway at the address that it advertises."""
 
-    def __init__(self, number: int, fleet: Fleet) -> None:
-        self.number, self._fleet = number, fleet
+    def __init__(self, number: int, fleet: GatewayFleet) -> None:
+        self.number = number
+        self._fleet = fleet
         self.transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It stands."""
+        """Keep the socket's transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """A datagram for this gateway has come."""
-        self._fleet.carry(addr[0], self.number, data)
+        """Forward a datagram for this gateway."""
+        self._fleet.forward(addr[0], self.number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there now: as on any network, that is lost."""
+        """Ignore that a gateway does not listen: the datagram is lost, as on any network."""
 
 
-class Fleet(SocketRun):
-    """A run whose gateways know each other, and the faults between them. `peers` off starts them without membership;
-    `numbered` says which number each is told to have."""
+class GatewayFleet(SocketRun):
+    """A run whose gateways know each other by membership, with faults between them; a context manager."""
 
     def __init__(
         self,
         scenario: Scenario,
         seed: int,
-        line: TimeLine | None = None,
-        peers: bool = True,
-        file: str = "",
-        seeds: Iterable[int] = (0, 1, 2),
-        numbered: Callable[[int], int] = lambda n: n,
-        tick: OnSecond | None = None,
+        timeline: FaultTimeline | None = None,
+        has_membership: bool = True,
+        peers_settings: str = "",
     ) -> None:
-        """`file` are further lines of each gateway's peers file."""
-        super().__init__(scenario, seed, tick)
-        self.line, self._peers, self._file, self._seeds = line or TimeLine(), peers, file, tuple(seeds)
-        self._numbered = numbered
+        """`peers_settings` are further lines of each gateway's peers file."""
+        super().__init__(scenario, seed)
+        self.timeline = timeline or FaultTimeline()
+        self._has_membership = has_membership
+        self._peers_settings = peers_settings
         self.count = scenario.world.gateways
         self.links = Links(self.count, Streams(seed).of("links"))
         self.port, self.ops_port = free_port(), free_port()
         self.relays: dict[int, Relay] = {}
-        self._held: list[tuple[int, int, bytes]] = []
-        self._moved = asyncio.Event()  # links have changed
-        self._numbers = {own(number): number for number in range(self.count)}
-        self.lines: dict[int, list[dict[str, Any]]] = {number: [] for number in range(self.count)}
-        self.carried: Counter[str] = Counter()
+        self._stalled: list[tuple[int, int, bytes]] = []  # sender, receiver and datagram on stalled links
+        self._links_changed = asyncio.Event()
+        self._number_by_host = {gateway_host(number): number for number in range(self.count)}
+        self.log_lines: dict[int, list[dict[str, Any]]] = {number: [] for number in range(self.count)}
+        self.datagram_counts: Counter[str] = Counter()
 
-    async def __aenter__(self) -> Fleet:
+    async def __aenter__(self) -> GatewayFleet:
         self._temporary = tempfile.TemporaryDirectory()
         try:
             await self.open(Path(self._temporary.name))
@@ -101,22 +101,22 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.links.heal()
-        self._moved.set()
+        self.links.end_all()
+        self._links_changed.set()
         await self.close()
         for relay in self.relays.values():
             relay.transport.close()
         self._temporary.cleanup()
 
-    # What a gateway is started with.
+    # The start of gateways.
 
     async def open(self, folder: Path) -> None:
-        """Relays first, then everything."""
+        """Start the relays, then all parties."""
         loop = asyncio.get_running_loop()
-        for number in range(self.count if self._peers else 0):
+        for number in range(self.count if self._has_membership else 0):
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
-            sock.bind((relay_of(number), self.port))
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RELAY_BUFFER_BYTES)
+            sock.bind((relay_host(number), self.port))
             sock.setblocking(False)
             _, self.relays[number] = await loop.create_datagram_endpoint(
                 lambda number=number: Relay(number, self),  # type: ignore[misc]
@@ -124,219 +124,232 @@
             )
         await super().open(folder)
 
-    def gateway_index(self, number: int) -> int:
-        """The number that a gateway is told to have."""
-        return self._numbered(number)
-
     def _gateway_address(self, number: int) -> tuple[str, int]:
-        return own(number), self.port
+        return gateway_host(number), self.port
 
     def _gateway_config(self, number: int) -> dict[str, Any]:
-        return super()._gateway_config(number) | {"ops": f"{own(number)}:{self.ops_port}"}
+        return super()._gateway_config(number) | {"ops": f"{gateway_host(number)}:{self.ops_port}"}
 
     def _gateway_arguments(self, number: int) -> list[str]:
-        return super()._gateway_arguments(number) + (["--peers", str(self.peers_file(number))] if self._peers else [])
+        peers = ["--peers", str(self.write_peers_file(number))] if self._has_membership else []
+        return super()._gateway_arguments(number) + peers
 
-    def peers_file(self, number: int) -> Path:
-        """A gateway's file."""
-        seeds = json.dumps([f"{relay_of(seed)}:{self.port}" for seed in self._seeds])
+    def write_peers_file(self, number: int) -> Path:
+        """Write a gateway's peers file."""
+        seeds = json.dumps([f"{relay_host(seed)}:{self.port}" for seed in SEEDS])
         path = self._folder / f"peers{number}.toml"
         path.write_text(
-            f'listen = "{own(number)}:{self.port}"\nadvertise = "{relay_of(number)}:{self.port}"\n'
-            f'cluster = "fleet-{self.port}"\nseeds = {seeds}\n{self._file}'
+            f'listen = "{gateway_host(number)}:{self.port}"\nadvertise = "{relay_host(number)}:{self.port}"\n'
+            f'cluster = "fleet-{self.port}"\nseeds = {seeds}\n{self._peers_settings}'
         )
         return path
 
     def on_log_line(self, number: int, line: bytes) -> None:
-        """Keep what a gateway logs."""
+        """Keep a line of a gateway's log."""
         try:
-            self.lines[number].append(json.loads(line))
+            self.log_lines[number].append(json.loads(line))
         except ValueError:
-            self.lines[number].append({"event": line.decode(errors="replace").strip()})
+            self.log_lines[number].append({"event": line.decode(errors="replace").strip()})
 
     # Links.
 
-    def carry(self, host: str, receiver: int, data: bytes) -> None:
-        """Hand a datagram on, as its link allows."""
-        sender = self._numbers.get(host)
+    def forward(self, sender_host: str, receiver: int, data: bytes) -> None:
+        """Forward a datagram, as its link allows."""
+        sender = self._number_by_host.get(sender_host)
         if sender is None or sender not in self.relays:
-            self.carried["unknown"] += 1
+            self.datagram_counts["unknown"] += 1
             return
-        self.carried["datagrams"] += 1
-        self.carried["bytes"] += len(data)
-        one, other = f"g{sender}", f"g{receiver}"
-        if self.links.stalled(one, other):
-            if len(self._held) < HELD_MOST:
-                self._held.append((sender, receiver, data))
+        self.datagram_counts["datagrams"] += 1
+        self.datagram_counts["bytes"] += len(data)
+        sender_name, receiver_name = f"g{sender}", f"g{receiver}"
+        if self.links.is_stalled(sender_name, receiver_name):
+            if len(self._stalled) < MAX_STALLED_DATAGRAMS:
+                self._stalled.append((sender, receiver, data))
             return
-        copies = self.links.copies(one, other)
-        if not copies:
-            self.carried["lost"] += 1
-        for late in copies:
-            if late:
-                asyncio.get_running_loop().call_later(late / 1000, self._hand, sender, receiver, data)
+        delays_ms = self.links.datagram_delays(sender_name, receiver_name)
+        if not delays_ms:
+            self.datagram_counts["lost"] += 1
+        for delay_ms in delays_ms:
+            if delay_ms:
+                asyncio.get_running_loop().call_later(delay_ms / 1000, self._deliver, sender, receiver, data)
             else:
-                self._hand(sender, receiver, data)
+                self._deliver(sender, receiver, data)
 
-    def _hand(self, sender: int, receiver: int, data: bytes) -> None:
-        if not self.relays[sender].transport.is_closing():
-            self.relays[sender].transport.sendto(data, (own(receiver), self.port))
+    def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
+        transport = self.relays[sender].transport
+        if not transport.is_closing():
+            transport.sendto(data, (gateway_host(receiver), self.port))
 
     async def reaches(self, gateway: int, party: str) -> bool:
-        """Whether what a gateway sends a party arrives; a stalled link holds it up."""
-        one = f"g{gateway}"
+        """Whether what a gateway sends a party arrives; on a stalled link, wait until it does."""
+        sender = f"g{gateway}"
         names = (party, "nodes") if party.startswith("node") else (party,)
-        while any(self.links.stalled(one, name) for name in names):
-            await self._moved.wait()
-        cut = any(self.links.cut(one, name) or self.links.cut(name, one) for name in names)
-        return await super().reaches(gateway, party) and not cut
+        while any(self.links.is_stalled(sender, name) for name in names):
+            await self._links_changed.wait()
+        is_cut = any(self.links.is_cut(sender, name) or self.links.is_cut(name, sender) for name in names)
+        return await super().reaches(gateway, party) and not is_cut
 
-    # Troubles.
+    # Faults.
 
     async def drive(self) -> None:
-        """The scenario's traffic and faults, and the time line beside them."""
+        """Drive the scenario's traffic and faults, and the timeline beside them."""
         self.schedule()
         await super().drive()
 
     def schedule(self) -> None:
-        """Have the time line happen from now on."""
-        for trouble in self.line.troubles:
-            for begins, ends in trouble.times():
-                self.time.after(begins, self.begin, trouble, (ends - begins) / 1000)
-
-    def begin(self, trouble: Trouble, seconds: float = 0.0) -> int:
-        """A trouble begins now, for so many seconds (0: until `over`); the number to end a link's by."""
-        whom = numbers(trouble.whom, self.count)
-        if trouble.kind in ("kill", "restart", "term"):
-            for number in whom:
-                self.tasks.spawn(
-                    self.ends(
-                        number, trouble.kind == "term", None if not seconds and trouble.kind != "restart" else seconds
-                    )
-                )
-        elif trouble.kind == "stop":
-            for number in whom:
-                self.halt(number)
-                if seconds:
-                    self.time.after(seconds * 1000, self.resume, number)
-        else:
-            held = self.links.begin(trouble)
-            self._change()
-            if seconds:
-                self.time.after(seconds * 1000, self.over, held)
-            return held
-        return 0
-
-    def over(self, number: int) -> None:
-        """A link's trouble is over."""
-        self.links.end(number)
-        self._change()
-
-    def _change(self) -> None:
-        moved, self._moved = self._moved, asyncio.Event()
-        moved.set()
-        held, self._held = self._held, []
-        for sender, receiver, data in held:
-            self.carry(own(sender), receiver, data)
-
-    async def ends(self, number: int, planned: bool, back: float | None) -> None:
-        """A process dies or is told to end; it is started again after `back` seconds, or not at all."""
-        process = self.processes[number]
-        if process is None:
-            raise GatewayNotRunningError(number)
-        blind = self.router.draw_unaware_ms()
-        if planned:
-            self.processes[number] = None  # no new clients; those that it has are served
+        """Schedule the faults of the timeline from now on."""
+        for fault in self.timeline.faults:
+            for begins_at, ends_at in fault.times():
+                self.time.after(begins_at, self.begin_fault, fault, (ends_at - begins_at) / 1000)
+
+    def begin_fault(self, fault: FleetFault, duration_s: float = 0.0) -> int:
+        """Begin a fault now, for a time (0: until it is ended); returns the id to end a link's fault by, or 0."""
+        numbers = gateway_numbers(fault.whom, self.count)
+        if fault.kind in ("kill", "restart", "term"):
+            restart_after_s = duration_s if duration_s or fault.kind == "restart" else None
+            for number in numbers:
+                self.tasks.spawn(self.end_process(number, fault.kind == "term", restart_after_s))
+            return 0
+        if fault.kind == "stop":
+            for number in numbers:
+                self.suspend(number)
+                if duration_s:
+                    self.time.after(duration_s * 1000, self.resume, number)
+            return 0
+        fault_id = self.links.begin(fault)
+        self._on_links_changed()
+        if duration_s:
+            self.time.after(duration_s * 1000, self.end_fault, fault_id)
+        return fault_id
+
+    def end_fault(self, fault_id: int) -> None:
+        """End a fault of a link."""
+        self.links.end(fault_id)
+        self._on_links_changed()
+
+    def _on_links_changed(self) -> None:
+        """Wake what waits on stalled links, and forward the datagrams kept for them."""
+        changed, self._links_changed = self._links_changed, asyncio.Event()
+        changed.set()
+        stalled, self._stalled = self._stalled, []
+        for sender, receiver, data in stalled:
+            self.forward(gateway_host(sender), receiver, data)
+
+    async def end_process(self, number: int, is_graceful: bool, restart_after_s: float | None) -> None:
+        """Terminate or kill a gateway's process, and start it again after a time, unless that is None.
+
+        Raises:
+            GatewayNotRunningError: there is no such process.
+        """
+        process = self._running_process(number)
+        unaware_ms = self.router.draw_unaware_ms()
+        if is_graceful:
+            self.processes[number] = None  # it gets no new clients; those that it has are served
             process.send_signal(signal.SIGTERM)
         else:
             self.journal.add(self.time.now, "gateway", number, "killed")
             process.kill()
             self.processes[number] = None
-            self.router.notice_down_at(number, self.time.now + blind)
+            self.router.notice_down_at(number, self.time.now + unaware_ms)
         await process.wait()
         self.discovery.unwatch(number)
-        if back is not None:
-            await asyncio.sleep(back)
+        if restart_after_s is not None:
+            await asyncio.sleep(restart_after_s)
             await self.start_gateway(number)
 
-    def halt(self, number: int) -> None:
-        """A process stands still until `resume`."""
-        process = self.processes[number]
-        if process is None:
-            raise GatewayNotRunningError(number)
+    def suspend(self, number: int) -> None:
+        """Stop a gateway's process until `resume`.
+
+        Raises:
+            GatewayNotRunningError: there is no such process.
+        """
+        process = self._running_process(number)
         self.journal.add(self.time.now, "gateway", number, "stopped")
         self.router.suspended.add(number)
         process.send_signal(signal.SIGSTOP)
 
     def resume(self, number: int) -> None:
-        """It goes on."""
+        """Continue a gateway's process, unless it has ended."""
         process = self.processes[number]
         self.router.suspended.discard(number)
         if process is not None and process.returncode is None:
             self.journal.add(self.time.now, "gateway", number, "resumed")
             process.send_signal(signal.SIGCONT)
 
-    # What they see.
+    def _running_process(self, number: int) -> asyncio.subprocess.Process:
+        process = self.processes[number]
+        if process is None:
+            raise GatewayNotRunningError(number)
+        return process
+
+    # Views.
 
-    def living(self) -> list[int]:
-        """Gateways that run and do not stand still."""
+    def running(self) -> list[int]:
+        """The gateways that run and are not suspended."""
         return [
             number
             for number, process in sorted(self.processes.items())
             if process is not None and number not in self.router.suspended
         ]
 
-    async def view(self, number: int, path: str = "/api/members", host: str = "") -> Any:
-        """What a gateway's second address answers."""
-        reader, writer = await asyncio.open_connection(host or own(number), self.ops_port)
+    async def fetch(self, number: int, path: str = "/api/members", host: str = "") -> Any:
+        """Fetch a path from a gateway's operator address: decoded JSON for its view, text otherwise."""
+        reader, writer = await asyncio.open_connection(host or gateway_host(number), self.ops_port)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
-            _, _, body = await asyncio.wait_for(read_message(reader), 5.0)
+            _, _, body = await asyncio.wait_for(read_message(reader), FETCH_TIMEOUT_S)
         finally:
             writer.close()
         return json.loads(body) if path == "/api/members" else body.decode()
 
-    async def views(self) -> dict[int, View]:
-        """Those of all that live."""
-        living = self.living()
-        found = await asyncio.gather(*(self.view(number) for number in living), return_exceptions=True)
-        return {number: view for number, view in zip(living, found, strict=True) if isinstance(view, dict)}
+    async def fetch_views(self) -> dict[int, View]:
+        """Fetch the views of all running gateways; those that fail to answer are left out."""
+        running = self.running()
+        answers = await asyncio.gather(*(self.fetch(number) for number in running), return_exceptions=True)
+        return {number: view for number, view in zip(running, answers, strict=True) if isinstance(view, dict)}
+
+    async def wait_until(
+        self, condition: Callable[[dict[int, View]], bool], timeout_s: float = WAIT_TIMEOUT_S
+    ) -> float:
+        """Wait until a condition of the views holds; returns the seconds that it took.
 
-    async def until(self, holds: Callable[[dict[int, View]], bool], guard: float = GUARD) -> float:
-        """Look until something holds of the views; the seconds it took. TimeoutError where it never does."""
+        Raises:
+            TimeoutError: it did not hold in time; has the views.
+        """
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        began_s = loop.time()
         while True:
-            views = await self.views()
-            if views and holds(views):
-                return loop.time() - began
-            if loop.time() - began > guard:
-                raise TimeoutError({n: states(v) for n, v in views.items()})
-            await asyncio.sleep(LOOK)
-
-    async def agreed(self, guard: float = GUARD) -> float:
-        """Wait until all that live see each other and nobody else."""
-
-        def holds(views: dict[int, View]) -> bool:
-            living = sorted(f"n{number}" for number in self.living())
-            return len(views) == len(living) and all(
-                sorted(there(view)) == living and "suspect" not in states(view).values() for view in views.values()
+            views = await self.fetch_views()
+            if views and condition(views):
+                return loop.time() - began_s
+            if loop.time() - began_s > timeout_s:
+                raise TimeoutError({number: member_states(view) for number, view in views.items()})
+            await asyncio.sleep(VIEW_POLL_S)
+
+    async def wait_until_agreed(self, timeout_s: float = WAIT_TIMEOUT_S) -> float:
+        """Wait until all running gateways hold exactly each other to be present, and nobody suspect."""
+
+        def is_agreed(views: dict[int, View]) -> bool:
+            running = sorted(f"n{number}" for number in self.running())
+            return len(views) == len(running) and all(
+                sorted(present_members(view)) == running and "suspect" not in member_states(view).values()
+                for view in views.values()
             )
 
-        return await self.until(holds, guard)
+        return await self.wait_until(is_agreed, timeout_s)
 
-    def logged(self, number: int, event: str) -> list[dict[str, Any]]:
-        """Lines of a gateway's log with this event."""
-        return [line for line in self.lines[number] if line.get("event") == event]
+    def log_lines_of(self, number: int, event: str) -> list[dict[str, Any]]:
+        """The lines of a gateway's log with an event."""
+        return [line for line in self.log_lines[number] if line.get("event") == event]
 
 
-def there(view: View) -> list[str]:
-    """The names that a view holds to be there."""
+def present_members(view: View) -> list[str]:
+    """The names of the members that a view holds to be present."""
     return [member["name"] for member in view["members"] if member["state"] in ("alive", "suspect")]
 
 
-def states(view: View) -> dict[str, str]:
-    """A view's states by name; of several instances the one that is there."""
+def member_states(view: View) -> dict[str, str]:
+    """The states in a view by name; of several instances of a name, that of the one most alive."""
     order = ("left", "failed", "suspect", "alive")
     return {
         member["name"]: member["state"]
--- a/hallhitch/lab/sockets/run.py
+++ b/hallhitch/lab/sockets/run.py
@@ -191,10 +191,6 @@
 
     # Gateways. What differs for gateways with membership is overridden there.
 
-    def gateway_index(self, number: int) -> int:
-        """The index that a gateway's settings give it."""
-        return number
-
     def on_log_line(self, number: int, line: bytes) -> None:
         """Receive a line of a gateway's log."""
 
@@ -208,7 +204,7 @@
         return {
             "name": f"n{number}",
             "listen": f"{host}:{port}",
-            "settings": gateway_settings(self.settings, self.gateway_index(number), world.gateways, world.zones),
+            "settings": gateway_settings(self.settings, number, world.gateways, world.zones),
             "discovery": self._agents[number].listener.address,
             "counter": self._counter_listeners[number].address,
             "seed": f"{self.seed * 1000 + number:016x}",
--- a/hallhitch/lab/virtual_faults.py
+++ b/hallhitch/lab/virtual_faults.py
@@ -8,7 +8,7 @@
 from hallhitch.lab.errors import GatewayNotRunningError
 from hallhitch.lab.fault_injection import DRAIN_MS, FaultInjector, FaultTargets
 from hallhitch.lab.fleet.cluster import Cluster
-from hallhitch.lab.fleet.timeline import Trouble
+from hallhitch.lab.fleet.timeline import FleetFault
 from hallhitch.lab.model_gateway import ModelGateway
 from hallhitch.lab.node import Node, NodeState
 from hallhitch.lab.scenario import Fault
@@ -107,12 +107,12 @@
         gateway, cluster = self._gateway(number), self._fleet.cluster
         gateway.suspend()
         if cluster is not None:
-            cluster.stop(number)
+            cluster.suspend(number)
 
         def resume() -> None:
             gateway.resume()
-            if cluster is not None and cluster.peers[number].alive:
-                cluster.go_on(number)
+            if cluster is not None and cluster.members[number].is_alive:
+                cluster.resume(number)
 
         return resume
 
@@ -121,6 +121,6 @@
 
     def _split_gateways(self, fault: Fault) -> list[Node]:
         if self._fleet.cluster is not None:
-            split = Trouble("split", 0.0, parts=(fault.part, 1 - fault.part))
-            self._fleet.cluster.begin(split, fault.for_s * 1000)
+            split = FleetFault("split", 0.0, parts=(fault.part, 1 - fault.part))
+            self._fleet.cluster.begin_fault(split, fault.for_s * 1000)
         return []
--- a/hallhitch/lab/virtual_run.py
+++ b/hallhitch/lab/virtual_run.py
@@ -13,7 +13,7 @@
 from hallhitch.decision import api
 from hallhitch.lab.baselines import Board
 from hallhitch.lab.fault_injection import FaultTargets
-from hallhitch.lab.fleet.cluster import Cluster
+from hallhitch.lab.fleet.cluster import Cluster, ClusterOptions
 from hallhitch.lab.front_router import FrontRouter
 from hallhitch.lab.journal import Journal
 from hallhitch.lab.model_gateway import GatewayStart, ModelGateway
@@ -72,11 +72,12 @@
         self._board = Board(self.nodes, world.choice_late_ms, self.time) if world.choice == "informed" else None
         self._gateway_starts = 0
         self.gateways: dict[int, ModelGateway | None] = {}
-        self.cluster = Cluster(world.gateways, seed, self.time, follow=self._on_peers) if world.peers else None
+        options = ClusterOptions(on_counts=self._on_peers)
+        self.cluster = Cluster(world.gateways, seed, self.time, options) if world.peers else None
         for number in range(world.gateways):
             self.start_gateway(number)
         if self.cluster is not None:
-            self.cluster.settled()
+            self.cluster.start_settled()
         faults = self.streams.of("faults")
         self.router = FrontRouter(world.gateways, self._is_running, faults)
         self._fault_injector = VirtualFaultInjector(self._fault_targets(faults), self)
@@ -118,7 +119,7 @@
             self._mutant(gateway)
         self.gateways[number] = gateway
         self.discovery.watch(number, gateway.on_server_list)
-        if self.cluster is not None and number in self.cluster.peers:
+        if self.cluster is not None and number in self.cluster.members:
             self.cluster.start(number)
 
     def _saved_list(self, stream: Stream) -> tuple[api.ServerEntry, ...]:
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from hallhitch.lab.fleet.links import Links
-from hallhitch.lab.fleet.timeline import TimeLine, Trouble, numbers, split
+from hallhitch.lab.fleet.timeline import FaultTimeline, FleetFault, gateway_numbers, partition_groups
 from hallhitch.lab.streams import Streams
 from hallhitch.settings_file import SettingsError, read
 
@@ -17,21 +17,21 @@
 class Lines(unittest.TestCase):
     """The file."""
 
-    def read(self, text: str) -> TimeLine:
+    def read(self, text: str) -> FaultTimeline:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "line.toml"
             path.write_text(text)
-            return read(str(path), TimeLine)
+            return read(str(path), FaultTimeline)
 
     def test_whom_and_when(self) -> None:
         """Guards against a fault that befalls others than it names, or at another time."""
-        self.assertEqual(numbers(("g1", "g3-g4", "nodes"), 6), [1, 3, 4])
-        self.assertEqual(numbers(("gateways",), 3), [0, 1, 2])
-        self.assertEqual(numbers(("g4-g9",), 6), [4, 5])
-        self.assertEqual([sorted(part) for part in split((0.5, 0.5), 4)], [["g0", "g1"], ["g2", "g3"]])
-        self.assertEqual(split((("g0", "node-3"), 0.5), 4)[0], {"g0", "node-3"})
+        self.assertEqual(gateway_numbers(("g1", "g3-g4", "nodes"), 6), [1, 3, 4])
+        self.assertEqual(gateway_numbers(("gateways",), 3), [0, 1, 2])
+        self.assertEqual(gateway_numbers(("g4-g9",), 6), [4, 5])
+        self.assertEqual([sorted(part) for part in partition_groups((0.5, 0.5), 4)], [["g0", "g1"], ["g2", "g3"]])
+        self.assertEqual(partition_groups((("g0", "node-3"), 0.5), 4)[0], {"g0", "node-3"})
         line = self.read('seconds = 9\n[[troubles]]\nkind = "cut"\nat_s = 1\nfor_s = 0.5\nevery_s = 2\nuntil_s = 6\n')
-        self.assertEqual(line.troubles[0].times(), [(1000, 1500), (3000, 3500), (5000, 5500)])
+        self.assertEqual(line.faults[0].times(), [(1000, 1500), (3000, 3500), (5000, 5500)])
 
     def test_what_cannot_be_is_named(self) -> None:
         """Guards against a time line in which nothing happens."""
@@ -54,37 +54,37 @@
         self.links = Links(6, Streams(1).of("links"))
 
     def passing(self) -> set[tuple[str, str]]:
-        return {(a, b) for a in ALL for b in ALL if a != b and self.links.copies(a, b)}
+        return {(a, b) for a in ALL for b in ALL if a != b and self.links.datagram_delays(a, b)}
 
     def test_cuts_befall_just_what_they_name_and_end(self) -> None:
         """Guards against a cut that is wider than it says, or stays."""
         everything = self.passing()
         self.assertEqual(len(everything), 30)
-        one = self.links.begin(Trouble("cut", 0.0, whom=("g0",), to=("g1",), one_way=True))
+        one = self.links.begin(FleetFault("cut", 0.0, whom=("g0",), to=("g1",), one_way=True))
         self.assertEqual(everything - self.passing(), {("g0", "g1")})
-        both = self.links.begin(Trouble("cut", 0.0, whom=("g0",), to=("g1",)))
+        both = self.links.begin(FleetFault("cut", 0.0, whom=("g0",), to=("g1",)))
         self.assertEqual(everything - self.passing(), {("g0", "g1"), ("g1", "g0")})
         self.links.end(one)
         self.links.end(both)
-        half = self.links.begin(Trouble("split", 0.0, parts=(0.5, 0.5)))
+        half = self.links.begin(FleetFault("split", 0.0, parts=(0.5, 0.5)))
         self.assertEqual(len(self.passing()), 12)
-        self.assertFalse(self.links.cut("g0", "node-1"))
+        self.assertFalse(self.links.is_cut("g0", "node-1"))
         self.links.end(half)
-        self.links.begin(Trouble("cut", 0.0, whom=("g2",), to=("nodes",)))
+        self.links.begin(FleetFault("cut", 0.0, whom=("g2",), to=("nodes",)))
         self.assertEqual(self.passing(), everything)
-        self.assertTrue(self.links.cut("g2", "nodes"))
-        self.links.heal()
-        self.assertFalse(self.links.cut("g2", "nodes"))
+        self.assertTrue(self.links.is_cut("g2", "nodes"))
+        self.links.end_all()
+        self.assertFalse(self.links.is_cut("g2", "nodes"))
 
     def test_shares_are_kept_over_many(self) -> None:
         """Guards against losses that are not those asked for."""
-        self.links.begin(Trouble("drop", 0.0, share=0.3))
-        self.links.begin(Trouble("duplicate", 0.0, share=0.5))
-        copies = [len(self.links.copies("g0", "g1")) for _ in range(4000)]
+        self.links.begin(FleetFault("drop", 0.0, share=0.3))
+        self.links.begin(FleetFault("duplicate", 0.0, share=0.5))
+        copies = [len(self.links.datagram_delays("g0", "g1")) for _ in range(4000)]
         self.assertAlmostEqual(copies.count(0) / 4000, 0.3, delta=0.03)
         self.assertAlmostEqual(copies.count(2) / 4000, 0.35, delta=0.03)
-        self.links.begin(Trouble("delay", 0.0, delay_ms=(5.0, 9.0), whom=("g0",)))
-        late = [ms for _ in range(100) for ms in self.links.copies("g0", "g1")]
+        self.links.begin(FleetFault("delay", 0.0, delay_ms=(5.0, 9.0), whom=("g0",)))
+        late = [ms for _ in range(100) for ms in self.links.datagram_delays("g0", "g1")]
         self.assertTrue(all(5 <= ms <= 9 for ms in late))
-        self.links.begin(Trouble("stall", 0.0, whom=("g4",)))
-        self.assertEqual((self.links.stalled("g4", "g1"), self.links.stalled("g0", "g1")), (True, False))
+        self.links.begin(FleetFault("stall", 0.0, whom=("g4",)))
+        self.assertEqual((self.links.is_stalled("g4", "g1"), self.links.is_stalled("g0", "g1")), (True, False))
--- a/tests/membership/fleet_case.py
+++ b/tests/membership/fleet_case.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from hallhitch.lab.checker import check
-from hallhitch.lab.fleet.processes import Fleet, View, states, there
+from hallhitch.lab.fleet.processes import GatewayFleet, View, member_states, present_members
 from hallhitch.lab.scenario import Scenario, replaced
 from hallhitch.settings_file import read
 from tests.stand_ins import ROOT
@@ -21,24 +21,28 @@
 
 
 def make_fleet(
-    gateways: int, seconds: float = 8.0, kind: type[Fleet] = Fleet, file: str = FAST_SETTINGS, **options: Any
-) -> Fleet:
+    gateways: int,
+    seconds: float = 8.0,
+    kind: type[GatewayFleet] = GatewayFleet,
+    peers_settings: str = FAST_SETTINGS,
+    **options: Any,
+) -> GatewayFleet:
     """Return a fleet in front of a few nodes, to be entered as a context."""
     scenario = replaced(
         read(str(ROOT / "scenarios" / "calm.toml"), Scenario),
         {"world.gateways": gateways, "world.nodes": 4, "seconds": seconds},
     )
-    return kind(scenario, 1, file=file, **options)
+    return kind(scenario, 1, peers_settings=peers_settings, **options)
 
 
 def all_views_hold(name: str, state: str) -> Callable[[dict[int, View]], bool]:
     """Return a condition: all views hold a member in a state."""
-    return lambda views: all(states(view).get(name) == state for view in views.values())
+    return lambda views: all(member_states(view).get(name) == state for view in views.values())
 
 
 def sees_exactly(*names: str) -> Callable[[View], bool]:
     """Return a condition: a view holds these members present, and no other."""
-    return lambda view: sorted(there(view)) == sorted(names)
+    return lambda view: sorted(present_members(view)) == sorted(names)
 
 
 class FleetCase(unittest.IsolatedAsyncioTestCase):
@@ -47,12 +51,12 @@
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
 
-    def reported_failures(self, fleet: Fleet, number: int) -> list[str]:
+    def reported_failures(self, fleet: GatewayFleet, number: int) -> list[str]:
         """Return the members that a gateway's log reports as failed."""
-        return [name for line in fleet.logged(number, "members failed") for name in line["names"]]
+        return [name for line in fleet.log_lines_of(number, "members failed") for name in line["names"]]
 
-    def assert_sound(self, fleet: Fleet) -> None:
+    def assert_sound(self, fleet: GatewayFleet) -> None:
         """Check that the run broke no rule, and that no gateway logged an internal failure."""
         self.assertEqual([str(breach) for breach in check(fleet.journal.events)], [])
         for number in range(fleet.count):
-            self.assertEqual(fleet.logged(number, "actor failed"), [])
+            self.assertEqual(fleet.log_lines_of(number, "actor failed"), [])
--- a/tests/membership/modelled_cluster.py
+++ b/tests/membership/modelled_cluster.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from hallhitch.lab.fleet.cluster import Cluster, Peer
-from hallhitch.lab.fleet.timeline import Trouble
+from hallhitch.lab.fleet.cluster import Cluster, ModelledMember
+from hallhitch.lab.fleet.timeline import FleetFault
 from hallhitch.membership.records import MemberState
 
 AGREEMENT_TIMEOUT_MS = 60_000.0  # beyond all bounds that the tests state
@@ -13,9 +13,9 @@
 def agreed_cluster(seed: int, count: int = 9) -> Cluster:
     """Return a cluster whose members know each other."""
     cluster = Cluster(count, seed)
-    cluster.settled()
+    cluster.start_settled()
     advance(cluster, WARM_UP_MS)
-    assert cluster.agreed()
+    assert cluster.is_agreed()
     return cluster
 
 
@@ -25,19 +25,19 @@
 
 def inject(cluster: Cluster, kind: str, seconds: float, **fields: object) -> None:
     """Begin a fault that ends after some seconds."""
-    fault = Trouble(kind, 0.0, seconds, **fields)  # type: ignore[arg-type]
-    cluster.begin(fault, seconds * 1000)
+    fault = FleetFault(kind, 0.0, seconds, **fields)  # type: ignore[arg-type]
+    cluster.begin_fault(fault, seconds * 1000)
 
 
 def reported_failures(cluster: Cluster) -> list[str]:
     """Return the names of the members that any view declared failed, once a view."""
-    return [change.about for change in cluster.noted if change.state is MemberState.FAILED]
+    return [change.about for change in cluster.view_changes if change.state is MemberState.FAILED]
 
 
-def states_of(peer: Peer, name: str) -> set[MemberState]:
+def states_of(peer: ModelledMember, name: str) -> set[MemberState]:
     """Return the states in which a view holds the members of a name."""
     return {record.state for record in peer.swim.records() if record.name == name}
 
 
 def assert_agreed_within(cluster: Cluster, limit_ms: float) -> None:
-    assert cluster.until(cluster.agreed, AGREEMENT_TIMEOUT_MS) < limit_ms
+    assert cluster.run_until(cluster.is_agreed, AGREEMENT_TIMEOUT_MS) < limit_ms
--- a/tests/membership/small_world.py
+++ b/tests/membership/small_world.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from hallhitch.lab.fleet.cluster import address
+from hallhitch.lab.fleet.cluster import member_address
 from hallhitch.membership.local_health import LocalHealth
 from hallhitch.membership.member_table import Member, MemberTable
 from hallhitch.membership.member_view import MemberView
@@ -131,9 +131,9 @@
     def start(self, number: int) -> None:
         self.starts += 1
         local = MemberRecord(
-            f"m{number}", 100 * number + self.starts, 0, MemberState.ALIVE, address(number), self.starts
+            f"m{number}", 100 * number + self.starts, 0, MemberState.ALIVE, member_address(number), self.starts
         )
-        seeds = tuple(address(n) for n in range(self.member_count))
+        seeds = tuple(member_address(n) for n in range(self.member_count))
         member = self.members[number] = Swim(local, "c", ProtocolSettings(), FirstChoice(), seeds)
         member.start(self.now)
         self.finish_step(number)
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from hallhitch.lab.fleet.cluster import Cluster
-from hallhitch.lab.fleet.timeline import TimeLine, Trouble
+from hallhitch.lab.fleet.cluster import Cluster, ClusterOptions
+from hallhitch.lab.fleet.timeline import FaultTimeline, FleetFault
 from hallhitch.membership.protocol_settings import ProtocolSettings
 from hallhitch.membership.records import MemberState
 from tests.membership.modelled_cluster import (
@@ -29,7 +29,7 @@
 def test_crash_is_detected_by_all_and_no_other_member_is_failed(seed: int) -> None:
     cluster = agreed_cluster(seed)
     cluster.kill(4)
-    assert cluster.until(cluster.agreed, AGREEMENT_TIMEOUT_MS) < 15_000
+    assert cluster.run_until(cluster.is_agreed, AGREEMENT_TIMEOUT_MS) < 15_000
     assert set(reported_failures(cluster)) == {"g4"}
     assert len(reported_failures(cluster)) == 8
 
@@ -37,12 +37,12 @@
 @each_seed
 def test_restart_within_the_suspicion_is_another_instance(seed: int) -> None:
     cluster = agreed_cluster(seed)
-    crashed_instance = cluster.peers[4].swim.local.instance
+    crashed_instance = cluster.members[4].swim.local.instance
     cluster.kill(4)
     advance(cluster, 1_500)
     new_instance = cluster.start(4).swim.local.instance
     assert_agreed_within(cluster, 10_000)
-    for peer in cluster.there():
+    for peer in cluster.running():
         states = {key.instance: member.record.state for key, member in peer.swim.members.items() if key.name == "g4"}
         assert states.get(crashed_instance, MemberState.FAILED) is not MemberState.ALIVE
         if peer.number != 4:
@@ -55,11 +55,11 @@
     cluster = agreed_cluster(seed)
     inject(cluster, "stop", 40.0, whom=("g4",))
     advance(cluster, 39_000)
-    assert all(states_of(peer, "g4") == {MemberState.FAILED} for peer in cluster.there())
+    assert all(states_of(peer, "g4") == {MemberState.FAILED} for peer in cluster.running())
     failures = set(reported_failures(cluster))
     assert_agreed_within(cluster, 20_000)
     advance(cluster, 5_000)
-    stalled = cluster.peers[4].swim
+    stalled = cluster.members[4].swim
     assert stalled.counters.accusations == 0
     assert set(reported_failures(cluster)) == failures
     assert stalled.local.incarnation > 0
@@ -69,35 +69,35 @@
 @each_seed
 def test_slow_process_fails_nobody(seed: int) -> None:
     delay_ms = {4: 0.0}
-    cluster = Cluster(COUNT, seed, slow=lambda number: delay_ms.get(number, 0.0))
-    cluster.settled()
+    cluster = Cluster(COUNT, seed, options=ClusterOptions(process_delay_ms=lambda number: delay_ms.get(number, 0.0)))
+    cluster.start_settled()
     advance(cluster, 3_000)
     delay_ms[4] = 180.0
     advance(cluster, 60_000)
     delay_ms[4] = 0.0
     advance(cluster, 10_000)
     assert reported_failures(cluster) == []
-    assert cluster.agreed()
+    assert cluster.is_agreed()
 
 
 @each_seed
 def test_departure_is_no_failure(seed: int) -> None:
     cluster = agreed_cluster(seed)
-    cluster.term(4)
+    cluster.terminate(4)
     advance(cluster, 20_000)
-    assert cluster.agreed()
+    assert cluster.is_agreed()
     assert reported_failures(cluster) == []
-    assert all(states_of(peer, "g4") == {MemberState.LEFT} for peer in cluster.there())
+    assert all(states_of(peer, "g4") == {MemberState.LEFT} for peer in cluster.running())
 
 
 def test_member_rejoins_with_a_new_incarnation() -> None:
     cluster = agreed_cluster(1)
-    cluster.peers[4].swim.leave(cluster.time.now)
+    cluster.members[4].swim.leave(cluster.time.now)
     advance(cluster, 5_000)
-    assert all(states_of(peer, "g4") == {MemberState.LEFT} for peer in cluster.there() if peer.number != 4)
-    cluster.peers[4].swim.rejoin(cluster.time.now)
+    assert all(states_of(peer, "g4") == {MemberState.LEFT} for peer in cluster.running() if peer.number != 4)
+    cluster.members[4].swim.rejoin(cluster.time.now)
     assert_agreed_within(cluster, 10_000)
-    assert cluster.peers[4].swim.local.incarnation == 1
+    assert cluster.members[4].swim.local.incarnation == 1
 
 
 @each_seed
@@ -108,7 +108,7 @@
         cluster.kill(number)
     advance(cluster, 1_500)
     assert_agreed_within(cluster, 10_000)
-    assert {peer.swim.present_count for peer in cluster.there()} == {7}
+    assert {peer.swim.present_count for peer in cluster.running()} == {7}
     cluster.start(0)  # a seed returns
     assert_agreed_within(cluster, 15_000)
 
@@ -118,7 +118,7 @@
     for number in range(3, 9):
         cluster.start(number)
     advance(cluster, 30_000)
-    assert {peer.swim.present_count for peer in cluster.there()} == {1}
+    assert {peer.swim.present_count for peer in cluster.running()} == {1}
     cluster.start(1)
     assert_agreed_within(cluster, 15_000)
 
@@ -131,31 +131,31 @@
     cluster.count += 1
     cluster.start(9, name="g4")
     advance(cluster, 10_000)
-    for peer in cluster.there():
+    for peer in cluster.running():
         assert list(peer.swim.conflicts) == ["g4"]
         assert peer.swim.counters.conflicts == 1
         assert peer.swim.present_count == 10
-    ranks = [cluster.peers[number].damped_view.ranking.rank("node-7") for number in range(10)]
+    ranks = [cluster.members[number].damped_view.ranking.rank("node-7") for number in range(10)]
     assert sorted(ranks) == list(range(10))
     cluster.kill(9)
     assert_agreed_within(cluster, 20_000)
-    assert all(peer.swim.conflicts == {} for peer in cluster.there())
+    assert all(peer.swim.conflicts == {} for peer in cluster.running())
 
 
 def test_replacement_process_is_no_conflict_and_counts_as_one_gateway() -> None:
     cluster = Cluster(4, 1)
     for number in range(4):
-        cluster.start(number, kin=7 if number == 3 else None)
+        cluster.start(number, gateway_id=7 if number == 3 else None)
     advance(cluster, 8_000)
     cluster.count = 5
-    cluster.start(4, name="g3", kin=7)
+    cluster.start(4, name="g3", gateway_id=7)
     advance(cluster, 8_000)
-    for peer in cluster.there():
+    for peer in cluster.running():
         assert peer.swim.conflicts == {}
         assert len(peer.damped_view.ranking.gateways) == 4
-    cluster.term(3)
+    cluster.terminate(3)
     advance(cluster, 8_000)
-    assert [len(peer.damped_view.ranking.gateways) for peer in cluster.there()] == [4] * 4
+    assert [len(peer.damped_view.ranking.gateways) for peer in cluster.running()] == [4] * 4
     assert reported_failures(cluster) == []
 
 
@@ -175,7 +175,7 @@
     cluster = agreed_cluster(seed)
     inject(cluster, "cut", 40.0, whom=("g4",), one_way=True)
     advance(cluster, 39_000)
-    others = [peer for peer in cluster.there() if peer.number != 4]
+    others = [peer for peer in cluster.running() if peer.number != 4]
     assert all(states_of(peer, "g4") == {MemberState.FAILED} for peer in others)
     assert {peer.swim.present_count for peer in others} == {8}
     assert_agreed_within(cluster, 25_000)
@@ -189,13 +189,13 @@
     advance(cluster, seconds * 1000 + 10)
     assert_agreed_within(cluster, 20_000)
     advance(cluster, 10_000)
-    assert cluster.agreed()
+    assert cluster.is_agreed()
 
 
 def test_flapping_links_end_in_one_view() -> None:
     cluster = agreed_cluster(3)
-    flapping = Trouble("cut", 4.0, 1.0, ("g1-g3",), ("g4-g8",), every_s=2.0, until_s=34.0)
-    cluster.play(TimeLine(60.0, (flapping,)))
+    flapping = FleetFault("cut", 4.0, 1.0, ("g1-g3",), ("g4-g8",), every_s=2.0, until_s=34.0)
+    cluster.schedule(FaultTimeline(60.0, (flapping,)))
     advance(cluster, 32_000)
     assert_agreed_within(cluster, 15_000)
 
@@ -205,11 +205,11 @@
     cluster = agreed_cluster(seed)
     inject(cluster, "split", 20.0, parts=(0.5, 0.5))
     for number in range(COUNT):
-        restart = Trouble("term", 0.0, 1.0, (f"g{number}",))
-        cluster.time.after(2_000.0 * number, cluster.begin, restart, 1_000.0)
+        restart = FleetFault("term", 0.0, 1.0, (f"g{number}",))
+        cluster.time.after(2_000.0 * number, cluster.begin_fault, restart, 1_000.0)
     advance(cluster, 22_000)
     assert_agreed_within(cluster, 25_000)
-    assert {peer.swim.present_count for peer in cluster.there()} == {COUNT}
+    assert {peer.swim.present_count for peer in cluster.running()} == {COUNT}
 
 
 @each_seed
@@ -246,7 +246,7 @@
     cluster = agreed_cluster(1)
     cluster.kill(4)
     advance(cluster, 30_000)
-    peers = cluster.there()
+    peers = cluster.running()
     assert {peer.swim.pending_updates for peer in peers} == {0}
     sent_before = sum(peer.sent for peer in peers)
     advance(cluster, 10_000)
@@ -254,11 +254,11 @@
 
 
 def test_table_is_bounded_and_absent_members_are_evicted() -> None:
-    cluster = Cluster(6, 1, tuning=ProtocolSettings(max_members=4))
+    cluster = Cluster(6, 1, options=ClusterOptions(ProtocolSettings(max_members=4)))
     cluster.start_all()
     advance(cluster, 5_000)
-    assert {len(peer.swim.members) for peer in cluster.there()} == {4}
+    assert {len(peer.swim.members) for peer in cluster.running()} == {4}
     cluster.kill(5)
     advance(cluster, 40_000)
-    assert all(len(peer.swim.members) <= 4 for peer in cluster.there())
-    assert cluster.agreed()
+    assert all(len(peer.swim.members) <= 4 for peer in cluster.running())
+    assert cluster.is_agreed()
--- a/tests/membership/test_foreign_members.py
+++ b/tests/membership/test_foreign_members.py
@@ -6,7 +6,7 @@
 import socket
 from typing import Any
 
-from hallhitch.lab.fleet.processes import Fleet, own, states
+from hallhitch.lab.fleet.processes import GatewayFleet, gateway_host, member_states
 from hallhitch.membership.messages import PROTOCOL_VERSION, Ping, encode
 from hallhitch.membership.records import MemberRecord, MemberState
 from tests.membership.fleet_case import FleetCase, make_fleet
@@ -16,20 +16,20 @@
     """A gateway that is configured with the name of another."""
 
     async def test_two_gateways_with_one_name_are_a_conflict_and_both_serve(self) -> None:
-        class Twins(Fleet):
+        class Twins(GatewayFleet):
             def _gateway_config(self, number: int) -> dict[str, Any]:
                 return super()._gateway_config(number) | ({"name": "n1"} if number == 3 else {})
 
         async with make_fleet(4, kind=Twins) as fleet:
-            await fleet.until(
+            await fleet.wait_until(
                 lambda views: len(views) == 4
                 and all(list(v["conflicts"]) == ["n1"] and v["places"] == 4 for v in views.values())
             )
             await fleet.drive()
             self.assert_sound(fleet)
             for number in range(4):
-                self.assertEqual(len(fleet.logged(number, "member name conflict")), 1)
-                self.assertIn("svc_members_conflicts 1\n", await fleet.view(number, "/api/telemetry"))
+                self.assertEqual(len(fleet.log_lines_of(number, "member name conflict")), 1)
+                self.assertIn("svc_members_conflicts 1\n", await fleet.fetch(number, "/api/telemetry"))
             ran = {event[4] for event in fleet.journal.events if event[1] == "send"}
             self.assertEqual(ran, {0, 1, 2, 3})
 
@@ -39,8 +39,8 @@
 
     async def test_foreign_datagrams_change_no_view_and_are_counted(self) -> None:
         async with make_fleet(3) as fleet:
-            await fleet.agreed()
-            before = {n: states(v) for n, v in (await fleet.views()).items()}
+            await fleet.wait_until_agreed()
+            before = {n: member_states(v) for n, v in (await fleet.fetch_views()).items()}
             me = MemberRecord("evil", 1, 0, MemberState.ALIVE, "127.9.9.9:9", 1)
             lie = tuple(MemberRecord(f"x{n}", n, 0, MemberState.ALIVE, "192.168.1.1:9", n) for n in range(8))
             good = encode(Ping(PROTOCOL_VERSION, f"fleet-{fleet.port}", me, 0, (), 1, 1))
@@ -54,9 +54,9 @@
                     encode(Ping(PROTOCOL_VERSION + 1, f"fleet-{fleet.port}", me, 0, (), 1, 1)),
                     encode(Ping(PROTOCOL_VERSION, f"fleet-{fleet.port}", lie[0], 0, lie, 1, 1)),
                 ):
-                    sock.sendto(data, (own(0), fleet.port))
+                    sock.sendto(data, (gateway_host(0), fleet.port))
                 for _ in range(3_000):
-                    sock.sendto(os.urandom(64), (own(0), fleet.port))
+                    sock.sendto(os.urandom(64), (gateway_host(0), fleet.port))
 
             def counted(text: str) -> dict[str, int]:
                 return {
@@ -65,9 +65,9 @@
                     if line.startswith("svc_members_datagrams_dropped{")
                 }
 
-            while not (found := counted(await fleet.view(0, "/api/telemetry")))["cluster"] or not found["form"]:
+            while not (found := counted(await fleet.fetch(0, "/api/telemetry")))["cluster"] or not found["form"]:
                 pass
             self.assertGreaterEqual(found["size"], 1)
-            self.assertEqual({n: states(v) for n, v in (await fleet.views()).items()}, before)
-            await fleet.agreed()
+            self.assertEqual({n: member_states(v) for n, v in (await fleet.fetch_views()).items()}, before)
+            await fleet.wait_until_agreed()
             self.assert_sound(fleet)
--- a/tests/membership/test_interleavings.py
+++ b/tests/membership/test_interleavings.py
@@ -11,7 +11,7 @@
 import pytest
 from msgspec.structs import replace
 
-from hallhitch.lab.fleet.cluster import address
+from hallhitch.lab.fleet.cluster import member_address
 from hallhitch.membership import update_queue
 from hallhitch.membership.member_view import MemberView
 from hallhitch.membership.records import MemberRecord, MemberState
@@ -44,7 +44,7 @@
 def world_with_false_accusation() -> SmallWorld:
     """Member 0 has received an accusation of member 1, which runs."""
     world = SmallWorld(3)
-    accusation = MemberRecord("m1", 102, 0, MemberState.SUSPECT, address(1), 2, accuser=7)
+    accusation = MemberRecord("m1", 102, 0, MemberState.SUSPECT, member_address(1), 2, accuser=7)
     world.member(0).view.merge(accusation, world.now)
     world.finish_step(0)
     return world
--- a/tests/membership/test_members_command.py
+++ b/tests/membership/test_members_command.py
@@ -7,7 +7,7 @@
 import subprocess
 import sys
 
-from hallhitch.lab.fleet.processes import own
+from hallhitch.lab.fleet.processes import gateway_host
 from tests.membership.fleet_case import FleetCase, make_fleet
 from tests.stand_ins import ROOT
 
@@ -26,8 +26,8 @@
 
     async def test_command_shows_the_view_and_reports_a_gateway_without_membership(self) -> None:
         async with make_fleet(3) as fleet:
-            await fleet.agreed()
-            address = f"{own(1)}:{fleet.ops_port}"
+            await fleet.wait_until_agreed()
+            address = f"{gateway_host(1)}:{fleet.ops_port}"
             out, _ = await asyncio.to_thread(self.command("members", address).communicate)
             self.assertIn("3 alive", out)
             self.assertEqual(
@@ -38,13 +38,13 @@
             watched = self.command("members", address, "--watch", "--every", "0.1")
             assert watched.stdout is not None
             await asyncio.to_thread(watched.stdout.readline)
-            await fleet.ends(2, planned=True, back=None)
+            await fleet.end_process(2, is_graceful=True, restart_after_s=None)
             while "1 left" not in (line := await asyncio.to_thread(watched.stdout.readline)):
                 self.assertTrue(line, "ended before it saw the change")
             watched.kill()
             watched.communicate()
-        async with make_fleet(1, peers=False) as fleet:
-            done = self.command("members", f"{own(0)}:{fleet.ops_port}")
+        async with make_fleet(1, has_membership=False) as fleet:
+            done = self.command("members", f"{gateway_host(0)}:{fleet.ops_port}")
             _, said = await asyncio.to_thread(done.communicate)
             self.assertEqual((done.returncode, len(said.splitlines())), (1, 1))
             self.assertIn("without --peers", said)
--- a/tests/membership/test_random_faults.py
+++ b/tests/membership/test_random_faults.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
 
 from hallhitch.lab.fleet.cluster import Cluster
-from hallhitch.lab.fleet.timeline import Trouble
+from hallhitch.lab.fleet.timeline import FleetFault
 from hallhitch.membership.records import MemberKey, MemberState
 
 LONGEST_FAULT_MS = 30_000.0
@@ -28,13 +28,13 @@
     @initialize(seed=st.integers(0, 50))
     def begin(self, seed: int) -> None:
         self.cluster = Cluster(4, seed)
-        self.cluster.settled()
+        self.cluster.start_settled()
         self.greatest: dict[tuple[int, int, MemberKey], tuple[int, int]] = {}
 
     def advance(self, duration_ms: float) -> None:
         """Advance time and check that no state was taken back and that updates are bounded."""
         self.cluster.time.run(self.cluster.time.now + duration_ms)
-        for peer in self.cluster.there():
+        for peer in self.cluster.running():
             for key, member in peer.swim.members.items():
                 holder = peer.number, peer.swim.local.instance, key
                 assert member.record.precedence >= self.greatest.get(holder, (0, 0)), "a state was taken back"
@@ -47,24 +47,24 @@
 
     @rule(number=st.integers(0, 3))
     def crash(self, number: int) -> None:
-        if len(self.cluster.there()) > 2:
+        if len(self.cluster.running()) > 2:
             self.cluster.kill(number)
 
     @rule(number=st.integers(0, 3))
     def start(self, number: int) -> None:
-        if not self.cluster.peers[number].alive:
+        if not self.cluster.members[number].is_alive:
             self.cluster.start(number)
 
     @rule(number=st.integers(0, 3), seconds=st.sampled_from([0.3, 3.0, 12.0]))
     def stall(self, number: int, seconds: float) -> None:
-        peer = self.cluster.peers[number]
-        if peer.alive and peer.waiting is None:
-            self.cluster.begin(Trouble("stop", 0.0, seconds, (f"g{number}",)), seconds * 1000)
+        peer = self.cluster.members[number]
+        if peer.is_alive and peer.queued is None:
+            self.cluster.begin_fault(FleetFault("stop", 0.0, seconds, (f"g{number}",)), seconds * 1000)
 
     @rule(number=st.integers(0, 3))
     def leave_or_rejoin(self, number: int) -> None:
-        peer = self.cluster.peers[number]
-        if not peer.alive or peer.waiting is not None:
+        peer = self.cluster.members[number]
+        if not peer.is_alive or peer.queued is not None:
             return
         if peer.swim.local.state is MemberState.LEFT:
             peer.swim.rejoin(self.cluster.time.now)
@@ -73,19 +73,19 @@
 
     @rule(kind=st.sampled_from(list(FAULT_FIELDS)), seconds=st.sampled_from([1.0, 8.0, 25.0]))
     def disturb_network(self, kind: str, seconds: float) -> None:
-        fault = Trouble(kind, 0.0, seconds, **FAULT_FIELDS[kind])  # type: ignore[arg-type]
-        self.cluster.begin(fault, seconds * 1000)
+        fault = FleetFault(kind, 0.0, seconds, **FAULT_FIELDS[kind])  # type: ignore[arg-type]
+        self.cluster.begin_fault(fault, seconds * 1000)
 
     @precondition(lambda self: hasattr(self, "cluster"))
     @rule()
     def heal(self) -> None:
         """All faults are over: one view, and then no change any more."""
         self.advance(LONGEST_FAULT_MS)
-        elapsed_ms = self.cluster.until(self.cluster.agreed, AGREEMENT_TIMEOUT_MS)
+        elapsed_ms = self.cluster.run_until(self.cluster.is_agreed, AGREEMENT_TIMEOUT_MS)
         assert elapsed_ms < AGREEMENT_TIMEOUT_MS, "no one view"
-        changes = len(self.cluster.noted)
+        changes = len(self.cluster.view_changes)
         self.advance(5_000.0)
-        assert len(self.cluster.noted) == changes, "views change without a fault"
+        assert len(self.cluster.view_changes) == changes, "views change without a fault"
 
 
 def test_any_sequence_of_faults_ends_in_one_view() -> None:
