--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -29,13 +29,13 @@
 
 from benchmarks.resident import resident
 from hallhitch.administration.backups import backup
-from hallhitch.administration.opening import open_store
 from hallhitch.administration.settings import ControlSettings
-from hallhitch.administration.store import PIECE, connect, digest, write_snapshot_head
-from hallhitch.catalog.draft import build
+from hallhitch.administration.store import SNAPSHOT_CHUNK_ROWS, columns_checksum, connect, write_snapshot_head
+from hallhitch.administration.store_folder import open_store
+from hallhitch.catalog.draft import build_catalog
 from hallhitch.catalog.history import encode_rows
 from hallhitch.catalog.model import Client, Credential, Head, Kind, Limits, Plan, Scope, Verifier
-from hallhitch.catalog.rows import Row, rows_of
+from hallhitch.catalog.rows import Row, catalog_rows
 from hallhitch.settings_file import read
 from tests.administration_plane import ControlPlane
 
@@ -46,9 +46,9 @@
     """Put a catalogue of that size in the store as its snapshot and state, and 1,000 changes behind it."""
     folder = plane.folder / "store"
     store, keys = open_store(read(str(plane.file), ControlSettings), str(plane.file))
-    was = store.load().catalogue
+    was = store.load().catalog
     store.close()
-    rows = list(rows_of(was))
+    rows = list(catalog_rows(was))
     version = was.version + 1
     for number in range(tenants):
         name = f"tenant-{number:04}"
@@ -56,22 +56,29 @@
         rows.append(Row(name, Kind.PLAN, "small-shop", version, Plan(1.5, 4.0)))
         rows += [Row(name, Kind.CLIENT, f"{number:08x}{n:08x}", version, Client("small-shop")) for n in range(clients)]
         rows.append(
-            Row(name, Kind.CREDENTIAL, "boss", version, Credential(Scope.ADMIN, (Verifier(keys.keyed("x" * 43)),)))
+            Row(
+                name,
+                Kind.CREDENTIAL,
+                "boss",
+                version,
+                Credential(Scope.ADMIN, (Verifier(keys.hash_client_key("x" * 43)),)),
+            )
         )  # a fast hash: the first argon2 check is not the subject
     parts = {row.tenant: (version, version) for row in rows if row.kind is Kind.TENANT}
-    made = build(was.epoch, version, rows, parts)
+    made = build_catalog(was.epoch, version, rows, parts)
     db = connect(folder / "state.db")
     db.execute("BEGIN")
     for table in ("change", "snapshot", "piece", "row", "part"):
         db.execute(f"DELETE FROM {table}")
     db.executemany(
-        "INSERT INTO row VALUES (?,?,?,?,?)", [(r.tenant, r.kind.value, r.name, r.version, r.bytes()) for r in rows]
+        "INSERT INTO row VALUES (?,?,?,?,?)",
+        [(r.tenant, r.kind.value, r.name, r.version, r.encoded_value()) for r in rows],
     )
     db.executemany("INSERT INTO part VALUES (?,?,?)", [(name, *part) for name, part in parts.items()])
     pieces = 0
-    for start in range(0, len(rows), PIECE):
-        body = encode_rows(rows[start : start + PIECE])
-        db.execute("INSERT INTO piece VALUES (7,?,?,?)", (pieces, body, digest(7, pieces, body)))
+    for start in range(0, len(rows), SNAPSHOT_CHUNK_ROWS):
+        body = encode_rows(rows[start : start + SNAPSHOT_CHUNK_ROWS])
+        db.execute("INSERT INTO piece VALUES (7,?,?,?)", (pieces, body, columns_checksum(7, pieces, body)))
         pieces += 1
     write_snapshot_head(db, 7, made, pieces)
     db.execute("COMMIT")
--- a/benchmarks/feed.py
+++ b/benchmarks/feed.py
@@ -23,12 +23,12 @@
 import numpy as np
 import structlog
 
-from hallhitch.catalog.draft import build
-from hallhitch.catalog.feed import Follower, whole_lines
-from hallhitch.catalog.model import Catalogue, Client, Head, Kind, Limits, Plan
+from hallhitch.catalog.draft import build_catalog
+from hallhitch.catalog.feed import FeedFollower, snapshot_lines
+from hallhitch.catalog.model import Catalog, Client, Head, Kind, Limits, Plan
 from hallhitch.catalog.rows import Row
-from hallhitch.catalog_sync.link import Link, trusting
-from hallhitch.catalog_sync.saved import Saved
+from hallhitch.catalog_sync.catalog_cache import CatalogCache
+from hallhitch.catalog_sync.feed_client import FeedClient, client_tls_context
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
 from tests.administration_plane import ControlPlane, change, seed
@@ -47,23 +47,23 @@
         held: dict[int, int] = {}
         news = asyncio.Event()
 
-        def apply(number: int, made: Catalogue) -> None:
+        def apply(number: int, made: Catalog) -> None:
             held[number] = made.version
             news.set()
 
         async with plane.client() as root:
             await change(root, "PUT", "/v1/operators/gateways", {"scope": "gateway", "certificate": shown})
             await seed(root, "acme")
-            context = trusting(
+            context = client_tls_context(
                 str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
             )
             tasks = [
                 asyncio.create_task(
-                    Link(
+                    FeedClient(
                         plane.url,
                         context,
                         f"gateway-{n}",
-                        Saved(plane.folder / f"saved-{n}"),
+                        CatalogCache(plane.folder / f"saved-{n}"),
                         lambda made, n=n: apply(n, made),  # type: ignore[misc]
                     ).run()
                 )
@@ -86,7 +86,7 @@
     return found[5:]  # the first ones wait for connections
 
 
-def large(clients: int) -> Catalogue:
+def large(clients: int) -> Catalog:
     """1,000 tenants with so many clients together."""
 
     def rows() -> list[Row]:
@@ -98,29 +98,29 @@
             made += [Row(name, Kind.CLIENT, f"client-{n}", 1, Client("small-shop")) for n in range(clients // 1000)]
         return made
 
-    return build(1, 1, rows(), {f"tenant-{t}": (1, 1) for t in range(1000)})
+    return build_catalog(1, 1, rows(), {f"tenant-{t}": (1, 1) for t in range(1000)})
 
 
 def whole(clients: int) -> tuple[list[float], list[float], float]:
     """ms of each line's making and taking in, and MiB that the process has grown by when both catalogues are held."""
     old = large(clients)
-    newest = Catalogue(2, 2, old.tenants, old.operators, old.hosts, old.sum)
-    follower = Follower(old, random.Random(1))
+    newest = Catalog(2, 2, old.tenants, old.operators, old.hosts, old.checksum)
+    follower = FeedFollower(old, random.Random(1))
     gc.collect()
     gc.freeze()  # as a gateway does once it serves
     gc.set_threshold(20_000, 20, 20)
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    lines, makes, takes = whole_lines(newest), [], []
+    lines, makes, takes = snapshot_lines(newest), [], []
     while True:
         began = time.perf_counter()
         line = next(lines, None)
         made = time.perf_counter()
         if line is None:
             break
-        follower.take(line)
+        follower.receive_line(line)
         makes.append((made - began) * 1000)
         takes.append((time.perf_counter() - made) * 1000)
-    assert follower.holds == (2, 2)
+    assert follower.version == (2, 2)
     return makes, takes, (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / 1024
 
 
--- a/hallhitch/administration/api/app.py
+++ b/hallhitch/administration/api/app.py
@@ -13,13 +13,13 @@
 
 from hallhitch import __version__
 from hallhitch.administration.api.calls import Service
-from hallhitch.administration.api.feed import FEED
+from hallhitch.administration.api.feed_resources import FEED_HANDLERS
 from hallhitch.administration.api.guard import Guard
-from hallhitch.administration.api.problems import MEDIA, ProblemError, hidden
-from hallhitch.administration.api.resources import HANDLERS, allowed
+from hallhitch.administration.api.problems import PROBLEM_MEDIA_TYPE, ProblemError, not_found
+from hallhitch.administration.api.resources import HANDLERS, authorize_handler
 from hallhitch.administration.clock import WallClock
-from hallhitch.administration.publisher import Publisher
-from hallhitch.administration.secrets import Checker
+from hallhitch.administration.feed_publisher import FeedPublisher
+from hallhitch.administration.secrets import SecretChecker
 from hallhitch.administration.settings import ApiSettings
 from hallhitch.administration.store import SqliteStore
 from hallhitch.administration.writer import Writer
@@ -27,29 +27,31 @@
 log = structlog.get_logger()
 
 
-def _respond(problem: ProblemError) -> Response[bytes]:
-    return Response(problem.body(), status_code=problem.status, headers=problem.headers(), media_type=MEDIA)
+def _problem_response(problem: ProblemError) -> Response[bytes]:
+    return Response(
+        problem.body(), status_code=problem.status, headers=problem.headers(), media_type=PROBLEM_MEDIA_TYPE
+    )
 
 
 def on_problem(_: Request[Any, Any, Any], error: ProblemError) -> Response[bytes]:
     """An error of our own."""
-    return _respond(error)
+    return _problem_response(error)
 
 
 def on_http(_: Request[Any, Any, Any], error: HTTPException) -> Response[bytes]:
     """An error of the framework's."""
     if isinstance(error, ValidationException):
-        return _respond(_invalid(error))
+        return _problem_response(_validation_problem(error))
     if error.status_code == 404:
-        return _respond(hidden())
+        return _problem_response(not_found())
     code = {405: "method", 413: "too-large", 415: "media-type"}.get(error.status_code, "malformed")
-    answer = _respond(ProblemError(error.status_code, code, error.detail))
+    answer = _problem_response(ProblemError(error.status_code, code, error.detail))
     if error.headers and "allow" in {name.lower() for name in error.headers}:
         answer.headers["allow"] = next(value for name, value in error.headers.items() if name.lower() == "allow")
     return answer
 
 
-def _invalid(error: ValidationException) -> ProblemError:
+def _validation_problem(error: ValidationException) -> ProblemError:
     """What of a body or a parameter does not fit, by its field."""
     field, what = "", error.detail
     extra = error.extra
@@ -59,31 +61,36 @@
     return ProblemError(422, "invalid", text, place.rstrip("`").lstrip(".") or field)
 
 
-def on_any(request: Request[Any, Any, Any], error: Exception) -> Response[bytes]:
+def on_unhandled_error(request: Request[Any, Any, Any], error: Exception) -> Response[bytes]:
     """A fault of the program's: said in the log, not to the caller."""
     log.error("handler failed", path=request.url.path, error=f"{type(error).__name__}: {error}", exc_info=error)
-    return _respond(ProblemError(500, "fault", "The service failed at this call; repeat it with the same key."))
+    return _problem_response(
+        ProblemError(500, "fault", "The service failed at this call; repeat it with the same key.")
+    )
 
 
 @get("/openapi.json", include_in_schema=False, operation_id="openapi")
-async def described(request: Request[Any, Any, Any]) -> Response[bytes]:
+async def openapi_document(request: Request[Any, Any, Any]) -> Response[bytes]:
     """The description."""
     return Response(request.app.state.described, media_type="application/json")
 
 
-def description(app: Litestar) -> bytes:
+def encode_openapi(app: Litestar) -> bytes:
     """The OpenAPI description as JSON."""
     return msgspec.json.encode(app.openapi_schema.to_schema())
 
 
-def framework(
-    service: Service | None, checker: Checker | None, store: SqliteStore | None, publisher: Publisher | None = None
+def create_framework(
+    service: Service | None,
+    checker: SecretChecker | None,
+    store: SqliteStore | None,
+    publisher: FeedPublisher | None = None,
 ) -> Litestar:
     """The handlers, without the guard."""
     app = Litestar(
-        route_handlers=[*HANDLERS, *FEED, described],
-        guards=[allowed],
-        exception_handlers={ProblemError: on_problem, HTTPException: on_http, Exception: on_any},
+        route_handlers=[*HANDLERS, *FEED_HANDLERS, openapi_document],
+        guards=[authorize_handler],
+        exception_handlers={ProblemError: on_problem, HTTPException: on_http, Exception: on_unhandled_error},
         openapi_config=OpenAPIConfig(
             title="hallhitch administration",
             version=__version__,
@@ -104,12 +111,17 @@
     )
     app.state.service, app.state.checker, app.state.store = service, checker, store
     app.state.publisher = publisher
-    app.state.described = description(app)
+    app.state.described = encode_openapi(app)
     return app
 
 
-def application(
-    writer: Writer, checker: Checker, store: SqliteStore, clock: WallClock, told: ApiSettings, publisher: Publisher
+def create_application(
+    writer: Writer,
+    checker: SecretChecker,
+    store: SqliteStore,
+    clock: WallClock,
+    told: ApiSettings,
+    publisher: FeedPublisher,
 ) -> Guard:
     """The whole application."""
-    return Guard(framework(Service(writer), checker, store, publisher), writer, checker, clock, told)
+    return Guard(create_framework(Service(writer), checker, store, publisher), writer, checker, clock, told)
--- a/hallhitch/administration/api/calls.py
+++ b/hallhitch/administration/api/calls.py
@@ -16,17 +16,26 @@
 from msgspec import Struct
 
 from hallhitch.administration.api import views
-from hallhitch.administration.api.bodies import merge, strict
-from hallhitch.administration.api.problems import ProblemError, hidden, refused
-from hallhitch.administration.writer import Call, Halted, KeyReused, NoLonger, Overloaded, Planned, Reply, Writer
+from hallhitch.administration.api.json_bodies import apply_merge_patch, parse_strict
+from hallhitch.administration.api.problems import ProblemError, not_found, problem_from_refusal
+from hallhitch.administration.writer import (
+    Call,
+    CredentialNoLongerValid,
+    IdempotencyKeyReused,
+    PlannedChange,
+    Reply,
+    WriteQueueFull,
+    Writer,
+    WriterHalted,
+)
 from hallhitch.catalog.access import Principal
-from hallhitch.catalog.changes import Change, Edit, Refused
-from hallhitch.catalog.model import TYPES, Catalogue, Kept, Kind
+from hallhitch.catalog.changes import Change, ChangeRefused, Edit
+from hallhitch.catalog.model import VALUE_TYPES, Catalog, Kind, Versioned
 
 JSON = "application/json"
-TAGS = re.compile(r'\s*"(\d{1,15})\.(\d{1,15})"\s*')
-TAG = re.compile(r'\s*(?:W/)?"[^"]*"\s*')
-MOST = 500  # things on a page
+STRONG_TAG_PATTERN = re.compile(r'\s*"(\d{1,15})\.(\d{1,15})"\s*')
+ENTITY_TAG_PATTERN = re.compile(r'\s*(?:W/)?"[^"]*"\s*')
+MAX_PAGE_ITEMS = 500  # things on a page
 Conn = Request[Any, Any, Any]
 _encode = msgspec.json.Encoder().encode
 
@@ -46,16 +55,16 @@
     tags: frozenset[tuple[int, int]] | None = None
     absent: bool = False
 
-    def check(self, catalogue: Catalogue, kept: Kept | None, replaces: bool) -> None:
+    def check(self, catalog: Catalog, kept: Versioned | None, replaces: bool) -> None:
         """Refused where the thing is not as the caller took it to be."""
         if self.absent and kept is not None:
-            raise Refused("stale", "If-None-Match", "there is one already")
+            raise ChangeRefused("stale", "If-None-Match", "there is one already")
         if (self.match_any or self.tags is not None) and kept is None:
-            raise Refused("stale", "If-Match", "there is nothing of this name")
-        if self.tags is not None and kept is not None and (catalogue.epoch, kept.version) not in self.tags:
-            raise Refused("stale", "If-Match", "this was changed meanwhile")
+            raise ChangeRefused("stale", "If-Match", "there is nothing of this name")
+        if self.tags is not None and kept is not None and (catalog.epoch, kept.version) not in self.tags:
+            raise ChangeRefused("stale", "If-Match", "this was changed meanwhile")
         if replaces and kept is not None and not self.match_any and self.tags is None:
-            raise Refused("unconditional", "If-Match", "a replace needs the version that it replaces")
+            raise ChangeRefused("unconditional", "If-Match", "a replace needs the version that it replaces")
 
 
 def condition_of(request: Conn) -> Condition:
@@ -69,9 +78,9 @@
         return Condition(match_any=True, absent=none is not None)
     tags = set()
     for part in match.split(","):
-        if not TAG.fullmatch(part):
+        if not ENTITY_TAG_PATTERN.fullmatch(part):
             raise ProblemError(400, "malformed", "If-Match takes '*' or entity tags.", "If-Match")
-        strong = TAGS.fullmatch(part)
+        strong = STRONG_TAG_PATTERN.fullmatch(part)
         if strong:  # a weak tag, or one of another making, never matches
             tags.add((int(strong[1]), int(strong[2])))
     return Condition(tags=frozenset(tags), absent=none is not None)
@@ -84,9 +93,9 @@
     writer: Writer
 
     @property
-    def catalogue(self) -> Catalogue:
+    def catalog(self) -> Catalog:
         """The newest catalogue that is on disk."""
-        return self.writer.catalogue
+        return self.writer.catalog
 
 
 def caller_of(request: Conn) -> Principal:
@@ -104,7 +113,7 @@
 async def submit(
     request: Conn,
     tenant: str,
-    plan: Callable[[Catalogue, int], Planned],
+    plan: Callable[[Catalog, int], PlannedChange],
 ) -> Response[Any]:
     """Hand a call to the writer; its reply, or the error that stands for what went wrong."""
     state = request.scope["state"]
@@ -115,17 +124,17 @@
         tenant,
         f"{request.method} {request.url.path}"[:400],
         plan,
-        _refusal,
+        _refusal_reply,
     )
     try:
         reply = await service_of(request).writer.submit(call)
-    except KeyReused as error:
+    except IdempotencyKeyReused as error:
         raise ProblemError(422, "key-reused", "This key was used for another call.", "Idempotency-Key") from error
-    except NoLonger as error:
+    except CredentialNoLongerValid as error:
         raise ProblemError(401, "unauthenticated", "This needs a credential that counts.") from error
-    except Overloaded as error:
+    except WriteQueueFull as error:
         raise ProblemError(503, "busy", "Too many changes wait.", wait=1.0) from error
-    except Halted as error:
+    except WriterHalted as error:
         raise ProblemError(503, "halted", "Nothing can be changed now; reads go on.", wait=10.0) from error
     except Exception as error:
         raise ProblemError(
@@ -140,30 +149,30 @@
     )
 
 
-def _refusal(refusal: Refused) -> Reply:
-    problem = refused(refusal)
+def _refusal_reply(refusal: ChangeRefused) -> Reply:
+    problem = problem_from_refusal(refusal)
     return Reply(problem.status, problem.headers(), problem.body())
 
 
-def shown(catalogue: Catalogue, target: Target, status: int, token: str | None = None) -> Reply:
+def resource_reply(catalog: Catalog, target: Target, status: int, token: str | None = None) -> Reply:
     """A thing as an answer, with its entity tag."""
-    kept = catalogue.get(target.tenant, target.kind, target.name)
+    kept = catalog.get(target.tenant, target.kind, target.name)
     if kept is None:
-        raise Refused("not-found", "", "there is nothing of this name")
+        raise ChangeRefused("not-found", "", "there is nothing of this name")
     headers = {
         "content-type": JSON,
-        "etag": f'"{views.stamp(catalogue.epoch, kept.version)}"',
+        "etag": f'"{views.stamp(catalog.epoch, kept.version)}"',
         "cache-control": "no-store",
     }
-    return Reply(status, headers, _encode(views.view(catalogue, target.kind, target.name, kept, token)))
+    return Reply(status, headers, _encode(views.view(catalog, target.kind, target.name, kept, token)))
 
 
 def read(request: Conn, target: Target) -> Response[Any]:
     """Answer a GET of one thing."""
     try:
-        reply = shown(service_of(request).catalogue, target, 200)
-    except Refused as error:
-        raise hidden() from error
+        reply = resource_reply(service_of(request).catalog, target, 200)
+    except ChangeRefused as error:
+        raise not_found() from error
     return Response(reply.body, status_code=200, headers=reply.headers, media_type=JSON)
 
 
@@ -171,13 +180,13 @@
     """Create or replace; with `token`, the answer holds a secret."""
     condition = condition_of(request)
 
-    def plan(catalogue: Catalogue, now: int) -> Planned:
-        was = _there(catalogue, target)
-        condition.check(catalogue, was, replaces=True)
+    def plan(catalog: Catalog, now: int) -> PlannedChange:
+        was = _current_entry(catalog, target)
+        condition.check(catalog, was, replaces=True)
         status = 200 if was is not None else 201
-        return Planned(
+        return PlannedChange(
             Change(target.tenant, (Edit(target.kind, target.name, value),)),
-            lambda made: shown(made, target, status, token),
+            lambda made: resource_reply(made, target, status, token),
             token is not None,
         )
 
@@ -187,21 +196,22 @@
 async def patch(request: Conn, target: Target, fold: Callable[[Any, Any], Any] | None = None) -> Response[Any]:
     """Merge the body into what is there; `fold` makes the value where it is not the body's own form."""
     condition = condition_of(request)
-    body = strict(request.scope["state"]["raw"])
+    body = parse_strict(request.scope["state"]["raw"])
     if not isinstance(body, dict):
         raise ProblemError(422, "invalid", "A merge patch of a thing is an object.")
 
-    def plan(catalogue: Catalogue, now: int) -> Planned:
-        was = _there(catalogue, target)
+    def plan(catalog: Catalog, now: int) -> PlannedChange:
+        was = _current_entry(catalog, target)
         if was is None:
-            raise Refused("not-found", "", "there is nothing of this name")
-        condition.check(catalogue, was, replaces=False)
+            raise ChangeRefused("not-found", "", "there is nothing of this name")
+        condition.check(catalog, was, replaces=False)
         if fold is not None:
             value = fold(was.value, body)
         else:
-            value = typed(merge(msgspec.to_builtins(was.value), body), TYPES[target.kind])
-        return Planned(
-            Change(target.tenant, (Edit(target.kind, target.name, value),)), lambda made: shown(made, target, 200)
+            value = convert_value(apply_merge_patch(msgspec.to_builtins(was.value), body), VALUE_TYPES[target.kind])
+        return PlannedChange(
+            Change(target.tenant, (Edit(target.kind, target.name, value),)),
+            lambda made: resource_reply(made, target, 200),
         )
 
     return await submit(request, target.tenant, plan)
@@ -211,12 +221,12 @@
     """Drop a thing."""
     condition = condition_of(request)
 
-    def plan(catalogue: Catalogue, now: int) -> Planned:
-        was = _there(catalogue, target)
+    def plan(catalog: Catalog, now: int) -> PlannedChange:
+        was = _current_entry(catalog, target)
         if was is None:
-            raise Refused("not-found", "", "there is nothing of this name")
-        condition.check(catalogue, was, replaces=False)
-        return Planned(
+            raise ChangeRefused("not-found", "", "there is nothing of this name")
+        condition.check(catalog, was, replaces=False)
+        return PlannedChange(
             Change(target.tenant, (Edit(target.kind, target.name),)),
             lambda made: Reply(204, {"content-type": JSON}, b""),
         )
@@ -224,20 +234,20 @@
     return await submit(request, target.tenant, plan)
 
 
-def typed(value: Any, form: type[Any]) -> Any:
+def convert_value(value: Any, form: type[Any]) -> Any:
     """A value of this form; Refused names the field."""
     try:
         return msgspec.convert(value, form, strict=True)
     except msgspec.ValidationError as error:
         what, _, place = str(error).partition(" - at `$")
-        raise Refused("invalid", place.rstrip("`").lstrip("."), what) from error
+        raise ChangeRefused("invalid", place.rstrip("`").lstrip("."), what) from error
 
 
-def _there(catalogue: Catalogue, target: Target) -> Kept | None:
+def _current_entry(catalog: Catalog, target: Target) -> Versioned | None:
     """What stands under the name; of a tenant that is not there, nothing can be said but that."""
-    if target.kind is not Kind.TENANT and target.tenant and target.tenant not in catalogue.tenants:
-        raise Refused("not-found", "", "there is no such tenant")
-    return catalogue.get(target.tenant, target.kind, target.name)
+    if target.kind is not Kind.TENANT and target.tenant and target.tenant not in catalog.tenants:
+        raise ChangeRefused("not-found", "", "there is no such tenant")
+    return catalog.get(target.tenant, target.kind, target.name)
 
 
 def page(
--- a/hallhitch/administration/api/feed.py
+++ b/hallhitch/administration/api/feed_resources.py
@@ -12,14 +12,14 @@
 from hallhitch.administration.api import views
 from hallhitch.administration.api.calls import Conn, service_of
 from hallhitch.administration.api.problems import ProblemError
-from hallhitch.administration.api.resources import CHANGE, READ, Answer, Key, answer
-from hallhitch.administration.publisher import Crowded, Publisher
+from hallhitch.administration.api.resources import CHANGE_ERRORS, READ_ERRORS, Answer, Key, json_response
+from hallhitch.administration.feed_publisher import FeedPublisher, SnapshotTransfersFull
 from hallhitch.catalog.feed import FeedError
-from hallhitch.catalog.membership import Gateway, Taken
+from hallhitch.catalog.gateway_leases import Gateway, GatewayNameTaken
 from hallhitch.catalog.names import OPERATORS
 
-HOLD_MOST = 20_000  # ms that a question may wait for news
-MEDIA = "application/x-ndjson"
+MAX_HOLD_MS = 20_000  # ms that a question may wait for news
+FEED_MEDIA_TYPE = "application/x-ndjson"
 Name = Annotated[str, QueryParameter(name="gateway", pattern="^[a-z0-9][a-z0-9.-]{0,62}$")]
 Instance = Annotated[
     str, QueryParameter(name="instance", pattern="^[0-9a-f]{16,64}$", description="Drawn by the gateway at its start.")
@@ -46,20 +46,20 @@
     lost: list[GatewayView]
 
 
-def publisher_of(request: Conn) -> Publisher:
+def publisher_of(request: Conn) -> FeedPublisher:
     """The feed's publisher."""
-    publisher: Publisher = request.app.state.publisher
+    publisher: FeedPublisher = request.app.state.publisher
     return publisher
 
 
-@get("/v1/feed", responses=READ, operation_id="getFeed", tags=["feed"], opt={"feed": True})
+@get("/v1/feed", responses=READ_ERRORS, operation_id="getFeed", tags=["feed"], opt={"feed": True})
 async def feed(
     request: Conn,
     gateway: Name,
     instance: Instance,
     epoch: Number = 0,
     version: Number = 0,
-    hold_ms: Annotated[int, QueryParameter(ge=0, le=HOLD_MOST)] = 0,
+    hold_ms: Annotated[int, QueryParameter(ge=0, le=MAX_HOLD_MS)] = 0,
 ) -> Response[Any]:
     """What leads on from the version that a gateway holds: lines of JSON, or 204 after `hold_ms` without news.
 
@@ -68,26 +68,28 @@
     """
     publisher = publisher_of(request)
     try:
-        publisher.members.renew(gateway, instance, (epoch, version), publisher.now())
-        lines = await publisher.ask(epoch, version, hold_ms / 1000)
-    except Taken as error:
+        publisher.leases.renew(gateway, instance, (epoch, version), publisher.now_ms())
+        lines = await publisher.next_update(epoch, version, hold_ms / 1000)
+    except GatewayNameTaken as error:
         raise ProblemError(409, "name-taken", f"{error}.", "gateway") from error
     except FeedError as error:
         raise ProblemError(409, "behind", f"{error}.", "version") from error
-    except Crowded as error:
-        raise ProblemError(503, "busy", "Too many gateways are sent everything.", wait=error.wait) from error
+    except SnapshotTransfersFull as error:
+        raise ProblemError(503, "busy", "Too many gateways are sent everything.", wait=error.retry_after_s) from error
     if lines is None:
         return Response(b"", status_code=204)
-    return Stream(lines, media_type=MEDIA, headers={"cache-control": "no-store"})
+    return Stream(lines, media_type=FEED_MEDIA_TYPE, headers={"cache-control": "no-store"})
 
 
-@delete("/v1/feed", responses=CHANGE, operation_id="leaveFeed", tags=["feed"], opt={"feed": True}, status_code=204)
+@delete(
+    "/v1/feed", responses=CHANGE_ERRORS, operation_id="leaveFeed", tags=["feed"], opt={"feed": True}, status_code=204
+)
 async def leave(request: Conn, gateway: Name, instance: Instance, key: Key) -> None:
     """A gateway ends: it is no longer counted, and its name is free. Nothing happens where the lease is another's."""
-    publisher_of(request).members.leave(gateway, instance)
+    publisher_of(request).leases.release(gateway, instance)
 
 
-@get("/v1/gateways", responses=READ, operation_id="listGateways", tags=["feed"], opt={"tenant": OPERATORS})
+@get("/v1/gateways", responses=READ_ERRORS, operation_id="listGateways", tags=["feed"], opt={"tenant": OPERATORS})
 async def gateways(
     request: Conn,
     version: Annotated[
@@ -95,27 +97,27 @@
     ] = None,
 ) -> Answer:
     """The gateways, and how far a version has come (operators)."""
-    publisher, catalogue = publisher_of(request), service_of(request).catalogue
-    now = publisher.now()
-    asked = (catalogue.epoch, catalogue.version)
+    publisher, catalog = publisher_of(request), service_of(request).catalog
+    now = publisher.now_ms()
+    asked = (catalog.epoch, catalog.version)
     if version is not None:
         epoch, _, number = version.partition(".")
         asked = int(epoch), int(number)
-    progress = publisher.members.progress(asked, now)
+    progress = publisher.leases.progress(asked, now)
 
     def shown(found: list[Gateway]) -> list[GatewayView]:
-        return [GatewayView(g.name, views.stamp(*g.holds), round(g.ends - now)) for g in found]
+        return [GatewayView(g.name, views.stamp(*g.version), round(g.lease_ends_ms - now)) for g in found]
 
-    return answer(
+    return json_response(
         GatewaysView(
             views.stamp(*asked),
             progress.state,
             progress.applied,
             progress.counted,
-            shown(publisher.members.counted(now)),
-            shown(publisher.members.lost(now)),
+            shown(publisher.leases.active(now)),
+            shown(publisher.leases.expired(now)),
         )
     )
 
 
-FEED: list[Any] = [feed, leave, gateways]
+FEED_HANDLERS: list[Any] = [feed, leave, gateways]
--- a/hallhitch/administration/api/guard.py
+++ b/hallhitch/administration/api/guard.py
@@ -11,80 +11,94 @@
 from hashlib import blake2b
 from typing import Any
 
-from hallhitch.administration.api.bodies import strict
+from hallhitch.administration.api.json_bodies import parse_strict
 from hallhitch.administration.api.problems import ProblemError
 from hallhitch.administration.clock import WallClock
-from hallhitch.administration.limits import Buckets
-from hallhitch.administration.secrets import Busy, Checker
+from hallhitch.administration.rate_limits import TokenBuckets
+from hallhitch.administration.secrets import CheckQueueFull, SecretChecker
 from hallhitch.administration.settings import ApiSettings
 from hallhitch.administration.writer import Writer
-from hallhitch.catalog.access import Principal, Token, credential_of, holder_of, token_of, verifiers_of
+from hallhitch.catalog.access import (
+    Principal,
+    Token,
+    operator_by_certificate,
+    parse_token,
+    valid_credential,
+    valid_verifiers,
+)
 from hallhitch.catalog.model import Scope
 from hallhitch.core.invariants import COUNTS
 
-Scoped = MutableMapping[str, Any]
+AsgiScope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[Any]]
 Send = Callable[[Any], Awaitable[None]]
 App = Callable[[Any, Any, Any], Awaitable[None]]
-PUBLIC = {"/openapi.json"}
-READS = {"GET", "HEAD", "OPTIONS"}
-KEY = re.compile(r"[\x21-\x7e]{1,200}")
+PUBLIC_PATHS = {"/openapi.json"}
+READ_METHODS = {"GET", "HEAD", "OPTIONS"}
+IDEMPOTENCY_KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,200}")
 JSON_TYPES = {"application/json", "application/merge-patch+json"}
 
 
 class Guard:
     """Bounds, authentication and rates; what it learns lies in the scope's state for the handlers."""
 
-    def __init__(self, app: App, writer: Writer, checker: Checker, clock: WallClock, told: ApiSettings) -> None:
-        self._app, self._writer, self._checker, self._clock, self._told = app, writer, checker, clock, told
-        self._calls = Buckets(told.calls_per_second, told.burst)
-        failures = told.failures_per_minute / 60
-        self._failed = Buckets(failures, max(3.0, told.failures_per_minute / 2))  # by address and token's name
-        self._failed_there = Buckets(failures * 10, told.failures_per_minute * 5)  # by address
-
-    async def __call__(self, scope: Scoped, receive: Receive, send: Send) -> None:
+    def __init__(
+        self, app: App, writer: Writer, checker: SecretChecker, clock: WallClock, settings: ApiSettings
+    ) -> None:
+        self._app = app
+        self._writer = writer
+        self._checker = checker
+        self._clock = clock
+        self._settings = settings
+        self._calls = TokenBuckets(settings.calls_per_second, settings.burst)
+        failures_per_s = settings.failures_per_minute / 60
+        # By address and the token's name.
+        self._failures_by_token = TokenBuckets(failures_per_s, max(3.0, settings.failures_per_minute / 2))
+        self._failures_by_address = TokenBuckets(failures_per_s * 10, settings.failures_per_minute * 5)
+
+    async def __call__(self, scope: AsgiScope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             return await self._app(scope, receive, send)
         try:
             replay = await self._admit(scope, receive)
         except ProblemError as problem:
             COUNTS[f"api_{problem.code}"] += 1
-            await answer(send, problem, scope["method"])
+            await send_problem(send, problem, scope["method"])
             return
         await self._app(scope, replay, send)
 
-    async def _admit(self, scope: Scoped, receive: Receive) -> Receive:
+    async def _admit(self, scope: AsgiScope, receive: Receive) -> Receive:
         headers = Headers(scope["headers"])
-        if headers.size > self._told.head_kib * 1024:
-            raise ProblemError(431, "too-large", f"A head holds {self._told.head_kib} KiB at most.")
+        if headers.size_bytes > self._settings.head_kib * 1024:
+            raise ProblemError(431, "too-large", f"A head holds {self._settings.head_kib} KiB at most.")
         state = scope["state"]
-        if scope["path"] in PUBLIC and scope["method"] in READS:
+        if scope["path"] in PUBLIC_PATHS and scope["method"] in READ_METHODS:
             state["caller"] = None
             return receive
-        state["caller"] = caller = await self._caller(scope, headers)
+        state["caller"] = caller = await self._authenticate(scope, headers)
         # Gateways of one credential are many, and each is bounded by what the feed gives out.
         wait = 0.0 if caller.scope is Scope.GATEWAY else self._calls.take(caller.name, time.monotonic())
         if wait:
             raise ProblemError(429, "too-many-calls", "This credential calls too often.", wait=wait)
-        if scope["method"] in READS:
+        if scope["method"] in READ_METHODS:
             state["raw"] = b""
             return receive
-        key = headers.one("idempotency-key")
-        if key is None or not KEY.fullmatch(key):
+        key = headers.single("idempotency-key")
+        if key is None or not IDEMPOTENCY_KEY_PATTERN.fullmatch(key):
             raise ProblemError(
                 400,
                 "no-idempotency-key",
                 "A change needs a key of 1 to 200 visible ASCII characters.",
                 "Idempotency-Key",
             )
-        body = await self._body(headers, receive)
+        body = await self._read_body(headers, receive)
         if body:
-            kind = (headers.one("content-type") or "").partition(";")[0].strip().lower()
+            kind = (headers.single("content-type") or "").partition(";")[0].strip().lower()
             if kind not in JSON_TYPES:
                 raise ProblemError(415, "media-type", "A body is application/json.", "Content-Type")
-            strict(body)
+            parse_strict(body)
         state["raw"], state["key"] = body, key
-        conditions = "\n".join(headers.one(name) or "" for name in ("if-match", "if-none-match"))
+        conditions = "\n".join(headers.single(name) or "" for name in ("if-match", "if-none-match"))
         asked = blake2b(digest_size=16)
         for piece in (
             scope["method"].encode(),
@@ -96,53 +110,53 @@
             asked.update(b"%d:" % len(piece))
             asked.update(piece)
         state["asked"] = asked.digest()
-        return _once(body, receive)
+        return _replay_body(body, receive)
 
-    async def _caller(self, scope: Scoped, headers: Headers) -> Principal:
+    async def _authenticate(self, scope: AsgiScope, headers: Headers) -> Principal:
         """Who calls; 401, and the cost is the caller's."""
-        now = self._clock.now()
-        catalogue = self._writer.catalogue
-        told = headers.one("authorization")
+        now = self._clock.now_ms()
+        catalog = self._writer.catalog
+        told = headers.single("authorization")
         if told is None:
             shown = scope["state"].get("certificate")
-            holder = holder_of(catalogue, shown, now) if shown else None
+            holder = operator_by_certificate(catalog, shown, now) if shown else None
             if holder is not None:
                 return holder
             raise unauthenticated()
         scheme, _, text = told.partition(" ")
-        token = token_of(text.strip()) if scheme.lower() == "bearer" else None
+        token = parse_token(text.strip()) if scheme.lower() == "bearer" else None
         if token is None:
             raise unauthenticated()
         address = (scope.get("client") or ("", 0))[0]
-        credential = credential_of(catalogue, token.tenant, token.id, now)
-        verifiers = verifiers_of(credential, now) if credential is not None else []
-        if not self._checker.remembers(verifiers, token.secret):
-            await self._check(token, address, verifiers)
+        credential = valid_credential(catalog, token.tenant, token.id, now)
+        verifiers = valid_verifiers(credential, now) if credential is not None else []
+        if not self._checker.is_cached(verifiers, token.secret):
+            await self._check_secret(token, address, verifiers)
         if credential is None or credential.scope is Scope.CLIENT:
             raise unauthenticated()
         return Principal(token.tenant, token.id, credential.scope)
 
-    async def _check(self, token: Token, address: str, verifiers: list[Any]) -> None:
+    async def _check_secret(self, token: Token, address: str, verifiers: list[Any]) -> None:
         """Check a secret that is not remembered, if its caller has not failed too often."""
         moment = time.monotonic()
         names = (address, token.tenant, token.id), address
-        wait = max(self._failed.wait(names[0], moment), self._failed_there.wait(names[1], moment))
+        wait = max(self._failures_by_token.wait(names[0], moment), self._failures_by_address.wait(names[1], moment))
         if wait:
             raise ProblemError(429, "too-many-failures", "Too many failed authentications.", wait=wait)
         try:
             good = await self._checker.check(verifiers, token.secret)
-        except Busy as error:
+        except CheckQueueFull as error:
             raise ProblemError(503, "busy", "Too many checks of credentials wait.", wait=1.0) from error
         if not good:
-            self._failed.take(names[0], moment)
-            self._failed_there.take(names[1], moment)
+            self._failures_by_token.take(names[0], moment)
+            self._failures_by_address.take(names[1], moment)
             raise unauthenticated()
 
-    async def _body(self, headers: Headers, receive: Receive) -> bytes:
-        most = self._told.body_kib * 1024
-        length = headers.one("content-length")
+    async def _read_body(self, headers: Headers, receive: Receive) -> bytes:
+        most = self._settings.body_kib * 1024
+        length = headers.single("content-length")
         if length is not None and length.isdigit() and int(length) > most:
-            raise ProblemError(413, "too-large", f"A body holds {self._told.body_kib} KiB at most.")
+            raise ProblemError(413, "too-large", f"A body holds {self._settings.body_kib} KiB at most.")
         body = bytearray()
         while True:
             message = await receive()
@@ -150,7 +164,7 @@
                 raise ProblemError(400, "malformed", "The body ended early.")
             body += message.get("body", b"")
             if len(body) > most:
-                raise ProblemError(413, "too-large", f"A body holds {self._told.body_kib} KiB at most.")
+                raise ProblemError(413, "too-large", f"A body holds {self._settings.body_kib} KiB at most.")
             if not message.get("more_body", False):
                 return bytes(body)
 
@@ -162,11 +176,11 @@
         self._raw = raw
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes of names and values."""
         return sum(len(name) + len(value) for name, value in self._raw)
 
-    def one(self, name: str) -> str | None:
+    def single(self, name: str) -> str | None:
         """A header's value; 400 where it stands twice."""
         found = [value for key, value in self._raw if key == name.encode()]
         if len(found) > 1:
@@ -179,7 +193,7 @@
     return ProblemError(401, "unauthenticated", "This needs a credential that counts.")
 
 
-def _once(body: bytes, receive: Receive) -> Receive:
+def _replay_body(body: bytes, receive: Receive) -> Receive:
     """The body again, for the framework; then whatever comes."""
     told = False
 
@@ -193,7 +207,7 @@
     return replay
 
 
-async def answer(send: Send, problem: ProblemError, method: str) -> None:
+async def send_problem(send: Send, problem: ProblemError, method: str) -> None:
     """Send an error."""
     body = problem.body()
     headers = problem.headers() | {"content-length": str(len(body))}
--- a/hallhitch/administration/api/bodies.py
+++ b/hallhitch/administration/api/json_bodies.py
@@ -8,12 +8,12 @@
 
 from hallhitch.administration.api.problems import ProblemError
 
-DEPTH = 32  # far more than any body here has
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"', re.DOTALL)
-BRACKET = re.compile(rb"[\[\]{}]")
+MAX_NESTING_DEPTH = 32  # far more than any body here has
+STRING_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"', re.DOTALL)
+BRACKET_PATTERN = re.compile(rb"[\[\]{}]")
 
 
-def strict(body: bytes) -> Any:
+def parse_strict(body: bytes) -> Any:
     """A body as plain values; 400 names what no two readers would read alike."""
 
     def pairs(items: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -33,26 +33,26 @@
             raise ValueError(f"{text[:40]} is out of range")
         return value
 
-    if depth_of(body) > DEPTH:
-        raise ProblemError(400, "malformed", f"The body nests deeper than {DEPTH}.")
+    if nesting_depth(body) > MAX_NESTING_DEPTH:
+        raise ProblemError(400, "malformed", f"The body nests deeper than {MAX_NESTING_DEPTH}.")
     try:
         return json.loads(body.decode("utf-8"), object_pairs_hook=pairs, parse_constant=constant, parse_float=number)
     except (ValueError, RecursionError) as error:
         raise ProblemError(400, "malformed", f"The body cannot be read: {error}"[:300]) from error
 
 
-def depth_of(body: bytes) -> int:
+def nesting_depth(body: bytes) -> int:
     """How deep brackets nest, strings passed over."""
-    if body.count(b"[") + body.count(b"{") <= DEPTH:
+    if body.count(b"[") + body.count(b"{") <= MAX_NESTING_DEPTH:
         return 0
     depth = most = 0
-    for found in BRACKET.findall(STRING.sub(b"", body)):
+    for found in BRACKET_PATTERN.findall(STRING_PATTERN.sub(b"", body)):
         depth += 1 if found in b"[{" else -1
         most = max(most, depth)
     return most
 
 
-def merge(target: Any, patch: Any) -> Any:
+def apply_merge_patch(target: Any, patch: Any) -> Any:
     """A JSON merge patch applied: null takes a member away, objects merge, all else replaces."""
     if not isinstance(patch, dict):
         return patch
@@ -61,5 +61,5 @@
         if value is None:
             made.pop(name, None)
         else:
-            made[name] = merge(made.get(name), value)
+            made[name] = apply_merge_patch(made.get(name), value)
     return made
--- a/hallhitch/administration/api/problems.py
+++ b/hallhitch/administration/api/problems.py
@@ -8,10 +8,10 @@
 import msgspec
 from msgspec import Struct
 
-from hallhitch.catalog.changes import Refused
+from hallhitch.catalog.changes import ChangeRefused
 
-MEDIA = "application/problem+json"
-STATUS = {
+PROBLEM_MEDIA_TYPE = "application/problem+json"
+STATUS_BY_CODE = {
     "not-found": 404,
     "stale": 412,
     "unconditional": 428,
@@ -38,7 +38,7 @@
 
     def __init__(self, status: int, code: str, detail: str, field: str = "", wait: float = 0.0) -> None:
         super().__init__(detail)
-        self.status, self.code, self.detail, self.field, self.wait = status, code, detail, field, wait
+        self.status, self.code, self.detail, self.field, self.retry_after_s = status, code, detail, field, wait
 
     def body(self) -> bytes:
         """The answer's bytes."""
@@ -55,21 +55,21 @@
 
     def headers(self) -> dict[str, str]:
         """The answer's own headers."""
-        told = {"content-type": MEDIA, "cache-control": "no-store"}
+        told = {"content-type": PROBLEM_MEDIA_TYPE, "cache-control": "no-store"}
         if self.status == 401:
             told["www-authenticate"] = 'Bearer realm="hallhitch"'
-        if self.wait > 0:
-            told["retry-after"] = str(max(1, math.ceil(self.wait)))
+        if self.retry_after_s > 0:
+            told["retry-after"] = str(max(1, math.ceil(self.retry_after_s)))
         return told
 
 
-def hidden() -> ProblemError:
+def not_found() -> ProblemError:
     """What is not there, or not the caller's."""
     return ProblemError(404, "not-found", "There is nothing of this name that you may see.")
 
 
-def refused(refusal: Refused) -> ProblemError:
+def problem_from_refusal(refusal: ChangeRefused) -> ProblemError:
     """A change that was not made."""
     if refusal.code == "not-found" and refusal.field in ("", "edits[0]"):
-        return hidden()
-    return ProblemError(STATUS[refusal.code], refusal.code, refusal.detail, refusal.field)
+        return not_found()
+    return ProblemError(STATUS_BY_CODE[refusal.code], refusal.code, refusal.detail, refusal.field)
--- a/hallhitch/administration/api/resources.py
+++ b/hallhitch/administration/api/resources.py
@@ -14,14 +14,26 @@
 
 from hallhitch.administration.api import calls, views
 from hallhitch.administration.api.calls import Conn, Target, caller_of, service_of
-from hallhitch.administration.api.problems import MEDIA, Problem, ProblemError, hidden
-from hallhitch.administration.secrets import Checker, new_secret
+from hallhitch.administration.api.problems import PROBLEM_MEDIA_TYPE, Problem, ProblemError, not_found
+from hallhitch.administration.secrets import SecretChecker, new_secret
 from hallhitch.administration.store import SqliteStore
-from hallhitch.administration.writer import Planned, Reply
-from hallhitch.catalog.access import Token, Verdict, may
-from hallhitch.catalog.changes import Change, Edit, Refused
-from hallhitch.catalog.model import TYPES, Catalogue, Client, Credential, Head, Host, Kept, Kind, Plan, Scope, Verifier
-from hallhitch.catalog.names import OPERATORS, client_of
+from hallhitch.administration.writer import PlannedChange, Reply
+from hallhitch.catalog.access import Token, Verdict, authorize
+from hallhitch.catalog.changes import Change, ChangeRefused, Edit
+from hallhitch.catalog.model import (
+    VALUE_TYPES,
+    Catalog,
+    Client,
+    Credential,
+    Head,
+    Host,
+    Kind,
+    Plan,
+    Scope,
+    Verifier,
+    Versioned,
+)
+from hallhitch.catalog.names import OPERATORS, canonical_client_id
 
 Key = Annotated[
     str,
@@ -35,23 +47,23 @@
 IfMatch = Annotated[str | None, HeaderParameter(name="If-Match", description="Entity tags of the thing, or *.")]
 IfNoneMatch = Annotated[str | None, HeaderParameter(name="If-None-Match", description="* if there must be none.")]
 After = Annotated[str, QueryParameter(name="after", max_length=253, description="The `next` of the page before.")]
-Limit = Annotated[int, QueryParameter(name="limit", ge=1, le=calls.MOST)]
+Limit = Annotated[int, QueryParameter(name="limit", ge=1, le=calls.MAX_PAGE_ITEMS)]
 Prefix = Annotated[str, QueryParameter(name="prefix", max_length=253, description="Only names that begin so.")]
 Answer = Response[Any]
 
 
 def _problem(text: str) -> ResponseSpec:
-    return ResponseSpec(Problem, generate_examples=False, description=text, media_type=MEDIA)
+    return ResponseSpec(Problem, generate_examples=False, description=text, media_type=PROBLEM_MEDIA_TYPE)
 
 
-READ = {
+READ_ERRORS = {
     400: _problem("What cannot be read."),
     401: _problem("No credential that counts."),
     404: _problem("Nothing there that the caller may see."),
     429: _problem("Too many calls."),
     503: _problem("Nothing can be looked up now."),
 }
-CHANGE = READ | {
+CHANGE_ERRORS = READ_ERRORS | {
     403: _problem("Beyond the credential's scope."),
     409: _problem("Contradicts what stands."),
     412: _problem("The thing is not as If-Match or If-None-Match says."),
@@ -62,7 +74,7 @@
 }
 
 
-def allowed(connection: ASGIConnection[Any, Any, Any, Any], handler: BaseRouteHandler) -> None:
+def authorize_handler(connection: ASGIConnection[Any, Any, Any, Any], handler: BaseRouteHandler) -> None:
     """Before a body is looked at: what is another's reads as what is not there."""
     caller = connection.scope["state"]["caller"]
     if caller is None:
@@ -70,29 +82,29 @@
     told = handler.opt
     if told.get("feed"):  # gateways alone, and nothing else is theirs
         if caller.scope is not Scope.GATEWAY:
-            raise hidden()
+            raise not_found()
         return
     tenant = connection.path_params.get("tenant", told.get("tenant"))
-    verdict = may(caller, tenant, told.get("kind"), bool(told.get("write")))
+    verdict = authorize(caller, tenant, told.get("kind"), bool(told.get("write")))
     if verdict is Verdict.HIDDEN:
-        raise hidden()
-    if verdict is Verdict.BEYOND:
+        raise not_found()
+    if verdict is Verdict.BEYOND_SCOPE:
         raise ProblemError(403, "beyond-scope", "This credential may not do that.")
 
 
-def listed(
+def page_of_kind(
     request: Conn, tenant: str, kind: Kind, after: str, limit: int, prefix: str
-) -> tuple[list[tuple[str, Kept]], str | None]:
+) -> tuple[list[tuple[str, Versioned]], str | None]:
     """A page of one kind of a tenant's things."""
-    part = service_of(request).catalogue.tenants.get(tenant)
+    part = service_of(request).catalog.tenants.get(tenant)
     if part is None:
-        raise hidden()
-    things = part.of(kind)
+        raise not_found()
+    things = part.entries(kind)
     names, following = calls.page(things, after, limit, lambda name: name.startswith(prefix))
     return [(name, things[name]) for name in names], following
 
 
-def answer(body: Any) -> Answer:
+def json_response(body: Any) -> Answer:
     """A view as an answer."""
     return Response(msgspec.json.encode(body), media_type=calls.JSON, headers={"cache-control": "no-store"})
 
@@ -104,25 +116,25 @@
     tags = ("tenants",)
     opt = {"kind": Kind.TENANT}
 
-    @get("/", responses=READ, operation_id="listTenants")
+    @get("/", responses=READ_ERRORS, operation_id="listTenants")
     async def list(
         self, request: Conn, after: After = "", limit: Limit = 100, prefix: Prefix = ""
     ) -> Response[views.TenantPage]:
         """The tenants that the caller may see."""
-        catalogue, caller = service_of(request).catalogue, caller_of(request)
-        seen = catalogue.tenants if caller.scope is Scope.OPERATOR else [caller.tenant]
+        catalog, caller = service_of(request).catalog, caller_of(request)
+        seen = catalog.tenants if caller.scope is Scope.OPERATOR else [caller.tenant]
         names, following = calls.page(
-            seen, after, limit, lambda name: name.startswith(prefix) and name in catalogue.tenants
+            seen, after, limit, lambda name: name.startswith(prefix) and name in catalog.tenants
         )
-        items = [views.tenant_view(catalogue, name, catalogue.tenants[name]) for name in names]
-        return answer(views.TenantPage(items, following))
+        items = [views.tenant_view(catalog, name, catalog.tenants[name]) for name in names]
+        return json_response(views.TenantPage(items, following))
 
-    @get("/{tenant:str}", responses=READ, operation_id="getTenant")
+    @get("/{tenant:str}", responses=READ_ERRORS, operation_id="getTenant")
     async def get(self, request: Conn, tenant: str) -> Response[views.TenantView]:
         """One tenant."""
         return calls.read(request, Target(tenant, Kind.TENANT, tenant))
 
-    @put("/{tenant:str}", responses=CHANGE, operation_id="putTenant", opt={"write": True})
+    @put("/{tenant:str}", responses=CHANGE_ERRORS, operation_id="putTenant", opt={"write": True})
     async def put(
         self,
         request: Conn,
@@ -135,21 +147,21 @@
         """Create or replace a tenant's own entry (operators)."""
         return await calls.put(request, Target(tenant, Kind.TENANT, tenant), data)
 
-    @patch("/{tenant:str}", responses=CHANGE, operation_id="patchTenant", opt={"write": True})
+    @patch("/{tenant:str}", responses=CHANGE_ERRORS, operation_id="patchTenant", opt={"write": True})
     async def patch(
         self, request: Conn, tenant: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
     ) -> Response[views.TenantView]:
         """Merge into a tenant's own entry (operators)."""
         return await calls.patch(request, Target(tenant, Kind.TENANT, tenant))
 
-    @delete("/{tenant:str}", responses=CHANGE, operation_id="deleteTenant", opt={"write": True}, status_code=204)
+    @delete("/{tenant:str}", responses=CHANGE_ERRORS, operation_id="deleteTenant", opt={"write": True}, status_code=204)
     async def delete(self, request: Conn, tenant: str, key: Key, if_match: IfMatch = None) -> Response[None]:
         """Drop a tenant with all it has (operators)."""
         return await calls.delete(request, Target(tenant, Kind.TENANT, tenant))
 
     @post(
         "/{tenant:str}/changes",
-        responses=CHANGE,
+        responses=CHANGE_ERRORS,
         operation_id="changeTenant",
         status_code=200,
         opt={"write": True, "kind": Kind.PLAN},
@@ -161,42 +173,46 @@
         caller = caller_of(request)
         for number, edit in enumerate(data.edits):
             at = f"edits[{number}]"
-            if may(caller, tenant, edit.kind, True) is not Verdict.YES:
+            if authorize(caller, tenant, edit.kind, True) is not Verdict.ALLOWED:
                 raise ProblemError(403, "beyond-scope", "This credential may not change that.", at)
             if edit.kind is Kind.CREDENTIAL and edit.value is not None:
                 raise ProblemError(422, "invalid", "Credentials are issued one by one, under their own path.", at)
 
-        def plan(catalogue: Catalogue, now: int) -> Planned:
-            if tenant not in catalogue.tenants and not (
+        def plan(catalog: Catalog, now: int) -> PlannedChange:
+            if tenant not in catalog.tenants and not (
                 data.edits[0].kind is Kind.TENANT and data.edits[0].value is not None
             ):
-                raise Refused("not-found", "", "there is no such tenant")
-            made = Change(tenant, tuple(_edit(catalogue, edit, f"edits[{n}]") for n, edit in enumerate(data.edits)))
+                raise ChangeRefused("not-found", "", "there is no such tenant")
+            made = Change(
+                tenant, tuple(_catalog_edit(catalog, edit, f"edits[{n}]") for n, edit in enumerate(data.edits))
+            )
 
-            def reply(after: Catalogue) -> Reply:
+            def reply(after: Catalog) -> Reply:
                 view = views.ChangedView(views.stamp(after.epoch, after.version), len(made.edits))
                 return Reply(200, {"content-type": calls.JSON, "cache-control": "no-store"}, msgspec.json.encode(view))
 
-            return Planned(made, reply)
+            return PlannedChange(made, reply)
 
         return await calls.submit(request, tenant, plan)
 
 
-def _edit(catalogue: Catalogue, edit: views.EditBody, at: str) -> Edit:
+def _catalog_edit(catalog: Catalog, edit: views.EditBody, at: str) -> Edit:
     """One edit of several, in the catalogue's form."""
-    name = client_of(edit.name) if edit.kind is Kind.CLIENT else edit.name
+    name = canonical_client_id(edit.name) if edit.kind is Kind.CLIENT else edit.name
     expect = None
     if edit.expect == "none":
         expect = 0
     elif edit.expect is not None:
         epoch, version = map(int, edit.expect.split("."))
-        expect = version if epoch == catalogue.epoch else -1  # of another epoch: nothing has it
+        expect = version if epoch == catalog.epoch else -1  # of another epoch: nothing has it
     if edit.value is None:
         return Edit(edit.kind, name, None, expect)
     try:
-        return Edit(edit.kind, name, calls.typed(edit.value, TYPES[edit.kind]), expect)
-    except Refused as refusal:
-        raise Refused("invalid", ".".join(filter(None, (f"{at}.value", refusal.field))), refusal.detail) from refusal
+        return Edit(edit.kind, name, calls.convert_value(edit.value, VALUE_TYPES[edit.kind]), expect)
+    except ChangeRefused as refusal:
+        raise ChangeRefused(
+            "invalid", ".".join(filter(None, (f"{at}.value", refusal.field))), refusal.detail
+        ) from refusal
 
 
 class Plans(Controller):
@@ -206,21 +222,21 @@
     tags = ("plans",)
     opt = {"kind": Kind.PLAN}
 
-    @get("/", responses=READ, operation_id="listPlans")
+    @get("/", responses=READ_ERRORS, operation_id="listPlans")
     async def list(
         self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
     ) -> Response[views.PlanPage]:
         """The tenant's plans."""
-        things, following = listed(request, tenant, Kind.PLAN, after, limit, prefix)
-        catalogue = service_of(request).catalogue
-        return answer(views.PlanPage([views.view(catalogue, Kind.PLAN, *thing) for thing in things], following))
+        things, following = page_of_kind(request, tenant, Kind.PLAN, after, limit, prefix)
+        catalog = service_of(request).catalog
+        return json_response(views.PlanPage([views.view(catalog, Kind.PLAN, *thing) for thing in things], following))
 
-    @get("/{name:str}", responses=READ, operation_id="getPlan")
+    @get("/{name:str}", responses=READ_ERRORS, operation_id="getPlan")
     async def get(self, request: Conn, tenant: str, name: str) -> Response[views.PlanView]:
         """One plan."""
         return calls.read(request, Target(tenant, Kind.PLAN, name))
 
-    @put("/{name:str}", responses=CHANGE, operation_id="putPlan", opt={"write": True})
+    @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putPlan", opt={"write": True})
     async def put(
         self,
         request: Conn,
@@ -234,14 +250,14 @@
         """Create or replace a plan."""
         return await calls.put(request, Target(tenant, Kind.PLAN, name), data)
 
-    @patch("/{name:str}", responses=CHANGE, operation_id="patchPlan", opt={"write": True})
+    @patch("/{name:str}", responses=CHANGE_ERRORS, operation_id="patchPlan", opt={"write": True})
     async def patch(
         self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
     ) -> Response[views.PlanView]:
         """Merge into a plan."""
         return await calls.patch(request, Target(tenant, Kind.PLAN, name))
 
-    @delete("/{name:str}", responses=CHANGE, operation_id="deletePlan", opt={"write": True}, status_code=204)
+    @delete("/{name:str}", responses=CHANGE_ERRORS, operation_id="deletePlan", opt={"write": True}, status_code=204)
     async def delete(self, request: Conn, tenant: str, name: str, key: Key, if_match: IfMatch = None) -> Response[None]:
         """Drop a plan that no client is on."""
         return await calls.delete(request, Target(tenant, Kind.PLAN, name))
@@ -254,7 +270,7 @@
     tags = ("clients",)
     opt = {"kind": Kind.CLIENT}
 
-    @get("/", responses=READ, operation_id="listClients")
+    @get("/", responses=READ_ERRORS, operation_id="listClients")
     async def list(
         self,
         request: Conn,
@@ -266,25 +282,25 @@
         on: Annotated[bool | None, QueryParameter(name="on")] = None,
     ) -> Response[views.ClientPage]:
         """The tenant's clients, all or those on a plan, on or off."""
-        catalogue = service_of(request).catalogue
-        part = catalogue.tenants.get(tenant)
+        catalog = service_of(request).catalog
+        part = catalog.tenants.get(tenant)
         if part is None:
-            raise hidden()
+            raise not_found()
 
         def wanted(name: str) -> bool:
             value: Client = part.clients[name].value
             return name.startswith(prefix) and plan in (None, value.plan) and on in (None, value.on)
 
         names, following = calls.page(part.clients, after, limit, wanted)
-        items = [views.view(catalogue, Kind.CLIENT, name, part.clients[name]) for name in names]
-        return answer(views.ClientPage(items, following))
+        items = [views.view(catalog, Kind.CLIENT, name, part.clients[name]) for name in names]
+        return json_response(views.ClientPage(items, following))
 
-    @get("/{name:str}", responses=READ, operation_id="getClient")
+    @get("/{name:str}", responses=READ_ERRORS, operation_id="getClient")
     async def get(self, request: Conn, tenant: str, name: str) -> Response[views.ClientView]:
         """One client."""
-        return calls.read(request, Target(tenant, Kind.CLIENT, client_of(name)))
+        return calls.read(request, Target(tenant, Kind.CLIENT, canonical_client_id(name)))
 
-    @put("/{name:str}", responses=CHANGE, operation_id="putClient", opt={"write": True})
+    @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putClient", opt={"write": True})
     async def put(
         self,
         request: Conn,
@@ -296,19 +312,19 @@
         if_none_match: IfNoneMatch = None,
     ) -> Response[views.ClientView]:
         """Create or replace a client."""
-        return await calls.put(request, Target(tenant, Kind.CLIENT, client_of(name)), data)
+        return await calls.put(request, Target(tenant, Kind.CLIENT, canonical_client_id(name)), data)
 
-    @patch("/{name:str}", responses=CHANGE, operation_id="patchClient", opt={"write": True})
+    @patch("/{name:str}", responses=CHANGE_ERRORS, operation_id="patchClient", opt={"write": True})
     async def patch(
         self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
     ) -> Response[views.ClientView]:
         """Merge into a client."""
-        return await calls.patch(request, Target(tenant, Kind.CLIENT, client_of(name)))
+        return await calls.patch(request, Target(tenant, Kind.CLIENT, canonical_client_id(name)))
 
-    @delete("/{name:str}", responses=CHANGE, operation_id="deleteClient", opt={"write": True}, status_code=204)
+    @delete("/{name:str}", responses=CHANGE_ERRORS, operation_id="deleteClient", opt={"write": True}, status_code=204)
     async def delete(self, request: Conn, tenant: str, name: str, key: Key, if_match: IfMatch = None) -> Response[None]:
         """Drop a client and its credentials."""
-        return await calls.delete(request, Target(tenant, Kind.CLIENT, client_of(name)))
+        return await calls.delete(request, Target(tenant, Kind.CLIENT, canonical_client_id(name)))
 
 
 class Hosts(Controller):
@@ -318,21 +334,21 @@
     tags = ("hosts",)
     opt = {"kind": Kind.HOST}
 
-    @get("/", responses=READ, operation_id="listHosts")
+    @get("/", responses=READ_ERRORS, operation_id="listHosts")
     async def list(
         self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
     ) -> Response[views.HostPage]:
         """The tenant's host names."""
-        things, following = listed(request, tenant, Kind.HOST, after, limit, prefix)
-        catalogue = service_of(request).catalogue
-        return answer(views.HostPage([views.view(catalogue, Kind.HOST, *thing) for thing in things], following))
+        things, following = page_of_kind(request, tenant, Kind.HOST, after, limit, prefix)
+        catalog = service_of(request).catalog
+        return json_response(views.HostPage([views.view(catalog, Kind.HOST, *thing) for thing in things], following))
 
-    @get("/{name:str}", responses=READ, operation_id="getHost")
+    @get("/{name:str}", responses=READ_ERRORS, operation_id="getHost")
     async def get(self, request: Conn, tenant: str, name: str) -> Response[views.HostView]:
         """One host name."""
         return calls.read(request, Target(tenant, Kind.HOST, name.lower()))
 
-    @put("/{name:str}", responses=CHANGE, operation_id="putHost", opt={"write": True})
+    @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putHost", opt={"write": True})
     async def put(
         self,
         request: Conn,
@@ -346,41 +362,41 @@
         """Give a tenant a host name (operators)."""
         return await calls.put(request, Target(tenant, Kind.HOST, name.lower()), data)
 
-    @delete("/{name:str}", responses=CHANGE, operation_id="deleteHost", opt={"write": True}, status_code=204)
+    @delete("/{name:str}", responses=CHANGE_ERRORS, operation_id="deleteHost", opt={"write": True}, status_code=204)
     async def delete(self, request: Conn, tenant: str, name: str, key: Key, if_match: IfMatch = None) -> Response[None]:
         """Take a host name away (operators)."""
         return await calls.delete(request, Target(tenant, Kind.HOST, name.lower()))
 
 
-async def issue(request: Conn, tenant: str, name: str, data: views.CredentialBody) -> Answer:
+async def issue_credential(request: Conn, tenant: str, name: str, data: views.CredentialBody) -> Answer:
     """Issue a credential: its token stands in this answer and its repeats, and nowhere else."""
     if data.certificate is not None:
         if tenant != OPERATORS:
             raise ProblemError(422, "invalid", "Only operators are named by certificates here.", "certificate")
         value = Credential(data.scope, (), data.client, data.expires, data.certificate)
         return await calls.put(request, Target(tenant, Kind.CREDENTIAL, name), value)
-    checker: Checker = request.app.state.checker
+    checker: SecretChecker = request.app.state.checker
     secret = new_secret()
-    client = client_of(data.client) if data.client is not None else None
+    client = canonical_client_id(data.client) if data.client is not None else None
     value = Credential(data.scope, (Verifier(await checker.hash(data.scope, secret)),), client, data.expires)
     return await calls.put(request, Target(tenant, Kind.CREDENTIAL, name), value, str(Token(tenant, name, secret)))
 
 
-async def rotate(request: Conn, tenant: str, name: str, data: views.RotateBody) -> Answer:
+async def rotate_secret(request: Conn, tenant: str, name: str, data: views.RotateBody) -> Answer:
     """A new secret; the one before counts for the overlap."""
-    checker: Checker = request.app.state.checker
+    checker: SecretChecker = request.app.state.checker
     target, secret = Target(tenant, Kind.CREDENTIAL, name), new_secret()
     hashes = {scope: await checker.hash(scope, secret) for scope in (Scope.CLIENT, Scope.ADMIN)}
     condition = calls.condition_of(request)
 
-    def plan(catalogue: Catalogue, now: int) -> Planned:
-        was = catalogue.get(tenant, Kind.CREDENTIAL, name)
+    def plan(catalog: Catalog, now: int) -> PlannedChange:
+        was = catalog.get(tenant, Kind.CREDENTIAL, name)
         if was is None:
-            raise Refused("not-found", "", "there is nothing of this name")
-        condition.check(catalogue, was, replaces=False)
+            raise ChangeRefused("not-found", "", "there is nothing of this name")
+        condition.check(catalog, was, replaces=False)
         value: Credential = was.value
         if value.certificate is not None:
-            raise Refused("invalid", "certificate", "a certificate has no secret to rotate")
+            raise ChangeRefused("invalid", "certificate", "a certificate has no secret to rotate")
         until = now + data.overlap_seconds * 1000
         older = tuple(
             Verifier(v.hash, until if v.until is None else min(v.until, until))
@@ -389,18 +405,18 @@
         )
         fresh = Verifier(hashes[Scope.CLIENT if value.scope is Scope.CLIENT else Scope.ADMIN])
         made = msgspec.structs.replace(value, verifiers=(fresh, *older))
-        return Planned(
+        return PlannedChange(
             Change(tenant, (Edit(Kind.CREDENTIAL, name, made),)),
-            lambda after: calls.shown(after, target, 200, str(Token(tenant, name, secret))),
+            lambda after: calls.resource_reply(after, target, 200, str(Token(tenant, name, secret))),
             True,
         )
 
     return await calls.submit(request, tenant, plan)
 
 
-def _fold_credential(value: Any, body: Any) -> Any:
+def _patch_credential(value: Any, body: Any) -> Any:
     """Of a credential, only the end may be changed."""
-    told: views.CredentialPatch = calls.typed(body, views.CredentialPatch)
+    told: views.CredentialPatch = calls.convert_value(body, views.CredentialPatch)
     return msgspec.structs.replace(value, expires=told.expires) if "expires" in body else value
 
 
@@ -411,23 +427,23 @@
     tags = ("credentials",)
     opt = {"kind": Kind.CREDENTIAL}
 
-    @get("/", responses=READ, operation_id="listCredentials")
+    @get("/", responses=READ_ERRORS, operation_id="listCredentials")
     async def list(
         self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
     ) -> Response[views.CredentialPage]:
         """The tenant's credentials, without their secrets."""
-        things, following = listed(request, tenant, Kind.CREDENTIAL, after, limit, prefix)
-        catalogue = service_of(request).catalogue
-        return answer(
-            views.CredentialPage([views.view(catalogue, Kind.CREDENTIAL, *thing) for thing in things], following)
+        things, following = page_of_kind(request, tenant, Kind.CREDENTIAL, after, limit, prefix)
+        catalog = service_of(request).catalog
+        return json_response(
+            views.CredentialPage([views.view(catalog, Kind.CREDENTIAL, *thing) for thing in things], following)
         )
 
-    @get("/{name:str}", responses=READ, operation_id="getCredential")
+    @get("/{name:str}", responses=READ_ERRORS, operation_id="getCredential")
     async def get(self, request: Conn, tenant: str, name: str) -> Response[views.CredentialView]:
         """One credential, without its secret."""
         return calls.read(request, Target(tenant, Kind.CREDENTIAL, name))
 
-    @put("/{name:str}", responses=CHANGE, operation_id="putCredential", opt={"write": True})
+    @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putCredential", opt={"write": True})
     async def put(
         self,
         request: Conn,
@@ -439,23 +455,31 @@
         if_none_match: IfNoneMatch = None,
     ) -> Response[views.CredentialView]:
         """Issue a credential; the answer holds its token."""
-        return await issue(request, tenant, name, data)
+        return await issue_credential(request, tenant, name, data)
 
-    @patch("/{name:str}", responses=CHANGE, operation_id="patchCredential", opt={"write": True})
+    @patch("/{name:str}", responses=CHANGE_ERRORS, operation_id="patchCredential", opt={"write": True})
     async def patch(
         self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
     ) -> Response[views.CredentialView]:
         """Set or lift a credential's end."""
-        return await calls.patch(request, Target(tenant, Kind.CREDENTIAL, name), _fold_credential)
+        return await calls.patch(request, Target(tenant, Kind.CREDENTIAL, name), _patch_credential)
 
-    @post("/{name:str}/rotate", responses=CHANGE, operation_id="rotateCredential", opt={"write": True}, status_code=200)
+    @post(
+        "/{name:str}/rotate",
+        responses=CHANGE_ERRORS,
+        operation_id="rotateCredential",
+        opt={"write": True},
+        status_code=200,
+    )
     async def rotate(
         self, request: Conn, tenant: str, name: str, data: views.RotateBody, key: Key, if_match: IfMatch = None
     ) -> Response[views.CredentialView]:
         """A new secret; the one before counts for the overlap."""
-        return await rotate(request, tenant, name, data)
+        return await rotate_secret(request, tenant, name, data)
 
-    @delete("/{name:str}", responses=CHANGE, operation_id="deleteCredential", opt={"write": True}, status_code=204)
+    @delete(
+        "/{name:str}", responses=CHANGE_ERRORS, operation_id="deleteCredential", opt={"write": True}, status_code=204
+    )
     async def delete(self, request: Conn, tenant: str, name: str, key: Key, if_match: IfMatch = None) -> Response[None]:
         """Revoke a credential: from this answer on it does not count."""
         return await calls.delete(request, Target(tenant, Kind.CREDENTIAL, name))
@@ -468,22 +492,22 @@
     tags = ("operators",)
     opt = {"kind": Kind.CREDENTIAL, "tenant": OPERATORS}
 
-    @get("/", responses=READ, operation_id="listOperators")
+    @get("/", responses=READ_ERRORS, operation_id="listOperators")
     async def list(
         self, request: Conn, after: After = "", limit: Limit = 100, prefix: Prefix = ""
     ) -> Response[views.CredentialPage]:
         """The operators' credentials, without their secrets."""
-        catalogue = service_of(request).catalogue
-        names, following = calls.page(catalogue.operators, after, limit, lambda name: name.startswith(prefix))
-        items = [views.view(catalogue, Kind.CREDENTIAL, name, catalogue.operators[name]) for name in names]
-        return answer(views.CredentialPage(items, following))
+        catalog = service_of(request).catalog
+        names, following = calls.page(catalog.operators, after, limit, lambda name: name.startswith(prefix))
+        items = [views.view(catalog, Kind.CREDENTIAL, name, catalog.operators[name]) for name in names]
+        return json_response(views.CredentialPage(items, following))
 
-    @get("/{name:str}", responses=READ, operation_id="getOperator")
+    @get("/{name:str}", responses=READ_ERRORS, operation_id="getOperator")
     async def get(self, request: Conn, name: str) -> Response[views.CredentialView]:
         """One operator's credential."""
         return calls.read(request, Target(OPERATORS, Kind.CREDENTIAL, name))
 
-    @put("/{name:str}", responses=CHANGE, operation_id="putOperator", opt={"write": True})
+    @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putOperator", opt={"write": True})
     async def put(
         self,
         request: Conn,
@@ -494,16 +518,22 @@
         if_none_match: IfNoneMatch = None,
     ) -> Response[views.CredentialView]:
         """Issue an operator's credential, by secret or by client certificate."""
-        return await issue(request, OPERATORS, name, data)
+        return await issue_credential(request, OPERATORS, name, data)
 
-    @post("/{name:str}/rotate", responses=CHANGE, operation_id="rotateOperator", opt={"write": True}, status_code=200)
+    @post(
+        "/{name:str}/rotate",
+        responses=CHANGE_ERRORS,
+        operation_id="rotateOperator",
+        opt={"write": True},
+        status_code=200,
+    )
     async def rotate(
         self, request: Conn, name: str, data: views.RotateBody, key: Key, if_match: IfMatch = None
     ) -> Response[views.CredentialView]:
         """A new secret; the one before counts for the overlap."""
-        return await rotate(request, OPERATORS, name, data)
+        return await rotate_secret(request, OPERATORS, name, data)
 
-    @delete("/{name:str}", responses=CHANGE, operation_id="deleteOperator", opt={"write": True}, status_code=204)
+    @delete("/{name:str}", responses=CHANGE_ERRORS, operation_id="deleteOperator", opt={"write": True}, status_code=204)
     async def delete(self, request: Conn, name: str, key: Key, if_match: IfMatch = None) -> Response[None]:
         """Revoke an operator's credential; the last one stays."""
         return await calls.delete(request, Target(OPERATORS, Kind.CREDENTIAL, name))
@@ -514,46 +544,46 @@
 ]
 
 
-async def _audits(request: Conn, tenant: str | None, after: str, limit: int) -> Answer:
+async def _audit_page(request: Conn, tenant: str | None, after: str, limit: int) -> Answer:
     store: SqliteStore = request.app.state.store
     before = int(after) if after else 2**62
-    found = await asyncio.to_thread(store.audits, tenant, before, limit + 1)
+    found = await asyncio.to_thread(store.audit_entries, tenant, before, limit + 1)
     items = [
         views.AuditView(
-            a.id, a.at, a.tenant, a.actor, a.action, a.status, views.stamp(a.epoch, a.version) if a.version else None
+            a.id, a.at_ms, a.tenant, a.actor, a.action, a.status, views.stamp(a.epoch, a.version) if a.version else None
         )
         for a in found[:limit]
     ]
-    return answer(views.AuditPage(items, str(items[-1].id) if len(found) > limit else None))
+    return json_response(views.AuditPage(items, str(items[-1].id) if len(found) > limit else None))
 
 
-@get("/v1/tenants/{tenant:str}/audit", responses=READ, operation_id="listTenantAudit", tags=["audit"])
+@get("/v1/tenants/{tenant:str}/audit", responses=READ_ERRORS, operation_id="listTenantAudit", tags=["audit"])
 async def tenant_audit(request: Conn, tenant: str, after: Before = "", limit: Limit = 100) -> Response[views.AuditPage]:
     """What was decided about a tenant, newest first."""
-    if tenant not in service_of(request).catalogue.tenants and caller_of(request).scope is not Scope.OPERATOR:
-        raise hidden()
-    return await _audits(request, tenant, after, limit)
+    if tenant not in service_of(request).catalog.tenants and caller_of(request).scope is not Scope.OPERATOR:
+        raise not_found()
+    return await _audit_page(request, tenant, after, limit)
 
 
-@get("/v1/audit", responses=READ, operation_id="listAudit", tags=["audit"], opt={"tenant": OPERATORS})
+@get("/v1/audit", responses=READ_ERRORS, operation_id="listAudit", tags=["audit"], opt={"tenant": OPERATORS})
 async def audit(request: Conn, after: Before = "", limit: Limit = 100) -> Response[views.AuditPage]:
     """What was decided, newest first (operators)."""
-    return await _audits(request, None, after, limit)
+    return await _audit_page(request, None, after, limit)
 
 
-@get("/v1/versions/{number:int}", responses=READ, operation_id="getVersion", tags=["versions"])
+@get("/v1/versions/{number:int}", responses=READ_ERRORS, operation_id="getVersion", tags=["versions"])
 async def version(request: Conn, number: Annotated[int, PathParameter(ge=0, le=2**53)]) -> Response[views.VersionView]:
     """What a version of the present epoch touched: a tenant sees its own part, operators all."""
-    caller, catalogue = caller_of(request), service_of(request).catalogue
+    caller, catalog = caller_of(request), service_of(request).catalog
     store: SqliteStore = request.app.state.store
-    written = await asyncio.to_thread(store.change, catalogue.epoch, number)
+    written = await asyncio.to_thread(store.logged_change, catalog.epoch, number)
     tenant = None if caller.scope is Scope.OPERATOR else caller.tenant
     if written is None or (tenant is not None and written.tenant != tenant):
-        raise hidden()
-    return answer(
+        raise not_found()
+    return json_response(
         views.VersionView(
             views.stamp(written.epoch, written.version),
-            written.at,
+            written.at_ms,
             written.tenant,
             written.actor,
             views.rows_view(written.diff, tenant),
@@ -561,11 +591,11 @@
     )
 
 
-@get("/v1/status", responses=READ, operation_id="getStatus", tags=["versions"], opt={"tenant": OPERATORS})
+@get("/v1/status", responses=READ_ERRORS, operation_id="getStatus", tags=["versions"], opt={"tenant": OPERATORS})
 async def status(request: Conn) -> Response[views.StatusView]:
     """Where the catalogue stands (operators)."""
-    catalogue = service_of(request).catalogue
-    return answer(views.StatusView(views.stamp(catalogue.epoch, catalogue.version), len(catalogue.tenants)))
+    catalog = service_of(request).catalog
+    return json_response(views.StatusView(views.stamp(catalog.epoch, catalog.version), len(catalog.tenants)))
 
 
 HANDLERS: list[Any] = [Tenants, Plans, Clients, Hosts, Credentials, Operators, tenant_audit, audit, version, status]
--- a/hallhitch/administration/api/views.py
+++ b/hallhitch/administration/api/views.py
@@ -9,17 +9,17 @@
 
 from hallhitch.catalog.history import Diff
 from hallhitch.catalog.model import (
-    Catalogue,
+    Catalog,
     Client,
     Credential,
     Head,
     Host,
-    Kept,
     Kind,
     Moment,
     Plan,
     Scope,
     Tenant,
+    Versioned,
 )
 
 Name = Annotated[str, Meta(min_length=1, max_length=253)]
@@ -210,19 +210,19 @@
     return f"{epoch}.{version}"
 
 
-def view(catalogue: Catalogue, kind: Kind, name: str, kept: Kept, token: str | None = None) -> Any:
+def view(catalog: Catalog, kind: Kind, name: str, kept: Versioned, token: str | None = None) -> Any:
     """A thing as its view."""
-    version = stamp(catalogue.epoch, kept.version)
+    version = stamp(catalog.epoch, kept.version)
     value = kept.value
     if kind is Kind.TENANT:
-        return tenant_view(catalogue, name, catalogue.tenants[name])
+        return tenant_view(catalog, name, catalog.tenants[name])
     if kind is Kind.CREDENTIAL:
         return credential_view(name, version, value, token)
     form = {Kind.PLAN: PlanView, Kind.CLIENT: ClientView, Kind.HOST: HostView}[kind]
     return form(**msgspec.structs.asdict(value), name=name, version=version)
 
 
-def tenant_view(catalogue: Catalogue, name: str, part: Tenant) -> TenantView:
+def tenant_view(catalog: Catalog, name: str, part: Tenant) -> TenantView:
     """A tenant as its view."""
     head: Head = part.head.value
     uses = Uses(len(part.clients), len(part.plans), len(part.hosts), len(part.credentials), part.rate)
@@ -230,8 +230,8 @@
         head.on,
         head.limits,
         name=name,
-        version=stamp(catalogue.epoch, part.head.version),
-        part_version=stamp(catalogue.epoch, part.version),
+        version=stamp(catalog.epoch, part.head.version),
+        part_version=stamp(catalog.epoch, part.version),
         uses=uses,
     )
 
--- a/hallhitch/administration/backups.py
+++ b/hallhitch/administration/backups.py
@@ -12,25 +12,25 @@
 from pathlib import Path
 
 from hallhitch.administration.store import (
-    ASIDE,
-    FILE,
-    HALF,
-    PIECE,
-    Damaged,
-    Loaded,
-    Lock,
+    DATABASE_FILE,
+    RESTORE_FILE,
+    SNAPSHOT_CHUNK_ROWS,
+    SUPERSEDED_PREFIX,
+    CorruptStoreError,
+    LoadResult,
     StoreError,
+    StoreLock,
     connect,
     load,
     migrate,
     write_snapshot_head,
 )
-from hallhitch.administration.store import digest as digest_of
+from hallhitch.administration.store import columns_checksum as digest_of
 from hallhitch.catalog.history import encode_rows
-from hallhitch.catalog.model import Catalogue
-from hallhitch.catalog.rows import Row, rows_of
+from hallhitch.catalog.model import Catalog
+from hallhitch.catalog.rows import Row, catalog_rows
 
-PAGES = 512  # of a backup's step: writers get their turn between two
+BACKUP_STEP_PAGES = 512  # of a backup's step: writers get their turn between two
 
 
 def sync_folder(folder: Path) -> None:
@@ -42,16 +42,16 @@
         os.close(handle)
 
 
-def backup(folder: Path, target: Path) -> Loaded:
+def backup(folder: Path, target: Path) -> LoadResult:
     """Copy a store, in use or not, to a new file, and verify the copy. It appears whole or not at all."""
     if target.exists():
         raise StoreError(f"{target}: exists; a backup overwrites nothing")
     half = target.with_name(target.name + ".tmp")
-    source = connect(folder / FILE, readonly=True)
+    source = connect(folder / DATABASE_FILE, readonly=True)
     try:
         half.unlink(missing_ok=True)
         with contextlib.closing(sqlite3.connect(half)) as copy:
-            source.backup(copy, pages=PAGES)
+            source.backup(copy, pages=BACKUP_STEP_PAGES)
             copy.execute("PRAGMA journal_mode=DELETE")
         found = verify(half)
         with open(half, "rb") as file:
@@ -66,36 +66,36 @@
         half.unlink(missing_ok=True)
 
 
-def verify(path: Path) -> Loaded:
+def verify(path: Path) -> LoadResult:
     """Check every page and every row of a store's file; Damaged names what does not fit."""
     db = connect(path, readonly=True)
     try:
         (said,) = db.execute("PRAGMA integrity_check(1)").fetchone()
         if said != "ok":
-            raise Damaged(f"{path}: {said}")
+            raise CorruptStoreError(f"{path}: {said}")
         found = load(db, path)
         for actor, key, at, asked, body, kept in db.execute("SELECT * FROM answer"):
             if digest_of(actor, key, at, asked, body) != kept:
-                raise Damaged(f"{path}: table answer, actor {actor}, key {key}: the checksum does not fit")
+                raise CorruptStoreError(f"{path}: table answer, actor {actor}, key {key}: the checksum does not fit")
         return found
     except sqlite3.Error as error:
-        raise Damaged(f"{path}: {error}") from error
+        raise CorruptStoreError(f"{path}: {error}") from error
     finally:
         db.close()
 
 
-def restore(folder: Path, source: Path, at_least: int = 0) -> Catalogue:
+def restore(folder: Path, source: Path, at_least: int = 0) -> Catalog:
     """Put a backup in a store's place, in a later epoch than any it can know of.
 
     What stood there is moved aside, not deleted. `at_least` is an epoch that gateways are known to hold.
     """
-    lock = Lock(folder)
+    lock = StoreLock(folder)
     try:
         found = verify(source)
-        epoch = max(found.catalogue.epoch, at_least, _epoch_of(folder)) + 1
+        epoch = max(found.catalog.epoch, at_least, _latest_epoch(folder)) + 1
         # Seconds of the clock too: a backup restored twice, on new folders, must give two epochs.
         epoch = max(epoch, int(time.time()))
-        half = folder / HALF
+        half = folder / RESTORE_FILE
         half.unlink(missing_ok=True)
         with (
             contextlib.closing(connect(source, readonly=True)) as old,
@@ -103,11 +103,11 @@
         ):
             old.backup(db)
             migrate(db, half)
-            made = _advance(db, found.catalogue, epoch)
+            made = _rewrite_in_epoch(db, found.catalog, epoch)
             db.execute("PRAGMA journal_mode=DELETE")
         with open(half, "rb") as file:
             os.fsync(file.fileno())
-        _swap(folder, half)
+        _replace_database(folder, half)
         return made
     except (sqlite3.Error, OSError) as error:
         raise StoreError(f"{folder}: {error}") from error
@@ -115,18 +115,18 @@
         lock.release()
 
 
-def _advance(db: sqlite3.Connection, was: Catalogue, epoch: int) -> Catalogue:
+def _rewrite_in_epoch(db: sqlite3.Connection, was: Catalog, epoch: int) -> Catalog:
     """The same state as the first snapshot of a later epoch; the log of the earlier ends with it."""
-    made = Catalogue(epoch, was.version, was.tenants, was.operators, was.hosts, was.sum)
+    made = Catalog(epoch, was.version, was.tenants, was.operators, was.hosts, was.checksum)
     db.execute("BEGIN IMMEDIATE")
     (last,) = db.execute("SELECT coalesce(max(id), 0) FROM snapshot").fetchone()
     db.execute("DELETE FROM snapshot")
     db.execute("DELETE FROM piece")
     db.execute("DELETE FROM change")
-    rows: list[Row] = list(rows_of(made))
+    rows: list[Row] = list(catalog_rows(made))
     pieces = 0
-    for start in range(0, len(rows), PIECE):
-        body = encode_rows(rows[start : start + PIECE])
+    for start in range(0, len(rows), SNAPSHOT_CHUNK_ROWS):
+        body = encode_rows(rows[start : start + SNAPSHOT_CHUNK_ROWS])
         db.execute("INSERT INTO piece VALUES (?,?,?,?)", (last + 1, pieces, body, digest_of(last + 1, pieces, body)))
         pieces += 1
     write_snapshot_head(db, last + 1, made, pieces)
@@ -134,10 +134,10 @@
     return made
 
 
-def _epoch_of(folder: Path) -> int:
+def _latest_epoch(folder: Path) -> int:
     """The epoch of what stands in a folder, as far as it can be read."""
     try:
-        with contextlib.closing(connect(folder / FILE, readonly=True)) as db:
+        with contextlib.closing(connect(folder / DATABASE_FILE, readonly=True)) as db:
             row = db.execute(
                 "SELECT max(epoch) FROM (SELECT epoch FROM change UNION ALL SELECT epoch FROM snapshot)"
             ).fetchone()
@@ -146,14 +146,14 @@
         return 0
 
 
-def _swap(folder: Path, half: Path) -> None:
+def _replace_database(folder: Path, half: Path) -> None:
     """Move the old files aside and the new one in; a start in between finds `half` and says so."""
-    number = 1 + sum(1 for _ in folder.glob(f"{ASIDE}-*"))
-    aside = folder / f"{ASIDE}-{number:04}-{time.strftime('%Y%m%dT%H%M%S')}"
+    number = 1 + sum(1 for _ in folder.glob(f"{SUPERSEDED_PREFIX}-*"))
+    aside = folder / f"{SUPERSEDED_PREFIX}-{number:04}-{time.strftime('%Y%m%dT%H%M%S')}"
     aside.mkdir()
-    for name in (FILE, f"{FILE}-wal", f"{FILE}-shm"):
+    for name in (DATABASE_FILE, f"{DATABASE_FILE}-wal", f"{DATABASE_FILE}-shm"):
         if (folder / name).exists():
             os.rename(folder / name, aside / name)
     sync_folder(folder)
-    os.rename(half, folder / FILE)
+    os.rename(half, folder / DATABASE_FILE)
     sync_folder(folder)
--- a/hallhitch/administration/publisher.py
+++ b/hallhitch/administration/feed_publisher.py
@@ -13,68 +13,68 @@
 from itertools import chain
 
 from hallhitch.administration.writer import Writer
-from hallhitch.catalog.feed import lines_for
-from hallhitch.catalog.membership import Membership
+from hallhitch.catalog.feed import update_lines
+from hallhitch.catalog.gateway_leases import GatewayLeases
 from hallhitch.core.invariants import COUNTS
 
-WHOLES = 4  # transfers of everything at a time
-BUSY = 1.0, 5.0  # s, drawn, after which a gateway turned away may come back
+MAX_SNAPSHOT_TRANSFERS = 4  # transfers of everything at a time
+RETRY_AFTER_RANGE_S = 1.0, 5.0  # s, drawn, after which a gateway turned away may come back
 
 
-class Crowded(Exception):
+class SnapshotTransfersFull(Exception):
     """Too many wholes are under way; `wait` is when to come back, in s."""
 
     def __init__(self, wait: float) -> None:
         super().__init__(f"come back in {wait:.1f} s")
-        self.wait = wait
+        self.retry_after_s = wait
 
 
-class Publisher:
+class FeedPublisher:
     """Answers gateways' questions; holds no catalogue but the writer's newest."""
 
     def __init__(self, writer: Writer) -> None:
-        self._writer, self.members = writer, Membership()
-        self._wholes = 0
+        self._writer, self.leases = writer, GatewayLeases()
+        self._transfers = 0
         self._closing = asyncio.Event()
-        self._draw = random.Random()
+        self._random = random.Random()
 
     @staticmethod
-    def now() -> float:
+    def now_ms() -> float:
         """ms of a clock that does not step, for leases."""
         return time.monotonic() * 1000
 
-    async def ask(self, epoch: int, version: int, hold: float) -> AsyncIterator[bytes] | None:
+    async def next_update(self, epoch: int, version: int, hold: float) -> AsyncIterator[bytes] | None:
         """What leads on from a version, once there is anything; None after `hold` s without.
 
         FeedError where the gateway is ahead; Crowded where the whole is due and too many are under way.
         """
         until = time.monotonic() + hold
         while True:
-            news = self._writer.news
-            lines = lines_for(self._writer.catalogue, self._writer.history, epoch, version)
+            news = self._writer.catalog_changed
+            lines = update_lines(self._writer.catalog, self._writer.history, epoch, version)
             if lines is not None:
                 break
             left = until - time.monotonic()
             if left <= 0 or self._closing.is_set():
                 return None
-            await self._either(news, left)
+            await self._wait_for_change(news, left)
         first = next(lines)
         if not first.startswith(b'{"whole"'):
-            return _one(first)
-        if self._wholes >= WHOLES:
+            return _single_line(first)
+        if self._transfers >= MAX_SNAPSHOT_TRANSFERS:
             COUNTS["feed_crowded"] += 1
-            raise Crowded(self._draw.uniform(*BUSY))
-        return _Whole(self, first, lines)
+            raise SnapshotTransfersFull(self._random.uniform(*RETRY_AFTER_RANGE_S))
+        return _SnapshotTransfer(self, first, lines)
 
-    def place(self, by: int) -> None:
+    def count_transfer(self, by: int) -> None:
         """A whole begins or ends."""
-        self._wholes += by
+        self._transfers += by
 
     def close(self) -> None:
         """Answer all who wait."""
         self._closing.set()
 
-    async def _either(self, news: asyncio.Event, left: float) -> None:
+    async def _wait_for_change(self, news: asyncio.Event, left: float) -> None:
         waits = [asyncio.ensure_future(event.wait()) for event in (news, self._closing)]
         try:
             await asyncio.wait(waits, timeout=left, return_when=asyncio.FIRST_COMPLETED)
@@ -83,19 +83,19 @@
                 one.cancel()
 
 
-async def _one(line: bytes) -> AsyncIterator[bytes]:
+async def _single_line(line: bytes) -> AsyncIterator[bytes]:
     yield line
 
 
-class _Whole:
+class _SnapshotTransfer:
     """A whole under way: it has its place from when it was granted until it ends, fails, or nobody reads it."""
 
-    def __init__(self, publisher: Publisher, first: bytes, rest: Iterator[bytes]) -> None:
+    def __init__(self, publisher: FeedPublisher, first: bytes, rest: Iterator[bytes]) -> None:
         self._publisher, self._lines = publisher, chain([first], rest)
-        self._held = True
-        publisher.place(1)
+        self._is_counted = True
+        publisher.count_transfer(1)
 
-    def __aiter__(self) -> _Whole:
+    def __aiter__(self) -> _SnapshotTransfer:
         return self
 
     async def __anext__(self) -> bytes:
@@ -107,9 +107,9 @@
             raise StopAsyncIteration from None
 
     def _release(self) -> None:
-        if self._held:
-            self._held = False
-            self._publisher.place(-1)
+        if self._is_counted:
+            self._is_counted = False
+            self._publisher.count_transfer(-1)
 
     def __del__(self) -> None:
         self._release()
--- a/hallhitch/administration/serve.py
+++ b/hallhitch/administration/serve.py
@@ -19,12 +19,12 @@
 import uvicorn
 from uvicorn.protocols.http.h11_impl import H11Protocol
 
-from hallhitch.administration.api.app import application
+from hallhitch.administration.api.app import create_application
 from hallhitch.administration.clock import WallClock
-from hallhitch.administration.opening import open_store
-from hallhitch.administration.publisher import Publisher
-from hallhitch.administration.secrets import Checker
+from hallhitch.administration.feed_publisher import FeedPublisher
+from hallhitch.administration.secrets import SecretChecker
 from hallhitch.administration.settings import ApiSettings, ControlSettings
+from hallhitch.administration.store_folder import open_store
 from hallhitch.administration.writer import Writer
 from hallhitch.core.addresses import parse_address
 from hallhitch.core.invariants import COUNTS
@@ -32,21 +32,21 @@
 from hallhitch.tls.certificate_files import certificate_fingerprint
 from hallhitch.tls.certificate_store import CertificateStore
 
-HANDSHAKE = 5.0  # seconds for TLS
-FAREWELL = 0.3  # seconds for the other side to end TLS too: an idle caller may never look
-ENDING = 8.0  # seconds for calls under way at the end
-HOURLY = 3_600.0
+TLS_HANDSHAKE_TIMEOUT_S = 5.0  # seconds for TLS
+TLS_SHUTDOWN_TIMEOUT_S = 0.3  # seconds for the other side to end TLS too: an idle caller may never look
+DRAIN_TIMEOUT_S = 8.0  # seconds for calls under way at the end
+CLEANUP_INTERVAL_S = 3_600.0
 log = structlog.get_logger()
 
 
-class Bounded(H11Protocol):
+class BoundedProtocol(H11Protocol):
     """A connection with bounds on how many there are and how long a whole request may take."""
 
-    bounds: ApiSettings  # set on the subclass that a server makes
-    _clock: asyncio.TimerHandle | None = None
+    limits: ApiSettings  # set on the subclass that a server makes
+    _request_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        if len(self.connections) >= self.bounds.connections:
+        if len(self.connections) >= self.limits.connections:
             COUNTS["api_connections_refused"] += 1
             self.transport = transport
             transport.abort()
@@ -55,39 +55,39 @@
         shown = transport.get_extra_info("ssl_object")
         if shown is not None and (der := shown.getpeercert(True)):
             self.app_state = {**self.app_state, "certificate": certificate_fingerprint(der)}
-        self._arm()
+        self._start_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._disarm()
+        self._stop_timer()
         if self.flow is not None:  # one turned away was never made
             super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
         if self.transport.is_closing():
             return
-        if self._clock is None and (self.cycle is None or self.cycle.response_complete):
-            self._arm()
+        if self._request_timer is None and (self.cycle is None or self.cycle.response_complete):
+            self._start_timer()
         super().data_received(data)
         if self.cycle is not None and not self.cycle.more_body:
-            self._disarm()
+            self._stop_timer()
 
-    def _arm(self) -> None:
-        self._disarm()
-        self._clock = self.loop.call_later(self.bounds.request_seconds, self._too_slow)
+    def _start_timer(self) -> None:
+        self._stop_timer()
+        self._request_timer = self.loop.call_later(self.limits.request_seconds, self._on_request_timeout)
 
-    def _disarm(self) -> None:
-        if self._clock is not None:
-            self._clock.cancel()
-            self._clock = None
+    def _stop_timer(self) -> None:
+        if self._request_timer is not None:
+            self._request_timer.cancel()
+            self._request_timer = None
 
-    def _too_slow(self) -> None:
+    def _on_request_timeout(self) -> None:
         COUNTS["api_slow_requests"] += 1
-        self._clock = None
+        self._request_timer = None
         if not self.transport.is_closing():
             self.transport.abort()
 
 
-class Server(uvicorn.Server):
+class AdministrationServer(uvicorn.Server):
     """uvicorn's server on our listener, with a bound on handshakes; signals are the process's own."""
 
     def __init__(self, config: uvicorn.Config, listener: socket.socket, context: ssl.SSLContext) -> None:
@@ -109,8 +109,8 @@
                 connection,
                 sock=self._listener,
                 ssl=self._context,
-                ssl_handshake_timeout=HANDSHAKE,
-                ssl_shutdown_timeout=FAREWELL,
+                ssl_handshake_timeout=TLS_HANDSHAKE_TIMEOUT_S,
+                ssl_shutdown_timeout=TLS_SHUTDOWN_TIMEOUT_S,
                 backlog=1024,
             )
         ]
@@ -128,9 +128,9 @@
     store, keys = open_store(settings, file)
     try:
         found = store.load()
-        clock = WallClock(found.at)
+        clock = WallClock(found.latest_at_ms)
         writer = Writer(
-            store, found.catalogue, found.history, clock, keys, settings.store.snapshot_each, settings.store.keep
+            store, found.catalog, found.history, clock, keys, settings.store.snapshot_each, settings.store.keep
         )
         ca = settings.tls.client_ca
         certificates = CertificateStore(
@@ -140,11 +140,11 @@
     except BaseException:
         store.close()
         raise
-    checker = Checker(keys)
-    writer.start(found.replayed)
-    publisher = Publisher(writer)
-    app = application(writer, checker, store, clock, settings.api, publisher)
-    server = _server(settings, app, listener, certificates)
+    checker = SecretChecker(keys)
+    writer.start(found.replayed_changes)
+    publisher = FeedPublisher(writer)
+    app = create_application(writer, checker, store, clock, settings.api, publisher)
+    server = _create_server(settings, app, listener, certificates)
     loop = asyncio.get_running_loop()
 
     def end() -> None:
@@ -154,14 +154,17 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end)
     loop.add_signal_handler(signal.SIGHUP, certificates.reload)
-    chores = [loop.create_task(_look(certificates, settings.tls.look_seconds)), loop.create_task(_hourly(writer))]
+    chores = [
+        loop.create_task(_reload_certificates(certificates, settings.tls.look_seconds)),
+        loop.create_task(_delete_expired_responses(writer)),
+    ]
     log.info(
         "serving",
         listen=settings.api.listen,
-        epoch=found.catalogue.epoch,
-        version=found.catalogue.version,
-        tenants=len(found.catalogue.tenants),
-        replayed=found.replayed,
+        epoch=found.catalog.epoch,
+        version=found.catalog.version,
+        tenants=len(found.catalog.tenants),
+        replayed=found.replayed_changes,
         names=certificates.names,
         start_ms=round((time.monotonic() - began) * 1000),
     )
@@ -171,16 +174,18 @@
     await writer.close()
     checker.close()
     store.close()
-    log.info("ended", counts=dict(COUNTS), version=writer.catalogue.version, batches=writer.batches)
+    log.info("ended", counts=dict(COUNTS), version=writer.catalog.version, batches=writer.batches)
 
 
-def _server(settings: ControlSettings, app: Any, listener: socket.socket, certificates: CertificateStore) -> Server:
+def _create_server(
+    settings: ControlSettings, app: Any, listener: socket.socket, certificates: CertificateStore
+) -> AdministrationServer:
     """uvicorn, told what it may not decide by itself."""
     api = settings.api
     quiet = logging.getLogger("uvicorn")
     quiet.propagate = False
     quiet.addHandler(logging.NullHandler())  # what it has to say is counted here
-    protocol = type("BoundedProtocol", (Bounded,), {"bounds": api})
+    protocol = type("BoundedProtocol", (BoundedProtocol,), {"limits": api})
     config = uvicorn.Config(
         app,
         http=protocol,
@@ -192,21 +197,21 @@
         date_header=False,
         h11_max_incomplete_event_size=api.head_kib * 1024,
         timeout_keep_alive=api.idle_seconds,
-        timeout_graceful_shutdown=int(ENDING),
+        timeout_graceful_shutdown=int(DRAIN_TIMEOUT_S),
         proxy_headers=False,
     )
-    return Server(config, listener, certificates.context)
+    return AdministrationServer(config, listener, certificates.context)
 
 
-async def _look(certificates: CertificateStore, seconds: float) -> None:
+async def _reload_certificates(certificates: CertificateStore, seconds: float) -> None:
     """Take replaced certificates without being told."""
     while True:
         await asyncio.sleep(seconds)
         certificates.reload()
 
 
-async def _hourly(writer: Writer) -> None:
+async def _delete_expired_responses(writer: Writer) -> None:
     """Forget answers that are a day old."""
     while True:
-        await writer.forget_answers()
-        await asyncio.sleep(HOURLY)
+        await writer.delete_expired_responses()
+        await asyncio.sleep(CLEANUP_INTERVAL_S)
--- a/hallhitch/administration/store.py
+++ b/hallhitch/administration/store.py
@@ -17,22 +17,22 @@
 from msgspec import Struct
 from xxhash import xxh3_128_hexdigest
 
-from hallhitch.catalog.draft import build
+from hallhitch.catalog.draft import build_catalog
 from hallhitch.catalog.history import (
     Diff,
     History,
+    apply_diff,
     decode_diff,
     decode_rows,
     encode_diff,
     encode_rows,
-    patch,
 )
-from hallhitch.catalog.model import Catalogue
-from hallhitch.catalog.rows import WRAP, Row, hash_of, rows_of
+from hallhitch.catalog.model import Catalog
+from hallhitch.catalog.rows import CHECKSUM_MODULUS, Row, catalog_rows, row_hash
 
-FILE, LOCK, ASIDE, HALF = "state.db", "lock", "before-restore", "restore.tmp"
-PIECE = 2_000  # rows in a piece of a snapshot
-WAIT = 5.0  # seconds to wait for a reader that holds the file, such as a backup
+DATABASE_FILE, LOCK_FILE, SUPERSEDED_PREFIX, RESTORE_FILE = "state.db", "lock", "before-restore", "restore.tmp"
+SNAPSHOT_CHUNK_ROWS = 2_000  # rows in a piece of a snapshot
+BUSY_TIMEOUT_S = 5.0  # seconds to wait for a reader that holds the file, such as a backup
 MIGRATIONS = (
     """
     CREATE TABLE meta (name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
@@ -62,30 +62,30 @@
     """The store cannot be used; the text says which file or row, and why."""
 
 
-class Damaged(StoreError):
+class CorruptStoreError(StoreError):
     """A row does not hold what was written there."""
 
 
-class Unavailable(StoreError):
+class BatchNotWrittenError(StoreError):
     """A batch was not written: nothing of it holds. The same batch may be tried again."""
 
 
-class Written(Struct, frozen=True):
+class LoggedChange(Struct, frozen=True):
     """One change as the log has it."""
 
     epoch: int
     version: int
-    at: int
+    at_ms: int
     tenant: str
     actor: str
     diff: Diff
 
 
-class Audited(Struct, frozen=True):
+class AuditEntry(Struct, frozen=True):
     """One call as the audit has it; `version` 0 where it changed nothing."""
 
     id: int
-    at: int
+    at_ms: int
     tenant: str
     actor: str
     action: str
@@ -94,24 +94,24 @@
     version: int
 
 
-class Answer(Struct, frozen=True):
+class StoredResponse(Struct, frozen=True):
     """What was answered to a call that may be repeated: `asked` is the call's fingerprint, `body` opaque."""
 
-    at: int
-    asked: bytes
+    stored_at_ms: int
+    fingerprint: bytes
     body: bytes
 
 
 class Batch(Protocol):
     """What one transaction may do. Any failure raises Unavailable from the batch, which then holds nothing."""
 
-    def answer(self, actor: str, key: str) -> Answer | None: ...
+    def stored_response(self, actor: str, key: str) -> StoredResponse | None: ...
 
-    def keep_answer(self, actor: str, key: str, answer: Answer) -> None: ...
+    def store_response(self, actor: str, key: str, answer: StoredResponse) -> None: ...
 
-    def keep_change(self, made: Catalogue, diff: Diff, at: int, tenant: str, actor: str) -> None: ...
+    def append_change(self, made: Catalog, diff: Diff, at: int, tenant: str, actor: str) -> None: ...
 
-    def audit(self, entry: Audited) -> None: ...
+    def audit(self, entry: AuditEntry) -> None: ...
 
 
 class Store(Protocol):
@@ -119,39 +119,39 @@
 
     def batch(self) -> contextlib.AbstractContextManager[Batch]: ...
 
-    def newest(self) -> tuple[int, int]: ...
+    def latest_version(self) -> tuple[int, int]: ...
 
-    def change(self, epoch: int, version: int) -> Written | None: ...
+    def logged_change(self, epoch: int, version: int) -> LoggedChange | None: ...
 
-    def audits(self, tenant: str | None, before: int, most: int) -> list[Audited]: ...
+    def audit_entries(self, tenant: str | None, before: int, most: int) -> list[AuditEntry]: ...
 
-    def keep_piece(self, snapshot: int, number: int, rows: list[Row]) -> None: ...
+    def write_snapshot_chunk(self, snapshot: int, number: int, rows: list[Row]) -> None: ...
 
-    def keep_snapshot(self, snapshot: int, catalogue: Catalogue, pieces: int, keep: int) -> None: ...
+    def commit_snapshot(self, snapshot: int, catalog: Catalog, pieces: int, keep: int) -> None: ...
 
-    def forget_answers(self, before: int) -> int: ...
+    def delete_responses(self, before: int) -> int: ...
 
 
-class Loaded(Struct, frozen=True):
+class LoadResult(Struct, frozen=True):
     """What a start found."""
 
-    catalogue: Catalogue
+    catalog: Catalog
     history: History
-    at: int  # the latest time in the store
-    replayed: int  # changes applied on the snapshot
+    latest_at_ms: int  # the latest time in the store
+    replayed_changes: int  # changes applied on the snapshot
 
 
-def digest(*parts: Any) -> str:
+def columns_checksum(*parts: Any) -> str:
     """A checksum over a row's columns."""
     return xxh3_128_hexdigest(b"\0".join(p if isinstance(p, bytes) else str(p).encode() for p in parts))
 
 
-class Lock:
+class StoreLock:
     """The folder's lock: one process at a time has the store."""
 
     def __init__(self, folder: Path) -> None:
         try:
-            self._file = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+            self._file = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         except OSError as error:
             raise StoreError(f"{folder}: {error.strerror}") from error
         try:
@@ -176,7 +176,7 @@
     try:
         mode = "rwc" if create else "ro" if readonly else "rw"
         db = sqlite3.connect(
-            f"file:{path}?mode={mode}", uri=True, isolation_level=None, timeout=WAIT, check_same_thread=False
+            f"file:{path}?mode={mode}", uri=True, isolation_level=None, timeout=BUSY_TIMEOUT_S, check_same_thread=False
         )
         if not readonly:
             db.execute("PRAGMA journal_mode=WAL")
@@ -204,33 +204,33 @@
     return len(MIGRATIONS) - int(at)
 
 
-class _Batch:
+class SqliteBatch:
     """A transaction under way."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self._db = db
 
-    def answer(self, actor: str, key: str) -> Answer | None:
+    def stored_response(self, actor: str, key: str) -> StoredResponse | None:
         """What was answered to this key, if it is still kept."""
         row = self._db.execute(
             "SELECT at, asked, body, digest FROM answer WHERE actor=? AND key=?", (actor, key)
         ).fetchone()
         if row is None:
             return None
-        if digest(actor, key, *row[:3]) != row[3]:
-            raise Damaged(f"table answer, actor {actor}, key {key}: the checksum does not fit")
-        return Answer(*row[:3])
+        if columns_checksum(actor, key, *row[:3]) != row[3]:
+            raise CorruptStoreError(f"table answer, actor {actor}, key {key}: the checksum does not fit")
+        return StoredResponse(*row[:3])
 
-    def keep_answer(self, actor: str, key: str, answer: Answer) -> None:
+    def store_response(self, actor: str, key: str, answer: StoredResponse) -> None:
         """Keep an answer for repeats."""
-        values = (actor, key, answer.at, answer.asked, answer.body)
-        self._db.execute("INSERT OR REPLACE INTO answer VALUES (?,?,?,?,?,?)", (*values, digest(*values)))
+        values = (actor, key, answer.stored_at_ms, answer.fingerprint, answer.body)
+        self._db.execute("INSERT OR REPLACE INTO answer VALUES (?,?,?,?,?,?)", (*values, columns_checksum(*values)))
 
-    def keep_change(self, made: Catalogue, diff: Diff, at: int, tenant: str, actor: str) -> None:
+    def append_change(self, made: Catalog, diff: Diff, at: int, tenant: str, actor: str) -> None:
         """Write a change to the log and the state."""
-        body, total = encode_diff(diff), f"{made.sum:032x}"
+        body, total = encode_diff(diff), f"{made.checksum:032x}"
         values = (made.epoch, made.version, at, tenant, actor, body, total)
-        self._db.execute("INSERT INTO change VALUES (?,?,?,?,?,?,?,?)", (*values, digest(*values)))
+        self._db.execute("INSERT INTO change VALUES (?,?,?,?,?,?,?,?)", (*values, columns_checksum(*values)))
         for gone in diff.reset:
             self._db.execute("DELETE FROM row WHERE tenant=?", (gone,))
             self._db.execute("DELETE FROM part WHERE tenant=?", (gone,))
@@ -242,16 +242,16 @@
             else:
                 self._db.execute(
                     "INSERT OR REPLACE INTO row VALUES (?,?,?,?,?)",
-                    (row.tenant, row.kind.value, row.name, row.version, row.bytes()),
+                    (row.tenant, row.kind.value, row.name, row.version, row.encoded_value()),
                 )
         for name, (born, version) in diff.parts.items():
             self._db.execute("INSERT OR REPLACE INTO part VALUES (?,?,?)", (name, born, version))
 
-    def audit(self, entry: Audited) -> None:
+    def audit(self, entry: AuditEntry) -> None:
         """Write a line of the audit; its id is the store's."""
         self._db.execute(
             "INSERT INTO audit VALUES (NULL,?,?,?,?,?,?,?)",
-            (entry.at, entry.tenant, entry.actor, entry.action, entry.status, entry.epoch, entry.version),
+            (entry.at_ms, entry.tenant, entry.actor, entry.action, entry.status, entry.epoch, entry.version),
         )
 
 
@@ -259,10 +259,10 @@
     """The store in one folder. Writes come from one thread; `reader` serves queries beside it."""
 
     def __init__(self, folder: Path, create: bool = False) -> None:
-        self.path = folder / FILE
-        if not create and not self.path.exists() and (folder / HALF).exists():
+        self.path = folder / DATABASE_FILE
+        if not create and not self.path.exists() and (folder / RESTORE_FILE).exists():
             raise StoreError(f"{folder}: a restore was interrupted; run it again")
-        self._lock = Lock(folder)
+        self._lock = StoreLock(folder)
         try:
             self._db = connect(self.path, create)
             migrate(self._db, self.path)
@@ -280,21 +280,21 @@
         self._lock.release()
 
     @contextlib.contextmanager
-    def batch(self) -> Iterator[_Batch]:
+    def batch(self) -> Iterator[SqliteBatch]:
         """One transaction; Unavailable means that nothing of it holds."""
         try:
             self._db.execute("BEGIN IMMEDIATE")
-            yield _Batch(self._db)
+            yield SqliteBatch(self._db)
             self._db.execute("COMMIT")
         except BaseException as error:
             with contextlib.suppress(sqlite3.Error):
                 if self._db.in_transaction:
                     self._db.execute("ROLLBACK")
             if isinstance(error, sqlite3.Error):
-                raise Unavailable(f"{self.path}: {error}") from error
+                raise BatchNotWrittenError(f"{self.path}: {error}") from error
             raise
 
-    def newest(self) -> tuple[int, int]:
+    def latest_version(self) -> tuple[int, int]:
         """Epoch and version of the last change or snapshot on disk."""
         row = self._db.execute(
             "SELECT epoch, version FROM (SELECT epoch, version FROM change UNION ALL "
@@ -302,44 +302,42 @@
         ).fetchone()
         return (row[0], row[1]) if row else (0, 0)
 
-    def change(self, epoch: int, version: int) -> Written | None:
+    def logged_change(self, epoch: int, version: int) -> LoggedChange | None:
         """One change of the log, if it is still kept."""
         row = self._reader.execute("SELECT * FROM change WHERE epoch=? AND version=?", (epoch, version)).fetchone()
-        return _written(row) if row else None
+        return _logged_change(row) if row else None
 
-    def audits(self, tenant: str | None, before: int, most: int) -> list[Audited]:
+    def audit_entries(self, tenant: str | None, before: int, most: int) -> list[AuditEntry]:
         """Lines of the audit, newest first; `tenant` None means all."""
         where, values = ("", ()) if tenant is None else ("tenant=? AND ", (tenant,))
         rows = self._reader.execute(
             f"SELECT * FROM audit WHERE {where}id<? ORDER BY id DESC LIMIT ?", (*values, before, most)
         )
-        return [Audited(*row) for row in rows]
+        return [AuditEntry(*row) for row in rows]
 
-    def keep_piece(self, snapshot: int, number: int, rows: list[Row]) -> None:
+    def write_snapshot_chunk(self, snapshot: int, number: int, rows: list[Row]) -> None:
         """Write a piece of a snapshot that does not count before `keep_snapshot`."""
         body = encode_rows(rows)
         with self.batch():
             self._db.execute(
                 "INSERT OR REPLACE INTO piece VALUES (?,?,?,?)",
-                (snapshot, number, body, digest(snapshot, number, body)),
+                (snapshot, number, body, columns_checksum(snapshot, number, body)),
             )
 
-    def keep_snapshot(self, snapshot: int, catalogue: Catalogue, pieces: int, keep: int) -> None:
+    def commit_snapshot(self, snapshot: int, catalog: Catalog, pieces: int, keep: int) -> None:
         """Let a snapshot count from now on; drop older ones, and the log but for the last `keep` before it."""
         with self.batch():
-            write_snapshot_head(self._db, snapshot, catalogue, pieces)
+            write_snapshot_head(self._db, snapshot, catalog, pieces)
             self._db.execute("DELETE FROM snapshot WHERE id<>?", (snapshot,))
             self._db.execute("DELETE FROM piece WHERE snapshot<>?", (snapshot,))
-            self._db.execute(
-                "DELETE FROM change WHERE epoch=? AND version<=?", (catalogue.epoch, catalogue.version - keep)
-            )
+            self._db.execute("DELETE FROM change WHERE epoch=? AND version<=?", (catalog.epoch, catalog.version - keep))
 
-    def forget_answers(self, before: int) -> int:
+    def delete_responses(self, before: int) -> int:
         """Drop answers older than this; how many went."""
         with self.batch():
             return self._db.execute("DELETE FROM answer WHERE at<?", (before,)).rowcount
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadResult:
         """Rebuild the catalogue from snapshot and log, and hold it against the stored state."""
         return load(self._db, self.path)
 
@@ -351,125 +349,126 @@
         try:
             row = self._db.execute("SELECT value FROM meta WHERE name=?", (name,)).fetchone()
         except sqlite3.Error as error:
-            raise Damaged(f"{self.path}: table meta: {error}") from error
+            raise CorruptStoreError(f"{self.path}: table meta: {error}") from error
         return row[0] if row else None
 
 
-def write_snapshot_head(db: sqlite3.Connection, snapshot: int, catalogue: Catalogue, pieces: int) -> None:
+def write_snapshot_head(db: sqlite3.Connection, snapshot: int, catalog: Catalog, pieces: int) -> None:
     """The row by which a snapshot's pieces count."""
-    parts = encode_parts(catalogue)
-    values = (snapshot, catalogue.epoch, catalogue.version, f"{catalogue.sum:032x}", parts, pieces)
-    db.execute("INSERT OR REPLACE INTO snapshot VALUES (?,?,?,?,?,?,?)", (*values, digest(*values)))
+    parts = encode_parts(catalog)
+    values = (snapshot, catalog.epoch, catalog.version, f"{catalog.checksum:032x}", parts, pieces)
+    db.execute("INSERT OR REPLACE INTO snapshot VALUES (?,?,?,?,?,?,?)", (*values, columns_checksum(*values)))
 
 
-def encode_parts(catalogue: Catalogue) -> bytes:
+def encode_parts(catalog: Catalog) -> bytes:
     """Each tenant's born and version, as bytes."""
-    return "\n".join(f"{name} {part.born} {part.version}" for name, part in sorted(catalogue.tenants.items())).encode()
+    lines = [f"{name} {part.created_in_version} {part.version}" for name, part in sorted(catalog.tenants.items())]
+    return "\n".join(lines).encode()
 
 
-def _written(row: tuple[Any, ...]) -> Written:
+def _logged_change(row: tuple[Any, ...]) -> LoggedChange:
     epoch, version, at, tenant, actor, body, _, kept = row
     place = f"table change, version {epoch}.{version}"
-    if digest(*row[:7]) != kept:
-        raise Damaged(f"{place}: the checksum does not fit")
+    if columns_checksum(*row[:7]) != kept:
+        raise CorruptStoreError(f"{place}: the checksum does not fit")
     try:
-        return Written(epoch, version, at, tenant, actor, decode_diff(body))
+        return LoggedChange(epoch, version, at, tenant, actor, decode_diff(body))
     except ValueError as error:
-        raise Damaged(f"{place}: {error}") from error
+        raise CorruptStoreError(f"{place}: {error}") from error
 
 
-def load(db: sqlite3.Connection, path: Path) -> Loaded:
+def load(db: sqlite3.Connection, path: Path) -> LoadResult:
     """Rebuild from snapshot and log; Damaged names the first row that does not fit."""
     try:
         return _load(db)
-    except Damaged as error:
-        raise Damaged(f"{path}: {error}") from error
+    except CorruptStoreError as error:
+        raise CorruptStoreError(f"{path}: {error}") from error
     except (sqlite3.Error, TypeError, ValueError) as error:  # a column of another type, text that is no UTF-8
-        raise Damaged(f"{path}: {error}") from error
+        raise CorruptStoreError(f"{path}: {error}") from error
 
 
-def _load(db: sqlite3.Connection) -> Loaded:
-    catalogue = _snapshot(db)
+def _load(db: sqlite3.Connection) -> LoadResult:
+    catalog = _load_snapshot(db)
     history, at, replayed = History(), 0, 0
     last: int | None = None
-    for row in db.execute("SELECT * FROM change WHERE epoch>=? ORDER BY epoch, version", (catalogue.epoch,)):
-        written = _written(row)
+    for row in db.execute("SELECT * FROM change WHERE epoch>=? ORDER BY epoch, version", (catalog.epoch,)):
+        written = _logged_change(row)
         place = f"table change, version {written.epoch}.{written.version}"
-        at = max(at, written.at)
+        at = max(at, written.at_ms)
         if last is None:
             history.start(written.epoch, written.version - 1)
         elif written.version != last + 1:
-            raise Damaged(f"{place}: the one before it, {last + 1}, is missing")
+            raise CorruptStoreError(f"{place}: the one before it, {last + 1}, is missing")
         last = written.version
         history.add(written.diff)
-        if written.version <= catalogue.version:
+        if written.version <= catalog.version:
             continue
         try:
-            catalogue = patch(catalogue, written.diff)
+            catalog = apply_diff(catalog, written.diff)
         except (ValueError, KeyError) as error:
-            raise Damaged(f"{place}: {error}") from error
-        if f"{catalogue.sum:032x}" != row[6]:
-            raise Damaged(f"{place}: what it leads to is not what it led to")
+            raise CorruptStoreError(f"{place}: {error}") from error
+        if f"{catalog.checksum:032x}" != row[6]:
+            raise CorruptStoreError(f"{place}: what it leads to is not what it led to")
         replayed += 1
     if last is None:
-        history.start(catalogue.epoch, catalogue.version)
-    _hold_against_state(db, catalogue)
+        history.start(catalog.epoch, catalog.version)
+    _verify_state_tables(db, catalog)
     (heard,) = db.execute("SELECT coalesce(max(at), 0) FROM audit").fetchone()
-    return Loaded(catalogue, history, max(at, heard), replayed)
+    return LoadResult(catalog, history, max(at, heard), replayed)
 
 
-def _snapshot(db: sqlite3.Connection) -> Catalogue:
+def _load_snapshot(db: sqlite3.Connection) -> Catalog:
     row = db.execute("SELECT * FROM snapshot ORDER BY epoch DESC, version DESC LIMIT 1").fetchone()
     if row is None:
-        return Catalogue()
+        return Catalog()
     id, epoch, version, total, parts, pieces, kept = row
-    if digest(*row[:6]) != kept:
-        raise Damaged(f"table snapshot, id {id}: the checksum does not fit")
+    if columns_checksum(*row[:6]) != kept:
+        raise CorruptStoreError(f"table snapshot, id {id}: the checksum does not fit")
 
     def rows() -> Iterator[Row]:
         number = 0
         for number, body, piece in db.execute(  # noqa: B007
             "SELECT number, body, digest FROM piece WHERE snapshot=? ORDER BY number", (id,)
         ):
-            if digest(id, number, body) != piece:
-                raise Damaged(f"table piece, snapshot {id}, number {number}: the checksum does not fit")
+            if columns_checksum(id, number, body) != piece:
+                raise CorruptStoreError(f"table piece, snapshot {id}, number {number}: the checksum does not fit")
             yield from decode_rows(body)
 
     (found,) = db.execute("SELECT count(*) FROM piece WHERE snapshot=?", (id,)).fetchone()
     if found != pieces:
-        raise Damaged(f"table piece, snapshot {id}: {found} pieces in place of {pieces}")
+        raise CorruptStoreError(f"table piece, snapshot {id}: {found} pieces in place of {pieces}")
     told = {
         name: (int(born), int(last)) for name, born, last in (line.split(" ") for line in parts.decode().splitlines())
     }
     try:
-        catalogue = build(epoch, version, rows(), told)
+        catalog = build_catalog(epoch, version, rows(), told)
     except (ValueError, KeyError) as error:
-        raise Damaged(f"table piece, snapshot {id}: {error}") from error
-    if f"{catalogue.sum:032x}" != total:
-        raise Damaged(f"table snapshot, id {id}: its pieces do not give its sum")
-    return catalogue
+        raise CorruptStoreError(f"table piece, snapshot {id}: {error}") from error
+    if f"{catalog.checksum:032x}" != total:
+        raise CorruptStoreError(f"table snapshot, id {id}: its pieces do not give its sum")
+    return catalog
 
 
-def _hold_against_state(db: sqlite3.Connection, catalogue: Catalogue) -> None:
+def _verify_state_tables(db: sqlite3.Connection, catalog: Catalog) -> None:
     """The stored state must be what snapshot and log give."""
     total = 0
     for tenant, kind, name, version, body in db.execute("SELECT * FROM row"):
         if not isinstance(body, bytes):
-            raise Damaged(f"table row, tenant {tenant!r}, {kind} {name}: the body is no blob")
-        total += hash_of(tenant, kind, name, version, body)
-    if total % WRAP != catalogue.sum:
-        raise Damaged(_difference(db, catalogue))
+            raise CorruptStoreError(f"table row, tenant {tenant!r}, {kind} {name}: the body is no blob")
+        total += row_hash(tenant, kind, name, version, body)
+    if total % CHECKSUM_MODULUS != catalog.checksum:
+        raise CorruptStoreError(_first_state_difference(db, catalog))
     parts = dict((name, (born, version)) for name, born, version in db.execute("SELECT * FROM part"))
-    for name, part in catalogue.tenants.items():
-        if parts.pop(name, None) != (part.born, part.version):
-            raise Damaged(f"table part, tenant {name}: not what the log gives")
+    for name, part in catalog.tenants.items():
+        if parts.pop(name, None) != (part.created_in_version, part.version):
+            raise CorruptStoreError(f"table part, tenant {name}: not what the log gives")
     for name in parts:
-        raise Damaged(f"table part, tenant {name}: not in the log")
+        raise CorruptStoreError(f"table part, tenant {name}: not in the log")
 
 
-def _difference(db: sqlite3.Connection, catalogue: Catalogue) -> str:
+def _first_state_difference(db: sqlite3.Connection, catalog: Catalog) -> str:
     """The first row of the state that the log does not give."""
-    want = {(row.tenant, row.kind.value, row.name): (row.version, row.bytes()) for row in rows_of(catalogue)}
+    want = {(row.tenant, row.kind.value, row.name): (row.version, row.encoded_value()) for row in catalog_rows(catalog)}
     for tenant, kind, name, version, body in db.execute("SELECT * FROM row"):
         if want.pop((tenant, kind, name), None) != (version, body):
             return f"table row, tenant {tenant!r}, {kind} {name}: not what the log gives"
--- a/hallhitch/administration/opening.py
+++ b/hallhitch/administration/store_folder.py
@@ -4,20 +4,20 @@
 
 from pathlib import Path
 
-from hallhitch.administration.secrets import Keys
+from hallhitch.administration.secrets import ServiceKeys
 from hallhitch.administration.settings import ControlSettings
 from hallhitch.administration.store import SqliteStore, StoreError
 
-KEY_WORD = "key"  # where the store keeps which key file it goes with
+KEY_ID_ENTRY = "key"  # where the store keeps which key file it goes with
 
 
-def open_store(settings: ControlSettings, file: str) -> tuple[SqliteStore, Keys]:
+def open_store(settings: ControlSettings, file: str) -> tuple[SqliteStore, ServiceKeys]:
     """The store and the key that goes with it."""
     folder = settings.path(settings.store.folder, file)
     store = SqliteStore(folder)
     try:
-        keys = Keys.read(folder)
-        if store.meta(KEY_WORD) != keys.word:
+        keys = ServiceKeys.read(folder)
+        if store.meta(KEY_ID_ENTRY) != keys.key_id:
             raise StoreError(f"{folder}: the key file is not the one that this store was made with")
     except BaseException:
         store.close()
@@ -30,15 +30,15 @@
     folder = settings.path(settings.store.folder, file)
     try:
         folder.mkdir(parents=True, exist_ok=True, mode=0o700)
-        keys = Keys.create(folder)
+        keys = ServiceKeys.create(folder)
     except OSError as error:
         raise StoreError(f"{folder}: {error.strerror}") from error
     store = SqliteStore(folder, create=True)
     try:
-        word = store.meta(KEY_WORD)
+        word = store.meta(KEY_ID_ENTRY)
         if word is None:
-            store.meta(KEY_WORD, keys.word)
-        elif word != keys.word:
+            store.meta(KEY_ID_ENTRY, keys.key_id)
+        elif word != keys.key_id:
             raise StoreError(f"{folder}: the key file is not the one that this store was made with")
     finally:
         store.close()
--- a/hallhitch/administration/writer.py
+++ b/hallhitch/administration/writer.py
@@ -18,20 +18,28 @@
 from msgspec import Struct
 
 from hallhitch.administration.clock import WallClock
-from hallhitch.administration.secrets import Keys
-from hallhitch.administration.store import PIECE, Answer, Audited, Batch, SqliteStore, StoreError, Unavailable
-from hallhitch.catalog.access import Principal, credential_of
-from hallhitch.catalog.changes import Change, Refused, apply
+from hallhitch.administration.secrets import ServiceKeys
+from hallhitch.administration.store import (
+    SNAPSHOT_CHUNK_ROWS,
+    AuditEntry,
+    Batch,
+    BatchNotWrittenError,
+    SqliteStore,
+    StoredResponse,
+    StoreError,
+)
+from hallhitch.catalog.access import Principal, valid_credential
+from hallhitch.catalog.changes import Change, ChangeRefused, apply_change
 from hallhitch.catalog.history import Diff, History
-from hallhitch.catalog.model import Catalogue
-from hallhitch.catalog.rows import Row, rows_of
+from hallhitch.catalog.model import Catalog
+from hallhitch.catalog.rows import Row, catalog_rows
 from hallhitch.core.invariants import COUNTS, invariant
 
-BATCH = 256  # calls in a transaction
-WAITING = 4_096  # calls that may wait; more are turned away
-DAY = 24 * 3_600_000  # ms that answers are kept for repeats
-SNAPSHOT_EACH = 10_000  # changes from one snapshot to the next
-KEEP = 2_000  # changes kept before a snapshot, so that followers that are a little behind get diffs
+MAX_BATCH_CALLS = 256  # calls in a transaction
+MAX_QUEUED_CALLS = 4_096  # calls that may wait; more are turned away
+RESPONSE_RETENTION_MS = 24 * 3_600_000  # ms that answers are kept for repeats
+SNAPSHOT_INTERVAL_CHANGES = 10_000  # changes from one snapshot to the next
+RETAINED_LOG_CHANGES = 2_000  # changes kept before a snapshot, so that followers that are a little behind get diffs
 log = structlog.get_logger()
 
 
@@ -43,7 +51,7 @@
     body: bytes
 
 
-class _Kept(Struct, frozen=True):
+class _StoredReply(Struct, frozen=True):
     """A reply as the store has it; one with a secret in it is sealed."""
 
     status: int
@@ -52,12 +60,12 @@
     sealed: bool
 
 
-class Planned(Struct, frozen=True):
+class PlannedChange(Struct, frozen=True):
     """What a call asks for once it has seen the catalogue, and how its answer reads when that is made."""
 
     change: Change
-    reply: Callable[[Catalogue], Reply]
-    secret: bool = False  # the answer holds a secret: kept sealed
+    reply: Callable[[Catalog], Reply]
+    has_secret: bool = False  # the answer holds a secret: kept sealed
 
 
 class Call(Struct, frozen=True):
@@ -65,32 +73,32 @@
 
     caller: Principal
     key: str
-    asked: bytes
+    fingerprint: bytes
     tenant: str  # whose part, for the audit
     action: str
-    plan: Callable[[Catalogue, int], Planned]
-    refused: Callable[[Refused], Reply]
+    plan: Callable[[Catalog, int], PlannedChange]
+    refusal_reply: Callable[[ChangeRefused], Reply]
 
 
-class Overloaded(Exception):
+class WriteQueueFull(Exception):
     """Too many calls wait."""
 
 
-class KeyReused(Exception):
+class IdempotencyKeyReused(Exception):
     """The key was used for another call."""
 
 
-class NoLonger(Exception):
+class CredentialNoLongerValid(Exception):
     """The caller's credential has stopped to count since the call came in."""
 
 
-class Halted(Exception):
+class WriterHalted(Exception):
     """The store failed in a way that leaves its state in doubt; nothing is changed before a restart."""
 
 
-_pack, _unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(_Kept).decode
+_pack, _unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(_StoredReply).decode
 Outcome = Reply | Exception
-_Done = tuple[Catalogue, list[Outcome], list[Diff]]
+_BatchResult = tuple[Catalog, list[Outcome], list[Diff]]
 
 
 class Writer:
@@ -99,23 +107,23 @@
     def __init__(
         self,
         store: SqliteStore,
-        catalogue: Catalogue,
+        catalog: Catalog,
         history: History,
         clock: WallClock,
-        keys: Keys,
-        snapshot_each: int = SNAPSHOT_EACH,
-        keep: int = KEEP,
+        keys: ServiceKeys,
+        snapshot_each: int = SNAPSHOT_INTERVAL_CHANGES,
+        keep: int = RETAINED_LOG_CHANGES,
     ) -> None:
-        self.catalogue, self.history = catalogue, history
+        self.catalog, self.history = catalog, history
         self._store, self._clock, self._keys = store, clock, keys
-        self._each, self._keep = snapshot_each, keep
+        self._snapshot_interval, self._retained_log_changes = snapshot_each, keep
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="writer")
-        self._calls: deque[tuple[Call, asyncio.Future[Reply]]] = deque()
-        self._running: dict[tuple[str, str], tuple[bytes, asyncio.Future[Reply]]] = {}
+        self._queue: deque[tuple[Call, asyncio.Future[Reply]]] = deque()
+        self._in_flight: dict[tuple[str, str], tuple[bytes, asyncio.Future[Reply]]] = {}
         self._wake = asyncio.Event()
-        self.news = asyncio.Event()  # set, and another in its place, once there is a newer catalogue
+        self.catalog_changed = asyncio.Event()  # set, and another in its place, once there is a newer catalogue
         self._since_snapshot = 0
-        self._halted = ""
+        self._halt_reason = ""
         self._closing = False
         self._tasks: set[asyncio.Task[None]] = set()
         self.batches = 0
@@ -123,25 +131,25 @@
     def start(self, replayed: int) -> None:
         """Begin to take calls; `replayed` changes came since the last snapshot."""
         self._since_snapshot = replayed
-        self._main = asyncio.create_task(self._run())
+        self._main_task = asyncio.create_task(self._run())
 
     async def submit(self, call: Call) -> Reply:
         """Make a call and wait for its answer; it is made though the one who waits goes away."""
         name = (call.caller.name, call.key)
-        running = self._running.get(name)
+        running = self._in_flight.get(name)
         if running is not None:
             asked, future = running
-            if asked != call.asked:
-                raise KeyReused
+            if asked != call.fingerprint:
+                raise IdempotencyKeyReused
             return await asyncio.shield(future)
-        if self._halted or self._closing:
-            raise Halted(self._halted or "the service is ending")
-        if len(self._calls) >= WAITING:
-            raise Overloaded
+        if self._halt_reason or self._closing:
+            raise WriterHalted(self._halt_reason or "the service is ending")
+        if len(self._queue) >= MAX_QUEUED_CALLS:
+            raise WriteQueueFull
         future = asyncio.get_running_loop().create_future()
         future.add_done_callback(lambda done: done.cancelled() or done.exception())  # nobody may be left to look
-        self._running[name] = (call.asked, future)
-        self._calls.append((call, future))
+        self._in_flight[name] = (call.fingerprint, future)
+        self._queue.append((call, future))
         self._wake.set()
         return await asyncio.shield(future)
 
@@ -149,18 +157,18 @@
         """Make what has been taken, then end."""
         self._closing = True
         self._wake.set()
-        await self._main
+        await self._main_task
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._thread.shutdown(wait=True)
 
-    async def forget_answers(self) -> None:
+    async def delete_expired_responses(self) -> None:
         """Drop answers that are a day old."""
         try:
-            gone = await self._in_thread(self._store.forget_answers, self._clock.now() - DAY)
+            gone = await self._in_thread(self._store.delete_responses, self._clock.now_ms() - RESPONSE_RETENTION_MS)
             log.info("answers forgotten", count=gone)
-        except Unavailable as error:
+        except BatchNotWrittenError as error:
             log.error("answers not forgotten", error=str(error))
 
     async def snapshot(self) -> None:
@@ -168,26 +176,26 @@
 
         The catalogue is immutable: what changes meanwhile stays in the log and is replayed on top.
         """
-        catalogue = self.catalogue
+        catalog = self.catalog
         self._since_snapshot = 0
-        id = (catalogue.epoch << 32 | catalogue.version) & 0x7FFF_FFFF_FFFF_FFFF
+        id = (catalog.epoch << 32 | catalog.version) & 0x7FFF_FFFF_FFFF_FFFF
         pieces, rows = 0, []
         try:
-            for row in rows_of(catalogue):
+            for row in catalog_rows(catalog):
                 rows.append(row)
-                if len(rows) == PIECE:
-                    await self._keep_piece(id, pieces, rows)
+                if len(rows) == SNAPSHOT_CHUNK_ROWS:
+                    await self._write_chunk(id, pieces, rows)
                     pieces, rows = pieces + 1, []
             if rows:
-                await self._keep_piece(id, pieces, rows)
+                await self._write_chunk(id, pieces, rows)
                 pieces += 1
-            await self._in_thread(self._store.keep_snapshot, id, catalogue, pieces, self._keep)
-            log.info("snapshot written", epoch=catalogue.epoch, version=catalogue.version, pieces=pieces)
-        except Unavailable as error:
+            await self._in_thread(self._store.commit_snapshot, id, catalog, pieces, self._retained_log_changes)
+            log.info("snapshot written", epoch=catalog.epoch, version=catalog.version, pieces=pieces)
+        except BatchNotWrittenError as error:
             log.error("snapshot not written", error=str(error))
 
-    async def _keep_piece(self, id: int, number: int, rows: list[Row]) -> None:
-        await self._in_thread(self._store.keep_piece, id, number, rows)
+    async def _write_chunk(self, id: int, number: int, rows: list[Row]) -> None:
+        await self._in_thread(self._store.write_snapshot_chunk, id, number, rows)
 
     async def _in_thread(self, call: Callable[..., Any], *values: Any) -> Any:
         return await asyncio.get_running_loop().run_in_executor(self._thread, call, *values)
@@ -197,30 +205,30 @@
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while self._calls:
-                batch = [self._calls.popleft() for _ in range(min(BATCH, len(self._calls)))]
-                await self._one(batch)
+            while self._queue:
+                batch = [self._queue.popleft() for _ in range(min(MAX_BATCH_CALLS, len(self._queue)))]
+                await self._process_batch(batch)
             if self._closing:
                 return
 
-    async def _one(self, batch: list[tuple[Call, asyncio.Future[Reply]]]) -> None:
+    async def _process_batch(self, batch: list[tuple[Call, asyncio.Future[Reply]]]) -> None:
         """Decide a batch, make it durable, publish it, answer."""
         outcomes: list[Outcome]
         try:
-            if self._halted:
-                raise Halted(self._halted)
-            catalogue, outcomes, diffs = await self._in_thread(
-                self._commit, [call for call, _ in batch], self.catalogue, self._clock.now()
+            if self._halt_reason:
+                raise WriterHalted(self._halt_reason)
+            catalog, outcomes, diffs = await self._in_thread(
+                self._commit, [call for call, _ in batch], self.catalog, self._clock.now_ms()
             )
             for diff in diffs:
                 self.history.add(diff)
-            if catalogue is not self.catalogue:
-                self.catalogue = catalogue
-                self.news.set()
-                self.news = asyncio.Event()
+            if catalog is not self.catalog:
+                self.catalog = catalog
+                self.catalog_changed.set()
+                self.catalog_changed = asyncio.Event()
             self.batches += 1
             self._since_snapshot += len(diffs)
-            if self._since_snapshot >= self._each:
+            if self._since_snapshot >= self._snapshot_interval:
                 self._since_snapshot = 0
                 task = asyncio.create_task(self.snapshot())
                 self._tasks.add(task)
@@ -228,81 +236,82 @@
         except Exception as error:
             COUNTS["batches_failed"] += 1
             log.error("batch not written", error=f"{type(error).__name__}: {error}", calls=len(batch))
-            await self._look_after_failure()
+            await self._verify_store_after_failure()
             outcomes = [error] * len(batch)
         for (call, future), outcome in zip(batch, outcomes, strict=True):
-            del self._running[call.caller.name, call.key]
+            del self._in_flight[call.caller.name, call.key]
             if isinstance(outcome, Exception):
                 future.set_exception(outcome)
             else:
                 future.set_result(outcome)
 
-    async def _look_after_failure(self) -> None:
+    async def _verify_store_after_failure(self) -> None:
         """After a failed batch the disk must hold what is held here; otherwise no more is changed."""
-        if self._halted:
+        if self._halt_reason:
             return
         try:
-            newest = await self._in_thread(self._store.newest)
+            newest = await self._in_thread(self._store.latest_version)
         except Exception as error:
             log.error("the store cannot be read", error=str(error))
             return  # each further batch tries again, and fails whole
-        if newest not in ((self.catalogue.epoch, self.catalogue.version), (0, 0)):
-            self._halted = (
-                f"the store is at {newest[0]}.{newest[1]}, this process at "
-                f"{self.catalogue.epoch}.{self.catalogue.version}"
+        if newest not in ((self.catalog.epoch, self.catalog.version), (0, 0)):
+            self._halt_reason = (
+                f"the store is at {newest[0]}.{newest[1]}, this process at {self.catalog.epoch}.{self.catalog.version}"
             )
-            log.critical("no changes until a restart", reason=self._halted)
+            log.critical("no changes until a restart", reason=self._halt_reason)
 
-    def _commit(self, calls: list[Call], catalogue: Catalogue, now: int) -> _Done:
+    def _commit(self, calls: list[Call], catalog: Catalog, now: int) -> _BatchResult:
         """In the thread: all calls of a batch in one transaction, or none."""
         outcomes: list[Outcome] = []
         diffs: list[Diff] = []
         with self._store.batch() as batch:
             for call in calls:
-                catalogue, outcome = self._decide(batch, call, catalogue, now, diffs)
+                catalog, outcome = self._decide(batch, call, catalog, now, diffs)
                 outcomes.append(outcome)
-        return catalogue, outcomes, diffs
+        return catalog, outcomes, diffs
 
     def _decide(
         self,
         batch: Batch,
         call: Call,
-        catalogue: Catalogue,
+        catalog: Catalog,
         now: int,
         diffs: list[Diff],
-    ) -> tuple[Catalogue, Outcome]:
+    ) -> tuple[Catalog, Outcome]:
         """One call: the catalogue it leaves and its answer."""
         # The credential was checked when the call came in; what counts is that it does when the change is made.
-        credential = credential_of(catalogue, call.caller.tenant, call.caller.id, now)
+        credential = valid_credential(catalog, call.caller.tenant, call.caller.id, now)
         if credential is None or credential.scope is not call.caller.scope:
-            return catalogue, NoLonger()
-        kept = batch.answer(call.caller.name, call.key)
-        if kept is not None and now - kept.at < DAY:
-            if kept.asked != call.asked:
-                return catalogue, KeyReused()
-            return catalogue, self._again(call, kept)
+            return catalog, CredentialNoLongerValid()
+        kept = batch.stored_response(call.caller.name, call.key)
+        if kept is not None and now - kept.stored_at_ms < RESPONSE_RETENTION_MS:
+            if kept.fingerprint != call.fingerprint:
+                return catalog, IdempotencyKeyReused()
+            return catalog, self._repeat_reply(call, kept)
         version = 0
         try:
-            planned = call.plan(catalogue, now)
-            made = apply(catalogue, planned.change)
-            reply, sealed = planned.reply(made.catalogue), planned.secret
-            batch.keep_change(made.catalogue, made.diff, now, call.tenant, call.caller.name)
-            invariant(made.catalogue.version == catalogue.version + 1, "versions are dense")
-            catalogue, version = made.catalogue, made.catalogue.version
+            planned = call.plan(catalog, now)
+            made = apply_change(catalog, planned.change)
+            reply, sealed = planned.reply(made.catalog), planned.has_secret
+            batch.append_change(made.catalog, made.diff, now, call.tenant, call.caller.name)
+            invariant(made.catalog.version == catalog.version + 1, "versions are dense")
+            catalog, version = made.catalog, made.catalog.version
             diffs.append(made.diff)
-        except Refused as refusal:
-            reply, sealed = call.refused(refusal), False
+        except ChangeRefused as refusal:
+            reply, sealed = call.refusal_reply(refusal), False
         body = self._keys.seal(reply.body, f"{call.caller.name} {call.key}") if sealed else reply.body
-        packed = _pack(_Kept(reply.status, reply.headers, body, sealed))
-        batch.keep_answer(call.caller.name, call.key, Answer(now, call.asked, packed))
-        batch.audit(Audited(0, now, call.tenant, call.caller.name, call.action, reply.status, catalogue.epoch, version))
-        return catalogue, reply
-
-    def _again(self, call: Call, kept: Answer) -> Outcome:
+        packed = _pack(_StoredReply(reply.status, reply.headers, body, sealed))
+        batch.store_response(call.caller.name, call.key, StoredResponse(now, call.fingerprint, packed))
+        batch.audit(
+            AuditEntry(0, now, call.tenant, call.caller.name, call.action, reply.status, catalog.epoch, version)
+        )
+        return catalog, reply
+
+    def _repeat_reply(self, call: Call, kept: StoredResponse) -> Outcome:
         """The first answer, byte for byte."""
         told = _unpack(kept.body)
         try:
-            body = self._keys.open(told.body, f"{call.caller.name} {call.key}") if told.sealed else told.body
+            body = self._keys.unseal(told.body, f"{call.caller.name} {call.key}") if told.sealed else told.body
         except StoreError as error:
             return error
         return Reply(told.status, told.headers, body)
--- a/hallhitch/catalog/access.py
+++ b/hallhitch/catalog/access.py
@@ -7,10 +7,10 @@
 
 from msgspec import Struct
 
-from hallhitch.catalog.model import Catalogue, Credential, Kind, Scope, Verifier
+from hallhitch.catalog.model import Catalog, Credential, Kind, Scope, Verifier
 from hallhitch.catalog.names import OPERATORS
 
-TOKEN = re.compile(r"hh_([a-z0-9-]{0,40})\.([a-z0-9-]{1,64})\.([A-Za-z0-9_-]{43})")
+TOKEN_PATTERN = re.compile(r"hh_([a-z0-9-]{0,40})\.([a-z0-9-]{1,64})\.([A-Za-z0-9_-]{43})")
 
 
 class Token(Struct, frozen=True):
@@ -40,56 +40,56 @@
 class Verdict(StrEnum):
     """What becomes of a call: made, refused as beyond its scope, or answered as if there were nothing."""
 
-    YES = "yes"
-    BEYOND = "beyond"
+    ALLOWED = "yes"
+    BEYOND_SCOPE = "beyond"
     HIDDEN = "hidden"
 
 
-def token_of(text: str) -> Token | None:
+def parse_token(text: str) -> Token | None:
     """Read a token; None where it cannot be one."""
-    match = TOKEN.fullmatch(text)
+    match = TOKEN_PATTERN.fullmatch(text)
     return Token(*match.groups()) if match else None
 
 
-def credential_of(catalogue: Catalogue, tenant: str, id: str, now: int) -> Credential | None:
+def valid_credential(catalog: Catalog, tenant: str, id: str, now: int) -> Credential | None:
     """The credential of this name if it counts at `now`; of a tenant switched off, none does."""
-    kept = catalogue.get(tenant, Kind.CREDENTIAL, id)
+    kept = catalog.get(tenant, Kind.CREDENTIAL, id)
     if kept is None or (kept.value.expires is not None and kept.value.expires <= now):
         return None
-    if tenant != OPERATORS and not catalogue.tenants[tenant].head.value.on:
+    if tenant != OPERATORS and not catalog.tenants[tenant].head.value.on:
         return None
     credential: Credential = kept.value
     return credential
 
 
-def verifiers_of(credential: Credential, now: int) -> list[Verifier]:
+def valid_verifiers(credential: Credential, now: int) -> list[Verifier]:
     """The verifiers that count at `now`, newest first."""
     return [v for v in credential.verifiers if v.until is None or v.until > now]
 
 
-def holder_of(catalogue: Catalogue, fingerprint: str, now: int) -> Principal | None:
+def operator_by_certificate(catalog: Catalog, fingerprint: str, now: int) -> Principal | None:
     """The operator whose client certificate has this SHA-256."""
-    for id in sorted(catalogue.operators):
-        credential = credential_of(catalogue, OPERATORS, id, now)
+    for id in sorted(catalog.operators):
+        credential = valid_credential(catalog, OPERATORS, id, now)
         if credential is not None and credential.certificate == fingerprint:
             return Principal(OPERATORS, id, credential.scope)
     return None
 
 
-def may(principal: Principal, tenant: str | None, kind: Kind | None, write: bool) -> Verdict:
+def authorize(principal: Principal, tenant: str | None, kind: Kind | None, write: bool) -> Verdict:
     """Whether a call may be made: `tenant` None is everybody's (the list of tenants), "" the operators' part.
 
     What is another's is hidden, never forbidden: its existence is not told.
     """
     if principal.scope is Scope.OPERATOR:
-        return Verdict.YES
+        return Verdict.ALLOWED
     if principal.scope is Scope.GATEWAY:
         return Verdict.HIDDEN
     if tenant is None:
-        return Verdict.BEYOND if write else Verdict.YES
+        return Verdict.BEYOND_SCOPE if write else Verdict.ALLOWED
     if principal.scope is Scope.CLIENT or tenant != principal.tenant:
         return Verdict.HIDDEN
     if not write:
-        return Verdict.YES
+        return Verdict.ALLOWED
     owned = principal.scope is Scope.ADMIN and kind in (Kind.PLAN, Kind.CLIENT, Kind.CREDENTIAL)
-    return Verdict.YES if owned else Verdict.BEYOND
+    return Verdict.ALLOWED if owned else Verdict.BEYOND_SCOPE
--- a/hallhitch/catalog/changes.py
+++ b/hallhitch/catalog/changes.py
@@ -11,10 +11,10 @@
 from msgspec import Struct
 
 from hallhitch.catalog import names
-from hallhitch.catalog.draft import Draft
-from hallhitch.catalog.history import Diff, delta
+from hallhitch.catalog.draft import CatalogDraft
+from hallhitch.catalog.history import Diff, make_diff
 from hallhitch.catalog.model import (
-    Catalogue,
+    Catalog,
     Credential,
     Host,
     Kind,
@@ -22,12 +22,12 @@
     Scope,
     Tenant,
 )
-from hallhitch.catalog.rows import Row, canonical
+from hallhitch.catalog.rows import Row, canonical_value
 
-MOST_EDITS = 1_000  # of one change: what a gateway and a store take in one piece
+MAX_EDITS_PER_CHANGE = 1_000  # of one change: what a gateway and a store take in one piece
 
 
-class Refused(Exception):
+class ChangeRefused(Exception):
     """Why a change is not made; nothing of it is. `code` is stable, `field` a path into the change."""
 
     CODES = ("not-found", "stale", "invalid", "over-limit", "in-use", "taken")
@@ -59,38 +59,40 @@
 class Applied(Struct, frozen=True):
     """What a change made: the next catalogue, and the diff that leads to it."""
 
-    catalogue: Catalogue
+    catalog: Catalog
     diff: Diff
 
 
-def apply(catalogue: Catalogue, change: Change) -> Applied:
+def apply_change(catalog: Catalog, change: Change) -> Applied:
     """Apply a change; the catalogue given stays as it is. Refused names the first edit at fault."""
-    if not 1 <= len(change.edits) <= MOST_EDITS:
-        raise Refused("invalid", "edits", f"1 to {MOST_EDITS} edits make a change, not {len(change.edits)}")
-    version = catalogue.version + 1
-    draft = Draft(catalogue)
+    if not 1 <= len(change.edits) <= MAX_EDITS_PER_CHANGE:
+        raise ChangeRefused(
+            "invalid", "edits", f"1 to {MAX_EDITS_PER_CHANGE} edits make a change, not {len(change.edits)}"
+        )
+    version = catalog.version + 1
+    draft = CatalogDraft(catalog)
     for number, edit in enumerate(change.edits):
-        _one(draft, change.tenant, edit, f"edits[{number}]", version)
-    made = draft.done(catalogue.epoch, version)
+        _apply_edit(draft, change.tenant, edit, f"edits[{number}]", version)
+    made = draft.finish(catalog.epoch, version)
     part = made.tenants.get(change.tenant)
     if part is not None:
-        _check_whole(part)
+        _check_tenant(part)
     if (
         change.tenant == names.OPERATORS
-        and catalogue.operators
+        and catalog.operators
         and not any(kept.value.scope is Scope.OPERATOR for kept in made.operators.values())
     ):
-        raise Refused("in-use", "edits", "this would leave no operator's credential")
-    return Applied(made, delta(made, catalogue.version, draft.touched))
+        raise ChangeRefused("in-use", "edits", "this would leave no operator's credential")
+    return Applied(made, make_diff(made, catalog.version, draft.touched))
 
 
-def _one(draft: Draft, tenant: str, edit: Edit, at: str, version: int) -> None:
+def _apply_edit(draft: CatalogDraft, tenant: str, edit: Edit, at: str, version: int) -> None:
     """One edit, with the checks that need no other."""
     was = draft.get(tenant, edit.kind, edit.name)
     if draft.get(tenant, Kind.TENANT, tenant) is None and edit.kind is not Kind.TENANT and tenant:
-        raise Refused("not-found", at, "there is no such tenant")
+        raise ChangeRefused("not-found", at, "there is no such tenant")
     if edit.expect is not None and edit.expect != (was.version if was is not None else 0):
-        raise Refused(
+        raise ChangeRefused(
             "stale",
             at,
             "this was changed meanwhile"
@@ -101,14 +103,14 @@
         )
     if edit.value is None:
         if was is None:
-            raise Refused("not-found", at, f"there is no {edit.kind.value} of this name")
+            raise ChangeRefused("not-found", at, f"there is no {edit.kind.value} of this name")
         draft.drop(tenant, edit.kind, edit.name)
         return
     _check_name(tenant, edit, at)
     try:
-        value = canonical(edit.kind, edit.value)
+        value = canonical_value(edit.kind, edit.value)
     except ValueError as error:
-        raise Refused("invalid", f"{at}.value", str(error)) from error
+        raise ChangeRefused("invalid", f"{at}.value", str(error)) from error
     _check_value(draft, tenant, edit, value, at)
     draft.put(Row(tenant, edit.kind, edit.name, version, value))
 
@@ -122,45 +124,47 @@
         Kind.CREDENTIAL: lambda: names.is_credential(edit.name),
     }[edit.kind]()
     if not good or (tenant == names.OPERATORS and edit.kind is not Kind.CREDENTIAL):
-        raise Refused("invalid", f"{at}.name", f"this cannot name a {edit.kind.value}")
+        raise ChangeRefused("invalid", f"{at}.name", f"this cannot name a {edit.kind.value}")
 
 
-def _check_value(draft: Draft, tenant: str, edit: Edit, value: Any, at: str) -> None:
+def _check_value(draft: CatalogDraft, tenant: str, edit: Edit, value: Any, at: str) -> None:
     """What a value's own types do not say. A client's plan is looked for once the whole change stands."""
     if isinstance(value, Plan):
-        for field in value.decided(edit.name).faults():
-            raise Refused("invalid", f"{at}.value.{field}", "out of range, or contradicts another field")
+        for field in value.to_decision_plan(edit.name).faults():
+            raise ChangeRefused("invalid", f"{at}.value.{field}", "out of range, or contradicts another field")
     elif isinstance(value, Credential):
         if (value.scope in (Scope.OPERATOR, Scope.GATEWAY)) != (tenant == names.OPERATORS):
-            raise Refused("invalid", f"{at}.value.scope", "operators and gateways, and only they, are the operators'")
+            raise ChangeRefused(
+                "invalid", f"{at}.value.scope", "operators and gateways, and only they, are the operators'"
+            )
         if value.scope is Scope.GATEWAY and value.certificate is None:
-            raise Refused("invalid", f"{at}.value.certificate", "a gateway is named by its certificate")
+            raise ChangeRefused("invalid", f"{at}.value.certificate", "a gateway is named by its certificate")
         if (value.scope is Scope.CLIENT) != (value.client is not None):
-            raise Refused("invalid", f"{at}.value.client", "this goes with the scope 'client', and only with it")
+            raise ChangeRefused("invalid", f"{at}.value.client", "this goes with the scope 'client', and only with it")
         if not value.verifiers and value.certificate is None:
-            raise Refused("invalid", f"{at}.value.verifiers", "nothing to check a caller against")
+            raise ChangeRefused("invalid", f"{at}.value.verifiers", "nothing to check a caller against")
     elif isinstance(value, Host):
-        holder = draft.host(edit.name)
+        holder = draft.tenant_of_host(edit.name)
         if holder is not None and holder != tenant:
-            raise Refused("taken", f"{at}.name", "this host name is in use")
+            raise ChangeRefused("taken", f"{at}.name", "this host name is in use")
 
 
-def _check_whole(part: Tenant) -> None:
+def _check_tenant(part: Tenant) -> None:
     """What must hold between the things of one tenant."""
     limits = part.head.value.limits
     for kind, field in part.KINDS.items():
         most = getattr(limits, field)
-        if len(part.of(kind)) > most:
-            raise Refused("over-limit", f"limits.{field}", f"the tenant may have {most} {field}")
-    for plan, count in sorted(part.members.items()):
+        if len(part.entries(kind)) > most:
+            raise ChangeRefused("over-limit", f"limits.{field}", f"the tenant may have {most} {field}")
+    for plan, count in sorted(part.client_counts.items()):
         if plan not in part.plans:
-            raise Refused("in-use", "plan", f"{count} clients are on the plan '{plan}', which there is not")
-    for client in part.keys:
+            raise ChangeRefused("in-use", "plan", f"{count} clients are on the plan '{plan}', which there is not")
+    for client in part.credential_ids_by_client:
         if client not in part.clients:
-            raise Refused("not-found", "client", f"a credential names the client '{client}', which there is not")
+            raise ChangeRefused("not-found", "client", f"a credential names the client '{client}', which there is not")
     rate = part.rate
     if rate > limits.rate * (1 + 1e-9):
-        raise Refused(
+        raise ChangeRefused(
             "over-limit",
             "limits.rate",
             f"the clients that are on would have {rate:g} units a second together; "
--- a/hallhitch/catalog/feed.py
+++ b/hallhitch/catalog/feed.py
@@ -23,16 +23,17 @@
 from msgspec import Raw, Struct
 from xxhash import xxh3_128_hexdigest
 
-from hallhitch.catalog.draft import Draft, set_parts
-from hallhitch.catalog.history import Diff, History, decode_diff, decode_rows, encode_diff, encode_rows, patch
-from hallhitch.catalog.model import Catalogue, Credential, Kept, Scope
+from hallhitch.catalog.draft import CatalogDraft, with_part_versions
+from hallhitch.catalog.history import Diff, History, apply_diff, decode_diff, decode_rows, encode_diff, encode_rows
+from hallhitch.catalog.model import Catalog, Credential, Scope, Versioned
 from hallhitch.catalog.names import OPERATORS
-from hallhitch.catalog.rows import WRAP, Row, rows_of, sum_of
+from hallhitch.catalog.rows import CHECKSUM_MODULUS, Row, catalog_rows, entry_hash
 
-PIECE = 200  # rows of a piece of the whole: about a millisecond's work to take in
-DIFF_MOST = 2_000  # rows of a diff; where more have changed the whole is sent, in pieces
-LINE_MOST = 4 * 1024 * 1024  # bytes of one line; more is no piece of a feed
-AGAIN, AGAIN_MOST = 200.0, 20_000.0  # ms before the next try after one that failed, doubled each time up to that
+SNAPSHOT_CHUNK_ROWS = 200  # rows of a piece of the whole: about a millisecond's work to take in
+MAX_DIFF_ROWS = 2_000  # rows of a diff; where more have changed the whole is sent, in pieces
+MAX_LINE_BYTES = 4 * 1024 * 1024  # bytes of one line; more is no piece of a feed
+BASE_RETRY_DELAY_MS = 200.0  # before the first retry; doubled by each further failure
+MAX_RETRY_DELAY_MS = 20_000.0
 
 
 class FeedError(Exception):
@@ -61,22 +62,22 @@
 _encode = msgspec.json.Encoder(order="deterministic").encode
 
 
-def seal(epoch: int, version: int, parts: dict[str, tuple[int, int]], total: int) -> str:
+def snapshot_checksum(epoch: int, version: int, parts: dict[str, tuple[int, int]], total: int) -> str:
     """The checksum of a whole: rows, versions and parts. It finds damage; that nobody else wrote it is TLS's to say."""
-    return xxh3_128_hexdigest(_encode([epoch, version, parts, str(total % WRAP)]))
+    return xxh3_128_hexdigest(_encode([epoch, version, parts, str(total % CHECKSUM_MODULUS)]))
 
 
-def told(row: Row) -> bool:
+def is_for_gateways(row: Row) -> bool:
     """Whether gateways are told of a row as it stands."""
     if row.tenant == OPERATORS:
         return False
     return not isinstance(row.value, Credential) or row.value.scope is Scope.CLIENT
 
 
-def slim(diff: Diff) -> Diff:
+def gateway_diff(diff: Diff) -> Diff:
     """What gateways are told of a diff. A credential that names no client any more is gone to them."""
     rows = [
-        row if told(row) else Row(row.tenant, row.kind, row.name, row.version, None)
+        row if is_for_gateways(row) else Row(row.tenant, row.kind, row.name, row.version, None)
         for row in diff.rows
         if row.tenant != OPERATORS
     ]
@@ -87,18 +88,18 @@
 
 def diff_line(diff: Diff) -> bytes:
     """A diff as it is sent."""
-    return b'{"diff":' + encode_diff(slim(diff)) + b"}\n"
+    return b'{"diff":' + encode_diff(gateway_diff(diff)) + b"}\n"
 
 
-def whole_lines(catalogue: Catalogue, piece: int = PIECE) -> Iterator[bytes]:
+def snapshot_lines(catalog: Catalog, piece: int = SNAPSHOT_CHUNK_ROWS) -> Iterator[bytes]:
     """Everything that gateways are told, in pieces made as they are asked for; the catalogue may move on meanwhile."""
     count, total = 0, 0
-    yield _encode({"whole": {"epoch": catalogue.epoch, "version": catalogue.version}}) + b"\n"
+    yield _encode({"whole": {"epoch": catalog.epoch, "version": catalog.version}}) + b"\n"
     held: list[Row] = []
-    for row in rows_of(catalogue):
-        if not told(row):
+    for row in catalog_rows(catalog):
+        if not is_for_gateways(row):
             continue
-        total += sum_of(row.tenant, row.kind, row.name, Kept(row.value, row.version))
+        total += entry_hash(row.tenant, row.kind, row.name, Versioned(row.value, row.version))
         held.append(row)
         count += 1
         if len(held) == piece:
@@ -106,12 +107,12 @@
             held = []
     if held:
         yield b'{"rows":' + encode_rows(held) + b"}\n"
-    parts = {name: (part.born, part.version) for name, part in catalogue.tenants.items()}
-    found = seal(catalogue.epoch, catalogue.version, parts, total)
+    parts = {name: (part.created_in_version, part.version) for name, part in catalog.tenants.items()}
+    found = snapshot_checksum(catalog.epoch, catalog.version, parts, total)
     yield _encode({"end": {"rows": count, "parts": parts, "seal": found}}) + b"\n"
 
 
-def lines_for(newest: Catalogue, history: History, epoch: int, version: int) -> Iterator[bytes] | None:
+def update_lines(newest: Catalog, history: History, epoch: int, version: int) -> Iterator[bytes] | None:
     """What leads a gateway from what it holds to the newest; None where it holds that already.
 
     FeedError where the gateway is ahead: this control plane came back from an older state without a new epoch.
@@ -121,24 +122,24 @@
     if epoch > newest.epoch or epoch == newest.epoch and version > newest.version:
         raise FeedError(f"the gateway holds {epoch}.{version}, this is {newest.epoch}.{newest.version}")
     diff = history.diff(newest, epoch, version)
-    if diff is not None and len(diff.rows) <= DIFF_MOST:
+    if diff is not None and len(diff.rows) <= MAX_DIFF_ROWS:
         return iter([diff_line(diff)])
-    return whole_lines(newest)
+    return snapshot_lines(newest)
 
 
-class Assembly:
+class SnapshotAssembly:
     """A whole catalogue that comes in pieces: each is taken in as it comes, and nothing is put off to the end."""
 
     def __init__(self, epoch: int, version: int) -> None:
         self.epoch, self.version = epoch, version
-        self._draft = Draft(Catalogue(epoch, 0))
-        self._took = 0
+        self._draft = CatalogDraft(Catalog(epoch, 0))
+        self._received_rows = 0
 
-    def take(self, rows: tuple[Row, ...]) -> None:
+    def add_rows(self, rows: tuple[Row, ...]) -> None:
         """A piece."""
-        self._took += len(rows)
+        self._received_rows += len(rows)
         for row in rows:
-            if row.value is None or not told(row):
+            if row.value is None or not is_for_gateways(row):
                 raise FeedError(f"{row.tenant}/{row.kind}/{row.name}: no row of a whole catalogue")
             try:
                 self._draft.put(row)
@@ -147,45 +148,45 @@
         # Which names were touched is not asked of a whole; whose parts is.
         self._draft.touched = {}
         if rows:  # rows come tenant by tenant: those before the last are whole
-            self._draft.settle(rows[-1].tenant, self.version)
+            self._draft.close_parts(rows[-1].tenant, self.version)
 
-    def done(self, rows: int, parts: dict[str, tuple[int, int]], sealed: str) -> Catalogue:
+    def finish(self, rows: int, parts: dict[str, tuple[int, int]], sealed: str) -> Catalog:
         """The catalogue; FeedError if rows are missing or damaged."""
-        if self._took != rows:
-            raise FeedError(f"{self._took} rows of {rows} came")
-        self._draft.settle("", self.version)
-        made = self._draft.done(self.epoch, self.version)
-        if seal(self.epoch, self.version, parts, made.sum) != sealed:
+        if self._received_rows != rows:
+            raise FeedError(f"{self._received_rows} rows of {rows} came")
+        self._draft.close_parts("", self.version)
+        made = self._draft.finish(self.epoch, self.version)
+        if snapshot_checksum(self.epoch, self.version, parts, made.checksum) != sealed:
             raise FeedError("the checksum is another")
         if set(parts) != set(made.tenants):
             raise FeedError("the parts are of other tenants than the rows")
-        return set_parts(made, parts)
+        return with_part_versions(made, parts)
 
 
-class Follower:
+class FeedFollower:
     """One gateway's way along the feed: versions never go back, and what is held changes whole or not at all.
 
     Only a later epoch starts anew: an operator restored a backup, and said so. Whatever else comes that does not lead
     on is refused, and what is held goes on serving; staleness is for the caller to tell.
     """
 
-    def __init__(self, held: Catalogue, draw: random.Random) -> None:
-        self.held, self._draw = held, draw
+    def __init__(self, held: Catalog, draw: random.Random) -> None:
+        self.catalog, self._random = held, draw
         self._failures = 0
-        self._assembly: Assembly | None = None
+        self._assembly: SnapshotAssembly | None = None
 
     @property
-    def holds(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         """Epoch and version to ask with."""
-        return self.held.epoch, self.held.version
+        return self.catalog.epoch, self.catalog.version
 
-    def take(self, line: bytes) -> Catalogue | None:
+    def receive_line(self, line: bytes) -> Catalog | None:
         """One line of the feed; the catalogue held from now on, where this completes one.
 
         FeedError: ask again from what is held, after `failed` says.
         """
         try:
-            made = self._take(line)
+            made = self._process_line(line)
         except (ValueError, KeyError) as error:  # KeyError: a diff that names what is not there
             self._assembly = None
             raise FeedError(f"no line of a feed: {error}") from error
@@ -193,61 +194,63 @@
             self._assembly = None
             raise
         if made is not None:
-            self.held, self._failures = made, 0
+            self.catalog, self._failures = made, 0
         return made
 
-    def _take(self, line: bytes) -> Catalogue | None:
-        if len(line) > LINE_MOST:
-            raise FeedError(f"a line of more than {LINE_MOST} bytes")
+    def _process_line(self, line: bytes) -> Catalog | None:
+        if len(line) > MAX_LINE_BYTES:
+            raise FeedError(f"a line of more than {MAX_LINE_BYTES} bytes")
         found = _decode(line)
         assembly = self._assembly
         if bytes(found.diff):
             diff = decode_diff(bytes(found.diff))
             if assembly is not None:
                 raise FeedError("a diff inside a whole")
-            if diff.version <= self.held.version:
+            if diff.version <= self.catalog.version:
                 raise FeedError(f"{diff.epoch}.{diff.version} is not later than what is held")
-            if not all(row.value is None or told(row) for row in diff.rows):
+            if not all(row.value is None or is_for_gateways(row) for row in diff.rows):
                 raise FeedError("a row that is not a gateway's to know")
-            return patch(self.held, diff)
+            return apply_diff(self.catalog, diff)
         if found.whole is not None:
             begin = found.whole
             if assembly is not None:
                 raise FeedError("a whole inside a whole")
-            if (begin.epoch, begin.version) < self.holds:
-                raise FeedError(f"{begin.epoch}.{begin.version} is older than {self.held.epoch}.{self.held.version}")
-            self._assembly = Assembly(begin.epoch, begin.version)
+            if (begin.epoch, begin.version) < self.version:
+                raise FeedError(
+                    f"{begin.epoch}.{begin.version} is older than {self.catalog.epoch}.{self.catalog.version}"
+                )
+            self._assembly = SnapshotAssembly(begin.epoch, begin.version)
             return None
         if assembly is None:
             raise FeedError("a piece of nothing")
         if bytes(found.rows):
-            assembly.take(decode_rows(bytes(found.rows)))
+            assembly.add_rows(decode_rows(bytes(found.rows)))
             return None
         if found.end is None:
             raise FeedError("an empty line")
         self._assembly = None
-        return assembly.done(found.end.rows, found.end.parts, found.end.seal)
+        return assembly.finish(found.end.rows, found.end.parts, found.end.seal)
 
-    def cut(self) -> None:
+    def discard_partial(self) -> None:
         """The connection ended: half of a whole is nothing."""
         self._assembly = None
 
-    def failed(self) -> float:
+    def record_failure(self) -> float:
         """A try has failed: ms before the next, so drawn that gateways that failed together come back apart."""
-        self.cut()
-        most = min(AGAIN_MOST, AGAIN * 2.0 ** min(self._failures, 30))
+        self.discard_partial()
+        most = min(MAX_RETRY_DELAY_MS, BASE_RETRY_DELAY_MS * 2.0 ** min(self._failures, 30))
         self._failures += 1
-        return most * (0.25 + 0.75 * self._draw.random())
+        return most * (0.25 + 0.75 * self._random.random())
 
 
-def read_whole(lines: Iterator[bytes]) -> Catalogue:
+def read_snapshot(lines: Iterator[bytes]) -> Catalog:
     """A whole catalogue from its lines, as a gateway saves it; FeedError says what is wrong."""
-    follower = Follower(Catalogue(), random.Random(0))
-    made: Catalogue | None = None
+    follower = FeedFollower(Catalog(), random.Random(0))
+    made: Catalog | None = None
     for line in lines:
         if made is not None:
             raise FeedError("more behind the end")
-        made = follower.take(line)
+        made = follower.receive_line(line)
     if made is None:
         raise FeedError("no end")
     return made
--- a/hallhitch/catalog/membership.py
+++ b/hallhitch/catalog/gateway_leases.py
@@ -9,9 +9,9 @@
 
 from msgspec import Struct
 
-LEASE = 15_000.0  # ms that a renewal lasts
-GATEWAYS_MOST = 2_000  # gateways counted at a time; more are served the feed and not counted
-FORGOTTEN = 10 * LEASE  # ms past its lease after which a gateway's name is forgotten
+LEASE_MS = 15_000.0  # ms that a renewal lasts
+MAX_GATEWAYS = 2_000  # gateways counted at a time; more are served the feed and not counted
+NAME_RETENTION_MS = 10 * LEASE_MS  # ms past its lease after which a gateway's name is forgotten
 
 Version = tuple[int, int]  # epoch and version
 
@@ -21,9 +21,9 @@
 
     name: str
     instance: str
-    holds: Version
-    ends: float  # of its lease
-    since: float  # when this instance came
+    version: Version
+    lease_ends_ms: float  # of its lease
+    since_ms: float  # when this instance came
 
 
 class Progress(Struct, frozen=True):
@@ -40,11 +40,11 @@
         return "complete" if self.applied == self.counted else "partial"
 
 
-class Taken(Exception):
+class GatewayNameTaken(Exception):
     """Another instance of this name holds the lease; the text says until when it does."""
 
 
-class Membership:
+class GatewayLeases:
     """All leases, in memory: a control plane that starts again learns them anew within one lease."""
 
     def __init__(self) -> None:
@@ -57,15 +57,15 @@
         taken for the other. After a crash the new instance waits no longer than what is left of the lease.
         """
         was = self._gateways.get(name)
-        if was is not None and was.instance != instance and was.ends > now:
-            raise Taken(f"{name} is another instance's for {was.ends - now:.0f} ms")
-        if was is None and len(self._gateways) >= GATEWAYS_MOST and not self._forget(now):
+        if was is not None and was.instance != instance and was.lease_ends_ms > now:
+            raise GatewayNameTaken(f"{name} is another instance's for {was.lease_ends_ms - now:.0f} ms")
+        if was is None and len(self._gateways) >= MAX_GATEWAYS and not self._evict(now):
             return False
-        since = was.since if was is not None and was.instance == instance else now
-        self._gateways[name] = Gateway(name, instance, holds, now + LEASE, since)
+        since = was.since_ms if was is not None and was.instance == instance else now
+        self._gateways[name] = Gateway(name, instance, holds, now + LEASE_MS, since)
         return True
 
-    def leave(self, name: str, instance: str) -> bool:
+    def release(self, name: str, instance: str) -> bool:
         """A gateway ends and says so: its name is free at once. False where the lease is not its own."""
         was = self._gateways.get(name)
         if was is None or was.instance != instance:
@@ -73,24 +73,29 @@
         del self._gateways[name]
         return True
 
-    def counted(self, now: float) -> list[Gateway]:
+    def active(self, now: float) -> list[Gateway]:
         """The gateways whose lease runs, by name."""
-        return sorted((g for g in self._gateways.values() if g.ends > now), key=lambda g: g.name)
+        return sorted((g for g in self._gateways.values() if g.lease_ends_ms > now), key=lambda g: g.name)
 
-    def lost(self, now: float) -> list[Gateway]:
+    def expired(self, now: float) -> list[Gateway]:
         """Those whose lease ran out not long ago, by name."""
-        return sorted((g for g in self._gateways.values() if g.ends <= now < g.ends + FORGOTTEN), key=lambda g: g.name)
+        return sorted(
+            (g for g in self._gateways.values() if g.lease_ends_ms <= now < g.lease_ends_ms + NAME_RETENTION_MS),
+            key=lambda g: g.name,
+        )
 
     def progress(self, version: Version, now: float) -> Progress:
         """How far a version has come. One of a later epoch has whatever of the earlier was kept."""
-        counted = self.counted(now)
-        return Progress(sum(g.holds >= version for g in counted), len(counted))
+        counted = self.active(now)
+        return Progress(sum(g.version >= version for g in counted), len(counted))
 
-    def _forget(self, now: float) -> bool:
+    def _evict(self, now: float) -> bool:
         """Drop names long past their lease, and if none is, those whose lease ran out longest ago."""
-        gone = [g.name for g in self._gateways.values() if g.ends + FORGOTTEN <= now]
+        gone = [g.name for g in self._gateways.values() if g.lease_ends_ms + NAME_RETENTION_MS <= now]
         if not gone:
-            gone = [g.name for g in sorted(self._gateways.values(), key=lambda g: g.ends) if g.ends <= now][:1]
+            gone = [
+                g.name for g in sorted(self._gateways.values(), key=lambda g: g.lease_ends_ms) if g.lease_ends_ms <= now
+            ][:1]
         for name in gone:
             del self._gateways[name]
         return bool(gone)
--- a/hallhitch/catalog/sets.py
+++ b/hallhitch/catalog/gateway_sets.py
@@ -14,14 +14,16 @@
 import xxhash
 
 
-def weight(tenant: str, client: str, gateway: str) -> int:
+def rendezvous_weight(tenant: str, client: str, gateway: str) -> int:
     """64 bits, even over gateways and clients. Names never contain the separator."""
     return xxhash.xxh3_64_intdigest(f"{tenant}\0{client}\0{gateway}".encode())
 
 
-def gateways_of(tenant: str, client: str, gateways: Iterable[str], spread: int) -> tuple[str, ...]:
+def assigned_gateways(tenant: str, client: str, gateways: Iterable[str], spread: int) -> tuple[str, ...]:
     """The client's set, its first gateway first: fewer than `spread` only where there are fewer gateways."""
     if spread < 1:
         raise ValueError(f"a client's set has at least one gateway, not {spread}")
     # The name decides between equal weights, so that all who compute the set agree.
-    return tuple(heapq.nlargest(spread, gateways, key=lambda gateway: (weight(tenant, client, gateway), gateway)))
+    return tuple(
+        heapq.nlargest(spread, gateways, key=lambda gateway: (rendezvous_weight(tenant, client, gateway), gateway))
+    )
--- a/hallhitch/catalog/history.py
+++ b/hallhitch/catalog/history.py
@@ -12,11 +12,11 @@
 import msgspec
 from msgspec import Raw, Struct
 
-from hallhitch.catalog.draft import Draft, set_parts
-from hallhitch.catalog.model import Catalogue, Kind
-from hallhitch.catalog.rows import Row, decode, rows_of, rows_of_tenant
+from hallhitch.catalog.draft import CatalogDraft, with_part_versions
+from hallhitch.catalog.model import Catalog, Kind
+from hallhitch.catalog.rows import Row, catalog_rows, decode_value, tenant_rows
 
-Key = tuple[str, Kind, str]
+RowKey = tuple[str, Kind, str]
 
 
 class Diff(Struct, frozen=True):
@@ -57,30 +57,36 @@
 _encode = msgspec.json.Encoder(order="deterministic").encode
 _decode_diff = msgspec.json.Decoder(_RawDiff).decode
 _decode_rows = msgspec.json.Decoder(tuple[_RawRow, ...]).decode
-NULL = b"null"
+JSON_NULL = b"null"
 
 
-def _cooked(rows: tuple[_RawRow, ...]) -> tuple[Row, ...]:
+def _decode_raw_rows(rows: tuple[_RawRow, ...]) -> tuple[Row, ...]:
     return tuple(
         [
-            Row(r.tenant, r.kind, r.name, r.version, decode(r.kind, r.value) if bytes(r.value) != NULL else None)
+            Row(
+                r.tenant,
+                r.kind,
+                r.name,
+                r.version,
+                decode_value(r.kind, r.value) if bytes(r.value) != JSON_NULL else None,
+            )
             for r in rows
         ]
     )
 
 
-def _plain(rows: Iterable[Row]) -> list[tuple[Any, ...]]:
+def _row_tuples(rows: Iterable[Row]) -> list[tuple[Any, ...]]:
     return [(r.tenant, r.kind, r.name, r.version, r.value) for r in rows]
 
 
 def encode_rows(rows: Iterable[Row]) -> bytes:
     """Rows as bytes: a piece of a snapshot."""
-    return _encode(_plain(rows))
+    return _encode(_row_tuples(rows))
 
 
 def decode_rows(body: bytes) -> tuple[Row, ...]:
     """Rows from their bytes; ValueError says what is wrong."""
-    return _cooked(_decode_rows(body))
+    return _decode_raw_rows(_decode_rows(body))
 
 
 def encode_diff(diff: Diff) -> bytes:
@@ -91,7 +97,7 @@
             "since": diff.since,
             "version": diff.version,
             "reset": diff.reset,
-            "rows": _plain(diff.rows),
+            "rows": _row_tuples(diff.rows),
             "parts": diff.parts,
         }
     )
@@ -100,20 +106,20 @@
 def decode_diff(body: bytes) -> Diff:
     """A diff from its bytes; ValueError says what is wrong."""
     raw = _decode_diff(body)
-    return Diff(raw.epoch, raw.since, raw.version, raw.reset, _cooked(raw.rows), raw.parts)
+    return Diff(raw.epoch, raw.since, raw.version, raw.reset, _decode_raw_rows(raw.rows), raw.parts)
 
 
-def delta(newest: Catalogue, since: int, touched: Iterable[Key]) -> Diff:
+def make_diff(newest: Catalog, since: int, touched: Iterable[RowKey]) -> Diff:
     """The diff from `since`, given the names that were touched from then on."""
     keys = set(touched)
     reset = {
         tenant
         for tenant, kind, _ in keys
-        if kind is Kind.TENANT and (tenant not in newest.tenants or newest.tenants[tenant].born > since)
+        if kind is Kind.TENANT and (tenant not in newest.tenants or newest.tenants[tenant].created_in_version > since)
     }
     rows: list[Row] = []
     for tenant in sorted(reset & set(newest.tenants)):
-        rows += rows_of_tenant(newest, tenant)
+        rows += tenant_rows(newest, tenant)
     # A tenant's own row first, as the rest hangs on it; then by name, so that one diff has one text. Host names
     # that go come before those that are put: one may move from tenant to tenant.
     gone = [key for key in keys if newest.get(*key) is None and key[0] not in reset]
@@ -128,7 +134,7 @@
             stand.append(Row(tenant, kind, name, kept.version, kept.value))
     rows = [row for row in rows if row.value is None] + [row for row in rows if row.value is not None] + stand
     parts = {
-        tenant: (newest.tenants[tenant].born, newest.tenants[tenant].version)
+        tenant: (newest.tenants[tenant].created_in_version, newest.tenants[tenant].version)
         for tenant in sorted({key[0] for key in keys})
         if tenant in newest.tenants
     }
@@ -139,14 +145,14 @@
     """The touched names of the last versions, `most` of them at most."""
 
     def __init__(self, most: int = 100_000) -> None:
-        self._most, self._held = most, 0
-        self._versions: deque[tuple[int, tuple[Key, ...]]] = deque()
-        self.epoch, self.oldest = 0, 0  # diffs lead on from `oldest` and later
+        self._max_names, self._name_count = most, 0
+        self._versions: deque[tuple[int, tuple[RowKey, ...]]] = deque()
+        self.epoch, self.oldest_version = 0, 0  # diffs lead on from `oldest` and later
 
     def start(self, epoch: int, version: int) -> None:
         """Begin at a version: what came before is not known."""
         self._versions.clear()
-        self._held, self.epoch, self.oldest = 0, epoch, version
+        self._name_count, self.epoch, self.oldest_version = 0, epoch, version
 
     def add(self, diff: Diff) -> None:
         """The next version; the oldest go where too many names are held."""
@@ -155,30 +161,30 @@
             *((row.tenant, row.kind, row.name) for row in diff.rows),
         )
         self._versions.append((diff.version, keys))
-        self._held += len(keys)
-        while self._held > self._most and self._versions:
-            self.oldest, gone = self._versions.popleft()
-            self._held -= len(gone)
+        self._name_count += len(keys)
+        while self._name_count > self._max_names and self._versions:
+            self.oldest_version, gone = self._versions.popleft()
+            self._name_count -= len(gone)
 
-    def diff(self, newest: Catalogue, epoch: int, since: int) -> Diff | None:
+    def diff(self, newest: Catalog, epoch: int, since: int) -> Diff | None:
         """From a version to the newest; None where that version is not kept, or of another epoch."""
-        if epoch != self.epoch or not self.oldest <= since <= newest.version:
+        if epoch != self.epoch or not self.oldest_version <= since <= newest.version:
             return None
-        touched: set[Key] = set()
+        touched: set[RowKey] = set()
         for version, keys in reversed(self._versions):
             if version <= since:
                 break
             touched.update(keys)
-        return delta(newest, since, touched)
+        return make_diff(newest, since, touched)
 
 
-def patch(catalogue: Catalogue, diff: Diff) -> Catalogue:
+def apply_diff(catalog: Catalog, diff: Diff) -> Catalog:
     """A catalogue at `since`, brought to the diff's version; ValueError where it stands elsewhere."""
-    if (catalogue.epoch, catalogue.version) != (diff.epoch, diff.since):
+    if (catalog.epoch, catalog.version) != (diff.epoch, diff.since):
         raise ValueError(
-            f"the diff leads on from {diff.epoch}.{diff.since}, not from {catalogue.epoch}.{catalogue.version}"
+            f"the diff leads on from {diff.epoch}.{diff.since}, not from {catalog.epoch}.{catalog.version}"
         )
-    draft = Draft(catalogue)
+    draft = CatalogDraft(catalog)
     for tenant in diff.reset:
         draft.drop(tenant, Kind.TENANT, tenant)
     for row in diff.rows:
@@ -186,10 +192,10 @@
             draft.drop(row.tenant, row.kind, row.name)
         else:
             draft.put(row)
-    return set_parts(draft.done(diff.epoch, diff.version), diff.parts)
+    return with_part_versions(draft.finish(diff.epoch, diff.version), diff.parts)
 
 
-def whole(catalogue: Catalogue) -> Diff:
+def snapshot_diff(catalog: Catalog) -> Diff:
     """The catalogue as a diff from nothing."""
-    parts = {name: (part.born, part.version) for name, part in catalogue.tenants.items()}
-    return Diff(catalogue.epoch, 0, catalogue.version, (), tuple(rows_of(catalogue)), parts)
+    parts = {name: (part.created_in_version, part.version) for name, part in catalog.tenants.items()}
+    return Diff(catalog.epoch, 0, catalog.version, (), tuple(catalog_rows(catalog)), parts)
--- a/hallhitch/catalog/model.py
+++ b/hallhitch/catalog/model.py
@@ -12,8 +12,8 @@
 
 from hallhitch.decision import api
 
-MOST = 1e9  # of any rate, burst or price: the counter keeps seven digits of a total, and 1e9 at most
-Share = Annotated[float, Meta(ge=0, le=MOST)]
+MAX_RATE = 1e9  # of any rate, burst or price: the counter keeps seven digits of a total, and 1e9 at most
+Share = Annotated[float, Meta(ge=0, le=MAX_RATE)]
 Number = Annotated[int, Meta(ge=0, le=1_000_000_000)]
 Moment = Annotated[int, Meta(ge=0, le=2**53)]
 
@@ -68,7 +68,7 @@
     ceiling_rate: Share = 0.0
     ceiling_burst: Share = 0.0
 
-    def decided(self, name: str) -> api.Plan:
+    def to_decision_plan(self, name: str) -> api.Plan:
         """The same plan in the decision module's form."""
         return api.Plan(name, **msgspec.structs.asdict(self))
 
@@ -106,7 +106,7 @@
 Value = Head | Plan | Client | Host | Credential
 
 
-class Kept(Struct, frozen=True, gc=False):
+class Versioned(Struct, frozen=True, gc=False):
     """A value, and the version that last changed it."""
 
     value: Any
@@ -123,51 +123,53 @@
         Kind.CREDENTIAL: "credentials",
     }
 
-    born: int
+    created_in_version: int
     version: int
-    head: Kept
-    plans: Map[str, Kept] = Map()
-    clients: Map[str, Kept] = Map()
-    hosts: Map[str, Kept] = Map()
-    credentials: Map[str, Kept] = Map()
-    members: Map[str, int] = Map()  # clients by plan
-    active: Map[str, int] = Map()  # those of them that are on
-    keys: Map[str, frozenset[str]] = Map()  # ids of credentials by the client they name
-
-    def of(self, kind: Kind) -> Map[str, Kept]:
+    head: Versioned
+    plans: Map[str, Versioned] = Map()
+    clients: Map[str, Versioned] = Map()
+    hosts: Map[str, Versioned] = Map()
+    credentials: Map[str, Versioned] = Map()
+    client_counts: Map[str, int] = Map()  # clients by plan
+    active_client_counts: Map[str, int] = Map()  # those of them that are on
+    credential_ids_by_client: Map[str, frozenset[str]] = Map()  # ids of credentials by the client they name
+
+    def entries(self, kind: Kind) -> Map[str, Versioned]:
         """The things of one kind."""
-        things: Map[str, Kept] = getattr(self, self.KINDS[kind])
+        things: Map[str, Versioned] = getattr(self, self.KINDS[kind])
         return things
 
     @property
     def rate(self) -> float:
         """Units a second handed out: what all clients that are on may use together, in the long run."""
         return math.fsum(
-            self.plans[name].value.rate * count for name, count in self.active.items() if name in self.plans
+            self.plans[name].value.rate * count
+            for name, count in self.active_client_counts.items()
+            if name in self.plans
         )
 
 
-class Catalogue(Struct, frozen=True):
+class Catalog(Struct, frozen=True):
     """Everything, at one version. Versions are dense within an epoch; a restored backup begins a later epoch."""
 
     epoch: int = 0
     version: int = 0
     tenants: Map[str, Tenant] = Map()
-    operators: Map[str, Kept] = Map()
+    operators: Map[str, Versioned] = Map()
     hosts: Map[str, str] = Map()  # which tenant a host name leads to
-    sum: int = 0  # the checksum of all rows, whatever their order
+    checksum: int = 0  # the checksum of all rows, whatever their order
 
-    def get(self, tenant: str, kind: Kind, name: str) -> Kept | None:
+    def get(self, tenant: str, kind: Kind, name: str) -> Versioned | None:
         """One thing, or None; a tenant is its own name's head."""
         if tenant == "":
             return self.operators.get(name) if kind is Kind.CREDENTIAL else None
         part = self.tenants.get(tenant)
         if part is None:
             return None
-        return part.head if kind is Kind.TENANT else part.of(kind).get(name)
+        return part.head if kind is Kind.TENANT else part.entries(kind).get(name)
 
 
-TYPES: dict[Kind, type[Any]] = {
+VALUE_TYPES: dict[Kind, type[Any]] = {
     Kind.TENANT: Head,
     Kind.PLAN: Plan,
     Kind.CLIENT: Client,
--- a/hallhitch/catalog/names.py
+++ b/hallhitch/catalog/names.py
@@ -35,10 +35,10 @@
 
 def is_client(name: str) -> bool:
     """Whether this is a client's one spelling; 16 hexadecimal digits are a customer id, in lower case."""
-    return CLIENT.fullmatch(name) is not None and client_of(name) == name
+    return CLIENT.fullmatch(name) is not None and canonical_client_id(name) == name
 
 
-def client_of(text: str) -> str:
+def canonical_client_id(text: str) -> str:
     """A client's one spelling: a customer id in either case is one client, as on the platform's wire."""
     return text.lower() if CUSTOMER_ID.fullmatch(text) else text
 
@@ -49,7 +49,7 @@
     return len(name) <= HOST_LENGTH and len(labels) > 1 and all(LABEL.fullmatch(part) for part in labels)
 
 
-def customer_of(tenant: str, client: str) -> str:
+def decision_customer_id(tenant: str, client: str) -> str:
     """What the decision module, and so the counter's names, know a tenant's client by.
 
     No two pairs give one text, since neither part holds a `/`: equal client ids of two tenants never meet.
--- a/hallhitch/catalog/rows.py
+++ b/hallhitch/catalog/rows.py
@@ -13,11 +13,11 @@
 from msgspec import Struct
 from xxhash import xxh3_128_intdigest
 
-from hallhitch.catalog.model import TYPES, Catalogue, Kept, Kind
+from hallhitch.catalog.model import VALUE_TYPES, Catalog, Kind, Versioned
 
-WRAP = 1 << 128
+CHECKSUM_MODULUS = 1 << 128
 _encode = msgspec.json.Encoder(order="deterministic").encode
-_decoders = {kind: msgspec.json.Decoder(type_, strict=True).decode for kind, type_ in TYPES.items()}
+_decoders = {kind: msgspec.json.Decoder(type_, strict=True).decode for kind, type_ in VALUE_TYPES.items()}
 
 
 class Row(Struct, frozen=True, gc=False):
@@ -29,45 +29,45 @@
     version: int
     value: Any = None
 
-    def bytes(self) -> bytes:
+    def encoded_value(self) -> bytes:
         """The value, always the same bytes for the same value."""
         return _encode(self.value)
 
 
-def decode(kind: Kind, body: bytes) -> Any:
+def decode_value(kind: Kind, body: bytes) -> Any:
     """A value from its bytes; ValueError says what is wrong with them."""
     return _decoders[kind](body)
 
 
-def canonical(kind: Kind, value: Any) -> Any:
+def canonical_value(kind: Kind, value: Any) -> Any:
     """The same value as it comes back from its bytes (a rate of 5 is 5.0); ValueError says what is wrong with it."""
-    if type(value) is not TYPES[kind]:
+    if type(value) is not VALUE_TYPES[kind]:
         raise ValueError(f"this is no {kind.value}")
-    return decode(kind, _encode(value))
+    return decode_value(kind, _encode(value))
 
 
-def hash_of(tenant: str, kind: str, name: str, version: int, body: bytes) -> int:
+def row_hash(tenant: str, kind: str, name: str, version: int, body: bytes) -> int:
     """A row's hash, below 2**128."""
     return xxh3_128_intdigest(b"%s\0%s\0%s\0%d\0%s" % (tenant.encode(), kind.encode(), name.encode(), version, body))
 
 
-def sum_of(tenant: str, kind: Kind, name: str, kept: Kept) -> int:
+def entry_hash(tenant: str, kind: Kind, name: str, kept: Versioned) -> int:
     """The hash of the row of something kept."""
-    return hash_of(tenant, kind.value, name, kept.version, _encode(kept.value))
+    return row_hash(tenant, kind.value, name, kept.version, _encode(kept.value))
 
 
-def rows_of(catalogue: Catalogue) -> Iterator[Row]:
+def catalog_rows(catalog: Catalog) -> Iterator[Row]:
     """All rows: a tenant's own before those of what it has."""
-    for name, kept in catalogue.operators.items():
+    for name, kept in catalog.operators.items():
         yield Row("", Kind.CREDENTIAL, name, kept.version, kept.value)
-    for tenant in catalogue.tenants:
-        yield from rows_of_tenant(catalogue, tenant)
+    for tenant in catalog.tenants:
+        yield from tenant_rows(catalog, tenant)
 
 
-def rows_of_tenant(catalogue: Catalogue, tenant: str) -> Iterator[Row]:
+def tenant_rows(catalog: Catalog, tenant: str) -> Iterator[Row]:
     """The rows of one tenant's part."""
-    part = catalogue.tenants[tenant]
+    part = catalog.tenants[tenant]
     yield Row(tenant, Kind.TENANT, tenant, part.head.version, part.head.value)
     for kind in part.KINDS:
-        for name, kept in part.of(kind).items():
+        for name, kept in part.entries(kind).items():
             yield Row(tenant, kind, name, kept.version, kept.value)
