--- a/hallhitch/catalog/admission.py
+++ b/hallhitch/catalog/tenant_fairness.py
@@ -15,14 +15,14 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-RESERVE = 0.1  # share of all places that only tenants under their own share may take
-PROCESSOR = 0.8  # share of one core that is handed out: the rest is for reading, refusing, timers and the feed
-SAVED_MOST = 20.0  # ms of processor time that an idle gateway may have saved up: bursts begin at once up to here
-LEARN = 0.1  # weight of a new sample in a tenant's usual cost
-ADVICE_LEAST = 50.0  # ms: sooner nobody need come back
+RESERVED_SLOT_RATIO = 0.1  # share of all places that only tenants under their own share may take
+PROCESSOR_SHARE = 0.8  # share of one core that is handed out: the rest is for reading, refusing, timers and the feed
+MAX_SAVED_MS = 20.0  # ms of processor time that an idle gateway may have saved up: bursts begin at once up to here
+COST_SMOOTHING = 0.1  # weight of a new sample in a tenant's usual cost
+MIN_RETRY_AFTER_MS = 50.0  # ms: sooner nobody need come back
 
 
-class Places:
+class TenantSlots:
     """So many places (connections, handshakes under way, open requests) for all tenants.
 
     A tenant's share is its weight's part of all places but the reserve, among those that hold any. Up to its share it
@@ -37,7 +37,7 @@
         self.total, self.free = total, total
         self._held: dict[str, int] = {}
         self._weights: dict[str, float] = {}
-        self._weight = 0.0  # of all that hold any
+        self._total_weight = 0.0  # of all that hold any
 
     def held(self, tenant: str) -> int:
         """How many places a tenant holds."""
@@ -45,22 +45,22 @@
 
     def share(self, tenant: str, weight: float) -> float:
         """The places that are a tenant's own, among those who hold any."""
-        others = self._weight - self._weights.get(tenant, 0.0)
-        return self.total * (1 - RESERVE) * weight / (others + weight)
+        others = self._total_weight - self._weights.get(tenant, 0.0)
+        return self.total * (1 - RESERVED_SLOT_RATIO) * weight / (others + weight)
 
-    def take(self, tenant: str, weight: float, most: int) -> bool:
+    def acquire(self, tenant: str, weight: float, most: int) -> bool:
         """One more place, if the tenant may have it; `most` is its own limit, whatever is free."""
         held = self.held(tenant)
         if held >= most or not self.free:
             return False
-        if held + 1 > self.share(tenant, weight) and self.free <= RESERVE * self.total:
+        if held + 1 > self.share(tenant, weight) and self.free <= RESERVED_SLOT_RATIO * self.total:
             return False
-        self._weight += weight - self._weights.get(tenant, 0.0)
+        self._total_weight += weight - self._weights.get(tenant, 0.0)
         self._weights[tenant], self._held[tenant] = weight, held + 1
         self.free -= 1
         return True
 
-    def give(self, tenant: str) -> None:
+    def release(self, tenant: str) -> None:
         """A place comes free; ValueError if the tenant held none: places must not be made."""
         held = self.held(tenant)
         if not held:
@@ -71,44 +71,46 @@
             return
         del self._held[tenant]
         weight = self._weights.pop(tenant)
-        self._weight = self._weight - weight if self._held else 0.0  # from nothing again: rounding does not add up
+        self._total_weight = (
+            self._total_weight - weight if self._held else 0.0
+        )  # from nothing again: rounding does not add up
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class Admitted:
     """This request is handed on now; `cost` is what was planned for it, in ms of processor time."""
 
     id: int
-    cost: float
+    cost_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class Rejected:
     """This request can't be served in time: come back in so many ms."""
 
     id: int
-    advice: float
+    retry_after_ms: float
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _QueuedRequest:
     id: int
-    cost: float
-    ends: float  # the last moment at which its beginning is of use
+    cost_ms: float
+    deadline_ms: float  # the last moment at which its beginning is of use
 
 
 @dataclass(slots=True)
-class _Queue:
+class _TenantQueue:
     """One tenant's requests that wait, and where it stands in fair time."""
 
     weight: float
-    tag: float = 0.0  # fair time up to which it has had its share
-    cost: float = 0.0  # of all that waits
-    usual: float = 1.0  # ms of processor time a request, learned
-    waiting: deque[_Waiting] = field(default_factory=deque)
+    virtual_start: float = 0.0  # fair time up to which it has had its share
+    queued_cost_ms: float = 0.0  # of all that waits
+    average_cost_ms: float = 1.0  # ms of processor time a request, learned
+    waiting: deque[_QueuedRequest] = field(default_factory=deque)
 
 
-class Turns:
+class FairQueue:
     """Start-time fair queueing of processor time over tenants (Goyal, Vin and Cheng, 1996).
 
     Fair time goes on by cost over weight for whoever has a turn, and the tenant that is least far goes first: over any
@@ -120,127 +122,127 @@
     for n tenants that wait. Memory: what `Places` lets in.
     """
 
-    def __init__(self, now: float, processor: float = PROCESSOR) -> None:
-        self._processor, self._at, self._saved = processor, now, SAVED_MOST
-        self._fair = 0.0
-        self._queues: dict[str, _Queue] = {}
+    def __init__(self, now: float, processor: float = PROCESSOR_SHARE) -> None:
+        self._processor_share, self._refilled_at_ms, self._saved_ms = processor, now, MAX_SAVED_MS
+        self._virtual_time = 0.0
+        self._queues: dict[str, _TenantQueue] = {}
         self._heap: list[tuple[float, int, str]] = []  # tenants with requests waiting, least far first
-        self._number = count()
-        self._weight = 0.0  # of those
+        self._sequence = count()
+        self._queued_weight = 0.0  # of those
 
-    def offer(self, now: float, tenant: str, weight: float, id: int, left: float) -> list[Begin | TurnedAway]:
+    def enqueue(self, now: float, tenant: str, weight: float, id: int, left: float) -> list[Admitted | Rejected]:
         """A request has come that is of use if it begins within `left` ms; what is decided at once, of any request."""
         queue = self._queues.get(tenant)
         if queue is None:
-            queue = self._queues[tenant] = _Queue(weight, self._fair)
+            queue = self._queues[tenant] = _TenantQueue(weight, self._virtual_time)
         if queue.waiting:
-            self._weight += weight - queue.weight
+            self._queued_weight += weight - queue.weight
         queue.weight = weight
-        wait = self.wait(now, tenant)
+        wait = self.estimated_wait_ms(now, tenant)
         if wait > left:
-            return [TurnedAway(id, max(ADVICE_LEAST, wait)), *self.turn(now)]
+            return [Rejected(id, max(MIN_RETRY_AFTER_MS, wait)), *self.dispatch(now)]
         if not queue.waiting:
-            queue.tag = max(queue.tag, self._fair)
-            heapq.heappush(self._heap, (queue.tag, next(self._number), tenant))
-            self._weight += weight
-        queue.waiting.append(_Waiting(id, queue.usual, now + left))
-        queue.cost += queue.usual
-        return self.turn(now)
-
-    def wait(self, now: float, tenant: str) -> float:
+            queue.virtual_start = max(queue.virtual_start, self._virtual_time)
+            heapq.heappush(self._heap, (queue.virtual_start, next(self._sequence), tenant))
+            self._queued_weight += weight
+        queue.waiting.append(_QueuedRequest(id, queue.average_cost_ms, now + left))
+        queue.queued_cost_ms += queue.average_cost_ms
+        return self.dispatch(now)
+
+    def estimated_wait_ms(self, now: float, tenant: str) -> float:
         """ms until one more request of a tenant would begin, at most, if all that wait now go on waiting."""
         self._refill(now)
         queue = self._queues.get(tenant)
         if queue is None:
-            return 0.0 if self._saved > 0 and not self._heap else -min(0.0, self._saved) / self._processor
-        if not self._heap and self._saved > 0:
+            return 0.0 if self._saved_ms > 0 and not self._heap else -min(0.0, self._saved_ms) / self._processor_share
+        if not self._heap and self._saved_ms > 0:
             return 0.0
-        weight = self._weight + (0.0 if queue.waiting else queue.weight)
-        ahead = queue.cost * weight / queue.weight - min(0.0, self._saved)
-        return ahead / self._processor
+        weight = self._queued_weight + (0.0 if queue.waiting else queue.weight)
+        ahead = queue.queued_cost_ms * weight / queue.weight - min(0.0, self._saved_ms)
+        return ahead / self._processor_share
 
-    def turn(self, now: float) -> list[Begin | TurnedAway]:
+    def dispatch(self, now: float) -> list[Admitted | Rejected]:
         """Whose turn it is by now: what begins, and what has waited past its use."""
         self._refill(now)
-        done: list[Begin | TurnedAway] = []
-        while self._heap and self._saved > 0:
+        done: list[Admitted | Rejected] = []
+        while self._heap and self._saved_ms > 0:
             tag, _, tenant = heapq.heappop(self._heap)
             queue = self._queues[tenant]
-            if queue.tag > tag:  # it has paid for something meanwhile
-                heapq.heappush(self._heap, (queue.tag, next(self._number), tenant))
+            if queue.virtual_start > tag:  # it has paid for something meanwhile
+                heapq.heappush(self._heap, (queue.virtual_start, next(self._sequence), tenant))
                 continue
             first = queue.waiting.popleft()
-            queue.cost = max(0.0, queue.cost - first.cost)
-            if first.ends < now:  # costs its tenant nothing
-                done.append(TurnedAway(first.id, max(ADVICE_LEAST, queue.cost / self._processor)))
+            queue.queued_cost_ms = max(0.0, queue.queued_cost_ms - first.cost_ms)
+            if first.deadline_ms < now:  # costs its tenant nothing
+                done.append(Rejected(first.id, max(MIN_RETRY_AFTER_MS, queue.queued_cost_ms / self._processor_share)))
             else:
-                done.append(Begin(first.id, first.cost))
-                self._fair = max(self._fair, tag)
-                queue.tag = tag + first.cost / queue.weight
-                self._saved -= first.cost
+                done.append(Admitted(first.id, first.cost_ms))
+                self._virtual_time = max(self._virtual_time, tag)
+                queue.virtual_start = tag + first.cost_ms / queue.weight
+                self._saved_ms -= first.cost_ms
             self._requeue(tenant, queue)
         return done
 
-    def withdraw(self, tenant: str, id: int) -> bool:
+    def cancel(self, tenant: str, id: int) -> bool:
         """The client of a request that waits has gone; False where it does not wait any more."""
         queue = self._queues.get(tenant)
         found = next((one for one in queue.waiting if one.id == id), None) if queue else None
         if queue is None or found is None:
             return False
         queue.waiting.remove(found)
-        queue.cost = max(0.0, queue.cost - found.cost)
+        queue.queued_cost_ms = max(0.0, queue.queued_cost_ms - found.cost_ms)
         if not queue.waiting:
             self._unqueue(tenant, queue)
         return True
 
-    def next_at(self, now: float) -> float | None:
+    def next_dispatch_at_ms(self, now: float) -> float | None:
         """When to call `turn` again; None if nobody waits."""
         self._refill(now)
-        return now + max(0.0, -self._saved) / self._processor if self._heap else None
+        return now + max(0.0, -self._saved_ms) / self._processor_share if self._heap else None
 
-    def spent(self, tenant: str, cost: float, planned: float) -> None:
+    def record_cost(self, tenant: str, cost: float, planned: float) -> None:
         """What something did cost: the tenant pays the difference to what was planned, which is nothing for a request
         that was turned away or could not be read."""
         queue = self._queues.get(tenant)
         if queue is None or not math.isfinite(cost) or cost < 0:
             return
-        queue.tag += (cost - planned) / queue.weight
-        self._saved -= cost - planned
+        queue.virtual_start += (cost - planned) / queue.weight
+        self._saved_ms -= cost - planned
         if planned:
-            queue.usual += LEARN * (max(0.01, cost) - queue.usual)
+            queue.average_cost_ms += COST_SMOOTHING * (max(0.01, cost) - queue.average_cost_ms)
 
-    def usual(self, tenant: str) -> float:
+    def average_cost_ms(self, tenant: str) -> float:
         """ms of processor time that a tenant's request is planned with."""
         queue = self._queues.get(tenant)
-        return queue.usual if queue else 1.0
+        return queue.average_cost_ms if queue else 1.0
 
-    def forget(self, tenant: str) -> list[TurnedAway]:
+    def remove_tenant(self, tenant: str) -> list[Rejected]:
         """A tenant is off or gone: all of its requests that wait are turned away."""
         queue = self._queues.pop(tenant, None)
         if queue is None:
             return []
         if queue.waiting:
             self._unqueue(tenant, queue)
-        return [TurnedAway(one.id, ADVICE_LEAST) for one in queue.waiting]
+        return [Rejected(one.id, MIN_RETRY_AFTER_MS) for one in queue.waiting]
 
-    def _unqueue(self, tenant: str, queue: _Queue) -> None:
+    def _unqueue(self, tenant: str, queue: _TenantQueue) -> None:
         """A tenant has nothing waiting any more, out of its turn."""
         self._heap = [one for one in self._heap if one[2] != tenant]
         heapq.heapify(self._heap)
-        self._rest(queue)
+        self._subtract_weight(queue)
 
-    def _rest(self, queue: _Queue) -> None:
+    def _subtract_weight(self, queue: _TenantQueue) -> None:
         """Those that wait weigh so much less; nothing where nobody waits, so that rounding does not add up."""
-        self._weight = max(0.0, self._weight - queue.weight) if self._heap else 0.0
+        self._queued_weight = max(0.0, self._queued_weight - queue.weight) if self._heap else 0.0
 
-    def _requeue(self, tenant: str, queue: _Queue) -> None:
+    def _requeue(self, tenant: str, queue: _TenantQueue) -> None:
         if queue.waiting:
-            heapq.heappush(self._heap, (queue.tag, next(self._number), tenant))
+            heapq.heappush(self._heap, (queue.virtual_start, next(self._sequence), tenant))
         else:
-            queue.cost = 0.0
-            self._rest(queue)
+            queue.queued_cost_ms = 0.0
+            self._subtract_weight(queue)
 
     def _refill(self, now: float) -> None:
-        if now > self._at:
-            self._saved = min(SAVED_MOST, self._saved + (now - self._at) * self._processor)
-            self._at = now
+        if now > self._refilled_at_ms:
+            self._saved_ms = min(MAX_SAVED_MS, self._saved_ms + (now - self._refilled_at_ms) * self._processor_share)
+            self._refilled_at_ms = now
--- a/hallhitch/catalog/tenant_file.py
+++ b/hallhitch/catalog/tenant_file.py
@@ -13,7 +13,7 @@
 from hallhitch.catalog import names
 from hallhitch.catalog.model import Client, Head, Host, Kind, Limits, Plan, Value
 
-ORDER = (Kind.TENANT, Kind.PLAN, Kind.CLIENT, Kind.HOST)
+KIND_ORDER = (Kind.TENANT, Kind.PLAN, Kind.CLIENT, Kind.HOST)
 Things = dict[tuple[Kind, str], Value]
 
 
@@ -33,10 +33,10 @@
         for name, plan in self.plans.items():
             if not names.is_plan(name):
                 raise ValueError(f"field 'plans.{name}': cannot name a plan")
-            for field in plan.decided(name).faults():
+            for field in plan.to_decision_plan(name).faults():
                 raise ValueError(f"field 'plans.{name}.{field}': out of range, or contradicts another field")
         for name, client in self.clients.items():
-            if not names.is_client(names.client_of(name)):
+            if not names.is_client(names.canonical_client_id(name)):
                 raise ValueError(f"field 'clients.{name}': cannot name a client")
             if client.plan not in self.plans:
                 raise ValueError(f"field 'clients.{name}.plan': there is no plan '{client.plan}' in this file")
@@ -44,34 +44,34 @@
             if not names.is_host(name):
                 raise ValueError(f"field 'hosts.{name}': cannot name a host")
 
-    def things(self) -> Things:
+    def entries(self) -> Things:
         """All that the file declares, by kind and name."""
         made: Things = {(Kind.TENANT, self.tenant): Head(self.on, self.limits)}
         made |= {(Kind.PLAN, name): plan for name, plan in self.plans.items()}
-        made |= {(Kind.CLIENT, names.client_of(name)): client for name, client in self.clients.items()}
+        made |= {(Kind.CLIENT, names.canonical_client_id(name)): client for name, client in self.clients.items()}
         made |= {(Kind.HOST, name): host for name, host in self.hosts.items()}
         return made
 
 
-class Step(Struct, frozen=True):
+class PlannedEdit(Struct, frozen=True):
     """One difference: `now` None puts something new, `wanted` None drops; `version` is what it leads on from."""
 
     kind: Kind
     name: str
-    now: Value | None
+    current: Value | None
     wanted: Value | None
     version: str | None
 
-    def fields(self) -> Iterator[tuple[str, object, object]]:
+    def changed_fields(self) -> Iterator[tuple[str, object, object]]:
         """The fields that differ: name, what is there, what is wanted."""
-        before = msgspec.structs.asdict(self.now) if self.now is not None else {}
+        before = msgspec.structs.asdict(self.current) if self.current is not None else {}
         after = msgspec.structs.asdict(self.wanted) if self.wanted is not None else {}
         for name in after or before:
             if before.get(name) != after.get(name):
                 yield name, before.get(name), after.get(name)
 
 
-def steps(present: dict[tuple[Kind, str], tuple[Value, str]], wanted: Things) -> list[Step]:
+def plan_edits(present: dict[tuple[Kind, str], tuple[Value, str]], wanted: Things) -> list[PlannedEdit]:
     """The edits from what is present (with versions) to what is wanted, in an order that holds in pieces too.
 
     New plans come before clients that move to them, and go after the clients that leave them.
@@ -80,9 +80,9 @@
     for key, value in wanted.items():
         now = present.get(key)
         if now is None or now[0] != value:
-            made.append(Step(key[0], key[1], now[0] if now else None, value, now[1] if now else None))
+            made.append(PlannedEdit(key[0], key[1], now[0] if now else None, value, now[1] if now else None))
     gone = [
-        Step(kind, name, value, None, version)
+        PlannedEdit(kind, name, value, None, version)
         for (kind, name), (value, version) in present.items()
         if (kind, name) not in wanted
     ]
--- a/hallhitch/catalog_sync/saved.py
+++ b/hallhitch/catalog_sync/catalog_cache.py
@@ -13,26 +13,26 @@
 
 import structlog
 
-from hallhitch.catalog.feed import FeedError, read_whole, whole_lines
-from hallhitch.catalog.model import Catalogue
+from hallhitch.catalog.feed import FeedError, read_snapshot, snapshot_lines
+from hallhitch.catalog.model import Catalog
 from hallhitch.core.invariants import COUNTS
 
 log = structlog.get_logger()
 
 
-class Saved:
+class CatalogCache:
     """The file of one gateway. Not for two processes at once: the second would only undo the first's newer versions."""
 
     def __init__(self, path: Path) -> None:
-        self._path, self._beside = path, path.with_name(path.name + ".new")
-        self._holds = (0, 0)
+        self._path, self._temporary_path = path, path.with_name(path.name + ".new")
+        self._saved_version = (0, 0)
 
-    def load(self) -> Catalogue | None:
+    def load(self) -> Catalog | None:
         """What was saved last; None if there is none, or none that can be used."""
-        self._beside.unlink(missing_ok=True)
+        self._temporary_path.unlink(missing_ok=True)
         try:
             with open(self._path, "rb") as file:
-                found = read_whole(iter(file))
+                found = read_snapshot(iter(file))
         except FileNotFoundError:
             return None
         except FeedError as error:
@@ -41,23 +41,23 @@
             COUNTS["saved_catalogue_damaged"] += 1
             log.error("saved catalogue damaged", file=str(self._path), put_aside=aside.name, error=str(error))
             return None
-        self._holds = found.epoch, found.version
+        self._saved_version = found.epoch, found.version
         return found
 
-    def keep(self, catalogue: Catalogue) -> bool:
+    def save(self, catalog: Catalog) -> bool:
         """Save a catalogue; False where it is older than what is saved, or could not be written.
 
         Blocks for as long as the disk needs: call it in a thread. The catalogue is immutable, so nothing tears.
         """
-        if (catalogue.epoch, catalogue.version) <= self._holds:
+        if (catalog.epoch, catalog.version) <= self._saved_version:
             return False
         try:
-            with open(self._beside, "wb") as file:
-                for line in whole_lines(catalogue):
+            with open(self._temporary_path, "wb") as file:
+                for line in snapshot_lines(catalog):
                     file.write(line)
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(self._beside, self._path)
+            os.replace(self._temporary_path, self._path)
             folder = os.open(self._path.parent, os.O_RDONLY)
             try:
                 os.fsync(folder)
@@ -66,7 +66,7 @@
         except OSError as error:
             COUNTS["saved_catalogue_unwritten"] += 1
             log.error("catalogue not saved", file=str(self._path), error=str(error.strerror))
-            self._beside.unlink(missing_ok=True)
+            self._temporary_path.unlink(missing_ok=True)
             return False
-        self._holds = catalogue.epoch, catalogue.version
+        self._saved_version = catalog.epoch, catalog.version
         return True
--- a/hallhitch/cli/control.py
+++ b/hallhitch/cli/control.py
@@ -7,9 +7,9 @@
 import click
 
 from hallhitch.administration import backups
-from hallhitch.administration.first import ROOT, first_operator
+from hallhitch.administration.bootstrap import FIRST_OPERATOR_ID, create_first_operator
 from hallhitch.administration.settings import ControlSettings
-from hallhitch.administration.store import Loaded, StoreError
+from hallhitch.administration.store import LoadResult, StoreError
 from hallhitch.cli.demo import demo, secret_file
 from hallhitch.cli.output import as_json
 from hallhitch.settings_file import read
@@ -21,14 +21,14 @@
     return read(file, ControlSettings)
 
 
-def _told(found: Loaded) -> dict[str, object]:
-    catalogue = found.catalogue
+def _told(found: LoadResult) -> dict[str, object]:
+    catalog = found.catalog
     return {
-        "epoch": catalogue.epoch,
-        "version": catalogue.version,
-        "tenants": len(catalogue.tenants),
-        "replayed": found.replayed,
-        "checksum": f"{catalogue.sum:032x}",
+        "epoch": catalog.epoch,
+        "version": catalog.version,
+        "tenants": len(catalog.tenants),
+        "replayed": found.replayed_changes,
+        "checksum": f"{catalog.checksum:032x}",
     }
 
 
@@ -46,11 +46,11 @@
 @click.option("--json", "plain", is_flag=True, help="Print JSON.")
 def init(file: str, token_to: str | None, plain: bool) -> None:
     """Make an empty store and its first operator; the token is told once."""
-    token = first_operator(_settings(file), file)
+    token = create_first_operator(_settings(file), file)
     if token_to is not None:
         secret_file(Path(token_to), token)
     if plain:
-        as_json({"operator": ROOT, "token": None if token_to else token, "token_to": token_to})
+        as_json({"operator": FIRST_OPERATOR_ID, "token": None if token_to else token, "token_to": token_to})
     else:
         click.echo(f"the operator's token is in {token_to}" if token_to else token)
 
--- a/hallhitch/cli/tenants.py
+++ b/hallhitch/cli/tenants.py
@@ -9,9 +9,9 @@
 import click
 import msgspec
 
-from hallhitch.catalog.changes import MOST_EDITS
-from hallhitch.catalog.model import TYPES, Kind, Value
-from hallhitch.catalog.tenant_file import Step, TenantFile, steps
+from hallhitch.catalog.changes import MAX_EDITS_PER_CHANGE
+from hallhitch.catalog.model import VALUE_TYPES, Kind, Value
+from hallhitch.catalog.tenant_file import PlannedEdit, TenantFile, plan_edits
 from hallhitch.cli.api_client import Api, api_of, connected
 from hallhitch.cli.output import Failure, as_json, table
 from hallhitch.settings_file import read
@@ -82,7 +82,7 @@
     found: dict[tuple[Kind, str], tuple[Value, str]] = {}
 
     def add(kind: Kind, item: dict[str, Any]) -> None:
-        form = TYPES[kind]
+        form = VALUE_TYPES[kind]
         fields = {name: item[name] for name in form.__struct_fields__}
         found[kind, item["name"]] = msgspec.convert(fields, form), item["version"]
 
@@ -93,16 +93,16 @@
     return found
 
 
-def lines(changes: list[Step]) -> list[str]:
+def lines(changes: list[PlannedEdit]) -> list[str]:
     """Differences for people."""
     made = []
     for step in changes:
-        sign = "+" if step.now is None else "-" if step.wanted is None else "~"
+        sign = "+" if step.current is None else "-" if step.wanted is None else "~"
         fields = ", ".join(
             f"{name}: {_short(before)} -> {_short(after)}"
             if sign == "~"
             else f"{name}={_short(after if sign == '+' else before)}"
-            for name, before, after in step.fields()
+            for name, before, after in step.changed_fields()
         )
         made.append(f"{sign} {step.kind.value} {step.name}  {fields}".rstrip())
     return made
@@ -119,7 +119,7 @@
 def diff(file: str, plain: bool, **options: Any) -> None:
     """What `apply` would change. Exit code 1 if it would change something."""
     wanted = read(file, TenantFile)
-    changes = steps(present(api_of(**options), wanted.tenant), wanted.things())
+    changes = plan_edits(present(api_of(**options), wanted.tenant), wanted.entries())
     _print(changes, plain, 0)
     if changes:
         sys.exit(1)
@@ -140,7 +140,7 @@
     """Bring a tenant to what FILE declares. Safe to repeat, and to interrupt: what is left is done the next time."""
     wanted = read(file, TenantFile)
     api = api_of(**options)
-    changes = steps(present(api, wanted.tenant), wanted.things())
+    changes = plan_edits(present(api, wanted.tenant), wanted.entries())
     if not plain:
         _print(changes, plain, 0)
     if changes and not yes and not click.confirm("Apply?", err=True):
@@ -173,10 +173,10 @@
     return {"state": told["state"], "applied": told["applied"], "counted": told["counted"], "behind": behind}
 
 
-def send(api: Api, tenant: str, changes: list[Step]) -> list[str]:
+def send(api: Api, tenant: str, changes: list[PlannedEdit]) -> list[str]:
     """Make changes, in pieces that are atomic and hold by themselves; the versions they led to."""
     versions = []
-    for start in range(0, len(changes), MOST_EDITS):
+    for start in range(0, len(changes), MAX_EDITS_PER_CHANGE):
         edits = [
             {
                 "kind": step.kind.value,
@@ -184,20 +184,20 @@
                 "expect": step.version or "none",
                 "value": msgspec.to_builtins(step.wanted) if step.wanted is not None else None,
             }
-            for step in changes[start : start + MOST_EDITS]
+            for step in changes[start : start + MAX_EDITS_PER_CHANGE]
         ]
         versions.append(str(api.change("POST", "tenants", tenant, "changes", body={"edits": edits})["version"]))
     return versions
 
 
-def bring(api: Api, wanted: TenantFile) -> list[Step]:
+def bring(api: Api, wanted: TenantFile) -> list[PlannedEdit]:
     """Bring a tenant to what is declared; what that took."""
-    changes = steps(present(api, wanted.tenant), wanted.things())
+    changes = plan_edits(present(api, wanted.tenant), wanted.entries())
     send(api, wanted.tenant, changes)
     return changes
 
 
-def _print(changes: list[Step], plain: bool, indent: int) -> None:
+def _print(changes: list[PlannedEdit], plain: bool, indent: int) -> None:
     if plain:
         return as_json(lines(changes))
     for line in lines(changes) or ["nothing to change"]:
--- a/tests/administration/test_trouble.py
+++ b/tests/administration/test_faults.py
@@ -14,10 +14,10 @@
 
 from hallhitch.administration import backups
 from hallhitch.administration.clock import WallClock
-from hallhitch.administration.store import MIGRATIONS, Damaged, SqliteStore, StoreError, connect
-from hallhitch.administration.writer import DAY
-from hallhitch.catalog.changes import Change, Edit, apply
-from hallhitch.catalog.model import Catalogue, Head, Kind, Limits, Plan
+from hallhitch.administration.store import MIGRATIONS, CorruptStoreError, SqliteStore, StoreError, connect
+from hallhitch.administration.writer import RESPONSE_RETENTION_MS
+from hallhitch.catalog.changes import Change, Edit, apply_change
+from hallhitch.catalog.model import Catalog, Head, Kind, Limits, Plan
 from tests.administration_plane import PLAN, ControlCase, ControlPlane, change, issue, seed
 from tests.stand_ins import GUARD, ROOT
 
@@ -59,7 +59,7 @@
         self.assertEqual(again.status_code, 201, "the same key, made now for the first time")
         await self.plane.stop()
         found = backups.verify(self.plane.folder / "store" / "state.db")
-        self.assertEqual(f"{found.catalogue.epoch}.{found.catalogue.version}", again.json()["version"])
+        self.assertEqual(f"{found.catalog.epoch}.{found.catalog.version}", again.json()["version"])
 
 
 class Starts(unittest.IsolatedAsyncioTestCase):
@@ -187,7 +187,7 @@
             held = lost.json()["version"]
         await self.plane.stop()
         made = backups.restore(folder, backup)
-        self.assertEqual(made.version, saved.catalogue.version)
+        self.assertEqual(made.version, saved.catalog.version)
         self.assertGreater((made.epoch, made.version), tuple(map(int, held.split("."))))
         self.assertGreater(backups.restore(folder, backup).epoch, made.epoch, "each restore is an epoch of its own")
         await self.plane.start()
@@ -212,7 +212,7 @@
             db.execute("UPDATE row SET version=9")
             db.commit()
         before = (folder / "state.db").read_bytes()
-        with self.assertRaises(Damaged):
+        with self.assertRaises(CorruptStoreError):
             backups.restore(folder, backup)
         self.assertEqual((folder / "state.db").read_bytes(), before)
         (folder / "state.db").rename(folder / "restore.tmp")
@@ -227,48 +227,48 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def filled(self, store: SqliteStore, changes: int) -> Catalogue:
+    def filled(self, store: SqliteStore, changes: int) -> Catalog:
         """A store with a tenant and some changes."""
-        catalogue = Catalogue(epoch=5)
-        store.keep_snapshot(1, catalogue, 0, 0)
+        catalog = Catalog(epoch=5)
+        store.commit_snapshot(1, catalog, 0, 0)
         for number in range(changes):
             edit = Edit(Kind.PLAN, f"p{number % 7}", None if number % 7 == 6 and number > 7 else Plan(price=number))
             if number % 7 == 6 and number <= 7:
                 edit = Edit(Kind.TENANT, "a", Head(limits=Limits(plans=50)))
             first = Edit(Kind.TENANT, "a", Head(limits=Limits(plans=50)))
             try:
-                made = apply(catalogue, Change("a", (first,) if number == 0 else (edit,)))
+                made = apply_change(catalog, Change("a", (first,) if number == 0 else (edit,)))
             except Exception:
                 continue
             with store.batch() as batch:
-                batch.keep_change(made.catalogue, made.diff, number, "a", "test")
-            catalogue = made.catalogue
-        return catalogue
+                batch.append_change(made.catalog, made.diff, number, "a", "test")
+            catalog = made.catalog
+        return catalog
 
     def test_snapshot_and_log_give_the_same_wherever_the_log_is_cut(self) -> None:
         """Guards against a compaction that forgets, or keeps what was dropped."""
         store = SqliteStore(self.folder, create=True)
-        catalogue = self.filled(store, 30)
-        self.assertEqual(store.load().catalogue, catalogue)
-        from hallhitch.catalog.rows import rows_of
+        catalog = self.filled(store, 30)
+        self.assertEqual(store.load().catalog, catalog)
+        from hallhitch.catalog.rows import catalog_rows
 
-        store.keep_piece(9, 0, list(rows_of(catalogue)))
-        store.keep_snapshot(9, catalogue, 1, 4)
+        store.write_snapshot_chunk(9, 0, list(catalog_rows(catalog)))
+        store.commit_snapshot(9, catalog, 1, 4)
         found = store.load()
-        self.assertEqual((found.catalogue, found.replayed), (catalogue, 0))
-        self.assertIsNotNone(found.history.diff(catalogue, 5, catalogue.version - 3))
-        self.assertIsNone(found.history.diff(catalogue, 5, catalogue.version - 6))
+        self.assertEqual((found.catalog, found.replayed_changes), (catalog, 0))
+        self.assertIsNotNone(found.history.diff(catalog, 5, catalog.version - 3))
+        self.assertIsNone(found.history.diff(catalog, 5, catalog.version - 6))
         store.close()
 
     def test_a_batch_that_fails_leaves_nothing(self) -> None:
         """Guards against part of a transaction."""
         store = SqliteStore(self.folder, create=True)
-        catalogue = self.filled(store, 3)
-        made = apply(catalogue, Change("b", (Edit(Kind.TENANT, "b", Head()),)))
+        catalog = self.filled(store, 3)
+        made = apply_change(catalog, Change("b", (Edit(Kind.TENANT, "b", Head()),)))
         with self.assertRaises(ZeroDivisionError), store.batch() as batch:
-            batch.keep_change(made.catalogue, made.diff, 9, "b", "test")
+            batch.append_change(made.catalog, made.diff, 9, "b", "test")
             raise ZeroDivisionError
-        self.assertEqual(store.load().catalogue, catalogue)
+        self.assertEqual(store.load().catalog, catalog)
         store.close()
 
     def test_forms_go_forward_from_each_step(self) -> None:
@@ -281,23 +281,23 @@
                 db.executescript(MIGRATIONS[number] + f"PRAGMA user_version={number + 1};")
             db.close()
             store = SqliteStore(folder)
-            catalogue = self.filled(store, 5)
-            self.assertEqual(store.load().catalogue, catalogue)
+            catalog = self.filled(store, 5)
+            self.assertEqual(store.load().catalog, catalog)
             store.close()
 
     def test_answers_end_after_a_day(self) -> None:
         """Guards against a table of answers that grows without end."""
-        from hallhitch.administration.store import Answer
+        from hallhitch.administration.store import StoredResponse
 
         store = SqliteStore(self.folder, create=True)
-        for at in (0, 10, DAY):
+        for at in (0, 10, RESPONSE_RETENTION_MS):
             with store.batch() as batch:
-                batch.keep_answer("a", f"k{at}", Answer(at, b"", b""))
-        self.assertEqual(store.forget_answers(DAY), 2)
+                batch.store_response("a", f"k{at}", StoredResponse(at, b"", b""))
+        self.assertEqual(store.delete_responses(RESPONSE_RETENTION_MS), 2)
         store.close()
 
     def test_time_stands_still_while_the_clock_is_behind(self) -> None:
         """Guards against a clock that goes back with the machine's."""
         wall = iter([10.0, 12.0, 5.0, 11.9, 12.5])
         clock = WallClock(9_000, lambda: next(wall))
-        self.assertEqual([clock.now() for _ in range(5)], [10_000, 12_000, 12_000, 12_000, 12_500])
+        self.assertEqual([clock.now_ms() for _ in range(5)], [10_000, 12_000, 12_000, 12_000, 12_500])
--- a/tests/administration/test_kill.py
+++ b/tests/administration/test_kill.py
@@ -31,12 +31,12 @@
     "before the commit": """
 import os
 from hallhitch.administration import store
-was = store._Batch.keep_answer
-def keep_answer(self, actor, key, answer):
+was = store.SqliteBatch.store_response
+def store_response(self, actor, key, answer):
     was(self, actor, key, answer)
     if key == "victim" and os.path.exists({mark!r}):
         os.kill(os.getpid(), 9)
-store._Batch.keep_answer = keep_answer
+store.SqliteBatch.store_response = store_response
 """,
     "after the commit": """
 import os
@@ -186,7 +186,7 @@
         self.assertEqual(int(version.split(".")[1]), wanted + 3, "the operator, the tenant, its limits, and one each")
         await self.plane.stop()
         found = backups.verify(self.folder / "store" / "state.db")
-        self.assertEqual(found.catalogue.version, wanted + 3)
+        self.assertEqual(found.catalog.version, wanted + 3)
 
     seen: set[str]
 
--- a/tests/administration_plane.py
+++ b/tests/administration_plane.py
@@ -19,7 +19,7 @@
 
 import httpx
 
-from hallhitch.administration.first import first_operator
+from hallhitch.administration.bootstrap import create_first_operator
 from hallhitch.administration.settings import ControlSettings
 from hallhitch.settings_file import read
 from hallhitch.tls import authority
@@ -45,7 +45,7 @@
         )
         authority.create_authority(folder / "tls")
         authority.issue_certificate(folder / "tls", "default", ["127.0.0.1", "localhost"])
-        self.token = first_operator(read(str(self.file), ControlSettings), str(self.file))
+        self.token = create_first_operator(read(str(self.file), ControlSettings), str(self.file))
         self.trust = ssl.create_default_context(cafile=str(folder / "tls" / "ca.crt"))
         self.said: list[str] = []
 
--- a/tests/catalog/test_catalogue.py
+++ b/tests/catalog/test_changes.py
@@ -10,20 +10,20 @@
 
 from hallhitch.catalog import names
 from hallhitch.catalog.access import Principal as Caller
-from hallhitch.catalog.access import Verdict, may, token_of
-from hallhitch.catalog.changes import Change, Edit, Refused, apply
-from hallhitch.catalog.draft import build
+from hallhitch.catalog.access import Verdict, authorize, parse_token
+from hallhitch.catalog.changes import Change, ChangeRefused, Edit, apply_change
+from hallhitch.catalog.draft import build_catalog
 from hallhitch.catalog.history import (
     History,
+    apply_diff,
     decode_diff,
     decode_rows,
     encode_diff,
     encode_rows,
-    patch,
-    whole,
+    snapshot_diff,
 )
 from hallhitch.catalog.model import (
-    Catalogue,
+    Catalog,
     Client,
     Credential,
     Head,
@@ -34,8 +34,8 @@
     Scope,
     Verifier,
 )
-from hallhitch.catalog.rows import WRAP, rows_of, sum_of
-from hallhitch.catalog.tenant_file import TenantFile, steps
+from hallhitch.catalog.rows import CHECKSUM_MODULUS, catalog_rows, entry_hash
+from hallhitch.catalog.tenant_file import TenantFile, plan_edits
 from hallhitch.decision.policy import digest
 
 FEW = st.sampled_from(["x", "y", "z"])
@@ -71,9 +71,9 @@
     return Change(tenant, tuple(draw(st.lists(edits(tenant), min_size=1, max_size=5))))
 
 
-def peopled() -> Catalogue:
+def peopled() -> Catalog:
     """A catalogue in which most changes have something to change."""
-    made = Catalogue(epoch=3)
+    made = Catalog(epoch=3)
     for tenant in "ab":
         edits_ = (
             Edit(Kind.TENANT, tenant, Head(limits=Limits(3, 3))),
@@ -82,25 +82,25 @@
             Edit(Kind.HOST, f"{tenant}.example.org", Host()),
             Edit(Kind.CREDENTIAL, "x", Credential(Scope.CLIENT, (Verifier("h"),), "x")),
         )
-        made = apply(made, Change(tenant, edits_)).catalogue
+        made = apply_change(made, Change(tenant, edits_)).catalog
     return made
 
 
-def check(case: unittest.TestCase, catalogue: Catalogue) -> None:
+def check(case: unittest.TestCase, catalog: Catalog) -> None:
     """What holds of every catalogue, looked up the long way."""
     total = 0
     hosts: dict[str, str] = {}
-    for row in rows_of(catalogue):
-        kept = catalogue.get(row.tenant, row.kind, row.name)
+    for row in catalog_rows(catalog):
+        kept = catalog.get(row.tenant, row.kind, row.name)
         assert kept is not None
-        total += sum_of(row.tenant, row.kind, row.name, kept)
-    case.assertEqual(total % WRAP, catalogue.sum)
-    for name, part in catalogue.tenants.items():
+        total += entry_hash(row.tenant, row.kind, row.name, kept)
+    case.assertEqual(total % CHECKSUM_MODULUS, catalog.checksum)
+    for name, part in catalog.tenants.items():
         clients = [kept.value for kept in part.clients.values()]
-        for plan in {client.plan for client in clients} | set(part.members):
+        for plan in {client.plan for client in clients} | set(part.client_counts):
             case.assertIn(plan, part.plans)
-            case.assertEqual(part.members.get(plan, 0), sum(c.plan == plan for c in clients))
-            case.assertEqual(part.active.get(plan, 0), sum(c.plan == plan and c.on for c in clients))
+            case.assertEqual(part.client_counts.get(plan, 0), sum(c.plan == plan for c in clients))
+            case.assertEqual(part.active_client_counts.get(plan, 0), sum(c.plan == plan and c.on for c in clients))
         handed = sum(part.plans[c.plan].value.rate for c in clients if c.on)
         case.assertAlmostEqual(part.rate, handed)
         limits = part.head.value.limits
@@ -112,8 +112,8 @@
             if kept.value.client is not None:
                 case.assertIn(kept.value.client, part.clients)
                 named.setdefault(kept.value.client, set()).add(id)
-        case.assertEqual({client: set(ids) for client, ids in part.keys.items()}, named)
-    case.assertEqual(dict(catalogue.hosts), hosts)
+        case.assertEqual({client: set(ids) for client, ids in part.credential_ids_by_client.items()}, named)
+    case.assertEqual(dict(catalog.hosts), hosts)
 
 
 class Properties(unittest.TestCase):
@@ -123,31 +123,31 @@
     @given(st.lists(changes(), max_size=25))
     def test_any_history(self, history: list[Change]) -> None:
         """Guards against indexes, checksums and diffs that drift from what is there, and versions with gaps."""
-        catalogue = peopled()
-        kept, log = [catalogue], History()
-        log.start(3, catalogue.version)
+        catalog = peopled()
+        kept, log = [catalog], History()
+        log.start(3, catalog.version)
         for change in history:
-            before = catalogue
+            before = catalog
             try:
-                made = apply(catalogue, change)
-            except Refused as refusal:
-                self.assertIn(refusal.code, Refused.CODES)
+                made = apply_change(catalog, change)
+            except ChangeRefused as refusal:
+                self.assertIn(refusal.code, ChangeRefused.CODES)
                 continue
-            self.assertEqual(made.catalogue.version, before.version + 1)
-            self.assertEqual(patch(before, decode_diff(encode_diff(made.diff))), made.catalogue)
+            self.assertEqual(made.catalog.version, before.version + 1)
+            self.assertEqual(apply_diff(before, decode_diff(encode_diff(made.diff))), made.catalog)
             others = {name: part for name, part in before.tenants.items() if name != change.tenant}
-            self.assertEqual(others, {n: p for n, p in made.catalogue.tenants.items() if n != change.tenant})
-            catalogue = made.catalogue
-            check(self, catalogue)
+            self.assertEqual(others, {n: p for n, p in made.catalog.tenants.items() if n != change.tenant})
+            catalog = made.catalog
+            check(self, catalog)
             log.add(made.diff)
-            kept.append(catalogue)
+            kept.append(catalog)
         for old in kept:
-            diff = log.diff(catalogue, 3, old.version)
+            diff = log.diff(catalog, 3, old.version)
             assert diff is not None
-            self.assertEqual(patch(old, decode_diff(encode_diff(diff))), catalogue)
-        told = whole(catalogue)
+            self.assertEqual(apply_diff(old, decode_diff(encode_diff(diff))), catalog)
+        told = snapshot_diff(catalog)
         rows = decode_rows(encode_rows(told.rows))
-        self.assertEqual(build(3, catalogue.version, rows, told.parts), catalogue)
+        self.assertEqual(build_catalog(3, catalog.version, rows, told.parts), catalog)
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.data())
@@ -160,18 +160,18 @@
             hosts = {f"{n}.example.org": Host() for n in data.draw(st.sets(FEW))}
             return TenantFile("a", True, Limits(), plans, clients, hosts)
 
-        catalogue = Catalogue(epoch=1)
+        catalog = Catalog(epoch=1)
         for wanted in (declared(), declared()):
             present = {}
-            if "a" in catalogue.tenants:
-                for row in rows_of(catalogue):
+            if "a" in catalog.tenants:
+                for row in catalog_rows(catalog):
                     present[row.kind, row.name] = (row.value, str(row.version))
-            found = steps(present, wanted.things())
+            found = plan_edits(present, wanted.entries())
             piece = data.draw(st.integers(1, 4))
             for start in range(0, len(found), piece):
                 part = [Edit(s.kind, s.name, s.wanted, int(s.version or 0)) for s in found[start : start + piece]]
-                catalogue = apply(catalogue, Change("a", tuple(part))).catalogue
-            self.assertEqual({(r.kind, r.name): r.value for r in rows_of(catalogue)}, wanted.things())
+                catalog = apply_change(catalog, Change("a", tuple(part))).catalog
+            self.assertEqual({(r.kind, r.name): r.value for r in catalog_rows(catalog)}, wanted.entries())
 
     @given(
         st.text("abc/.:@", max_size=6),
@@ -182,7 +182,7 @@
     def test_no_two_tenants_share_a_name_on_the_counter(self, a: str, b: str, c: str, d: str) -> None:
         """Guards against one tenant's traffic spending another's quota, whatever the two call their clients."""
         if all(map(names.is_tenant, (a, c))) and all(map(names.is_client, (b, d))) and (a, b) != (c, d):
-            self.assertNotEqual(names.customer_of(a, b), names.customer_of(c, d))
+            self.assertNotEqual(names.decision_customer_id(a, b), names.decision_customer_id(c, d))
 
 
 class Refusals(unittest.TestCase):
@@ -200,9 +200,9 @@
         )
         other = Change("b", (Edit(Kind.TENANT, "b", Head()),))
         operator = Change("", (Edit(Kind.CREDENTIAL, "root", Credential(Scope.OPERATOR, (Verifier("h"),))),))
-        self.was = Catalogue(epoch=1)
+        self.was = Catalog(epoch=1)
         for change in (first, other, operator):
-            self.was = apply(self.was, change).catalogue
+            self.was = apply_change(self.was, change).catalog
 
     def test_each_refusal_is_named(self) -> None:
         """Guards against a bad change that is made, or refused without saying where."""
@@ -243,19 +243,19 @@
             ("a", (), "invalid", "edits"),
         ]
         for tenant, edit, code, field in cases:
-            with self.subTest(tenant=tenant, edit=edit), self.assertRaises(Refused) as told:
-                apply(self.was, Change(tenant, edit if isinstance(edit, tuple) else (edit,)))
+            with self.subTest(tenant=tenant, edit=edit), self.assertRaises(ChangeRefused) as told:
+                apply_change(self.was, Change(tenant, edit if isinstance(edit, tuple) else (edit,)))
             self.assertEqual((told.exception.code, told.exception.field), (code, field))
 
     def test_a_change_is_checked_whole(self) -> None:
         """Guards against refusing an atomic change for the order of its edits."""
-        made = apply(
+        made = apply_change(
             self.was,
             Change(
                 "a", (Edit(Kind.PLAN, "p"), Edit(Kind.CLIENT, "one", Client("q")), Edit(Kind.PLAN, "q", Plan(1.0, 1.0)))
             ),
         )
-        self.assertEqual(list(made.catalogue.tenants["a"].plans), ["q"])
+        self.assertEqual(list(made.catalog.tenants["a"].plans), ["q"])
 
     def test_a_tenant_made_again_is_told_whole(self) -> None:
         """Guards against followers that keep what a tenant had before it was dropped and made again."""
@@ -263,21 +263,21 @@
         log.start(1, self.was.version)
         now = self.was
         for change in (Change("a", (Edit(Kind.TENANT, "a"),)), Change("a", (Edit(Kind.TENANT, "a", Head()),))):
-            made = apply(now, change)
+            made = apply_change(now, change)
             log.add(made.diff)
-            now = made.catalogue
+            now = made.catalog
         diff = log.diff(now, 1, self.was.version)
         assert diff is not None
-        self.assertEqual((diff.reset, patch(self.was, diff)), (("a",), now))
+        self.assertEqual((diff.reset, apply_diff(self.was, diff)), (("a",), now))
 
     def test_versions_no_longer_kept_give_no_diff(self) -> None:
         """Guards against a diff with a gap in it, and one across epochs."""
         log, now = History(most=3), self.was
         log.start(1, now.version)
         for number in range(5):
-            made = apply(now, Change("b", (Edit(Kind.PLAN, f"p{number}", Plan()),)))
+            made = apply_change(now, Change("b", (Edit(Kind.PLAN, f"p{number}", Plan()),)))
             log.add(made.diff)
-            now = made.catalogue
+            now = made.catalog
         self.assertIsNone(log.diff(now, 1, self.was.version))
         self.assertIsNone(log.diff(now, 2, now.version))
         self.assertIsNone(log.diff(now, 1, now.version + 1))
@@ -285,7 +285,7 @@
         assert kept is not None
         self.assertEqual(len(kept.rows), 3)
         with self.assertRaises(ValueError):
-            patch(self.was, kept)
+            apply_diff(self.was, kept)
 
 
 class Access(unittest.TestCase):
@@ -297,18 +297,18 @@
         client, operator = Caller("a", "z", Scope.CLIENT), Caller("", "o", Scope.OPERATOR)
         for kind in Kind:
             for write in (True, False):
-                self.assertEqual(may(operator, "a", kind, write), Verdict.YES)
-                self.assertEqual(may(client, "a", kind, write), Verdict.HIDDEN)
+                self.assertEqual(authorize(operator, "a", kind, write), Verdict.ALLOWED)
+                self.assertEqual(authorize(client, "a", kind, write), Verdict.HIDDEN)
                 for caller in (admin, reader):
                     for other in ("b", "", "nobody"):
-                        self.assertEqual(may(caller, other, kind, write), Verdict.HIDDEN)
-            self.assertEqual(may(reader, "a", kind, True), Verdict.BEYOND)
+                        self.assertEqual(authorize(caller, other, kind, write), Verdict.HIDDEN)
+            self.assertEqual(authorize(reader, "a", kind, True), Verdict.BEYOND_SCOPE)
             own = kind in (Kind.PLAN, Kind.CLIENT, Kind.CREDENTIAL)
-            self.assertEqual(may(admin, "a", kind, True), Verdict.YES if own else Verdict.BEYOND)
+            self.assertEqual(authorize(admin, "a", kind, True), Verdict.ALLOWED if own else Verdict.BEYOND_SCOPE)
 
     def test_tokens_have_one_reading(self) -> None:
         """Guards against a token that could be read as another tenant's."""
-        told = token_of("hh_acme.boss." + "x" * 43)
+        told = parse_token("hh_acme.boss." + "x" * 43)
         assert told is not None
         self.assertEqual((told.tenant, told.id, str(told)), ("acme", "boss", "hh_acme.boss." + "x" * 43))
         for text in (
@@ -319,9 +319,12 @@
             "hh_acme.boss." + "x" * 44,
             "hh_ACME.boss." + "x" * 43,
         ):
-            self.assertIsNone(token_of(text), text)
+            self.assertIsNone(parse_token(text), text)
 
     def test_customers_of_two_tenants_have_two_names(self) -> None:
         """Guards against equal client ids meeting in the counter's names."""
-        one, two = names.customer_of("a", "00000000b4d65521"), names.customer_of("b", "00000000b4d65521")
+        one, two = (
+            names.decision_customer_id("a", "00000000b4d65521"),
+            names.decision_customer_id("b", "00000000b4d65521"),
+        )
         self.assertNotEqual(digest(one), digest(two))
--- a/tests/catalog/test_feed.py
+++ b/tests/catalog/test_feed.py
@@ -10,40 +10,42 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hallhitch.catalog.changes import Change, Edit, Refused, apply
+from hallhitch.catalog.changes import Change, ChangeRefused, Edit, apply_change
 from hallhitch.catalog.feed import (
-    AGAIN,
-    AGAIN_MOST,
+    BASE_RETRY_DELAY_MS,
+    MAX_RETRY_DELAY_MS,
     FeedError,
-    Follower,
+    FeedFollower,
     diff_line,
-    lines_for,
-    read_whole,
-    told,
-    whole_lines,
+    is_for_gateways,
+    read_snapshot,
+    snapshot_lines,
+    update_lines,
 )
 from hallhitch.catalog.history import History
-from hallhitch.catalog.model import Catalogue, Client, Credential, Head, Kind, Plan, Scope, Verifier
-from hallhitch.catalog.rows import rows_of
-from tests.catalog.test_catalogue import changes, peopled
+from hallhitch.catalog.model import Catalog, Client, Credential, Head, Kind, Plan, Scope, Verifier
+from hallhitch.catalog.rows import catalog_rows
+from tests.catalog.test_changes import changes, peopled
 
 
-def seen(catalogue: Catalogue) -> tuple[Any, ...]:
+def seen(catalog: Catalog) -> tuple[Any, ...]:
     """All that a gateway can tell of a catalogue."""
     rows = sorted(
-        (row.tenant, row.kind, row.name, row.version, repr(row.value)) for row in rows_of(catalogue) if told(row)
+        (row.tenant, row.kind, row.name, row.version, repr(row.value))
+        for row in catalog_rows(catalog)
+        if is_for_gateways(row)
     )
     parts = {
-        name: (part.born, part.version, dict(part.members), dict(part.active))
-        for name, part in catalogue.tenants.items()
+        name: (part.created_in_version, part.version, dict(part.client_counts), dict(part.active_client_counts))
+        for name, part in catalog.tenants.items()
     }
-    return catalogue.epoch, catalogue.version, rows, parts, dict(catalogue.hosts)
+    return catalog.epoch, catalog.version, rows, parts, dict(catalog.hosts)
 
 
-def catch_up(follower: Follower, newest: Catalogue, history: History) -> int:
+def catch_up(follower: FeedFollower, newest: Catalog, history: History) -> int:
     """Ask once; how many lines came."""
-    lines = lines_for(newest, history, *follower.holds)
-    return sum(1 for _ in map(follower.take, lines)) if lines is not None else 0
+    lines = update_lines(newest, history, *follower.version)
+    return sum(1 for _ in map(follower.receive_line, lines)) if lines is not None else 0
 
 
 class Followed(unittest.TestCase):
@@ -57,41 +59,41 @@
         """Guards against a diff that leaves a follower with something else than the whole would have given it."""
         newest, history = peopled(), History(kept)
         history.start(newest.epoch, newest.version)
-        often, seldom = Follower(Catalogue(), random.Random(1)), Follower(Catalogue(), random.Random(2))
+        often, seldom = FeedFollower(Catalog(), random.Random(1)), FeedFollower(Catalog(), random.Random(2))
         for change, often_asks, seldom_asks in steps:
             try:
-                made = apply(newest, change)
-            except Refused:
+                made = apply_change(newest, change)
+            except ChangeRefused:
                 continue
             history.add(made.diff)
-            newest = made.catalogue
+            newest = made.catalog
             if often_asks:
                 catch_up(often, newest, history)
-                self.assertEqual(seen(often.held), seen(newest))
-            if seldom_asks and seldom.held.version == 0:
+                self.assertEqual(seen(often.catalog), seen(newest))
+            if seldom_asks and seldom.catalog.version == 0:
                 catch_up(seldom, newest, history)
         for follower in (often, seldom):
             catch_up(follower, newest, history)
-            self.assertEqual(seen(follower.held), seen(newest))
+            self.assertEqual(seen(follower.catalog), seen(newest))
             self.assertEqual(catch_up(follower, newest, history), 0, "there is nothing more")
-            self.assertFalse(follower.held.operators)
-            whole = read_whole(whole_lines(newest))
-            self.assertEqual(follower.held.sum, whole.sum, "diffs and whole have the same checksum")
+            self.assertFalse(follower.catalog.operators)
+            whole = read_snapshot(snapshot_lines(newest))
+            self.assertEqual(follower.catalog.checksum, whole.checksum, "diffs and whole have the same checksum")
 
     def test_only_what_a_gateway_needs(self) -> None:
         """Guards against verifiers of administrators on every gateway's disk."""
-        newest = apply(
+        newest = apply_change(
             peopled(), Change("a", (Edit(Kind.CREDENTIAL, "boss", Credential(Scope.ADMIN, (Verifier("bosshash"),))),))
-        ).catalogue
-        newest = apply(
+        ).catalog
+        newest = apply_change(
             newest, Change("", (Edit(Kind.CREDENTIAL, "root", Credential(Scope.OPERATOR, (Verifier("roothash"),))),))
-        ).catalogue
-        text = b"".join(whole_lines(newest))
+        ).catalog
+        text = b"".join(snapshot_lines(newest))
         self.assertNotIn(b"bosshash", text)
         self.assertNotIn(b"root", text)
         history = History()
         history.start(newest.epoch, newest.version)
-        made = apply(
+        made = apply_change(
             newest,
             Change(
                 "a",
@@ -104,42 +106,42 @@
         line = diff_line(made.diff)
         self.assertNotIn(b"nowboss", line)
         self.assertNotIn(b"reader", line)
-        follower = Follower(read_whole(whole_lines(newest)), random.Random(1))
-        follower.take(line)
-        self.assertIsNone(follower.held.get("a", Kind.CREDENTIAL, "x"), "it names no client any more")
+        follower = FeedFollower(read_snapshot(snapshot_lines(newest)), random.Random(1))
+        follower.receive_line(line)
+        self.assertIsNone(follower.catalog.get("a", Kind.CREDENTIAL, "x"), "it names no client any more")
 
     def test_a_restored_backup_begins_an_epoch(self) -> None:
         """Guards against gateways that stay on what was undone, or follow a control plane that went back unsaid."""
         old = peopled()
-        new = apply(old, Change("a", (Edit(Kind.PLAN, "y", Plan(9.0, 9.0)),))).catalogue
+        new = apply_change(old, Change("a", (Edit(Kind.PLAN, "y", Plan(9.0, 9.0)),))).catalog
         history = History()
         history.start(old.epoch, old.version)
-        follower = Follower(read_whole(whole_lines(new)), random.Random(1))
+        follower = FeedFollower(read_snapshot(snapshot_lines(new)), random.Random(1))
         with self.assertRaises(FeedError):
-            lines_for(old, history, *follower.holds)
+            update_lines(old, history, *follower.version)
         with self.assertRaises(FeedError):
-            follower.take(next(whole_lines(old)))
-        self.assertEqual(follower.holds, (new.epoch, new.version))
-        again = Catalogue(old.epoch + 1, old.version, old.tenants, old.operators, old.hosts, old.sum)
+            follower.receive_line(next(snapshot_lines(old)))
+        self.assertEqual(follower.version, (new.epoch, new.version))
+        again = Catalog(old.epoch + 1, old.version, old.tenants, old.operators, old.hosts, old.checksum)
         history.start(again.epoch, again.version)
         catch_up(follower, again, history)
-        self.assertEqual(seen(follower.held), seen(again))
+        self.assertEqual(seen(follower.catalog), seen(again))
         with self.assertRaises(FeedError):
-            follower.take(next(whole_lines(new)))
+            follower.receive_line(next(snapshot_lines(new)))
 
     def test_half_of_a_whole_is_nothing(self) -> None:
         """Guards against a cut or damaged transfer that is taken for a catalogue."""
         newest = peopled()
-        lines = list(whole_lines(newest, 2))
+        lines = list(snapshot_lines(newest, 2))
         self.assertGreater(len(lines), 5)
         for end in range(len(lines)):
-            follower = Follower(Catalogue(), random.Random(1))
+            follower = FeedFollower(Catalog(), random.Random(1))
             for line in lines[:end]:
-                self.assertIsNone(follower.take(line))
-            follower.cut()
-            self.assertEqual(follower.holds, (0, 0))
+                self.assertIsNone(follower.receive_line(line))
+            follower.discard_partial()
+            self.assertEqual(follower.version, (0, 0))
             with self.assertRaises(FeedError):
-                follower.take(lines[-1])
+                follower.receive_line(lines[-1])
         for place in range(1, len(lines) - 1):
             for damaged in (
                 [*lines[:place], *lines[place + 1 :]],
@@ -149,7 +151,7 @@
                 if damaged == lines:
                     continue
                 with self.subTest(place=place), self.assertRaises(FeedError):
-                    read_whole(iter(damaged))
+                    read_snapshot(iter(damaged))
 
     @given(
         st.binary(max_size=40)
@@ -169,18 +171,18 @@
     )
     def test_what_is_no_feed_changes_nothing(self, line: bytes) -> None:
         """Guards against bytes of somebody else's that end a gateway's catalogue or its process."""
-        held = read_whole(whole_lines(peopled()))
-        follower = Follower(held, random.Random(1))
+        held = read_snapshot(snapshot_lines(peopled()))
+        follower = FeedFollower(held, random.Random(1))
         with contextlib.suppress(FeedError):
-            follower.take(line)
-        self.assertIs(follower.held, held)
+            follower.receive_line(line)
+        self.assertIs(follower.catalog, held)
 
     def test_five_hundred_come_back_apart(self) -> None:
         """Guards against a fleet that comes back at one moment, again and again."""
-        followers = [Follower(Catalogue(), random.Random(n)) for n in range(500)]
+        followers = [FeedFollower(Catalog(), random.Random(n)) for n in range(500)]
         for attempt in range(12):
-            waits = sorted(follower.failed() for follower in followers)
-            most = min(AGAIN_MOST, AGAIN * 2**attempt)
+            waits = sorted(follower.record_failure() for follower in followers)
+            most = min(MAX_RETRY_DELAY_MS, BASE_RETRY_DELAY_MS * 2**attempt)
             self.assertLessEqual(waits[-1], most)
             self.assertGreater(waits[0], 0.2 * most)
             busiest = max(
@@ -190,17 +192,17 @@
         newest, history = peopled(), History()
         history.start(newest.epoch, newest.version)
         catch_up(followers[0], newest, history)
-        self.assertLessEqual(followers[0].failed(), AGAIN, "what worked begins anew")
+        self.assertLessEqual(followers[0].record_failure(), BASE_RETRY_DELAY_MS, "what worked begins anew")
 
     def test_a_large_whole_is_taken_in_small_steps(self) -> None:
         """Guards against pieces that grow with the catalogue."""
-        newest = Catalogue(epoch=1)
+        newest = Catalog(epoch=1)
         edits = [Edit(Kind.TENANT, "big", Head()), Edit(Kind.PLAN, "p", Plan(1.0, 1.0))]
-        newest = apply(newest, Change("big", tuple(edits))).catalogue
-        newest = apply(
+        newest = apply_change(newest, Change("big", tuple(edits))).catalog
+        newest = apply_change(
             newest, Change("big", tuple(Edit(Kind.CLIENT, f"c{n}", Client("p")) for n in range(900)))
-        ).catalogue
-        lines = list(whole_lines(newest))
+        ).catalog
+        lines = list(snapshot_lines(newest))
         self.assertEqual(len(lines), 2 + -(-902 // 200))
         self.assertLess(max(map(len, lines)), 20_000)
-        self.assertEqual(seen(read_whole(iter(lines))), seen(newest))
+        self.assertEqual(seen(read_snapshot(iter(lines))), seen(newest))
--- a/tests/catalog/test_sets.py
+++ b/tests/catalog/test_gateway_sets.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.catalog.sets import gateways_of
+from hallhitch.catalog.gateway_sets import assigned_gateways
 
 NAMES = st.sets(st.text("abcdef0123456789", min_size=1, max_size=6), min_size=1, max_size=12)
 
@@ -19,15 +19,15 @@
     @given(NAMES, st.integers(1, 14), st.randoms(use_true_random=False))
     def test_all_agree(self, names: set[str], spread: int, order: object) -> None:
         """Guards against gateways that count a client's share by different sets, as they list each other otherwise."""
-        once = gateways_of("acme", "c1", sorted(names), spread)
-        self.assertEqual(once, gateways_of("acme", "c1", sorted(names, reverse=True), spread))
+        once = assigned_gateways("acme", "c1", sorted(names), spread)
+        self.assertEqual(once, assigned_gateways("acme", "c1", sorted(names, reverse=True), spread))
         self.assertEqual(len(once), min(spread, len(names)))
         self.assertEqual(len(set(once)), len(once))
 
     @given(NAMES, st.integers(1, 5), st.text("xyz", min_size=1, max_size=4))
     def test_one_that_joins_pushes_out_one_at_most(self, names: set[str], spread: int, fresh: str) -> None:
         """Guards against sets that move though nothing in them changed."""
-        before, after = (gateways_of("acme", "c1", all_, spread) for all_ in (names, names | {fresh}))
+        before, after = (assigned_gateways("acme", "c1", all_, spread) for all_ in (names, names | {fresh}))
         if fresh in after:
             self.assertLessEqual(len(set(before) - set(after)), 1)
         else:
@@ -39,8 +39,8 @@
         """Guards against a fleet's change that moves more clients' quotas than the change itself."""
         ten = [f"gateway-{n}" for n in range(10)]
         clients = [f"{n:016x}" for n in range(4000)]
-        before = {client: gateways_of("acme", client, ten, 3) for client in clients}
-        after = {client: gateways_of("acme", client, [*ten, "gateway-10"], 3) for client in clients}
+        before = {client: assigned_gateways("acme", client, ten, 3) for client in clients}
+        after = {client: assigned_gateways("acme", client, [*ten, "gateway-10"], 3) for client in clients}
         moved = sum(len(set(before[c]) - set(after[c])) for c in clients) / (3 * len(clients))
         self.assertLess(abs(moved - 1 / 11), 0.012, "one place in eleven")
         loads = Counter(gateway for gateways in before.values() for gateway in gateways)
@@ -51,10 +51,13 @@
     def test_tenants_share_no_order(self) -> None:
         """Guards against one tenant's clients all lying where another's of the same names lie."""
         names = [f"gateway-{n}" for n in range(8)]
-        same = sum(gateways_of("acme", f"{n}", names, 2) == gateways_of("bolt", f"{n}", names, 2) for n in range(500))
+        same = sum(
+            assigned_gateways("acme", f"{n}", names, 2) == assigned_gateways("bolt", f"{n}", names, 2)
+            for n in range(500)
+        )
         self.assertLess(same, 25)
 
     def test_no_set_is_empty(self) -> None:
         """Guards against a client without a gateway."""
         with self.assertRaises(ValueError):
-            gateways_of("acme", "c1", ["a"], 0)
+            assigned_gateways("acme", "c1", ["a"], 0)
--- a/tests/catalog/test_admission.py
+++ b/tests/catalog/test_tenant_fairness.py
@@ -10,7 +10,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.catalog.admission import RESERVE, SAVED_MOST, Begin, Places, TurnedAway, Turns
+from hallhitch.catalog.tenant_fairness import (
+    MAX_SAVED_MS,
+    RESERVED_SLOT_RATIO,
+    Admitted,
+    FairQueue,
+    Rejected,
+    TenantSlots,
+)
 
 TENANTS = {"a": 1.0, "b": 2.0, "c": 0.5}
 OPS = st.lists(st.tuples(st.sampled_from(["take", "give"]), st.sampled_from(sorted(TENANTS))), max_size=120)
@@ -22,48 +29,48 @@
     @given(OPS, st.integers(1, 30), st.integers(1, 30))
     def test_shares_hold_whatever_comes(self, ops: list[tuple[str, str]], total: int, most: int) -> None:
         """Guards against places made or lost, and a tenant kept from its share by one that holds more than its own."""
-        places, held = Places(total), Counter[str]()
+        places, held = TenantSlots(total), Counter[str]()
         for what, tenant in ops:
             if what == "give" and held[tenant]:
-                places.give(tenant)
+                places.release(tenant)
                 held[tenant] -= 1
             elif what == "take":
                 free, share = places.free, places.share(tenant, TENANTS[tenant])
-                got = places.take(tenant, TENANTS[tenant], most)
+                got = places.acquire(tenant, TENANTS[tenant], most)
                 own = held[tenant] + 1 <= share
-                self.assertEqual(got, held[tenant] < most and free > 0 and (own or free > RESERVE * total))
+                self.assertEqual(got, held[tenant] < most and free > 0 and (own or free > RESERVED_SLOT_RATIO * total))
                 held[tenant] += got
             self.assertEqual(places.free, total - sum(held.values()))
             self.assertEqual({t: places.held(t) for t in TENANTS}, {t: held[t] for t in TENANTS})
             weights = sum(TENANTS[t] for t in TENANTS if held[t])
-            self.assertAlmostEqual(places._weight, weights)
+            self.assertAlmostEqual(places._total_weight, weights)
 
     def test_a_flood_leaves_room_for_who_comes_late(self) -> None:
         """Guards against a tenant that takes all places before another asks for its first."""
-        places = Places(100)
-        self.assertEqual(sum(places.take("flood", 1.0, 1000) for _ in range(500)), 90, "all but the reserve")
-        self.assertEqual(sum(places.take("quiet", 1.0, 1000) for _ in range(50)), 10)
+        places = TenantSlots(100)
+        self.assertEqual(sum(places.acquire("flood", 1.0, 1000) for _ in range(500)), 90, "all but the reserve")
+        self.assertEqual(sum(places.acquire("quiet", 1.0, 1000) for _ in range(50)), 10)
         for _ in range(89):  # what the flood gives back goes to the other until each has its share
-            places.give("flood")
-            places.take("flood", 1.0, 1000)
-            places.take("quiet", 1.0, 1000)
+            places.release("flood")
+            places.acquire("flood", 1.0, 1000)
+            places.acquire("quiet", 1.0, 1000)
         self.assertGreaterEqual(places.held("quiet"), 45)
 
     def test_no_place_is_made(self) -> None:
         """Guards against a place given back twice."""
-        places = Places(2)
+        places = TenantSlots(2)
         with self.assertRaises(ValueError):
-            places.give("a")
+            places.release("a")
         with self.assertRaises(ValueError):
-            Places(0)
+            TenantSlots(0)
 
 
-def drain(turns: Turns, now: float, until: float) -> list[tuple[float, Begin | TurnedAway]]:
+def drain(turns: FairQueue, now: float, until: float) -> list[tuple[float, Admitted | Rejected]]:
     """Turns until a time."""
     found = []
-    while (at := turns.next_at(now)) is not None and at <= until:
+    while (at := turns.next_dispatch_at_ms(now)) is not None and at <= until:
         now = max(now, at) + 1e-6
-        found += [(now, one) for one in turns.turn(now)]
+        found += [(now, one) for one in turns.dispatch(now)]
     return found
 
 
@@ -72,13 +79,13 @@
 
     def test_shares_follow_weights_while_both_want(self) -> None:
         """Guards against turns by who asks most, and by who asks first."""
-        turns = Turns(0.0, 1.0)
+        turns = FairQueue(0.0, 1.0)
         whose = {}
         for n in range(2000):
             tenant = "heavy" if n % 10 else "light"  # nine times as many requests
             whose[n] = tenant
-            turns.offer(0.0, tenant, 3.0 if tenant == "light" else 1.0, n, 1e9)
-        begun = [whose[one.id] for _, one in drain(turns, 0.0, 220.0) if isinstance(one, Begin)]
+            turns.enqueue(0.0, tenant, 3.0 if tenant == "light" else 1.0, n, 1e9)
+        begun = [whose[one.id] for _, one in drain(turns, 0.0, 220.0) if isinstance(one, Admitted)]
         served = Counter(begun[:120])
         self.assertAlmostEqual(served["light"] / served["heavy"], 3.0, delta=0.25)
 
@@ -90,7 +97,7 @@
 
     def flood(self, cost: float) -> None:
         """Ten seconds of a quiet tenant's 10 requests a second beside 1,000."""
-        draw, turns = random.Random(7), Turns(0.0, 0.8)
+        draw, turns = random.Random(7), FairQueue(0.0, 0.8)
         asks = [(n * 100.0 + draw.random() * 20, "quiet") for n in range(100)]
         asks += [(draw.random() * 10_000, "flood") for _ in range(10_000)]
         asks.sort()
@@ -101,22 +108,22 @@
         def told(at: float, found: list[Any]) -> None:
             for one in found:
                 tenant = whose[one.id]
-                if isinstance(one, Begin):
-                    turns.spent(tenant, costs[tenant], one.cost)
+                if isinstance(one, Admitted):
+                    turns.record_cost(tenant, costs[tenant], one.cost_ms)
                     if tenant == "quiet":
                         waits.append(at - came[one.id])
                 else:
                     away[tenant] += 1
-                    self.assertGreater(one.advice, 0)
+                    self.assertGreater(one.retry_after_ms, 0)
 
         now = 0.0
         for n, (at, tenant) in enumerate(asks):
-            while (due := turns.next_at(now)) is not None and due < at:
+            while (due := turns.next_dispatch_at_ms(now)) is not None and due < at:
                 now = max(now, due) + 1e-6
-                told(now, turns.turn(now))
+                told(now, turns.dispatch(now))
             now = max(now, at)
             came[n], whose[n] = now, tenant
-            told(now, turns.offer(now, tenant, 1.0, n, 300.0))
+            told(now, turns.enqueue(now, tenant, 1.0, n, 300.0))
         self.assertEqual(away["quiet"], 0)
         self.assertEqual(len(waits), 100)
         self.assertLess(max(waits), 4 * cost + 4, "one request of the other in the way, and its own")
@@ -124,13 +131,13 @@
 
     def test_what_cannot_be_served_in_time_is_told_at_once(self) -> None:
         """Guards against requests queued past their use, and advice that brings their clients back too soon."""
-        turns = Turns(0.0, 0.5)
-        found = [turns.offer(0.0, "a", 1.0, n, 100.0) for n in range(200)]
-        away = [one for each in found for one in each if isinstance(one, TurnedAway)]
+        turns = FairQueue(0.0, 0.5)
+        found = [turns.enqueue(0.0, "a", 1.0, n, 100.0) for n in range(200)]
+        away = [one for each in found for one in each if isinstance(one, Rejected)]
         self.assertGreater(len(away), 100)
-        self.assertTrue(all(one.advice > 100.0 for one in away))
+        self.assertTrue(all(one.retry_after_ms > 100.0 for one in away))
         begun = [one for _, one in drain(turns, 0.0, 1000.0)]
-        late = [one for one in begun if isinstance(one, TurnedAway)]
+        late = [one for one in begun if isinstance(one, Rejected)]
         self.assertLessEqual(len(late), 2, "whoever was let wait has its turn")
 
     @given(
@@ -145,7 +152,7 @@
     )
     def test_each_request_is_told_once(self, ops: list[tuple[str, str, float]]) -> None:
         """Guards against a request that is lost in the queue, begun twice, or begun once its client has gone."""
-        turns, now = Turns(0.0), 0.0
+        turns, now = FairQueue(0.0), 0.0
         open_: dict[int, str] = {}
 
         def told(found: list[Any]) -> None:
@@ -156,31 +163,31 @@
         for number, (what, tenant, value) in enumerate(ops):
             if what == "offer":
                 open_[number] = tenant
-                told(turns.offer(now, tenant, TENANTS[tenant], number, value * 3))
+                told(turns.enqueue(now, tenant, TENANTS[tenant], number, value * 3))
             elif what == "turn":
                 now += value
-                told(turns.turn(now))
+                told(turns.dispatch(now))
             elif what == "gone" and open_:
                 id = next(iter(open_))
-                self.assertTrue(turns.withdraw(open_.pop(id), id))
+                self.assertTrue(turns.cancel(open_.pop(id), id))
             elif what == "spent":
-                turns.spent(tenant, value / 10, value / 20)
+                turns.record_cost(tenant, value / 10, value / 20)
             elif what == "forget":
-                told(turns.forget(tenant))
-        while (at := turns.next_at(now)) is not None:
+                told(turns.remove_tenant(tenant))
+        while (at := turns.next_dispatch_at_ms(now)) is not None:
             now = max(now, at) + 0.001
-            told(turns.turn(now))
+            told(turns.dispatch(now))
         self.assertEqual(open_, {})
-        self.assertAlmostEqual(turns._weight, 0.0)
+        self.assertAlmostEqual(turns._queued_weight, 0.0)
 
     def test_idleness_saves_nothing_up(self) -> None:
         """Guards against a tenant that, quiet for an hour, then has the gateway for itself for as long."""
-        turns = Turns(0.0, 1.0)
+        turns = FairQueue(0.0, 1.0)
         for n in range(500):
-            turns.offer(n * 2.0, "busy", 1.0, n, 1e9)
+            turns.enqueue(n * 2.0, "busy", 1.0, n, 1e9)
         now, whose = 1000.0, {}
         for n in range(1000, 1200):
             whose[n] = "late" if n % 2 else "busy"
-            turns.offer(now, whose[n], 1.0, n, 1e9)
-        begun = Counter(whose[one.id] for _, one in drain(turns, now, now + SAVED_MOST + 60) if one.id in whose)
+            turns.enqueue(now, whose[n], 1.0, n, 1e9)
+        begun = Counter(whose[one.id] for _, one in drain(turns, now, now + MAX_SAVED_MS + 60) if one.id in whose)
         self.assertLess(abs(begun["late"] - begun["busy"]), 25)
--- a/tests/catalog_sync/test_saved.py
+++ b/tests/catalog_sync/test_catalog_cache.py
@@ -10,47 +10,47 @@
 import unittest
 from pathlib import Path
 
-from hallhitch.catalog.changes import Change, Edit, apply
-from hallhitch.catalog.feed import read_whole, whole_lines
-from hallhitch.catalog.model import Catalogue, Kind, Plan
-from hallhitch.catalog_sync.saved import Saved
-from tests.catalog.test_catalogue import peopled
+from hallhitch.catalog.changes import Change, Edit, apply_change
+from hallhitch.catalog.feed import read_snapshot, snapshot_lines
+from hallhitch.catalog.model import Catalog, Kind, Plan
+from hallhitch.catalog_sync.catalog_cache import CatalogCache
+from tests.catalog.test_changes import peopled
 from tests.stand_ins import ROOT
 
 WRITER = """
 import sys
 from pathlib import Path
-from hallhitch.catalog_sync.saved import Saved
-from tests.catalog_sync.test_saved import grown
-saved = Saved(Path(sys.argv[1]))
+from hallhitch.catalog_sync.catalog_cache import CatalogCache
+from tests.catalog_sync.test_catalog_cache import grown
+saved = CatalogCache(Path(sys.argv[1]))
 held = saved.load()
 version = held.version if held else 0
 print("from", version, flush=True)
 while True:
     version += 1
-    assert saved.keep(grown(version))
+    assert saved.save(grown(version))
     print(version, flush=True)
 """
 FULL = """
 import resource, signal, sys
 from pathlib import Path
-from hallhitch.catalog_sync.saved import Saved
-from tests.catalog_sync.test_saved import grown
+from hallhitch.catalog_sync.catalog_cache import CatalogCache
+from tests.catalog_sync.test_catalog_cache import grown
 signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
 resource.setrlimit(resource.RLIMIT_FSIZE, (700, 700))
-print(Saved(Path(sys.argv[1])).keep(grown(9)))
+print(CatalogCache(Path(sys.argv[1])).save(grown(9)))
 """
 
 
-def grown(version: int) -> Catalogue:
+def grown(version: int) -> Catalog:
     """A catalogue of that version, unlike all others."""
-    base = apply(peopled(), Change("a", (Edit(Kind.PLAN, "y", Plan(float(version), 1.0)),))).catalogue
-    return Catalogue(base.epoch, version, base.tenants, base.operators, base.hosts, base.sum)
+    base = apply_change(peopled(), Change("a", (Edit(Kind.PLAN, "y", Plan(float(version), 1.0)),))).catalog
+    return Catalog(base.epoch, version, base.tenants, base.operators, base.hosts, base.checksum)
 
 
-def rate(catalogue: Catalogue) -> float:
+def rate(catalog: Catalog) -> float:
     """What tells one version's content from another's."""
-    kept = catalogue.get("a", Kind.PLAN, "y")
+    kept = catalog.get("a", Kind.PLAN, "y")
     assert kept is not None
     return float(kept.value.rate)
 
@@ -65,16 +65,16 @@
 
     def test_it_comes_back_as_it_was(self) -> None:
         """Guards against a start from something else than what was followed, and versions that go back."""
-        saved = Saved(self.path)
+        saved = CatalogCache(self.path)
         self.assertIsNone(saved.load())
-        self.assertTrue(saved.keep(grown(7)))
-        self.assertFalse(saved.keep(grown(7)))
-        self.assertFalse(saved.keep(grown(6)), "older")
-        again = Saved(self.path)
+        self.assertTrue(saved.save(grown(7)))
+        self.assertFalse(saved.save(grown(7)))
+        self.assertFalse(saved.save(grown(6)), "older")
+        again = CatalogCache(self.path)
         found = again.load()
         assert found is not None
         self.assertEqual((found.version, rate(found)), (7, 7.0))
-        self.assertFalse(again.keep(grown(6)), "older than what the file holds")
+        self.assertFalse(again.save(grown(6)), "older than what the file holds")
 
     def test_killed_at_any_moment(self) -> None:
         """Guards against a file that is cut off, mixed, or older than what was acknowledged."""
@@ -91,18 +91,18 @@
                 process.send_signal(signal.SIGKILL)
                 for line in process.stdout:  # said before it died
                     last = int(line)
-            found = Saved(self.path).load()
+            found = CatalogCache(self.path).load()
             assert found is not None
             self.assertIn(found.version, (last, last + 1))
             self.assertEqual(rate(found), float(found.version), "one version whole")
 
     def test_any_damage_is_put_aside(self) -> None:
         """Guards against a start from a damaged catalogue, and against one that is lost with the evidence."""
-        good = b"".join(whole_lines(grown(3)))
+        good = b"".join(snapshot_lines(grown(3)))
         for place in range(0, len(good), 23):
             for damaged in (good[:place], good[:place] + bytes([good[place] ^ 1]) + good[place + 1 :]):
                 self.path.write_bytes(damaged)
-                found = Saved(self.path).load()
+                found = CatalogCache(self.path).load()
                 if found is None:
                     self.assertFalse(self.path.exists())
                     aside = next(self.path.parent.glob("catalogue.damaged-*"))
@@ -113,22 +113,22 @@
 
     def test_a_full_disk_leaves_what_was_there(self) -> None:
         """Guards against a gateway that loses its catalogue, or its process, to a disk without room."""
-        Saved(self.path).keep(grown(4))
+        CatalogCache(self.path).save(grown(4))
         done = subprocess.run([sys.executable, "-c", FULL, str(self.path)], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertIn("False", done.stdout)
         self.assertIn("not saved", done.stdout + done.stderr)
-        found = Saved(self.path).load()
+        found = CatalogCache(self.path).load()
         assert found is not None
         self.assertEqual(rate(found), 4.0)
         self.assertEqual([p.name for p in self.path.parent.iterdir()], ["catalogue"])
 
     def test_half_written_beside_is_cleared(self) -> None:
         """Guards against leftovers of a killed writer that pile up, or are read."""
-        Saved(self.path).keep(grown(4))
+        CatalogCache(self.path).save(grown(4))
         self.path.with_name("catalogue.new").write_bytes(b'{"whole"')
-        found = Saved(self.path).load()
+        found = CatalogCache(self.path).load()
         assert found is not None
         self.assertEqual(found.version, 4)
         self.assertFalse(self.path.with_name("catalogue.new").exists())
-        self.assertEqual(read_whole(iter(self.path.read_bytes().splitlines(True))).version, 4)
+        self.assertEqual(read_snapshot(iter(self.path.read_bytes().splitlines(True))).version, 4)
--- a/tests/catalog_sync/test_link.py
+++ b/tests/catalog_sync/test_feed_client.py
@@ -10,9 +10,9 @@
 
 import httpx
 
-from hallhitch.catalog.model import Catalogue, Kind
-from hallhitch.catalog_sync.link import Link, trusting
-from hallhitch.catalog_sync.saved import Saved
+from hallhitch.catalog.model import Catalog, Kind
+from hallhitch.catalog_sync.catalog_cache import CatalogCache
+from hallhitch.catalog_sync.feed_client import FeedClient, client_tls_context
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
 from tests.administration_plane import ControlCase, ControlPlane, change, seed
@@ -22,7 +22,9 @@
 
 def shown_by(plane: ControlPlane, certificate: Path) -> ssl.SSLContext:
     """TLS to a control plane with a client certificate."""
-    return trusting(str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key")))
+    return client_tls_context(
+        str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
+    )
 
 
 class Following:
@@ -30,25 +32,25 @@
 
     def __init__(self, plane: Any, name: str, certificate: Path) -> None:
         self.name, self.plane = name, plane
-        self.applied: list[Catalogue] = []
+        self.applied: list[Catalog] = []
         self._news = asyncio.Event()
         context = shown_by(plane, certificate)
         self.path = plane.folder / f"{name}.catalogue"
-        self.link = Link(plane.url, context, name, Saved(self.path), self._take)
+        self.link = FeedClient(plane.url, context, name, CatalogCache(self.path), self._take)
         self.task = asyncio.create_task(self.link.run())
 
-    def _take(self, made: Catalogue) -> None:
+    def _take(self, made: Catalog) -> None:
         self.applied.append(made)
         self._news.set()
         self._news = asyncio.Event()
 
-    async def until(self, version: str) -> Catalogue:
+    async def until(self, version: str) -> Catalog:
         """Wait until a version (or a later one of its epoch, or a later epoch) is applied."""
         epoch, _, number = version.partition(".")
-        while self.link._follower.holds < (int(epoch), int(number)):
+        while self.link._follower.version < (int(epoch), int(number)):
             news = self._news
             await soon(news.wait())
-        return self.link.held
+        return self.link.catalog
 
     async def stop(self) -> None:
         """End as a gateway does."""
@@ -81,9 +83,9 @@
         self.assertEqual(made.status_code, 200, made.text)
         return await self.status()
 
-    def rate_of(self, catalogue: Catalogue) -> float:
+    def rate_of(self, catalog: Catalog) -> float:
         """The same at a gateway."""
-        kept = catalogue.get("acme", Kind.PLAN, "small-shop")
+        kept = catalog.get("acme", Kind.PLAN, "small-shop")
         assert kept is not None
         return float(kept.value.rate)
 
@@ -105,7 +107,7 @@
         self.assertEqual((told["applied"], told["counted"]), (2, 2))
         self.assertEqual([g["name"] for g in told["gateways"]], ["one", "two"])
         self.assertEqual((await self.progress(f"{2**40}.1"))["state"], "pending")
-        self.assertFalse(one.link.held.operators)
+        self.assertFalse(one.link.catalog.operators)
         await two.stop()
         while len((await self.progress(version))["gateways"]) > 1:
             await asyncio.sleep(0)
@@ -144,7 +146,7 @@
         done = await asyncio.to_thread(command, *arguments[:5], "20", *arguments[6:])
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertIn("complete: applied by 1 of 1 gateways", done.stdout)
-        self.assertEqual(self.rate_of(one.link.held), 7.0)
+        self.assertEqual(self.rate_of(one.link.catalog), 7.0)
 
     async def test_the_control_plane_dies_and_comes_back(self) -> None:
         """Guards against gateways that end with their control plane, or stay behind once it is back."""
