--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -30,8 +30,10 @@
 from benchmarks.resident import resident
 from hallhitch.administration.backups import backup
 from hallhitch.administration.settings import ControlSettings
-from hallhitch.administration.store import SNAPSHOT_CHUNK_ROWS, columns_checksum, connect, write_snapshot_head
+from hallhitch.administration.store import SNAPSHOT_CHUNK_ROWS, write_snapshot_head
+from hallhitch.administration.store_files import connect
 from hallhitch.administration.store_folder import open_store
+from hallhitch.administration.store_records import columns_checksum
 from hallhitch.catalog.draft import build_catalog
 from hallhitch.catalog.history import encode_rows
 from hallhitch.catalog.model import Client, Credential, Head, Kind, Limits, Plan, Scope, Verifier
--- a/hallhitch/administration/__init__.py
+++ b/hallhitch/administration/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: the store of the catalogue, the one writer, the administration API. No live traffic."""
+"""Administration of the hosted service: the catalog's store, its one writer, the HTTP API. No live traffic."""
--- a/hallhitch/administration/api/calls.py
+++ b/hallhitch/administration/api/calls.py
@@ -18,16 +18,9 @@
 from hallhitch.administration.api import views
 from hallhitch.administration.api.json_bodies import apply_merge_patch, parse_strict
 from hallhitch.administration.api.problems import ProblemError, not_found, problem_from_refusal
-from hallhitch.administration.writer import (
-    Call,
-    CredentialNoLongerValid,
-    IdempotencyKeyReused,
-    PlannedChange,
-    Reply,
-    WriteQueueFull,
-    Writer,
-    WriterHalted,
-)
+from hallhitch.administration.errors import CredentialNoLongerValid, IdempotencyKeyReused, WriteQueueFull, WriterHalted
+from hallhitch.administration.write_calls import Call, PlannedChange, Reply
+from hallhitch.administration.writer import Writer
 from hallhitch.catalog.access import Principal
 from hallhitch.catalog.changes import Change, ChangeRefused, Edit
 from hallhitch.catalog.model import VALUE_TYPES, Catalog, Kind, Versioned
--- a/hallhitch/administration/api/feed_resources.py
+++ b/hallhitch/administration/api/feed_resources.py
@@ -13,7 +13,8 @@
 from hallhitch.administration.api.calls import Conn, service_of
 from hallhitch.administration.api.problems import ProblemError
 from hallhitch.administration.api.resources import CHANGE_ERRORS, READ_ERRORS, Answer, Key, json_response
-from hallhitch.administration.feed_publisher import FeedPublisher, SnapshotTransfersFull
+from hallhitch.administration.errors import SnapshotTransfersFull
+from hallhitch.administration.feed_publisher import FeedPublisher
 from hallhitch.catalog.feed import FeedError
 from hallhitch.catalog.gateway_leases import Gateway, GatewayNameTaken
 from hallhitch.catalog.names import OPERATORS
--- a/hallhitch/administration/api/guard.py
+++ b/hallhitch/administration/api/guard.py
@@ -14,8 +14,9 @@
 from hallhitch.administration.api.json_bodies import parse_strict
 from hallhitch.administration.api.problems import ProblemError
 from hallhitch.administration.clock import WallClock
+from hallhitch.administration.errors import CheckQueueFull
 from hallhitch.administration.rate_limits import TokenBuckets
-from hallhitch.administration.secrets import CheckQueueFull, SecretChecker
+from hallhitch.administration.secrets import SecretChecker
 from hallhitch.administration.settings import ApiSettings
 from hallhitch.administration.writer import Writer
 from hallhitch.catalog.access import (
--- a/hallhitch/administration/api/resources.py
+++ b/hallhitch/administration/api/resources.py
@@ -17,7 +17,7 @@
 from hallhitch.administration.api.problems import PROBLEM_MEDIA_TYPE, Problem, ProblemError, not_found
 from hallhitch.administration.secrets import SecretChecker, new_secret
 from hallhitch.administration.store import SqliteStore
-from hallhitch.administration.writer import PlannedChange, Reply
+from hallhitch.administration.write_calls import PlannedChange, Reply
 from hallhitch.catalog.access import Token, Verdict, authorize
 from hallhitch.catalog.changes import Change, ChangeRefused, Edit
 from hallhitch.catalog.model import (
--- a/hallhitch/administration/backups.py
+++ b/hallhitch/administration/backups.py
@@ -1,6 +1,7 @@
-"""Backup, restore and verification of a store's folder.
+"""Backup, restore and verification of a store's database.
 
-A restored store begins a later epoch, so that versions told to gateways before it never seem to come again.
+A restored store begins a later epoch than any it can know of, so that no version that gateways hold comes again with
+other content.
 """
 
 from __future__ import annotations
@@ -10,132 +11,139 @@
 import sqlite3
 import time
 from pathlib import Path
+from typing import Final
 
-from hallhitch.administration.store import (
+from hallhitch.administration.errors import CorruptStoreError, StoreError
+from hallhitch.administration.store import SNAPSHOT_CHUNK_ROWS, write_snapshot_head
+from hallhitch.administration.store_files import (
     DATABASE_FILE,
     RESTORE_FILE,
-    SNAPSHOT_CHUNK_ROWS,
     SUPERSEDED_PREFIX,
-    CorruptStoreError,
-    LoadResult,
-    StoreError,
     StoreLock,
     connect,
-    load,
-    migrate,
-    write_snapshot_head,
+    sync_folder,
 )
-from hallhitch.administration.store import columns_checksum as digest_of
+from hallhitch.administration.store_records import columns_checksum
+from hallhitch.administration.store_recovery import LoadResult, load
+from hallhitch.administration.store_schema import migrate
 from hallhitch.catalog.history import encode_rows
 from hallhitch.catalog.model import Catalog
-from hallhitch.catalog.rows import Row, catalog_rows
+from hallhitch.catalog.rows import catalog_rows
 
-BACKUP_STEP_PAGES = 512  # of a backup's step: writers get their turn between two
-
-
-def sync_folder(folder: Path) -> None:
-    """Make renames in a folder durable."""
-    handle = os.open(folder, os.O_RDONLY)
-    try:
-        os.fsync(handle)
-    finally:
-        os.close(handle)
+BACKUP_STEP_PAGES: Final = 512  # copied at a time: writers get their turn between two steps
 
 
 def backup(folder: Path, target: Path) -> LoadResult:
-    """Copy a store, in use or not, to a new file, and verify the copy. It appears whole or not at all."""
+    """Copy a store, in use or not, to a new file, and verify the copy; the file appears complete or not at all.
+
+    Raises:
+        StoreError: The target exists, the store cannot be read or the copy not be written.
+        CorruptStoreError: The copy does not verify.
+    """
     if target.exists():
-        raise StoreError(f"{target}: exists; a backup overwrites nothing")
-    half = target.with_name(target.name + ".tmp")
+        raise StoreError(target, "exists; a backup overwrites nothing")
+    temporary = target.with_name(target.name + ".tmp")
     source = connect(folder / DATABASE_FILE, readonly=True)
     try:
-        half.unlink(missing_ok=True)
-        with contextlib.closing(sqlite3.connect(half)) as copy:
+        temporary.unlink(missing_ok=True)
+        with contextlib.closing(sqlite3.connect(temporary)) as copy:
             source.backup(copy, pages=BACKUP_STEP_PAGES)
             copy.execute("PRAGMA journal_mode=DELETE")
-        found = verify(half)
-        with open(half, "rb") as file:
-            os.fsync(file.fileno())
-        os.rename(half, target)
+        loaded = verify(temporary)
+        _sync_file(temporary)
+        os.rename(temporary, target)
         sync_folder(target.parent)
-        return found
+        return loaded
     except (sqlite3.Error, OSError) as error:
-        raise StoreError(f"{target}: {error}") from error
+        raise StoreError(target, error) from error
     finally:
         source.close()
-        half.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
 
 
 def verify(path: Path) -> LoadResult:
-    """Check every page and every row of a store's file; Damaged names what does not fit."""
+    """Verify each page and each row of a database file.
+
+    Raises:
+        CorruptStoreError: Names the first row that does not fit.
+    """
     db = connect(path, readonly=True)
     try:
-        (said,) = db.execute("PRAGMA integrity_check(1)").fetchone()
-        if said != "ok":
-            raise CorruptStoreError(f"{path}: {said}")
-        found = load(db, path)
-        for actor, key, at, asked, body, kept in db.execute("SELECT * FROM answer"):
-            if digest_of(actor, key, at, asked, body) != kept:
-                raise CorruptStoreError(f"{path}: table answer, actor {actor}, key {key}: the checksum does not fit")
-        return found
+        (result,) = db.execute("PRAGMA integrity_check(1)").fetchone()
+        if result != "ok":
+            raise CorruptStoreError(path, result)
+        loaded = load(db, path)
+        for actor, key, at_ms, fingerprint, body, checksum in db.execute("SELECT * FROM answer"):
+            if columns_checksum(actor, key, at_ms, fingerprint, body) != checksum:
+                raise CorruptStoreError(f"{path}: table answer, actor {actor}, key {key}", "the checksum does not fit")
+        return loaded
     except sqlite3.Error as error:
-        raise CorruptStoreError(f"{path}: {error}") from error
+        raise CorruptStoreError(path, error) from error
     finally:
         db.close()
 
 
 def restore(folder: Path, source: Path, at_least: int = 0) -> Catalog:
-    """Put a backup in a store's place, in a later epoch than any it can know of.
+    """Put a backup in a store's place, in a later epoch than any it can know of, and return its catalog.
+
+    The database that was there is moved aside, not deleted. `at_least` is an epoch that gateways are known to hold.
 
-    What stood there is moved aside, not deleted. `at_least` is an epoch that gateways are known to hold.
+    Raises:
+        StoreError: The store is in use or cannot be written.
+        CorruptStoreError: The backup does not verify.
     """
     lock = StoreLock(folder)
     try:
-        found = verify(source)
-        epoch = max(found.catalog.epoch, at_least, _latest_epoch(folder)) + 1
+        loaded = verify(source)
+        epoch = max(loaded.catalog.epoch, at_least, _latest_epoch(folder)) + 1
         # Seconds of the clock too: a backup restored twice, on new folders, must give two epochs.
         epoch = max(epoch, int(time.time()))
-        half = folder / RESTORE_FILE
-        half.unlink(missing_ok=True)
+        temporary = folder / RESTORE_FILE
+        temporary.unlink(missing_ok=True)
         with (
             contextlib.closing(connect(source, readonly=True)) as old,
-            contextlib.closing(sqlite3.connect(half, isolation_level=None)) as db,
+            contextlib.closing(sqlite3.connect(temporary, isolation_level=None)) as db,
         ):
             old.backup(db)
-            migrate(db, half)
-            made = _rewrite_in_epoch(db, found.catalog, epoch)
+            migrate(db, temporary)
+            catalog = _rewrite_in_epoch(db, loaded.catalog, epoch)
             db.execute("PRAGMA journal_mode=DELETE")
-        with open(half, "rb") as file:
-            os.fsync(file.fileno())
-        _replace_database(folder, half)
-        return made
+        _sync_file(temporary)
+        _replace_database(folder, temporary)
+        return catalog
     except (sqlite3.Error, OSError) as error:
-        raise StoreError(f"{folder}: {error}") from error
+        raise StoreError(folder, error) from error
     finally:
         lock.release()
 
 
-def _rewrite_in_epoch(db: sqlite3.Connection, was: Catalog, epoch: int) -> Catalog:
-    """The same state as the first snapshot of a later epoch; the log of the earlier ends with it."""
-    made = Catalog(epoch, was.version, was.tenants, was.operators, was.hosts, was.checksum)
+def _sync_file(path: Path) -> None:
+    with open(path, "rb") as file:
+        os.fsync(file.fileno())
+
+
+def _rewrite_in_epoch(db: sqlite3.Connection, base: Catalog, epoch: int) -> Catalog:
+    """Write the same state as the first snapshot of a later epoch; the log of the earlier epoch is deleted."""
+    catalog = Catalog(epoch, base.version, base.tenants, base.operators, base.hosts, base.checksum)
     db.execute("BEGIN IMMEDIATE")
-    (last,) = db.execute("SELECT coalesce(max(id), 0) FROM snapshot").fetchone()
+    (last_id,) = db.execute("SELECT coalesce(max(id), 0) FROM snapshot").fetchone()
     db.execute("DELETE FROM snapshot")
     db.execute("DELETE FROM piece")
     db.execute("DELETE FROM change")
-    rows: list[Row] = list(catalog_rows(made))
-    pieces = 0
+    id = last_id + 1
+    rows = list(catalog_rows(catalog))
+    chunks = 0
     for start in range(0, len(rows), SNAPSHOT_CHUNK_ROWS):
         body = encode_rows(rows[start : start + SNAPSHOT_CHUNK_ROWS])
-        db.execute("INSERT INTO piece VALUES (?,?,?,?)", (last + 1, pieces, body, digest_of(last + 1, pieces, body)))
-        pieces += 1
-    write_snapshot_head(db, last + 1, made, pieces)
+        db.execute("INSERT INTO piece VALUES (?,?,?,?)", (id, chunks, body, columns_checksum(id, chunks, body)))
+        chunks += 1
+    write_snapshot_head(db, id, catalog, chunks)
     db.execute("COMMIT")
-    return made
+    return catalog
 
 
 def _latest_epoch(folder: Path) -> int:
-    """The epoch of what stands in a folder, as far as it can be read."""
+    """Return the epoch of the database in a directory; 0 where it cannot be read."""
     try:
         with contextlib.closing(connect(folder / DATABASE_FILE, readonly=True)) as db:
             row = db.execute(
@@ -146,8 +154,8 @@
         return 0
 
 
-def _replace_database(folder: Path, half: Path) -> None:
-    """Move the old files aside and the new one in; a start in between finds `half` and says so."""
+def _replace_database(folder: Path, restored: Path) -> None:
+    """Move the old files aside and the restored one in; a start in between sees RESTORE_FILE and reports it."""
     number = 1 + sum(1 for _ in folder.glob(f"{SUPERSEDED_PREFIX}-*"))
     aside = folder / f"{SUPERSEDED_PREFIX}-{number:04}-{time.strftime('%Y%m%dT%H%M%S')}"
     aside.mkdir()
@@ -155,5 +163,5 @@
         if (folder / name).exists():
             os.rename(folder / name, aside / name)
     sync_folder(folder)
-    os.rename(half, folder / DATABASE_FILE)
+    os.rename(restored, folder / DATABASE_FILE)
     sync_folder(folder)
--- /dev/null
+++ b/hallhitch/administration/bounded_protocol.py
@@ -0,0 +1,60 @@
+"""HTTP/1.1 connections of the administration API, bounded in number and in the time that a request may take."""
+
+from __future__ import annotations
+
+import asyncio
+
+from uvicorn.protocols.http.h11_impl import H11Protocol
+
+from hallhitch.administration.settings import ApiSettings
+from hallhitch.core.invariants import COUNTS
+from hallhitch.tls.certificate_files import certificate_fingerprint
+
+
+class BoundedProtocol(H11Protocol):
+    """Connection that is refused over `limits.connections` and aborted after `limits.request_seconds` a request."""
+
+    limits: ApiSettings  # set on the subclass that a server makes
+    _request_timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
+        if len(self.connections) >= self.limits.connections:
+            COUNTS["api_connections_refused"] += 1
+            self.transport = transport
+            transport.abort()
+            return
+        super().connection_made(transport)
+        ssl_object = transport.get_extra_info("ssl_object")
+        certificate = ssl_object.getpeercert(True) if ssl_object is not None else None
+        if certificate:
+            self.app_state = {**self.app_state, "certificate": certificate_fingerprint(certificate)}
+        self._start_timer()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        self._stop_timer()
+        if self.flow is not None:  # a refused connection was never made
+            super().connection_lost(exc)
+
+    def data_received(self, data: bytes) -> None:
+        if self.transport.is_closing():
+            return
+        if self._request_timer is None and (self.cycle is None or self.cycle.response_complete):
+            self._start_timer()
+        super().data_received(data)
+        if self.cycle is not None and not self.cycle.more_body:
+            self._stop_timer()
+
+    def _start_timer(self) -> None:
+        self._stop_timer()
+        self._request_timer = self.loop.call_later(self.limits.request_seconds, self._on_request_timeout)
+
+    def _stop_timer(self) -> None:
+        if self._request_timer is not None:
+            self._request_timer.cancel()
+            self._request_timer = None
+
+    def _on_request_timeout(self) -> None:
+        COUNTS["api_slow_requests"] += 1
+        self._request_timer = None
+        if not self.transport.is_closing():
+            self.transport.abort()
--- a/hallhitch/administration/feed_publisher.py
+++ b/hallhitch/administration/feed_publisher.py
@@ -1,7 +1,7 @@
-"""The feed's publisher: who waits for news, who is sent the whole, and the table of gateways.
+"""Publisher of the catalog to gateways: waiting requests, snapshot transfers, gateways' leases.
 
-A whole costs the control plane as much as there is, so few are under way at a time and the others are told when to come
-back: a fleet that returns at once is served one after another, and administrators meanwhile as ever.
+A snapshot costs in proportion to the whole catalog, so at most MAX_SNAPSHOT_TRANSFERS are under way; further gateways
+get a time to retry. A fleet that returns at once is served a few at a time, and administrators meanwhile as ever.
 """
 
 from __future__ import annotations
@@ -11,76 +11,75 @@
 import time
 from collections.abc import AsyncIterator, Iterator
 from itertools import chain
+from typing import Final
 
+from hallhitch.administration.errors import SnapshotTransfersFull
 from hallhitch.administration.writer import Writer
 from hallhitch.catalog.feed import update_lines
 from hallhitch.catalog.gateway_leases import GatewayLeases
 from hallhitch.core.invariants import COUNTS
 
-MAX_SNAPSHOT_TRANSFERS = 4  # transfers of everything at a time
-RETRY_AFTER_RANGE_S = 1.0, 5.0  # s, drawn, after which a gateway turned away may come back
-
-
-class SnapshotTransfersFull(Exception):
-    """Too many wholes are under way; `wait` is when to come back, in s."""
-
-    def __init__(self, wait: float) -> None:
-        super().__init__(f"come back in {wait:.1f} s")
-        self.retry_after_s = wait
+MAX_SNAPSHOT_TRANSFERS: Final = 4
+MIN_RETRY_AFTER_S: Final = 1.0  # drawn between these two, so that rejected gateways come back apart
+MAX_RETRY_AFTER_S: Final = 5.0
 
 
 class FeedPublisher:
-    """Answers gateways' questions; holds no catalogue but the writer's newest."""
+    """Answers gateways' requests for updates from the writer's newest catalog; holds none of its own."""
 
     def __init__(self, writer: Writer) -> None:
-        self._writer, self.leases = writer, GatewayLeases()
+        self.leases = GatewayLeases()
+        self._writer = writer
         self._transfers = 0
         self._closing = asyncio.Event()
         self._random = random.Random()
 
     @staticmethod
     def now_ms() -> float:
-        """ms of a clock that does not step, for leases."""
+        """Return the time of a monotonic clock, for leases."""
         return time.monotonic() * 1000
 
-    async def next_update(self, epoch: int, version: int, hold: float) -> AsyncIterator[bytes] | None:
-        """What leads on from a version, once there is anything; None after `hold` s without.
+    async def next_update(self, epoch: int, version: int, hold_s: float) -> AsyncIterator[bytes] | None:
+        """Wait for a catalog later than a version and return its lines; None after `hold_s` without one.
 
-        FeedError where the gateway is ahead; Crowded where the whole is due and too many are under way.
+        Raises:
+            FeedError: The gateway is ahead of this catalog.
+            SnapshotTransfersFull: A snapshot is due, and as many as may be are under way.
         """
-        until = time.monotonic() + hold
+        deadline = time.monotonic() + hold_s
         while True:
-            news = self._writer.catalog_changed
+            catalog_changed = self._writer.catalog_changed
             lines = update_lines(self._writer.catalog, self._writer.history, epoch, version)
             if lines is not None:
                 break
-            left = until - time.monotonic()
-            if left <= 0 or self._closing.is_set():
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= 0 or self._closing.is_set():
                 return None
-            await self._wait_for_change(news, left)
+            await self._wait_for_change(catalog_changed, remaining_s)
         first = next(lines)
         if not first.startswith(b'{"whole"'):
             return _single_line(first)
         if self._transfers >= MAX_SNAPSHOT_TRANSFERS:
             COUNTS["feed_crowded"] += 1
-            raise SnapshotTransfersFull(self._random.uniform(*RETRY_AFTER_RANGE_S))
+            raise SnapshotTransfersFull(self._random.uniform(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S))
         return _SnapshotTransfer(self, first, lines)
 
-    def count_transfer(self, by: int) -> None:
-        """A whole begins or ends."""
-        self._transfers += by
+    def count_transfer(self, change: int) -> None:
+        """Count a snapshot transfer that starts (1) or ends (-1)."""
+        self._transfers += change
 
     def close(self) -> None:
-        """Answer all who wait."""
+        """Answer all requests that wait."""
         self._closing.set()
 
-    async def _wait_for_change(self, news: asyncio.Event, left: float) -> None:
-        waits = [asyncio.ensure_future(event.wait()) for event in (news, self._closing)]
+    async def _wait_for_change(self, catalog_changed: asyncio.Event, timeout_s: float) -> None:
+        """Wait until the catalog changes, the publisher closes or the time-out passes."""
+        waits = [asyncio.ensure_future(event.wait()) for event in (catalog_changed, self._closing)]
         try:
-            await asyncio.wait(waits, timeout=left, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(waits, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for one in waits:
-                one.cancel()
+            for wait in waits:
+                wait.cancel()
 
 
 async def _single_line(line: bytes) -> AsyncIterator[bytes]:
@@ -88,10 +87,11 @@
 
 
 class _SnapshotTransfer:
-    """A whole under way: it has its place from when it was granted until it ends, fails, or nobody reads it."""
+    """Snapshot on its way to a gateway; counted from its start until it ends, fails or is no longer read."""
 
     def __init__(self, publisher: FeedPublisher, first: bytes, rest: Iterator[bytes]) -> None:
-        self._publisher, self._lines = publisher, chain([first], rest)
+        self._publisher = publisher
+        self._lines = chain([first], rest)
         self._is_counted = True
         publisher.count_transfer(1)
 
@@ -99,7 +99,7 @@
         return self
 
     async def __anext__(self) -> bytes:
-        await asyncio.sleep(0)  # others have their turn between two pieces
+        await asyncio.sleep(0)  # other tasks have their turn between two chunks
         try:
             return next(self._lines)
         except StopIteration:
--- a/hallhitch/administration/rate_limits.py
+++ b/hallhitch/administration/rate_limits.py
@@ -1,4 +1,4 @@
-"""Token buckets by key, for callers' rates and their failures. Decisions over values: time comes in."""
+"""Token buckets by key, for callers' request rates and failed authentications. No clock: time comes in."""
 
 from __future__ import annotations
 
@@ -14,37 +14,40 @@
 
 
 class TokenBuckets:
-    """Buckets that hold `burst` and fill by `rate` a second; those unused for longest are forgotten past `most`.
+    """Buckets of at most `burst` tokens that fill by `rate_per_s`; past `max_keys` the least recently used go.
 
-    A forgotten bucket is a full one: with more keys than `most` in use at once, limits are looser, never tighter.
+    An evicted bucket is a full one: with more than `max_keys` in use at once, limits are looser, never tighter.
     """
 
-    def __init__(self, rate: float, burst: float, most: int = 10_000) -> None:
-        self._rate_per_s, self._burst, self._max_keys = rate, burst, most
+    def __init__(self, rate_per_s: float, burst: float, max_keys: int = 10_000) -> None:
+        self._rate_per_s = rate_per_s
+        self._burst = burst
+        self._max_keys = max_keys
         self._buckets: OrderedDict[Hashable, _Bucket] = OrderedDict()
 
-    def wait(self, key: Hashable, now: float) -> float:
-        """Seconds until there is a token; 0 if there is one now. Takes nothing."""
+    def wait(self, key: Hashable, now_s: float) -> float:
+        """Return the seconds until there is a token, 0 if there is one now; nothing is taken."""
         bucket = self._buckets.get(key)
         if bucket is None:
             return 0.0
-        self._refill(bucket, now)
+        self._refill(bucket, now_s)
         return max(0.0, (1.0 - bucket.tokens) / self._rate_per_s)
 
-    def take(self, key: Hashable, now: float) -> float:
-        """Take a token: 0, or the seconds until there is one, and then nothing is taken."""
+    def take(self, key: Hashable, now_s: float) -> float:
+        """Take a token and return 0; without one, take nothing and return the seconds until there is one."""
         bucket = self._buckets.get(key)
         if bucket is None:
-            bucket = self._buckets[key] = _Bucket(self._burst, now)
+            bucket = self._buckets[key] = _Bucket(self._burst, now_s)
             while len(self._buckets) > self._max_keys:
                 self._buckets.popitem(last=False)
         self._buckets.move_to_end(key)
-        self._refill(bucket, now)
+        self._refill(bucket, now_s)
         if bucket.tokens < 1.0:
             return (1.0 - bucket.tokens) / self._rate_per_s
         bucket.tokens -= 1.0
         return 0.0
 
-    def _refill(self, bucket: _Bucket, now: float) -> None:
-        bucket.tokens = min(self._burst, bucket.tokens + max(0.0, now - bucket.updated_at_s) * self._rate_per_s)
-        bucket.updated_at_s = max(now, bucket.updated_at_s)
+    def _refill(self, bucket: _Bucket, now_s: float) -> None:
+        elapsed_s = max(0.0, now_s - bucket.updated_at_s)
+        bucket.tokens = min(self._burst, bucket.tokens + elapsed_s * self._rate_per_s)
+        bucket.updated_at_s = max(now_s, bucket.updated_at_s)
--- a/hallhitch/administration/serve.py
+++ b/hallhitch/administration/serve.py
@@ -1,6 +1,6 @@
-"""The control plane as a process: store, writer, API over TLS, signals, housekeeping.
+"""The administration service as a process: store, writer, API over TLS, signals, housekeeping.
 
-Order at the end: no new connections, calls under way answered, what was taken made durable, the store closed.
+Shutdown order: no new connections, calls under way answered, queued changes made durable, the store closed.
 """
 
 from __future__ import annotations
@@ -13,89 +13,44 @@
 import ssl
 import time
 from collections.abc import Iterator
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, Final
 
 import structlog
 import uvicorn
-from uvicorn.protocols.http.h11_impl import H11Protocol
 
 from hallhitch.administration.api.app import create_application
+from hallhitch.administration.bounded_protocol import BoundedProtocol
 from hallhitch.administration.clock import WallClock
 from hallhitch.administration.feed_publisher import FeedPublisher
-from hallhitch.administration.secrets import SecretChecker
-from hallhitch.administration.settings import ApiSettings, ControlSettings
+from hallhitch.administration.secrets import SecretChecker, ServiceKeys
+from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.store import SqliteStore
 from hallhitch.administration.store_folder import open_store
+from hallhitch.administration.store_recovery import LoadResult
 from hallhitch.administration.writer import Writer
 from hallhitch.core.addresses import parse_address
 from hallhitch.core.invariants import COUNTS
 from hallhitch.net.sockets import open_listener
-from hallhitch.tls.certificate_files import certificate_fingerprint
 from hallhitch.tls.certificate_store import CertificateStore
 
-TLS_HANDSHAKE_TIMEOUT_S = 5.0  # seconds for TLS
-TLS_SHUTDOWN_TIMEOUT_S = 0.3  # seconds for the other side to end TLS too: an idle caller may never look
-DRAIN_TIMEOUT_S = 8.0  # seconds for calls under way at the end
-CLEANUP_INTERVAL_S = 3_600.0
+TLS_HANDSHAKE_TIMEOUT_S: Final = 5.0
+TLS_SHUTDOWN_TIMEOUT_S: Final = 0.3  # short: an idle caller may never answer close_notify
+DRAIN_TIMEOUT_S: Final = 8.0  # for calls under way at the shutdown
+CLEANUP_INTERVAL_S: Final = 3_600.0  # between deletions of expired responses
 log = structlog.get_logger()
 
 
-class BoundedProtocol(H11Protocol):
-    """A connection with bounds on how many there are and how long a whole request may take."""
-
-    limits: ApiSettings  # set on the subclass that a server makes
-    _request_timer: asyncio.TimerHandle | None = None
-
-    def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        if len(self.connections) >= self.limits.connections:
-            COUNTS["api_connections_refused"] += 1
-            self.transport = transport
-            transport.abort()
-            return
-        super().connection_made(transport)
-        shown = transport.get_extra_info("ssl_object")
-        if shown is not None and (der := shown.getpeercert(True)):
-            self.app_state = {**self.app_state, "certificate": certificate_fingerprint(der)}
-        self._start_timer()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._stop_timer()
-        if self.flow is not None:  # one turned away was never made
-            super().connection_lost(exc)
-
-    def data_received(self, data: bytes) -> None:
-        if self.transport.is_closing():
-            return
-        if self._request_timer is None and (self.cycle is None or self.cycle.response_complete):
-            self._start_timer()
-        super().data_received(data)
-        if self.cycle is not None and not self.cycle.more_body:
-            self._stop_timer()
-
-    def _start_timer(self) -> None:
-        self._stop_timer()
-        self._request_timer = self.loop.call_later(self.limits.request_seconds, self._on_request_timeout)
-
-    def _stop_timer(self) -> None:
-        if self._request_timer is not None:
-            self._request_timer.cancel()
-            self._request_timer = None
-
-    def _on_request_timeout(self) -> None:
-        COUNTS["api_slow_requests"] += 1
-        self._request_timer = None
-        if not self.transport.is_closing():
-            self.transport.abort()
-
-
 class AdministrationServer(uvicorn.Server):
-    """uvicorn's server on our listener, with a bound on handshakes; signals are the process's own."""
+    """uvicorn's server on a listener of our own, with a time-out of handshakes and without signal handlers."""
 
     def __init__(self, config: uvicorn.Config, listener: socket.socket, context: ssl.SSLContext) -> None:
         super().__init__(config)
-        self._listener, self._context = listener, context
+        self._listener = listener
+        self._context = context
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Listen."""
+        """Start listening."""
         await self.lifespan.startup()
 
         def connection() -> asyncio.Protocol:
@@ -118,73 +73,110 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """None: the process has handlers of its own."""
+        """Install no signal handlers: `serve` has its own."""
         yield
 
 
-async def serve(settings: ControlSettings, file: str) -> None:
-    """Serve until SIGTERM; SIGHUP has the certificates looked at again."""
-    began = time.monotonic()
+@dataclass(frozen=True, slots=True)
+class _Service:
+    """Parts of a service whose store is open and whose writer has not started."""
+
+    store: SqliteStore
+    keys: ServiceKeys
+    recovered: LoadResult
+    clock: WallClock
+    writer: Writer
+    certificates: CertificateStore
+    listener: socket.socket
+
+
+def _open_service(settings: ControlSettings, file: str) -> _Service:
+    """Open store, certificates and listener; nothing stays open where one of them fails."""
     store, keys = open_store(settings, file)
     try:
-        found = store.load()
-        clock = WallClock(found.latest_at_ms)
+        recovered = store.load()
+        clock = WallClock(recovered.latest_at_ms)
         writer = Writer(
-            store, found.catalog, found.history, clock, keys, settings.store.snapshot_each, settings.store.keep
+            store,
+            recovered.catalog,
+            recovered.history,
+            clock,
+            keys,
+            settings.store.snapshot_each,
+            settings.store.keep,
         )
-        ca = settings.tls.client_ca
+        client_ca = settings.tls.client_ca
         certificates = CertificateStore(
-            settings.path(settings.tls.folder, file), settings.path(ca, file) if ca else None
+            settings.path(settings.tls.folder, file), settings.path(client_ca, file) if client_ca else None
         )
         listener = open_listener(parse_address(settings.api.listen))
     except BaseException:
         store.close()
         raise
-    checker = SecretChecker(keys)
-    writer.start(found.replayed_changes)
+    return _Service(store, keys, recovered, clock, writer, certificates, listener)
+
+
+async def serve(settings: ControlSettings, file: str) -> None:
+    """Serve until SIGTERM or SIGINT; SIGHUP reloads the certificates.
+
+    Raises:
+        StoreError: The store cannot be opened.
+        CertificateError: The certificates cannot be read.
+        OSError: The address cannot be listened on.
+    """
+    started_at_s = time.monotonic()
+    service = _open_service(settings, file)
+    writer = service.writer
+    checker = SecretChecker(service.keys)
+    writer.start(service.recovered.replayed_changes)
     publisher = FeedPublisher(writer)
-    app = create_application(writer, checker, store, clock, settings.api, publisher)
-    server = _create_server(settings, app, listener, certificates)
+    app = create_application(writer, checker, service.store, service.clock, settings.api, publisher)
+    server = _create_server(settings, app, service.listener, service.certificates)
     loop = asyncio.get_running_loop()
 
-    def end() -> None:
-        publisher.close()  # gateways that wait for news are answered now
+    def begin_shutdown() -> None:
+        publisher.close()  # gateways' waiting requests are answered now
         server.should_exit = True
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, end)
-    loop.add_signal_handler(signal.SIGHUP, certificates.reload)
+        loop.add_signal_handler(number, begin_shutdown)
+    loop.add_signal_handler(signal.SIGHUP, service.certificates.reload)
     chores = [
-        loop.create_task(_reload_certificates(certificates, settings.tls.look_seconds)),
+        loop.create_task(_reload_certificates(service.certificates, settings.tls.look_seconds)),
         loop.create_task(_delete_expired_responses(writer)),
     ]
-    log.info(
-        "serving",
-        listen=settings.api.listen,
-        epoch=found.catalog.epoch,
-        version=found.catalog.version,
-        tenants=len(found.catalog.tenants),
-        replayed=found.replayed_changes,
-        names=certificates.names,
-        start_ms=round((time.monotonic() - began) * 1000),
-    )
+    _log_start(settings, service, started_at_s)
     await server.serve()
     for chore in chores:
         chore.cancel()
     await writer.close()
     checker.close()
-    store.close()
+    service.store.close()
     log.info("ended", counts=dict(COUNTS), version=writer.catalog.version, batches=writer.batches)
 
 
+def _log_start(settings: ControlSettings, service: _Service, started_at_s: float) -> None:
+    catalog = service.recovered.catalog
+    log.info(
+        "serving",
+        listen=settings.api.listen,
+        epoch=catalog.epoch,
+        version=catalog.version,
+        tenants=len(catalog.tenants),
+        replayed=service.recovered.replayed_changes,
+        names=service.certificates.names,
+        start_ms=round((time.monotonic() - started_at_s) * 1000),
+    )
+
+
 def _create_server(
     settings: ControlSettings, app: Any, listener: socket.socket, certificates: CertificateStore
 ) -> AdministrationServer:
-    """uvicorn, told what it may not decide by itself."""
+    """Configure uvicorn: its log is silenced, its limits come from the settings."""
     api = settings.api
-    quiet = logging.getLogger("uvicorn")
-    quiet.propagate = False
-    quiet.addHandler(logging.NullHandler())  # what it has to say is counted here
+    uvicorn_log = logging.getLogger("uvicorn")
+    uvicorn_log.propagate = False
+    uvicorn_log.addHandler(logging.NullHandler())  # what it would report is counted in COUNTS
     protocol = type("BoundedProtocol", (BoundedProtocol,), {"limits": api})
     config = uvicorn.Config(
         app,
@@ -204,14 +196,14 @@
 
 
 async def _reload_certificates(certificates: CertificateStore, seconds: float) -> None:
-    """Take replaced certificates without being told."""
+    """Reload replaced certificates without a signal."""
     while True:
         await asyncio.sleep(seconds)
         certificates.reload()
 
 
 async def _delete_expired_responses(writer: Writer) -> None:
-    """Forget answers that are a day old."""
+    """Delete expired responses at the start and each hour."""
     while True:
         await writer.delete_expired_responses()
         await asyncio.sleep(CLEANUP_INTERVAL_S)
--- a/hallhitch/administration/store_folder.py
+++ b/hallhitch/administration/store_folder.py
@@ -1,24 +1,30 @@
-"""Opening of a control plane's folder: the store, and the key file that goes with it."""
+"""Opening and creation of a store's directory, with the key file that belongs to it."""
 
 from __future__ import annotations
 
 from pathlib import Path
+from typing import Final
 
+from hallhitch.administration.errors import StoreError
 from hallhitch.administration.secrets import ServiceKeys
 from hallhitch.administration.settings import ControlSettings
-from hallhitch.administration.store import SqliteStore, StoreError
+from hallhitch.administration.store import SqliteStore
 
-KEY_ID_ENTRY = "key"  # where the store keeps which key file it goes with
+KEY_ID_ENTRY: Final = "key"  # the store's entry that holds the id of its key file
 
 
 def open_store(settings: ControlSettings, file: str) -> tuple[SqliteStore, ServiceKeys]:
-    """The store and the key that goes with it."""
+    """Open the store and read its key file.
+
+    Raises:
+        StoreError: The store or the key file is missing or cannot be read, or they do not belong together.
+    """
     folder = settings.path(settings.store.folder, file)
     store = SqliteStore(folder)
     try:
         keys = ServiceKeys.read(folder)
         if store.meta(KEY_ID_ENTRY) != keys.key_id:
-            raise StoreError(f"{folder}: the key file is not the one that this store was made with")
+            raise _foreign_key(folder)
     except BaseException:
         store.close()
         raise
@@ -26,20 +32,28 @@
 
 
 def initialise(settings: ControlSettings, file: str) -> Path:
-    """Make the folder, the key and an empty store; what is there already stays."""
+    """Create the directory, the key file and an empty store, and return the directory; what exists is kept.
+
+    Raises:
+        StoreError: The directory cannot be written, or holds a store of another key.
+    """
     folder = settings.path(settings.store.folder, file)
     try:
         folder.mkdir(parents=True, exist_ok=True, mode=0o700)
         keys = ServiceKeys.create(folder)
     except OSError as error:
-        raise StoreError(f"{folder}: {error.strerror}") from error
+        raise StoreError(folder, error.strerror) from error
     store = SqliteStore(folder, create=True)
     try:
-        word = store.meta(KEY_ID_ENTRY)
-        if word is None:
-            store.meta(KEY_ID_ENTRY, keys.key_id)
-        elif word != keys.key_id:
-            raise StoreError(f"{folder}: the key file is not the one that this store was made with")
+        key_id = store.meta(KEY_ID_ENTRY)
+        if key_id is None:
+            store.set_meta(KEY_ID_ENTRY, keys.key_id)
+        elif key_id != keys.key_id:
+            raise _foreign_key(folder)
     finally:
         store.close()
     return folder
+
+
+def _foreign_key(folder: Path) -> StoreError:
+    return StoreError(folder, "the key file is not the one that this store was made with")
--- a/hallhitch/administration/writer.py
+++ b/hallhitch/administration/writer.py
@@ -1,8 +1,9 @@
-"""The one writer: calls that change something, in order, many to a transaction.
+"""The one writer of the catalog: calls that change something, in order, many to a transaction.
 
-While a batch is being made durable the next one gathers, so the disk's sync is shared by all who wait. Each call is
-decided on the catalogue that the calls before it leave, in a thread of its own; the event loop publishes the result
-once it is on disk, and only then answers. A call with a key that was used before gets the first answer again.
+While a batch is being made durable the next one gathers, so that all calls of it share one disk synchronisation. Each
+call is decided on the catalog that the calls before it leave, in a thread of the writer's own; the event loop
+publishes the result once it is on disk, and only then replies. A repeat of a call (same caller and idempotency key)
+gets the first reply again, byte for byte.
 """
 
 from __future__ import annotations
@@ -11,98 +12,73 @@
 from collections import deque
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
-from typing import Any
+from dataclasses import dataclass, field
+from typing import Any, Final
 
-import msgspec
 import structlog
-from msgspec import Struct
 
 from hallhitch.administration.clock import WallClock
-from hallhitch.administration.secrets import ServiceKeys
-from hallhitch.administration.store import (
-    SNAPSHOT_CHUNK_ROWS,
-    AuditEntry,
-    Batch,
+from hallhitch.administration.errors import (
     BatchNotWrittenError,
-    SqliteStore,
-    StoredResponse,
+    CredentialNoLongerValid,
+    IdempotencyKeyReused,
     StoreError,
+    WriteQueueFull,
+    WriterHalted,
+)
+from hallhitch.administration.secrets import ServiceKeys
+from hallhitch.administration.store import SNAPSHOT_CHUNK_ROWS, Batch, SqliteStore
+from hallhitch.administration.store_records import AuditEntry, StoredResponse
+from hallhitch.administration.write_calls import (
+    Call,
+    Reply,
+    StoredReply,
+    decode_stored_reply,
+    encode_stored_reply,
 )
-from hallhitch.catalog.access import Principal, valid_credential
-from hallhitch.catalog.changes import Change, ChangeRefused, apply_change
+from hallhitch.catalog.access import valid_credential
+from hallhitch.catalog.changes import ChangeRefused, apply_change
 from hallhitch.catalog.history import Diff, History
 from hallhitch.catalog.model import Catalog
 from hallhitch.catalog.rows import Row, catalog_rows
 from hallhitch.core.invariants import COUNTS, invariant
 
-MAX_BATCH_CALLS = 256  # calls in a transaction
-MAX_QUEUED_CALLS = 4_096  # calls that may wait; more are turned away
-RESPONSE_RETENTION_MS = 24 * 3_600_000  # ms that answers are kept for repeats
-SNAPSHOT_INTERVAL_CHANGES = 10_000  # changes from one snapshot to the next
-RETAINED_LOG_CHANGES = 2_000  # changes kept before a snapshot, so that followers that are a little behind get diffs
+MAX_BATCH_CALLS: Final = 256  # in a transaction
+MAX_QUEUED_CALLS: Final = 4_096  # more are rejected
+RESPONSE_RETENTION_MS: Final = 24 * 3_600_000  # how long responses are kept for repeats, as the API promises
+SNAPSHOT_INTERVAL_CHANGES: Final = 10_000
+RETAINED_LOG_CHANGES: Final = 2_000  # kept before a snapshot, so that followers a little behind get diffs
 log = structlog.get_logger()
 
-
-class Reply(Struct, frozen=True):
-    """An answer to a call, as it goes out and as it is kept."""
-
-    status: int
-    headers: dict[str, str]
-    body: bytes
-
-
-class _StoredReply(Struct, frozen=True):
-    """A reply as the store has it; one with a secret in it is sealed."""
-
-    status: int
-    headers: dict[str, str]
-    body: bytes
-    sealed: bool
-
-
-class PlannedChange(Struct, frozen=True):
-    """What a call asks for once it has seen the catalogue, and how its answer reads when that is made."""
-
-    change: Change
-    reply: Callable[[Catalog], Reply]
-    has_secret: bool = False  # the answer holds a secret: kept sealed
-
-
-class Call(Struct, frozen=True):
-    """A call that changes something. `asked` tells it from another with the same key; `plan` may raise Refused."""
-
-    caller: Principal
-    key: str
-    fingerprint: bytes
-    tenant: str  # whose part, for the audit
-    action: str
-    plan: Callable[[Catalog, int], PlannedChange]
-    refusal_reply: Callable[[ChangeRefused], Reply]
-
-
-class WriteQueueFull(Exception):
-    """Too many calls wait."""
+Outcome = Reply | Exception
 
 
-class IdempotencyKeyReused(Exception):
-    """The key was used for another call."""
+@dataclass(slots=True)
+class _Decision:
+    """Outcome of one call: the catalog it leaves and, where it changed something, the diff."""
 
+    catalog: Catalog
+    outcome: Outcome
+    diff: Diff | None = None
 
-class CredentialNoLongerValid(Exception):
-    """The caller's credential has stopped to count since the call came in."""
 
+@dataclass(slots=True)
+class _BatchResult:
+    """Catalog after a batch, an outcome for each of its calls, and the diffs of those that changed something."""
 
-class WriterHalted(Exception):
-    """The store failed in a way that leaves its state in doubt; nothing is changed before a restart."""
+    catalog: Catalog
+    outcomes: list[Outcome] = field(default_factory=list)
+    diffs: list[Diff] = field(default_factory=list)
 
 
-_pack, _unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(_StoredReply).decode
-Outcome = Reply | Exception
-_BatchResult = tuple[Catalog, list[Outcome], list[Diff]]
+@dataclass(frozen=True, slots=True)
+class _PendingCall:
+    call: Call
+    future: asyncio.Future[Reply]
 
 
 class Writer:
-    """Owns the newest catalogue and the way to the next one."""
+    """Owner of the newest catalog and of the way to the next one."""
 
     def __init__(
         self,
@@ -111,50 +87,62 @@
         history: History,
         clock: WallClock,
         keys: ServiceKeys,
-        snapshot_each: int = SNAPSHOT_INTERVAL_CHANGES,
-        keep: int = RETAINED_LOG_CHANGES,
+        snapshot_interval: int = SNAPSHOT_INTERVAL_CHANGES,
+        retained_log_changes: int = RETAINED_LOG_CHANGES,
     ) -> None:
-        self.catalog, self.history = catalog, history
-        self._store, self._clock, self._keys = store, clock, keys
-        self._snapshot_interval, self._retained_log_changes = snapshot_each, keep
+        self.catalog = catalog
+        self.history = history
+        self.catalog_changed = asyncio.Event()  # set, and replaced by another, once there is a newer catalog
+        self.batches = 0
+        self._store = store
+        self._clock = clock
+        self._keys = keys
+        self._snapshot_interval = snapshot_interval
+        self._retained_log_changes = retained_log_changes
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="writer")
-        self._queue: deque[tuple[Call, asyncio.Future[Reply]]] = deque()
-        self._in_flight: dict[tuple[str, str], tuple[bytes, asyncio.Future[Reply]]] = {}
+        self._queue: deque[_PendingCall] = deque()
+        self._in_flight: dict[tuple[str, str], _PendingCall] = {}  # by caller and idempotency key
         self._wake = asyncio.Event()
-        self.catalog_changed = asyncio.Event()  # set, and another in its place, once there is a newer catalogue
-        self._since_snapshot = 0
+        self._changes_since_snapshot = 0
         self._halt_reason = ""
         self._closing = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self.batches = 0
 
-    def start(self, replayed: int) -> None:
-        """Begin to take calls; `replayed` changes came since the last snapshot."""
-        self._since_snapshot = replayed
+    def start(self, changes_since_snapshot: int) -> None:
+        """Start taking calls; so many changes were replayed on the last snapshot."""
+        self._changes_since_snapshot = changes_since_snapshot
         self._main_task = asyncio.create_task(self._run())
 
     async def submit(self, call: Call) -> Reply:
-        """Make a call and wait for its answer; it is made though the one who waits goes away."""
-        name = (call.caller.name, call.key)
-        running = self._in_flight.get(name)
+        """Make a call and wait for its reply; it is made although the waiting task is cancelled.
+
+        Raises:
+            IdempotencyKeyReused: The key was used for another call.
+            CredentialNoLongerValid: The caller's credential stopped being valid after admission.
+            WriterHalted: The service ends, or the store's state is in doubt.
+            WriteQueueFull: Too many calls wait.
+            StoreError: The batch of the call was not written.
+        """
+        id = (call.caller.name, call.key)
+        running = self._in_flight.get(id)
         if running is not None:
-            asked, future = running
-            if asked != call.fingerprint:
-                raise IdempotencyKeyReused
-            return await asyncio.shield(future)
+            if running.call.fingerprint != call.fingerprint:
+                raise IdempotencyKeyReused(call.caller.name, call.key)
+            return await asyncio.shield(running.future)
         if self._halt_reason or self._closing:
             raise WriterHalted(self._halt_reason or "the service is ending")
         if len(self._queue) >= MAX_QUEUED_CALLS:
-            raise WriteQueueFull
-        future = asyncio.get_running_loop().create_future()
+            raise WriteQueueFull(MAX_QUEUED_CALLS)
+        future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         future.add_done_callback(lambda done: done.cancelled() or done.exception())  # nobody may be left to look
-        self._in_flight[name] = (call.fingerprint, future)
-        self._queue.append((call, future))
+        pending = _PendingCall(call, future)
+        self._in_flight[id] = pending
+        self._queue.append(pending)
         self._wake.set()
         return await asyncio.shield(future)
 
     async def close(self) -> None:
-        """Make what has been taken, then end."""
+        """Finish the calls that were taken, then end."""
         self._closing = True
         self._wake.set()
         await self._main_task
@@ -164,44 +152,48 @@
         self._thread.shutdown(wait=True)
 
     async def delete_expired_responses(self) -> None:
-        """Drop answers that are a day old."""
+        """Delete stored responses older than RESPONSE_RETENTION_MS."""
         try:
-            gone = await self._in_thread(self._store.delete_responses, self._clock.now_ms() - RESPONSE_RETENTION_MS)
-            log.info("answers forgotten", count=gone)
+            count = await self._in_thread(self._store.delete_responses, self._clock.now_ms() - RESPONSE_RETENTION_MS)
+            log.info("answers forgotten", count=count)
         except BatchNotWrittenError as error:
             log.error("answers not forgotten", error=str(error))
 
     async def snapshot(self) -> None:
-        """Write the catalogue as it stands, piece by piece between batches, then cut the log behind it.
+        """Write the catalog as it is now, chunk by chunk between batches, then truncate the log behind it.
 
-        The catalogue is immutable: what changes meanwhile stays in the log and is replayed on top.
+        The catalog is immutable: what changes meanwhile stays in the log and is replayed on top.
         """
         catalog = self.catalog
-        self._since_snapshot = 0
+        self._changes_since_snapshot = 0
         id = (catalog.epoch << 32 | catalog.version) & 0x7FFF_FFFF_FFFF_FFFF
-        pieces, rows = 0, []
         try:
-            for row in catalog_rows(catalog):
-                rows.append(row)
-                if len(rows) == SNAPSHOT_CHUNK_ROWS:
-                    await self._write_chunk(id, pieces, rows)
-                    pieces, rows = pieces + 1, []
-            if rows:
-                await self._write_chunk(id, pieces, rows)
-                pieces += 1
-            await self._in_thread(self._store.commit_snapshot, id, catalog, pieces, self._retained_log_changes)
-            log.info("snapshot written", epoch=catalog.epoch, version=catalog.version, pieces=pieces)
+            chunks = await self._write_chunks(id, catalog)
+            await self._in_thread(self._store.commit_snapshot, id, catalog, chunks, self._retained_log_changes)
+            log.info("snapshot written", epoch=catalog.epoch, version=catalog.version, pieces=chunks)
         except BatchNotWrittenError as error:
             log.error("snapshot not written", error=str(error))
 
-    async def _write_chunk(self, id: int, number: int, rows: list[Row]) -> None:
-        await self._in_thread(self._store.write_snapshot_chunk, id, number, rows)
+    async def _write_chunks(self, id: int, catalog: Catalog) -> int:
+        """Write a snapshot's chunks and return how many."""
+        chunks = 0
+        rows: list[Row] = []
+        for row in catalog_rows(catalog):
+            rows.append(row)
+            if len(rows) == SNAPSHOT_CHUNK_ROWS:
+                await self._in_thread(self._store.write_snapshot_chunk, id, chunks, rows)
+                chunks += 1
+                rows = []
+        if rows:
+            await self._in_thread(self._store.write_snapshot_chunk, id, chunks, rows)
+            chunks += 1
+        return chunks
 
     async def _in_thread(self, call: Callable[..., Any], *values: Any) -> Any:
         return await asyncio.get_running_loop().run_in_executor(self._thread, call, *values)
 
     async def _run(self) -> None:
-        """Batch after batch."""
+        """Process batch after batch until `close`."""
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -211,107 +203,111 @@
             if self._closing:
                 return
 
-    async def _process_batch(self, batch: list[tuple[Call, asyncio.Future[Reply]]]) -> None:
-        """Decide a batch, make it durable, publish it, answer."""
+    async def _process_batch(self, batch: list[_PendingCall]) -> None:
+        """Decide a batch, make it durable, publish the catalog, reply."""
         outcomes: list[Outcome]
         try:
             if self._halt_reason:
                 raise WriterHalted(self._halt_reason)
-            catalog, outcomes, diffs = await self._in_thread(
-                self._commit, [call for call, _ in batch], self.catalog, self._clock.now_ms()
-            )
-            for diff in diffs:
-                self.history.add(diff)
-            if catalog is not self.catalog:
-                self.catalog = catalog
-                self.catalog_changed.set()
-                self.catalog_changed = asyncio.Event()
-            self.batches += 1
-            self._since_snapshot += len(diffs)
-            if self._since_snapshot >= self._snapshot_interval:
-                self._since_snapshot = 0
-                task = asyncio.create_task(self.snapshot())
-                self._tasks.add(task)
-                task.add_done_callback(self._tasks.discard)
+            calls = [pending.call for pending in batch]
+            result = await self._in_thread(self._commit, calls, self.catalog, self._clock.now_ms())
+            self._publish(result)
+            outcomes = result.outcomes
         except Exception as error:
             COUNTS["batches_failed"] += 1
             log.error("batch not written", error=f"{type(error).__name__}: {error}", calls=len(batch))
             await self._verify_store_after_failure()
             outcomes = [error] * len(batch)
-        for (call, future), outcome in zip(batch, outcomes, strict=True):
-            del self._in_flight[call.caller.name, call.key]
+        for pending, outcome in zip(batch, outcomes, strict=True):
+            del self._in_flight[pending.call.caller.name, pending.call.key]
             if isinstance(outcome, Exception):
-                future.set_exception(outcome)
+                pending.future.set_exception(outcome)
             else:
-                future.set_result(outcome)
+                pending.future.set_result(outcome)
+
+    def _publish(self, result: _BatchResult) -> None:
+        """Publish a durable batch's catalog, and start a snapshot where one is due."""
+        for diff in result.diffs:
+            self.history.add(diff)
+        if result.catalog is not self.catalog:
+            self.catalog = result.catalog
+            self.catalog_changed.set()
+            self.catalog_changed = asyncio.Event()
+        self.batches += 1
+        self._changes_since_snapshot += len(result.diffs)
+        if self._changes_since_snapshot >= self._snapshot_interval:
+            self._changes_since_snapshot = 0
+            task = asyncio.create_task(self.snapshot())
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
 
     async def _verify_store_after_failure(self) -> None:
-        """After a failed batch the disk must hold what is held here; otherwise no more is changed."""
+        """Halt the writer if the disk does not hold the version that this process holds."""
         if self._halt_reason:
             return
         try:
-            newest = await self._in_thread(self._store.latest_version)
+            on_disk = await self._in_thread(self._store.latest_version)
         except Exception as error:
             log.error("the store cannot be read", error=str(error))
-            return  # each further batch tries again, and fails whole
-        if newest not in ((self.catalog.epoch, self.catalog.version), (0, 0)):
-            self._halt_reason = (
-                f"the store is at {newest[0]}.{newest[1]}, this process at {self.catalog.epoch}.{self.catalog.version}"
-            )
+            return  # each further batch tries again, and fails as a whole
+        if on_disk not in ((self.catalog.epoch, self.catalog.version), (0, 0)):
+            held = f"{self.catalog.epoch}.{self.catalog.version}"
+            self._halt_reason = f"the store is at {on_disk[0]}.{on_disk[1]}, this process at {held}"
             log.critical("no changes until a restart", reason=self._halt_reason)
 
-    def _commit(self, calls: list[Call], catalog: Catalog, now: int) -> _BatchResult:
-        """In the thread: all calls of a batch in one transaction, or none."""
-        outcomes: list[Outcome] = []
-        diffs: list[Diff] = []
+    def _commit(self, calls: list[Call], catalog: Catalog, now_ms: int) -> _BatchResult:
+        """Decide and write all calls of a batch in one transaction, or none; runs in the writer's thread."""
+        result = _BatchResult(catalog)
         with self._store.batch() as batch:
             for call in calls:
-                catalog, outcome = self._decide(batch, call, catalog, now, diffs)
-                outcomes.append(outcome)
-        return catalog, outcomes, diffs
-
-    def _decide(
-        self,
-        batch: Batch,
-        call: Call,
-        catalog: Catalog,
-        now: int,
-        diffs: list[Diff],
-    ) -> tuple[Catalog, Outcome]:
-        """One call: the catalogue it leaves and its answer."""
-        # The credential was checked when the call came in; what counts is that it does when the change is made.
-        credential = valid_credential(catalog, call.caller.tenant, call.caller.id, now)
+                decision = self._decide(batch, call, result.catalog, now_ms)
+                result.catalog = decision.catalog
+                result.outcomes.append(decision.outcome)
+                if decision.diff is not None:
+                    result.diffs.append(decision.diff)
+        return result
+
+    def _decide(self, batch: Batch, call: Call, catalog: Catalog, now_ms: int) -> _Decision:
+        # The credential was checked when the call came in; what counts is that it is valid when the change is made.
+        credential = valid_credential(catalog, call.caller.tenant, call.caller.id, now_ms)
         if credential is None or credential.scope is not call.caller.scope:
-            return catalog, CredentialNoLongerValid()
-        kept = batch.stored_response(call.caller.name, call.key)
-        if kept is not None and now - kept.stored_at_ms < RESPONSE_RETENTION_MS:
-            if kept.fingerprint != call.fingerprint:
-                return catalog, IdempotencyKeyReused()
-            return catalog, self._repeat_reply(call, kept)
+            return _Decision(catalog, CredentialNoLongerValid(call.caller.name))
+        stored = batch.stored_response(call.caller.name, call.key)
+        if stored is not None and now_ms - stored.stored_at_ms < RESPONSE_RETENTION_MS:
+            return _Decision(catalog, self._repeat_reply(call, stored))
+        return self._make_change(batch, call, catalog, now_ms)
+
+    def _make_change(self, batch: Batch, call: Call, catalog: Catalog, now_ms: int) -> _Decision:
+        """Plan and apply a call's change; write the change, the response and the audit entry."""
+        caller = call.caller.name
+        diff: Diff | None = None
         version = 0
         try:
-            planned = call.plan(catalog, now)
-            made = apply_change(catalog, planned.change)
-            reply, sealed = planned.reply(made.catalog), planned.has_secret
-            batch.append_change(made.catalog, made.diff, now, call.tenant, call.caller.name)
-            invariant(made.catalog.version == catalog.version + 1, "versions are dense")
-            catalog, version = made.catalog, made.catalog.version
-            diffs.append(made.diff)
+            planned = call.plan(catalog, now_ms)
+            applied = apply_change(catalog, planned.change)
+            reply = planned.reply(applied.catalog)
+            is_sealed = planned.has_secret
+            batch.append_change(applied.catalog, applied.diff, now_ms, call.tenant, caller)
+            invariant(applied.catalog.version == catalog.version + 1, "versions are dense")
+            catalog = applied.catalog
+            version = catalog.version
+            diff = applied.diff
         except ChangeRefused as refusal:
-            reply, sealed = call.refusal_reply(refusal), False
-        body = self._keys.seal(reply.body, f"{call.caller.name} {call.key}") if sealed else reply.body
-        packed = _pack(_StoredReply(reply.status, reply.headers, body, sealed))
-        batch.store_response(call.caller.name, call.key, StoredResponse(now, call.fingerprint, packed))
-        batch.audit(
-            AuditEntry(0, now, call.tenant, call.caller.name, call.action, reply.status, catalog.epoch, version)
-        )
-        return catalog, reply
-
-    def _repeat_reply(self, call: Call, kept: StoredResponse) -> Outcome:
-        """The first answer, byte for byte."""
-        told = _unpack(kept.body)
+            reply = call.refusal_reply(refusal)
+            is_sealed = False
+        body = self._keys.seal(reply.body, f"{caller} {call.key}") if is_sealed else reply.body
+        packed = encode_stored_reply(StoredReply(reply.status, reply.headers, body, is_sealed))
+        batch.store_response(caller, call.key, StoredResponse(now_ms, call.fingerprint, packed))
+        batch.audit(AuditEntry(0, now_ms, call.tenant, caller, call.action, reply.status, catalog.epoch, version))
+        return _Decision(catalog, reply, diff)
+
+    def _repeat_reply(self, call: Call, stored: StoredResponse) -> Outcome:
+        """Return the first reply, byte for byte; IdempotencyKeyReused where it was to a different call."""
+        if stored.fingerprint != call.fingerprint:
+            return IdempotencyKeyReused(call.caller.name, call.key)
+        reply = decode_stored_reply(stored.body)
         try:
-            body = self._keys.unseal(told.body, f"{call.caller.name} {call.key}") if told.sealed else told.body
+            body = self._keys.unseal(reply.body, f"{call.caller.name} {call.key}") if reply.sealed else reply.body
         except StoreError as error:
             return error
-        return Reply(told.status, told.headers, body)
+        return Reply(reply.status, reply.headers, body)
--- a/hallhitch/catalog_sync/__init__.py
+++ b/hallhitch/catalog_sync/__init__.py
@@ -1,1 +1,1 @@
-"""Gateways that follow the catalogue: the way to the control plane, and what they keep on disk."""
+"""A gateway's replica of the catalog: the client of the feed, and the copy on disk."""
--- a/hallhitch/cli/control.py
+++ b/hallhitch/cli/control.py
@@ -8,8 +8,9 @@
 
 from hallhitch.administration import backups
 from hallhitch.administration.bootstrap import FIRST_OPERATOR_ID, create_first_operator
+from hallhitch.administration.errors import StoreError
 from hallhitch.administration.settings import ControlSettings
-from hallhitch.administration.store import LoadResult, StoreError
+from hallhitch.administration.store_recovery import LoadResult
 from hallhitch.cli.demo import demo, secret_file
 from hallhitch.cli.output import as_json
 from hallhitch.settings_file import read
@@ -66,7 +67,7 @@
     try:
         uvloop.run(serve(_settings(file), file))
     except OSError as error:
-        raise StoreError(f"{file}: {error}") from error
+        raise StoreError(file, error) from error
 
 
 @control.command()
--- a/hallhitch/cli/main.py
+++ b/hallhitch/cli/main.py
@@ -7,7 +7,7 @@
 import click
 
 from hallhitch import __version__, logs
-from hallhitch.administration.store import StoreError
+from hallhitch.administration.errors import StoreError
 from hallhitch.cli.check import check
 from hallhitch.cli.control import control
 from hallhitch.cli.credentials import credentials
--- a/tests/administration/test_faults.py
+++ b/tests/administration/test_faults.py
@@ -14,7 +14,10 @@
 
 from hallhitch.administration import backups
 from hallhitch.administration.clock import WallClock
-from hallhitch.administration.store import MIGRATIONS, CorruptStoreError, SqliteStore, StoreError, connect
+from hallhitch.administration.errors import CorruptStoreError, StoreError
+from hallhitch.administration.store import SqliteStore
+from hallhitch.administration.store_files import connect
+from hallhitch.administration.store_schema import MIGRATIONS
 from hallhitch.administration.writer import RESPONSE_RETENTION_MS
 from hallhitch.catalog.changes import Change, Edit, apply_change
 from hallhitch.catalog.model import Catalog, Head, Kind, Limits, Plan
@@ -287,7 +290,7 @@
 
     def test_answers_end_after_a_day(self) -> None:
         """Guards against a table of answers that grows without end."""
-        from hallhitch.administration.store import StoredResponse
+        from hallhitch.administration.store_records import StoredResponse
 
         store = SqliteStore(self.folder, create=True)
         for at in (0, 10, RESPONSE_RETENTION_MS):
