--- a/benchmarks/feed.py
+++ b/benchmarks/feed.py
@@ -24,7 +24,8 @@
 import structlog
 
 from hallhitch.catalog.draft import build_catalog
-from hallhitch.catalog.feed import FeedFollower, snapshot_lines
+from hallhitch.catalog.feed import snapshot_lines
+from hallhitch.catalog.feed_follower import FeedFollower
 from hallhitch.catalog.model import Catalog, Client, Head, Kind, Limits, Plan
 from hallhitch.catalog.rows import Row
 from hallhitch.catalog_sync.catalog_cache import CatalogCache
--- a/hallhitch/administration/api/calls.py
+++ b/hallhitch/administration/api/calls.py
@@ -22,7 +22,8 @@
 from hallhitch.administration.write_calls import Call, PlannedChange, Reply
 from hallhitch.administration.writer import Writer
 from hallhitch.catalog.access import Principal
-from hallhitch.catalog.changes import Change, ChangeRefused, Edit
+from hallhitch.catalog.changes import Change, Edit
+from hallhitch.catalog.errors import ChangeRefused
 from hallhitch.catalog.model import VALUE_TYPES, Catalog, Kind, Versioned
 
 JSON = "application/json"
--- a/hallhitch/administration/api/feed_resources.py
+++ b/hallhitch/administration/api/feed_resources.py
@@ -15,8 +15,8 @@
 from hallhitch.administration.api.resources import CHANGE_ERRORS, READ_ERRORS, Answer, Key, json_response
 from hallhitch.administration.errors import SnapshotTransfersFull
 from hallhitch.administration.feed_publisher import FeedPublisher
-from hallhitch.catalog.feed import FeedError
-from hallhitch.catalog.gateway_leases import Gateway, GatewayNameTaken
+from hallhitch.catalog.errors import FeedError, GatewayNameTaken
+from hallhitch.catalog.gateway_leases import Gateway
 from hallhitch.catalog.names import OPERATORS
 
 MAX_HOLD_MS = 20_000  # ms that a question may wait for news
--- a/hallhitch/administration/api/problems.py
+++ b/hallhitch/administration/api/problems.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct
 
-from hallhitch.catalog.changes import ChangeRefused
+from hallhitch.catalog.errors import ChangeRefused
 
 PROBLEM_MEDIA_TYPE = "application/problem+json"
 STATUS_BY_CODE = {
--- a/hallhitch/administration/api/resources.py
+++ b/hallhitch/administration/api/resources.py
@@ -19,7 +19,8 @@
 from hallhitch.administration.store import SqliteStore
 from hallhitch.administration.write_calls import PlannedChange, Reply
 from hallhitch.catalog.access import Token, Verdict, authorize
-from hallhitch.catalog.changes import Change, ChangeRefused, Edit
+from hallhitch.catalog.changes import Change, Edit
+from hallhitch.catalog.errors import ChangeRefused
 from hallhitch.catalog.model import (
     VALUE_TYPES,
     Catalog,
--- a/hallhitch/administration/write_calls.py
+++ b/hallhitch/administration/write_calls.py
@@ -8,7 +8,8 @@
 from msgspec import Struct
 
 from hallhitch.catalog.access import Principal
-from hallhitch.catalog.changes import Change, ChangeRefused
+from hallhitch.catalog.changes import Change
+from hallhitch.catalog.errors import ChangeRefused
 from hallhitch.catalog.model import Catalog
 
 
--- a/hallhitch/administration/writer.py
+++ b/hallhitch/administration/writer.py
@@ -37,7 +37,8 @@
     encode_stored_reply,
 )
 from hallhitch.catalog.access import valid_credential
-from hallhitch.catalog.changes import ChangeRefused, apply_change
+from hallhitch.catalog.changes import apply_change
+from hallhitch.catalog.errors import ChangeRefused
 from hallhitch.catalog.history import Diff, History
 from hallhitch.catalog.model import Catalog
 from hallhitch.catalog.rows import Row, catalog_rows
--- a/hallhitch/catalog_sync/catalog_cache.py
+++ b/hallhitch/catalog_sync/catalog_cache.py
@@ -13,7 +13,9 @@
 
 import structlog
 
-from hallhitch.catalog.feed import FeedError, read_snapshot, snapshot_lines
+from hallhitch.catalog.errors import FeedError
+from hallhitch.catalog.feed import snapshot_lines
+from hallhitch.catalog.feed_follower import read_snapshot
 from hallhitch.catalog.model import Catalog
 from hallhitch.core.invariants import COUNTS
 
--- a/hallhitch/catalog_sync/feed_client.py
+++ b/hallhitch/catalog_sync/feed_client.py
@@ -19,7 +19,9 @@
 import httpx
 import structlog
 
-from hallhitch.catalog.feed import MAX_LINE_BYTES, FeedError, FeedFollower
+from hallhitch.catalog.errors import FeedError
+from hallhitch.catalog.feed import MAX_LINE_BYTES
+from hallhitch.catalog.feed_follower import FeedFollower
 from hallhitch.catalog.model import Catalog
 from hallhitch.catalog_sync.catalog_cache import CatalogCache
 from hallhitch.core.invariants import COUNTS
--- a/tests/catalog/test_changes.py
+++ b/tests/catalog/test_changes.py
@@ -11,8 +11,9 @@
 from hallhitch.catalog import names
 from hallhitch.catalog.access import Principal as Caller
 from hallhitch.catalog.access import Verdict, authorize, parse_token
-from hallhitch.catalog.changes import Change, ChangeRefused, Edit, apply_change
+from hallhitch.catalog.changes import Change, Edit, apply_change
 from hallhitch.catalog.draft import build_catalog
+from hallhitch.catalog.errors import ChangeRefused
 from hallhitch.catalog.history import (
     History,
     apply_diff,
--- a/tests/catalog/test_feed.py
+++ b/tests/catalog/test_feed.py
@@ -10,18 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hallhitch.catalog.changes import Change, ChangeRefused, Edit, apply_change
-from hallhitch.catalog.feed import (
-    BASE_RETRY_DELAY_MS,
-    MAX_RETRY_DELAY_MS,
-    FeedError,
-    FeedFollower,
-    diff_line,
-    is_for_gateways,
-    read_snapshot,
-    snapshot_lines,
-    update_lines,
-)
+from hallhitch.catalog.changes import Change, Edit, apply_change
+from hallhitch.catalog.errors import ChangeRefused, FeedError
+from hallhitch.catalog.feed import diff_line, is_for_gateways, snapshot_lines, update_lines
+from hallhitch.catalog.feed_follower import BASE_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS, FeedFollower, read_snapshot
 from hallhitch.catalog.history import History
 from hallhitch.catalog.model import Catalog, Client, Credential, Head, Kind, Plan, Scope, Verifier
 from hallhitch.catalog.rows import catalog_rows
--- a/tests/catalog/test_gateway_leases.py
+++ b/tests/catalog/test_gateway_leases.py
@@ -7,7 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.catalog.gateway_leases import LEASE_MS, MAX_GATEWAYS, NAME_RETENTION_MS, GatewayLeases, GatewayNameTaken
+from hallhitch.catalog.errors import GatewayNameTaken
+from hallhitch.catalog.gateway_leases import LEASE_MS, MAX_GATEWAYS, NAME_RETENTION_MS, GatewayLeases
 
 OPS = st.lists(
     st.tuples(
--- a/tests/catalog_sync/test_catalog_cache.py
+++ b/tests/catalog_sync/test_catalog_cache.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 
 from hallhitch.catalog.changes import Change, Edit, apply_change
-from hallhitch.catalog.feed import read_snapshot, snapshot_lines
+from hallhitch.catalog.feed import snapshot_lines
+from hallhitch.catalog.feed_follower import read_snapshot
 from hallhitch.catalog.model import Catalog, Kind, Plan
 from hallhitch.catalog_sync.catalog_cache import CatalogCache
 from tests.catalog.test_changes import peopled
