--- a/benchmarks/evenness.py
+++ b/benchmarks/evenness.py
@@ -25,7 +25,7 @@
 import structlog
 
 from hallhitch.lab import virtual_run
-from hallhitch.lab.cases import cases
+from hallhitch.lab.cases import load_cases
 from hallhitch.lab.checker import check
 from hallhitch.lab.evenness import evenness
 from hallhitch.lab.experiments import replaced_constants
@@ -81,7 +81,7 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     name, gateways, seed, module = job
     spread = [min(1.0, 3 / gateways), min(1.0, 4 / gateways)]
-    told = cases(
+    told = load_cases(
         CASES,
         {
             "world.gateways": gateways,
@@ -128,7 +128,7 @@
     print("| --- " * 11 + "|")
     with ProcessPoolExecutor(workers) as pool:
         for size in sizes:
-            for name in cases(CASES, {}):
+            for name in load_cases(CASES, {}):
                 ways: list[dict[str, float]] = [{"UNSEEN": 0.0}, {}]
                 off, on = (
                     list(pool.map(play_case, [(name, size, seed, way) for seed in range(1, seeds + 1)])) for way in ways
--- a/hallhitch/cli/check.py
+++ b/hallhitch/cli/check.py
@@ -9,7 +9,7 @@
 
 from hallhitch.administration.settings import ControlSettings
 from hallhitch.catalog.tenant_file import TenantFile
-from hallhitch.lab.cases import Cases, cases
+from hallhitch.lab.cases import Cases, load_cases
 from hallhitch.lab.fleet.timeline import FaultTimeline
 from hallhitch.lab.scenario import Scenario
 from hallhitch.membership.settings import MembershipSettings
@@ -57,5 +57,5 @@
     form = form or form_of(file)
     read(file, FORMS[form])
     if form == "cases":
-        cases(file, {})  # each against the scenario that it changes
+        load_cases(file, {})  # each against the scenario that it changes
     click.echo(f"{file}: good ({form})")
--- a/hallhitch/cli/demo_fleet.py
+++ b/hallhitch/cli/demo_fleet.py
@@ -58,7 +58,7 @@
     events = run.journal.events
     found, broken = figures(events, run.traffic, run.counter.calls), check(events)
     to.mkdir(parents=True, exist_ok=True)
-    (to / "log.jsonl").write_bytes(b"".join(run.journal.lines()))
+    (to / "log.jsonl").write_bytes(b"".join(run.journal.encoded_lines()))
     outcome = Outcome(found, [str(b) for b in broken], told.seconds)
     (to / "report.html").write_text(page(told.name, {(told.name, "two gateways on sockets"): {seed: outcome}}))
     table(
--- a/hallhitch/cli/experiment.py
+++ b/hallhitch/cli/experiment.py
@@ -45,14 +45,14 @@
 
     import structlog
 
-    from hallhitch.lab.cases import named
+    from hallhitch.lab.cases import load_scenario
     from hallhitch.lab.checker import check
     from hallhitch.lab.figures import figures
     from hallhitch.lab.scenario import replaced
     from hallhitch.lab.virtual_run import play
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
-    base = named(scenario)
+    base = load_scenario(scenario)
     try:
         values = {path: msgspec.json.decode(value) for path, _, value in (s.partition("=") for s in settings)}
         chosen = replaced(base, values)
@@ -62,7 +62,7 @@
     events = result.journal.events
     found, violations = figures(events, result.traffic, result.counter_calls), check(events)
     if log is not None:
-        log.write_bytes(b"".join(result.journal.lines()))
+        log.write_bytes(b"".join(result.journal.encoded_lines()))
     if plain:
         as_json({"figures": msgspec.to_builtins(found), "broken": [str(violation) for violation in violations]})
     else:
--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -25,12 +25,12 @@
     scenario: str, gateways: int, seconds: float | None, sizes: dict[str, Any] | None = None, own: bool = False
 ) -> Any:
     """A scenario of this name or file, with so many gateways and other sizes, and with its own faults or without."""
-    from hallhitch.lab.cases import named
+    from hallhitch.lab.cases import load_scenario
     from hallhitch.lab.scenario import replaced
 
     name, colon, case = scenario.partition(":")
     path = Path(name) if name.endswith(".toml") else ROOT / f"{name}.toml"
-    told = named(f"{path}{colon}{case}")
+    told = load_scenario(f"{path}{colon}{case}")
     return replaced(
         told,
         {"world.gateways": gateways, "seconds": seconds or told.seconds}
@@ -113,13 +113,13 @@
 def report_(logs: tuple[Path, ...], write: Path) -> None:
     """Evenness of runs by their event LOGS, side by side, as one HTML page."""
     from hallhitch.lab.evenness_page import page
-    from hallhitch.lab.journal import read_lines
+    from hallhitch.lab.journal import read_journal
 
     runs = {}
     for path in logs:
         try:
             with path.open("rb") as file:
-                runs[path.stem] = read_lines(file)
+                runs[path.stem] = read_journal(file)
         except ValueError as error:
             raise Failure(f"{path}: {error}") from error
         if not runs[path.stem]:
--- a/hallhitch/lab/baselines.py
+++ b/hallhitch/lab/baselines.py
@@ -14,13 +14,13 @@
 from hallhitch.decision.policy import Gateway
 from hallhitch.decision.state import OpenRequest, Server
 from hallhitch.lab.node import Node
-from hallhitch.lab.scenario import World
+from hallhitch.lab.scenario import WorldSettings
 from hallhitch.lab.virtual import VirtualTime
 
-SAMPLE = 5.0  # ms between looks at what all nodes hold
+SAMPLE_INTERVAL_MS = 5.0  # ms between looks at what all nodes hold
 
 
-class Chooser(Gateway):
+class SelectionBaseline(Gateway):
     """The module with another choice among the servers that may take a request."""
 
     near_only = True  # whether it keeps to the module's few servers, or sends to any
@@ -39,14 +39,14 @@
         raise NotImplementedError
 
 
-class Uniform(Chooser):
+class UniformChoice(SelectionBaseline):
     """Any of them."""
 
     def pick(self, good: list[Server], r: OpenRequest) -> Server:
         return self.rng.choice(good)
 
 
-class RoundRobin(Chooser):
+class RoundRobin(SelectionBaseline):
     """In turn, from a random start."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -59,21 +59,21 @@
         return s
 
 
-class TwoChoices(Chooser):
+class TwoChoices(SelectionBaseline):
     """Of two at random the one with less out from here."""
 
     def pick(self, good: list[Server], r: OpenRequest) -> Server:
         return min(self.rng.sample(good, min(2, len(good))), key=lambda s: len(s.in_flight))
 
 
-class Least(Chooser):
+class LeastInFlight(SelectionBaseline):
     """With the least out from here; at random among those alike."""
 
     def pick(self, good: list[Server], r: OpenRequest) -> Server:
         return min(good, key=lambda s: (len(s.in_flight), self.rng.random()))
 
 
-class Informed(Chooser):
+class InformedChoice(SelectionBaseline):
     """The module's own foresight, told what others have out at each server."""
 
     held: Callable[[str], float]
@@ -88,26 +88,26 @@
 
 CHOICES: dict[str, type[Gateway]] = {
     "module": Gateway,
-    "uniform": Uniform,
+    "uniform": UniformChoice,
     "round_robin": RoundRobin,
     "two": TwoChoices,
-    "least": Least,
-    "informed": Informed,
+    "least": LeastInFlight,
+    "informed": InformedChoice,
 }
 
 
-class Board:
+class LoadBoard:
     """What every node held some time ago."""
 
     def __init__(self, nodes: dict[str, Node], late: float, time: VirtualTime) -> None:
         self._nodes, self._late, self._time = nodes, late, time
-        self._seen: deque[dict[str, int]] = deque(maxlen=1 + round(late / SAMPLE))
+        self._seen: deque[dict[str, int]] = deque(maxlen=1 + round(late / SAMPLE_INTERVAL_MS))
         if late:
             self._look()
 
     def _look(self) -> None:
         self._seen.append({name: node.request_count for name, node in self._nodes.items()})
-        self._time.after(SAMPLE, self._look)
+        self._time.after(SAMPLE_INTERVAL_MS, self._look)
 
     def held(self, name: str) -> float:
         """Requests in work and waiting there."""
@@ -117,12 +117,12 @@
         return float(node.request_count) if node is not None else 0.0
 
 
-def chooser(world: World, settings: api.Settings, seed: int, board: Board | None) -> Gateway:
+def make_decision_module(world: WorldSettings, settings: api.Settings, seed: int, board: LoadBoard | None) -> Gateway:
     """The module that a scenario's gateways decide by."""
     made = CHOICES[world.choice](settings, seed)
-    if isinstance(made, Chooser):
+    if isinstance(made, SelectionBaseline):
         made.near_only = world.choice_near
-    if isinstance(made, Informed):
+    if isinstance(made, InformedChoice):
         assert board is not None
         made.held = board.held
     return made
--- a/hallhitch/lab/cases.py
+++ b/hallhitch/lab/cases.py
@@ -28,7 +28,7 @@
     case: Annotated[tuple[Case, ...], Meta(min_length=1)]
 
 
-def cases(path: str, settings: dict[str, Any]) -> dict[str, Scenario]:
+def load_cases(path: str, settings: dict[str, Any]) -> dict[str, Scenario]:
     """All scenarios of a file by name, with these settings first; SettingsError tells what is wrong with which."""
     told = read(path, Cases)
     base = read(str(Path(path).parent / told.base), Scenario)
@@ -45,12 +45,12 @@
     return found
 
 
-def named(text: str) -> Scenario:
+def load_scenario(text: str) -> Scenario:
     """The scenario FILE, or one case of a file of them: FILE:CASE."""
     path, colon, case = text.partition(":")
     if not colon:
         return read(path, Scenario)
-    found = cases(path, {})
+    found = load_cases(path, {})
     if case not in found:
         raise SettingsError(f"{path}: there is no case '{case}'; there are {', '.join(sorted(found))}")
     return found[case]
--- a/hallhitch/lab/checker.py
+++ b/hallhitch/lab/checker.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from hallhitch.lab.figures import beyond
+from hallhitch.lab.figures import find_beyond_quota
 from hallhitch.lab.journal import Event
 
 SLACK_MS: Final = 50.0  # by which each time limit is extended, for what is on the way
@@ -315,7 +315,7 @@
 
 def _quota_violations(events: list[Event], max_beyond_ratio: float) -> list[Violation]:
     """Units beyond each quota, by all gateways together, stay within the given ratio of forwarded tries."""
-    is_beyond = beyond(events, events[0][3])
+    is_beyond = find_beyond_quota(events, events[0][3])
     beyond_ids = [id for id, is_over in is_beyond.items() if is_over]
     if len(beyond_ids) <= max_beyond_ratio * max(1, len(is_beyond)):
         return []
--- a/hallhitch/lab/client_request.py
+++ b/hallhitch/lab/client_request.py
@@ -8,7 +8,7 @@
 
 from hallhitch.decision import api
 from hallhitch.lab.journal import Journal
-from hallhitch.lab.traffic import Intent
+from hallhitch.lab.traffic import PlannedRequest
 
 RETRY_DEADLINE_RATIO: Final = 0.75  # of its first deadline that a client gives its own retry: it has waited already
 
@@ -17,27 +17,27 @@
 class ClientTry:
     """One try of a client: its first one, or the one retry that it makes by itself."""
 
-    intent: Intent
+    intent: PlannedRequest
     is_retry: bool = False
 
     @property
     def preferred_gateway(self) -> int:
         """The gateway that the front would send it to."""
-        return self.intent.again if self.is_retry else self.intent.gateway
+        return self.intent.retry_gateway if self.is_retry else self.intent.gateway
 
     @property
     def deadline_ms(self) -> float:
         """The time that the client gives it."""
-        return self.intent.patience * (RETRY_DEADLINE_RATIO if self.is_retry else 1.0)
+        return self.intent.deadline_ms * (RETRY_DEADLINE_RATIO if self.is_retry else 1.0)
 
     @property
     def is_retried(self) -> bool:
         """Whether the client tries once more if this try is not served."""
-        return self.intent.retries and not self.is_retry
+        return self.intent.is_retried and not self.is_retry
 
     def retry_delay_ms(self, advice_ms: float) -> float:
         """The time before the client's retry, given the gateway's advice."""
-        return max(self.intent.retry_wait, advice_ms)
+        return max(self.intent.retry_delay_ms, advice_ms)
 
     def journal(self, journal: Journal, settings: api.Settings, id: int, gateway: int, now: float) -> None:
         """Add the event `ask` to the journal."""
@@ -49,8 +49,8 @@
             id,
             gateway,
             intent.customer.name,
-            settings.plans[intent.customer.plan].name,
-            settings.classes[intent.klass].name,
+            settings.plans[intent.customer.plan_index].name,
+            settings.classes[intent.class_index].name,
             intent.key,
             round(ends_at - journal.started_at, 3),
             not self.is_retry,
@@ -62,7 +62,7 @@
     """A try in a modelled gateway: the payload of its exchange, and the port that gets the final answer."""
 
     id: int
-    intent: Intent
+    intent: PlannedRequest
     on_answer: Callable[[str, float], None]  # status, and the time after which to retry
     journal: Journal
     now: Callable[[], float]
--- a/hallhitch/lab/counter_sides.py
+++ b/hallhitch/lab/counter_servers.py
@@ -6,12 +6,12 @@
 from collections import deque
 from typing import Any
 
-from hallhitch.lab.http_wire import Reader, Writer, answer, read_message
+from hallhitch.lab.http_messages import Reader, Writer, encode_response, read_message
 from hallhitch.lab.services import Counter
 from hallhitch.resp.codec import CommandReader, encode_array, encode_bulk_string, encode_error, encode_simple_string
 
 
-class Ordered:
+class OrderedReplies:
     """Answers of one connection, written in the order of their calls."""
 
     def __init__(self, writer: Writer) -> None:
@@ -37,7 +37,7 @@
         self._writer.transport.abort()
 
 
-class HttpCounterSide:
+class HttpCounterServer:
     """`POST /NAME?n=UNITS&keep_ms=LIFETIME`, answered with the total."""
 
     def __init__(self, counter: Counter) -> None:
@@ -45,7 +45,7 @@
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         """Answer calls."""
-        answers = Ordered(writer)
+        answers = OrderedReplies(writer)
         while True:
             first, *_ = await read_message(reader)
             path, _, query = first.split()[1].partition("?")
@@ -57,12 +57,12 @@
             def reply(outcome: str, total: float, slot: list[bytes | None] = slot) -> None:
                 if outcome == "unreachable":
                     return answers.abort()
-                answers.give(slot, answer(200, b"%.7g" % total) if outcome == "ok" else answer(503))
+                answers.give(slot, encode_response(200, b"%.7g" % total) if outcome == "ok" else encode_response(503))
 
             self._counter.call(int(path.rpartition("/")[2]), float(told["n"]), float(told["keep_ms"]), reply)
 
 
-class RespCounterSide:
+class RespCounterServer:
     """A RESP2 server with the commands that a counter needs: SET name 0 PX life NX and INCRBYFLOAT inside MULTI and
     EXEC, as the protocol has them. What else comes is an error, and spoils its transaction."""
 
@@ -71,7 +71,7 @@
 
     async def serve(self, reader: Reader, writer: Writer) -> None:
         """Answer commands."""
-        answers, commands = Ordered(writer), CommandReader()
+        answers, commands = OrderedReplies(writer), CommandReader()
         queued: list[list[bytes]] | None = None  # inside MULTI
         spoilt = False
         while data := await reader.read(65_536):
@@ -99,7 +99,7 @@
             if commands.framing_error:
                 return
 
-    def _run(self, calls: list[list[bytes]], answers: Ordered, slot: list[bytes | None]) -> None:
+    def _run(self, calls: list[list[bytes]], answers: OrderedReplies, slot: list[bytes | None]) -> None:
         lives = {words[1]: float(words[4]) for words in calls if words[0].upper() == b"SET"}
         adds = [words for words in calls if words[0].upper() == b"INCRBYFLOAT"]
         if len(adds) != 1 or adds[0][1] not in lives:
@@ -130,7 +130,7 @@
     return name == b"INCRBYFLOAT" and len(words) == 3
 
 
-COUNTER_SIDES: dict[str, type[HttpCounterSide] | type[RespCounterSide]] = {
-    "http": HttpCounterSide,
-    "resp": RespCounterSide,
+COUNTER_SERVERS: dict[str, type[HttpCounterServer] | type[RespCounterServer]] = {
+    "http": HttpCounterServer,
+    "resp": RespCounterServer,
 }
--- a/hallhitch/lab/emulator/backend_fleet.py
+++ b/hallhitch/lab/emulator/backend_fleet.py
@@ -69,7 +69,7 @@
 
     def draw_work_ms(self, spec: BackendSpec) -> float:
         """Draw how long the next request takes."""
-        return spec.work_ms * self._work_stream.between(0.6, 1.4)
+        return spec.work_ms * self._work_stream.uniform(0.6, 1.4)
 
     def draw_fault(self) -> ResponseFault | None:
         """Draw what goes wrong with the next response."""
--- a/hallhitch/lab/emulator/client.py
+++ b/hallhitch/lab/emulator/client.py
@@ -25,7 +25,7 @@
 from hallhitch.lab.emulator.connection_owners import Address
 from hallhitch.lab.emulator.network_paths import CLIENTS, NetworkPaths, region_of
 from hallhitch.lab.emulator.records import ClientAttempt, Records
-from hallhitch.lab.http_wire import Reader, Writer, read_message
+from hallhitch.lab.http_messages import Reader, Writer, read_message
 from hallhitch.lab.streams import Stream
 from hallhitch.messages.addressing import split_address
 from hallhitch.node.clock import now
--- a/hallhitch/lab/emulator/emulated_operator.py
+++ b/hallhitch/lab/emulator/emulated_operator.py
@@ -13,7 +13,7 @@
 
 from hallhitch.lab.emulator.connection_owners import Address
 from hallhitch.lab.emulator.records import Config, ConfigRead, OperatorOperation, Records
-from hallhitch.lab.http_wire import read_message
+from hallhitch.lab.http_messages import read_message
 from hallhitch.lab.streams import Stream
 from hallhitch.node.clock import now
 
--- a/hallhitch/lab/emulator/emulator.py
+++ b/hallhitch/lab/emulator/emulator.py
@@ -37,7 +37,7 @@
 from hallhitch.lab.emulator.process_rig import ProcessRig
 from hallhitch.lab.emulator.records import FaultInterval, Records
 from hallhitch.lab.emulator.spec import EmulatorSpec
-from hallhitch.lab.http_wire import read_message
+from hallhitch.lab.http_messages import read_message
 from hallhitch.lab.streams import Streams
 from hallhitch.messages.addressing import split_address
 from hallhitch.node.clock import now
--- a/hallhitch/lab/emulator/link_relays.py
+++ b/hallhitch/lab/emulator/link_relays.py
@@ -14,7 +14,7 @@
 
 from hallhitch.lab.emulator.network_paths import NetworkPaths, region_of
 from hallhitch.lab.emulator.relayed_program import CONNECTED, MAX_CALLERS, REFUSED, image_of, parse_image
-from hallhitch.lab.http_wire import Reader, Writer
+from hallhitch.lab.http_messages import Reader, Writer
 from hallhitch.node.clock import now
 
 CHUNK_BYTES: Final = 65_536
--- a/hallhitch/lab/emulator/platform_api.py
+++ b/hallhitch/lab/emulator/platform_api.py
@@ -16,7 +16,7 @@
 from hallhitch.lab.emulator.backend_fleet import LIST_COLUMNS, BackendFleet
 from hallhitch.lab.emulator.connection_owners import Address
 from hallhitch.lab.emulator.network_paths import PLATFORM
-from hallhitch.lab.http_wire import Reader, Writer, answer, read_message
+from hallhitch.lab.http_messages import Reader, Writer, encode_response, read_message
 from hallhitch.node.clock import now
 
 INSTANCES_PER_PAGE: Final = 50
@@ -88,13 +88,13 @@
         """Return the response to a call at a moment."""
         path, _, query = target.partition("?")
         if path != "/instances":
-            return answer(404)
+            return encode_response(404)
         self.calls += 1
         while self._recent_calls_ms and self._recent_calls_ms[0] <= moment_ms - RATE_WINDOW_MS:
             self._recent_calls_ms.popleft()
         if len(self._recent_calls_ms) >= self._rate_per_s:
             self.rejected += 1
-            return answer(429, extra="Retry-After: 0.2\r\n")
+            return encode_response(429, extra="Retry-After: 0.2\r\n")
         self._recent_calls_ms.append(moment_ms)
         parameters = dict(parse_qsl(query))
         first_row, listed_at_ms = 0, moment_ms - self._fleet.listing_lag_ms
@@ -107,4 +107,4 @@
             "instances": {"columnNames": LIST_COLUMNS, "rowValues": rows[first_row:next_row]},
             "nextPageToken": f"p-{next_row}-{listed_at_ms:.3f}" if next_row < len(rows) else None,
         }
-        return answer(200, json.dumps(body).encode(), JSON_CONTENT_TYPE)
+        return encode_response(200, json.dumps(body).encode(), JSON_CONTENT_TYPE)
--- a/hallhitch/lab/fault_injection.py
+++ b/hallhitch/lab/fault_injection.py
@@ -126,7 +126,7 @@
 
     def _pick_nodes(self, ratio: float) -> list[NodeT]:
         """Draw a part of the nodes that are up, at least one."""
-        return self._stream.some((node for node in self._nodes() if self._model(node).state is NodeState.UP), ratio)
+        return self._stream.sample((node for node in self._nodes() if self._model(node).state is NodeState.UP), ratio)
 
     def _degrade_nodes(self, fault: Fault) -> list[NodeT]:
         nodes = self._pick_nodes(fault.part)
@@ -189,7 +189,7 @@
 
     def _pick_gateways(self, ratio: float) -> list[int]:
         """Draw a part of the running gateways, at least one."""
-        return self._stream.some(self._running_gateways(), ratio)
+        return self._stream.sample(self._running_gateways(), ratio)
 
     def _kill_gateways(self, fault: Fault) -> list[NodeT]:
         for number in self._pick_gateways(fault.part):
--- a/hallhitch/lab/fleet/cluster.py
+++ b/hallhitch/lab/fleet/cluster.py
@@ -261,7 +261,7 @@
             self._stalled.append((sender, receiver, message))
             return
         for delay_ms in self.links.datagram_delays(sender_name, receiver_name):
-            one_way_ms = self._delay_stream.between(*ONE_WAY_DELAY_MS)
+            one_way_ms = self._delay_stream.uniform(*ONE_WAY_DELAY_MS)
             self.time.after(delay_ms + one_way_ms, self._arrive, receiver, message)
 
     def _arrive(self, receiver: int, message: Datagram) -> None:
--- a/hallhitch/lab/fleet/links.py
+++ b/hallhitch/lab/fleet/links.py
@@ -92,7 +92,7 @@
         return delays_ms
 
     def _draw_delay(self, fault: FleetFault) -> float:
-        return self._stream.between(*fault.delay_ms) if self._stream.chance(fault.share) else 0.0
+        return self._stream.uniform(*fault.delay_ms) if self._stream.chance(fault.share) else 0.0
 
     def _names(self, parties: Parties) -> frozenset[str]:
         gateways = {f"g{number}" for number in gateway_numbers(parties, self._gateways)}
--- a/hallhitch/lab/fleet/processes.py
+++ b/hallhitch/lab/fleet/processes.py
@@ -20,7 +20,7 @@
 from hallhitch.lab.errors import GatewayNotRunningError
 from hallhitch.lab.fleet.links import Links
 from hallhitch.lab.fleet.timeline import FaultTimeline, FleetFault, gateway_numbers
-from hallhitch.lab.http_wire import read_message
+from hallhitch.lab.http_messages import read_message
 from hallhitch.lab.scenario import Scenario
 from hallhitch.lab.sockets.listener import free_port
 from hallhitch.lab.sockets.run import SocketRun
--- a/hallhitch/lab/front_router.py
+++ b/hallhitch/lab/front_router.py
@@ -34,7 +34,7 @@
 
     def draw_unaware_ms(self) -> float:
         """Draw how long the front takes to notice a failure."""
-        return self._stream.between(*FRONT_UNAWARE_MS)
+        return self._stream.uniform(*FRONT_UNAWARE_MS)
 
     def notice_down_at(self, number: int, at: float) -> None:
         """Keep routing to a gateway until a time although it is down."""
--- a/hallhitch/lab/http_wire.py
+++ b/hallhitch/lab/http_messages.py
@@ -22,6 +22,6 @@
     return head[0], headers, b"".join(parts)
 
 
-def answer(status: int, body: bytes = b"", extra: str = "") -> bytes:
+def encode_response(status: int, body: bytes = b"", extra: str = "") -> bytes:
     """An HTTP answer."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
--- a/hallhitch/lab/journal.py
+++ b/hallhitch/lab/journal.py
@@ -40,13 +40,13 @@
         """Note an event."""
         self.events.append((round(now - self.started_at, 3), name, *fields))
 
-    def lines(self) -> Iterator[bytes]:
+    def encoded_lines(self) -> Iterator[bytes]:
         """The log's lines."""
         for event in self.events:
             yield _encode(event) + b"\n"
 
 
-def read_lines(lines: Iterable[bytes]) -> list[Event]:
+def read_journal(lines: Iterable[bytes]) -> list[Event]:
     """Events from a log; ValueError names the line that is none."""
     events = []
     for number, line in enumerate(lines, 1):
--- a/hallhitch/lab/model_network.py
+++ b/hallhitch/lab/model_network.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hallhitch.lab.scenario import World
+from hallhitch.lab.scenario import WorldSettings
 from hallhitch.lab.streams import Stream
 
 LOST_BEFORE_ARRIVAL_PROBABILITY = 0.5  # assumed: a connection breaks as often before the request arrives as after it
@@ -11,7 +11,7 @@
 class ModelNetwork:
     """Delays between zones, and the faults of connections in force now."""
 
-    def __init__(self, world: World, stream: Stream) -> None:
+    def __init__(self, world: WorldSettings, stream: Stream) -> None:
         self._world = world
         self._stream = stream
         self.reset = 0.0  # probability that the connection of an attempt is reset
@@ -21,7 +21,7 @@
     def delay(self, from_zone: int, to_zone: int) -> float:
         """Draw a one-way delay between two zones."""
         low_high = self._world.delay if from_zone == to_zone else self._world.across
-        return self._stream.between(*low_high)
+        return self._stream.uniform(*low_high)
 
     def draw_reset(self) -> bool:
         """Draw whether the connection of this attempt is reset."""
--- a/hallhitch/lab/model_upstream.py
+++ b/hallhitch/lab/model_upstream.py
@@ -19,7 +19,7 @@
 from hallhitch.lab.model_network import ModelNetwork
 from hallhitch.lab.node import DOWN_STATES, Node, NodeState, Work
 from hallhitch.lab.process_time import ProcessTime
-from hallhitch.lab.scenario import World
+from hallhitch.lab.scenario import WorldSettings
 from hallhitch.lab.services import Counter
 from hallhitch.lab.streams import Stream
 from hallhitch.net.upstream.client import MAX_IDLE_RATIO
@@ -36,7 +36,7 @@
 class UpstreamEnvironment:
     """The parts of a run that a gateway's upstream side acts on."""
 
-    world: World
+    world: WorldSettings
     nodes: dict[str, Node]
     counter: Counter
     network: ModelNetwork
@@ -115,7 +115,7 @@
             self._time.after(CONNECT_TIMEOUT_MS, self._end, in_flight, "unreachable")
         else:
             node.charge(self._world.handshake_work)
-            handshake_ms = self._stream.between(*self._world.handshake)
+            handshake_ms = self._stream.uniform(*self._world.handshake)
             self._time.after(2 * self._one_way_delay(in_flight) + handshake_ms, self._send, in_flight)
 
     def cancel(self, attempt: Attempt) -> None:
@@ -164,7 +164,7 @@
     def _work(self, in_flight: ModelAttempt, is_reply_lost: bool = False) -> Work:
         """Make the node's part of an attempt."""
         request, attempt = in_flight.request, in_flight.attempt
-        request_class = self._core.gateway.config.classes[request.intent.klass]
+        request_class = self._core.gateway.config.classes[request.intent.class_index]
 
         def on_reply(outcome: str, echo: int) -> None:
             if not is_reply_lost:
@@ -173,7 +173,7 @@
         return Work(
             request.id,
             attempt.number,
-            request.intent.work,
+            request.intent.service_ms,
             attempt.ends_at,
             request.intent.key,
             request_class.repeat_window,
--- a/hallhitch/lab/node.py
+++ b/hallhitch/lab/node.py
@@ -15,7 +15,7 @@
 from typing import Final, Protocol
 
 from hallhitch.lab.journal import Journal
-from hallhitch.lab.scenario import World
+from hallhitch.lab.scenario import WorldSettings
 from hallhitch.lab.streams import Stream
 
 WARM_UP_STEP_MS: Final = 250.0  # between updates of a warming node's speed: fine enough beside seconds of warm-up
@@ -106,7 +106,7 @@
 class NodeEnvironment:
     """The parts of a run that a node acts on."""
 
-    world: World
+    world: WorldSettings
     pod: Pod
     time: Time
     journal: Journal
@@ -184,7 +184,7 @@
         if self.state is NodeState.DRAINING or self.request_count >= self._world.slots + self._world.queue:
             return work.on_reply("full", 0)
         if self.failure_probability and self._stream.chance(self.failure_probability):
-            self._time.after(self._stream.between(*QUICK_FAILURE_MS), work.on_reply, "error", 0)
+            self._time.after(self._stream.uniform(*QUICK_FAILURE_MS), work.on_reply, "error", 0)
             return
         self._update_service()
         if len(self._in_service) < self._world.slots:
--- a/hallhitch/lab/scenario.py
+++ b/hallhitch/lab/scenario.py
@@ -16,7 +16,7 @@
 Range = tuple[Natural, Natural]
 
 
-class Class(Struct, frozen=True, forbid_unknown_fields=True):
+class ClassSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """A class of requests."""
 
     aim: Positive
@@ -28,7 +28,7 @@
     window: Natural = 0.0  # how long the nodes of one pod remember its keys
 
 
-class PlanOf(Struct, frozen=True, forbid_unknown_fields=True):
+class PlanSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """A plan, and how its clients use it."""
 
     share: Share  # of the use inside quotas
@@ -39,7 +39,7 @@
     beyond_cost: Natural = 0.0
 
 
-class World(Struct, frozen=True, forbid_unknown_fields=True):
+class WorldSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """What is there."""
 
     gateways: Count = 3
@@ -82,7 +82,7 @@
         return self.able[number] if number < len(self.able) else 1.0
 
 
-class Traffic(Struct, frozen=True, forbid_unknown_fields=True):
+class TrafficSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """What is asked."""
 
     load: Natural = 0.55  # use inside quotas, as a share of what the nodes can do
@@ -149,10 +149,10 @@
     name: str
     about: str = ""
     seconds: Positive = 60.0
-    world: World = World()
-    traffic: Traffic = Traffic()
-    classes: dict[str, Class] = {}
-    plans: dict[str, PlanOf] = {}
+    world: WorldSettings = WorldSettings()
+    traffic: TrafficSettings = TrafficSettings()
+    classes: dict[str, ClassSettings] = {}
+    plans: dict[str, PlanSettings] = {}
     faults: tuple[Fault, ...] = ()
 
     def __post_init__(self) -> None:
@@ -200,7 +200,7 @@
         )
 
 
-def described(scenario: Scenario, settings: api.Settings) -> tuple[Any, ...]:
+def journal_header(scenario: Scenario, settings: api.Settings) -> tuple[Any, ...]:
     """The fields of a log's first event: what figures and checker must know of the world."""
     classes = {k.name: [k.aim, k.deadline, k.worth, k.effect, k.repeat_window] for k in settings.classes}
     plans = {p.name: [p.rate, p.burst, p.price, p.beyond_worth, p.beyond_cost] for p in settings.plans}
--- a/hallhitch/lab/services.py
+++ b/hallhitch/lab/services.py
@@ -8,7 +8,7 @@
 
 from hallhitch.decision import api
 from hallhitch.lab.node import Node, Time
-from hallhitch.lab.scenario import Fault, World
+from hallhitch.lab.scenario import Fault, WorldSettings
 from hallhitch.lab.streams import Stream
 
 MAX_COUNT_LIFETIME_MS: Final = 60_000.0  # that the platform's counter grants a name
@@ -27,7 +27,7 @@
     Invariant: a call gets at most one reply; a silent counter, or one that goes down meanwhile, gives none.
     """
 
-    def __init__(self, world: World, time: Time, stream: Stream) -> None:
+    def __init__(self, world: WorldSettings, time: Time, stream: Stream) -> None:
         self._world = world
         self._time = time
         self._stream = stream
@@ -56,7 +56,7 @@
             on_reply("full", 0.0)
             return
         self._idle_at[shard] = begins_at + call_ms
-        latency_ms = self._stream.between(*self._world.counter_ms) * self.slowdown
+        latency_ms = self._stream.uniform(*self._world.counter_ms) * self.slowdown
         self._time.after(begins_at + latency_ms - now, self._serve, name, units, lifetime_ms, on_reply)
 
     def fail(self, fault: Fault) -> None:
@@ -107,7 +107,7 @@
     receives none, and afterwards those that it missed.
     """
 
-    def __init__(self, world: World, time: Time, stream: Stream) -> None:
+    def __init__(self, world: WorldSettings, time: Time, stream: Stream) -> None:
         self._world = world
         self._time = time
         self._stream = stream
@@ -165,7 +165,7 @@
         """Send an update, or the full list as it is on arrival; lost if the watcher is replaced meanwhile."""
         on_server_list = self._watchers[watcher]
         now = self._time.now
-        arrives_at = max(self._last_delivery_at[watcher], now + self._stream.between(*self._world.list_late))
+        arrives_at = max(self._last_delivery_at[watcher], now + self._stream.uniform(*self._world.list_late))
         self._last_delivery_at[watcher] = arrives_at
 
         def arrive() -> None:
--- a/hallhitch/lab/sockets/counter_listener.py
+++ b/hallhitch/lab/sockets/counter_listener.py
@@ -5,8 +5,8 @@
 import asyncio
 import contextlib
 
-from hallhitch.lab.counter_sides import COUNTER_SIDES
-from hallhitch.lab.http_wire import Reader, Writer
+from hallhitch.lab.counter_servers import COUNTER_SERVERS
+from hallhitch.lab.http_messages import Reader, Writer
 from hallhitch.lab.sockets.environment import SocketEnvironment
 from hallhitch.lab.sockets.listener import Listener
 
@@ -15,7 +15,7 @@
 
 async def start_counter_listener(gateway: int, form: str, environment: SocketEnvironment) -> Listener:
     """Start a listener that speaks one form of the counter's protocol: `http` or `resp`."""
-    side = COUNTER_SIDES[form](environment.counter)
+    side = COUNTER_SERVERS[form](environment.counter)
 
     async def serve(reader: Reader, writer: Writer) -> None:
         arrived = asyncio.StreamReader()
--- a/hallhitch/lab/sockets/discovery_agent.py
+++ b/hallhitch/lab/sockets/discovery_agent.py
@@ -10,7 +10,7 @@
 from typing import Any, Final
 
 from hallhitch.decision import api
-from hallhitch.lab.http_wire import Reader, Writer, answer, read_message
+from hallhitch.lab.http_messages import Reader, Writer, encode_response, read_message
 from hallhitch.lab.sockets.environment import SocketEnvironment
 from hallhitch.lab.sockets.listener import Listener
 
@@ -79,7 +79,7 @@
             if not await self._environment.reaches(self._gateway, "discovery"):  # cut off during the long poll
                 await reader.read(1)
                 return
-            writer.write(answer(200, self._list_after(after)))
+            writer.write(encode_response(200, self._list_after(after)))
 
     def _list_after(self, after: int) -> bytes:
         """Encode the list after a sequence number, the full one if that is negative; journals what it says."""
--- a/hallhitch/lab/sockets/emulated_node.py
+++ b/hallhitch/lab/sockets/emulated_node.py
@@ -13,7 +13,7 @@
 from typing import Any, Final
 
 from hallhitch.decision import api
-from hallhitch.lab.http_wire import Reader, Writer, answer, read_message
+from hallhitch.lab.http_messages import Reader, Writer, encode_response, read_message
 from hallhitch.lab.model_upstream import OUTCOME_AT_GATEWAY, REUSABLE_OUTCOMES
 from hallhitch.lab.node import Node, NodeState, Work
 from hallhitch.lab.sockets.environment import AttemptInProgress, SocketEnvironment
@@ -146,11 +146,11 @@
 
     def _work(self, attempt: _ReceivedAttempt, on_reply: Callable[[str, int], None]) -> Work:
         intent = self._requests.intents[attempt.id]
-        request_class = self._environment.settings.classes[intent.klass]
+        request_class = self._environment.settings.classes[intent.class_index]
         return Work(
             attempt.id,
             attempt.number,
-            intent.work,
+            intent.service_ms,
             attempt.ends_at,
             intent.key,
             request_class.repeat_window,
@@ -162,13 +162,13 @@
 def response_bytes(outcome: str, echo: int) -> bytes:
     """Encode a node's response to an outcome of its model; nothing for a reset."""
     if outcome == "ok":
-        return answer(200, b"%d" % echo)
+        return encode_response(200, b"%d" % echo)
     if outcome == "twice":
-        return answer(200, b"%d" % echo) * 2
+        return encode_response(200, b"%d" % echo) * 2
     if outcome == "error":
-        return answer(500)
+        return encode_response(500)
     if outcome == "full":
-        return answer(503, extra="Srv-Declined: 1\r\n")
+        return encode_response(503, extra="Srv-Declined: 1\r\n")
     if outcome == "spoilt":
         return b"HTTP/1.1 200 OK\r\nContent-Length: none\r\n\r\n"
     return b""
--- a/hallhitch/lab/sockets/environment.py
+++ b/hallhitch/lab/sockets/environment.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 
 from hallhitch.decision import api
-from hallhitch.lab.http_wire import Reader
+from hallhitch.lab.http_messages import Reader
 from hallhitch.lab.journal import Journal
 from hallhitch.lab.model_network import ModelNetwork
-from hallhitch.lab.scenario import World
+from hallhitch.lab.scenario import WorldSettings
 from hallhitch.lab.services import Counter, Discovery
 from hallhitch.lab.sockets.listener import LoopTime
-from hallhitch.lab.traffic import Intent
+from hallhitch.lab.traffic import PlannedRequest
 
 
 @dataclass(slots=True, eq=False)
@@ -28,7 +28,7 @@
 class RequestRegistry:
     """The requests sent so far, by the id that each carries through its gateway to the nodes."""
 
-    intents: dict[int, Intent] = field(default_factory=dict)
+    intents: dict[int, PlannedRequest] = field(default_factory=dict)
     gateways: dict[int, int] = field(default_factory=dict)  # number of the gateway that each was sent to
     attempt_counts: dict[int, int] = field(default_factory=dict)
     in_progress: dict[int, AttemptInProgress] = field(default_factory=dict)
@@ -44,7 +44,7 @@
 class SocketEnvironment:
     """The models and records of a run."""
 
-    world: World
+    world: WorldSettings
     settings: api.Settings
     time: LoopTime
     journal: Journal
--- a/hallhitch/lab/sockets/http_clients.py
+++ b/hallhitch/lab/sockets/http_clients.py
@@ -11,10 +11,10 @@
 from hallhitch.decision import api
 from hallhitch.lab.client_request import ClientTry
 from hallhitch.lab.front_router import FrontRouter
-from hallhitch.lab.http_wire import Reader, Writer, read_message
+from hallhitch.lab.http_messages import Reader, Writer, read_message
 from hallhitch.lab.sockets.environment import SocketEnvironment
 from hallhitch.lab.sockets.listener import TaskOwner
-from hallhitch.lab.traffic import Intent
+from hallhitch.lab.traffic import PlannedRequest
 
 OnSecond = Callable[[int, dict[str, int]], None]
 MAX_SLEEP_S: Final = 1.0  # while waiting for the next request, so that each second is reported in time
@@ -70,14 +70,14 @@
         """Forget the pooled connections to a gateway, whose process is new."""
         self._idle[gateway] = []
 
-    async def send_all(self, intents: list[Intent], begin_s: float) -> None:
+    async def send_all(self, intents: list[PlannedRequest], begin_s: float) -> None:
         """Send all requests at their times after `begin_s` on the monotonic clock."""
         second = 0
         for intent in intents:
-            due_s = begin_s + intent.at / 1000
+            due_s = begin_s + intent.due_at / 1000
             while (remaining_s := due_s - time.monotonic()) > 0:
                 await asyncio.sleep(min(remaining_s, MAX_SLEEP_S))
-            while self._on_second is not None and second <= intent.at / 1000:
+            while self._on_second is not None and second <= intent.due_at / 1000:
                 self._on_second(second, dict(self.statuses))
                 second += 1
             self.send_delays_ms.append((time.monotonic() - due_s) * 1000)
@@ -85,7 +85,7 @@
 
     async def _send(self, client_try: ClientTry) -> None:
         """Send a try, and the client's retry of it."""
-        preferred, spread = client_try.preferred_gateway, client_try.intent.customer.spread
+        preferred, spread = client_try.preferred_gateway, client_try.intent.customer.gateway_count
         number = self._router.route(preferred, spread, self._environment.time.now)
         answer = ClientAnswer("nobody there")
         if number is not None and self._is_running(number):
@@ -142,15 +142,15 @@
 
     def _request_bytes(self, sent: _SentTry, remaining_ms: float) -> bytes:
         intent = sent.client_try.intent
-        request_class = self._settings.classes[intent.klass]
+        request_class = self._settings.classes[intent.class_index]
         is_safe = request_class.effect == api.SAFE
         lines = [
             f"{'GET' if is_safe else 'POST'} /{request_class.name}/{intent.customer.name} HTTP/1.1",
             "Host: service.internal",
             f"Req-Id: {sent.id:016x}",
-            f"X-Contract: {self._settings.plans[intent.customer.plan].name}",
+            f"X-Contract: {self._settings.plans[intent.customer.plan_index].name}",
             f"Req-Deadline-Ms: {max(1, round(remaining_ms))}",
-            f"X-Metering: units=1,spread={intent.customer.spread},first={intent.customer.first}",
+            f"X-Metering: units=1,spread={intent.customer.gateway_count},first={intent.customer.first_gateway}",
         ]
         body = b"" if is_safe else b"part"
         if not is_safe:
--- a/hallhitch/lab/sockets/listener.py
+++ b/hallhitch/lab/sockets/listener.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from hallhitch.lab.http_wire import Reader, Writer
+from hallhitch.lab.http_messages import Reader, Writer
 
 
 class LoopTime:
--- a/hallhitch/lab/sockets/run.py
+++ b/hallhitch/lab/sockets/run.py
@@ -20,11 +20,11 @@
 from hallhitch.lab.errors import GatewayStartError
 from hallhitch.lab.fault_injection import FaultTargets
 from hallhitch.lab.front_router import FrontRouter
-from hallhitch.lab.http_wire import Reader
+from hallhitch.lab.http_messages import Reader
 from hallhitch.lab.journal import Journal
 from hallhitch.lab.model_network import ModelNetwork
 from hallhitch.lab.node_factory import NodeFactory
-from hallhitch.lab.scenario import Scenario, described
+from hallhitch.lab.scenario import Scenario, journal_header
 from hallhitch.lab.services import Counter, Discovery
 from hallhitch.lab.sockets.counter_listener import start_counter_listener
 from hallhitch.lab.sockets.discovery_agent import DiscoveryAgent, describe_host
@@ -35,7 +35,7 @@
 from hallhitch.lab.sockets.http_clients import HttpClients, OnSecond
 from hallhitch.lab.sockets.listener import Listener, LoopTime, TaskOwner, free_port
 from hallhitch.lab.streams import Streams
-from hallhitch.lab.traffic import Traffic, draw
+from hallhitch.lab.traffic import Traffic, draw_traffic
 from hallhitch.lab.virtual_run import LAST_ANSWERS_MS
 
 START_TIMEOUT_S: Final = 60.0  # for a gateway to log that it serves, on a machine where many start
@@ -53,7 +53,7 @@
         self.scenario = scenario
         self.seed = seed
         self._on_second = on_second
-        self.traffic: Traffic = draw(scenario, seed)
+        self.traffic: Traffic = draw_traffic(scenario, seed)
         self.settings = scenario.settings(self.traffic.rates)
         self.nodes: dict[str, EmulatedNode] = {}
         self.processes: dict[int, asyncio.subprocess.Process | None] = {}
@@ -118,7 +118,7 @@
             self._environment, self.router, self.tasks, self.addresses, self._is_running, self._on_second
         )
         self._node_factory = NodeFactory(world, self.time, self.journal, streams)
-        self.journal.add(self.time.now, "world", *described(self.scenario, self.settings))
+        self.journal.add(self.time.now, "world", *journal_header(self.scenario, self.settings))
         await self._start_parties()
         await self._start_gateways()
 
--- a/hallhitch/lab/streams.py
+++ b/hallhitch/lab/streams.py
@@ -32,7 +32,7 @@
             self._uniform = self.numbers.random(self.BLOCK).tolist()
         return self._uniform.pop()
 
-    def between(self, low: float, high: float) -> float:
+    def uniform(self, low: float, high: float) -> float:
         """Evenly between two figures."""
         return low + (high - low) * self.random()
 
@@ -46,7 +46,7 @@
         """Whether something of this chance happens."""
         return self.random() < share
 
-    def some(self, things: Iterable[T], part: float) -> list[T]:
+    def sample(self, things: Iterable[T], part: float) -> list[T]:
         """A part of things, one at least if there is any, in the order in which they were drawn."""
         left = list(things)
         count = min(len(left), max(1, round(part * len(left))))
--- a/hallhitch/lab/traffic.py
+++ b/hallhitch/lab/traffic.py
@@ -1,4 +1,8 @@
-"""Clients: who they are, and all that they will ask, drawn ahead so that no setting of a gateway changes it."""
+"""Clients and all requests that they will send, drawn before a run, so that no setting of a gateway changes them.
+
+Invariant: requests depend on the scenario's traffic, faults and seed alone; the order of the draws is part of what a
+seed fixes. Times in ms, rates per second unless a name says otherwise.
+"""
 
 from __future__ import annotations
 
@@ -6,232 +10,286 @@
 import itertools
 import math
 from dataclasses import dataclass
+from typing import Final
 
 import numpy as np
 
 from hallhitch.lab.scenario import Scenario
 from hallhitch.lab.streams import Stream, Streams
 
+FULL_USE: Final = (0.85, 0.98)  # of their rate, by clients that use nearly all of it
+NO_LEAVE: Final = 2.0  # leave ratio of clients that stay: any above 1
+MIN_BURST_S: Final = 0.05
+BURST_SKEW: Final = 0.5  # of the gateways that a burst comes through
+FRESH_SKEW: Final = 1.0
+FIRST_CUSTOMER_ID: Final = 0x10000
+CUSTOMER_ID_STEP: Final = 7919  # a prime, so that the ids differ in all their digits
+FIRST_FRESH_ID: Final = 0x1_0000_0000
+FRESH_GATEWAYS: Final = 2  # that the request of a fresh client may come through
+
 
 @dataclass(slots=True)
 class Customer:
     """One client of the service."""
 
     name: str
-    plan: int
+    plan_index: int
     kind: str  # calm, full, heavy, spiky or fresh
-    first: int  # the number of the first gateway of its set
-    spread: int
-    use: float  # of its rate, when it asks as usual
+    first_gateway: int  # number of the first of its gateways
+    gateway_count: int
+    use_ratio: float  # of its rate, when it sends as usual
 
 
 @dataclass(slots=True)
-class Intent:
-    """One try that a client will make: all that chance decides about it is decided here."""
+class PlannedRequest:
+    """A request that a client will send, with all that is drawn about it."""
 
-    at: float  # ms since the run began
+    due_at: float  # since the run began
     customer: Customer
-    klass: int
-    work: float
-    patience: float
-    retries: bool
-    retry_wait: float
-    leaves: float  # the share of its patience after which the client leaves; above 1: it stays
+    class_index: int
+    service_ms: float  # of one core
+    deadline_ms: float
+    is_retried: bool  # whether the client retries by itself
+    retry_delay_ms: float
+    leave_ratio: float  # of its deadline, after which the client leaves; above 1: it stays
     gateway: int
-    again: int  # the gateway of its retry
+    retry_gateway: int
     key: str
-    inside: bool = True  # whether one that sees all tries would count it inside the quota
+    is_within_quota: bool = True  # as one that sees all first tries would count
+
+
+@dataclass(frozen=True, slots=True)
+class _Spike:
+    """A time in which a client sends a multiple of its usual rate."""
+
+    begins_at: float
+    ends_at: float
+    multiple: float
 
 
 @dataclass(slots=True)
 class Traffic:
-    """All that will be asked, in order, with the plans' figures of the day."""
+    """All requests of a run in the order of their times, and the drawn rate and burst of each plan."""
 
-    intents: list[Intent]
+    intents: list[PlannedRequest]
     rates: dict[str, tuple[float, float]]
     customers: list[Customer]
 
 
-def draw(scenario: Scenario, seed: int) -> Traffic:
-    """Draw a run's traffic."""
-    streams, t, w = Streams(seed), scenario.traffic, scenario.world
-    who, when = streams.of("customers"), streams.of("arrivals")
+def draw_traffic(scenario: Scenario, seed: int) -> Traffic:
+    """Draw the traffic of a run."""
+    streams = Streams(seed)
+    customer_stream, arrival_stream = streams.of("customers"), streams.of("arrivals")
     rates = {}
     for name, plan in scenario.plans.items():
-        rate = who.between(*plan.rate)
-        rates[name] = rate, rate * who.between(*plan.burst_s)
-    mean_work = sum(k.share * (k.work[0] + k.work[1]) / 2 for k in scenario.classes.values())
-    total = t.rate or t.load * w.nodes * w.cores * 1000 / mean_work
+        rate = customer_stream.uniform(*plan.rate)
+        rates[name] = rate, rate * customer_stream.uniform(*plan.burst_s)
+    customers = _draw_customers(scenario, customer_stream, rates)
+    requests: list[PlannedRequest] = []
+    for customer in customers:
+        rate, burst = rates[list(scenario.plans)[customer.plan_index]]
+        own_requests = _draw_requests(scenario, arrival_stream, customer, rate)
+        _mark_within_quota(own_requests, rate, burst)
+        requests += own_requests
+    requests += _draw_bursts(scenario, streams, customers)
+    requests += _draw_fresh_clients(scenario, streams)
+    _crowd_gateways(scenario, streams, requests)
+    requests.sort(key=lambda request: (request.due_at, request.key))
+    return Traffic(requests, rates, customers)
+
+
+def _draw_customers(scenario: Scenario, stream: Stream, rates: dict[str, tuple[float, float]]) -> list[Customer]:
+    """Draw clients of each plan until their use within quotas adds up to the plan's share of the traffic."""
+    world, traffic = scenario.world, scenario.traffic
+    mean_work_ms = sum(each.share * (each.work[0] + each.work[1]) / 2 for each in scenario.classes.values())
+    total_rate = traffic.rate or traffic.load * world.nodes * world.cores * 1000 / mean_work_ms
     customers: list[Customer] = []
-    for number, (name, plan) in enumerate(scenario.plans.items()):
-        wanted = total * plan.share / rates[name][0]
-        while wanted > 0:
-            customer = _customer(scenario, who, number, len(customers))
-            wanted -= min(1.0, customer.use)
+    for plan_index, (name, plan) in enumerate(scenario.plans.items()):
+        missing = total_rate * plan.share / rates[name][0]
+        while missing > 0:
+            customer = _draw_customer(scenario, stream, plan_index, len(customers))
+            missing -= min(1.0, customer.use_ratio)
             customers.append(customer)
-    intents = []
-    for customer in customers:
-        rate, burst = rates[list(scenario.plans)[customer.plan]]
-        mine = _asks(scenario, when, customer, rate)
-        _mark_inside(mine, rate, burst)
-        intents += mine
-    intents += _extra(scenario, streams, customers)
-    intents += _fresh(scenario, streams)
-    _crowd(scenario, streams, intents)
-    intents.sort(key=lambda i: (i.at, i.key))
-    return Traffic(intents, rates, customers)
-
-
-def _customer(scenario: Scenario, who: Stream, plan: int, number: int) -> Customer:
-    t, gateways = scenario.traffic, scenario.world.gateways
-    roll = who.random()
-    kind = (
-        "full"
-        if roll < t.full
-        else "heavy"
-        if roll < t.full + t.heavy
-        else "spiky"
-        if roll < t.full + t.heavy + t.spiky
-        else "calm"
-    )
-    use = {"full": who.between(0.85, 0.98), "heavy": who.between(*t.heavy_x)}.get(kind, who.between(*t.calm_use))
-    spread = max(1, min(gateways, round(gateways * who.between(*t.spread))))
-    return Customer(f"{0x10000 + number * 7919:016x}", plan, kind, who.index(gateways), spread, use)
-
-
-def _times(scenario: Scenario, when: Stream, customer: Customer, rate: float) -> list[float]:
-    """When a client asks: at random, by an intensity that its kind and the faults change."""
-    end, t = scenario.seconds * 1000, scenario.traffic
-    spikes: list[tuple[float, float, float]] = []
+    return customers
+
+
+def _draw_customer(scenario: Scenario, stream: Stream, plan_index: int, number: int) -> Customer:
+    traffic, gateways = scenario.traffic, scenario.world.gateways
+    kind = _kind_of(scenario, stream.random())
+    # All three are drawn for each client, so that its kind leaves the later draws as they are.
+    full_use, heavy_use = stream.uniform(*FULL_USE), stream.uniform(*traffic.heavy_x)
+    calm_use = stream.uniform(*traffic.calm_use)
+    use_ratio = {"full": full_use, "heavy": heavy_use}.get(kind, calm_use)
+    gateway_count = max(1, min(gateways, round(gateways * stream.uniform(*traffic.spread))))
+    name = f"{FIRST_CUSTOMER_ID + number * CUSTOMER_ID_STEP:016x}"
+    return Customer(name, plan_index, kind, stream.index(gateways), gateway_count, use_ratio)
+
+
+def _kind_of(scenario: Scenario, draw: float) -> str:
+    traffic = scenario.traffic
+    if draw < traffic.full:
+        return "full"
+    if draw < traffic.full + traffic.heavy:
+        return "heavy"
+    if draw < traffic.full + traffic.heavy + traffic.spiky:
+        return "spiky"
+    return "calm"
+
+
+def _draw_spikes(scenario: Scenario, stream: Stream, customer: Customer) -> list[_Spike]:
+    """Draw the spikes of a client, and add those that faults of the traffic cause."""
+    traffic, end = scenario.traffic, scenario.seconds * 1000
+    spikes: list[_Spike] = []
     if customer.kind == "spiky":
-        at = when.between(0, t.spike_every_s[1] * 1000)
+        at = stream.uniform(0, traffic.spike_every_s[1] * 1000)
         while at < end:
-            long = when.between(*t.spike_s) * 1000
-            spikes.append((at, at + long, when.between(*t.spiky_x) / max(customer.use, 1e-6)))
-            at += long + when.between(*t.spike_every_s) * 1000
+            duration_ms = stream.uniform(*traffic.spike_s) * 1000
+            multiple = stream.uniform(*traffic.spiky_x) / max(customer.use_ratio, 1e-6)
+            spikes.append(_Spike(at, at + duration_ms, multiple))
+            at += duration_ms + stream.uniform(*traffic.spike_every_s) * 1000
     for fault in scenario.faults:
         if fault.kind == "flash":
-            spikes.append((fault.at_s * 1000, (fault.at_s + fault.for_s) * 1000, fault.size))
-    base = rate * customer.use / 1000
-    most = base * max([1.0, *(size for *_, size in spikes)])
-    times, at = [], when.exponential(1 / most)
+            spikes.append(_Spike(fault.at_s * 1000, (fault.at_s + fault.for_s) * 1000, fault.size))
+    return spikes
+
+
+def _draw_times(scenario: Scenario, stream: Stream, customer: Customer, rate: float) -> list[float]:
+    """Draw the times of a client's requests: a Poisson process whose intensity its spikes change, by thinning."""
+    end = scenario.seconds * 1000
+    spikes = _draw_spikes(scenario, stream, customer)
+    base_intensity = rate * customer.use_ratio / 1000
+    peak_intensity = base_intensity * max([1.0, *(spike.multiple for spike in spikes)])
+    times, at = [], stream.exponential(1 / peak_intensity)
     while at < end:
-        size = max([1.0, *(size for begin, stop, size in spikes if begin <= at < stop)])
-        if when.chance(base * size / most):
+        multiple = max([1.0, *(spike.multiple for spike in spikes if spike.begins_at <= at < spike.ends_at)])
+        if stream.chance(base_intensity * multiple / peak_intensity):
             times.append(at)
-        at += when.exponential(1 / most)
+        at += stream.exponential(1 / peak_intensity)
     return times
 
 
-def _intent(
-    scenario: Scenario, draw: Stream, customer: Customer, at: float, klass: int, key: str, weights: list[float]
-) -> Intent:
-    t = scenario.traffic
-    kind = list(scenario.classes.values())[klass]
-
-    def gateway() -> int:
-        number = bisect.bisect_right(weights, draw.random(), hi=len(weights) - 1)
-        return (customer.first + number) % scenario.world.gateways
-
-    return Intent(
-        at,
-        customer,
-        klass,
-        draw.between(*kind.work),
-        kind.deadline * draw.between(*t.patience),
-        draw.chance(t.retry),
-        draw.between(*t.retry_wait),
-        draw.random() if draw.chance(t.leave) else 2.0,
-        gateway(),
-        gateway(),
-        key,
-    )
-
-
-def _weights(draw: Stream, customer: Customer, skew: float) -> list[float]:
-    """How unevenly a client's requests come through its gateways, for a while: shares added up."""
-    order = sorted(range(customer.spread), key=lambda _: draw.random())
-    raw = [math.exp(-skew * order[n]) for n in range(customer.spread)]
-    whole = sum(raw)
-    return list(itertools.accumulate(value / whole for value in raw))
-
-
-def _asks(scenario: Scenario, when: Stream, customer: Customer, rate: float) -> list[Intent]:
-    t = scenario.traffic
-    shares = np.cumsum([k.share for k in scenario.classes.values()])
-    times = _times(scenario, when, customer, rate)
-    weights, shifts = _weights(when, customer, when.between(*t.skew)), when.between(*t.shift_s) * 1000
-    made = []
-    for number, at in enumerate(times):
-        while at >= shifts:
-            weights = _weights(when, customer, when.between(*t.skew))
-            shifts += when.between(*t.shift_s) * 1000
-        klass = min(len(shares) - 1, int(np.searchsorted(shares, when.random())))
-        made.append(_intent(scenario, when, customer, at, klass, f"{customer.name[-6:]}-{number}", weights))
-    return made
-
-
-def _mark_inside(intents: list[Intent], rate: float, burst: float) -> None:
-    """What one gateway that saw all first tries would let in."""
-    store, at = burst, 0.0
-    for intent in intents:
-        store = min(burst, store + (intent.at - at) / 1000 * rate)
-        at = intent.at
-        intent.inside = store >= 1
-        if intent.inside:
-            store -= 1
-
-
-def _extra(scenario: Scenario, streams: Streams, customers: list[Customer]) -> list[Intent]:
-    """Bursts: so many requests of the dearest class from the clients of the first plan, within `for_s`."""
-    made: list[Intent] = []
-    draw = streams.of("bursts")
-    worth = [k.worth for k in scenario.classes.values()]
-    klass = worth.index(max(worth))
-    small = [c for c in customers if c.plan == 0] or customers
-    for number, fault in enumerate(scenario.faults):
+@dataclass(frozen=True, slots=True)
+class _RequestDraw:
+    """Draws the requests of one client from one stream."""
+
+    scenario: Scenario
+    stream: Stream
+    customer: Customer
+
+    def request(self, due_at: float, class_index: int, key: str, weights: list[float]) -> PlannedRequest:
+        """Draw a request that comes through a gateway by the weights."""
+        traffic, stream = self.scenario.traffic, self.stream
+        request_class = list(self.scenario.classes.values())[class_index]
+        return PlannedRequest(
+            due_at,
+            self.customer,
+            class_index,
+            stream.uniform(*request_class.work),
+            request_class.deadline * stream.uniform(*traffic.patience),
+            stream.chance(traffic.retry),
+            stream.uniform(*traffic.retry_wait),
+            stream.random() if stream.chance(traffic.leave) else NO_LEAVE,
+            self._gateway(weights),
+            self._gateway(weights),
+            key,
+        )
+
+    def gateway_weights(self, skew: float) -> list[float]:
+        """Draw how unevenly the client's requests come through its gateways for a while: cumulative shares."""
+        count = self.customer.gateway_count
+        order = sorted(range(count), key=lambda _: self.stream.random())
+        raw = [math.exp(-skew * order[number]) for number in range(count)]
+        total = sum(raw)
+        return list(itertools.accumulate(value / total for value in raw))
+
+    def _gateway(self, weights: list[float]) -> int:
+        number = bisect.bisect_right(weights, self.stream.random(), hi=len(weights) - 1)
+        return (self.customer.first_gateway + number) % self.scenario.world.gateways
+
+
+def _draw_requests(scenario: Scenario, stream: Stream, customer: Customer, rate: float) -> list[PlannedRequest]:
+    """Draw the requests that a client sends as usual."""
+    traffic = scenario.traffic
+    cumulative_shares = np.cumsum([each.share for each in scenario.classes.values()])
+    times = _draw_times(scenario, stream, customer, rate)
+    draw = _RequestDraw(scenario, stream, customer)
+    weights = draw.gateway_weights(stream.uniform(*traffic.skew))
+    shifts_at = stream.uniform(*traffic.shift_s) * 1000
+    requests = []
+    for number, due_at in enumerate(times):
+        while due_at >= shifts_at:
+            weights = draw.gateway_weights(stream.uniform(*traffic.skew))
+            shifts_at += stream.uniform(*traffic.shift_s) * 1000
+        class_index = min(len(cumulative_shares) - 1, int(np.searchsorted(cumulative_shares, stream.random())))
+        requests.append(draw.request(due_at, class_index, f"{customer.name[-6:]}-{number}", weights))
+    return requests
+
+
+def _mark_within_quota(requests: list[PlannedRequest], rate: float, burst: float) -> None:
+    """Mark the requests that one gateway that saw all first tries would admit (token bucket)."""
+    tokens, updated_at = burst, 0.0
+    for request in requests:
+        tokens = min(burst, tokens + (request.due_at - updated_at) / 1000 * rate)
+        updated_at = request.due_at
+        request.is_within_quota = tokens >= 1
+        if request.is_within_quota:
+            tokens -= 1
+
+
+def _draw_bursts(scenario: Scenario, streams: Streams, customers: list[Customer]) -> list[PlannedRequest]:
+    """Draw the faults `burst`: `size` requests of the most valuable class, from clients of the first plan."""
+    requests: list[PlannedRequest] = []
+    stream = streams.of("bursts")
+    values = [each.worth for each in scenario.classes.values()]
+    class_index = values.index(max(values))
+    senders = [customer for customer in customers if customer.plan_index == 0] or customers
+    for fault_number, fault in enumerate(scenario.faults):
         if fault.kind != "burst":
             continue
-        for turn in range(round(fault.size)):
-            customer = small[turn % len(small)]
-            at = (fault.at_s + max(0.05, fault.for_s) * draw.random()) * 1000
-            made.append(
-                _intent(scenario, draw, customer, at, klass, f"burst-{number}-{turn}", _weights(draw, customer, 0.5))
-            )
-    return made
-
-
-def _crowd(scenario: Scenario, streams: Streams, intents: list[Intent]) -> None:
-    """Give few gateways much of the traffic, if the scenario says so."""
-    draw, many = streams.of("crowd"), scenario.world.gateways
-    few, part = scenario.traffic.crowded
-    if not part:
+        for number in range(round(fault.size)):
+            draw = _RequestDraw(scenario, stream, senders[number % len(senders)])
+            due_at = (fault.at_s + max(MIN_BURST_S, fault.for_s) * stream.random()) * 1000
+            weights = draw.gateway_weights(BURST_SKEW)
+            requests.append(draw.request(due_at, class_index, f"burst-{fault_number}-{number}", weights))
+    return requests
+
+
+def _crowd_gateways(scenario: Scenario, streams: Streams, requests: list[PlannedRequest]) -> None:
+    """Move much of the traffic to few gateways, if the scenario says so."""
+    stream, gateways = streams.of("crowd"), scenario.world.gateways
+    busy_share, traffic_share = scenario.traffic.crowded
+    if not traffic_share:
         return
-    busy = max(1, round(few * many))
-    # Of what comes by itself the busy ones have their share already.
-    chance = max(0.0, (part - busy / many) / max(1e-9, 1 - busy / many))
-    for intent in intents:
-        if draw.chance(chance):
-            intent.gateway = draw.index(busy) * many // busy
-
-
-def _fresh(scenario: Scenario, streams: Streams) -> list[Intent]:
-    """Clients never seen before, each with one request."""
-    made: list[Intent] = []
-    draw = streams.of("fresh")
-    if not scenario.traffic.fresh_per_s:
-        return made
-    at = draw.exponential(1000 / scenario.traffic.fresh_per_s)
-    while at < scenario.seconds * 1000:
+    busy_count = max(1, round(busy_share * gateways))
+    # Without being moved, the busy gateways have their share already.
+    usual_share = busy_count / gateways
+    move_probability = max(0.0, (traffic_share - usual_share) / max(1e-9, 1 - usual_share))
+    for request in requests:
+        if stream.chance(move_probability):
+            request.gateway = stream.index(busy_count) * gateways // busy_count
+
+
+def _draw_fresh_clients(scenario: Scenario, streams: Streams) -> list[PlannedRequest]:
+    """Draw clients that were never seen before, each with one request."""
+    requests: list[PlannedRequest] = []
+    stream = streams.of("fresh")
+    rate, gateways = scenario.traffic.fresh_per_s, scenario.world.gateways
+    if not rate:
+        return requests
+    due_at = stream.exponential(1000 / rate)
+    while due_at < scenario.seconds * 1000:
+        number = len(requests)
         customer = Customer(
-            f"{0x1_0000_0000 + len(made):016x}",
-            len(made) % len(scenario.plans),
+            f"{FIRST_FRESH_ID + number:016x}",
+            number % len(scenario.plans),
             "fresh",
-            draw.index(scenario.world.gateways),
-            min(2, scenario.world.gateways),
+            stream.index(gateways),
+            min(FRESH_GATEWAYS, gateways),
             0.0,
         )
-        klass = draw.index(len(scenario.classes))
-        made.append(_intent(scenario, draw, customer, at, klass, f"fresh-{len(made)}", _weights(draw, customer, 1.0)))
-        at += draw.exponential(1000 / scenario.traffic.fresh_per_s)
-    return made
+        draw = _RequestDraw(scenario, stream, customer)
+        class_index = stream.index(len(scenario.classes))
+        weights = draw.gateway_weights(FRESH_SKEW)
+        requests.append(draw.request(due_at, class_index, f"fresh-{number}", weights))
+        due_at += stream.exponential(1000 / rate)
+    return requests
--- a/hallhitch/lab/virtual_clients.py
+++ b/hallhitch/lab/virtual_clients.py
@@ -9,7 +9,7 @@
 from hallhitch.lab.front_router import FrontRouter
 from hallhitch.lab.journal import Journal
 from hallhitch.lab.model_gateway import ModelGateway
-from hallhitch.lab.traffic import Intent
+from hallhitch.lab.traffic import PlannedRequest
 from hallhitch.lab.virtual import EPOCH, VirtualTime
 
 
@@ -26,7 +26,7 @@
 class VirtualClients:
     """Sends the drawn requests of a run through the front, in the order of their times."""
 
-    def __init__(self, run: Gateways, intents: list[Intent]) -> None:
+    def __init__(self, run: Gateways, intents: list[PlannedRequest]) -> None:
         self._run = run
         self._intents = intents
         self._last_id = 0
@@ -37,7 +37,7 @@
 
     def _schedule(self, index: int) -> None:
         if index < len(self._intents):
-            self._run.time.at(EPOCH + self._intents[index].at, self._on_due, index)
+            self._run.time.at(EPOCH + self._intents[index].due_at, self._on_due, index)
 
     def _on_due(self, index: int) -> None:
         self._schedule(index + 1)
@@ -47,7 +47,7 @@
         """Send a try to the gateway that the front picks; a dead one gives no answer."""
         run, intent = self._run, client_try.intent
         preferred = client_try.preferred_gateway
-        routed = run.router.route(preferred, intent.customer.spread, run.time.now)
+        routed = run.router.route(preferred, intent.customer.gateway_count, run.time.now)
         number = preferred if routed is None else routed
         gateway = run.gateways.get(number)
         if gateway is None:
@@ -56,8 +56,8 @@
         client_try.journal(run.journal, run.settings, self._last_id, number, run.time.now)
         exchange = _ClientExchange(self, client_try, self._last_id, gateway)
         gateway.run(exchange.begin)
-        if not client_try.is_retry and intent.leaves < 1:
-            run.time.after(client_try.deadline_ms * intent.leaves, self._leave, exchange, number)
+        if not client_try.is_retry and intent.leave_ratio < 1:
+            run.time.after(client_try.deadline_ms * intent.leave_ratio, self._leave, exchange, number)
 
     def _leave(self, exchange: _ClientExchange, number: int) -> None:
         """The client closes its connection, unless it has its answer or the gateway has died."""
--- a/hallhitch/lab/virtual_run.py
+++ b/hallhitch/lab/virtual_run.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from hallhitch.decision import api
-from hallhitch.lab.baselines import Board
+from hallhitch.lab.baselines import LoadBoard
 from hallhitch.lab.fault_injection import FaultTargets
 from hallhitch.lab.fleet.cluster import Cluster, ClusterOptions
 from hallhitch.lab.front_router import FrontRouter
@@ -21,10 +21,10 @@
 from hallhitch.lab.model_upstream import UpstreamEnvironment
 from hallhitch.lab.node import Node
 from hallhitch.lab.node_factory import NodeFactory
-from hallhitch.lab.scenario import Scenario, described
+from hallhitch.lab.scenario import Scenario, journal_header
 from hallhitch.lab.services import Counter, Discovery
 from hallhitch.lab.streams import Stream, Streams
-from hallhitch.lab.traffic import Traffic, draw
+from hallhitch.lab.traffic import Traffic, draw_traffic
 from hallhitch.lab.virtual import EPOCH, VirtualTime
 from hallhitch.lab.virtual_clients import VirtualClients
 from hallhitch.lab.virtual_faults import VirtualFaultInjector
@@ -56,9 +56,9 @@
         self.time = VirtualTime()
         self.streams = Streams(seed)
         self.journal = Journal(EPOCH)
-        self.traffic = draw(scenario, seed)
+        self.traffic = draw_traffic(scenario, seed)
         self.settings = scenario.settings(self.traffic.rates)
-        self.journal.add(EPOCH, "world", *described(scenario, self.settings))
+        self.journal.add(EPOCH, "world", *journal_header(scenario, self.settings))
         self.network = ModelNetwork(world, self.streams.of("network"))
         self.counter = Counter(world, self.time, self.streams.of("counter"))
         self.discovery = Discovery(world, self.time, self.streams.of("discovery"))
@@ -69,7 +69,7 @@
             self.discovery.register(self.add_node(0.0))
         self._saved_entries = tuple(self.discovery.entries.values())
         self._upstream = UpstreamEnvironment(world, self.nodes, self.counter, self.network, self.journal)
-        self._board = Board(self.nodes, world.choice_late_ms, self.time) if world.choice == "informed" else None
+        self._board = LoadBoard(self.nodes, world.choice_late_ms, self.time) if world.choice == "informed" else None
         self._gateway_starts = 0
         self.gateways: dict[int, ModelGateway | None] = {}
         options = ClusterOptions(on_counts=self._on_peers)
--- a/tests/lab/test_cases.py
+++ b/tests/lab/test_cases.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from hallhitch.lab.cases import cases, named
+from hallhitch.lab.cases import load_cases, load_scenario
 from hallhitch.lab.checker import check
 from hallhitch.lab.evenness import Nodes, Sends, evenness
 from hallhitch.lab.figures import figures
@@ -38,7 +38,7 @@
     """Six gateways and 24 nodes."""
 
     def setUp(self) -> None:
-        self.cases = cases(FILE, {"world.gateways": 6, "world.nodes": 24, "traffic.load": 0.45, "seconds": 14.0})
+        self.cases = load_cases(FILE, {"world.gateways": 6, "world.nodes": 24, "traffic.load": 0.45, "seconds": 14.0})
 
     def runs(self, name: str) -> list[list[Event]]:
         """The logs of a case by seed, all rules kept."""
@@ -109,10 +109,10 @@
             ):
                 path.write_text(base + text)
                 with self.assertRaisesRegex(SettingsError, field):
-                    cases(str(path), {})
+                    load_cases(str(path), {})
         with self.assertRaisesRegex(SettingsError, "no case 'zones'; there are able"):
-            named(f"{FILE}:zones")
-        self.assertEqual(named(f"{FILE}:zone").faults[0].kind, "zone_lost")
+            load_scenario(f"{FILE}:zones")
+        self.assertEqual(load_scenario(f"{FILE}:zone").faults[0].kind, "zone_lost")
         self.assertEqual(run("check", FILE).stdout.split(": ")[1].strip(), "good (cases)")
 
 
@@ -124,7 +124,7 @@
 
     async def case(self, name: str) -> None:
         """A case's faults within six seconds."""
-        whole = cases(
+        whole = load_cases(
             FILE, {"world.gateways": 3, "world.nodes": 8, "world.list_late": [100.0, 400.0], "traffic.load": 0.3}
         )[name]
         faults = tuple(
@@ -153,5 +153,5 @@
     setattr(Processes, "test_" + name.replace(" ", "_"), test)
 
 
-for _name in cases(FILE, {}):
+for _name in load_cases(FILE, {}):
     _on_processes(_name)
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -8,7 +8,7 @@
 from hallhitch.core.ports import Attempt
 from hallhitch.decision import api
 from hallhitch.lab.checker import RULES, Violation, check
-from hallhitch.lab.journal import Event, Journal, read_lines
+from hallhitch.lab.journal import Event, Journal, read_journal
 from hallhitch.lab.model_gateway import ModelGateway
 from hallhitch.lab.virtual_run import play
 from tests.lab.test_world import short
@@ -177,10 +177,10 @@
         journal = Journal()
         for event in (WORLD, *NODES, ask(1)):
             journal.add(event[0], *event[1:])
-        self.assertEqual(read_lines(journal.lines()), journal.events)
+        self.assertEqual(read_journal(journal.encoded_lines()), journal.events)
         for bad in (b"[]", b"{}", b'[1,"ask",1]', b'["x","leave",1]', b'[1,"what",1]', b"nonsense"):
             with self.subTest(line=bad), self.assertRaisesRegex(ValueError, "line 1"):
-                read_lines([bad])
+                read_journal([bad])
 
 
 def two_attempts(gateway: ModelGateway) -> None:
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -8,7 +8,7 @@
 import unittest
 from pathlib import Path
 
-from hallhitch.lab.cases import cases
+from hallhitch.lab.cases import load_cases
 from hallhitch.lab.checker import check
 from hallhitch.lab.evenness import Arrival, evenness, heat
 from hallhitch.lab.journal import Event
@@ -183,11 +183,11 @@
 
     def test_a_page_from_logs_and_what_is_no_log(self) -> None:
         """Guards against a page that needs the network or drops a run, and a traceback for a file that is no log."""
-        told = cases(FILE, {"world.gateways": 3, "world.nodes": 9, "traffic.load": 0.3, "seconds": 12.0})["zone"]
+        told = load_cases(FILE, {"world.gateways": 3, "world.nodes": 9, "traffic.load": 0.3, "seconds": 12.0})["zone"]
         journal = play(told, 1).journal
         with tempfile.TemporaryDirectory() as folder:
             log_, page, bad = (Path(folder) / name for name in ("first <run>.log", "page.html", "bad.log"))
-            log_.write_bytes(b"".join(journal.lines()))
+            log_.write_bytes(b"".join(journal.encoded_lines()))
             bad.write_text("[1, 2]\n")
             done = run("fleet", "report", str(log_), "--write", str(page))
             self.assertEqual(done.returncode, 0, done.stderr)
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -73,9 +73,11 @@
             "structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))\n"
             "from tests.lab.test_world import short, ROOT, play\n"
             "r = play(short(ROOT / 'scenarios' / 'gateways-die.toml'), 7)\n"
-            "print(hashlib.sha256(b''.join(r.journal.lines())).hexdigest())"
+            "print(hashlib.sha256(b''.join(r.journal.encoded_lines())).hexdigest())"
+        )
+        here = hashlib.sha256(
+            b"".join(play(short(ROOT / "scenarios" / "gateways-die.toml"), 7).journal.encoded_lines())
         )
-        here = hashlib.sha256(b"".join(play(short(ROOT / "scenarios" / "gateways-die.toml"), 7).journal.lines()))
         for hash_seed in ("0", "4242"):
             done = subprocess.run(
                 [sys.executable, "-c", code],
@@ -90,7 +92,7 @@
         """Guards against two settings compared on two different days."""
 
         def asked(result: Result) -> list[tuple[float, str, float]]:
-            return [(i.at, i.key, i.work) for i in result.traffic.intents]
+            return [(i.due_at, i.key, i.service_ms) for i in result.traffic.intents]
 
         base = short(ROOT / "scenarios" / "calm.toml")
         other = replaced(base, {"world.nodes": base.world.nodes, "world.slots": 3, "world.counter_per_s": 200.0})
--- a/tests/system/emulator/emulated_parties.py
+++ b/tests/system/emulator/emulated_parties.py
@@ -12,7 +12,7 @@
 from hallhitch.lab.emulator.network_paths import NetworkPaths
 from hallhitch.lab.emulator.ports import reserve_ports
 from hallhitch.lab.emulator.records import Records
-from hallhitch.lab.http_wire import Reader, Writer, read_message
+from hallhitch.lab.http_messages import Reader, Writer, read_message
 
 TEST_TIMEOUT_S: Final = 20.0  # after which a wait was in vain
 BACKEND_HOST: Final = "127.1.1.200"
--- a/tests/system/emulator/test_emulated_backend.py
+++ b/tests/system/emulator/test_emulated_backend.py
@@ -8,7 +8,7 @@
 
 from hallhitch.lab.emulator.backend import BackendSpec
 from hallhitch.lab.emulator.response_fault import ResponseFault
-from hallhitch.lab.http_wire import read_message
+from hallhitch.lab.http_messages import read_message
 from hallhitch.node.clock import now
 from tests.system.emulator.emulated_parties import (
     encode_request,
--- a/tests/system/emulator/test_emulated_client.py
+++ b/tests/system/emulator/test_emulated_client.py
@@ -11,7 +11,7 @@
 from hallhitch.lab.emulator.network_paths import NetworkPaths
 from hallhitch.lab.emulator.ports import reserve_ports
 from hallhitch.lab.emulator.records import Records
-from hallhitch.lab.http_wire import answer
+from hallhitch.lab.http_messages import encode_response
 from hallhitch.lab.streams import Streams
 from tests.system.emulator.emulated_parties import SCRIPTED_HOST, run_with_timeout, start_scripted_server
 
@@ -57,12 +57,12 @@
 
         def directory(status_line: str, headers: dict[str, str], body: bytes) -> bytes:
             assert status_line == "GET /hallhitch/resolve?name=x&region=region-1&zone=zone-1a HTTP/1.1"
-            return answer(200, json.dumps({"addresses": [gateway_address], "ttl": "2s"}).encode())
+            return encode_response(200, json.dumps({"addresses": [gateway_address], "ttl": "2s"}).encode())
 
         def gateway(status_line: str, headers: dict[str, str], body: bytes) -> bytes:
             requests.append(headers)
             if len(requests) == 1:
-                return answer(503, extra="Retry-After: 0.01\r\n")
+                return encode_response(503, extra="Retry-After: 0.01\r\n")
             return (
                 b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\nHallhitch-Response-Seal: s\r\n"
                 b"Hallhitch-Request-Id: " + headers["hallhitch-request-id"].encode() + b"\r\n\r\n"
--- a/tests/system/emulator/test_emulated_operator.py
+++ b/tests/system/emulator/test_emulated_operator.py
@@ -5,7 +5,7 @@
 from hallhitch.lab.emulator.emulated_operator import EmulatedOperator
 from hallhitch.lab.emulator.ports import reserve_ports
 from hallhitch.lab.emulator.records import Records
-from hallhitch.lab.http_wire import answer
+from hallhitch.lab.http_messages import encode_response
 from hallhitch.lab.streams import Streams
 from tests.system.emulator.emulated_parties import SCRIPTED_HOST, run_with_timeout, start_scripted_server
 
@@ -15,12 +15,12 @@
         base_port, reservation = reserve_ports()
         records, calls = Records(), list[str]()
         redirect = f"Location: http://{SCRIPTED_HOST}:{base_port}/moved?call=x\r\n"
-        responses = [answer(503), answer(307, extra=redirect), answer(400)]
+        responses = [encode_response(503), encode_response(307, extra=redirect), encode_response(400)]
 
         def coordinator(status_line: str, headers: dict[str, str], body: bytes) -> bytes:
             calls.append(status_line)
             if status_line.startswith("POST /moved"):
-                return answer(200, b'{"configVersion":3}')
+                return encode_response(200, b'{"configVersion":3}')
             return responses[min(2, len(calls) - 1)]
 
         server = await start_scripted_server(base_port, coordinator)
--- a/tests/system/emulator/test_network.py
+++ b/tests/system/emulator/test_network.py
@@ -13,7 +13,7 @@
 from hallhitch.lab.emulator.network_paths import NetworkPaths
 from hallhitch.lab.emulator.ports import reserve_ports
 from hallhitch.lab.emulator.relayed_program import MAX_CALLERS, connect_over_relay
-from hallhitch.lab.http_wire import answer, read_message
+from hallhitch.lab.http_messages import encode_response, read_message
 from tests.system.emulator.emulated_parties import (
     SCRIPTED_HOST,
     encode_request,
@@ -62,7 +62,7 @@
         with pytest.raises(ConnectionRefusedError):
             await connect_over_relay(loop, SCRIPTED_HOST, base_port, 1)
         server = await start_scripted_server(
-            base_port, lambda status_line, headers, body: answer(200, status_line.encode())
+            base_port, lambda status_line, headers, body: encode_response(200, status_line.encode())
         )
         cut = network.begin_fault("cut", ["edge-1"])
         opening = asyncio.ensure_future(connect_over_relay(loop, SCRIPTED_HOST, base_port, 1))
--- a/tests/system/emulator/test_platform_api.py
+++ b/tests/system/emulator/test_platform_api.py
@@ -10,7 +10,7 @@
 
 from hallhitch.lab.emulator.backend import BackendSpec
 from hallhitch.lab.emulator.platform_api import PlatformApi, PlatformState
-from hallhitch.lab.http_wire import read_message
+from hallhitch.lab.http_messages import read_message
 from tests.system.emulator.emulated_parties import run_with_timeout, running_backend
 
 
