--- a/hallhitch/catalog/access.py
+++ b/hallhitch/catalog/access.py
@@ -1,20 +1,22 @@
-"""Who a caller is and what it may do: decisions over the catalogue. Comparing secrets is left to the caller's port."""
+"""Authentication and authorization: decisions over the catalog. Comparing secrets is left to the caller."""
 
 from __future__ import annotations
 
 import re
 from enum import StrEnum
+from typing import Final
 
 from msgspec import Struct
 
 from hallhitch.catalog.model import Catalog, Credential, Kind, Scope, Verifier
 from hallhitch.catalog.names import OPERATORS
 
-TOKEN_PATTERN = re.compile(r"hh_([a-z0-9-]{0,40})\.([a-z0-9-]{1,64})\.([A-Za-z0-9_-]{43})")
+TOKEN_PATTERN: Final = re.compile(r"hh_([a-z0-9-]{0,40})\.([a-z0-9-]{1,64})\.([A-Za-z0-9_-]{43})")
+ADMIN_KINDS: Final = (Kind.PLAN, Kind.CLIENT, Kind.CREDENTIAL)  # what a tenant's administrator may change
 
 
 class Token(Struct, frozen=True):
-    """A bearer token, taken apart; `secret` is 256 random bits."""
+    """Bearer token in its parts; `secret` is 256 random bits."""
 
     tenant: str
     id: str
@@ -25,7 +27,7 @@
 
 
 class Principal(Struct, frozen=True):
-    """A caller whose credential was checked."""
+    """Caller whose credential was verified."""
 
     tenant: str
     id: str
@@ -33,12 +35,12 @@
 
     @property
     def name(self) -> str:
-        """What the audit calls it."""
+        """Return the caller's name in the audit log."""
         return f"{self.tenant or 'operators'}/{self.id}"
 
 
 class Verdict(StrEnum):
-    """What becomes of a call: made, refused as beyond its scope, or answered as if there were nothing."""
+    """Decision on a call: allowed, refused as beyond its scope, or answered as if there were nothing."""
 
     ALLOWED = "yes"
     BEYOND_SCOPE = "beyond"
@@ -46,40 +48,42 @@
 
 
 def parse_token(text: str) -> Token | None:
-    """Read a token; None where it cannot be one."""
+    """Parse a token; None where the text cannot be one."""
     match = TOKEN_PATTERN.fullmatch(text)
     return Token(*match.groups()) if match else None
 
 
-def valid_credential(catalog: Catalog, tenant: str, id: str, now: int) -> Credential | None:
-    """The credential of this name if it counts at `now`; of a tenant switched off, none does."""
-    kept = catalog.get(tenant, Kind.CREDENTIAL, id)
-    if kept is None or (kept.value.expires is not None and kept.value.expires <= now):
+def valid_credential(catalog: Catalog, tenant: str, id: str, now_ms: int) -> Credential | None:
+    """Return a credential if it is valid at a time; those of a tenant that is off are not."""
+    entry = catalog.get(tenant, Kind.CREDENTIAL, id)
+    if entry is None:
+        return None
+    credential: Credential = entry.value
+    if credential.expires is not None and credential.expires <= now_ms:
         return None
     if tenant != OPERATORS and not catalog.tenants[tenant].head.value.on:
         return None
-    credential: Credential = kept.value
     return credential
 
 
-def valid_verifiers(credential: Credential, now: int) -> list[Verifier]:
-    """The verifiers that count at `now`, newest first."""
-    return [v for v in credential.verifiers if v.until is None or v.until > now]
+def valid_verifiers(credential: Credential, now_ms: int) -> list[Verifier]:
+    """Return the verifiers that are valid at a time, newest first."""
+    return [verifier for verifier in credential.verifiers if verifier.until is None or verifier.until > now_ms]
 
 
-def operator_by_certificate(catalog: Catalog, fingerprint: str, now: int) -> Principal | None:
-    """The operator whose client certificate has this SHA-256."""
+def operator_by_certificate(catalog: Catalog, fingerprint: str, now_ms: int) -> Principal | None:
+    """Return the operator whose client certificate has this SHA-256 fingerprint."""
     for id in sorted(catalog.operators):
-        credential = valid_credential(catalog, OPERATORS, id, now)
+        credential = valid_credential(catalog, OPERATORS, id, now_ms)
         if credential is not None and credential.certificate == fingerprint:
             return Principal(OPERATORS, id, credential.scope)
     return None
 
 
 def authorize(principal: Principal, tenant: str | None, kind: Kind | None, write: bool) -> Verdict:
-    """Whether a call may be made: `tenant` None is everybody's (the list of tenants), "" the operators' part.
+    """Decide on a call about a tenant's entries; None is the list of tenants, "" the operators' part.
 
-    What is another's is hidden, never forbidden: its existence is not told.
+    Another tenant's entries are hidden, not forbidden, so that the answer does not reveal that they exist.
     """
     if principal.scope is Scope.OPERATOR:
         return Verdict.ALLOWED
@@ -91,5 +95,5 @@
         return Verdict.HIDDEN
     if not write:
         return Verdict.ALLOWED
-    owned = principal.scope is Scope.ADMIN and kind in (Kind.PLAN, Kind.CLIENT, Kind.CREDENTIAL)
-    return Verdict.ALLOWED if owned else Verdict.BEYOND_SCOPE
+    is_own_to_change = principal.scope is Scope.ADMIN and kind in ADMIN_KINDS
+    return Verdict.ALLOWED if is_own_to_change else Verdict.BEYOND_SCOPE
--- a/hallhitch/catalog/history.py
+++ b/hallhitch/catalog/history.py
@@ -1,13 +1,14 @@
-"""Which rows each version touched, so that any version still kept can be diffed against the newest.
+"""Diffs between versions of the catalog, and the history from which they are made.
 
-A diff costs what changed, not what there is: the touched names since a version, each as it stands now.
+The history holds the names that each version touched; a diff is the names touched since a version, each as it is now.
+It costs what changed, not what there is.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, Final
 
 import msgspec
 from msgspec import Raw, Struct
@@ -17,12 +18,14 @@
 from hallhitch.catalog.rows import Row, catalog_rows, decode_value, tenant_rows
 
 RowKey = tuple[str, Kind, str]
+JSON_NULL: Final = b"null"
+MAX_HISTORY_NAMES: Final = 100_000  # some tens of MB; a gateway further behind gets a snapshot
 
 
 class Diff(Struct, frozen=True):
-    """What leads from one version of an epoch to a later one.
+    """Rows that lead from one version of an epoch to a later one.
 
-    Tenants in `reset` went, or went and came again: drop them whole first; their rows follow whole.
+    Tenants in `reset` were deleted, or deleted and created again: drop them first; their rows follow complete.
     """
 
     epoch: int
@@ -30,11 +33,11 @@
     version: int
     reset: tuple[str, ...]
     rows: tuple[Row, ...]
-    parts: dict[str, tuple[int, int]]  # born and version of each tenant touched that is still there
+    parts: dict[str, tuple[int, int]]  # of each touched tenant that exists: the versions that created and changed it
 
 
 class _RawRow(Struct, frozen=True, array_like=True):
-    """A row as written: in the order of `Row`'s fields."""
+    """Row as written: an array in the order of `Row`'s fields, its value undecoded."""
 
     tenant: str
     kind: Kind
@@ -42,9 +45,13 @@
     version: int
     value: Raw
 
+    def decode(self) -> Row:
+        value = decode_value(self.kind, self.value) if bytes(self.value) != JSON_NULL else None
+        return Row(self.tenant, self.kind, self.name, self.version, value)
+
 
 class _RawDiff(Struct, frozen=True, forbid_unknown_fields=True):
-    """A diff as written."""
+    """Diff as written."""
 
     epoch: int
     since: int
@@ -57,40 +64,24 @@
 _encode = msgspec.json.Encoder(order="deterministic").encode
 _decode_diff = msgspec.json.Decoder(_RawDiff).decode
 _decode_rows = msgspec.json.Decoder(tuple[_RawRow, ...]).decode
-JSON_NULL = b"null"
-
-
-def _decode_raw_rows(rows: tuple[_RawRow, ...]) -> tuple[Row, ...]:
-    return tuple(
-        [
-            Row(
-                r.tenant,
-                r.kind,
-                r.name,
-                r.version,
-                decode_value(r.kind, r.value) if bytes(r.value) != JSON_NULL else None,
-            )
-            for r in rows
-        ]
-    )
 
 
 def _row_tuples(rows: Iterable[Row]) -> list[tuple[Any, ...]]:
-    return [(r.tenant, r.kind, r.name, r.version, r.value) for r in rows]
+    return [(row.tenant, row.kind, row.name, row.version, row.value) for row in rows]
 
 
 def encode_rows(rows: Iterable[Row]) -> bytes:
-    """Rows as bytes: a piece of a snapshot."""
+    """Encode rows: a chunk of a snapshot."""
     return _encode(_row_tuples(rows))
 
 
 def decode_rows(body: bytes) -> tuple[Row, ...]:
-    """Rows from their bytes; ValueError says what is wrong."""
-    return _decode_raw_rows(_decode_rows(body))
+    """Decode rows; ValueError says what is wrong."""
+    return tuple([row.decode() for row in _decode_rows(body)])
 
 
 def encode_diff(diff: Diff) -> bytes:
-    """A diff as bytes: what the change log holds and what gateways are sent."""
+    """Encode a diff, as the change log holds it and gateways get it."""
     return _encode(
         {
             "epoch": diff.epoch,
@@ -104,35 +95,27 @@
 
 
 def decode_diff(body: bytes) -> Diff:
-    """A diff from its bytes; ValueError says what is wrong."""
+    """Decode a diff; ValueError says what is wrong."""
     raw = _decode_diff(body)
-    return Diff(raw.epoch, raw.since, raw.version, raw.reset, _decode_raw_rows(raw.rows), raw.parts)
+    rows = tuple([row.decode() for row in raw.rows])
+    return Diff(raw.epoch, raw.since, raw.version, raw.reset, rows, raw.parts)
 
 
 def make_diff(newest: Catalog, since: int, touched: Iterable[RowKey]) -> Diff:
-    """The diff from `since`, given the names that were touched from then on."""
+    """Make the diff from version `since`, given the names that were touched from then on."""
     keys = set(touched)
     reset = {
         tenant
         for tenant, kind, _ in keys
         if kind is Kind.TENANT and (tenant not in newest.tenants or newest.tenants[tenant].created_in_version > since)
     }
-    rows: list[Row] = []
+    # Deletions come before what is put: a host name may move from tenant to tenant. Then the tenants that were
+    # created again, complete; then what was put, a tenant's own row first as the rest depends on it, in the order of
+    # names, so that one diff has one text.
+    rows = [*_deleted_rows(newest, keys, reset)]
     for tenant in sorted(reset & set(newest.tenants)):
         rows += tenant_rows(newest, tenant)
-    # A tenant's own row first, as the rest hangs on it; then by name, so that one diff has one text. Host names
-    # that go come before those that are put: one may move from tenant to tenant.
-    gone = [key for key in keys if newest.get(*key) is None and key[0] not in reset]
-    here = [key for key in keys if newest.get(*key) is not None and key[0] not in reset]
-    for tenant, kind, name in sorted(gone):
-        rows.append(Row(tenant, kind, name, newest.version, None))
-    here.sort(key=lambda key: (key[0], key[1] is not Kind.TENANT, key[1].value, key[2]))
-    stand = []
-    for tenant, kind, name in here:
-        kept = newest.get(tenant, kind, name)
-        if kept is not None:
-            stand.append(Row(tenant, kind, name, kept.version, kept.value))
-    rows = [row for row in rows if row.value is None] + [row for row in rows if row.value is not None] + stand
+    rows += _present_rows(newest, keys, reset)
     parts = {
         tenant: (newest.tenants[tenant].created_in_version, newest.tenants[tenant].version)
         for tenant in sorted({key[0] for key in keys})
@@ -141,21 +124,41 @@
     return Diff(newest.epoch, since, newest.version, tuple(sorted(reset)), tuple(rows), parts)
 
 
+def _deleted_rows(newest: Catalog, keys: set[RowKey], reset: set[str]) -> list[Row]:
+    deleted = [key for key in keys if key[0] not in reset and newest.get(*key) is None]
+    return [Row(tenant, kind, name, newest.version, None) for tenant, kind, name in sorted(deleted)]
+
+
+def _present_rows(newest: Catalog, keys: set[RowKey], reset: set[str]) -> list[Row]:
+    present = [key for key in keys if key[0] not in reset and newest.get(*key) is not None]
+    present.sort(key=lambda key: (key[0], key[1] is not Kind.TENANT, key[1].value, key[2]))
+    rows = []
+    for tenant, kind, name in present:
+        entry = newest.get(tenant, kind, name)
+        if entry is not None:
+            rows.append(Row(tenant, kind, name, entry.version, entry.value))
+    return rows
+
+
 class History:
-    """The touched names of the last versions, `most` of them at most."""
+    """Names that the last versions touched, at most `max_names` of them."""
 
-    def __init__(self, most: int = 100_000) -> None:
-        self._max_names, self._name_count = most, 0
+    def __init__(self, max_names: int = MAX_HISTORY_NAMES) -> None:
+        self.epoch = 0
+        self.oldest_version = 0  # diffs lead on from this version and later ones
+        self._max_names = max_names
+        self._name_count = 0
         self._versions: deque[tuple[int, tuple[RowKey, ...]]] = deque()
-        self.epoch, self.oldest_version = 0, 0  # diffs lead on from `oldest` and later
 
     def start(self, epoch: int, version: int) -> None:
         """Begin at a version: what came before is not known."""
         self._versions.clear()
-        self._name_count, self.epoch, self.oldest_version = 0, epoch, version
+        self._name_count = 0
+        self.epoch = epoch
+        self.oldest_version = version
 
     def add(self, diff: Diff) -> None:
-        """The next version; the oldest go where too many names are held."""
+        """Add the next version; the oldest are dropped where too many names are held."""
         keys = (
             *((tenant, Kind.TENANT, tenant) for tenant in diff.reset),
             *((row.tenant, row.kind, row.name) for row in diff.rows),
@@ -163,11 +166,11 @@
         self._versions.append((diff.version, keys))
         self._name_count += len(keys)
         while self._name_count > self._max_names and self._versions:
-            self.oldest_version, gone = self._versions.popleft()
-            self._name_count -= len(gone)
+            self.oldest_version, dropped = self._versions.popleft()
+            self._name_count -= len(dropped)
 
     def diff(self, newest: Catalog, epoch: int, since: int) -> Diff | None:
-        """From a version to the newest; None where that version is not kept, or of another epoch."""
+        """Return the diff from a version to the newest; None where that version is not kept, or of another epoch."""
         if epoch != self.epoch or not self.oldest_version <= since <= newest.version:
             return None
         touched: set[RowKey] = set()
@@ -179,7 +182,12 @@
 
 
 def apply_diff(catalog: Catalog, diff: Diff) -> Catalog:
-    """A catalogue at `since`, brought to the diff's version; ValueError where it stands elsewhere."""
+    """Apply a diff to the catalog at its version `since`.
+
+    Raises:
+        ValueError: The catalog is at another version.
+        KeyError: The diff names a tenant that does not exist.
+    """
     if (catalog.epoch, catalog.version) != (diff.epoch, diff.since):
         raise ValueError(
             f"the diff leads on from {diff.epoch}.{diff.since}, not from {catalog.epoch}.{catalog.version}"
@@ -196,6 +204,6 @@
 
 
 def snapshot_diff(catalog: Catalog) -> Diff:
-    """The catalogue as a diff from nothing."""
-    parts = {name: (part.created_in_version, part.version) for name, part in catalog.tenants.items()}
+    """Return the whole catalog as a diff from nothing."""
+    parts = {name: (tenant.created_in_version, tenant.version) for name, tenant in catalog.tenants.items()}
     return Diff(catalog.epoch, 0, catalog.version, (), tuple(catalog_rows(catalog)), parts)
--- a/hallhitch/catalog/rows.py
+++ b/hallhitch/catalog/rows.py
@@ -1,27 +1,28 @@
-"""The one row form of the catalogue: what stores, snapshots and diffs are made of, and its checksum.
+"""Rows of the catalog, the form that store, snapshots and diffs share, and the catalog's checksum.
 
-The checksum of a catalogue is the sum of its rows' hashes, modulo 2**128: it does not depend on their order, and one
-change costs two hashes. It finds damage. It is no proof against someone who can write to the store.
+The checksum of a catalog is the sum of its rows' hashes (xxh3, 128 bits) modulo 2**128: it does not depend on their
+order, and one change costs two hashes. It finds damage; it proves nothing against someone who can write to the store.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, Final
 
 import msgspec
 from msgspec import Struct
 from xxhash import xxh3_128_intdigest
 
 from hallhitch.catalog.model import VALUE_TYPES, Catalog, Kind, Versioned
+from hallhitch.catalog.names import OPERATORS
 
-CHECKSUM_MODULUS = 1 << 128
+CHECKSUM_MODULUS: Final = 1 << 128
 _encode = msgspec.json.Encoder(order="deterministic").encode
 _decoders = {kind: msgspec.json.Decoder(type_, strict=True).decode for kind, type_ in VALUE_TYPES.items()}
 
 
 class Row(Struct, frozen=True, gc=False):
-    """One thing of the catalogue, or its absence (`value` None), as of `version`; `tenant` "" are the operators."""
+    """One entry of the catalog, or its deletion (`value` None), as of `version`; `tenant` "" are the operators."""
 
     tenant: str
     kind: Kind
@@ -30,44 +31,44 @@
     value: Any = None
 
     def encoded_value(self) -> bytes:
-        """The value, always the same bytes for the same value."""
+        """Encode the value; equal values always give equal bytes."""
         return _encode(self.value)
 
 
 def decode_value(kind: Kind, body: bytes) -> Any:
-    """A value from its bytes; ValueError says what is wrong with them."""
+    """Decode a value; ValueError says what is wrong with the bytes."""
     return _decoders[kind](body)
 
 
 def canonical_value(kind: Kind, value: Any) -> Any:
-    """The same value as it comes back from its bytes (a rate of 5 is 5.0); ValueError says what is wrong with it."""
+    """Return the value as it comes back from its bytes (a rate of 5 is 5.0); ValueError says what is wrong with it."""
     if type(value) is not VALUE_TYPES[kind]:
         raise ValueError(f"this is no {kind.value}")
     return decode_value(kind, _encode(value))
 
 
 def row_hash(tenant: str, kind: str, name: str, version: int, body: bytes) -> int:
-    """A row's hash, below 2**128."""
+    """Compute a row's hash, below CHECKSUM_MODULUS."""
     return xxh3_128_intdigest(b"%s\0%s\0%s\0%d\0%s" % (tenant.encode(), kind.encode(), name.encode(), version, body))
 
 
-def entry_hash(tenant: str, kind: Kind, name: str, kept: Versioned) -> int:
-    """The hash of the row of something kept."""
-    return row_hash(tenant, kind.value, name, kept.version, _encode(kept.value))
+def entry_hash(tenant: str, kind: Kind, name: str, entry: Versioned) -> int:
+    """Compute the hash of an entry's row."""
+    return row_hash(tenant, kind.value, name, entry.version, _encode(entry.value))
 
 
 def catalog_rows(catalog: Catalog) -> Iterator[Row]:
-    """All rows: a tenant's own before those of what it has."""
-    for name, kept in catalog.operators.items():
-        yield Row("", Kind.CREDENTIAL, name, kept.version, kept.value)
+    """Yield all rows; a tenant's own row comes before those of its entries."""
+    for name, entry in catalog.operators.items():
+        yield Row(OPERATORS, Kind.CREDENTIAL, name, entry.version, entry.value)
     for tenant in catalog.tenants:
         yield from tenant_rows(catalog, tenant)
 
 
-def tenant_rows(catalog: Catalog, tenant: str) -> Iterator[Row]:
-    """The rows of one tenant's part."""
-    part = catalog.tenants[tenant]
-    yield Row(tenant, Kind.TENANT, tenant, part.head.version, part.head.value)
-    for kind in part.KINDS:
-        for name, kept in part.entries(kind).items():
-            yield Row(tenant, kind, name, kept.version, kept.value)
+def tenant_rows(catalog: Catalog, name: str) -> Iterator[Row]:
+    """Yield the rows of one tenant's part, its own first."""
+    tenant = catalog.tenants[name]
+    yield Row(name, Kind.TENANT, name, tenant.head.version, tenant.head.value)
+    for kind in tenant.KINDS:
+        for entry_name, entry in tenant.entries(kind).items():
+            yield Row(name, kind, entry_name, entry.version, entry.value)
--- a/tests/catalog/test_changes.py
+++ b/tests/catalog/test_changes.py
@@ -273,7 +273,7 @@
 
     def test_versions_no_longer_kept_give_no_diff(self) -> None:
         """Guards against a diff with a gap in it, and one across epochs."""
-        log, now = History(most=3), self.was
+        log, now = History(max_names=3), self.was
         log.start(1, now.version)
         for number in range(5):
             made = apply_change(now, Change("b", (Edit(Kind.PLAN, f"p{number}", Plan()),)))
