--- a/hallhitch/administration/api/app.py
+++ b/hallhitch/administration/api/app.py
@@ -12,11 +12,15 @@
 from litestar.openapi.spec import Components, SecurityScheme
 
 from hallhitch import __version__
+from hallhitch.administration.api.audit_resources import audit, status, tenant_audit, version
+from hallhitch.administration.api.authorization import authorize_handler
 from hallhitch.administration.api.calls import Service
+from hallhitch.administration.api.credential_resources import Credentials, Operators
+from hallhitch.administration.api.entry_resources import Clients, Hosts, Plans
 from hallhitch.administration.api.feed_resources import FEED_HANDLERS
 from hallhitch.administration.api.guard import Guard
 from hallhitch.administration.api.problems import PROBLEM_MEDIA_TYPE, ProblemError, not_found
-from hallhitch.administration.api.resources import HANDLERS, authorize_handler
+from hallhitch.administration.api.tenant_resources import Tenants
 from hallhitch.administration.clock import WallClock
 from hallhitch.administration.feed_publisher import FeedPublisher
 from hallhitch.administration.secrets import SecretChecker
@@ -24,6 +28,7 @@
 from hallhitch.administration.store import SqliteStore
 from hallhitch.administration.writer import Writer
 
+HANDLERS: list[Any] = [Tenants, Plans, Clients, Hosts, Credentials, Operators, tenant_audit, audit, version, status]
 log = structlog.get_logger()
 
 
--- a/hallhitch/administration/api/calls.py
+++ b/hallhitch/administration/api/calls.py
@@ -114,7 +114,7 @@
     call = Call(
         caller_of(request),
         state["key"],
-        state["asked"],
+        state["fingerprint"],
         tenant,
         f"{request.method} {request.url.path}"[:400],
         plan,
@@ -127,16 +127,16 @@
     except CredentialNoLongerValid as error:
         raise ProblemError(401, "unauthenticated", "This needs a credential that counts.") from error
     except WriteQueueFull as error:
-        raise ProblemError(503, "busy", "Too many changes wait.", wait=1.0) from error
+        raise ProblemError(503, "busy", "Too many changes wait.", retry_after_s=1.0) from error
     except WriterHalted as error:
-        raise ProblemError(503, "halted", "Nothing can be changed now; reads go on.", wait=10.0) from error
+        raise ProblemError(503, "halted", "Nothing can be changed now; reads go on.", retry_after_s=10.0) from error
     except Exception as error:
         raise ProblemError(
             503,
             "not-written",
             "The store could not be written and nothing was changed, as far as "
             "is known. Repeat the call with the same key.",
-            wait=2.0,
+            retry_after_s=2.0,
         ) from error
     return Response(
         reply.body, status_code=reply.status, headers=reply.headers, media_type=reply.headers["content-type"]
@@ -253,3 +253,20 @@
     """A page of names past `after`, in order, and where the next begins."""
     found = heapq.nsmallest(limit + 1, (name for name in names if name > after and wanted(name)))
     return found[:limit], found[limit - 1] if len(found) > limit else None
+
+
+def page_of_kind(
+    request: Conn, tenant: str, kind: Kind, after: str, limit: int, prefix: str
+) -> tuple[list[tuple[str, Versioned]], str | None]:
+    """A page of one kind of a tenant's things."""
+    part = service_of(request).catalog.tenants.get(tenant)
+    if part is None:
+        raise not_found()
+    things = part.entries(kind)
+    names, following = page(things, after, limit, lambda name: name.startswith(prefix))
+    return [(name, things[name]) for name in names], following
+
+
+def json_response(body: Any) -> Response[Any]:
+    """A view as an answer."""
+    return Response(msgspec.json.encode(body), media_type=JSON, headers={"cache-control": "no-store"})
--- /dev/null
+++ b/hallhitch/administration/api/credential_resources.py
@@ -0,0 +1,206 @@
+"""Paths of tenants' and operators' credentials: issue, rotate, revoke."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+from litestar import Controller, Response, delete, get, patch, post, put
+
+from hallhitch.administration.api import calls, views
+from hallhitch.administration.api.calls import Conn, Target, json_response, page_of_kind, service_of
+from hallhitch.administration.api.parameters import (
+    CHANGE_ERRORS,
+    READ_ERRORS,
+    After,
+    IfMatch,
+    IfNoneMatch,
+    Key,
+    Limit,
+    Prefix,
+)
+from hallhitch.administration.api.problems import ProblemError
+from hallhitch.administration.secrets import SecretChecker, new_secret
+from hallhitch.administration.write_calls import PlannedChange
+from hallhitch.catalog.access import Token
+from hallhitch.catalog.changes import Change, Edit
+from hallhitch.catalog.errors import ChangeRefused
+from hallhitch.catalog.model import (
+    Catalog,
+    Credential,
+    Kind,
+    Scope,
+    Verifier,
+)
+from hallhitch.catalog.names import OPERATORS, canonical_client_id
+
+
+async def issue_credential(request: Conn, tenant: str, name: str, data: views.CredentialBody) -> Response[Any]:
+    """Issue a credential: its token stands in this answer and its repeats, and nowhere else."""
+    if data.certificate is not None:
+        if tenant != OPERATORS:
+            raise ProblemError(422, "invalid", "Only operators are named by certificates here.", "certificate")
+        value = Credential(data.scope, (), data.client, data.expires, data.certificate)
+        return await calls.put(request, Target(tenant, Kind.CREDENTIAL, name), value)
+    checker: SecretChecker = request.app.state.checker
+    secret = new_secret()
+    client = canonical_client_id(data.client) if data.client is not None else None
+    value = Credential(data.scope, (Verifier(await checker.hash(data.scope, secret)),), client, data.expires)
+    return await calls.put(request, Target(tenant, Kind.CREDENTIAL, name), value, str(Token(tenant, name, secret)))
+
+
+async def rotate_secret(request: Conn, tenant: str, name: str, data: views.RotateBody) -> Response[Any]:
+    """A new secret; the one before counts for the overlap."""
+    checker: SecretChecker = request.app.state.checker
+    target, secret = Target(tenant, Kind.CREDENTIAL, name), new_secret()
+    hashes = {scope: await checker.hash(scope, secret) for scope in (Scope.CLIENT, Scope.ADMIN)}
+    condition = calls.condition_of(request)
+
+    def plan(catalog: Catalog, now: int) -> PlannedChange:
+        was = catalog.get(tenant, Kind.CREDENTIAL, name)
+        if was is None:
+            raise ChangeRefused("not-found", "", "there is nothing of this name")
+        condition.check(catalog, was, replaces=False)
+        value: Credential = was.value
+        if value.certificate is not None:
+            raise ChangeRefused("invalid", "certificate", "a certificate has no secret to rotate")
+        until = now + data.overlap_seconds * 1000
+        older = tuple(
+            Verifier(v.hash, until if v.until is None else min(v.until, until))
+            for v in value.verifiers[:1]
+            if data.overlap_seconds
+        )
+        fresh = Verifier(hashes[Scope.CLIENT if value.scope is Scope.CLIENT else Scope.ADMIN])
+        made = msgspec.structs.replace(value, verifiers=(fresh, *older))
+        return PlannedChange(
+            Change(tenant, (Edit(Kind.CREDENTIAL, name, made),)),
+            lambda after: calls.resource_reply(after, target, 200, str(Token(tenant, name, secret))),
+            True,
+        )
+
+    return await calls.submit(request, tenant, plan)
+
+
+def _patch_credential(value: Any, body: Any) -> Any:
+    """Of a credential, only the end may be changed."""
+    told: views.CredentialPatch = calls.convert_value(body, views.CredentialPatch)
+    return msgspec.structs.replace(value, expires=told.expires) if "expires" in body else value
+
+
+class Credentials(Controller):
+    """Credentials of a tenant."""
+
+    path = "/v1/tenants/{tenant:str}/credentials"
+    tags = ("credentials",)
+    opt = {"kind": Kind.CREDENTIAL}
+
+    @get("/", responses=READ_ERRORS, operation_id="listCredentials")
+    async def list(
+        self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
+    ) -> Response[views.CredentialPage]:
+        """The tenant's credentials, without their secrets."""
+        things, following = page_of_kind(request, tenant, Kind.CREDENTIAL, after, limit, prefix)
+        catalog = service_of(request).catalog
+        return json_response(
+            views.CredentialPage([views.view(catalog, Kind.CREDENTIAL, *thing) for thing in things], following)
+        )
+
+    @get("/{name:str}", responses=READ_ERRORS, operation_id="getCredential")
+    async def get(self, request: Conn, tenant: str, name: str) -> Response[views.CredentialView]:
+        """One credential, without its secret."""
+        return calls.read(request, Target(tenant, Kind.CREDENTIAL, name))
+
+    @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putCredential", opt={"write": True})
+    async def put(
+        self,
+        request: Conn,
+        tenant: str,
+        name: str,
+        data: views.CredentialBody,
+        key: Key,
+        if_match: IfMatch = None,
+        if_none_match: IfNoneMatch = None,
+    ) -> Response[views.CredentialView]:
+        """Issue a credential; the answer holds its token."""
+        return await issue_credential(request, tenant, name, data)
+
+    @patch("/{name:str}", responses=CHANGE_ERRORS, operation_id="patchCredential", opt={"write": True})
+    async def patch(
+        self, request: Conn, tenant: str, name: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
+    ) -> Response[views.CredentialView]:
+        """Set or lift a credential's end."""
+        return await calls.patch(request, Target(tenant, Kind.CREDENTIAL, name), _patch_credential)
+
+    @post(
+        "/{name:str}/rotate",
+        responses=CHANGE_ERRORS,
+        operation_id="rotateCredential",
+        opt={"write": True},
+        status_code=200,
+    )
+    async def rotate(
+        self, request: Conn, tenant: str, name: str, data: views.RotateBody, key: Key, if_match: IfMatch = None
+    ) -> Response[views.CredentialView]:
+        """A new secret; the one before counts for the overlap."""
+        return await rotate_secret(request, tenant, name, data)
+
+    @delete(
+        "/{name:str}", responses=CHANGE_ERRORS, operation_id="deleteCredential", opt={"write": True}, status_code=204
+    )
+    async def delete(self, request: Conn, tenant: str, name: str, key: Key, if_match: IfMatch = None) -> Response[None]:
+        """Revoke a credential: from this answer on it does not count."""
+        return await calls.delete(request, Target(tenant, Kind.CREDENTIAL, name))
+
+
+class Operators(Controller):
+    """The operators' credentials."""
+
+    path = "/v1/operators"
+    tags = ("operators",)
+    opt = {"kind": Kind.CREDENTIAL, "tenant": OPERATORS}
+
+    @get("/", responses=READ_ERRORS, operation_id="listOperators")
+    async def list(
+        self, request: Conn, after: After = "", limit: Limit = 100, prefix: Prefix = ""
+    ) -> Response[views.CredentialPage]:
+        """The operators' credentials, without their secrets."""
+        catalog = service_of(request).catalog
+        names, following = calls.page(catalog.operators, after, limit, lambda name: name.startswith(prefix))
+        items = [views.view(catalog, Kind.CREDENTIAL, name, catalog.operators[name]) for name in names]
+        return json_response(views.CredentialPage(items, following))
+
+    @get("/{name:str}", responses=READ_ERRORS, operation_id="getOperator")
+    async def get(self, request: Conn, name: str) -> Response[views.CredentialView]:
+        """One operator's credential."""
+        return calls.read(request, Target(OPERATORS, Kind.CREDENTIAL, name))
+
+    @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putOperator", opt={"write": True})
+    async def put(
+        self,
+        request: Conn,
+        name: str,
+        data: views.CredentialBody,
+        key: Key,
+        if_match: IfMatch = None,
+        if_none_match: IfNoneMatch = None,
+    ) -> Response[views.CredentialView]:
+        """Issue an operator's credential, by secret or by client certificate."""
+        return await issue_credential(request, OPERATORS, name, data)
+
+    @post(
+        "/{name:str}/rotate",
+        responses=CHANGE_ERRORS,
+        operation_id="rotateOperator",
+        opt={"write": True},
+        status_code=200,
+    )
+    async def rotate(
+        self, request: Conn, name: str, data: views.RotateBody, key: Key, if_match: IfMatch = None
+    ) -> Response[views.CredentialView]:
+        """A new secret; the one before counts for the overlap."""
+        return await rotate_secret(request, OPERATORS, name, data)
+
+    @delete("/{name:str}", responses=CHANGE_ERRORS, operation_id="deleteOperator", opt={"write": True}, status_code=204)
+    async def delete(self, request: Conn, name: str, key: Key, if_match: IfMatch = None) -> Response[None]:
+        """Revoke an operator's credential; the last one stays."""
+        return await calls.delete(request, Target(OPERATORS, Kind.CREDENTIAL, name))
--- a/hallhitch/administration/api/feed_resources.py
+++ b/hallhitch/administration/api/feed_resources.py
@@ -10,9 +10,9 @@
 from msgspec import Meta, Struct
 
 from hallhitch.administration.api import views
-from hallhitch.administration.api.calls import Conn, service_of
+from hallhitch.administration.api.calls import Conn, json_response, service_of
+from hallhitch.administration.api.parameters import CHANGE_ERRORS, READ_ERRORS, Key
 from hallhitch.administration.api.problems import ProblemError
-from hallhitch.administration.api.resources import CHANGE_ERRORS, READ_ERRORS, Answer, Key, json_response
 from hallhitch.administration.errors import SnapshotTransfersFull
 from hallhitch.administration.feed_publisher import FeedPublisher
 from hallhitch.catalog.errors import FeedError, GatewayNameTaken
@@ -76,7 +76,9 @@
     except FeedError as error:
         raise ProblemError(409, "behind", f"{error}.", "version") from error
     except SnapshotTransfersFull as error:
-        raise ProblemError(503, "busy", "Too many gateways are sent everything.", wait=error.retry_after_s) from error
+        raise ProblemError(
+            503, "busy", "Too many gateways are sent everything.", retry_after_s=error.retry_after_s
+        ) from error
     if lines is None:
         return Response(b"", status_code=204)
     return Stream(lines, media_type=FEED_MEDIA_TYPE, headers={"cache-control": "no-store"})
@@ -96,7 +98,7 @@
     version: Annotated[
         str | None, QueryParameter(pattern=r"^[0-9]{1,15}\.[0-9]{1,15}$", description="The newest if none is told.")
     ] = None,
-) -> Answer:
+) -> Response[Any]:
     """The gateways, and how far a version has come (operators)."""
     publisher, catalog = publisher_of(request), service_of(request).catalog
     now = publisher.now_ms()
--- a/hallhitch/administration/api/guard.py
+++ b/hallhitch/administration/api/guard.py
@@ -1,6 +1,6 @@
-"""What stands before every handler: bounds on bodies, who calls, how often. Plain ASGI, outside the framework.
+"""Admission of calls before any handler: bounds on bodies, authentication, rates. Plain ASGI around the framework.
 
-A call that fails here has cost its caller, and nothing was decided or kept for it.
+A call that is rejected here counts against its caller, and nothing was decided or stored for it.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     valid_credential,
     valid_verifiers,
 )
-from hallhitch.catalog.model import Scope
+from hallhitch.catalog.model import Scope, Verifier
 from hallhitch.core.invariants import COUNTS
 
 AsgiScope = MutableMapping[str, Any]
@@ -41,7 +41,7 @@
 
 
 class Guard:
-    """Bounds, authentication and rates; what it learns lies in the scope's state for the handlers."""
+    """Admits calls; the caller, the body and the call's fingerprint go into the scope's state for the handlers."""
 
     def __init__(
         self, app: App, writer: Writer, checker: SecretChecker, clock: WallClock, settings: ApiSettings
@@ -69,94 +69,90 @@
         await self._app(scope, replay, send)
 
     async def _admit(self, scope: AsgiScope, receive: Receive) -> Receive:
+        """Check a call before any handler sees it, and return the channel from which the framework reads its body."""
         headers = Headers(scope["headers"])
         if headers.size_bytes > self._settings.head_kib * 1024:
             raise ProblemError(431, "too-large", f"A head holds {self._settings.head_kib} KiB at most.")
         state = scope["state"]
-        if scope["path"] in PUBLIC_PATHS and scope["method"] in READ_METHODS:
+        is_read = scope["method"] in READ_METHODS
+        if scope["path"] in PUBLIC_PATHS and is_read:
             state["caller"] = None
             return receive
-        state["caller"] = caller = await self._authenticate(scope, headers)
-        # Gateways of one credential are many, and each is bounded by what the feed gives out.
-        wait = 0.0 if caller.scope is Scope.GATEWAY else self._calls.take(caller.name, time.monotonic())
-        if wait:
-            raise ProblemError(429, "too-many-calls", "This credential calls too often.", wait=wait)
-        if scope["method"] in READ_METHODS:
+        caller = await self._authenticate(scope, headers)
+        state["caller"] = caller
+        self._limit_rate(caller)
+        if is_read:
             state["raw"] = b""
             return receive
-        key = headers.single("idempotency-key")
-        if key is None or not IDEMPOTENCY_KEY_PATTERN.fullmatch(key):
-            raise ProblemError(
-                400,
-                "no-idempotency-key",
-                "A change needs a key of 1 to 200 visible ASCII characters.",
-                "Idempotency-Key",
-            )
+        key = _idempotency_key(headers)
         body = await self._read_body(headers, receive)
         if body:
-            kind = (headers.single("content-type") or "").partition(";")[0].strip().lower()
-            if kind not in JSON_TYPES:
-                raise ProblemError(415, "media-type", "A body is application/json.", "Content-Type")
+            _check_media_type(headers)
             parse_strict(body)
-        state["raw"], state["key"] = body, key
-        conditions = "\n".join(headers.single(name) or "" for name in ("if-match", "if-none-match"))
-        asked = blake2b(digest_size=16)
-        for piece in (
-            scope["method"].encode(),
-            scope.get("raw_path") or scope["path"].encode(),
-            scope["query_string"],
-            conditions.encode(),
-            body,
-        ):
-            asked.update(b"%d:" % len(piece))
-            asked.update(piece)
-        state["asked"] = asked.digest()
+        state["raw"] = body
+        state["key"] = key
+        state["fingerprint"] = _fingerprint(scope, headers, body)
         return _replay_body(body, receive)
 
+    def _limit_rate(self, caller: Principal) -> None:
+        # Gateways of one credential are many, and each is bounded by what the feed gives out.
+        if caller.scope is Scope.GATEWAY:
+            return
+        wait_s = self._calls.take(caller.name, time.monotonic())
+        if wait_s:
+            raise ProblemError(429, "too-many-calls", "This credential calls too often.", retry_after_s=wait_s)
+
     async def _authenticate(self, scope: AsgiScope, headers: Headers) -> Principal:
-        """Who calls; 401, and the cost is the caller's."""
-        now = self._clock.now_ms()
+        """Return who calls, by bearer token or client certificate.
+
+        Raises:
+            ProblemError: 401 without a valid credential, 429 after too many failures, 503 if too many checks wait.
+        """
+        now_ms = self._clock.now_ms()
         catalog = self._writer.catalog
-        told = headers.single("authorization")
-        if told is None:
-            shown = scope["state"].get("certificate")
-            holder = operator_by_certificate(catalog, shown, now) if shown else None
-            if holder is not None:
-                return holder
+        authorization = headers.single("authorization")
+        if authorization is None:
+            fingerprint = scope["state"].get("certificate")
+            operator = operator_by_certificate(catalog, fingerprint, now_ms) if fingerprint else None
+            if operator is not None:
+                return operator
             raise unauthenticated()
-        scheme, _, text = told.partition(" ")
+        scheme, _, text = authorization.partition(" ")
         token = parse_token(text.strip()) if scheme.lower() == "bearer" else None
         if token is None:
             raise unauthenticated()
         address = (scope.get("client") or ("", 0))[0]
-        credential = valid_credential(catalog, token.tenant, token.id, now)
-        verifiers = valid_verifiers(credential, now) if credential is not None else []
+        credential = valid_credential(catalog, token.tenant, token.id, now_ms)
+        verifiers = valid_verifiers(credential, now_ms) if credential is not None else []
         if not self._checker.is_cached(verifiers, token.secret):
             await self._check_secret(token, address, verifiers)
         if credential is None or credential.scope is Scope.CLIENT:
             raise unauthenticated()
         return Principal(token.tenant, token.id, credential.scope)
 
-    async def _check_secret(self, token: Token, address: str, verifiers: list[Any]) -> None:
-        """Check a secret that is not remembered, if its caller has not failed too often."""
-        moment = time.monotonic()
-        names = (address, token.tenant, token.id), address
-        wait = max(self._failures_by_token.wait(names[0], moment), self._failures_by_address.wait(names[1], moment))
-        if wait:
-            raise ProblemError(429, "too-many-failures", "Too many failed authentications.", wait=wait)
+    async def _check_secret(self, token: Token, address: str, verifiers: list[Verifier]) -> None:
+        """Verify a secret that is not cached, if its caller has not failed too often."""
+        now_s = time.monotonic()
+        token_key = (address, token.tenant, token.id)
+        wait_s = max(self._failures_by_token.wait(token_key, now_s), self._failures_by_address.wait(address, now_s))
+        if wait_s:
+            detail = "Too many failed authentications."
+            raise ProblemError(429, "too-many-failures", detail, retry_after_s=wait_s)
         try:
-            good = await self._checker.check(verifiers, token.secret)
+            is_valid = await self._checker.check(verifiers, token.secret)
         except CheckQueueFull as error:
-            raise ProblemError(503, "busy", "Too many checks of credentials wait.", wait=1.0) from error
-        if not good:
-            self._failures_by_token.take(names[0], moment)
-            self._failures_by_address.take(names[1], moment)
+            detail = "Too many checks of credentials wait."
+            raise ProblemError(503, "busy", detail, retry_after_s=1.0) from error
+        if not is_valid:
+            self._failures_by_token.take(token_key, now_s)
+            self._failures_by_address.take(address, now_s)
             raise unauthenticated()
 
     async def _read_body(self, headers: Headers, receive: Receive) -> bytes:
-        most = self._settings.body_kib * 1024
+        """Read the whole body; 413 as soon as it is known to be too large."""
+        limit_bytes = self._settings.body_kib * 1024
         length = headers.single("content-length")
-        if length is not None and length.isdigit() and int(length) > most:
+        if length is not None and length.isdigit() and int(length) > limit_bytes:
             raise ProblemError(413, "too-large", f"A body holds {self._settings.body_kib} KiB at most.")
         body = bytearray()
         while True:
@@ -164,52 +160,82 @@
             if message["type"] == "http.disconnect":
                 raise ProblemError(400, "malformed", "The body ended early.")
             body += message.get("body", b"")
-            if len(body) > most:
+            if len(body) > limit_bytes:
                 raise ProblemError(413, "too-large", f"A body holds {self._settings.body_kib} KiB at most.")
             if not message.get("more_body", False):
                 return bytes(body)
 
 
 class Headers:
-    """The headers of a request; one that must be single and is not is an error."""
+    """Headers of a request; one that must be single and is not gives 400."""
 
     def __init__(self, raw: list[tuple[bytes, bytes]]) -> None:
         self._raw = raw
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of names and values."""
+        """Return the size of names and values."""
         return sum(len(name) + len(value) for name, value in self._raw)
 
     def single(self, name: str) -> str | None:
-        """A header's value; 400 where it stands twice."""
-        found = [value for key, value in self._raw if key == name.encode()]
-        if len(found) > 1:
+        """Return a header's value; None where it is absent, ProblemError 400 where it occurs twice."""
+        values = [value for key, value in self._raw if key == name.encode()]
+        if len(values) > 1:
             raise ProblemError(400, "malformed", "This header stands twice.", name.title())
-        return found[0].decode("latin-1").strip() if found else None
+        return values[0].decode("latin-1").strip() if values else None
 
 
 def unauthenticated() -> ProblemError:
-    """One text for all that can be wrong with a credential."""
+    """Return the one error for all that can be wrong with a credential."""
     return ProblemError(401, "unauthenticated", "This needs a credential that counts.")
 
 
+def _idempotency_key(headers: Headers) -> str:
+    key = headers.single("idempotency-key")
+    if key is None or not IDEMPOTENCY_KEY_PATTERN.fullmatch(key):
+        detail = "A change needs a key of 1 to 200 visible ASCII characters."
+        raise ProblemError(400, "no-idempotency-key", detail, "Idempotency-Key")
+    return key
+
+
+def _check_media_type(headers: Headers) -> None:
+    media_type = (headers.single("content-type") or "").partition(";")[0].strip().lower()
+    if media_type not in JSON_TYPES:
+        raise ProblemError(415, "media-type", "A body is application/json.", "Content-Type")
+
+
+def _fingerprint(scope: AsgiScope, headers: Headers, body: bytes) -> bytes:
+    """Hash what makes a call the same as another of its key: method, path, query, conditions and body."""
+    conditions = "\n".join(headers.single(name) or "" for name in ("if-match", "if-none-match"))
+    fingerprint = blake2b(digest_size=16)
+    for part in (
+        scope["method"].encode(),
+        scope.get("raw_path") or scope["path"].encode(),
+        scope["query_string"],
+        conditions.encode(),
+        body,
+    ):
+        fingerprint.update(b"%d:" % len(part))
+        fingerprint.update(part)
+    return fingerprint.digest()
+
+
 def _replay_body(body: bytes, receive: Receive) -> Receive:
-    """The body again, for the framework; then whatever comes."""
-    told = False
+    """Return a channel that gives the framework the body that was read, then whatever comes."""
+    is_replayed = False
 
     async def replay() -> Any:
-        nonlocal told
-        if told:
+        nonlocal is_replayed
+        if is_replayed:
             return await receive()
-        told = True
+        is_replayed = True
         return {"type": "http.request", "body": body, "more_body": False}
 
     return replay
 
 
 async def send_problem(send: Send, problem: ProblemError, method: str) -> None:
-    """Send an error."""
+    """Send an error response."""
     body = problem.body()
     headers = problem.headers() | {"content-length": str(len(body))}
     if problem.status in (400, 413, 431):  # what follows on the connection may be the rest of it
--- a/hallhitch/administration/api/problems.py
+++ b/hallhitch/administration/api/problems.py
@@ -1,4 +1,4 @@
-"""Errors as `application/problem+json` (RFC 9457). What is another's and what is not there read the same."""
+"""Errors as `application/problem+json` (RFC 9457). Another tenant's entries and missing ones give the same error."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import msgspec
 from msgspec import Struct
 
+from hallhitch.administration.errors import AdministrationError
 from hallhitch.catalog.errors import ChangeRefused
 
 PROBLEM_MEDIA_TYPE = "application/problem+json"
@@ -33,15 +34,19 @@
     field: str = ""
 
 
-class ProblemError(Exception):
-    """An error answer."""
+class ProblemError(AdministrationError):
+    """Error response; `retry_after_s` above 0 goes into Retry-After."""
 
-    def __init__(self, status: int, code: str, detail: str, field: str = "", wait: float = 0.0) -> None:
+    def __init__(self, status: int, code: str, detail: str, field: str = "", retry_after_s: float = 0.0) -> None:
         super().__init__(detail)
-        self.status, self.code, self.detail, self.field, self.retry_after_s = status, code, detail, field, wait
+        self.status = status
+        self.code = code
+        self.detail = detail
+        self.field = field
+        self.retry_after_s = retry_after_s
 
     def body(self) -> bytes:
-        """The answer's bytes."""
+        """Encode the problem document."""
         return msgspec.json.encode(
             Problem(
                 f"urn:hallhitch:problem:{self.code}",
@@ -54,22 +59,22 @@
         )
 
     def headers(self) -> dict[str, str]:
-        """The answer's own headers."""
-        told = {"content-type": PROBLEM_MEDIA_TYPE, "cache-control": "no-store"}
+        """Return the headers of the response."""
+        headers = {"content-type": PROBLEM_MEDIA_TYPE, "cache-control": "no-store"}
         if self.status == 401:
-            told["www-authenticate"] = 'Bearer realm="hallhitch"'
+            headers["www-authenticate"] = 'Bearer realm="hallhitch"'
         if self.retry_after_s > 0:
-            told["retry-after"] = str(max(1, math.ceil(self.retry_after_s)))
-        return told
+            headers["retry-after"] = str(max(1, math.ceil(self.retry_after_s)))
+        return headers
 
 
 def not_found() -> ProblemError:
-    """What is not there, or not the caller's."""
+    """Return the one error for what does not exist and what is another tenant's."""
     return ProblemError(404, "not-found", "There is nothing of this name that you may see.")
 
 
 def problem_from_refusal(refusal: ChangeRefused) -> ProblemError:
-    """A change that was not made."""
+    """Return the error response of a refused change."""
     if refusal.code == "not-found" and refusal.field in ("", "edits[0]"):
         return not_found()
     return ProblemError(STATUS_BY_CODE[refusal.code], refusal.code, refusal.detail, refusal.field)
--- /dev/null
+++ b/hallhitch/administration/api/tenant_resources.py
@@ -0,0 +1,140 @@
+"""Paths of tenants themselves, and of changes with several edits."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+from litestar import Controller, Response, delete, get, patch, post, put
+
+from hallhitch.administration.api import calls, views
+from hallhitch.administration.api.calls import Conn, Target, caller_of, json_response, service_of
+from hallhitch.administration.api.parameters import (
+    CHANGE_ERRORS,
+    READ_ERRORS,
+    After,
+    IfMatch,
+    IfNoneMatch,
+    Key,
+    Limit,
+    Prefix,
+)
+from hallhitch.administration.api.problems import ProblemError
+from hallhitch.administration.write_calls import PlannedChange, Reply
+from hallhitch.catalog.access import Verdict, authorize
+from hallhitch.catalog.changes import Change, Edit
+from hallhitch.catalog.errors import ChangeRefused
+from hallhitch.catalog.model import (
+    VALUE_TYPES,
+    Catalog,
+    Head,
+    Kind,
+    Scope,
+)
+from hallhitch.catalog.names import canonical_client_id
+
+
+class Tenants(Controller):
+    """Tenants."""
+
+    path = "/v1/tenants"
+    tags = ("tenants",)
+    opt = {"kind": Kind.TENANT}
+
+    @get("/", responses=READ_ERRORS, operation_id="listTenants")
+    async def list(
+        self, request: Conn, after: After = "", limit: Limit = 100, prefix: Prefix = ""
+    ) -> Response[views.TenantPage]:
+        """The tenants that the caller may see."""
+        catalog, caller = service_of(request).catalog, caller_of(request)
+        seen = catalog.tenants if caller.scope is Scope.OPERATOR else [caller.tenant]
+        names, following = calls.page(
+            seen, after, limit, lambda name: name.startswith(prefix) and name in catalog.tenants
+        )
+        items = [views.tenant_view(catalog, name, catalog.tenants[name]) for name in names]
+        return json_response(views.TenantPage(items, following))
+
+    @get("/{tenant:str}", responses=READ_ERRORS, operation_id="getTenant")
+    async def get(self, request: Conn, tenant: str) -> Response[views.TenantView]:
+        """One tenant."""
+        return calls.read(request, Target(tenant, Kind.TENANT, tenant))
+
+    @put("/{tenant:str}", responses=CHANGE_ERRORS, operation_id="putTenant", opt={"write": True})
+    async def put(
+        self,
+        request: Conn,
+        tenant: str,
+        data: Head,
+        key: Key,
+        if_match: IfMatch = None,
+        if_none_match: IfNoneMatch = None,
+    ) -> Response[views.TenantView]:
+        """Create or replace a tenant's own entry (operators)."""
+        return await calls.put(request, Target(tenant, Kind.TENANT, tenant), data)
+
+    @patch("/{tenant:str}", responses=CHANGE_ERRORS, operation_id="patchTenant", opt={"write": True})
+    async def patch(
+        self, request: Conn, tenant: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
+    ) -> Response[views.TenantView]:
+        """Merge into a tenant's own entry (operators)."""
+        return await calls.patch(request, Target(tenant, Kind.TENANT, tenant))
+
+    @delete("/{tenant:str}", responses=CHANGE_ERRORS, operation_id="deleteTenant", opt={"write": True}, status_code=204)
+    async def delete(self, request: Conn, tenant: str, key: Key, if_match: IfMatch = None) -> Response[None]:
+        """Drop a tenant with all it has (operators)."""
+        return await calls.delete(request, Target(tenant, Kind.TENANT, tenant))
+
+    @post(
+        "/{tenant:str}/changes",
+        responses=CHANGE_ERRORS,
+        operation_id="changeTenant",
+        status_code=200,
+        opt={"write": True, "kind": Kind.PLAN},
+    )
+    async def changes(
+        self, request: Conn, tenant: str, data: views.ChangesBody, key: Key
+    ) -> Response[views.ChangedView]:
+        """Several edits of one tenant, all or none."""
+        caller = caller_of(request)
+        for number, edit in enumerate(data.edits):
+            at = f"edits[{number}]"
+            if authorize(caller, tenant, edit.kind, True) is not Verdict.ALLOWED:
+                raise ProblemError(403, "beyond-scope", "This credential may not change that.", at)
+            if edit.kind is Kind.CREDENTIAL and edit.value is not None:
+                raise ProblemError(422, "invalid", "Credentials are issued one by one, under their own path.", at)
+
+        def plan(catalog: Catalog, now: int) -> PlannedChange:
+            if tenant not in catalog.tenants and not (
+                data.edits[0].kind is Kind.TENANT and data.edits[0].value is not None
+            ):
+                raise ChangeRefused("not-found", "", "there is no such tenant")
+            made = Change(
+                tenant, tuple(_catalog_edit(catalog, edit, f"edits[{n}]") for n, edit in enumerate(data.edits))
+            )
+
+            def reply(after: Catalog) -> Reply:
+                view = views.ChangedView(views.stamp(after.epoch, after.version), len(made.edits))
+                return Reply(200, {"content-type": calls.JSON, "cache-control": "no-store"}, msgspec.json.encode(view))
+
+            return PlannedChange(made, reply)
+
+        return await calls.submit(request, tenant, plan)
+
+
+def _catalog_edit(catalog: Catalog, edit: views.EditBody, at: str) -> Edit:
+    """One edit of several, in the catalogue's form."""
+    name = canonical_client_id(edit.name) if edit.kind is Kind.CLIENT else edit.name
+    expect = None
+    if edit.expect == "none":
+        expect = 0
+    elif edit.expect is not None:
+        epoch, version = map(int, edit.expect.split("."))
+        expect = version if epoch == catalog.epoch else -1  # of another epoch: nothing has it
+    if edit.value is None:
+        return Edit(edit.kind, name, None, expect)
+    try:
+        return Edit(edit.kind, name, calls.convert_value(edit.value, VALUE_TYPES[edit.kind]), expect)
+    except ChangeRefused as refusal:
+        raise ChangeRefused(
+            "invalid", ".".join(filter(None, (f"{at}.value", refusal.field))), refusal.detail
+        ) from refusal
