--- a/hallhitch/lab/baselines.py
+++ b/hallhitch/lab/baselines.py
@@ -1,92 +1,103 @@
-"""Other ways to choose a server, for comparison only: the decision module with nothing but its choice replaced.
+"""Baselines of server selection, for comparison only: the decision module with nothing but its selection replaced.
 
-They are reached through `world.choice` of a scenario, so they meet the same traffic, faults and draws as the module.
-`informed` is no way that could be built: it is told what every node holds, some time late, and shows what any talk
-between gateways could give at most at that lateness.
+They are chosen by `world.choice` of a scenario, so they meet the same traffic, faults and draws as the module.
+`informed` cannot be built in practice: it gets the load of every node, some time late, and shows what any exchange
+between gateways could gain at most at that lateness.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
+from typing import Final
 
 from hallhitch.decision import api
 from hallhitch.decision.policy import Gateway
 from hallhitch.decision.state import OpenRequest, Server
+from hallhitch.lab.errors import LabError
 from hallhitch.lab.node import Node
 from hallhitch.lab.scenario import WorldSettings
 from hallhitch.lab.virtual import VirtualTime
 
-SAMPLE_INTERVAL_MS = 5.0  # ms between looks at what all nodes hold
+SAMPLE_INTERVAL_MS: Final = 5.0  # between samples of all nodes' load: short beside a request
+ROUND_ROBIN_STARTS: Final = 10_000  # names that a round robin may start behind
+
+
+class MissingLoadBoardError(LabError):
+    """An informed choice without a board of the nodes' load."""
+
+    def __init__(self) -> None:
+        super().__init__("the choice 'informed' needs a board of the nodes' load")
 
 
 class SelectionBaseline(Gateway):
-    """The module with another choice among the servers that may take a request."""
+    """The decision module with another choice among the servers that may take a request."""
 
-    near_only = True  # whether it keeps to the module's few servers, or sends to any
+    uses_subset = True  # whether it keeps to the module's subset of servers, or sends to any
 
     def select_server(self, r: OpenRequest) -> Server | None:
-        """A server, or none."""
+        """Select a server that was not tried yet, if any accepts the request."""
         if self.now >= self.subset_expires_at:
             self.select_subset()
-        tried = [a.entry.server for a in r.attempts]
-        among = self.subset if self.near_only else self.pool
-        good = [s for s in among if s.entry.server not in tried and self.accepts(s, r)]
-        return self.pick(good, r) if good else None
+        tried = [attempt.entry.server for attempt in r.attempts]
+        candidates = self.subset if self.uses_subset else self.pool
+        accepting = [server for server in candidates if server.entry.server not in tried and self.accepts(server, r)]
+        return self.pick(accepting, r) if accepting else None
 
-    def pick(self, good: list[Server], r: OpenRequest) -> Server:
-        """One of some."""
+    def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        """Pick one of some servers."""
         raise NotImplementedError
 
 
 class UniformChoice(SelectionBaseline):
-    """Any of them."""
+    """Any server, at random."""
 
-    def pick(self, good: list[Server], r: OpenRequest) -> Server:
-        return self.rng.choice(good)
+    def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        return self.rng.choice(accepting)
 
 
 class RoundRobin(SelectionBaseline):
-    """In turn, from a random start."""
+    """Servers in turn, from a random start."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self._last = f"node-{self.rng.randrange(10_000)}"
+        self._last = f"node-{self.rng.randrange(ROUND_ROBIN_STARTS)}"
 
-    def pick(self, good: list[Server], r: OpenRequest) -> Server:
-        s = min(good, key=lambda s: (s.entry.server <= self._last, s.entry.server))
-        self._last = s.entry.server
-        return s
+    def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        server = min(accepting, key=lambda server: (server.entry.server <= self._last, server.entry.server))
+        self._last = server.entry.server
+        return server
 
 
 class TwoChoices(SelectionBaseline):
-    """Of two at random the one with less out from here."""
+    """Of two servers at random, the one with less in flight from this gateway (power of two choices)."""
 
-    def pick(self, good: list[Server], r: OpenRequest) -> Server:
-        return min(self.rng.sample(good, min(2, len(good))), key=lambda s: len(s.in_flight))
+    def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        sample = self.rng.sample(accepting, min(2, len(accepting)))
+        return min(sample, key=lambda server: len(server.in_flight))
 
 
 class LeastInFlight(SelectionBaseline):
-    """With the least out from here; at random among those alike."""
+    """The server with the least in flight from this gateway; ties at random."""
 
-    def pick(self, good: list[Server], r: OpenRequest) -> Server:
-        return min(good, key=lambda s: (len(s.in_flight), self.rng.random()))
+    def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        return min(accepting, key=lambda server: (len(server.in_flight), self.rng.random()))
 
 
 class InformedChoice(SelectionBaseline):
-    """The module's own foresight, told what others have out at each server."""
+    """The module's own latency prediction, given what other gateways have in flight at each server."""
 
-    held: Callable[[str], float]
+    load_of: Callable[[str], float]
 
-    def pick(self, good: list[Server], r: OpenRequest) -> Server:
-        def cost(s: Server) -> float:
-            others = max(0.0, self.held(s.entry.server) - len(s.in_flight))
-            return self.predict_latency(s, r, start=others + self.rng.expovariate(1.0))
+    def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        def predicted_latency(server: Server) -> float:
+            from_others = max(0.0, self.load_of(server.entry.server) - len(server.in_flight))
+            return self.predict_latency(server, request, start=from_others + self.rng.expovariate(1.0))
 
-        return min(good, key=cost)
+        return min(accepting, key=predicted_latency)
 
 
-CHOICES: dict[str, type[Gateway]] = {
+CHOICES: Final[dict[str, type[Gateway]]] = {
     "module": Gateway,
     "uniform": UniformChoice,
     "round_robin": RoundRobin,
@@ -97,32 +108,39 @@
 
 
 class LoadBoard:
-    """What every node held some time ago."""
-
-    def __init__(self, nodes: dict[str, Node], late: float, time: VirtualTime) -> None:
-        self._nodes, self._late, self._time = nodes, late, time
-        self._seen: deque[dict[str, int]] = deque(maxlen=1 + round(late / SAMPLE_INTERVAL_MS))
-        if late:
-            self._look()
-
-    def _look(self) -> None:
-        self._seen.append({name: node.request_count for name, node in self._nodes.items()})
-        self._time.after(SAMPLE_INTERVAL_MS, self._look)
-
-    def held(self, name: str) -> float:
-        """Requests in work and waiting there."""
-        if self._late:
-            return float(self._seen[0].get(name, 0))
+    """The load of every node, some time late."""
+
+    def __init__(self, nodes: dict[str, Node], delay_ms: float, time: VirtualTime) -> None:
+        self._nodes = nodes
+        self._delay_ms = delay_ms
+        self._time = time
+        self._samples: deque[dict[str, int]] = deque(maxlen=1 + round(delay_ms / SAMPLE_INTERVAL_MS))
+        if delay_ms:
+            self._sample()
+
+    def load_of(self, name: str) -> float:
+        """Requests in service and queued at a node."""
+        if self._delay_ms:
+            return float(self._samples[0].get(name, 0))
         node = self._nodes.get(name)
         return float(node.request_count) if node is not None else 0.0
 
+    def _sample(self) -> None:
+        self._samples.append({name: node.request_count for name, node in self._nodes.items()})
+        self._time.after(SAMPLE_INTERVAL_MS, self._sample)
+
 
 def make_decision_module(world: WorldSettings, settings: api.Settings, seed: int, board: LoadBoard | None) -> Gateway:
-    """The module that a scenario's gateways decide by."""
-    made = CHOICES[world.choice](settings, seed)
-    if isinstance(made, SelectionBaseline):
-        made.near_only = world.choice_near
-    if isinstance(made, InformedChoice):
-        assert board is not None
-        made.held = board.held
-    return made
+    """Make the module that a scenario's gateways decide by.
+
+    Raises:
+        MissingLoadBoardError: the choice is `informed` and there is no board.
+    """
+    module = CHOICES[world.choice](settings, seed)
+    if isinstance(module, SelectionBaseline):
+        module.uses_subset = world.choice_near
+    if isinstance(module, InformedChoice):
+        if board is None:
+            raise MissingLoadBoardError
+        module.load_of = board.load_of
+    return module
--- a/hallhitch/lab/cases.py
+++ b/hallhitch/lab/cases.py
@@ -1,4 +1,4 @@
-"""Cases: one scenario, and many small changes of it that something is judged by."""
+"""Files of cases: one scenario, and many small changes of it that are judged side by side."""
 
 from __future__ import annotations
 
@@ -29,28 +29,36 @@
 
 
 def load_cases(path: str, settings: dict[str, Any]) -> dict[str, Scenario]:
-    """All scenarios of a file by name, with these settings first; SettingsError tells what is wrong with which."""
-    told = read(path, Cases)
-    base = read(str(Path(path).parent / told.base), Scenario)
-    found: dict[str, Scenario] = {}
-    for number, case in enumerate(told.case):
-        if case.name in found:
+    """Read the scenarios of a file by name, with these settings applied before each case's own.
+
+    Raises:
+        SettingsError: the file or a case of it is wrong; names the field.
+    """
+    file = read(path, Cases)
+    base = read(str(Path(path).parent / file.base), Scenario)
+    scenarios: dict[str, Scenario] = {}
+    for number, case in enumerate(file.case):
+        if case.name in scenarios:
             raise SettingsError(f"{path}: field 'case.{number}.name': there are two '{case.name}'")
         try:
-            found[case.name] = msgspec.structs.replace(
+            scenarios[case.name] = msgspec.structs.replace(
                 replaced(base, settings | case.settings), name=case.name, about=case.about, faults=case.faults
             )
         except (ValueError, LookupError) as error:
             raise SettingsError(f"{path}: field 'case.{number}.settings': {error}") from error
-    return found
+    return scenarios
 
 
 def load_scenario(text: str) -> Scenario:
-    """The scenario FILE, or one case of a file of them: FILE:CASE."""
+    """Read the scenario FILE, or one case of a file of them, written FILE:CASE.
+
+    Raises:
+        SettingsError: there is no such case, or the file is wrong.
+    """
     path, colon, case = text.partition(":")
     if not colon:
         return read(path, Scenario)
-    found = load_cases(path, {})
-    if case not in found:
-        raise SettingsError(f"{path}: there is no case '{case}'; there are {', '.join(sorted(found))}")
-    return found[case]
+    scenarios = load_cases(path, {})
+    if case not in scenarios:
+        raise SettingsError(f"{path}: there is no case '{case}'; there are {', '.join(sorted(scenarios))}")
+    return scenarios[case]
--- a/hallhitch/lab/evenness_page.py
+++ b/hallhitch/lab/evenness_page.py
@@ -9,7 +9,7 @@
 
 from hallhitch.lab.evenness import MOMENT, Nodes, Sends, evenness, heat, in_work
 from hallhitch.lab.journal import Event
-from hallhitch.lab.report import STYLE, drawn
+from hallhitch.lab.report import STYLE, encode_chart
 
 HEAT_MOST = 4.0  # requests by a node of one core's ability that are shown as the darkest
 PAGE = Environment(autoescape=select_autoescape(default=True)).from_string("""<!doctype html>
@@ -46,7 +46,7 @@
         extent=(0.0, float(moments[-1]) / 1000, len(names) - 0.5, -0.5),
     )
     axes.set(xlabel="s", ylabel="node")
-    return drawn(figure)
+    return encode_chart(figure)
 
 
 def _distributions(runs: dict[str, list[Event]]) -> str:
@@ -64,7 +64,7 @@
         xlabel="requests in work for a core's ability", ylabel="share of nodes and moments, at least", yscale="log"
     )
     axes.legend(fontsize=8)
-    return drawn(figure)
+    return encode_chart(figure)
 
 
 def page(runs: dict[str, list[Event]]) -> str:
--- a/hallhitch/lab/http_messages.py
+++ b/hallhitch/lab/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as the emulated parties read and write them: no more of the protocol than the platform uses."""
+"""HTTP/1.1 messages as the emulated parties read and write them: the part of the protocol that the platform uses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 async def read_message(reader: Reader) -> tuple[str, dict[str, str], bytes]:
-    """One HTTP message: first line, headers in lower case, body, with a length or in chunks."""
+    """Read a message: first line, headers in lower case, and body, by length or in chunks.
+
+    Raises:
+        asyncio.IncompleteReadError: the connection ended within it.
+    """
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {n.strip().lower(): v.strip() for n, _, v in (line.partition(":") for line in head[1:] if line)}
     if headers.get("transfer-encoding", "").lower() != "chunked":
@@ -23,5 +27,5 @@
 
 
 def encode_response(status: int, body: bytes = b"", extra: str = "") -> bytes:
-    """An HTTP answer."""
+    """Encode a response."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
--- a/hallhitch/lab/journal.py
+++ b/hallhitch/lab/journal.py
@@ -1,4 +1,4 @@
-"""The event log of a run: what happened, in order, as the checker and the figures read it.
+"""The journal of a run: its events in order, as the checker and the figures read them.
 
 One line an event: a JSON array of time (ms since the run began, to the microsecond), the event's name and its fields
 in the order of `EVENTS`. Virtual runs and runs on sockets write the same lines.
@@ -11,6 +11,8 @@
 
 import msgspec
 
+from hallhitch.lab.errors import LabError
+
 EVENTS: dict[str, tuple[str, ...]] = {
     "world": ("classes", "plans", "cold", "seconds"),
     "gateway": ("gateway", "state"),  # up, killed, stopped, resumed, reloaded
@@ -25,29 +27,41 @@
     "leave": ("id",),
     "fault": ("kind", "state", "whom"),
 }
-Event = tuple[Any, ...]  # time, name, fields
+Event = tuple[Any, ...]  # time, name, fields in the order of `EVENTS`
 _encode = msgspec.json.Encoder().encode
 
 
+class JournalError(LabError, ValueError):
+    """A journal that cannot be read: names the line."""
+
+    def __init__(self, line_number: int, reason: object) -> None:
+        super().__init__(f"line {line_number}: {reason}")
+        self.line_number = line_number
+
+
 class Journal:
-    """Events as they come."""
+    """The events of a run, with times relative to its start."""
 
     def __init__(self, start: float = 0.0) -> None:
         self.events: list[Event] = []
         self.started_at = start
 
     def add(self, now: float, name: str, *fields: Any) -> None:
-        """Note an event."""
+        """Add an event."""
         self.events.append((round(now - self.started_at, 3), name, *fields))
 
     def encoded_lines(self) -> Iterator[bytes]:
-        """The log's lines."""
+        """Encode the events as lines of JSON."""
         for event in self.events:
             yield _encode(event) + b"\n"
 
 
 def read_journal(lines: Iterable[bytes]) -> list[Event]:
-    """Events from a log; ValueError names the line that is none."""
+    """Read the events of a journal.
+
+    Raises:
+        JournalError: a line is no event.
+    """
     events = []
     for number, line in enumerate(lines, 1):
         try:
@@ -55,6 +69,6 @@
             if len(event) != 2 + len(EVENTS[event[1]]) or not isinstance(event[0], int | float):
                 raise ValueError("another form")
         except (KeyError, IndexError, TypeError, ValueError) as error:
-            raise ValueError(f"line {number}: {error}") from error
+            raise JournalError(number, error) from error
         events.append(event)
     return events
--- a/hallhitch/lab/report.py
+++ b/hallhitch/lab/report.py
@@ -1,4 +1,4 @@
-"""An experiment as one HTML file without references to anything outside it."""
+"""The report of an experiment: one HTML file without references to anything outside it."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def _chart(by_setting: dict[str, dict[int, Outcome]]) -> str:
-    """Service over time with its error bars, and each setting's mean, as a PNG in base64."""
+    """Draw service over time with its error bars, and each setting's mean, as a PNG in base64."""
     figure, (left, right) = plt.subplots(1, 2, figsize=(12, 3.6), width_ratios=(3, 1))
     for name, outcomes in by_setting.items():
         curves = np.asarray([o.figures.curve for o in outcomes.values()])
@@ -77,20 +77,20 @@
     )
     right.set(yticks=range(len(means)), yticklabels=list(by_setting), xlabel="service")
     right.margins(y=0.4)
-    return drawn(figure)
+    return encode_chart(figure)
 
 
-def drawn(figure: Figure) -> str:
-    """A figure as a PNG in base64; it is closed."""
+def encode_chart(figure: Figure) -> str:
+    """Encode a figure as a PNG in base64, and close it."""
     figure.tight_layout()
-    held = io.BytesIO()
-    figure.savefig(held, format="png", dpi=110)
+    buffer = io.BytesIO()
+    figure.savefig(buffer, format="png", dpi=110)
     plt.close(figure)
-    return base64.b64encode(held.getvalue()).decode()
+    return base64.b64encode(buffer.getvalue()).decode()
 
 
 def page(name: str, results: dict[tuple[str, str], dict[int, Outcome]], figures: Sequence[str] = FIGURES) -> str:
-    """The report."""
+    """Render the report."""
     scenarios: dict[str, dict[str, dict[int, Outcome]]] = {}
     for (scenario, setting), outcomes in results.items():
         scenarios.setdefault(scenario, {})[setting] = outcomes
@@ -100,18 +100,18 @@
         for setting, outcomes in by_setting.items():
             cells = []
             for figure in figures:
-                found = bootstrap_interval([float(getattr(o.figures, figure)) for o in outcomes.values()])
-                cells.append({key: f"{getattr(found, key):.4g}" for key in ("mean", "low", "high")})
+                interval = bootstrap_interval([float(getattr(o.figures, figure)) for o in outcomes.values()])
+                cells.append({key: f"{getattr(interval, key):.4g}" for key in ("mean", "low", "high")})
             rows.append({"name": setting, "seeds": len(outcomes), "cells": cells})
             broken += [
                 f"{scenario}, {setting}, seed {seed}: {text}" for seed, o in outcomes.items() for text in o.broken
             ]
-        base, *others = by_setting
-        compared = [
-            {"name": other, "difference": str(found.difference), "verdict": found.verdict}
-            for other in others
-            for found in [compare(by_setting[base], by_setting[other])]
-        ]
+        base, *compared_settings = by_setting
+        compared = []
+        for setting in compared_settings:
+            comparison = compare(by_setting[base], by_setting[setting])
+            difference, verdict = str(comparison.difference), comparison.verdict
+            compared.append({"name": setting, "difference": difference, "verdict": verdict})
         parts.append(
             {"scenario": scenario, "rows": rows, "base": base, "compared": compared, "chart": _chart(by_setting)}
         )
--- a/hallhitch/lab/scenario.py
+++ b/hallhitch/lab/scenario.py
@@ -8,6 +8,7 @@
 from msgspec import Meta, Struct
 
 from hallhitch.decision import api
+from hallhitch.lab.errors import LabError
 
 Positive = Annotated[float, Meta(gt=0)]
 Natural = Annotated[float, Meta(ge=0)]
@@ -17,7 +18,7 @@
 
 
 class ClassSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of requests."""
+    """The settings of a class of requests."""
 
     aim: Positive
     deadline: Positive
@@ -29,7 +30,7 @@
 
 
 class PlanSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """A plan, and how its clients use it."""
+    """The settings of a plan, and how its clients use it."""
 
     share: Share  # of the use inside quotas
     rate: Range  # of each client
@@ -40,7 +41,7 @@
 
 
 class WorldSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """What is there."""
+    """The nodes, gateways, network, counter and discovery of a scenario."""
 
     gateways: Count = 3
     nodes: Count = 10
@@ -83,7 +84,7 @@
 
 
 class TrafficSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """What is asked."""
+    """The traffic of a scenario."""
 
     load: Natural = 0.55  # use inside quotas, as a share of what the nodes can do
     rate: Natural = 0.0  # the same in requests a second, in place of `load`: for settings that differ in their nodes
@@ -107,7 +108,7 @@
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """Something that goes wrong from `at_s` on, for `for_s`. `part` is the share of those it may befall."""
+    """A fault from `at_s` on, for `for_s`. `part` is the ratio of its possible targets that it affects."""
 
     kind: Literal[
         "slow",
@@ -144,7 +145,7 @@
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole scenario."""
+    """A scenario's file."""
 
     name: str
     about: str = ""
@@ -171,7 +172,7 @@
                 raise ValueError(f"field 'faults.{number}.at_s': after the end")
 
     def settings(self, rates: dict[str, tuple[float, float]]) -> api.Settings:
-        """What a gateway is told; `rates` has each plan's rate and burst, as drawn."""
+        """Make the settings of its gateways; `rates` has the drawn rate and burst of each plan."""
         w = self.world
         classes = tuple(
             api.RequestClass(
@@ -200,8 +201,16 @@
         )
 
 
+class UnknownSettingError(LabError, ValueError):
+    """A dotted path that leads to no field of a scenario."""
+
+    def __init__(self, path: str) -> None:
+        super().__init__(f"field '{path}': there is none in this scenario")
+        self.path = path
+
+
 def journal_header(scenario: Scenario, settings: api.Settings) -> tuple[Any, ...]:
-    """The fields of a log's first event: what figures and checker must know of the world."""
+    """Make the fields of a journal's first event: what figures and checker need of the scenario."""
     classes = {k.name: [k.aim, k.deadline, k.worth, k.effect, k.repeat_window] for k in settings.classes}
     plans = {p.name: [p.rate, p.burst, p.price, p.beyond_worth, p.beyond_cost] for p in settings.plans}
     w = scenario.world
@@ -209,15 +218,20 @@
 
 
 def replaced(scenario: Scenario, settings: dict[str, Any]) -> Scenario:
-    """A scenario with settings at dotted paths replaced, checked again; ValueError names the field."""
+    """Return a scenario with the settings at dotted paths replaced, validated again.
+
+    Raises:
+        UnknownSettingError: there is no such path.
+        ValueError: the scenario is not valid with them.
+    """
     plain = msgspec.to_builtins(scenario)
     for path, value in settings.items():
-        *way, last = path.split(".")
+        *parents, last = path.split(".")
         here = plain
-        for part in way:
+        for part in parents:
             here = here[int(part)] if isinstance(here, list) else here.get(part)
             if here is None:
-                raise ValueError(f"field '{path}': there is none in this scenario")
+                raise UnknownSettingError(path)
         if isinstance(here, list):
             here[int(last)] = value
         else:
--- a/hallhitch/lab/streams.py
+++ b/hallhitch/lab/streams.py
@@ -27,42 +27,42 @@
         self._exponential: list[float] = []
 
     def random(self) -> float:
-        """From 0 up to 1."""
+        """Draw a number from 0 (inclusive) to 1 (exclusive)."""
         if not self._uniform:
             self._uniform = self.numbers.random(self.BLOCK).tolist()
         return self._uniform.pop()
 
     def uniform(self, low: float, high: float) -> float:
-        """Evenly between two figures."""
+        """Draw a number evenly between two bounds."""
         return low + (high - low) * self.random()
 
     def exponential(self, mean: float) -> float:
-        """The time to the next of events that come at random."""
+        """Draw the time to the next event of a Poisson process."""
         if not self._exponential:
             self._exponential = self.numbers.standard_exponential(self.BLOCK).tolist()
         return mean * self._exponential.pop()
 
-    def chance(self, share: float) -> bool:
-        """Whether something of this chance happens."""
-        return self.random() < share
+    def chance(self, probability: float) -> bool:
+        """Draw whether an event of this probability happens."""
+        return self.random() < probability
 
-    def sample(self, things: Iterable[T], part: float) -> list[T]:
-        """A part of things, one at least if there is any, in the order in which they were drawn."""
-        left = list(things)
-        count = min(len(left), max(1, round(part * len(left))))
-        return [left.pop(self.index(len(left))) for _ in range(count)]
+    def sample(self, items: Iterable[T], ratio: float) -> list[T]:
+        """Draw a part of the items without replacement, at least one if there is any, in the order of the draws."""
+        remaining = list(items)
+        count = min(len(remaining), max(1, round(ratio * len(remaining))))
+        return [remaining.pop(self.index(len(remaining))) for _ in range(count)]
 
     def index(self, count: int) -> int:
-        """One of so many."""
+        """Draw an index below a count."""
         return int(self.random() * count)
 
 
 class Streams:
-    """Streams by name."""
+    """The independent streams of a run, by name."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
 
     def of(self, name: str) -> Stream:
-        """The stream of one part: the same seed and name give the same numbers."""
+        """Make the stream of a part of the run: the same seed and name give the same numbers."""
         return Stream(self._seed, name)
--- a/hallhitch/lab/virtual.py
+++ b/hallhitch/lab/virtual.py
@@ -11,7 +11,7 @@
 
 
 class Handle:
-    """Something that will be called, unless it is cancelled."""
+    """A scheduled callback."""
 
     __slots__ = ("callback", "args")
 
@@ -19,7 +19,7 @@
         self.callback, self.args = callback, args
 
     def cancel(self) -> None:
-        """Do not call it."""
+        """Cancel the callback."""
         self.callback = None
         self.args = ()
 
@@ -27,7 +27,8 @@
 class VirtualTime:
     """What `core` needs of an event loop (`Scheduler`) and of a clock, without waiting.
 
-    Things due at one time run in the order in which they were asked for, so a run depends on nothing but its input.
+    Invariant: callbacks due at one time run in the order in which they were scheduled, so a run depends on nothing but
+    its input.
     """
 
     def __init__(self) -> None:
@@ -41,28 +42,28 @@
         return self.now
 
     def call_soon(self, callback: Callable[..., Any], /, *args: Any) -> Handle:
-        """Call it at this time, after what is due already."""
+        """Schedule a callback at the present time, after those that are due already."""
         handle = Handle(callback, args)
         self._soon.append(handle)
         return handle
 
     def call_later(self, delay: float, callback: Callable[..., Any], /, *args: Any) -> Handle:
-        """Call it so many seconds from now."""
+        """Schedule a callback after a delay in seconds."""
         return self.after(delay * 1000, callback, *args)
 
     def after(self, delay: float, callback: Callable[..., Any], /, *args: Any) -> Handle:
-        """Call it so many milliseconds from now."""
+        """Schedule a callback after a delay in milliseconds."""
         return self.at(self.now + max(0.0, delay), callback, *args)
 
     def at(self, when: float, callback: Callable[..., Any], /, *args: Any) -> Handle:
-        """Call it at a time."""
+        """Schedule a callback at a time."""
         handle = Handle(callback, args)
         self._number += 1
         heapq.heappush(self._heap, (when, self._number, handle))
         return handle
 
     def run(self, until: float) -> None:
-        """Go on to a time."""
+        """Run all callbacks that are due until a time, and advance the clock to it."""
         soon, heap = self._soon, self._heap
         while True:
             while soon:
