--- a/hallhitch/lab/evenness.py
+++ b/hallhitch/lab/evenness.py
@@ -1,30 +1,32 @@
-"""How evenly work lies on the nodes, read from an event log alone: by time scale, idle nodes, herds, moves.
+"""How evenly load is spread over nodes, from a journal alone: by time scale, idle nodes, thundering herds, moves.
 
-All is relative to what a node can do at that moment (its capacity, and its warmth while it is cold), and to nodes that
-are up. What a fault takes from a node is not in the log, so a slow node counts with all its cores: that work goes round
-it shows as unevenness, as it should where the fault is the subject.
+All is relative to what a node can do at that moment (its capacity, and its warmth while it warms up), and to nodes that
+are up. What a fault takes from a node is not in the journal, so a slow node counts with all its cores: that gateways
+avoid it shows as unevenness, as it should where the fault is the subject. Times in ms.
 """
 
 from __future__ import annotations
 
 import bisect
 import math
-from typing import Any
+from typing import Any, Final, NamedTuple
 
 import numpy as np
 from msgspec import Struct
 from numpy.typing import NDArray
 
 from hallhitch.lab.journal import Event
+from hallhitch.lab.node_load import NodeTimeline, Numbers, RequestTable, count_held
 
-MOMENT, SECOND = 50.0, 1_000.0  # ms: the two short scales
-LINE = 3  # requests in work, for a node of mean ability, from which on its newest waits for others
-CONNECT = 5.0  # ms until a new connection carries its request: sends by others in that time cannot be seen anywhere
-USED = 10_000.0  # ms for which a gateway counts as using a node that it sent to
-CAUSE = 10_000.0  # ms after a change of nodes, gateways or faults in which a move of work has a cause
-DRAWS = 200  # of chance, to compare herds with
-FIRST = 100.0  # ms in which first sends to a node that came are a rush
-Numbers = NDArray[np.floating[Any]]
+MOMENT_MS: Final = 50.0  # the shortest time scale, about a request's time
+SECOND_MS: Final = 1_000.0
+QUEUE_LENGTH: Final = 3  # requests held, for a node of mean capacity, from which on its newest waits for others
+CONNECT_MS: Final = 5.0  # until a new connection carries its request: within it, sends by others cannot be seen
+USED_MS: Final = 10_000.0  # for which a gateway counts as using a node that it sent to
+CAUSE_MS: Final = 10_000.0  # after a change of nodes, gateways or faults in which a move of load has a cause
+CHANCE_DRAWS: Final = 200  # random assignments that herds are compared with
+RUSH_MS: Final = 100.0  # in which first sends to a started node are a rush
+FAIR_RATIO: Final = 0.5  # of its share by capacity, from which on a started node is used fairly
 
 
 class Arrival(Struct, frozen=True):
@@ -53,225 +55,197 @@
     arrivals: list[Arrival]
 
 
-class Nodes:
-    """When each node was up, and how much it could do then; one that starts again is another one."""
-
-    def __init__(self, events: list[Event]) -> None:
-        self.cold_from = float(events[0][4][0]) if events and events[0][1] == "world" else 1.0
-        self.names: list[str] = []
-        self.came: list[float] = []
-        self.gone: list[float] = []
-        self._full: list[float] = []
-        self._cold: list[float] = []
-        number: dict[str, int] = {}
-        for event in events:
-            if event[1] != "node":
-                continue
-            if event[3] == "up":
-                number[event[2]] = len(self.names)
-                self.names.append(event[2])
-                self.came.append(event[0])
-                self.gone.append(math.inf)
-                self._cold.append(event[6])
-                self._full.append(event[5] / (self.cold_from if event[6] else 1.0))
-            else:
-                self.gone[number[event[2]]] = min(self.gone[number[event[2]]], event[0])
-
-    def ability(self, at: Numbers) -> Numbers:
-        """Cores' worth at these times: a row a node, 0 where it is not up."""
-        came, gone, cold, full = (
-            np.asarray(x, dtype=float)[:, None] for x in (self.came, self.gone, self._cold, self._full)
-        )
-        age = at[None, :] - came
-        with np.errstate(divide="ignore", invalid="ignore"):
-            warm = np.where(cold > 0, self.cold_from + (1 - self.cold_from) * np.clip(age / cold, 0, 1), 1.0)
-        found: Numbers = np.where((age >= 0) & (at[None, :] < gone), full * warm, 0.0)
-        return found
-
-
-class Sends:
-    """What came to nodes, in order: when, from which gateway, to which node, and when its work there was over."""
-
-    def __init__(self, events: list[Event]) -> None:
-        begun: list[tuple[float, int, int]] = []
-        came: list[list[float]] = []
-        open_: dict[tuple[int, str], list[float]] = {}
-        at: dict[tuple[int, int], str] = {}
-        number: dict[str, int] = {}  # a node that starts again is another one
-        starts = 0
-        for event in events:
-            name = event[1]
-            if name == "node" and event[3] == "up":
-                number[event[2]] = starts
-                starts += 1
-            elif name == "send" and event[5] in number:
-                begun.append((event[0], event[4], number[event[5]]))
-            elif name == "arrive" and event[4] in number:
-                at[event[2], event[3]] = event[4]
-                row = open_[event[2], event[4]] = [event[0], number[event[4]], math.inf]
-                came.append(row)
-            elif name == "run":  # done at the node; its answer is on the way
-                if (held := open_.pop((event[2], event[3]), None)) is not None:
-                    held[2] = event[0]
-            elif name == "done":
-                node = at.pop((event[2], event[3]), "")
-                if (held := open_.pop((event[2], node), None)) is not None:
-                    held[2] = event[0]
-        rows = np.asarray(came, dtype=float).reshape(-1, 3)
-        self.at, self.node, self.over = rows[:, 0], rows[:, 1].astype(int), rows[:, 2]
-        sent = np.asarray(begun, dtype=float).reshape(-1, 3)
-        self.sent, self.gateway, self.to = sent[:, 0], sent[:, 1].astype(int), sent[:, 2].astype(int)
-
-
-def in_work(sends: Sends, nodes: Nodes, moments: Numbers) -> Numbers:
-    """Requests in work and waiting: a row a node, a column a moment."""
-    change = np.zeros((len(nodes.names), len(moments) + 1))
-    np.add.at(change, (sends.node, np.searchsorted(moments, sends.at)), 1.0)
-    np.add.at(change, (sends.node, np.searchsorted(moments, sends.over)), -1.0)
-    found: Numbers = change.cumsum(axis=1)[:, :-1]
-    return found
-
-
-def heat(events: list[Event], step: float = SECOND / 2) -> tuple[list[str], Numbers, Numbers]:
-    """For a chart: nodes as they came, moments, and what is in work by what a node can do; nan while it is not up."""
-    nodes = Nodes(events)
-    moments = np.arange(step / 2, max(step, events[-1][0]), step)
-    able = nodes.ability(moments)
-    with np.errstate(divide="ignore", invalid="ignore"):
-        found = np.where(able > 0, in_work(Sends(events), nodes, moments) / able, np.nan)
-    return nodes.names, moments, found
+class _Spread(NamedTuple):
+    cv: float
+    fullest_ratio: float  # of the fullest node to the mean
 
 
-def _spread(counts: Numbers, able: Numbers) -> tuple[float, float]:
-    """Means over columns of the CV and of the fullest by the mean; counts by what each node can do, those up alone."""
-    if not able.size:
-        return 0.0, 1.0
-    up = able > 0
-    many = up.sum(axis=0)
-    with np.errstate(divide="ignore", invalid="ignore"):
-        each = np.where(up, counts / able, 0.0)
-        mean = np.where(up, counts, 0.0).sum(axis=0) / able.sum(axis=0)
-        off = np.sqrt((np.where(up, each - mean, 0.0) ** 2 * able).sum(axis=0) / able.sum(axis=0))
-        some = (many > 1) & (mean > 0)
-        cv, most = off[some] / mean[some], each.max(axis=0)[some] / mean[some]
-    return (float(cv.mean()), float(most.mean())) if some.any() else (0.0, 1.0)
-
-
-def _idle(work: Numbers, able: Numbers) -> tuple[float, float]:
-    if not able.size:
-        return 0.0, 0.0
-    up = able > 0
-    empty = up & (work == 0)
-    share = empty.sum(axis=0) / np.maximum(1, up.sum(axis=0))
-    usual = able[up].mean() if up.any() else 1.0
-    line = (up & (work >= LINE * able / usual) & (work > 1)).any(axis=0)
-    return float(share.mean()), float(np.where(line, share, 0.0).mean())
-
-
-def _herds(sends: Sends, nodes: Nodes, end: float, seed: int) -> tuple[int, float, float]:
-    """Most sends by different gateways to a node in one connect time, pairs against chance, and how rare that is."""
-    if not len(sends.sent):
-        return 0, 1.0, 1.0
-    window = (sends.sent / CONNECT).astype(np.int64)
-    # One gateway's several sends to a node in a window are its own doing, no herd.
-    groups = np.unique(np.stack([window, sends.to, sends.gateway]), axis=1)
-    _, counts = np.unique(groups[:2], axis=1, return_counts=True)
-    pairs = float((counts * (counts - 1) / 2).sum())
-    # Chance: as many sends in each window, each to a node by what it could do in that second.
-    rng = np.random.default_rng(seed)
-    seconds = np.arange(SECOND / 2, end + SECOND, SECOND)
-    able = nodes.ability(seconds)
-    shares = np.cumsum(able / np.maximum(able.sum(axis=0), 1e-9), axis=0)
-    column = np.minimum((sends.sent / SECOND).astype(int), len(seconds) - 1)
-    chosen_by = shares[:, column]
-    size, drawn = len(nodes.names), []
-    for _ in range(DRAWS):
-        roll = rng.random(len(column))
-        to = (chosen_by < roll).sum(axis=0).clip(max=size - 1)
-        _, many = np.unique(window * size + to, return_counts=True)
-        drawn.append(float((many * (many - 1) / 2).sum()))
-    usual = float(np.mean(drawn))
-    return int(counts.max()), pairs / usual if usual else 1.0, float(np.mean(np.asarray(drawn) >= pairs))
-
-
-def _moves(events: list[Event], sends: Sends) -> float:
-    """Share of sends to a node not used for long though nothing had changed."""
-    causes = [event[0] for event in events if event[1] in ("fault", "told", "node", "gateway")]
-    last: dict[tuple[int, int], float] = {}
-    moved = counted = 0
-    for at, gateway, node in zip(sends.sent.tolist(), sends.gateway.tolist(), sends.to.tolist(), strict=True):
-        before = last.get((gateway, node))
-        last[gateway, node] = at
-        nearest = bisect.bisect_right(causes, at) - 1
-        if nearest >= 0 and at - causes[nearest] < CAUSE:
-            continue
-        counted += 1
-        moved += before is None or at - before > USED
-    return moved / counted if counted else 0.0
+class _IdleRatios(NamedTuple):
+    overall: float
+    beside_queue: float  # counted at moments at which another node had a queue
 
 
-def _arrivals(nodes: Nodes, sends: Sends, begin: float, end: float) -> list[Arrival]:
-    found = []
-    for number, came in enumerate(nodes.came):
-        until = min(came + CAUSE, nodes.gone[number], end)
-        if came <= begin or until - came < SECOND:
-            continue
-        here = (sends.to == number) & (sends.sent >= came) & (sends.sent < until)
-        _, first = np.unique(sends.gateway[here], return_index=True)
-        firsts = np.sort(sends.sent[here][first]) - came
-        if not len(firsts):
-            found.append(Arrival(nodes.names[number], math.inf, 0.0, math.inf))
-            continue
-        together = max(np.searchsorted(firsts, firsts + FIRST) - np.arange(len(firsts))) - 1
-        fair = math.inf
-        for at in np.arange(came, until - SECOND + 1, SECOND / 4):
-            in_it = (sends.sent >= at) & (sends.sent < at + SECOND)
-            able = nodes.ability(np.asarray([at + SECOND / 2]))[:, 0]
-            part = able[number] / max(able.sum(), 1e-9)
-            if (sends.to[in_it] == number).sum() >= 0.5 * part * in_it.sum() > 0:
-                fair = float(at - came)
-                break
-        rush = float(together / max(1, len(firsts) - 1))
-        found.append(Arrival(nodes.names[number], float(np.median(firsts)), rush, fair))
-    return found
+class _Herds(NamedTuple):
+    largest: int
+    pairs_ratio: float
+    chance: float
+
+
+class _RunRange(NamedTuple):
+    least: float
+    most: float
 
 
 def evenness(events: list[Event], seed: int = 1) -> Evenness:
-    """All figures of a run; `seed` is of the draws that herds are compared with."""
-    nodes = Nodes(events)
-    sends = Sends(events)
-    # Processes take a while to start, with the log begun and nothing asked.
-    begin = next((float(event[0]) for event in events if event[1] in ("ask", "send")), 0.0)
-    begin = begin if begin > SECOND else 0.0
+    """Compute all figures of a run; `seed` is that of the random assignments that herds are compared with."""
+    nodes = NodeTimeline(events)
+    requests = RequestTable(events)
+    begin = _traffic_begin(events)
     end = begin + float(events[0][5]) * 1000 if events[0][1] == "world" else float(events[-1][0])
-    moments = np.arange(begin + MOMENT / 2, end, MOMENT)
-    work, able = in_work(sends, nodes, moments), nodes.ability(moments)
-    idle, beside = _idle(work, able)
-    seconds = np.arange(begin, end - SECOND + 1, SECOND)
-    column = np.searchsorted(seconds, sends.sent, side="right") - 1
-    inside = (column >= 0) & (sends.sent < begin + len(seconds) * SECOND)
-    counts = np.zeros((len(nodes.names), len(seconds)))
-    np.add.at(counts, (sends.to[inside], column[inside]), 1.0)
-    by_second = nodes.ability(seconds + SECOND / 2)
-    second_cv, second_most = _spread(counts, by_second)
-    whole = (by_second > 0).all(axis=1) if len(seconds) else np.zeros(len(nodes.names), dtype=bool)
-    least = most = 1.0
-    if whole.any():
-        each = counts[whole].sum(axis=1) / by_second[whole].sum(axis=1)
-        mean = counts[whole].sum() / by_second[whole].sum()
-        least, most = (float(each.min() / mean), float(each.max() / mean)) if mean else (1.0, 1.0)
-    herd_most, pairs, chance = _herds(sends, nodes, end, seed)
+    moments = np.arange(begin + MOMENT_MS / 2, end, MOMENT_MS)
+    held, capacity = count_held(requests, nodes, moments), nodes.capacity(moments)
+    idle = _idle_ratios(held, capacity)
+    seconds = np.arange(begin, end - SECOND_MS + 1, SECOND_MS)
+    sends_by_second = _count_sends(requests, len(nodes.names), seconds, begin)
+    capacity_by_second = nodes.capacity(seconds + SECOND_MS / 2)
+    by_second = _spread(sends_by_second, capacity_by_second)
+    run_range = _run_range(sends_by_second, capacity_by_second)
+    herds = _herds(requests, nodes, end, seed)
     return Evenness(
-        _spread(work, able)[0],
-        idle,
-        beside,
-        second_cv,
-        second_most,
-        least,
-        most,
-        herd_most,
-        pairs,
-        chance,
-        _moves(events, sends),
-        _arrivals(nodes, sends, begin, end),
+        moment_cv=_spread(held, capacity).cv,
+        idle=idle.overall,
+        idle_beside_line=idle.beside_queue,
+        second_cv=by_second.cv,
+        second_most=by_second.fullest_ratio,
+        run_least=run_range.least,
+        run_most=run_range.most,
+        herd_most=herds.largest,
+        herd_pairs=herds.pairs_ratio,
+        herd_chance=herds.chance,
+        moves=_moves_ratio(events, requests),
+        arrivals=_arrivals(nodes, requests, begin, end),
     )
+
+
+def _traffic_begin(events: list[Event]) -> float:
+    """When the traffic began: real processes take a while to start, with the journal begun."""
+    begin = next((float(event[0]) for event in events if event[1] in ("ask", "send")), 0.0)
+    return begin if begin > SECOND_MS else 0.0
+
+
+def _count_sends(requests: RequestTable, node_count: int, seconds: Numbers, begin: float) -> Numbers:
+    """Count the sends to each node in each second."""
+    columns = np.searchsorted(seconds, requests.sent_at, side="right") - 1
+    is_inside = (columns >= 0) & (requests.sent_at < begin + len(seconds) * SECOND_MS)
+    counts: Numbers = np.zeros((node_count, len(seconds)))
+    np.add.at(counts, (requests.sent_to[is_inside], columns[is_inside]), 1.0)
+    return counts
+
+
+def _spread(counts: Numbers, capacity: Numbers) -> _Spread:
+    """Means over columns of the CV and of the fullest node; counts by capacity, of nodes that are up alone."""
+    if not capacity.size:
+        return _Spread(0.0, 1.0)
+    is_up = capacity > 0
+    up_count = is_up.sum(axis=0)
+    with np.errstate(divide="ignore", invalid="ignore"):
+        loads = np.where(is_up, counts / capacity, 0.0)
+        mean = np.where(is_up, counts, 0.0).sum(axis=0) / capacity.sum(axis=0)
+        variance = (np.where(is_up, loads - mean, 0.0) ** 2 * capacity).sum(axis=0) / capacity.sum(axis=0)
+        is_counted = (up_count > 1) & (mean > 0)
+        cvs = np.sqrt(variance)[is_counted] / mean[is_counted]
+        fullest = loads.max(axis=0)[is_counted] / mean[is_counted]
+    return _Spread(float(cvs.mean()), float(fullest.mean())) if is_counted.any() else _Spread(0.0, 1.0)
+
+
+def _idle_ratios(held: Numbers, capacity: Numbers) -> _IdleRatios:
+    if not capacity.size:
+        return _IdleRatios(0.0, 0.0)
+    is_up = capacity > 0
+    is_idle = is_up & (held == 0)
+    idle_ratio = is_idle.sum(axis=0) / np.maximum(1, is_up.sum(axis=0))
+    mean_capacity = capacity[is_up].mean() if is_up.any() else 1.0
+    has_queue = (is_up & (held >= QUEUE_LENGTH * capacity / mean_capacity) & (held > 1)).any(axis=0)
+    return _IdleRatios(float(idle_ratio.mean()), float(np.where(has_queue, idle_ratio, 0.0).mean()))
+
+
+def _run_range(sends: Numbers, capacity: Numbers) -> _RunRange:
+    """The least and the most used node of the whole run, of those that were up all the while."""
+    second_count = capacity.shape[1]
+    is_always_up = (capacity > 0).all(axis=1) if second_count else np.zeros(len(capacity), dtype=bool)
+    if not is_always_up.any():
+        return _RunRange(1.0, 1.0)
+    loads = sends[is_always_up].sum(axis=1) / capacity[is_always_up].sum(axis=1)
+    mean = sends[is_always_up].sum() / capacity[is_always_up].sum()
+    return _RunRange(float(loads.min() / mean), float(loads.max() / mean)) if mean else _RunRange(1.0, 1.0)
+
+
+def _count_pairs(counts: NDArray[np.integer[Any]]) -> float:
+    return float((counts * (counts - 1) / 2).sum())
+
+
+def _herds(requests: RequestTable, nodes: NodeTimeline, end: float, seed: int) -> _Herds:
+    """The most sends by different gateways to a node in one connect time, pairs against chance, and their rarity."""
+    if not len(requests.sent_at):
+        return _Herds(0, 1.0, 1.0)
+    window = (requests.sent_at / CONNECT_MS).astype(np.int64)
+    # Several sends of one gateway to a node in a window are its own doing, no herd.
+    groups = np.unique(np.stack([window, requests.sent_to, requests.sent_by]), axis=1)
+    _, counts = np.unique(groups[:2], axis=1, return_counts=True)
+    pairs = _count_pairs(counts)
+    chance_pairs = _draw_chance_pairs(requests, nodes, window, end, seed)
+    expected = float(np.mean(chance_pairs))
+    rarity = float(np.mean(np.asarray(chance_pairs) >= pairs))
+    return _Herds(int(counts.max()), pairs / expected if expected else 1.0, rarity)
+
+
+def _draw_chance_pairs(
+    requests: RequestTable, nodes: NodeTimeline, window: NDArray[np.int64], end: float, seed: int
+) -> list[float]:
+    """Draw the pairs of as many sends in each window, each to a node by its capacity in that second."""
+    rng = np.random.default_rng(seed)
+    seconds = np.arange(SECOND_MS / 2, end + SECOND_MS, SECOND_MS)
+    capacity = nodes.capacity(seconds)
+    cumulative_shares = np.cumsum(capacity / np.maximum(capacity.sum(axis=0), 1e-9), axis=0)
+    columns = np.minimum((requests.sent_at / SECOND_MS).astype(int), len(seconds) - 1)
+    shares_of_sends = cumulative_shares[:, columns]
+    node_count = len(nodes.names)
+    pairs = []
+    for _ in range(CHANCE_DRAWS):
+        draws = rng.random(len(columns))
+        drawn_nodes = (shares_of_sends < draws).sum(axis=0).clip(max=node_count - 1)
+        _, counts = np.unique(window * node_count + drawn_nodes, return_counts=True)
+        pairs.append(_count_pairs(counts))
+    return pairs
+
+
+def _moves_ratio(events: list[Event], requests: RequestTable) -> float:
+    """Ratio of sends to a node not used for long, of those with no change shortly before."""
+    changes_at = [event[0] for event in events if event[1] in ("fault", "told", "node", "gateway")]
+    last_used_at: dict[tuple[int, int], float] = {}
+    moves = counted = 0
+    sends = zip(requests.sent_at.tolist(), requests.sent_by.tolist(), requests.sent_to.tolist(), strict=True)
+    for at, gateway, node in sends:
+        previous = last_used_at.get((gateway, node))
+        last_used_at[gateway, node] = at
+        latest_change = bisect.bisect_right(changes_at, at) - 1
+        if latest_change >= 0 and at - changes_at[latest_change] < CAUSE_MS:
+            continue
+        counted += 1
+        moves += previous is None or at - previous > USED_MS
+    return moves / counted if counted else 0.0
+
+
+def _arrivals(nodes: NodeTimeline, requests: RequestTable, begin: float, end: float) -> list[Arrival]:
+    """How gateways came to each node that started during the traffic."""
+    arrivals = []
+    for index, up_at in enumerate(nodes.up_at):
+        until = min(up_at + CAUSE_MS, nodes.down_at[index], end)
+        if up_at > begin and until - up_at >= SECOND_MS:
+            arrivals.append(_arrival(nodes, requests, index, until))
+    return arrivals
+
+
+def _arrival(nodes: NodeTimeline, requests: RequestTable, index: int, until: float) -> Arrival:
+    up_at = nodes.up_at[index]
+    is_here = (requests.sent_to == index) & (requests.sent_at >= up_at) & (requests.sent_at < until)
+    _, first_sends = np.unique(requests.sent_by[is_here], return_index=True)
+    first_ms = np.sort(requests.sent_at[is_here][first_sends]) - up_at
+    if not len(first_ms):
+        return Arrival(nodes.names[index], math.inf, 0.0, math.inf)
+    together = max(np.searchsorted(first_ms, first_ms + RUSH_MS) - np.arange(len(first_ms))) - 1
+    rush = float(together / max(1, len(first_ms) - 1))
+    fair_ms = _fair_use_ms(nodes, requests, index, until)
+    return Arrival(nodes.names[index], float(np.median(first_ms)), rush, fair_ms)
+
+
+def _fair_use_ms(nodes: NodeTimeline, requests: RequestTable, index: int, until: float) -> float:
+    """Time from a node's start to the first second in which it got its part of the sends, by capacity."""
+    up_at = nodes.up_at[index]
+    for at in np.arange(up_at, until - SECOND_MS + 1, SECOND_MS / 4):
+        is_inside = (requests.sent_at >= at) & (requests.sent_at < at + SECOND_MS)
+        capacity = nodes.capacity(np.asarray([at + SECOND_MS / 2]))[:, 0]
+        share = capacity[index] / max(capacity.sum(), 1e-9)
+        if (requests.sent_to[is_inside] == index).sum() >= FAIR_RATIO * share * is_inside.sum() > 0:
+            return float(at - up_at)
+    return math.inf
--- a/hallhitch/lab/evenness_page.py
+++ b/hallhitch/lab/evenness_page.py
@@ -1,4 +1,4 @@
-"""Evenness of one or several runs as one HTML page without references to anything outside it."""
+"""The page of one or several runs' evenness: one HTML file without references to anything outside it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 import numpy as np
 from jinja2 import Environment, select_autoescape
 
-from hallhitch.lab.evenness import MOMENT, Nodes, Sends, evenness, heat, in_work
+from hallhitch.lab.evenness import MOMENT_MS, evenness
 from hallhitch.lab.journal import Event
+from hallhitch.lab.node_load import NodeTimeline, RequestTable, count_held, make_heat_map
 from hallhitch.lab.report import STYLE, encode_chart
 
-HEAT_MOST = 4.0  # requests by a node of one core's ability that are shown as the darkest
+DARKEST_LOAD = 4.0  # requests held by a node of one core's capacity that are shown as the darkest
 PAGE = Environment(autoescape=select_autoescape(default=True)).from_string("""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Evenness</title><style>{{ style }}</style></head><body>
 <h1>Evenness</h1>
@@ -31,35 +32,38 @@
 """)
 
 
-def _map(events: list[Event]) -> str:
-    names, moments, work = heat(events)
-    figure, axes = plt.subplots(figsize=(12, max(1.5, min(9.0, 0.09 * len(names)))))
+def _draw_heat_map(events: list[Event]) -> str:
+    heat_map = make_heat_map(events)
+    node_count = len(heat_map.names)
+    figure, axes = plt.subplots(figsize=(12, max(1.5, min(9.0, 0.09 * node_count))))
     colours = plt.get_cmap("YlOrRd").copy()
     colours.set_bad("#ccc")
     axes.imshow(
-        work,
+        heat_map.values,
         aspect="auto",
         interpolation="nearest",
         vmin=0.0,
-        vmax=HEAT_MOST,
+        vmax=DARKEST_LOAD,
         cmap=colours,
-        extent=(0.0, float(moments[-1]) / 1000, len(names) - 0.5, -0.5),
+        extent=(0.0, float(heat_map.moments[-1]) / 1000, node_count - 0.5, -0.5),
     )
     axes.set(xlabel="s", ylabel="node")
     return encode_chart(figure)
 
 
-def _distributions(runs: dict[str, list[Event]]) -> str:
-    """How much a node holds at a moment, run by run: how often at least so much."""
+def _draw_distributions(runs: dict[str, list[Event]]) -> str:
+    """Draw how often nodes hold at least so much, run by run."""
     figure, axes = plt.subplots(figsize=(12, 3.6))
     for name, events in runs.items():
-        nodes = Nodes(events)
-        moments = np.arange(MOMENT / 2, max(MOMENT, float(events[-1][0])), MOMENT)
-        able = nodes.ability(moments)
-        held = (in_work(Sends(events), nodes, moments)[able > 0] / able[able > 0]).clip(max=3 * HEAT_MOST)
-        if held.size:
-            levels = np.linspace(0.0, 3 * HEAT_MOST, 100)
-            axes.plot(levels, [(held >= level).mean() for level in levels], label=name, linewidth=1.2)
+        nodes = NodeTimeline(events)
+        moments = np.arange(MOMENT_MS / 2, max(MOMENT_MS, float(events[-1][0])), MOMENT_MS)
+        capacity = nodes.capacity(moments)
+        is_up = capacity > 0
+        held = count_held(RequestTable(events), nodes, moments)
+        loads = (held[is_up] / capacity[is_up]).clip(max=3 * DARKEST_LOAD)
+        if loads.size:
+            levels = np.linspace(0.0, 3 * DARKEST_LOAD, 100)
+            axes.plot(levels, [(loads >= level).mean() for level in levels], label=name, linewidth=1.2)
     axes.set(
         xlabel="requests in work for a core's ability", ylabel="share of nodes and moments, at least", yscale="log"
     )
@@ -68,13 +72,12 @@
 
 
 def page(runs: dict[str, list[Event]]) -> str:
-    """The page, for runs by name."""
+    """Render the page of runs by name."""
     rows, maps, names = [], [], list[str]()
     for name, events in runs.items():
-        found = evenness(events)
-        plain = msgspec.to_builtins(found)
+        plain = msgspec.to_builtins(evenness(events))
         arrivals = plain.pop("arrivals")
         names = list(plain)
         rows.append({"name": name, "cells": [f"{value:.4g}" for value in plain.values()]})
-        maps.append({"name": name, "chart": _map(events), "arrivals": arrivals})
-    return PAGE.render(names=names, rows=rows, maps=maps, spread=_distributions(runs), style=STYLE)
+        maps.append({"name": name, "chart": _draw_heat_map(events), "arrivals": arrivals})
+    return PAGE.render(names=names, rows=rows, maps=maps, spread=_draw_distributions(runs), style=STYLE)
--- a/tests/catalog_sync/test_feed_client.py
+++ b/tests/catalog_sync/test_feed_client.py
@@ -16,7 +16,7 @@
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
 from tests.administration_plane import ControlCase, ControlPlane, change, seed
-from tests.cli.test_commands import run as command
+from tests.cli.command_runner import run_command
 from tests.stand_ins import soon
 
 
@@ -137,13 +137,13 @@
             "--ca",
             str(self.plane.folder / "tls" / "ca.crt"),
         )
-        done = await asyncio.to_thread(command, *arguments)
+        done = await asyncio.to_thread(run_command, *arguments)
         self.assertEqual(done.returncode, 1, done.stderr)
         self.assertIn("no gateways", done.stderr)
         one = self.gateway("one")
         await one.until(await self.status())
         file.write_text(file.read_text().replace("8.0", "7.0"))
-        done = await asyncio.to_thread(command, *arguments[:5], "20", *arguments[6:])
+        done = await asyncio.to_thread(run_command, *arguments[:5], "20", *arguments[6:])
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertIn("complete: applied by 1 of 1 gateways", done.stdout)
         self.assertEqual(self.rate_of(one.link.catalog), 7.0)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -5,13 +5,13 @@
 import asyncio
 import json
 import subprocess
-import sys
 import tempfile
 import unittest
 from pathlib import Path
 
 from tests.administration_plane import ControlCase, change
-from tests.stand_ins import GUARD, ROOT
+from tests.cli.command_runner import run_command
+from tests.stand_ins import ROOT
 
 TENANT = """
 tenant = "acme"
@@ -24,18 +24,6 @@
 """
 
 
-def run(*words: str, **environ: str) -> subprocess.CompletedProcess[str]:
-    """Run a command."""
-    return subprocess.run(
-        [sys.executable, "-m", "hallhitch", *words],
-        cwd=ROOT,
-        capture_output=True,
-        text=True,
-        timeout=GUARD,
-        env={"PATH": "/usr/bin:/bin", **environ},
-    )
-
-
 class Files(unittest.TestCase):
     """`check`, and what it says."""
 
@@ -61,16 +49,16 @@
             for text, says in cases:
                 with self.subTest(says=says):
                     path.write_text(text)
-                    done = run("check", str(path))
+                    done = run_command("check", str(path))
                     self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
                     self.assertIn(f"{path}: ", done.stderr)
                     self.assertIn(says, done.stderr)
-        self.assertEqual(run("check", "nowhere.toml").returncode, 2)
+        self.assertEqual(run_command("check", "nowhere.toml").returncode, 2)
 
     def test_the_files_under_deploy_are_good(self) -> None:
         """Guards against a file that nobody can start with."""
         for name in ("control", "resp"):
-            done = run("check", str(ROOT / "deploy" / f"{name}.toml"))
+            done = run_command("check", str(ROOT / "deploy" / f"{name}.toml"))
             self.assertEqual((done.returncode, done.stdout.strip().endswith(f"good ({name})")), (0, True), done.stderr)
 
 
@@ -80,7 +68,7 @@
     async def hallhitch(self, *words: str, token: str = "") -> subprocess.CompletedProcess[str]:
         """Run a command that calls the API."""
         return await asyncio.to_thread(
-            run,
+            run_command,
             *words,
             HALLHITCH_URL=self.plane.url,
             HALLHITCH_TOKEN=token or self.plane.token,
--- a/tests/cli/test_experiment.py
+++ b/tests/cli/test_experiment.py
@@ -13,7 +13,7 @@
 from hallhitch.lab.experiments import Outcome
 from hallhitch.lab.figures import Figures
 from hallhitch.lab.statistics import bootstrap_interval, compare
-from tests.cli.test_commands import run
+from tests.cli.command_runner import run_command
 from tests.stand_ins import ROOT
 
 SCENARIO = (
@@ -75,21 +75,21 @@
     def test_an_interrupted_experiment_ends_with_the_same_results(self) -> None:
         """Guards against runs made twice, lost, or different the second time."""
         file = str(self.folder / "small.toml")
-        first = run("experiment", "run", file, "--workers", "2", "--db", self.db)
+        first = run_command("experiment", "run", file, "--workers", "2", "--db", self.db)
         self.assertIn("12 runs made, 0 were there", first.stdout, first.stderr)
         with sqlite3.connect(self.db) as db:
             whole = db.execute("SELECT key, figures FROM result ORDER BY key").fetchall()
             db.execute("DELETE FROM result WHERE seed IN (2, 5)")  # as if it had been cut off there
-        again = run("experiment", "run", file, "--workers", "2", "--db", self.db)
+        again = run_command("experiment", "run", file, "--workers", "2", "--db", self.db)
         self.assertIn("4 runs made, 8 were there", again.stdout, again.stderr)
         with sqlite3.connect(self.db) as db:
             self.assertEqual(db.execute("SELECT key, figures FROM result ORDER BY key").fetchall(), whole)
-        told = run("experiment", "compare", "small", "as it is", "few nodes", "--db", self.db)
+        told = run_command("experiment", "compare", "small", "as it is", "few nodes", "--db", self.db)
         self.assertRegex(told.stdout, r"calm\s+6\s+-0\.\d+ \(-.*worse", told.stdout + told.stderr)
-        listed = run("experiment", "list", "--db", self.db)
+        listed = run_command("experiment", "list", "--db", self.db)
         self.assertRegex(listed.stdout, r"small\s+12\s+0")
         page = self.folder / "report.html"
-        done = run("experiment", "report", "small", "--db", self.db, "--to", str(page))
+        done = run_command("experiment", "report", "small", "--db", self.db, "--to", str(page))
         self.assertEqual(done.returncode, 0, done.stderr)
         text = page.read_text()
         self.assertIn("no rule", text)
@@ -99,16 +99,16 @@
     def test_one_try(self) -> None:
         """Guards against a scenario that cannot be tried, or a wrong one that can."""
         path = str(self.folder / "calm.toml")
-        done = run("experiment", "try", path, "--set", "world.nodes=6", "--log", str(self.folder / "log"))
+        done = run_command("experiment", "try", path, "--set", "world.nodes=6", "--log", str(self.folder / "log"))
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertIn("service", done.stdout)
         self.assertTrue((self.folder / "log").read_bytes().startswith(b'[0.0,"world"'))
         for words, says in [(("--set", "world.nodez=6"), "nodez"), (("--set", "world.nodes=x"), "--set")]:
-            bad = run("experiment", "try", path, *words)
+            bad = run_command("experiment", "try", path, *words)
             self.assertEqual((bad.returncode, len(bad.stderr.splitlines())), (2, 1), bad.stderr)
             self.assertIn(says, bad.stderr)
         (self.folder / "small.toml").write_text(EXPERIMENT + "module = { NO_SUCH = 1.0 }\n")
-        bad = run("experiment", "run", str(self.folder / "small.toml"), "--db", self.db)
+        bad = run_command("experiment", "run", str(self.folder / "small.toml"), "--db", self.db)
         self.assertEqual(bad.returncode, 2)
         self.assertIn("NO_SUCH", bad.stderr)
 
--- a/tests/lab/test_cases.py
+++ b/tests/lab/test_cases.py
@@ -11,34 +11,37 @@
 
 from hallhitch.lab.cases import load_cases, load_scenario
 from hallhitch.lab.checker import check
-from hallhitch.lab.evenness import Nodes, Sends, evenness
+from hallhitch.lab.evenness import evenness
 from hallhitch.lab.figures import figures
 from hallhitch.lab.journal import Event
+from hallhitch.lab.node_load import NodeTimeline, RequestTable
 from hallhitch.lab.scenario import Scenario
 from hallhitch.lab.sockets.run import SocketRun
 from hallhitch.lab.virtual_run import play
 from hallhitch.settings_file import SettingsError
-from tests.cli.test_commands import run
+from tests.cli.command_runner import run_command
+from tests.lab.short_scenarios import CASES_FILE
 from tests.stand_ins import ROOT
 
-FILE = str(ROOT / "scenarios" / "cases" / "evenness.toml")
 SEEDS = (1, 2, 3)
 
 
 def share(events: list[Event], nodes: set[str], begin: float, end: float) -> float:
     """The share of sends within these ms that went to some nodes, against their share by number."""
-    known = Nodes(events)
-    sends = Sends(events)
-    inside = (sends.sent >= begin) & (sends.sent < end)
-    names = [known.names[number] for number in sends.to[inside].tolist()]
-    return sum(name in nodes for name in names) / max(1, len(names)) / (len(nodes) / len(set(known.names)))
+    nodes_of_run = NodeTimeline(events)
+    requests = RequestTable(events)
+    inside = (requests.sent_at >= begin) & (requests.sent_at < end)
+    names = [nodes_of_run.names[number] for number in requests.sent_to[inside].tolist()]
+    return sum(name in nodes for name in names) / max(1, len(names)) / (len(nodes) / len(set(nodes_of_run.names)))
 
 
 class Virtual(unittest.TestCase):
     """Six gateways and 24 nodes."""
 
     def setUp(self) -> None:
-        self.cases = load_cases(FILE, {"world.gateways": 6, "world.nodes": 24, "traffic.load": 0.45, "seconds": 14.0})
+        self.cases = load_cases(
+            CASES_FILE, {"world.gateways": 6, "world.nodes": 24, "traffic.load": 0.45, "seconds": 14.0}
+        )
 
     def runs(self, name: str) -> list[list[Event]]:
         """The logs of a case by seed, all rules kept."""
@@ -111,9 +114,9 @@
                 with self.assertRaisesRegex(SettingsError, field):
                     load_cases(str(path), {})
         with self.assertRaisesRegex(SettingsError, "no case 'zones'; there are able"):
-            load_scenario(f"{FILE}:zones")
-        self.assertEqual(load_scenario(f"{FILE}:zone").faults[0].kind, "zone_lost")
-        self.assertEqual(run("check", FILE).stdout.split(": ")[1].strip(), "good (cases)")
+            load_scenario(f"{CASES_FILE}:zones")
+        self.assertEqual(load_scenario(f"{CASES_FILE}:zone").faults[0].kind, "zone_lost")
+        self.assertEqual(run_command("check", CASES_FILE).stdout.split(": ")[1].strip(), "good (cases)")
 
 
 class Processes(unittest.IsolatedAsyncioTestCase):
@@ -125,7 +128,7 @@
     async def case(self, name: str) -> None:
         """A case's faults within six seconds."""
         whole = load_cases(
-            FILE, {"world.gateways": 3, "world.nodes": 8, "world.list_late": [100.0, 400.0], "traffic.load": 0.3}
+            CASES_FILE, {"world.gateways": 3, "world.nodes": 8, "world.list_late": [100.0, 400.0], "traffic.load": 0.3}
         )[name]
         faults = tuple(
             msgspec.structs.replace(
@@ -153,5 +156,5 @@
     setattr(Processes, "test_" + name.replace(" ", "_"), test)
 
 
-for _name in load_cases(FILE, {}):
+for _name in load_cases(CASES_FILE, {}):
     _on_processes(_name)
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -11,7 +11,7 @@
 from hallhitch.lab.journal import Event, Journal, read_journal
 from hallhitch.lab.model_gateway import ModelGateway
 from hallhitch.lab.virtual_run import play
-from tests.lab.test_world import short
+from tests.lab.short_scenarios import short_scenario
 from tests.stand_ins import ROOT
 
 CLASSES = {
@@ -265,7 +265,7 @@
 
     def caught(self, scenario: str, mutant: Any, most: float | None = None) -> set[str]:
         """The rules that a spoilt gateway breaks."""
-        result = play(short(ROOT / "scenarios" / f"{scenario}.toml"), 3, mutant)
+        result = play(short_scenario(ROOT / "scenarios" / f"{scenario}.toml"), 3, mutant)
         found: list[Violation] = check(result.journal.events, most)
         return {violation.rule for violation in found}
 
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -10,13 +10,13 @@
 
 from hallhitch.lab.cases import load_cases
 from hallhitch.lab.checker import check
-from hallhitch.lab.evenness import Arrival, evenness, heat
+from hallhitch.lab.evenness import Arrival, evenness
 from hallhitch.lab.journal import Event
+from hallhitch.lab.node_load import make_heat_map
 from hallhitch.lab.scenario import replaced
 from hallhitch.lab.virtual_run import play
-from tests.cli.test_commands import run
-from tests.lab.test_cases import FILE
-from tests.lab.test_world import short
+from tests.cli.command_runner import run_command
+from tests.lab.short_scenarios import CASES_FILE, short_scenario
 from tests.stand_ins import ROOT
 
 SECONDS = 10.0
@@ -80,10 +80,10 @@
         ]
         found = evenness(log(node("a"), node("b"), *events))
         self.assertAlmostEqual(found.idle, (0.5 + 1.0) / 2)
-        names, moments, shown = heat(log(node("a"), node("b"), *events), 1000.0)
-        self.assertEqual((names, len(moments)), (["a", "b"], 10))
-        self.assertEqual(shown[0][:5].tolist(), [0.5] * 5)
-        self.assertTrue(all(value != value for value in shown[1][5:]))
+        heat_map = make_heat_map(log(node("a"), node("b"), *events), 1000.0)
+        self.assertEqual((heat_map.names, len(heat_map.moments)), (["a", "b"], 10))
+        self.assertEqual(heat_map.values[0][:5].tolist(), [0.5] * 5)
+        self.assertTrue(all(value != value for value in heat_map.values[1][5:]))
 
     def test_a_node_that_starts_again_is_another_one(self) -> None:
         """Guards against the work of a node's first life counted for its second."""
@@ -153,7 +153,7 @@
     def test_each_keeps_the_rules_and_knowing_more_is_more_even(self) -> None:
         """Guards against baselines that are none: they choose, and nothing else is changed."""
         base = replaced(
-            short(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 20, "seconds": 8.0}
+            short_scenario(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 20, "seconds": 8.0}
         )
         found = {}
         for choice in ("module", "uniform", "round_robin", "two", "least", "informed"):
@@ -168,7 +168,7 @@
     def test_old_news_of_load_make_herds_and_none_do_not(self) -> None:
         """Guards against load that is told between gateways later than it changes: all go to what was idle."""
         base = replaced(
-            short(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 20, "seconds": 8.0}
+            short_scenario(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 20, "seconds": 8.0}
         )
         old = replaced(base, {"world.choice": "informed", "world.choice_late_ms": 500.0})
         told, plain = (evenness(play(scenario, 1).journal.events) for scenario in (old, base))
@@ -183,19 +183,21 @@
 
     def test_a_page_from_logs_and_what_is_no_log(self) -> None:
         """Guards against a page that needs the network or drops a run, and a traceback for a file that is no log."""
-        told = load_cases(FILE, {"world.gateways": 3, "world.nodes": 9, "traffic.load": 0.3, "seconds": 12.0})["zone"]
+        told = load_cases(CASES_FILE, {"world.gateways": 3, "world.nodes": 9, "traffic.load": 0.3, "seconds": 12.0})[
+            "zone"
+        ]
         journal = play(told, 1).journal
         with tempfile.TemporaryDirectory() as folder:
             log_, page, bad = (Path(folder) / name for name in ("first <run>.log", "page.html", "bad.log"))
             log_.write_bytes(b"".join(journal.encoded_lines()))
             bad.write_text("[1, 2]\n")
-            done = run("fleet", "report", str(log_), "--write", str(page))
+            done = run_command("fleet", "report", str(log_), "--write", str(page))
             self.assertEqual(done.returncode, 0, done.stderr)
             text = page.read_text()
             self.assertIn("first &lt;run&gt;", text)
             self.assertEqual(text.count("data:image/png"), 2)
             self.assertNotRegex(text, r"(src|href)=\"http")
             self.assertEqual(text.count("<td>node-"), 3)  # the zone that came back
-            done = run("fleet", "report", str(bad), "--write", str(page))
+            done = run_command("fleet", "report", str(bad), "--write", str(page))
             self.assertEqual(done.returncode, 1)
             self.assertIn("bad.log: line 1", done.stderr)
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -18,7 +18,7 @@
 from hallhitch.lab.load.protocols import parse_loopback_address
 from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
 from hallhitch.lab.load.trace_format import read_trace, write_trace
-from tests.cli.test_commands import run as command
+from tests.cli.command_runner import run_command
 from tests.stand_ins import StandIn, http, read_http
 
 MIX = RequestMix(
@@ -193,7 +193,7 @@
         server = Prompt()
         await server.start()
         done = await asyncio.to_thread(
-            command,
+            run_command,
             "load",
             server.address,
             "--rate",
@@ -240,5 +240,5 @@
                 parse_loopback_address(address)
         self.assertEqual(parse_loopback_address("127.9.9.9:80"), ("127.9.9.9", 80))
         with tempfile.TemporaryDirectory() as folder, contextlib.suppress(FileNotFoundError):
-            done = command("load", "10.0.0.1:80", "--record", str(Path(folder) / "t"))
+            done = run_command("load", "10.0.0.1:80", "--record", str(Path(folder) / "t"))
             self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
--- a/tests/lab/test_traces.py
+++ b/tests/lab/test_traces.py
@@ -17,7 +17,7 @@
 from hallhitch.lab.load.trace_format import TraceRequest, read_trace, write_trace
 from hallhitch.lab.load.trace_import import AccessLogDefaults, import_access_log, import_csv
 from hallhitch.lab.load.trace_recorder import TraceRecorder
-from tests.cli.test_commands import run as command
+from tests.cli.command_runner import run_command
 from tests.stand_ins import StandIn, http, read_http, soon
 
 LOG = """127.0.0.1 - - [01/Dec/2026:10:00:05 +0200] "GET /inspect/00000000000000aB HTTP/1.1" 200 12
@@ -105,7 +105,7 @@
         with tempfile.TemporaryDirectory() as folder:
             out = Path(folder) / "t"
             done = await asyncio.to_thread(
-                command,
+                run_command,
                 "trace",
                 "record",
                 str(out),
@@ -118,7 +118,9 @@
             )
             self.assertEqual((done.returncode, out.read_bytes()), (0, b""), done.stderr)
             self.assertIn("0 requests", done.stdout)
-        done = await asyncio.to_thread(command, "trace", "record", "/dev/null", "--listen", "10.0.0.1:80", "--to", "x")
+        done = await asyncio.to_thread(
+            run_command, "trace", "record", "/dev/null", "--listen", "10.0.0.1:80", "--to", "x"
+        )
         self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
 
 
@@ -180,10 +182,10 @@
         with tempfile.TemporaryDirectory() as folder:
             log, out = Path(folder) / "log", Path(folder) / "out"
             log.write_text(LOG)
-            done = command("trace", "import", str(log), str(out), "--form", "access-log", "--plan", "p")
+            done = run_command("trace", "import", str(log), str(out), "--form", "access-log", "--plan", "p")
             self.assertEqual(done.returncode, 0, done.stderr)
             self.assertIn("3 requests; 1 left out", done.stdout)
-            self.assertIn("3 requests in 2.0 s, 2 customers", command("trace", "inspect", str(out)).stdout)
+            self.assertIn("3 requests in 2.0 s, 2 customers", run_command("trace", "inspect", str(out)).stdout)
             for arguments in (("--form", "access-log"), ("--form", "csv")):
-                done = command("trace", "import", str(log), str(out), *arguments)
+                done = run_command("trace", "import", str(log), str(out), *arguments)
                 self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_virtual_run.py
@@ -8,9 +8,6 @@
 import sys
 import unittest
 from collections import Counter
-from pathlib import Path
-
-import msgspec
 
 from hallhitch.lab.checker import check
 from hallhitch.lab.figures import figures
@@ -18,21 +15,12 @@
 from hallhitch.lab.streams import Streams
 from hallhitch.lab.virtual_run import Result, VirtualRun, play
 from hallhitch.settings_file import read
+from tests.lab.short_scenarios import SCENARIOS, short_scenario
 from tests.stand_ins import ROOT
 
-SCENARIOS = sorted((ROOT / "scenarios").glob("*.toml"))
-SECONDS = 16.0  # of each scenario here: its faults are moved into them
 SEEDS = [int(seed) for seed in os.environ.get("HALLHITCH_LAB_SEEDS", "1 2").split()]
 
 
-def short(path: Path) -> Scenario:
-    """A scenario with its time, and its faults' times, cut down."""
-    whole = read(str(path), Scenario)
-    by = min(1.0, SECONDS / whole.seconds)
-    faults = tuple(msgspec.structs.replace(f, at_s=f.at_s * by, for_s=f.for_s * max(by, 0.3)) for f in whole.faults)
-    return msgspec.structs.replace(whole, seconds=whole.seconds * by, faults=faults)
-
-
 class Rules(unittest.TestCase):
     """All scenarios."""
 
@@ -41,7 +29,7 @@
         for path in SCENARIOS:
             for seed in SEEDS:
                 with self.subTest(scenario=path.stem, seed=seed):
-                    result = play(short(path), seed)
+                    result = play(short_scenario(path), seed)
                     self.assertEqual([str(b) for b in check(result.journal.events)], [])
                     found = figures(result.journal.events, result.traffic, result.counter_calls)
                     self.assertGreater(found.service, 0.5)
@@ -54,7 +42,7 @@
 
     def test_each_gateway_has_a_number_of_its_own_and_no_node_is_left_alone(self) -> None:
         """Guards against a lab whose gateways all take themselves for the first, and keep to the same few nodes."""
-        base = replaced(short(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 40})
+        base = replaced(short_scenario(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 40})
         run = VirtualRun(base, 3)
         modules = [gateway.core.gateway for gateway in run.gateways.values() if gateway is not None]
         self.assertEqual([module.config.index for module in modules], list(range(12)))
@@ -71,12 +59,13 @@
         code = (
             "import hashlib, structlog, logging\n"
             "structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))\n"
-            "from tests.lab.test_world import short, ROOT, play\n"
-            "r = play(short(ROOT / 'scenarios' / 'gateways-die.toml'), 7)\n"
+            "from hallhitch.lab.virtual_run import play\n"
+            "from tests.lab.short_scenarios import ROOT, short_scenario\n"
+            "r = play(short_scenario(ROOT / 'scenarios' / 'gateways-die.toml'), 7)\n"
             "print(hashlib.sha256(b''.join(r.journal.encoded_lines())).hexdigest())"
         )
         here = hashlib.sha256(
-            b"".join(play(short(ROOT / "scenarios" / "gateways-die.toml"), 7).journal.encoded_lines())
+            b"".join(play(short_scenario(ROOT / "scenarios" / "gateways-die.toml"), 7).journal.encoded_lines())
         )
         for hash_seed in ("0", "4242"):
             done = subprocess.run(
@@ -94,7 +83,7 @@
         def asked(result: Result) -> list[tuple[float, str, float]]:
             return [(i.due_at, i.key, i.service_ms) for i in result.traffic.intents]
 
-        base = short(ROOT / "scenarios" / "calm.toml")
+        base = short_scenario(ROOT / "scenarios" / "calm.toml")
         other = replaced(base, {"world.nodes": base.world.nodes, "world.slots": 3, "world.counter_per_s": 200.0})
         self.assertEqual(asked(play(base, 5)), asked(play(other, 5)))
         self.assertNotEqual(asked(play(base, 5)), asked(play(base, 6)))
