--- a/hallhitch/administration/api/app.py
+++ b/hallhitch/administration/api/app.py
@@ -39,12 +39,12 @@
 
 
 def on_problem(_: Request[Any, Any, Any], error: ProblemError) -> Response[bytes]:
-    """An error of our own."""
+    """Respond to an error of our own."""
     return _problem_response(error)
 
 
 def on_http(_: Request[Any, Any, Any], error: HTTPException) -> Response[bytes]:
-    """An error of the framework's."""
+    """Respond to an error of the framework."""
     if isinstance(error, ValidationException):
         return _problem_response(_validation_problem(error))
     if error.status_code == 404:
@@ -57,7 +57,7 @@
 
 
 def _validation_problem(error: ValidationException) -> ProblemError:
-    """What of a body or a parameter does not fit, by its field."""
+    """Return the error of a body or parameter that does not fit, by its field."""
     field, what = "", error.detail
     extra = error.extra
     if isinstance(extra, list) and extra and isinstance(extra[0], dict):
@@ -67,7 +67,7 @@
 
 
 def on_unhandled_error(request: Request[Any, Any, Any], error: Exception) -> Response[bytes]:
-    """A fault of the program's: said in the log, not to the caller."""
+    """Respond to an unexpected error, whose details go to the log and not to the caller."""
     log.error("handler failed", path=request.url.path, error=f"{type(error).__name__}: {error}", exc_info=error)
     return _problem_response(
         ProblemError(500, "fault", "The service failed at this call; repeat it with the same key.")
@@ -81,7 +81,7 @@
 
 
 def encode_openapi(app: Litestar) -> bytes:
-    """The OpenAPI description as JSON."""
+    """Encode the OpenAPI description as JSON."""
     return msgspec.json.encode(app.openapi_schema.to_schema())
 
 
@@ -91,7 +91,7 @@
     store: SqliteStore | None,
     publisher: FeedPublisher | None = None,
 ) -> Litestar:
-    """The handlers, without the guard."""
+    """Create the framework's application of all handlers, without the guard."""
     app = Litestar(
         route_handlers=[*HANDLERS, *FEED_HANDLERS, openapi_document],
         guards=[authorize_handler],
@@ -125,8 +125,8 @@
     checker: SecretChecker,
     store: SqliteStore,
     clock: WallClock,
-    told: ApiSettings,
+    settings: ApiSettings,
     publisher: FeedPublisher,
 ) -> Guard:
-    """The whole application."""
-    return Guard(create_framework(Service(writer), checker, store, publisher), writer, checker, clock, told)
+    """Create the whole application: the guard around the framework."""
+    return Guard(create_framework(Service(writer), checker, store, publisher), writer, checker, clock, settings)
--- a/hallhitch/administration/api/audit_resources.py
+++ b/hallhitch/administration/api/audit_resources.py
@@ -26,14 +26,14 @@
 async def _audit_page(request: Conn, tenant: str | None, after: str, limit: int) -> Response[Any]:
     store: SqliteStore = request.app.state.store
     before = int(after) if after else 2**62
-    found = await asyncio.to_thread(store.audit_entries, tenant, before, limit + 1)
+    entries = await asyncio.to_thread(store.audit_entries, tenant, before, limit + 1)
     items = [
         views.AuditView(
             a.id, a.at_ms, a.tenant, a.actor, a.action, a.status, views.stamp(a.epoch, a.version) if a.version else None
         )
-        for a in found[:limit]
+        for a in entries[:limit]
     ]
-    return json_response(views.AuditPage(items, str(items[-1].id) if len(found) > limit else None))
+    return json_response(views.AuditPage(items, str(items[-1].id) if len(entries) > limit else None))
 
 
 @get("/v1/tenants/{tenant:str}/audit", responses=READ_ERRORS, operation_id="listTenantAudit", tags=["audit"])
--- a/hallhitch/administration/api/authorization.py
+++ b/hallhitch/administration/api/authorization.py
@@ -15,17 +15,21 @@
 
 
 def authorize_handler(connection: ASGIConnection[Any, Any, Any, Any], handler: BaseRouteHandler) -> None:
-    """Before a body is looked at: what is another's reads as what is not there."""
+    """Refuse a call beyond the caller's scope; another tenant's entries give the same error as missing ones.
+
+    Raises:
+        ProblemError: 404 where the entry is hidden from the caller, 403 where it is beyond the credential's scope.
+    """
     caller = connection.scope["state"]["caller"]
     if caller is None:
         return
-    told = handler.opt
-    if told.get("feed"):  # gateways alone, and nothing else is theirs
+    options = handler.opt
+    if options.get("feed"):  # only gateways read the feed, and they read nothing else
         if caller.scope is not Scope.GATEWAY:
             raise not_found()
         return
-    tenant = connection.path_params.get("tenant", told.get("tenant"))
-    verdict = authorize(caller, tenant, told.get("kind"), bool(told.get("write")))
+    tenant = connection.path_params.get("tenant", options.get("tenant"))
+    verdict = authorize(caller, tenant, options.get("kind"), bool(options.get("write")))
     if verdict is Verdict.HIDDEN:
         raise not_found()
     if verdict is Verdict.BEYOND_SCOPE:
--- a/hallhitch/administration/api/calls.py
+++ b/hallhitch/administration/api/calls.py
@@ -1,6 +1,6 @@
-"""From a request to a change and its answer: conditions (RFC 9110), merge patches, pages.
+"""From a request to a change and its response: conditions (RFC 9110), merge patches, pages.
 
-Everything that must be true when the change is made is looked at in the writer, on the catalogue of that moment.
+Whatever must hold when a change is made is checked in the writer, on the catalog of that moment.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import re
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Final
 
 import msgspec
 from litestar import Request, Response
@@ -29,13 +29,17 @@
 JSON = "application/json"
 STRONG_TAG_PATTERN = re.compile(r'\s*"(\d{1,15})\.(\d{1,15})"\s*')
 ENTITY_TAG_PATTERN = re.compile(r'\s*(?:W/)?"[^"]*"\s*')
-MAX_PAGE_ITEMS = 500  # things on a page
+MAX_PAGE_ITEMS: Final = 500
+MAX_AUDITED_CHARS: Final = 400  # of a call's method and path
+NOT_WRITTEN: Final = (
+    "The store could not be written and nothing was changed, as far as is known. Repeat the call with the same key."
+)
 Conn = Request[Any, Any, Any]
 _encode = msgspec.json.Encoder().encode
 
 
 class Target(Struct, frozen=True):
-    """What a call is about."""
+    """Entry of the catalog that a call is about."""
 
     tenant: str
     kind: Kind
@@ -43,14 +47,18 @@
 
 
 class Condition(Struct, frozen=True):
-    """What the headers ask of the thing as it stands: `tags` are the versions that If-Match allows."""
+    """Precondition of the headers on the present entry: `tags` are the versions that If-Match allows."""
 
     match_any: bool = False
     tags: frozenset[tuple[int, int]] | None = None
     absent: bool = False
 
     def check(self, catalog: Catalog, kept: Versioned | None, replaces: bool) -> None:
-        """Refused where the thing is not as the caller took it to be."""
+        """Check the condition against the present entry.
+
+        Raises:
+            ChangeRefused: It does not hold, or a replacement comes without one.
+        """
         if self.absent and kept is not None:
             raise ChangeRefused("stale", "If-None-Match", "there is one already")
         if (self.match_any or self.tags is not None) and kept is None:
@@ -62,7 +70,7 @@
 
 
 def condition_of(request: Conn) -> Condition:
-    """The conditions in the headers; 400 where they cannot be read."""
+    """Parse the conditions in the headers; ProblemError 400 where they are malformed."""
     match, none = request.headers.get("if-match"), request.headers.get("if-none-match")
     if none is not None and none.strip() != "*":
         raise ProblemError(400, "malformed", "If-None-Match takes '*' only.", "If-None-Match")
@@ -82,24 +90,24 @@
 
 @dataclass(slots=True)
 class Service:
-    """What handlers reach for."""
+    """Parts of the service that handlers use."""
 
     writer: Writer
 
     @property
     def catalog(self) -> Catalog:
-        """The newest catalogue that is on disk."""
+        """Return the newest catalog that is on disk."""
         return self.writer.catalog
 
 
 def caller_of(request: Conn) -> Principal:
-    """Who calls, as the guard found."""
+    """Return the caller, as the guard authenticated it."""
     caller: Principal = request.scope["state"]["caller"]
     return caller
 
 
 def service_of(request: Conn) -> Service:
-    """What handlers reach for."""
+    """Return the parts of the service that handlers use."""
     service: Service = request.app.state.service
     return service
 
@@ -109,14 +117,18 @@
     tenant: str,
     plan: Callable[[Catalog, int], PlannedChange],
 ) -> Response[Any]:
-    """Hand a call to the writer; its reply, or the error that stands for what went wrong."""
+    """Make a call through the writer and return its reply.
+
+    Raises:
+        ProblemError: The call was not made.
+    """
     state = request.scope["state"]
     call = Call(
         caller_of(request),
         state["key"],
         state["fingerprint"],
         tenant,
-        f"{request.method} {request.url.path}"[:400],
+        f"{request.method} {request.url.path}"[:MAX_AUDITED_CHARS],
         plan,
         _refusal_reply,
     )
@@ -131,13 +143,7 @@
     except WriterHalted as error:
         raise ProblemError(503, "halted", "Nothing can be changed now; reads go on.", retry_after_s=10.0) from error
     except Exception as error:
-        raise ProblemError(
-            503,
-            "not-written",
-            "The store could not be written and nothing was changed, as far as "
-            "is known. Repeat the call with the same key.",
-            retry_after_s=2.0,
-        ) from error
+        raise ProblemError(503, "not-written", NOT_WRITTEN, retry_after_s=2.0) from error
     return Response(
         reply.body, status_code=reply.status, headers=reply.headers, media_type=reply.headers["content-type"]
     )
@@ -149,7 +155,7 @@
 
 
 def resource_reply(catalog: Catalog, target: Target, status: int, token: str | None = None) -> Reply:
-    """A thing as an answer, with its entity tag."""
+    """Return an entry as a reply, with its entity tag; ChangeRefused where it does not exist."""
     kept = catalog.get(target.tenant, target.kind, target.name)
     if kept is None:
         raise ChangeRefused("not-found", "", "there is nothing of this name")
@@ -162,7 +168,7 @@
 
 
 def read(request: Conn, target: Target) -> Response[Any]:
-    """Answer a GET of one thing."""
+    """Respond to a GET of one entry."""
     try:
         reply = resource_reply(service_of(request).catalog, target, 200)
     except ChangeRefused as error:
@@ -171,13 +177,13 @@
 
 
 async def put(request: Conn, target: Target, value: Any, token: str | None = None) -> Response[Any]:
-    """Create or replace; with `token`, the answer holds a secret."""
+    """Create or replace an entry; with `token`, the response holds a secret."""
     condition = condition_of(request)
 
-    def plan(catalog: Catalog, now: int) -> PlannedChange:
-        was = _current_entry(catalog, target)
-        condition.check(catalog, was, replaces=True)
-        status = 200 if was is not None else 201
+    def plan(catalog: Catalog, now_ms: int) -> PlannedChange:
+        present = _current_entry(catalog, target)
+        condition.check(catalog, present, replaces=True)
+        status = 200 if present is not None else 201
         return PlannedChange(
             Change(target.tenant, (Edit(target.kind, target.name, value),)),
             lambda made: resource_reply(made, target, status, token),
@@ -187,22 +193,22 @@
     return await submit(request, target.tenant, plan)
 
 
-async def patch(request: Conn, target: Target, fold: Callable[[Any, Any], Any] | None = None) -> Response[Any]:
-    """Merge the body into what is there; `fold` makes the value where it is not the body's own form."""
+async def patch(request: Conn, target: Target, merge_value: Callable[[Any, Any], Any] | None = None) -> Response[Any]:
+    """Merge the body into the present value; `merge_value` does so where the body has a form of its own."""
     condition = condition_of(request)
     body = parse_strict(request.scope["state"]["raw"])
     if not isinstance(body, dict):
         raise ProblemError(422, "invalid", "A merge patch of a thing is an object.")
 
-    def plan(catalog: Catalog, now: int) -> PlannedChange:
-        was = _current_entry(catalog, target)
-        if was is None:
+    def plan(catalog: Catalog, now_ms: int) -> PlannedChange:
+        present = _current_entry(catalog, target)
+        if present is None:
             raise ChangeRefused("not-found", "", "there is nothing of this name")
-        condition.check(catalog, was, replaces=False)
-        if fold is not None:
-            value = fold(was.value, body)
+        condition.check(catalog, present, replaces=False)
+        if merge_value is not None:
+            value = merge_value(present.value, body)
         else:
-            value = convert_value(apply_merge_patch(msgspec.to_builtins(was.value), body), VALUE_TYPES[target.kind])
+            value = convert_value(apply_merge_patch(msgspec.to_builtins(present.value), body), VALUE_TYPES[target.kind])
         return PlannedChange(
             Change(target.tenant, (Edit(target.kind, target.name, value),)),
             lambda made: resource_reply(made, target, 200),
@@ -212,14 +218,14 @@
 
 
 async def delete(request: Conn, target: Target) -> Response[Any]:
-    """Drop a thing."""
+    """Delete an entry."""
     condition = condition_of(request)
 
-    def plan(catalog: Catalog, now: int) -> PlannedChange:
-        was = _current_entry(catalog, target)
-        if was is None:
+    def plan(catalog: Catalog, now_ms: int) -> PlannedChange:
+        present = _current_entry(catalog, target)
+        if present is None:
             raise ChangeRefused("not-found", "", "there is nothing of this name")
-        condition.check(catalog, was, replaces=False)
+        condition.check(catalog, present, replaces=False)
         return PlannedChange(
             Change(target.tenant, (Edit(target.kind, target.name),)),
             lambda made: Reply(204, {"content-type": JSON}, b""),
@@ -228,45 +234,44 @@
     return await submit(request, target.tenant, plan)
 
 
-def convert_value(value: Any, form: type[Any]) -> Any:
-    """A value of this form; Refused names the field."""
+def convert_value(value: Any, type_: type[Any]) -> Any:
+    """Convert plain values to a type; ChangeRefused names the field that does not fit."""
     try:
-        return msgspec.convert(value, form, strict=True)
+        return msgspec.convert(value, type_, strict=True)
     except msgspec.ValidationError as error:
-        what, _, place = str(error).partition(" - at `$")
-        raise ChangeRefused("invalid", place.rstrip("`").lstrip("."), what) from error
+        detail, _, path = str(error).partition(" - at `$")
+        raise ChangeRefused("invalid", path.rstrip("`").lstrip("."), detail) from error
 
 
 def _current_entry(catalog: Catalog, target: Target) -> Versioned | None:
-    """What stands under the name; of a tenant that is not there, nothing can be said but that."""
+    """Return the present entry; ChangeRefused where its tenant does not exist."""
     if target.kind is not Kind.TENANT and target.tenant and target.tenant not in catalog.tenants:
         raise ChangeRefused("not-found", "", "there is no such tenant")
     return catalog.get(target.tenant, target.kind, target.name)
 
 
 def page(
-    names: Iterable[str],
-    after: str,
-    limit: int,
-    wanted: Callable[[str], bool],
+    names: Iterable[str], after: str, limit: int, is_wanted: Callable[[str], bool]
 ) -> tuple[list[str], str | None]:
-    """A page of names past `after`, in order, and where the next begins."""
-    found = heapq.nsmallest(limit + 1, (name for name in names if name > after and wanted(name)))
-    return found[:limit], found[limit - 1] if len(found) > limit else None
+    """Return the wanted names past `after`, in order, at most `limit`, and the last of them if there are more."""
+    candidates = (name for name in names if name > after and is_wanted(name))
+    page_names = heapq.nsmallest(limit + 1, candidates)
+    next_after = page_names[limit - 1] if len(page_names) > limit else None
+    return page_names[:limit], next_after
 
 
 def page_of_kind(
     request: Conn, tenant: str, kind: Kind, after: str, limit: int, prefix: str
 ) -> tuple[list[tuple[str, Versioned]], str | None]:
-    """A page of one kind of a tenant's things."""
-    part = service_of(request).catalog.tenants.get(tenant)
-    if part is None:
+    """Return a page of one kind of a tenant's entries, and where the next begins; 404 for an unknown tenant."""
+    tenant_part = service_of(request).catalog.tenants.get(tenant)
+    if tenant_part is None:
         raise not_found()
-    things = part.entries(kind)
-    names, following = page(things, after, limit, lambda name: name.startswith(prefix))
-    return [(name, things[name]) for name in names], following
+    entries = tenant_part.entries(kind)
+    names, next_after = page(entries, after, limit, lambda name: name.startswith(prefix))
+    return [(name, entries[name]) for name in names], next_after
 
 
 def json_response(body: Any) -> Response[Any]:
-    """A view as an answer."""
+    """Respond with a view as JSON."""
     return Response(msgspec.json.encode(body), media_type=JSON, headers={"cache-control": "no-store"})
--- a/hallhitch/administration/api/credential_resources.py
+++ b/hallhitch/administration/api/credential_resources.py
@@ -36,7 +36,7 @@
 
 
 async def issue_credential(request: Conn, tenant: str, name: str, data: views.CredentialBody) -> Response[Any]:
-    """Issue a credential: its token stands in this answer and its repeats, and nowhere else."""
+    """Issue a credential; its token is in this response and its repeats, and nowhere else."""
     if data.certificate is not None:
         if tenant != OPERATORS:
             raise ProblemError(422, "invalid", "Only operators are named by certificates here.", "certificate")
@@ -50,41 +50,50 @@
 
 
 async def rotate_secret(request: Conn, tenant: str, name: str, data: views.RotateBody) -> Response[Any]:
-    """A new secret; the one before counts for the overlap."""
+    """Give a credential a new secret; the one before stays valid for the overlap."""
     checker: SecretChecker = request.app.state.checker
-    target, secret = Target(tenant, Kind.CREDENTIAL, name), new_secret()
-    hashes = {scope: await checker.hash(scope, secret) for scope in (Scope.CLIENT, Scope.ADMIN)}
+    target = Target(tenant, Kind.CREDENTIAL, name)
+    secret = new_secret()
+    # The credential's scope is known only in the writer: both forms of hash are made before.
+    client_hash = await checker.hash(Scope.CLIENT, secret)
+    password_hash = await checker.hash(Scope.ADMIN, secret)
     condition = calls.condition_of(request)
 
-    def plan(catalog: Catalog, now: int) -> PlannedChange:
-        was = catalog.get(tenant, Kind.CREDENTIAL, name)
-        if was is None:
+    def plan(catalog: Catalog, now_ms: int) -> PlannedChange:
+        present = catalog.get(tenant, Kind.CREDENTIAL, name)
+        if present is None:
             raise ChangeRefused("not-found", "", "there is nothing of this name")
-        condition.check(catalog, was, replaces=False)
-        value: Credential = was.value
-        if value.certificate is not None:
+        condition.check(catalog, present, replaces=False)
+        credential: Credential = present.value
+        if credential.certificate is not None:
             raise ChangeRefused("invalid", "certificate", "a certificate has no secret to rotate")
-        until = now + data.overlap_seconds * 1000
-        older = tuple(
-            Verifier(v.hash, until if v.until is None else min(v.until, until))
-            for v in value.verifiers[:1]
-            if data.overlap_seconds
-        )
-        fresh = Verifier(hashes[Scope.CLIENT if value.scope is Scope.CLIENT else Scope.ADMIN])
-        made = msgspec.structs.replace(value, verifiers=(fresh, *older))
+        verifier = Verifier(client_hash if credential.scope is Scope.CLIENT else password_hash)
+        older = _overlapping_verifiers(credential, now_ms, data.overlap_seconds)
+        rotated = msgspec.structs.replace(credential, verifiers=(verifier, *older))
         return PlannedChange(
-            Change(tenant, (Edit(Kind.CREDENTIAL, name, made),)),
+            Change(tenant, (Edit(Kind.CREDENTIAL, name, rotated),)),
             lambda after: calls.resource_reply(after, target, 200, str(Token(tenant, name, secret))),
-            True,
+            has_secret=True,
         )
 
     return await calls.submit(request, tenant, plan)
 
 
+def _overlapping_verifiers(credential: Credential, now_ms: int, overlap_s: int) -> tuple[Verifier, ...]:
+    """Return the newest verifier, valid for the overlap at most; none without an overlap."""
+    if not overlap_s:
+        return ()
+    until_ms = now_ms + overlap_s * 1000
+    return tuple(
+        Verifier(verifier.hash, until_ms if verifier.until is None else min(verifier.until, until_ms))
+        for verifier in credential.verifiers[:1]
+    )
+
+
 def _patch_credential(value: Any, body: Any) -> Any:
-    """Of a credential, only the end may be changed."""
-    told: views.CredentialPatch = calls.convert_value(body, views.CredentialPatch)
-    return msgspec.structs.replace(value, expires=told.expires) if "expires" in body else value
+    """Merge a patch into a credential, of which only the end may be changed."""
+    patch_body: views.CredentialPatch = calls.convert_value(body, views.CredentialPatch)
+    return msgspec.structs.replace(value, expires=patch_body.expires) if "expires" in body else value
 
 
 class Credentials(Controller):
@@ -99,10 +108,10 @@
         self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
     ) -> Response[views.CredentialPage]:
         """The tenant's credentials, without their secrets."""
-        things, following = page_of_kind(request, tenant, Kind.CREDENTIAL, after, limit, prefix)
+        entries, next_after = page_of_kind(request, tenant, Kind.CREDENTIAL, after, limit, prefix)
         catalog = service_of(request).catalog
         return json_response(
-            views.CredentialPage([views.view(catalog, Kind.CREDENTIAL, *thing) for thing in things], following)
+            views.CredentialPage([views.view(catalog, Kind.CREDENTIAL, *entry) for entry in entries], next_after)
         )
 
     @get("/{name:str}", responses=READ_ERRORS, operation_id="getCredential")
@@ -165,9 +174,9 @@
     ) -> Response[views.CredentialPage]:
         """The operators' credentials, without their secrets."""
         catalog = service_of(request).catalog
-        names, following = calls.page(catalog.operators, after, limit, lambda name: name.startswith(prefix))
+        names, next_after = calls.page(catalog.operators, after, limit, lambda name: name.startswith(prefix))
         items = [views.view(catalog, Kind.CREDENTIAL, name, catalog.operators[name]) for name in names]
-        return json_response(views.CredentialPage(items, following))
+        return json_response(views.CredentialPage(items, next_after))
 
     @get("/{name:str}", responses=READ_ERRORS, operation_id="getOperator")
     async def get(self, request: Conn, name: str) -> Response[views.CredentialView]:
--- a/hallhitch/administration/api/entry_resources.py
+++ b/hallhitch/administration/api/entry_resources.py
@@ -41,9 +41,9 @@
         self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
     ) -> Response[views.PlanPage]:
         """The tenant's plans."""
-        things, following = page_of_kind(request, tenant, Kind.PLAN, after, limit, prefix)
+        entries, next_after = page_of_kind(request, tenant, Kind.PLAN, after, limit, prefix)
         catalog = service_of(request).catalog
-        return json_response(views.PlanPage([views.view(catalog, Kind.PLAN, *thing) for thing in things], following))
+        return json_response(views.PlanPage([views.view(catalog, Kind.PLAN, *entry) for entry in entries], next_after))
 
     @get("/{name:str}", responses=READ_ERRORS, operation_id="getPlan")
     async def get(self, request: Conn, tenant: str, name: str) -> Response[views.PlanView]:
@@ -101,13 +101,13 @@
         if part is None:
             raise not_found()
 
-        def wanted(name: str) -> bool:
+        def is_wanted(name: str) -> bool:
             value: Client = part.clients[name].value
             return name.startswith(prefix) and plan in (None, value.plan) and on in (None, value.on)
 
-        names, following = calls.page(part.clients, after, limit, wanted)
+        names, next_after = calls.page(part.clients, after, limit, is_wanted)
         items = [views.view(catalog, Kind.CLIENT, name, part.clients[name]) for name in names]
-        return json_response(views.ClientPage(items, following))
+        return json_response(views.ClientPage(items, next_after))
 
     @get("/{name:str}", responses=READ_ERRORS, operation_id="getClient")
     async def get(self, request: Conn, tenant: str, name: str) -> Response[views.ClientView]:
@@ -153,9 +153,9 @@
         self, request: Conn, tenant: str, after: After = "", limit: Limit = 100, prefix: Prefix = ""
     ) -> Response[views.HostPage]:
         """The tenant's host names."""
-        things, following = page_of_kind(request, tenant, Kind.HOST, after, limit, prefix)
+        entries, next_after = page_of_kind(request, tenant, Kind.HOST, after, limit, prefix)
         catalog = service_of(request).catalog
-        return json_response(views.HostPage([views.view(catalog, Kind.HOST, *thing) for thing in things], following))
+        return json_response(views.HostPage([views.view(catalog, Kind.HOST, *entry) for entry in entries], next_after))
 
     @get("/{name:str}", responses=READ_ERRORS, operation_id="getHost")
     async def get(self, request: Conn, tenant: str, name: str) -> Response[views.HostView]:
--- a/hallhitch/administration/api/tenant_resources.py
+++ b/hallhitch/administration/api/tenant_resources.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, Final
 
 import msgspec
 from litestar import Controller, Response, delete, get, patch, post, put
@@ -33,6 +33,8 @@
 )
 from hallhitch.catalog.names import canonical_client_id
 
+NO_VERSION: Final = -1  # no entry has it: what a version of another epoch stands for
+
 
 class Tenants(Controller):
     """Tenants."""
@@ -47,12 +49,12 @@
     ) -> Response[views.TenantPage]:
         """The tenants that the caller may see."""
         catalog, caller = service_of(request).catalog, caller_of(request)
-        seen = catalog.tenants if caller.scope is Scope.OPERATOR else [caller.tenant]
-        names, following = calls.page(
-            seen, after, limit, lambda name: name.startswith(prefix) and name in catalog.tenants
+        visible = catalog.tenants if caller.scope is Scope.OPERATOR else [caller.tenant]
+        names, next_after = calls.page(
+            visible, after, limit, lambda name: name.startswith(prefix) and name in catalog.tenants
         )
         items = [views.tenant_view(catalog, name, catalog.tenants[name]) for name in names]
-        return json_response(views.TenantPage(items, following))
+        return json_response(views.TenantPage(items, next_after))
 
     @get("/{tenant:str}", responses=READ_ERRORS, operation_id="getTenant")
     async def get(self, request: Conn, tenant: str) -> Response[views.TenantView]:
@@ -97,44 +99,46 @@
         """Several edits of one tenant, all or none."""
         caller = caller_of(request)
         for number, edit in enumerate(data.edits):
-            at = f"edits[{number}]"
+            path = f"edits[{number}]"
             if authorize(caller, tenant, edit.kind, True) is not Verdict.ALLOWED:
-                raise ProblemError(403, "beyond-scope", "This credential may not change that.", at)
+                raise ProblemError(403, "beyond-scope", "This credential may not change that.", path)
             if edit.kind is Kind.CREDENTIAL and edit.value is not None:
-                raise ProblemError(422, "invalid", "Credentials are issued one by one, under their own path.", at)
+                raise ProblemError(422, "invalid", "Credentials are issued one by one, under their own path.", path)
+        first = data.edits[0]
+        creates_tenant = first.kind is Kind.TENANT and first.value is not None
 
-        def plan(catalog: Catalog, now: int) -> PlannedChange:
-            if tenant not in catalog.tenants and not (
-                data.edits[0].kind is Kind.TENANT and data.edits[0].value is not None
-            ):
+        def plan(catalog: Catalog, now_ms: int) -> PlannedChange:
+            if tenant not in catalog.tenants and not creates_tenant:
                 raise ChangeRefused("not-found", "", "there is no such tenant")
-            made = Change(
-                tenant, tuple(_catalog_edit(catalog, edit, f"edits[{n}]") for n, edit in enumerate(data.edits))
-            )
+            edits = [_catalog_edit(catalog, edit, f"edits[{number}]") for number, edit in enumerate(data.edits)]
+            return PlannedChange(Change(tenant, tuple(edits)), lambda after: _changed_reply(after, len(edits)))
 
-            def reply(after: Catalog) -> Reply:
-                view = views.ChangedView(views.stamp(after.epoch, after.version), len(made.edits))
-                return Reply(200, {"content-type": calls.JSON, "cache-control": "no-store"}, msgspec.json.encode(view))
+        return await calls.submit(request, tenant, plan)
 
-            return PlannedChange(made, reply)
 
-        return await calls.submit(request, tenant, plan)
+def _changed_reply(catalog: Catalog, edits: int) -> Reply:
+    view = views.ChangedView(views.stamp(catalog.epoch, catalog.version), edits)
+    return Reply(200, {"content-type": calls.JSON, "cache-control": "no-store"}, msgspec.json.encode(view))
 
 
-def _catalog_edit(catalog: Catalog, edit: views.EditBody, at: str) -> Edit:
-    """One edit of several, in the catalogue's form."""
+def _catalog_edit(catalog: Catalog, edit: views.EditBody, path: str) -> Edit:
+    """Return one edit of several in the catalog's form; ChangeRefused names the field that does not fit."""
     name = canonical_client_id(edit.name) if edit.kind is Kind.CLIENT else edit.name
-    expect = None
-    if edit.expect == "none":
-        expect = 0
-    elif edit.expect is not None:
-        epoch, version = map(int, edit.expect.split("."))
-        expect = version if epoch == catalog.epoch else -1  # of another epoch: nothing has it
+    expect = _expected_version(catalog, edit.expect)
     if edit.value is None:
         return Edit(edit.kind, name, None, expect)
     try:
         return Edit(edit.kind, name, calls.convert_value(edit.value, VALUE_TYPES[edit.kind]), expect)
     except ChangeRefused as refusal:
-        raise ChangeRefused(
-            "invalid", ".".join(filter(None, (f"{at}.value", refusal.field))), refusal.detail
-        ) from refusal
+        field = ".".join(filter(None, (f"{path}.value", refusal.field)))
+        raise ChangeRefused("invalid", field, refusal.detail) from refusal
+
+
+def _expected_version(catalog: Catalog, expect: str | None) -> int | None:
+    """Return the version that an edit expects, in the form of `Edit.expect`."""
+    if expect is None:
+        return None
+    if expect == "none":
+        return 0
+    epoch, version = map(int, expect.split("."))
+    return version if epoch == catalog.epoch else NO_VERSION
--- a/hallhitch/catalog/errors.py
+++ b/hallhitch/catalog/errors.py
@@ -32,3 +32,7 @@
         super().__init__(f"{name} is another instance's for {remaining_ms:.0f} ms")
         self.name = name
         self.remaining_ms = remaining_ms
+
+
+class SlotError(CatalogError, ValueError):
+    """Slots are created without any, or a tenant gives one back that it does not hold."""
--- a/tests/catalog/test_tenant_fairness.py
+++ b/tests/catalog/test_tenant_fairness.py
@@ -10,14 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.catalog.tenant_fairness import (
-    MAX_SAVED_MS,
-    RESERVED_SLOT_RATIO,
-    Admitted,
-    FairQueue,
-    Rejected,
-    TenantSlots,
-)
+from hallhitch.catalog.fair_queue import MAX_SAVED_MS, Admitted, FairQueue, Rejected
+from hallhitch.catalog.tenant_slots import RESERVED_SLOT_RATIO, TenantSlots
 
 TENANTS = {"a": 1.0, "b": 2.0, "c": 0.5}
 OPS = st.lists(st.tuples(st.sampled_from(["take", "give"]), st.sampled_from(sorted(TENANTS))), max_size=120)
