--- a/tests/administration/test_api.py
+++ b/tests/administration/test_api.py
@@ -16,14 +16,14 @@
 ACME = "/v1/tenants/acme"
 
 
-class Calls(ControlCase):
+class ResourceCalls(ControlCase):
     """Conditions, repeats, pages."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         await seed(self.root, "acme")
 
-    async def test_life_of_a_thing(self) -> None:
+    async def test_create_replace_patch_delete(self) -> None:
         """Guards against answers that do not say what stands, and statuses that mean something else."""
         path = f"{ACME}/plans/full-plant"
         made = await change(self.root, "PUT", path, {"rate": 10, "burst": 20})
@@ -58,7 +58,7 @@
         new = await change(self.root, "PUT", f"{ACME}/plans/new", PLAN, If_Match="*")
         self.assertEqual(new.status_code, 412)
 
-    async def test_two_administrators_at_once(self) -> None:
+    async def test_concurrent_replacements_conflict_by_entity_tag(self) -> None:
         """Guards against one of two changes made on the same version being lost in silence."""
         path = f"{ACME}/plans/small-shop"
         for _ in range(8):
@@ -76,7 +76,7 @@
         read = (await self.root.get(path)).json()
         self.assertEqual((read["price"], read["beyond_cost"]), (5.0, 0.8), "neither merge loses the other's field")
 
-    async def test_a_repeat_gets_the_first_answer(self) -> None:
+    async def test_a_repeated_call_gets_the_first_response(self) -> None:
         """Guards against a repeated call that changes twice, or is told something else than the first was."""
         cases = [
             ("PUT", f"{ACME}/clients/press-2", {"plan": "small-shop"}, 201),
@@ -102,14 +102,14 @@
         again = await change(self.root, method, path, body, key)
         self.assertEqual((again.content, again.headers), (first.content, first.headers), "after a restart too")
 
-    async def test_repeats_of_a_call_that_still_runs_wait_for_it(self) -> None:
+    async def test_repeats_of_a_running_call_wait_for_its_response(self) -> None:
         """Guards against a repeat that overtakes its first call, and makes the change by itself."""
         for number in range(10):
             key, path = str(uuid.uuid4()), f"{ACME}/credentials/c{number}"
             answers = await asyncio.gather(*(change(self.root, "PUT", path, {"scope": "read"}, key) for _ in range(6)))
             self.assertEqual({(a.status_code, a.content) for a in answers}, {(201, answers[0].content)})
 
-    async def test_a_key_belongs_to_its_caller(self) -> None:
+    async def test_idempotency_keys_are_scoped_to_the_caller(self) -> None:
         """Guards against one tenant learning another's answer by guessing its key."""
         await seed(self.root, "bolt")
         boss = self.plane.client(await issue(self.root, "acme", "boss"))
@@ -122,7 +122,7 @@
         await boss.aclose()
         await other.aclose()
 
-    async def test_several_edits_are_made_all_or_none(self) -> None:
+    async def test_edits_of_one_change_are_atomic(self) -> None:
         """Guards against half of a change."""
         path, version = f"{ACME}/changes", await self.status()
         good = {"kind": "client", "name": "press-5", "value": {"plan": "small-shop"}}
@@ -142,7 +142,7 @@
         told = (await self.root.get(f"/v1/versions/{made.json()['version'].split('.')[1]}")).json()
         self.assertEqual([(row["kind"], row["name"]) for row in told["rows"]], [("client", "press-5")])
 
-    async def test_pages_hold_everything_once(self) -> None:
+    async def test_pages_contain_each_entry_once(self) -> None:
         """Guards against things left out or told twice between pages, and filters that pass others."""
         edits = [
             {"kind": "client", "name": f"c{n:03}", "value": {"plan": "small-shop", "on": n % 2 == 0}} for n in range(40)
@@ -170,7 +170,7 @@
         self.assertEqual(ids, sorted(ids, reverse=True))
         self.assertEqual(audited["items"][0]["action"], f"POST {ACME}/changes")
 
-    async def test_the_description_is_public_and_whole(self) -> None:
+    async def test_the_openapi_description_is_public_and_complete(self) -> None:
         """Guards against a description that clients cannot be made from."""
         async with self.plane.client(None) as nobody:
             told = (await nobody.get("/openapi.json")).json()
@@ -186,7 +186,7 @@
                 self.assertIn("401", operation["responses"], path)
 
 
-class Secrets(ControlCase):
+class CredentialLifecycle(ControlCase):
     """Credentials."""
 
     async def asyncSetUp(self) -> None:
@@ -197,7 +197,7 @@
         async with self.plane.client(token) as caller:
             return (await caller.get(ACME)).status_code == 200
 
-    async def test_rotation_overlaps_and_revocation_holds_at_once(self) -> None:
+    async def test_rotation_overlaps_and_revocation_is_immediate(self) -> None:
         """Guards against a rotation that locks its holder out, and a revoked secret that still opens."""
         first = await issue(self.root, "acme", "boss")
         path = f"{ACME}/credentials/boss"
@@ -211,7 +211,7 @@
         fresh = await issue(self.root, "acme", "boss")
         self.assertTrue(await self._counts(fresh) and not await self._counts(third))
 
-    async def test_a_secret_is_told_once(self) -> None:
+    async def test_a_secret_is_returned_only_when_issued(self) -> None:
         """Guards against a secret in the store, in a list or in a version."""
         token = await issue(self.root, "acme", "boss")
         key = await issue(self.root, "acme", "press", "client", client="press-1")
@@ -251,7 +251,7 @@
                 ]
             self.assertEqual(tuple(found), statuses)
 
-    async def test_a_tenant_switched_off_has_no_callers(self) -> None:
+    async def test_credentials_of_a_disabled_tenant_are_invalid(self) -> None:
         """Guards against credentials that outlive their tenant's service."""
         token = await issue(self.root, "acme", "boss")
         await change(self.root, "PATCH", ACME, {"on": False})
@@ -259,7 +259,7 @@
         await change(self.root, "PATCH", ACME, {"on": True})
         self.assertTrue(await self._counts(token))
 
-    async def test_an_operator_by_certificate(self) -> None:
+    async def test_operators_authenticate_by_client_certificate(self) -> None:
         """Guards against a certificate that names nobody being taken for an operator."""
         folder = self.plane.folder / "tls"
         known, unknown = (authority.issue_certificate(folder, name, [name], client=True) for name in ("ann", "bob"))
@@ -286,7 +286,7 @@
         self.assertIn(b"100", await soon(reader.readuntil(b"\r\n\r\n")))
         return reader, writer, body
 
-    async def test_a_credential_revoked_while_its_call_is_in_flight(self) -> None:
+    async def test_a_credential_revoked_during_a_call_is_rejected(self) -> None:
         """Guards against a change made for a caller after its revocation was acknowledged."""
         token = await issue(self.root, "acme", "boss")
         reader, writer, body = await self._half_said(token)
@@ -296,7 +296,7 @@
         writer.close()
         self.assertEqual((await self.root.get(f"{ACME}/plans/late")).status_code, 404)
 
-    async def test_a_credential_that_ends_while_its_call_is_in_flight(self) -> None:
+    async def test_a_credential_expired_during_a_call_is_rejected(self) -> None:
         """Guards against the same for one that runs out."""
         token = await issue(self.root, "acme", "boss")
         reader, writer, body = await self._half_said(token)
@@ -307,7 +307,7 @@
         writer.close()
 
 
-class Bounds(ControlCase):
+class RequestLimits(ControlCase):
     """What a caller may not do to others."""
 
     api = {
@@ -320,7 +320,7 @@
         "request_seconds": 0.5,
     }
 
-    async def test_calls_a_second(self) -> None:
+    async def test_calls_per_second_are_limited(self) -> None:
         """Guards against one credential taking the service from others."""
         await seed(self.root, "acme")
         token = await issue(self.root, "acme", "boss")
@@ -330,7 +330,7 @@
         async with self.plane.client(token) as other:
             self.assertEqual((await other.get(ACME)).status_code, 200)
 
-    async def test_failures_cost_their_caller_alone(self) -> None:
+    async def test_failed_authentications_limit_only_their_caller(self) -> None:
         """Guards against guesses that are free, and against one caller's failures shutting another out."""
         wrong = f"hh_.root.{'x' * 43}"
         async with self.plane.client(wrong) as guesser:
@@ -347,7 +347,7 @@
         self.assertEqual(statuses[-1], 429)
         self.assertEqual((await self.root.get("/v1/status")).status_code, 200, "one known to be good goes on")
 
-    async def test_bodies_heads_and_slow_callers(self) -> None:
+    async def test_bodies_heads_and_request_time_are_bounded(self) -> None:
         """Guards against a caller that holds memory or a connection by what it never finishes saying."""
         big = await change(self.root, "PUT", ACME, {"on": True, "x": "y" * 5000})
         self.assertEqual((big.status_code, big.json()["code"]), (413, "too-large"))
@@ -359,7 +359,7 @@
         self.assertEqual(await soon(_rest(reader)), b"", "a head half said is not waited for")
         writer.close()
 
-    async def test_connections(self) -> None:
+    async def test_the_number_of_connections_is_bounded(self) -> None:
         """Guards against idle connections without end."""
         host, port = self.plane.url.removeprefix("https://").split(":")
         held = []
@@ -379,10 +379,10 @@
         return b""
 
 
-class BadInput(ControlCase):
+class InvalidInput(ControlCase):
     """Bodies that no two readers would read alike."""
 
-    async def test_what_cannot_be_is_named_and_changes_nothing(self) -> None:
+    async def test_invalid_input_is_named_and_changes_nothing(self) -> None:
         """Guards against input that is taken for something else than its sender meant."""
         await seed(self.root, "acme")
         version = await self.status()
@@ -436,10 +436,10 @@
         self.assertEqual(await self.status(), version)
 
 
-class Spelling(ControlCase):
+class ClientIdSpelling(ControlCase):
     """A customer id is one client in either case."""
 
-    async def test_one_spelling_of_a_customer(self) -> None:
+    async def test_client_ids_are_canonical(self) -> None:
         """Guards against a quota doubled by the case of its customer's digits."""
         await seed(self.root, "acme")
         made = await change(self.root, "PUT", f"{ACME}/clients/00000000B4D65521", {"plan": "small-shop"})
--- a/tests/administration/test_faults.py
+++ b/tests/administration/test_faults.py
@@ -39,10 +39,10 @@
 NUMBERS = {"x86_64": (125, 126), "aarch64": (90, 91)}
 
 
-class Disk(ControlCase):
+class FullDisk(ControlCase):
     """Disks that take no more."""
 
-    async def test_a_full_disk_refuses_and_loses_nothing(self) -> None:
+    async def test_a_full_disk_rejects_changes_and_loses_none(self) -> None:
         """Guards against half of a change on a full disk, and against a process that must be restarted after it."""
         await seed(self.root, "acme")
         pid, size = self.plane.process.pid, (self.plane.folder / "store" / "state.db-wal").stat().st_size
@@ -65,7 +65,7 @@
         self.assertEqual(f"{found.catalog.epoch}.{found.catalog.version}", again.json()["version"])
 
 
-class Starts(unittest.IsolatedAsyncioTestCase):
+class StartFailures(unittest.IsolatedAsyncioTestCase):
     """Starts that must not be made, and say why in one line."""
 
     async def asyncSetUp(self) -> None:
@@ -90,13 +90,13 @@
         for text in says:
             self.assertIn(text, lines[0])
 
-    async def test_a_second_process(self) -> None:
+    async def test_a_second_process_is_refused_the_store(self) -> None:
         """Guards against two writers on one store."""
         await self.plane.start()
         self.refused("in use by process", str(self.plane.process.pid))
         self.assertEqual(await self.plane.stop(), 0)
 
-    async def test_a_folder_that_cannot_be_written(self) -> None:
+    async def test_an_unwritable_directory_prevents_the_start(self) -> None:
         """Guards against a start that serves and cannot change anything."""
         import platform
 
@@ -109,7 +109,7 @@
             self.addCleanup(path.chmod, 0o700)
         self.refused(str(self.store), "ermission", fault=fault)
 
-    async def test_no_store_no_key_another_key(self) -> None:
+    async def test_a_missing_store_or_key_or_a_foreign_key_prevents_the_start(self) -> None:
         """Guards against an empty store made in silence where a mount is missing, and answers sealed by another key."""
         key = self.store / "key"
         right = key.read_text()
@@ -121,7 +121,7 @@
         (self.store / "state.db").rename(self.store / "away")
         self.refused("there is no store")
 
-    async def test_damage_is_named_and_stops_the_start(self) -> None:
+    async def test_corrupt_rows_are_named_and_prevent_the_start(self) -> None:
         """Guards against a damaged row that is passed over, wherever it lies."""
         await self.plane.start()
         async with self.plane.client() as root:
@@ -149,13 +149,13 @@
         (self.store / "state.db").write_bytes(torn)
         self.refused("state.db")
 
-    async def test_a_form_newer_than_the_program(self) -> None:
+    async def test_a_newer_schema_prevents_the_start(self) -> None:
         """Guards against an old program that writes into a newer store."""
         with contextlib.closing(sqlite3.connect(self.store / "state.db")) as db:
             db.execute(f"PRAGMA user_version={len(MIGRATIONS) + 1}")
         self.refused("newer than this program")
 
-    async def test_a_clock_that_steps_back(self) -> None:
+    async def test_time_does_not_go_back_with_the_wall_clock(self) -> None:
         """Guards against an expired credential that lives again, and against times that run backwards in the audit."""
         fault = (
             "import time, os\nreal = time.time\n"
@@ -179,7 +179,7 @@
             self.assertEqual(times, sorted(times, reverse=True))
         self.assertEqual(await self.plane.stop(), 0)
 
-    async def test_an_older_backup_restored(self) -> None:
+    async def test_a_restored_backup_begins_a_later_epoch(self) -> None:
         """Guards against versions that go back, and entity tags of the lost time that match again."""
         await self.plane.start()
         folder, backup = self.plane.folder / "store", self.plane.folder / "backup.db"
@@ -205,7 +205,7 @@
         self.assertEqual(await self.plane.stop(), 0)
         self.assertEqual(len(list(folder.glob("before-restore-*"))), 2, "what stood there is kept")
 
-    async def test_a_damaged_backup_and_an_interrupted_restore(self) -> None:
+    async def test_corrupt_backups_and_interrupted_restores_are_refused(self) -> None:
         """Guards against a good store replaced by a bad one, and a start between two of a restore's steps."""
         folder, backup = self.plane.folder / "store", self.plane.folder / "backup.db"
         backups.backup(folder, backup)
@@ -222,7 +222,7 @@
         self.refused("a restore was interrupted")
 
 
-class Store(unittest.TestCase):
+class StoreByItself(unittest.TestCase):
     """The store by itself."""
 
     def setUp(self) -> None:
@@ -248,7 +248,7 @@
             catalog = made.catalog
         return catalog
 
-    def test_snapshot_and_log_give_the_same_wherever_the_log_is_cut(self) -> None:
+    def test_snapshot_and_log_recover_the_same_catalog(self) -> None:
         """Guards against a compaction that forgets, or keeps what was dropped."""
         store = SqliteStore(self.folder, create=True)
         catalog = self.filled(store, 30)
@@ -263,7 +263,7 @@
         self.assertIsNone(found.history.diff(catalog, 5, catalog.version - 6))
         store.close()
 
-    def test_a_batch_that_fails_leaves_nothing(self) -> None:
+    def test_a_failed_batch_is_rolled_back(self) -> None:
         """Guards against part of a transaction."""
         store = SqliteStore(self.folder, create=True)
         catalog = self.filled(store, 3)
@@ -274,7 +274,7 @@
         self.assertEqual(store.load().catalog, catalog)
         store.close()
 
-    def test_forms_go_forward_from_each_step(self) -> None:
+    def test_each_schema_version_migrates_to_the_newest(self) -> None:
         """Guards against a store of an older form that can no longer be opened."""
         for steps in range(len(MIGRATIONS)):
             folder = self.folder / str(steps)
@@ -288,7 +288,7 @@
             self.assertEqual(store.load().catalog, catalog)
             store.close()
 
-    def test_answers_end_after_a_day(self) -> None:
+    def test_expired_responses_are_deleted(self) -> None:
         """Guards against a table of answers that grows without end."""
         from hallhitch.administration.store_records import StoredResponse
 
@@ -299,7 +299,7 @@
         self.assertEqual(store.delete_responses(RESPONSE_RETENTION_MS), 2)
         store.close()
 
-    def test_time_stands_still_while_the_clock_is_behind(self) -> None:
+    def test_the_wall_clock_does_not_advance_while_behind(self) -> None:
         """Guards against a clock that goes back with the machine's."""
         wall = iter([10.0, 12.0, 5.0, 11.9, 12.5])
         clock = WallClock(9_000, lambda: next(wall))
--- a/tests/administration/test_fuzz.py
+++ b/tests/administration/test_fuzz.py
@@ -23,10 +23,10 @@
 logging.getLogger("urllib3").setLevel(logging.ERROR)
 
 
-class Described(ControlCase):
+class DescribedOperations(ControlCase):
     """Generated calls."""
 
-    async def test_every_operation_answers_as_it_is_described(self) -> None:
+    async def test_every_operation_conforms_to_the_openapi_description(self) -> None:
         """Guards against a body that makes the program fail, and a description that promises something else."""
         await seed(self.root, "acme")
         described = (await self.root.get("/openapi.json")).json()
--- a/tests/administration/test_isolation.py
+++ b/tests/administration/test_isolation.py
@@ -41,7 +41,7 @@
     }[kind]
 
 
-class Isolation(ControlCase):
+class TenantIsolation(ControlCase):
     """Two tenants with the same names for their things."""
 
     async def asyncSetUp(self) -> None:
@@ -105,7 +105,7 @@
             )
         ]
 
-    async def test_nothing_of_another_is_read_or_changed(self) -> None:
+    async def test_other_tenants_entries_are_neither_read_nor_changed(self) -> None:
         """Guards against a path where a tenant reaches another's things, or learns that they are there."""
         self.version = (await self.root.get(f"/v1/tenants/{OTHER}")).json()["part_version"].split(".")[1]
         before, tried = await self._state(), 0
@@ -130,7 +130,7 @@
         self.assertGreaterEqual(tried, 60)
         self.assertEqual(await self._state(), before)
 
-    async def test_what_does_not_count_opens_nothing(self) -> None:
+    async def test_invalid_credentials_are_rejected(self) -> None:
         """Guards against a path that forgets to ask who calls."""
         self.version = "2"
         ended = await issue(self.root, "acme", "ended", expires=1)
@@ -150,7 +150,7 @@
                             texts.add(answer.content)
         self.assertEqual((len(texts), await self._state()), (1, before))
 
-    async def test_bodies_cannot_name_another_tenant(self) -> None:
+    async def test_bodies_cannot_address_another_tenant(self) -> None:
         """Guards against edits that slip through a call on the caller's own part."""
         async with self.plane.client(self.boss) as caller:
             for edit, status in [
--- a/tests/administration/test_kill.py
+++ b/tests/administration/test_kill.py
@@ -63,7 +63,7 @@
 }
 
 
-class Killed(unittest.IsolatedAsyncioTestCase):
+class KilledProcess(unittest.IsolatedAsyncioTestCase):
     """kill -9, at chosen points and at any."""
 
     async def asyncSetUp(self) -> None:
@@ -78,7 +78,7 @@
         self.assertEqual(await soon(self.plane.process.wait()), -signal.SIGKILL)
         await soon(self.plane._drain)
 
-    async def test_at_each_point_of_a_change(self) -> None:
+    async def test_a_kill_at_each_point_of_a_change_loses_and_repeats_nothing(self) -> None:
         """Guards against a change made twice, or lost though it was acknowledged, at each side of the commit."""
         mark = str(self.folder / "mark")
         for number, (point, code) in enumerate(KILLS.items()):
@@ -119,7 +119,7 @@
             db.execute("DELETE FROM answer WHERE key=?", (key,))
             db.commit()
 
-    async def test_at_any_point_under_load(self) -> None:
+    async def test_kills_under_load_lose_and_repeat_nothing(self) -> None:
         """Guards against the same where many changes share a transaction and snapshots are under way."""
         rng = random.Random(20261)
         text = self.plane.file.read_text().replace('folder = "store"', 'folder = "store"\nsnapshot_each = 7\nkeep = 3')
--- a/tests/catalog/test_changes.py
+++ b/tests/catalog/test_changes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import unittest
-from typing import Any
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -38,53 +37,7 @@
 from hallhitch.catalog.rows import CHECKSUM_MODULUS, catalog_rows, entry_hash
 from hallhitch.catalog.tenant_file import TenantFile, plan_edits
 from hallhitch.decision.policy import digest
-
-FEW = st.sampled_from(["x", "y", "z"])
-HOSTS = st.sampled_from(["a.example.org", "b.example.org", "x.example.org"])
-VALUES: dict[Kind, st.SearchStrategy[Any]] = {
-    Kind.TENANT: st.builds(
-        Head,
-        st.booleans(),
-        st.builds(Limits, clients=st.integers(1, 3), plans=st.integers(1, 3), rate=st.sampled_from([2, 5.0, 100.0])),
-    ),
-    Kind.PLAN: st.builds(Plan, rate=st.sampled_from([0, 1, 2.5]), burst=st.sampled_from([0.0, 3.0])),
-    Kind.CLIENT: st.builds(Client, FEW, st.booleans()),
-    Kind.HOST: st.builds(Host, st.booleans()),
-    Kind.CREDENTIAL: st.builds(
-        Credential, st.sampled_from(list(Scope)), st.just((Verifier("h"),)), st.none() | FEW, st.none() | st.just(5)
-    ),
-}
-
-
-@st.composite
-def edits(draw: st.DrawFn, tenant: str) -> Edit:
-    """Some edit, good or not."""
-    kind = draw(st.sampled_from(list(Kind)))
-    name = tenant if kind is Kind.TENANT else draw(HOSTS if kind is Kind.HOST else FEW)
-    drop = draw(st.integers(0, 9)) < (1 if kind is Kind.TENANT else 3)
-    return Edit(kind, name, None if drop else draw(VALUES[kind]), draw(st.none() | st.none() | st.integers(0, 6)))
-
-
-@st.composite
-def changes(draw: st.DrawFn) -> Change:
-    """Some change of one of three tenants, or of the operators'."""
-    tenant = draw(st.sampled_from(["a", "b", "c", ""]))
-    return Change(tenant, tuple(draw(st.lists(edits(tenant), min_size=1, max_size=5))))
-
-
-def peopled() -> Catalog:
-    """A catalogue in which most changes have something to change."""
-    made = Catalog(epoch=3)
-    for tenant in "ab":
-        edits_ = (
-            Edit(Kind.TENANT, tenant, Head(limits=Limits(3, 3))),
-            Edit(Kind.PLAN, "x", Plan(1.0, 3.0)),
-            Edit(Kind.CLIENT, "x", Client("x")),
-            Edit(Kind.HOST, f"{tenant}.example.org", Host()),
-            Edit(Kind.CREDENTIAL, "x", Credential(Scope.CLIENT, (Verifier("h"),), "x")),
-        )
-        made = apply_change(made, Change(tenant, edits_)).catalog
-    return made
+from tests.catalog.catalog_strategies import FEW, changes, populated_catalog
 
 
 def check(case: unittest.TestCase, catalog: Catalog) -> None:
@@ -117,14 +70,14 @@
     case.assertEqual(dict(catalog.hosts), hosts)
 
 
-class Properties(unittest.TestCase):
+class CatalogProperties(unittest.TestCase):
     """Random histories."""
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.lists(changes(), max_size=25))
-    def test_any_history(self, history: list[Change]) -> None:
+    def test_random_changes_keep_indexes_checksum_and_diffs_consistent(self, history: list[Change]) -> None:
         """Guards against indexes, checksums and diffs that drift from what is there, and versions with gaps."""
-        catalog = peopled()
+        catalog = populated_catalog()
         kept, log = [catalog], History()
         log.start(3, catalog.version)
         for change in history:
@@ -152,7 +105,7 @@
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.data())
-    def test_a_declared_tenant_is_reached_in_one_change_or_several(self, data: st.DataObject) -> None:
+    def test_planned_edits_reach_a_declared_tenant_in_one_change_or_several(self, data: st.DataObject) -> None:
         """Guards against a declaration that cannot be applied from where the tenant stands, whole or in pieces."""
 
         def declared() -> TenantFile:
@@ -180,13 +133,13 @@
         st.text("abc/.:@", max_size=6),
         st.text("abc/.:@", max_size=6),
     )
-    def test_no_two_tenants_share_a_name_on_the_counter(self, a: str, b: str, c: str, d: str) -> None:
+    def test_customer_ids_are_unique_over_tenants(self, a: str, b: str, c: str, d: str) -> None:
         """Guards against one tenant's traffic spending another's quota, whatever the two call their clients."""
         if all(map(names.is_tenant, (a, c))) and all(map(names.is_client, (b, d))) and (a, b) != (c, d):
             self.assertNotEqual(names.decision_customer_id(a, b), names.decision_customer_id(c, d))
 
 
-class Refusals(unittest.TestCase):
+class ChangeRefusals(unittest.TestCase):
     """Changes that must not be made, by code and field."""
 
     def setUp(self) -> None:
@@ -205,7 +158,7 @@
         for change in (first, other, operator):
             self.was = apply_change(self.was, change).catalog
 
-    def test_each_refusal_is_named(self) -> None:
+    def test_each_refusal_has_its_code_and_field(self) -> None:
         """Guards against a bad change that is made, or refused without saying where."""
         key = (Verifier("h"),)
         cases: list[tuple[str, Edit | tuple[Edit, ...], str, str]] = [
@@ -248,7 +201,7 @@
                 apply_change(self.was, Change(tenant, edit if isinstance(edit, tuple) else (edit,)))
             self.assertEqual((told.exception.code, told.exception.field), (code, field))
 
-    def test_a_change_is_checked_whole(self) -> None:
+    def test_limits_are_checked_on_the_result_of_all_edits(self) -> None:
         """Guards against refusing an atomic change for the order of its edits."""
         made = apply_change(
             self.was,
@@ -258,7 +211,7 @@
         )
         self.assertEqual(list(made.catalog.tenants["a"].plans), ["q"])
 
-    def test_a_tenant_made_again_is_told_whole(self) -> None:
+    def test_a_recreated_tenant_is_reset_in_the_diff(self) -> None:
         """Guards against followers that keep what a tenant had before it was dropped and made again."""
         log = History()
         log.start(1, self.was.version)
@@ -271,7 +224,7 @@
         assert diff is not None
         self.assertEqual((diff.reset, apply_diff(self.was, diff)), (("a",), now))
 
-    def test_versions_no_longer_kept_give_no_diff(self) -> None:
+    def test_versions_evicted_from_history_give_no_diff(self) -> None:
         """Guards against a diff with a gap in it, and one across epochs."""
         log, now = History(max_names=3), self.was
         log.start(1, now.version)
@@ -289,10 +242,10 @@
             apply_diff(self.was, kept)
 
 
-class Access(unittest.TestCase):
+class AccessDecisions(unittest.TestCase):
     """Who may do what."""
 
-    def test_another_s_is_hidden_and_one_s_own_is_by_scope(self) -> None:
+    def test_other_tenants_are_hidden_and_own_entries_follow_the_scope(self) -> None:
         """Guards against a 403 that tells of another tenant, and against scopes that reach too far."""
         admin, reader = Caller("a", "x", Scope.ADMIN), Caller("a", "y", Scope.READ)
         client, operator = Caller("a", "z", Scope.CLIENT), Caller("", "o", Scope.OPERATOR)
@@ -307,7 +260,7 @@
             own = kind in (Kind.PLAN, Kind.CLIENT, Kind.CREDENTIAL)
             self.assertEqual(authorize(admin, "a", kind, True), Verdict.ALLOWED if own else Verdict.BEYOND_SCOPE)
 
-    def test_tokens_have_one_reading(self) -> None:
+    def test_tokens_parse_to_one_form(self) -> None:
         """Guards against a token that could be read as another tenant's."""
         told = parse_token("hh_acme.boss." + "x" * 43)
         assert told is not None
@@ -322,7 +275,7 @@
         ):
             self.assertIsNone(parse_token(text), text)
 
-    def test_customers_of_two_tenants_have_two_names(self) -> None:
+    def test_customer_ids_of_two_tenants_hash_differently(self) -> None:
         """Guards against equal client ids meeting in the counter's names."""
         one, two = (
             names.decision_customer_id("a", "00000000b4d65521"),
--- a/tests/catalog/test_tenant_fairness.py
+++ b/tests/catalog/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Fair shares over tenants: places and turns, as properties and as a flood beside a quiet tenant."""
+"""Processor time shared over tenants, as properties and as a flood beside a quiet tenant."""
 
 from __future__ import annotations
 
@@ -11,52 +11,8 @@
 from hypothesis import strategies as st
 
 from hallhitch.catalog.fair_queue import MAX_SAVED_MS, Admitted, FairQueue, Rejected
-from hallhitch.catalog.tenant_slots import RESERVED_SLOT_RATIO, TenantSlots
 
 TENANTS = {"a": 1.0, "b": 2.0, "c": 0.5}
-OPS = st.lists(st.tuples(st.sampled_from(["take", "give"]), st.sampled_from(sorted(TENANTS))), max_size=120)
-
-
-class PlacesOf(unittest.TestCase):
-    """Connections, handshakes, open requests."""
-
-    @given(OPS, st.integers(1, 30), st.integers(1, 30))
-    def test_shares_hold_whatever_comes(self, ops: list[tuple[str, str]], total: int, most: int) -> None:
-        """Guards against places made or lost, and a tenant kept from its share by one that holds more than its own."""
-        places, held = TenantSlots(total), Counter[str]()
-        for what, tenant in ops:
-            if what == "give" and held[tenant]:
-                places.release(tenant)
-                held[tenant] -= 1
-            elif what == "take":
-                free, share = places.free, places.share(tenant, TENANTS[tenant])
-                got = places.acquire(tenant, TENANTS[tenant], most)
-                own = held[tenant] + 1 <= share
-                self.assertEqual(got, held[tenant] < most and free > 0 and (own or free > RESERVED_SLOT_RATIO * total))
-                held[tenant] += got
-            self.assertEqual(places.free, total - sum(held.values()))
-            self.assertEqual({t: places.held(t) for t in TENANTS}, {t: held[t] for t in TENANTS})
-            weights = sum(TENANTS[t] for t in TENANTS if held[t])
-            self.assertAlmostEqual(places._total_weight, weights)
-
-    def test_a_flood_leaves_room_for_who_comes_late(self) -> None:
-        """Guards against a tenant that takes all places before another asks for its first."""
-        places = TenantSlots(100)
-        self.assertEqual(sum(places.acquire("flood", 1.0, 1000) for _ in range(500)), 90, "all but the reserve")
-        self.assertEqual(sum(places.acquire("quiet", 1.0, 1000) for _ in range(50)), 10)
-        for _ in range(89):  # what the flood gives back goes to the other until each has its share
-            places.release("flood")
-            places.acquire("flood", 1.0, 1000)
-            places.acquire("quiet", 1.0, 1000)
-        self.assertGreaterEqual(places.held("quiet"), 45)
-
-    def test_no_place_is_made(self) -> None:
-        """Guards against a place given back twice."""
-        places = TenantSlots(2)
-        with self.assertRaises(ValueError):
-            places.release("a")
-        with self.assertRaises(ValueError):
-            TenantSlots(0)
 
 
 def drain(turns: FairQueue, now: float, until: float) -> list[tuple[float, Admitted | Rejected]]:
@@ -68,10 +24,10 @@
     return found
 
 
-class TurnsOf(unittest.TestCase):
+class ProcessorTime(unittest.TestCase):
     """Processor time."""
 
-    def test_shares_follow_weights_while_both_want(self) -> None:
+    def test_service_follows_weights_while_both_tenants_wait(self) -> None:
         """Guards against turns by who asks most, and by who asks first."""
         turns = FairQueue(0.0, 1.0)
         whose = {}
@@ -83,7 +39,7 @@
         served = Counter(begun[:120])
         self.assertAlmostEqual(served["light"] / served["heavy"], 3.0, delta=0.25)
 
-    def test_a_flood_beside_a_quiet_tenant(self) -> None:
+    def test_a_flood_does_not_delay_a_quiet_tenant(self) -> None:
         """Guards against a tenant with 100 times its share that makes another wait or be refused."""
         for cost in (1.0, 3.0):  # the flood's requests cost more than others, too
             with self.subTest(cost=cost):
@@ -123,7 +79,7 @@
         self.assertLess(max(waits), 4 * cost + 4, "one request of the other in the way, and its own")
         self.assertGreater(away["flood"], 1000)
 
-    def test_what_cannot_be_served_in_time_is_told_at_once(self) -> None:
+    def test_requests_that_cannot_meet_their_deadline_are_rejected_at_once(self) -> None:
         """Guards against requests queued past their use, and advice that brings their clients back too soon."""
         turns = FairQueue(0.0, 0.5)
         found = [turns.enqueue(0.0, "a", 1.0, n, 100.0) for n in range(200)]
@@ -144,7 +100,7 @@
             max_size=80,
         )
     )
-    def test_each_request_is_told_once(self, ops: list[tuple[str, str, float]]) -> None:
+    def test_each_request_is_decided_exactly_once(self, ops: list[tuple[str, str, float]]) -> None:
         """Guards against a request that is lost in the queue, begun twice, or begun once its client has gone."""
         turns, now = FairQueue(0.0), 0.0
         open_: dict[int, str] = {}
@@ -174,7 +130,7 @@
         self.assertEqual(open_, {})
         self.assertAlmostEqual(turns._queued_weight, 0.0)
 
-    def test_idleness_saves_nothing_up(self) -> None:
+    def test_idle_tenants_accumulate_no_credit(self) -> None:
         """Guards against a tenant that, quiet for an hour, then has the gateway for itself for as long."""
         turns = FairQueue(0.0, 1.0)
         for n in range(500):
--- a/tests/catalog/test_feed.py
+++ b/tests/catalog/test_feed.py
@@ -17,7 +17,7 @@
 from hallhitch.catalog.history import History
 from hallhitch.catalog.model import Catalog, Client, Credential, Head, Kind, Plan, Scope, Verifier
 from hallhitch.catalog.rows import catalog_rows
-from tests.catalog.test_changes import changes, peopled
+from tests.catalog.catalog_strategies import changes, populated_catalog
 
 
 def seen(catalog: Catalog) -> tuple[Any, ...]:
@@ -40,16 +40,14 @@
     return sum(1 for _ in map(follower.receive_line, lines)) if lines is not None else 0
 
 
-class Followed(unittest.TestCase):
+class FeedFollowing(unittest.TestCase):
     """Whole paths."""
 
     @given(st.lists(st.tuples(changes(), st.booleans(), st.booleans()), max_size=25), st.integers(1, 60))
     @settings(max_examples=150)
-    def test_every_follower_ends_where_the_control_plane_is(
-        self, steps: list[tuple[Change, bool, bool]], kept: int
-    ) -> None:
+    def test_followers_converge_on_the_newest_catalog(self, steps: list[tuple[Change, bool, bool]], kept: int) -> None:
         """Guards against a diff that leaves a follower with something else than the whole would have given it."""
-        newest, history = peopled(), History(kept)
+        newest, history = populated_catalog(), History(kept)
         history.start(newest.epoch, newest.version)
         often, seldom = FeedFollower(Catalog(), random.Random(1)), FeedFollower(Catalog(), random.Random(2))
         for change, often_asks, seldom_asks in steps:
@@ -72,10 +70,11 @@
             whole = read_snapshot(snapshot_lines(newest))
             self.assertEqual(follower.catalog.checksum, whole.checksum, "diffs and whole have the same checksum")
 
-    def test_only_what_a_gateway_needs(self) -> None:
+    def test_gateways_get_only_client_credentials(self) -> None:
         """Guards against verifiers of administrators on every gateway's disk."""
         newest = apply_change(
-            peopled(), Change("a", (Edit(Kind.CREDENTIAL, "boss", Credential(Scope.ADMIN, (Verifier("bosshash"),))),))
+            populated_catalog(),
+            Change("a", (Edit(Kind.CREDENTIAL, "boss", Credential(Scope.ADMIN, (Verifier("bosshash"),))),)),
         ).catalog
         newest = apply_change(
             newest, Change("", (Edit(Kind.CREDENTIAL, "root", Credential(Scope.OPERATOR, (Verifier("roothash"),))),))
@@ -102,9 +101,9 @@
         follower.receive_line(line)
         self.assertIsNone(follower.catalog.get("a", Kind.CREDENTIAL, "x"), "it names no client any more")
 
-    def test_a_restored_backup_begins_an_epoch(self) -> None:
+    def test_a_later_epoch_replaces_the_catalog(self) -> None:
         """Guards against gateways that stay on what was undone, or follow a control plane that went back unsaid."""
-        old = peopled()
+        old = populated_catalog()
         new = apply_change(old, Change("a", (Edit(Kind.PLAN, "y", Plan(9.0, 9.0)),))).catalog
         history = History()
         history.start(old.epoch, old.version)
@@ -121,9 +120,9 @@
         with self.assertRaises(FeedError):
             follower.receive_line(next(snapshot_lines(new)))
 
-    def test_half_of_a_whole_is_nothing(self) -> None:
+    def test_an_incomplete_snapshot_is_discarded(self) -> None:
         """Guards against a cut or damaged transfer that is taken for a catalogue."""
-        newest = peopled()
+        newest = populated_catalog()
         lines = list(snapshot_lines(newest, 2))
         self.assertGreater(len(lines), 5)
         for end in range(len(lines)):
@@ -161,15 +160,15 @@
             ]
         )
     )
-    def test_what_is_no_feed_changes_nothing(self, line: bytes) -> None:
+    def test_invalid_lines_leave_the_catalog_unchanged(self, line: bytes) -> None:
         """Guards against bytes of somebody else's that end a gateway's catalogue or its process."""
-        held = read_snapshot(snapshot_lines(peopled()))
+        held = read_snapshot(snapshot_lines(populated_catalog()))
         follower = FeedFollower(held, random.Random(1))
         with contextlib.suppress(FeedError):
             follower.receive_line(line)
         self.assertIs(follower.catalog, held)
 
-    def test_five_hundred_come_back_apart(self) -> None:
+    def test_retry_delays_of_many_followers_spread(self) -> None:
         """Guards against a fleet that comes back at one moment, again and again."""
         followers = [FeedFollower(Catalog(), random.Random(n)) for n in range(500)]
         for attempt in range(12):
@@ -181,12 +180,12 @@
                 sum(start <= wait < start + most / 20 for wait in waits) for start in (n * most / 20 for n in range(20))
             )
             self.assertLess(busiest, 60, "of 500, in a twentieth of the time")
-        newest, history = peopled(), History()
+        newest, history = populated_catalog(), History()
         history.start(newest.epoch, newest.version)
         catch_up(followers[0], newest, history)
         self.assertLessEqual(followers[0].record_failure(), BASE_RETRY_DELAY_MS, "what worked begins anew")
 
-    def test_a_large_whole_is_taken_in_small_steps(self) -> None:
+    def test_a_large_snapshot_is_processed_in_short_steps(self) -> None:
         """Guards against pieces that grow with the catalogue."""
         newest = Catalog(epoch=1)
         edits = [Edit(Kind.TENANT, "big", Head()), Edit(Kind.PLAN, "p", Plan(1.0, 1.0))]
--- a/tests/catalog/test_gateway_leases.py
+++ b/tests/catalog/test_gateway_leases.py
@@ -18,11 +18,11 @@
 )
 
 
-class Leases(unittest.TestCase):
+class GatewayLeaseTable(unittest.TestCase):
     """One table."""
 
     @given(OPS)
-    def test_like_a_plain_list_of_promises(self, ops: list[tuple[str, str, str, int]]) -> None:
+    def test_leases_match_a_reference_model(self, ops: list[tuple[str, str, str, int]]) -> None:
         """Guards against a gateway counted past its lease, under two instances, or dropped while it renews."""
         table, now = GatewayLeases(), 0.0
         leases: dict[str, tuple[str, int, float]] = {}
@@ -53,7 +53,7 @@
                 (progress.applied, progress.counted), (sum(told[1] >= 5 for told in alive.values()), len(alive))
             )
 
-    def test_how_far_a_change_has_come(self) -> None:
+    def test_progress_counts_gateways_that_applied_a_version(self) -> None:
         """Guards against a change called complete while a gateway that is there has not applied it."""
         table = GatewayLeases()
         self.assertEqual(table.progress((1, 4), 0.0).state, "pending")
@@ -70,7 +70,7 @@
         self.assertEqual(table.progress((1, 4), LEASE_MS + 1.8).state, "complete", "a later epoch is past it")
         self.assertEqual(table.expired(LEASE_MS + NAME_RETENTION_MS + 5.0 + LEASE_MS), [])
 
-    def test_a_crashed_gateway_has_its_name_back_within_a_lease(self) -> None:
+    def test_a_restarted_gateway_regains_its_name_within_one_lease(self) -> None:
         """Guards against a name lost for ever to a process that is gone."""
         table = GatewayLeases()
         table.renew("a", "1", (1, 1), 0.0)
@@ -79,7 +79,7 @@
         self.assertTrue(table.renew("a", "2", (1, 1), LEASE_MS))
         self.assertFalse(table.release("a", "1"), "it is the other's now")
 
-    def test_the_table_is_bounded(self) -> None:
+    def test_the_number_of_leases_is_bounded(self) -> None:
         """Guards against names without end from a gateway that draws a new one at each start."""
         table = GatewayLeases()
         for n in range(MAX_GATEWAYS):
--- a/tests/catalog/test_gateway_sets.py
+++ b/tests/catalog/test_gateway_sets.py
@@ -13,11 +13,13 @@
 NAMES = st.sets(st.text("abcdef0123456789", min_size=1, max_size=6), min_size=1, max_size=12)
 
 
-class Sets(unittest.TestCase):
+class GatewaySets(unittest.TestCase):
     """Properties, and figures over many clients."""
 
     @given(NAMES, st.integers(1, 14), st.randoms(use_true_random=False))
-    def test_all_agree(self, names: set[str], spread: int, order: object) -> None:
+    def test_the_set_does_not_depend_on_the_order_of_gateways(
+        self, names: set[str], spread: int, order: object
+    ) -> None:
         """Guards against gateways that count a client's share by different sets, as they list each other otherwise."""
         once = assigned_gateways("acme", "c1", sorted(names), spread)
         self.assertEqual(once, assigned_gateways("acme", "c1", sorted(names, reverse=True), spread))
@@ -25,7 +27,7 @@
         self.assertEqual(len(set(once)), len(once))
 
     @given(NAMES, st.integers(1, 5), st.text("xyz", min_size=1, max_size=4))
-    def test_one_that_joins_pushes_out_one_at_most(self, names: set[str], spread: int, fresh: str) -> None:
+    def test_a_joining_gateway_replaces_at_most_one_member(self, names: set[str], spread: int, fresh: str) -> None:
         """Guards against sets that move though nothing in them changed."""
         before, after = (assigned_gateways("acme", "c1", all_, spread) for all_ in (names, names | {fresh}))
         if fresh in after:
@@ -35,7 +37,7 @@
         kept = [gateway for gateway in after if gateway != fresh]
         self.assertEqual(kept, list(before)[: len(kept)], "the order of those that stay is kept")
 
-    def test_as_few_move_as_must(self) -> None:
+    def test_membership_changes_move_the_minimum_of_assignments(self) -> None:
         """Guards against a fleet's change that moves more clients' quotas than the change itself."""
         ten = [f"gateway-{n}" for n in range(10)]
         clients = [f"{n:016x}" for n in range(4000)]
@@ -48,7 +50,7 @@
         firsts = Counter(gateways[0] for gateways in before.values())
         self.assertLess(max(firsts.values()) / min(firsts.values()), 1.35)
 
-    def test_tenants_share_no_order(self) -> None:
+    def test_tenants_have_independent_assignments(self) -> None:
         """Guards against one tenant's clients all lying where another's of the same names lie."""
         names = [f"gateway-{n}" for n in range(8)]
         same = sum(
@@ -57,7 +59,7 @@
         )
         self.assertLess(same, 25)
 
-    def test_no_set_is_empty(self) -> None:
+    def test_a_spread_below_one_is_rejected(self) -> None:
         """Guards against a client without a gateway."""
         with self.assertRaises(ValueError):
             assigned_gateways("acme", "c1", ["a"], 0)
--- a/tests/catalog_sync/test_catalog_cache.py
+++ b/tests/catalog_sync/test_catalog_cache.py
@@ -10,45 +10,38 @@
 import unittest
 from pathlib import Path
 
-from hallhitch.catalog.changes import Change, Edit, apply_change
 from hallhitch.catalog.feed import snapshot_lines
 from hallhitch.catalog.feed_follower import read_snapshot
-from hallhitch.catalog.model import Catalog, Kind, Plan
+from hallhitch.catalog.model import Catalog, Kind
 from hallhitch.catalog_sync.catalog_cache import CatalogCache
-from tests.catalog.test_changes import peopled
+from tests.catalog_sync.versioned_catalogs import catalog_at_version
 from tests.stand_ins import ROOT
 
 WRITER = """
 import sys
 from pathlib import Path
 from hallhitch.catalog_sync.catalog_cache import CatalogCache
-from tests.catalog_sync.test_catalog_cache import grown
+from tests.catalog_sync.versioned_catalogs import catalog_at_version
 saved = CatalogCache(Path(sys.argv[1]))
 held = saved.load()
 version = held.version if held else 0
 print("from", version, flush=True)
 while True:
     version += 1
-    assert saved.save(grown(version))
+    assert saved.save(catalog_at_version(version))
     print(version, flush=True)
 """
 FULL = """
 import resource, signal, sys
 from pathlib import Path
 from hallhitch.catalog_sync.catalog_cache import CatalogCache
-from tests.catalog_sync.test_catalog_cache import grown
+from tests.catalog_sync.versioned_catalogs import catalog_at_version
 signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
 resource.setrlimit(resource.RLIMIT_FSIZE, (700, 700))
-print(CatalogCache(Path(sys.argv[1])).save(grown(9)))
+print(CatalogCache(Path(sys.argv[1])).save(catalog_at_version(9)))
 """
 
 
-def grown(version: int) -> Catalog:
-    """A catalogue of that version, unlike all others."""
-    base = apply_change(peopled(), Change("a", (Edit(Kind.PLAN, "y", Plan(float(version), 1.0)),))).catalog
-    return Catalog(base.epoch, version, base.tenants, base.operators, base.hosts, base.checksum)
-
-
 def rate(catalog: Catalog) -> float:
     """What tells one version's content from another's."""
     kept = catalog.get("a", Kind.PLAN, "y")
@@ -56,7 +49,7 @@
     return float(kept.value.rate)
 
 
-class OnDisk(unittest.TestCase):
+class CatalogCacheFile(unittest.TestCase):
     """One file."""
 
     def setUp(self) -> None:
@@ -64,20 +57,20 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "catalogue"
 
-    def test_it_comes_back_as_it_was(self) -> None:
+    def test_a_saved_catalog_loads_unchanged_and_never_goes_back(self) -> None:
         """Guards against a start from something else than what was followed, and versions that go back."""
         saved = CatalogCache(self.path)
         self.assertIsNone(saved.load())
-        self.assertTrue(saved.save(grown(7)))
-        self.assertFalse(saved.save(grown(7)))
-        self.assertFalse(saved.save(grown(6)), "older")
+        self.assertTrue(saved.save(catalog_at_version(7)))
+        self.assertFalse(saved.save(catalog_at_version(7)))
+        self.assertFalse(saved.save(catalog_at_version(6)), "older")
         again = CatalogCache(self.path)
         found = again.load()
         assert found is not None
         self.assertEqual((found.version, rate(found)), (7, 7.0))
-        self.assertFalse(again.save(grown(6)), "older than what the file holds")
+        self.assertFalse(again.save(catalog_at_version(6)), "older than what the file holds")
 
-    def test_killed_at_any_moment(self) -> None:
+    def test_a_kill_at_any_moment_leaves_a_complete_file(self) -> None:
         """Guards against a file that is cut off, mixed, or older than what was acknowledged."""
         last = 0
         for turn in range(int(os.environ.get("HALLHITCH_SOAK_ROUNDS", "8")) // 4 + 6):
@@ -97,9 +90,9 @@
             self.assertIn(found.version, (last, last + 1))
             self.assertEqual(rate(found), float(found.version), "one version whole")
 
-    def test_any_damage_is_put_aside(self) -> None:
+    def test_a_damaged_file_is_set_aside(self) -> None:
         """Guards against a start from a damaged catalogue, and against one that is lost with the evidence."""
-        good = b"".join(snapshot_lines(grown(3)))
+        good = b"".join(snapshot_lines(catalog_at_version(3)))
         for place in range(0, len(good), 23):
             for damaged in (good[:place], good[:place] + bytes([good[place] ^ 1]) + good[place + 1 :]):
                 self.path.write_bytes(damaged)
@@ -112,9 +105,9 @@
                 else:  # the line's end was all that was missing
                     self.assertEqual(damaged.rstrip(), good.rstrip())
 
-    def test_a_full_disk_leaves_what_was_there(self) -> None:
+    def test_a_full_disk_keeps_the_earlier_file(self) -> None:
         """Guards against a gateway that loses its catalogue, or its process, to a disk without room."""
-        CatalogCache(self.path).save(grown(4))
+        CatalogCache(self.path).save(catalog_at_version(4))
         done = subprocess.run([sys.executable, "-c", FULL, str(self.path)], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertIn("False", done.stdout)
@@ -124,9 +117,9 @@
         self.assertEqual(rate(found), 4.0)
         self.assertEqual([p.name for p in self.path.parent.iterdir()], ["catalogue"])
 
-    def test_half_written_beside_is_cleared(self) -> None:
+    def test_a_partial_temporary_file_is_removed(self) -> None:
         """Guards against leftovers of a killed writer that pile up, or are read."""
-        CatalogCache(self.path).save(grown(4))
+        CatalogCache(self.path).save(catalog_at_version(4))
         self.path.with_name("catalogue.new").write_bytes(b'{"whole"')
         found = CatalogCache(self.path).load()
         assert found is not None
--- a/tests/catalog_sync/test_feed_client.py
+++ b/tests/catalog_sync/test_feed_client.py
@@ -20,21 +20,21 @@
 from tests.stand_ins import soon
 
 
-def shown_by(plane: ControlPlane, certificate: Path) -> ssl.SSLContext:
+def gateway_tls_context(plane: ControlPlane, certificate: Path) -> ssl.SSLContext:
     """TLS to a control plane with a client certificate."""
     return client_tls_context(
         str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
     )
 
 
-class Following:
+class RunningFeedClient:
     """A link in this process, and what it applied."""
 
     def __init__(self, plane: Any, name: str, certificate: Path) -> None:
         self.name, self.plane = name, plane
         self.applied: list[Catalog] = []
         self._news = asyncio.Event()
-        context = shown_by(plane, certificate)
+        context = gateway_tls_context(plane, certificate)
         self.path = plane.folder / f"{name}.catalogue"
         self.link = FeedClient(plane.url, context, name, CatalogCache(self.path), self._take)
         self.task = asyncio.create_task(self.link.run())
@@ -58,7 +58,7 @@
         await soon(asyncio.gather(self.task, return_exceptions=True))
 
 
-class Fleet(ControlCase):
+class FeedClients(ControlCase):
     """Two gateways and a control plane."""
 
     async def asyncSetUp(self) -> None:
@@ -69,9 +69,9 @@
         self.assertEqual(made.status_code, 201, made.text)
         await seed(self.root, "acme")
 
-    def gateway(self, name: str) -> Following:
+    def gateway(self, name: str) -> RunningFeedClient:
         """A gateway that follows, and ends with the test."""
-        made = Following(self.plane, name, self.certificate)
+        made = RunningFeedClient(self.plane, name, self.certificate)
         self.addAsyncCleanup(made.stop)
         return made
 
@@ -95,7 +95,7 @@
         self.assertEqual(found.status_code, 200, found.text)
         return found.json()
 
-    async def test_changes_reach_all_and_are_told(self) -> None:
+    async def test_changes_reach_all_gateways_and_progress_is_reported(self) -> None:
         """Guards against a change called applied that is not, and a gateway that is sent another's part or secrets."""
         one, two = self.gateway("one"), self.gateway("two")
         for rate in (3.0, 4.0, 5.0):
@@ -114,7 +114,7 @@
         self.assertEqual((await self.progress(version))["lost"], [], "it said that it ends")
         self.assertTrue(two.path.exists())
 
-    async def test_the_command_waits_for_all(self) -> None:
+    async def test_tenants_apply_waits_until_all_gateways_applied_it(self) -> None:
         """Guards against a command that ends before the change is everywhere, or that waits for ever."""
         file = self.plane.folder / "acme.toml"
         file.write_text(
@@ -148,7 +148,7 @@
         self.assertIn("complete: applied by 1 of 1 gateways", done.stdout)
         self.assertEqual(self.rate_of(one.link.catalog), 7.0)
 
-    async def test_the_control_plane_dies_and_comes_back(self) -> None:
+    async def test_gateways_survive_and_resync_after_a_service_crash(self) -> None:
         """Guards against gateways that end with their control plane, or stay behind once it is back."""
         one = self.gateway("one")
         version = await self.rate(3.0)
@@ -167,11 +167,11 @@
         versions = [made.version for made in again.applied]
         self.assertEqual(versions, sorted(set(versions)), "none twice, none back")
 
-    async def test_only_gateways_follow_and_gateways_do_nothing_else(self) -> None:
+    async def test_only_gateway_credentials_read_the_feed_and_nothing_else(self) -> None:
         """Guards against a tenant that reads the feed, and a gateway's certificate that opens the API."""
         query: dict[str, Any] = {"gateway": "x", "instance": "0" * 16, "epoch": 0, "version": 0}
         self.assertEqual((await self.root.get("/v1/feed", params=query)).status_code, 404)
-        context = shown_by(self.plane, self.certificate)
+        context = gateway_tls_context(self.plane, self.certificate)
         async with self.plane.client(None, context) as gateway:
             self.assertEqual((await gateway.get("/v1/feed", params=query)).status_code, 200)
             for path in (
@@ -203,9 +203,9 @@
             "no tenant has gateways",
         )
 
-    async def test_many_that_come_at_once_are_served_in_turn(self) -> None:
+    async def test_snapshot_transfers_are_limited_under_a_thundering_herd(self) -> None:
         """Guards against a fleet's return that the control plane answers all at once, or not at all."""
-        context = shown_by(self.plane, self.certificate)
+        context = gateway_tls_context(self.plane, self.certificate)
         limits = httpx.Limits(max_connections=60)
         async with httpx.AsyncClient(
             base_url=self.plane.url, verify=context, trust_env=False, limits=limits, timeout=30.0
