--- a/hallhitch/cli/demo_fleet.py
+++ b/hallhitch/cli/demo_fleet.py
@@ -4,21 +4,55 @@
 
 import logging
 from pathlib import Path
+from typing import TYPE_CHECKING, Final
 
 import click
 import msgspec
 import structlog
 
-from hallhitch.cli.output import Failure, table
+from hallhitch.cli.output import fail_on_violations, table
 from hallhitch.settings_file import read
 
-SCENARIOS = Path(__file__).parents[2] / "scenarios"
-SECONDS, FAULT = 30.0, "quick-failures"
+if TYPE_CHECKING:
+    from hallhitch.lab.checker import Violation
+    from hallhitch.lab.figures import Figures
+    from hallhitch.lab.scenario import Scenario
+    from hallhitch.lab.sockets.run import SocketRun
+
+SCENARIOS: Final = Path(__file__).parents[2] / "scenarios"
+DEFAULT_DURATION_S: Final = 30.0
+DEFAULT_SCENARIO: Final = "quick-failures"
+PRINTED_FIGURES: Final = (
+    "service",
+    "in_time",
+    "late",
+    "refused",
+    "failed",
+    "beyond_units",
+    "errors",
+    "resets",
+    "p50",
+    "p99",
+)
+
+
+class SecondPrinter:
+    """Prints what came of the tries that ended in each second."""
+
+    def __init__(self) -> None:
+        self._previous: dict[str, int] = {}
+
+    def print_second(self, second: int, statuses: dict[str, int]) -> None:
+        """Print a second, given the counts of statuses since the run began."""
+        served, refused = (statuses.get(name, 0) - self._previous.get(name, 0) for name in ("served", "refused"))
+        failed = sum(statuses.values()) - sum(self._previous.values()) - served - refused
+        self._previous = dict(statuses)
+        click.echo(f"{second:>4} {served:>8} {refused:>8} {failed:>8}")
 
 
 @click.command("demo-gateway")
-@click.option("--scenario", default=FAULT, show_default=True, help="A scenario's name, or a file.")
-@click.option("--seconds", type=click.FloatRange(5, 600), default=SECONDS, show_default=True)
+@click.option("--scenario", default=DEFAULT_SCENARIO, show_default=True, help="A scenario's name, or a file.")
+@click.option("--seconds", type=click.FloatRange(5, 600), default=DEFAULT_DURATION_S, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
     "--to",
@@ -30,58 +64,48 @@
 def demo(scenario: str, seconds: float, seed: int, to: Path) -> None:
     """Two gateways, an emulated fleet on loopback, traffic with a fault. Exit code 1 if a rule was broken."""
     from hallhitch.lab.checker import check
-    from hallhitch.lab.experiments import Outcome
     from hallhitch.lab.figures import figures
-    from hallhitch.lab.report import page
-    from hallhitch.lab.scenario import Scenario, replaced
     from hallhitch.lab.sockets.run import play
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
-    path = Path(scenario) if scenario.endswith(".toml") else SCENARIOS / f"{scenario}.toml"
-    told = replaced(read(str(path), Scenario), {"world.gateways": 2})
-    by = min(1.0, seconds / told.seconds)
-    faults = tuple(msgspec.structs.replace(f, at_s=f.at_s * by, for_s=f.for_s * by) for f in told.faults)
-    told = msgspec.structs.replace(told, seconds=told.seconds * by, faults=faults)
-    words = "; ".join(f"{f.kind} from {f.at_s:.0f} s for {f.for_s:.0f} s" for f in faults) or "no fault"
-    click.echo(f"{told.name}: 2 gateways, {told.world.nodes} nodes, {told.seconds:.0f} s, {words}")
+    shortened = _shortened_scenario(scenario, seconds)
+    faults = [f"{fault.kind} from {fault.at_s:.0f} s for {fault.for_s:.0f} s" for fault in shortened.faults]
+    click.echo(
+        f"{shortened.name}: 2 gateways, {shortened.world.nodes} nodes, {shortened.seconds:.0f} s, "
+        f"{'; '.join(faults) or 'no fault'}"
+    )
     click.echo(f"{'s':>4} {'served':>8} {'refused':>8} {'failed':>8}   of that second")
-    before: dict[str, int] = {}
-
-    def tick(second: int, statuses: dict[str, int]) -> None:
-        now = {name: statuses.get(name, 0) - before.get(name, 0) for name in ("served", "refused")}
-        rest = sum(statuses.values()) - sum(before.values()) - sum(now.values())
-        before.clear()
-        before.update(statuses)
-        click.echo(f"{second:>4} {now['served']:>8} {now['refused']:>8} {rest:>8}")
-
-    run = play(told, seed, tick)
+    run = play(shortened, seed, SecondPrinter().print_second)
     events = run.journal.events
-    found, broken = figures(events, run.traffic, run.counter.calls), check(events)
-    to.mkdir(parents=True, exist_ok=True)
-    (to / "log.jsonl").write_bytes(b"".join(run.journal.encoded_lines()))
-    outcome = Outcome(found, [str(b) for b in broken], told.seconds)
-    (to / "report.html").write_text(page(told.name, {(told.name, "two gateways on sockets"): {seed: outcome}}))
-    table(
-        ("figure", "value"),
-        [
-            (name, f"{getattr(found, name):.4g}")
-            for name in (
-                "service",
-                "in_time",
-                "late",
-                "refused",
-                "failed",
-                "beyond_units",
-                "errors",
-                "resets",
-                "p50",
-                "p99",
-            )
-        ],
-    )
+    run_figures, violations = figures(events, run.traffic, run.counter.calls), check(events)
+    _write_results(run, run_figures, violations, to)
+    table(("figure", "value"), [(name, f"{getattr(run_figures, name):.4g}") for name in PRINTED_FIGURES])
     click.echo(f"{len(events)} events in {to / 'log.jsonl'}; the report is {to / 'report.html'}")
-    for rule in broken[:3]:
-        click.echo(str(rule), err=True)
-    if broken:
-        raise Failure(f"{len(broken)} breaches of the rules")
+    fail_on_violations(violations)
     click.echo("no rule broken")
+
+
+def _shortened_scenario(name: str, seconds: float) -> Scenario:
+    """Read a scenario by name or file, with two gateways, its time and faults cut down to some seconds."""
+    from hallhitch.lab.scenario import Scenario, replaced
+
+    path = Path(name) if name.endswith(".toml") else SCENARIOS / f"{name}.toml"
+    scenario = replaced(read(str(path), Scenario), {"world.gateways": 2})
+    ratio = min(1.0, seconds / scenario.seconds)
+    faults = tuple(
+        msgspec.structs.replace(fault, at_s=fault.at_s * ratio, for_s=fault.for_s * ratio) for fault in scenario.faults
+    )
+    return msgspec.structs.replace(scenario, seconds=scenario.seconds * ratio, faults=faults)
+
+
+def _write_results(run: SocketRun, figures: Figures, violations: list[Violation], folder: Path) -> None:
+    """Write the journal and the report."""
+    from hallhitch.lab.experiments import Outcome
+    from hallhitch.lab.report import page
+
+    scenario = run.scenario
+    folder.mkdir(parents=True, exist_ok=True)
+    (folder / "log.jsonl").write_bytes(b"".join(run.journal.encoded_lines()))
+    outcome = Outcome(figures, [str(violation) for violation in violations], scenario.seconds)
+    results = {(scenario.name, "two gateways on sockets"): {run.seed: outcome}}
+    (folder / "report.html").write_text(page(scenario.name, results))
--- a/hallhitch/cli/experiment.py
+++ b/hallhitch/cli/experiment.py
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from hallhitch.cli.output import Failure, as_json, table
+from hallhitch.cli.output import Failure, as_json, fail_on_violations, table
 from hallhitch.settings_file import SettingsError
 
 if TYPE_CHECKING:
@@ -69,10 +69,7 @@
         table(("figure", "value"), [(name, f"{getattr(found, name):.4g}") for name in SHOWN])
         for name, value in (found.by_class | found.by_plan).items():
             click.echo(f"service of {name}: {value:.4f}")
-        for violation in violations[:5]:
-            click.echo(str(violation), err=True)
-    if violations:
-        raise Failure(f"{len(violations)} breaches of the rules")
+    fail_on_violations(violations, printed=0 if plain else 5)
 
 
 @experiment.command()
--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -5,15 +5,31 @@
 import asyncio
 import logging
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any, Final
 
 import click
 import structlog
 
-from hallhitch.cli.output import Failure, table
+from hallhitch.cli.output import Failure, fail_on_violations, table
 from hallhitch.settings_file import read
 
-ROOT = Path(__file__).parents[2] / "scenarios"
+if TYPE_CHECKING:
+    from hallhitch.lab.fleet.processes import GatewayFleet
+    from hallhitch.lab.scenario import Scenario
+
+SCENARIOS: Final = Path(__file__).parents[2] / "scenarios"
+WATCH_INTERVAL_S: Final = 0.2
+CUT_S: Final = 6.0  # that the halves of the demo serve alone, once each has noticed
+PRINTED_FIGURES: Final = ("service", "in_time", "refused", "failed", "attempts", "p50", "p99")
+PRINTED_EVENNESS: Final = (
+    "moment_cv",
+    "idle",
+    "second_cv",
+    "second_most",
+    "run_least",
+    "run_most",
+    "herd_pairs",
+)
 
 
 @click.group()
@@ -21,39 +37,40 @@
     """Fleets of real gateways that know each other, with faults between them."""
 
 
-def prepared(
-    scenario: str, gateways: int, seconds: float | None, sizes: dict[str, Any] | None = None, own: bool = False
-) -> Any:
-    """A scenario of this name or file, with so many gateways and other sizes, and with its own faults or without."""
+def prepare_scenario(
+    scenario: str,
+    gateways: int,
+    seconds: float | None,
+    sizes: dict[str, Any] | None = None,
+    keeps_faults: bool = False,
+) -> Scenario:
+    """Read a scenario by name or file, with other sizes, and with its own faults or without."""
     from hallhitch.lab.cases import load_scenario
     from hallhitch.lab.scenario import replaced
 
     name, colon, case = scenario.partition(":")
-    path = Path(name) if name.endswith(".toml") else ROOT / f"{name}.toml"
-    told = load_scenario(f"{path}{colon}{case}")
-    return replaced(
-        told,
-        {"world.gateways": gateways, "seconds": seconds or told.seconds}
-        | (sizes or {})
-        | ({} if own else {"faults": []}),
-    )
+    path = Path(name) if name.endswith(".toml") else SCENARIOS / f"{name}.toml"
+    base = load_scenario(f"{path}{colon}{case}")
+    settings = {"world.gateways": gateways, "seconds": seconds or base.seconds} | (sizes or {})
+    return replaced(base, settings if keeps_faults else settings | {"faults": []})
 
 
-async def watch(run: Any) -> None:
-    """Print how many each gateway sees, whenever that changes."""
+async def watch_views(run: GatewayFleet) -> None:
+    """Print how many members each gateway sees, whenever that changes."""
     from hallhitch.lab.fleet.processes import present_members
 
-    loop, before = asyncio.get_running_loop(), ""
-    began = loop.time()
+    loop, printed = asyncio.get_running_loop(), ""
+    began_s = loop.time()
     while True:
-        views = await run.views()
-        now = " ".join(f"{len(present_members(views[n])):>2}" if n in views else " -" for n in range(run.count))
-        words = {view["view"] for view in views.values()}
-        lost = "all see the same" if len({tuple(present_members(v)) for v in views.values()}) == 1 else "views differ"
-        if now != before:
-            before = now
-            click.echo(f"{loop.time() - began:>6.1f}  {now}   {lost}; {', '.join(sorted(words))}")
-        await asyncio.sleep(0.2)
+        views = await run.fetch_views()
+        members = {number: tuple(present_members(view)) for number, view in views.items()}
+        counts = " ".join(f"{len(members[number]):>2}" if number in members else " -" for number in range(run.count))
+        states = {view["view"] for view in views.values()}
+        agreement = "all see the same" if len(set(members.values())) == 1 else "views differ"
+        if counts != printed:
+            printed = counts
+            click.echo(f"{loop.time() - began_s:>6.1f}  {counts}   {agreement}; {', '.join(sorted(states))}")
+        await asyncio.sleep(WATCH_INTERVAL_S)
 
 
 @fleet.command("demo")
@@ -67,13 +84,13 @@
     from hallhitch.lab.fleet.timeline import FleetFault
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
-    told = prepared("calm", gateways, 45.0)
+    scenario = prepare_scenario("calm", gateways, 45.0)
 
-    async def play() -> Any:
-        async with GatewayFleet(told, seed) as run:
-            click.echo(f"{gateways} gateways, {told.world.nodes} nodes; how many others and itself each sees")
+    async def play() -> GatewayFleet:
+        async with GatewayFleet(scenario, seed) as run:
+            click.echo(f"{gateways} gateways, {scenario.world.nodes} nodes; how many others and itself each sees")
             click.echo(f"{'s':>6}  " + " ".join(f"{f'n{n}':>2}"[:3] for n in range(gateways)))
-            shown, load = asyncio.create_task(watch(run)), asyncio.create_task(run.drive())
+            shown, load = asyncio.create_task(watch_views(run)), asyncio.create_task(run.drive())
             click.echo(f"        one view after {await run.wait_until_agreed():.1f} s")
             cut = run.begin_fault(FleetFault("split", 0.0, parts=(0.5, 0.5)))
             click.echo("        the links between the first half and the second are cut")
@@ -84,7 +101,7 @@
                 )
             )
             click.echo(f"        each half by itself after {took:.1f} s; both go on serving")
-            await asyncio.sleep(6.0)
+            await asyncio.sleep(CUT_S)
             run.end_fault(cut)
             click.echo("        the links are whole again")
             click.echo(f"        one view after {await run.wait_until_agreed():.1f} s")
@@ -98,12 +115,9 @@
         run = asyncio.run(play())
     except TimeoutError as error:
         raise Failure(f"the gateways did not come to one view: {error}") from error
-    broken = check(run.journal.events)
+    violations = check(run.journal.events)
     table(("answers", "count"), sorted(run.statuses.items()))
-    for rule in broken[:3]:
-        click.echo(str(rule), err=True)
-    if broken:
-        raise Failure(f"{len(broken)} breaches of the rules")
+    fail_on_violations(violations)
     click.echo("no rule broken")
 
 
@@ -171,14 +185,15 @@
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     sizes = {"world.nodes": nodes, "traffic.rate": rate}
-    told = prepared(scenario, gateways, seconds, {path: value for path, value in sizes.items() if value}, own)
-    faults = read(str(line), FaultTimeline) if line is not None else FaultTimeline()
+    given_sizes = {path: value for path, value in sizes.items() if value}
+    prepared = prepare_scenario(scenario, gateways, seconds, given_sizes, own)
+    timeline = read(str(line), FaultTimeline) if line is not None else FaultTimeline()
 
-    async def play() -> Any:
-        async with GatewayFleet(told, seed, faults, has_membership=not without_peers) as run:
+    async def play() -> GatewayFleet:
+        async with GatewayFleet(prepared, seed, timeline, has_membership=not without_peers) as run:
             if not without_peers:
                 click.echo(f"one view after {await run.wait_until_agreed():.1f} s")
-                shown = asyncio.create_task(watch(run))
+                shown = asyncio.create_task(watch_views(run))
             await run.drive()
             if not without_peers:
                 shown.cancel()
@@ -187,28 +202,20 @@
     run = asyncio.run(play())
     events = run.journal.events
     if log is not None:
-        log.write_bytes(b"".join(run.journal.lines()))
-    found, broken, even = figures(events, run.traffic, run.counter.calls), check(events), evenness(events)
+        log.write_bytes(b"".join(run.journal.encoded_lines()))
+    run_figures, violations = figures(events, run.traffic, run.counter.calls), check(events)
+    run_evenness = evenness(events)
     if report is not None:
-        report.write_text(page({f"{told.name}, {gateways} gateways": events}))
+        report.write_text(page({f"{prepared.name}, {gateways} gateways": events}))
     table(
         ("figure", "value"),
-        [
-            (name, f"{getattr(found, name):.4g}")
-            for name in ("service", "in_time", "refused", "failed", "attempts", "p50", "p99")
-        ]
-        + [
-            (name, f"{getattr(even, name):.4g}")
-            for name in ("moment_cv", "idle", "second_cv", "second_most", "run_least", "run_most", "herd_pairs")
-        ]
+        [(name, f"{getattr(run_figures, name):.4g}") for name in PRINTED_FIGURES]
+        + [(name, f"{getattr(run_evenness, name):.4g}") for name in PRINTED_EVENNESS]
         + [("rig late, ms", f"{run.p99_send_delay_ms:.1f}")],
     )
     if run.p99_send_delay_ms > late:
         raise Failure(
             f"one try in a hundred was sent {run.p99_send_delay_ms:.0f} ms late by the rig itself: not to be believed"
         )
-    for rule in broken[:3]:
-        click.echo(str(rule), err=True)
-    if broken:
-        raise Failure(f"{len(broken)} breaches of the rules")
+    fail_on_violations(violations)
     click.echo("no rule broken")
--- a/hallhitch/cli/output.py
+++ b/hallhitch/cli/output.py
@@ -4,13 +4,15 @@
 
 import json
 from collections.abc import Sequence
-from typing import Any
+from typing import Any, Final
 
 import click
 
+MAX_PRINTED_VIOLATIONS: Final = 3
+
 
 class Failure(Exception):
-    """A command did not do what it was asked; the text says why."""
+    """A command that could not do its work; the message says why."""
 
 
 def as_json(value: Any) -> None:
@@ -24,3 +26,15 @@
     widths = [max(len(cell) for cell in column) for column in zip(head, *text, strict=True)]
     for row in ([name.upper() for name in head], *text):
         click.echo("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
+
+
+def fail_on_violations(violations: Sequence[object], printed: int = MAX_PRINTED_VIOLATIONS) -> None:
+    """Print the first violations of the rules on standard error.
+
+    Raises:
+        Failure: there are any.
+    """
+    for violation in violations[:printed]:
+        click.echo(str(violation), err=True)
+    if violations:
+        raise Failure(f"{len(violations)} breaches of the rules")
