--- a/hallhitch/administration/api/feed_resources.py
+++ b/hallhitch/administration/api/feed_resources.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Annotated, Any
+from typing import Annotated, Any, Final
 
 from litestar import Response, delete, get
 from litestar.params import QueryParameter
@@ -19,8 +19,8 @@
 from hallhitch.catalog.gateway_leases import Gateway
 from hallhitch.catalog.names import OPERATORS
 
-MAX_HOLD_MS = 20_000  # ms that a question may wait for news
-FEED_MEDIA_TYPE = "application/x-ndjson"
+MAX_HOLD_MS: Final = 20_000  # a request for an update may wait as long
+FEED_MEDIA_TYPE: Final = "application/x-ndjson"
 Name = Annotated[str, QueryParameter(name="gateway", pattern="^[a-z0-9][a-z0-9.-]{0,62}$")]
 Instance = Annotated[
     str, QueryParameter(name="instance", pattern="^[0-9a-f]{16,64}$", description="Drawn by the gateway at its start.")
@@ -48,7 +48,7 @@
 
 
 def publisher_of(request: Conn) -> FeedPublisher:
-    """The feed's publisher."""
+    """Return the feed's publisher."""
     publisher: FeedPublisher = request.app.state.publisher
     return publisher
 
@@ -100,27 +100,31 @@
     ] = None,
 ) -> Response[Any]:
     """The gateways, and how far a version has come (operators)."""
-    publisher, catalog = publisher_of(request), service_of(request).catalog
-    now = publisher.now_ms()
-    asked = (catalog.epoch, catalog.version)
+    publisher = publisher_of(request)
+    catalog = service_of(request).catalog
+    now_ms = publisher.now_ms()
+    wanted = (catalog.epoch, catalog.version)
     if version is not None:
         epoch, _, number = version.partition(".")
-        asked = int(epoch), int(number)
-    progress = publisher.leases.progress(asked, now)
-
-    def shown(found: list[Gateway]) -> list[GatewayView]:
-        return [GatewayView(g.name, views.stamp(*g.version), round(g.lease_ends_ms - now)) for g in found]
-
+        wanted = (int(epoch), int(number))
+    progress = publisher.leases.progress(wanted, now_ms)
     return json_response(
         GatewaysView(
-            views.stamp(*asked),
+            views.stamp(*wanted),
             progress.state,
             progress.applied,
             progress.counted,
-            shown(publisher.leases.active(now)),
-            shown(publisher.leases.expired(now)),
+            _gateway_views(publisher.leases.active(now_ms), now_ms),
+            _gateway_views(publisher.leases.expired(now_ms), now_ms),
         )
     )
 
 
+def _gateway_views(gateways: list[Gateway], now_ms: float) -> list[GatewayView]:
+    return [
+        GatewayView(gateway.name, views.stamp(*gateway.version), round(gateway.lease_ends_ms - now_ms))
+        for gateway in gateways
+    ]
+
+
 FEED_HANDLERS: list[Any] = [feed, leave, gateways]
--- a/hallhitch/administration/api/views.py
+++ b/hallhitch/administration/api/views.py
@@ -1,4 +1,4 @@
-"""What bodies look like on the wire: what callers send, and how things of the catalogue read."""
+"""Bodies of requests and responses as JSON. Field names and class names are part of the OpenAPI description."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
     Tenant,
     Versioned,
 )
+from hallhitch.catalog.rows import Row
 
 Name = Annotated[str, Meta(min_length=1, max_length=253)]
 Sha256 = Annotated[str, Meta(pattern="^[0-9a-f]{64}$")]
@@ -206,55 +207,69 @@
 
 
 def stamp(epoch: int, version: int) -> str:
-    """A version as text: epoch and number."""
+    """Format a version: epoch and number."""
     return f"{epoch}.{version}"
 
 
-def view(catalog: Catalog, kind: Kind, name: str, kept: Versioned, token: str | None = None) -> Any:
-    """A thing as its view."""
-    version = stamp(catalog.epoch, kept.version)
-    value = kept.value
+def view(catalog: Catalog, kind: Kind, name: str, entry: Versioned, token: str | None = None) -> Any:
+    """Return an entry's view."""
+    version = stamp(catalog.epoch, entry.version)
+    value = entry.value
     if kind is Kind.TENANT:
         return tenant_view(catalog, name, catalog.tenants[name])
     if kind is Kind.CREDENTIAL:
         return credential_view(name, version, value, token)
-    form = {Kind.PLAN: PlanView, Kind.CLIENT: ClientView, Kind.HOST: HostView}[kind]
-    return form(**msgspec.structs.asdict(value), name=name, version=version)
+    view_type = {Kind.PLAN: PlanView, Kind.CLIENT: ClientView, Kind.HOST: HostView}[kind]
+    return view_type(**msgspec.structs.asdict(value), name=name, version=version)
 
 
-def tenant_view(catalog: Catalog, name: str, part: Tenant) -> TenantView:
-    """A tenant as its view."""
-    head: Head = part.head.value
-    uses = Uses(len(part.clients), len(part.plans), len(part.hosts), len(part.credentials), part.rate)
+def tenant_view(catalog: Catalog, name: str, tenant: Tenant) -> TenantView:
+    """Return a tenant's view."""
+    head: Head = tenant.head.value
+    uses = Uses(len(tenant.clients), len(tenant.plans), len(tenant.hosts), len(tenant.credentials), tenant.rate)
     return TenantView(
         head.on,
         head.limits,
         name=name,
-        version=stamp(catalog.epoch, part.head.version),
-        part_version=stamp(catalog.epoch, part.version),
+        version=stamp(catalog.epoch, tenant.head.version),
+        part_version=stamp(catalog.epoch, tenant.version),
         uses=uses,
     )
 
 
-def credential_view(name: str, version: str, value: Credential, token: str | None = None) -> CredentialView:
-    """A credential as its view."""
-    older = [v.until for v in value.verifiers[1:] if v.until is not None]
+def credential_view(name: str, version: str, credential: Credential, token: str | None = None) -> CredentialView:
+    """Return a credential's view, without its verifiers."""
+    overlaps = [verifier.until for verifier in credential.verifiers[1:] if verifier.until is not None]
     return CredentialView(
-        name, version, value.scope, value.client, value.expires, value.certificate, max(older, default=None), token
+        name,
+        version,
+        credential.scope,
+        credential.client,
+        credential.expires,
+        credential.certificate,
+        max(overlaps, default=None),
+        token,
     )
 
 
 def rows_view(diff: Diff, tenant: str | None) -> list[RowView]:
-    """What a version touched, of one tenant or (None) of all."""
+    """Return what a version touched, of one tenant or (None) of all."""
     rows = [
-        RowView(gone, Kind.TENANT, gone, None)
-        for gone in diff.reset
-        if gone not in diff.parts and tenant in (None, gone)
+        RowView(deleted, Kind.TENANT, deleted, None)
+        for deleted in diff.reset
+        if deleted not in diff.parts and tenant in (None, deleted)
     ]
     for row in diff.rows:
         if tenant in (None, row.tenant):
-            shown = (
-                None if row.value is None else ({} if row.kind is Kind.CREDENTIAL else msgspec.to_builtins(row.value))
-            )
-            rows.append(RowView(row.tenant, row.kind, row.name, shown))
+            rows.append(RowView(row.tenant, row.kind, row.name, _visible_value(row)))
     return rows
+
+
+def _visible_value(row: Row) -> dict[str, Any] | None:
+    """Return a row's value as plain values; None where it is deleted, nothing of a credential."""
+    if row.value is None:
+        return None
+    if row.kind is Kind.CREDENTIAL:
+        return {}
+    value: dict[str, Any] = msgspec.to_builtins(row.value)
+    return value
--- a/hallhitch/administration/settings.py
+++ b/hallhitch/administration/settings.py
@@ -1,4 +1,4 @@
-"""The control plane's settings file; `deploy/control.toml` is one."""
+"""Settings file of the administration service; `deploy/control.toml` is one."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StoreSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the catalogue lies, and how often its log is cut."""
+    """Directory of the store, and how often a snapshot truncates its log."""
 
     folder: str
     snapshot_each: Count = 10_000  # changes
@@ -22,7 +22,7 @@
 
 
 class ApiSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the administration API listens, and what it bears."""
+    """Address of the administration API, and its limits."""
 
     listen: str
     connections: Annotated[int, Meta(ge=1, le=10_000)] = 256
@@ -31,7 +31,7 @@
     calls_per_second: Annotated[float, Meta(gt=0, le=1e6)] = 50.0  # by credential
     burst: Annotated[float, Meta(ge=1, le=1e6)] = 200.0
     failures_per_minute: Annotated[float, Meta(gt=0, le=1e6)] = 12.0  # failed authentications, by address and token
-    request_seconds: Annotated[float, Meta(gt=0, le=600)] = 10.0  # for a caller to say a whole request
+    request_seconds: Annotated[float, Meta(gt=0, le=600)] = 10.0  # for a caller to send a whole request
     idle_seconds: Annotated[int, Meta(ge=1, le=3600)] = 30
 
     def __post_init__(self) -> None:
@@ -39,20 +39,20 @@
 
 
 class TlsSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The folder of certificates, and whose client certificates may name operators."""
+    """Directory of certificates, and the authority whose client certificates may name operators."""
 
     folder: str
     client_ca: str | None = None
-    look_seconds: Annotated[float, Meta(gt=0, le=3600)] = 5.0  # between two looks for replaced files
+    look_seconds: Annotated[float, Meta(gt=0, le=3600)] = 5.0  # between two checks for replaced files
 
 
 class ControlSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """All sections of the file."""
 
     store: StoreSettings
     api: ApiSettings
     tls: TlsSettings
 
     def path(self, text: str, file: str) -> Path:
-        """A path of the file: one that is not absolute starts where the file lies."""
+        """Resolve a path of the file; a relative one starts at the file's directory."""
         return Path(file).resolve().parent / text
--- a/hallhitch/administration/store.py
+++ b/hallhitch/administration/store.py
@@ -35,31 +35,42 @@
 class Batch(Protocol):
     """Operations of one transaction. Any failure raises BatchNotWrittenError from the batch and rolls it back."""
 
-    def stored_response(self, actor: str, key: str) -> StoredResponse | None: ...
+    def stored_response(self, actor: str, key: str) -> StoredResponse | None:
+        """Return the response to the call of this idempotency key; None where none is kept."""
 
-    def store_response(self, actor: str, key: str, response: StoredResponse) -> None: ...
+    def store_response(self, actor: str, key: str, response: StoredResponse) -> None:
+        """Keep a response for repeats of its call."""
 
-    def append_change(self, catalog: Catalog, diff: Diff, at_ms: int, tenant: str, actor: str) -> None: ...
+    def append_change(self, catalog: Catalog, diff: Diff, at_ms: int, tenant: str, actor: str) -> None:
+        """Append the change that led to `catalog`."""
 
-    def audit(self, entry: AuditEntry) -> None: ...
+    def audit(self, entry: AuditEntry) -> None:
+        """Append to the audit log."""
 
 
 class Store(Protocol):
     """Durable catalog. One process writes; a batch is durable as a whole once its `with` has ended."""
 
-    def batch(self) -> contextlib.AbstractContextManager[Batch]: ...
+    def batch(self) -> contextlib.AbstractContextManager[Batch]:
+        """Run one transaction."""
 
-    def latest_version(self) -> tuple[int, int]: ...
+    def latest_version(self) -> tuple[int, int]:
+        """Return epoch and version of the latest change on disk."""
 
-    def logged_change(self, epoch: int, version: int) -> LoggedChange | None: ...
+    def logged_change(self, epoch: int, version: int) -> LoggedChange | None:
+        """Return one change of the log; None where it is no longer kept."""
 
-    def audit_entries(self, tenant: str | None, before: int, limit: int) -> list[AuditEntry]: ...
+    def audit_entries(self, tenant: str | None, before: int, limit: int) -> list[AuditEntry]:
+        """Return audit entries with ids below `before`, newest first."""
 
-    def write_snapshot_chunk(self, snapshot: int, number: int, rows: list[Row]) -> None: ...
+    def write_snapshot_chunk(self, snapshot: int, number: int, rows: list[Row]) -> None:
+        """Write a chunk of a snapshot that is not committed yet."""
 
-    def commit_snapshot(self, snapshot: int, catalog: Catalog, chunks: int, retained_changes: int) -> None: ...
+    def commit_snapshot(self, snapshot: int, catalog: Catalog, chunks: int, retained_changes: int) -> None:
+        """Make a snapshot the newest, and truncate the log behind it."""
 
-    def delete_responses(self, before_ms: int) -> int: ...
+    def delete_responses(self, before_ms: int) -> int:
+        """Delete responses stored before a time and return how many there were."""
 
 
 class SqliteBatch:
--- a/hallhitch/catalog/errors.py
+++ b/hallhitch/catalog/errors.py
@@ -36,3 +36,29 @@
 
 class SlotError(CatalogError, ValueError):
     """Slots are created without any, or a tenant gives one back that it does not hold."""
+
+
+class SpreadError(CatalogError, ValueError):
+    """A client's set of gateways is asked for with a spread below 1."""
+
+    def __init__(self, spread: int) -> None:
+        super().__init__(f"a client's set has at least one gateway, not {spread}")
+        self.spread = spread
+
+
+class DiffMismatch(CatalogError, ValueError):
+    """A diff is applied to a catalog at another version than the one it leads on from."""
+
+    def __init__(self, since: tuple[int, int], held: tuple[int, int]) -> None:
+        super().__init__(f"the diff leads on from {since[0]}.{since[1]}, not from {held[0]}.{held[1]}")
+        self.since = since
+        self.held = held
+
+
+class TenantFileError(CatalogError, ValueError):
+    """A field of a tenant's file does not fit; msgspec reports it as it reports a wrong type."""
+
+    def __init__(self, field: str, reason: str) -> None:
+        super().__init__(f"field '{field}': {reason}")
+        self.field = field
+        self.reason = reason
--- a/hallhitch/catalog/fair_queue.py
+++ b/hallhitch/catalog/fair_queue.py
@@ -17,7 +17,7 @@
 MAX_SAVED_MS: Final = 20.0  # processor time that an idle gateway saves up: a burst starts at once up to here
 COST_SMOOTHING: Final = 0.1  # weight of a new sample in a tenant's average cost
 INITIAL_COST_MS: Final = 1.0  # average cost of a tenant's requests before the first sample
-MIN_COST_MS: Final = 0.01  # least sample: a cost of 0 would make the average useless as a plan
+MIN_COST_MS: Final = 0.01  # least sample, so that the average stays above 0
 MIN_RETRY_AFTER_MS: Final = 50.0
 
 
--- a/hallhitch/catalog/feed_follower.py
+++ b/hallhitch/catalog/feed_follower.py
@@ -47,7 +47,7 @@
         self._received_rows += len(rows)
         for row in rows:
             if row.value is None or not is_for_gateways(row):
-                raise FeedError(f"{row.tenant}/{row.kind}/{row.name}: no row of a whole catalogue")
+                raise FeedError(f"{row.tenant}/{row.kind}/{row.name}: no row of a gateway's snapshot")
             try:
                 self._draft.put(row)
             except KeyError:
@@ -68,7 +68,7 @@
         self._draft.close_parts("", self.version)
         catalog = self._draft.finish(self.epoch, self.version)
         if snapshot_checksum(self.epoch, self.version, end.parts, catalog.checksum) != end.seal:
-            raise FeedError("the checksum is another")
+            raise FeedError("the snapshot's checksum does not fit")
         if set(end.parts) != set(catalog.tenants):
             raise FeedError("the parts are of other tenants than the rows")
         return with_part_versions(catalog, end.parts)
@@ -132,7 +132,7 @@
             self._begin_snapshot(line.whole)
             return None
         if self._assembly is None:
-            raise FeedError("a piece of nothing")
+            raise FeedError("a chunk or an end outside a snapshot")
         if bytes(line.rows):
             self._assembly.add_rows(decode_rows(bytes(line.rows)))
             return None
@@ -145,7 +145,7 @@
     def _apply_diff(self, line: FeedLine) -> Catalog:
         diff = decode_diff(bytes(line.diff))
         if self._assembly is not None:
-            raise FeedError("a diff inside a whole")
+            raise FeedError("a diff inside a snapshot")
         if diff.version <= self.catalog.version:
             raise FeedError(f"{diff.epoch}.{diff.version} is not later than what is held")
         if not all(row.value is None or is_for_gateways(row) for row in diff.rows):
@@ -154,7 +154,7 @@
 
     def _begin_snapshot(self, begin: SnapshotBegin) -> None:
         if self._assembly is not None:
-            raise FeedError("a whole inside a whole")
+            raise FeedError("a snapshot inside a snapshot")
         if (begin.epoch, begin.version) < self.version:
             held = f"{self.catalog.epoch}.{self.catalog.version}"
             raise FeedError(f"{begin.epoch}.{begin.version} is older than {held}")
@@ -171,8 +171,8 @@
     catalog: Catalog | None = None
     for line in lines:
         if catalog is not None:
-            raise FeedError("more behind the end")
+            raise FeedError("lines after the snapshot's end")
         catalog = follower.receive_line(line)
     if catalog is None:
-        raise FeedError("no end")
+        raise FeedError("the snapshot has no end")
     return catalog
--- a/hallhitch/catalog/history.py
+++ b/hallhitch/catalog/history.py
@@ -14,12 +14,13 @@
 from msgspec import Raw, Struct
 
 from hallhitch.catalog.draft import CatalogDraft, with_part_versions
+from hallhitch.catalog.errors import DiffMismatch
 from hallhitch.catalog.model import Catalog, Kind
 from hallhitch.catalog.rows import Row, catalog_rows, decode_value, tenant_rows
 
 RowKey = tuple[str, Kind, str]
 JSON_NULL: Final = b"null"
-MAX_HISTORY_NAMES: Final = 100_000  # some tens of MB; a gateway further behind gets a snapshot
+MAX_HISTORY_NAMES: Final = 100_000  # bounds memory; a gateway further behind gets a snapshot
 
 
 class Diff(Struct, frozen=True):
@@ -46,6 +47,7 @@
     value: Raw
 
     def decode(self) -> Row:
+        """Decode the value."""
         value = decode_value(self.kind, self.value) if bytes(self.value) != JSON_NULL else None
         return Row(self.tenant, self.kind, self.name, self.version, value)
 
@@ -185,13 +187,11 @@
     """Apply a diff to the catalog at its version `since`.
 
     Raises:
-        ValueError: The catalog is at another version.
+        DiffMismatch: The catalog is at another version.
         KeyError: The diff names a tenant that does not exist.
     """
     if (catalog.epoch, catalog.version) != (diff.epoch, diff.since):
-        raise ValueError(
-            f"the diff leads on from {diff.epoch}.{diff.since}, not from {catalog.epoch}.{catalog.version}"
-        )
+        raise DiffMismatch((diff.epoch, diff.since), (catalog.epoch, catalog.version))
     draft = CatalogDraft(catalog)
     for tenant in diff.reset:
         draft.drop(tenant, Kind.TENANT, tenant)
--- a/hallhitch/catalog/model.py
+++ b/hallhitch/catalog/model.py
@@ -1,4 +1,4 @@
-"""What the catalogue holds. All values are immutable; rates are units a second, times Unix milliseconds."""
+"""Values of the catalog. All are immutable; rates are units a second, times Unix milliseconds."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     ceiling_burst: Share = 0.0
 
     def to_decision_plan(self, name: str) -> api.Plan:
-        """The same plan in the decision module's form."""
+        """Return the same plan in the decision module's form."""
         return api.Plan(name, **msgspec.structs.asdict(self))
 
 
@@ -87,7 +87,7 @@
 
 
 class Verifier(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a secret is checked against, and until when; the secret itself is nowhere."""
+    """Hash that a secret is verified against, and until when; the secret itself is not stored."""
 
     hash: str  # argon2id in its own text form, or "keyed:" and a keyed BLAKE2b
     until: Moment | None = None
@@ -107,14 +107,14 @@
 
 
 class Versioned(Struct, frozen=True, gc=False):
-    """A value, and the version that last changed it."""
+    """Value, and the version that last changed it."""
 
     value: Any
     version: int
 
 
 class Tenant(Struct, frozen=True):
-    """A tenant's part. `born` is the version that made it, `version` the last that changed anything in it."""
+    """One tenant's part of the catalog; `version` is the last that changed anything in it."""
 
     KINDS: ClassVar[dict[Kind, str]] = {
         Kind.PLAN: "plans",
@@ -135,13 +135,13 @@
     credential_ids_by_client: Map[str, frozenset[str]] = Map()  # ids of credentials by the client they name
 
     def entries(self, kind: Kind) -> Map[str, Versioned]:
-        """The things of one kind."""
-        things: Map[str, Versioned] = getattr(self, self.KINDS[kind])
-        return things
+        """Return the entries of one kind, by name."""
+        entries: Map[str, Versioned] = getattr(self, self.KINDS[kind])
+        return entries
 
     @property
     def rate(self) -> float:
-        """Units a second handed out: what all clients that are on may use together, in the long run."""
+        """Return the units a second that all clients that are on may use together, in the long run."""
         return math.fsum(
             self.plans[name].value.rate * count
             for name, count in self.active_client_counts.items()
@@ -150,7 +150,7 @@
 
 
 class Catalog(Struct, frozen=True):
-    """Everything, at one version. Versions are dense within an epoch; a restored backup begins a later epoch."""
+    """All tenants at one version. Versions are dense within an epoch; a restored backup begins a later epoch."""
 
     epoch: int = 0
     version: int = 0
@@ -160,7 +160,7 @@
     checksum: int = 0  # the checksum of all rows, whatever their order
 
     def get(self, tenant: str, kind: Kind, name: str) -> Versioned | None:
-        """One thing, or None; a tenant is its own name's head."""
+        """Return an entry; None where there is none. A tenant's own entry is its head."""
         if tenant == "":
             return self.operators.get(name) if kind is Kind.CREDENTIAL else None
         part = self.tenants.get(tenant)
