--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -29,7 +29,7 @@
 
 from benchmarks.resident import resident
 from hallhitch.administration.backups import backup
-from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.administration.store import SNAPSHOT_CHUNK_ROWS, write_snapshot_head
 from hallhitch.administration.store_files import connect
 from hallhitch.administration.store_folder import open_store
@@ -39,15 +39,17 @@
 from hallhitch.catalog.model import Client, Credential, Head, Kind, Limits, Plan, Scope, Verifier
 from hallhitch.catalog.rows import Row, catalog_rows
 from hallhitch.settings_file import read
-from tests.administration_plane import ControlPlane
+from tests.administration_process import AdministrationProcess
 
 ADMINS = 32
 
 
-def fill(plane: ControlPlane, tenants: int, clients: int) -> None:
+def fill(plane: AdministrationProcess, tenants: int, clients: int) -> None:
     """Put a catalogue of that size in the store as its snapshot and state, and 1,000 changes behind it."""
     folder = plane.folder / "store"
-    store, keys = open_store(read(str(plane.file), ControlSettings), str(plane.file))
+    opened = open_store(read(str(plane.file), AdministrationSettings), str(plane.file))
+    store = opened.store
+    keys = opened.keys
     was = store.load().catalog
     store.close()
     rows = list(catalog_rows(was))
@@ -146,7 +148,9 @@
     pipe.send(asyncio.run(run()))
 
 
-def callers(plane: ControlPlane, tenants: int, seconds: float, **kinds: int) -> dict[str, tuple[list[float], int]]:
+def callers(
+    plane: AdministrationProcess, tenants: int, seconds: float, **kinds: int
+) -> dict[str, tuple[list[float], int]]:
     """Run callers of several kinds at once."""
     port, ca = int(plane.url.rpartition(":")[2]), str(plane.folder / "tls" / "ca.crt")
     context = multiprocessing.get_context("fork")
@@ -165,7 +169,7 @@
     return found
 
 
-def start(plane: ControlPlane) -> tuple[subprocess.Popen[str], float, int]:
+def start(plane: AdministrationProcess) -> tuple[subprocess.Popen[str], float, int]:
     """Start the program: the process, seconds until it serves, its resident KiB then."""
     began = time.perf_counter()
     process = subprocess.Popen(
@@ -210,7 +214,7 @@
     """All rows of the table: what, the figure, what bounds it."""
     total = tenants * clients
     with tempfile.TemporaryDirectory() as place:
-        plane = ControlPlane(Path(place))
+        plane = AdministrationProcess(Path(place))
         for _ in range(2):  # the first has its modules compiled
             process, empty_s, empty_kib = start(plane)
             stop(process)
--- a/benchmarks/feed.py
+++ b/benchmarks/feed.py
@@ -32,7 +32,7 @@
 from hallhitch.catalog_sync.feed_client import FeedClient, client_tls_context
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
-from tests.administration_plane import ControlPlane, change, seed
+from tests.administration_process import AdministrationProcess, change, seed
 
 GATEWAYS = 4
 
@@ -41,7 +41,7 @@
     """ms from the answer to each change until all gateways have applied it."""
     found: list[float] = []
     with tempfile.TemporaryDirectory() as folder:
-        plane = ControlPlane(Path(folder))
+        plane = AdministrationProcess(Path(folder))
         await plane.start()
         certificate = authority.issue_certificate(plane.folder / "tls", "gateways", ["gateways"], client=True)
         shown = certificate_fingerprint(ssl.PEM_cert_to_DER_cert(certificate.read_text()))
--- a/hallhitch/administration/bootstrap.py
+++ b/hallhitch/administration/bootstrap.py
@@ -7,7 +7,7 @@
 
 from hallhitch.administration.errors import StoreError
 from hallhitch.administration.secrets import PASSWORD_HASHER, new_secret
-from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.administration.store_folder import initialise, open_store
 from hallhitch.administration.store_records import AuditEntry
 from hallhitch.catalog.access import Token
@@ -18,14 +18,14 @@
 FIRST_OPERATOR_ID: Final = "root"
 
 
-def create_first_operator(settings: ControlSettings, file: str) -> str:
+def create_first_operator(settings: AdministrationSettings, file: str) -> str:
     """Create the store and its first operator, and return the token, which is kept nowhere.
 
     Raises:
         StoreError: The store cannot be created, or has operators already.
     """
     initialise(settings, file)
-    store, _ = open_store(settings, file)
+    store = open_store(settings, file).store
     try:
         loaded = store.load().catalog
         if loaded.operators:
--- a/hallhitch/administration/serve.py
+++ b/hallhitch/administration/serve.py
@@ -24,7 +24,7 @@
 from hallhitch.administration.clock import WallClock
 from hallhitch.administration.feed_publisher import FeedPublisher
 from hallhitch.administration.secrets import SecretChecker, ServiceKeys
-from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.administration.store import SqliteStore
 from hallhitch.administration.store_folder import open_store
 from hallhitch.administration.store_recovery import LoadResult
@@ -90,9 +90,10 @@
     listener: socket.socket
 
 
-def _open_service(settings: ControlSettings, file: str) -> _Service:
+def _open_service(settings: AdministrationSettings, file: str) -> _Service:
     """Open store, certificates and listener; nothing stays open where one of them fails."""
-    store, keys = open_store(settings, file)
+    opened = open_store(settings, file)
+    store = opened.store
     try:
         recovered = store.load()
         clock = WallClock(recovered.latest_at_ms)
@@ -101,7 +102,7 @@
             recovered.catalog,
             recovered.history,
             clock,
-            keys,
+            opened.keys,
             settings.store.snapshot_each,
             settings.store.keep,
         )
@@ -113,10 +114,10 @@
     except BaseException:
         store.close()
         raise
-    return _Service(store, keys, recovered, clock, writer, certificates, listener)
+    return _Service(store, opened.keys, recovered, clock, writer, certificates, listener)
 
 
-async def serve(settings: ControlSettings, file: str) -> None:
+async def serve(settings: AdministrationSettings, file: str) -> None:
     """Serve until SIGTERM or SIGINT; SIGHUP reloads the certificates.
 
     Raises:
@@ -155,7 +156,7 @@
     log.info("ended", counts=dict(COUNTS), version=writer.catalog.version, batches=writer.batches)
 
 
-def _log_start(settings: ControlSettings, service: _Service, started_at_s: float) -> None:
+def _log_start(settings: AdministrationSettings, service: _Service, started_at_s: float) -> None:
     catalog = service.recovered.catalog
     log.info(
         "serving",
@@ -170,7 +171,7 @@
 
 
 def _create_server(
-    settings: ControlSettings, app: Any, listener: socket.socket, certificates: CertificateStore
+    settings: AdministrationSettings, app: Any, listener: socket.socket, certificates: CertificateStore
 ) -> AdministrationServer:
     """Configure uvicorn: its log is silenced, its limits come from the settings."""
     api = settings.api
--- a/hallhitch/administration/settings.py
+++ b/hallhitch/administration/settings.py
@@ -46,7 +46,7 @@
     look_seconds: Annotated[float, Meta(gt=0, le=3600)] = 5.0  # between two checks for replaced files
 
 
-class ControlSettings(Struct, frozen=True, forbid_unknown_fields=True):
+class AdministrationSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """All sections of the file."""
 
     store: StoreSettings
--- a/hallhitch/administration/store_folder.py
+++ b/hallhitch/administration/store_folder.py
@@ -2,18 +2,27 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Final
 
 from hallhitch.administration.errors import StoreError
 from hallhitch.administration.secrets import ServiceKeys
-from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.administration.store import SqliteStore
 
 KEY_ID_ENTRY: Final = "key"  # the store's entry that holds the id of its key file
 
 
-def open_store(settings: ControlSettings, file: str) -> tuple[SqliteStore, ServiceKeys]:
+@dataclass(frozen=True, slots=True)
+class OpenedStore:
+    """Store with the keys that belong to it."""
+
+    store: SqliteStore
+    keys: ServiceKeys
+
+
+def open_store(settings: AdministrationSettings, file: str) -> OpenedStore:
     """Open the store and read its key file.
 
     Raises:
@@ -28,10 +37,10 @@
     except BaseException:
         store.close()
         raise
-    return store, keys
+    return OpenedStore(store, keys)
 
 
-def initialise(settings: ControlSettings, file: str) -> Path:
+def initialise(settings: AdministrationSettings, file: str) -> Path:
     """Create the directory, the key file and an empty store, and return the directory; what exists is kept.
 
     Raises:
--- a/hallhitch/administration/writer.py
+++ b/hallhitch/administration/writer.py
@@ -156,9 +156,9 @@
         """Delete stored responses older than RESPONSE_RETENTION_MS."""
         try:
             count = await self._in_thread(self._store.delete_responses, self._clock.now_ms() - RESPONSE_RETENTION_MS)
-            log.info("answers forgotten", count=count)
+            log.info("expired responses deleted", count=count)
         except BatchNotWrittenError as error:
-            log.error("answers not forgotten", error=str(error))
+            log.error("expired responses not deleted", error=str(error))
 
     async def snapshot(self) -> None:
         """Write the catalog as it is now, chunk by chunk between batches, then truncate the log behind it.
--- a/hallhitch/cli/check.py
+++ b/hallhitch/cli/check.py
@@ -7,7 +7,7 @@
 
 import click
 
-from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.catalog.tenant_file import TenantFile
 from hallhitch.lab.cases import Cases, load_cases
 from hallhitch.lab.fleet.timeline import FaultTimeline
@@ -17,7 +17,7 @@
 from hallhitch.settings_file import SettingsError, read
 
 FORMS: dict[str, type[Any]] = {
-    "control": ControlSettings,
+    "control": AdministrationSettings,
     "tenant": TenantFile,
     "resp": RespSettings,
     "scenario": Scenario,
--- a/hallhitch/cli/control.py
+++ b/hallhitch/cli/control.py
@@ -9,7 +9,7 @@
 from hallhitch.administration import backups
 from hallhitch.administration.bootstrap import FIRST_OPERATOR_ID, create_first_operator
 from hallhitch.administration.errors import StoreError
-from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.administration.store_recovery import LoadResult
 from hallhitch.cli.demo import demo, secret_file
 from hallhitch.cli.output import as_json
@@ -18,8 +18,8 @@
 FILE = click.argument("file", type=click.Path())
 
 
-def _settings(file: str) -> ControlSettings:
-    return read(file, ControlSettings)
+def _settings(file: str) -> AdministrationSettings:
+    return read(file, AdministrationSettings)
 
 
 def _told(found: LoadResult) -> dict[str, object]:
--- a/hallhitch/cli/demo.py
+++ b/hallhitch/cli/demo.py
@@ -11,7 +11,7 @@
 import click
 
 from hallhitch.administration.bootstrap import create_first_operator
-from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.catalog.tenant_file import TenantFile
 from hallhitch.cli.api_client import Api
 from hallhitch.cli.output import Failure
@@ -46,7 +46,9 @@
     if not (folder / "tls" / "default.crt").exists():
         authority.issue_certificate(folder / "tls", "default", ["localhost", "127.0.0.1"])
     if not (folder / "operator.token").exists():
-        secret_file(folder / "operator.token", create_first_operator(read(str(file), ControlSettings), str(file)))
+        secret_file(
+            folder / "operator.token", create_first_operator(read(str(file), AdministrationSettings), str(file))
+        )
     return file
 
 
--- a/tests/administration/test_api.py
+++ b/tests/administration/test_api.py
@@ -10,13 +10,13 @@
 
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
-from tests.administration_plane import PLAN, ControlCase, change, issue, seed
+from tests.administration_process import PLAN, AdministrationCase, change, issue, seed
 from tests.stand_ins import soon
 
 ACME = "/v1/tenants/acme"
 
 
-class ResourceCalls(ControlCase):
+class ResourceCalls(AdministrationCase):
     """Conditions, repeats, pages."""
 
     async def asyncSetUp(self) -> None:
@@ -186,7 +186,7 @@
                 self.assertIn("401", operation["responses"], path)
 
 
-class CredentialLifecycle(ControlCase):
+class CredentialLifecycle(AdministrationCase):
     """Credentials."""
 
     async def asyncSetUp(self) -> None:
@@ -275,7 +275,7 @@
     async def _half_said(self, token: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, bytes]:
         """A call whose head was taken, and the rest of its body."""
         host, port = self.plane.url.removeprefix("https://").split(":")
-        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.trust)
+        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.tls_context)
         body = json.dumps(PLAN).encode()
         writer.write(
             f"PUT {ACME}/plans/late HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {token}\r\n"
@@ -307,7 +307,7 @@
         writer.close()
 
 
-class RequestLimits(ControlCase):
+class RequestLimits(AdministrationCase):
     """What a caller may not do to others."""
 
     api = {
@@ -354,7 +354,7 @@
         long = await self.root.get("/v1/status", headers={"X-Long": "y" * 3000})
         self.assertEqual(long.status_code, 431)
         host, port = self.plane.url.removeprefix("https://").split(":")
-        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.trust)
+        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.tls_context)
         writer.write(b"GET /v1/status HTTP/1.1\r\nHost: x\r\n")
         self.assertEqual(await soon(_rest(reader)), b"", "a head half said is not waited for")
         writer.close()
@@ -364,8 +364,8 @@
         host, port = self.plane.url.removeprefix("https://").split(":")
         held = []
         for _ in range(6):
-            held.append(await asyncio.open_connection(host, int(port), ssl=self.plane.trust))
-        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.trust)
+            held.append(await asyncio.open_connection(host, int(port), ssl=self.plane.tls_context))
+        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.tls_context)
         self.assertEqual(await soon(_rest(reader)), b"")
         for _, kept in (*held, (reader, writer)):
             kept.close()
@@ -379,7 +379,7 @@
         return b""
 
 
-class InvalidInput(ControlCase):
+class InvalidInput(AdministrationCase):
     """Bodies that no two readers would read alike."""
 
     async def test_invalid_input_is_named_and_changes_nothing(self) -> None:
@@ -436,7 +436,7 @@
         self.assertEqual(await self.status(), version)
 
 
-class ClientIdSpelling(ControlCase):
+class ClientIdSpelling(AdministrationCase):
     """A customer id is one client in either case."""
 
     async def test_client_ids_are_canonical(self) -> None:
--- a/tests/administration/test_faults.py
+++ b/tests/administration/test_faults.py
@@ -21,7 +21,7 @@
 from hallhitch.administration.writer import RESPONSE_RETENTION_MS
 from hallhitch.catalog.changes import Change, Edit, apply_change
 from hallhitch.catalog.model import Catalog, Head, Kind, Limits, Plan
-from tests.administration_plane import PLAN, ControlCase, ControlPlane, change, issue, seed
+from tests.administration_process import PLAN, AdministrationCase, AdministrationProcess, change, issue, seed
 from tests.stand_ins import GUARD, ROOT
 
 ACME = "/v1/tenants/acme"
@@ -39,7 +39,7 @@
 NUMBERS = {"x86_64": (125, 126), "aarch64": (90, 91)}
 
 
-class FullDisk(ControlCase):
+class FullDisk(AdministrationCase):
     """Disks that take no more."""
 
     async def test_a_full_disk_rejects_changes_and_loses_none(self) -> None:
@@ -72,7 +72,7 @@
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.plane = ControlPlane(Path(folder.name))
+        self.plane = AdministrationProcess(Path(folder.name))
         self.store = self.plane.folder / "store"
 
     def refused(self, *says: str, fault: str = "") -> None:
@@ -171,7 +171,7 @@
                 (self.plane.folder / "back").touch()
                 self.assertEqual((await caller.get(ACME)).status_code, 401)
                 await self.plane.stop()
-                self.assertIn("the clock went back", "".join(self.plane.said))
+                self.assertIn("the clock went back", "".join(self.plane.log_lines))
                 await self.plane.start(fault)
                 self.assertEqual((await caller.get(ACME)).status_code, 401, "after a restart too")
             await change(root, "PUT", f"{ACME}/plans/p", PLAN)
--- a/tests/administration/test_fuzz.py
+++ b/tests/administration/test_fuzz.py
@@ -16,14 +16,14 @@
     status_code_conformance,
 )
 
-from tests.administration_plane import ControlCase, seed
+from tests.administration_process import AdministrationCase, seed
 
 CHECKS = [not_a_server_error, status_code_conformance, content_type_conformance, response_schema_conformance]
 EXAMPLES = int(os.environ.get("HALLHITCH_FUZZ_EXAMPLES", "12"))  # for each operation
 logging.getLogger("urllib3").setLevel(logging.ERROR)
 
 
-class DescribedOperations(ControlCase):
+class DescribedOperations(AdministrationCase):
     """Generated calls."""
 
     async def test_every_operation_conforms_to_the_openapi_description(self) -> None:
--- a/tests/administration/test_isolation.py
+++ b/tests/administration/test_isolation.py
@@ -9,7 +9,7 @@
 
 import httpx
 
-from tests.administration_plane import ControlCase, change, issue, seed
+from tests.administration_process import AdministrationCase, change, issue, seed
 
 OTHER, NOBODY = "bolt", "nobody"
 SECRET_WORDS = ("bolt", "spy-plan", "spy-client", "spy.example.org")
@@ -41,7 +41,7 @@
     }[kind]
 
 
-class TenantIsolation(ControlCase):
+class TenantIsolation(AdministrationCase):
     """Two tenants with the same names for their things."""
 
     async def asyncSetUp(self) -> None:
--- a/tests/administration/test_kill.py
+++ b/tests/administration/test_kill.py
@@ -19,7 +19,7 @@
 import httpx
 
 from hallhitch.administration import backups
-from tests.administration_plane import ControlPlane, change, seed
+from tests.administration_process import AdministrationProcess, change, seed
 from tests.stand_ins import GUARD, soon
 
 ROUNDS = int(os.environ.get("HALLHITCH_SOAK_ROUNDS", "24"))
@@ -71,7 +71,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.plane = ControlPlane(self.folder)
+        self.plane = AdministrationProcess(self.folder)
 
     async def _ended(self) -> None:
         """Wait for the process to be gone."""
--- a/tests/administration_plane.py
+++ b/tests/administration_process.py
@@ -1,4 +1,4 @@
-"""The one helper of the control plane's tests: the real program as a process, on loopback, with its own authority.
+"""The administration service as a real process on loopback, with an authority of its own, and calls to it.
 
 Nothing here sleeps: tests wait for lines of the log and for answers.
 """
@@ -20,7 +20,7 @@
 import httpx
 
 from hallhitch.administration.bootstrap import create_first_operator
-from hallhitch.administration.settings import ControlSettings
+from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.settings_file import read
 from hallhitch.tls import authority
 from tests.stand_ins import GUARD, ROOT, free_port, soon
@@ -29,7 +29,7 @@
 PLAN: dict[str, Any] = {"rate": 2.0, "burst": 4.0}
 
 
-class ControlPlane:
+class AdministrationProcess:
     """A control plane in a folder of its own."""
 
     process: asyncio.subprocess.Process
@@ -45,9 +45,9 @@
         )
         authority.create_authority(folder / "tls")
         authority.issue_certificate(folder / "tls", "default", ["127.0.0.1", "localhost"])
-        self.token = create_first_operator(read(str(self.file), ControlSettings), str(self.file))
-        self.trust = ssl.create_default_context(cafile=str(folder / "tls" / "ca.crt"))
-        self.said: list[str] = []
+        self.token = create_first_operator(read(str(self.file), AdministrationSettings), str(self.file))
+        self.tls_context = ssl.create_default_context(cafile=str(folder / "tls" / "ca.crt"))
+        self.log_lines: list[str] = []
 
     async def start(self, fault: str = "", expect: str = '"serving"', **environ: str) -> None:
         """Start it; `fault` is code that runs in the process first."""
@@ -64,21 +64,21 @@
             stderr=asyncio.subprocess.PIPE,
         )
         if expect:
-            await self.logged(expect)
+            await self.wait_for_log(expect)
             self._drain = asyncio.create_task(self._read_on())
 
-    async def logged(self, text: str) -> str:
+    async def wait_for_log(self, text: str) -> str:
         """Wait for a line of its log."""
         assert self.process.stderr is not None
         while text.encode() not in (line := await soon(self.process.stderr.readline())):
-            assert line, f"the program ended before it said {text}: {self.said}"
-            self.said.append(line.decode())
+            assert line, f"the program ended before it said {text}: {self.log_lines}"
+            self.log_lines.append(line.decode())
         return line.decode()
 
     async def _read_on(self) -> None:
         assert self.process.stderr is not None
         async for line in self.process.stderr:
-            self.said.append(line.decode())
+            self.log_lines.append(line.decode())
 
     async def stop(self, number: int = signal.SIGTERM) -> int | None:
         """End it; its exit code."""
@@ -92,7 +92,7 @@
         """A caller; the first operator unless a token (or None) is told."""
         headers = {} if token is None else {"Authorization": f"Bearer {token or self.token}"}
         return httpx.AsyncClient(
-            base_url=self.url, verify=context or self.trust, headers=headers, timeout=GUARD, trust_env=False
+            base_url=self.url, verify=context or self.tls_context, headers=headers, timeout=GUARD, trust_env=False
         )
 
 
@@ -125,7 +125,7 @@
     return str(made.json()["token"])
 
 
-class ControlCase(unittest.IsolatedAsyncioTestCase):
+class AdministrationCase(unittest.IsolatedAsyncioTestCase):
     """Starts the program, and ends it as a planned restart does."""
 
     api: dict[str, object] = {"failures_per_minute": 6000.0}
@@ -135,14 +135,14 @@
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.plane = ControlPlane(Path(folder.name), **self.api)
+        self.plane = AdministrationProcess(Path(folder.name), **self.api)
         await self.plane.start(self.fault)
         self.root = self.plane.client()
         self.addAsyncCleanup(self.root.aclose)
 
     async def asyncTearDown(self) -> None:
         code = await self.plane.stop()
-        log = "".join(self.plane.said)
+        log = "".join(self.plane.log_lines)
         self.assertEqual(code, 0, log)
         self.assertNotIn("broken:", log)
         self.assertNotRegex(log, r"hh_[a-z0-9-]*\.[a-z0-9-]+\.[A-Za-z0-9_-]{8,}", "a token in the log")
--- a/tests/catalog_sync/test_feed_client.py
+++ b/tests/catalog_sync/test_feed_client.py
@@ -15,12 +15,12 @@
 from hallhitch.catalog_sync.feed_client import FeedClient, client_tls_context
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
-from tests.administration_plane import ControlCase, ControlPlane, change, seed
+from tests.administration_process import AdministrationCase, AdministrationProcess, change, seed
 from tests.cli.command_runner import run_command
 from tests.stand_ins import soon
 
 
-def gateway_tls_context(plane: ControlPlane, certificate: Path) -> ssl.SSLContext:
+def gateway_tls_context(plane: AdministrationProcess, certificate: Path) -> ssl.SSLContext:
     """TLS to a control plane with a client certificate."""
     return client_tls_context(
         str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
@@ -33,24 +33,24 @@
     def __init__(self, plane: Any, name: str, certificate: Path) -> None:
         self.name, self.plane = name, plane
         self.applied: list[Catalog] = []
-        self._news = asyncio.Event()
+        self._catalog_applied = asyncio.Event()
         context = gateway_tls_context(plane, certificate)
         self.path = plane.folder / f"{name}.catalogue"
-        self.link = FeedClient(plane.url, context, name, CatalogCache(self.path), self._take)
-        self.task = asyncio.create_task(self.link.run())
+        self.client = FeedClient(plane.url, context, name, CatalogCache(self.path), self._on_catalog)
+        self.task = asyncio.create_task(self.client.run())
 
-    def _take(self, made: Catalog) -> None:
+    def _on_catalog(self, made: Catalog) -> None:
         self.applied.append(made)
-        self._news.set()
-        self._news = asyncio.Event()
+        self._catalog_applied.set()
+        self._catalog_applied = asyncio.Event()
 
-    async def until(self, version: str) -> Catalog:
+    async def wait_for_version(self, version: str) -> Catalog:
         """Wait until a version (or a later one of its epoch, or a later epoch) is applied."""
         epoch, _, number = version.partition(".")
-        while self.link._follower.version < (int(epoch), int(number)):
-            news = self._news
+        while self.client._follower.version < (int(epoch), int(number)):
+            news = self._catalog_applied
             await soon(news.wait())
-        return self.link.catalog
+        return self.client.catalog
 
     async def stop(self) -> None:
         """End as a gateway does."""
@@ -58,7 +58,7 @@
         await soon(asyncio.gather(self.task, return_exceptions=True))
 
 
-class FeedClients(ControlCase):
+class FeedClients(AdministrationCase):
     """Two gateways and a control plane."""
 
     async def asyncSetUp(self) -> None:
@@ -75,7 +75,7 @@
         self.addAsyncCleanup(made.stop)
         return made
 
-    async def rate(self, rate: float) -> str:
+    async def set_plan_rate(self, rate: float) -> str:
         """Change a plan; the version that has it."""
         made = await change(
             self.root, "PUT", "/v1/tenants/acme/plans/small-shop", {"rate": rate, "burst": 9.0}, If_Match="*"
@@ -83,7 +83,7 @@
         self.assertEqual(made.status_code, 200, made.text)
         return await self.status()
 
-    def rate_of(self, catalog: Catalog) -> float:
+    def plan_rate(self, catalog: Catalog) -> float:
         """The same at a gateway."""
         kept = catalog.get("acme", Kind.PLAN, "small-shop")
         assert kept is not None
@@ -99,15 +99,15 @@
         """Guards against a change called applied that is not, and a gateway that is sent another's part or secrets."""
         one, two = self.gateway("one"), self.gateway("two")
         for rate in (3.0, 4.0, 5.0):
-            version = await self.rate(rate)
+            version = await self.set_plan_rate(rate)
             for gateway in (one, two):
-                self.assertEqual(self.rate_of(await gateway.until(version)), rate)
+                self.assertEqual(self.plan_rate(await gateway.wait_for_version(version)), rate)
         while (told := await self.progress(version))["state"] != "complete":
             await asyncio.sleep(0)
         self.assertEqual((told["applied"], told["counted"]), (2, 2))
         self.assertEqual([g["name"] for g in told["gateways"]], ["one", "two"])
         self.assertEqual((await self.progress(f"{2**40}.1"))["state"], "pending")
-        self.assertFalse(one.link.catalog.operators)
+        self.assertFalse(one.client.catalog.operators)
         await two.stop()
         while len((await self.progress(version))["gateways"]) > 1:
             await asyncio.sleep(0)
@@ -141,29 +141,29 @@
         self.assertEqual(done.returncode, 1, done.stderr)
         self.assertIn("no gateways", done.stderr)
         one = self.gateway("one")
-        await one.until(await self.status())
+        await one.wait_for_version(await self.status())
         file.write_text(file.read_text().replace("8.0", "7.0"))
         done = await asyncio.to_thread(run_command, *arguments[:5], "20", *arguments[6:])
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertIn("complete: applied by 1 of 1 gateways", done.stdout)
-        self.assertEqual(self.rate_of(one.link.catalog), 7.0)
+        self.assertEqual(self.plan_rate(one.client.catalog), 7.0)
 
     async def test_gateways_survive_and_resync_after_a_service_crash(self) -> None:
         """Guards against gateways that end with their control plane, or stay behind once it is back."""
         one = self.gateway("one")
-        version = await self.rate(3.0)
-        await one.until(version)
+        version = await self.set_plan_rate(3.0)
+        await one.wait_for_version(version)
         await self.plane.stop(signal.SIGKILL)
         late = self.gateway("one-more")  # starts with nothing on disk and nobody to ask
         await one.stop()
         again = self.gateway("one")  # starts from its disk
         await asyncio.sleep(0)
-        self.assertEqual(self.rate_of(await again.until(version)), 3.0)
+        self.assertEqual(self.plan_rate(await again.wait_for_version(version)), 3.0)
         self.assertEqual(late.applied, [])
         await self.plane.start()
-        version = await self.rate(6.0)
+        version = await self.set_plan_rate(6.0)
         for gateway in (again, late):
-            self.assertEqual(self.rate_of(await gateway.until(version)), 6.0)
+            self.assertEqual(self.plan_rate(await gateway.wait_for_version(version)), 6.0)
         versions = [made.version for made in again.applied]
         self.assertEqual(versions, sorted(set(versions)), "none twice, none back")
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -9,7 +9,7 @@
 import unittest
 from pathlib import Path
 
-from tests.administration_plane import ControlCase, change
+from tests.administration_process import AdministrationCase, change
 from tests.cli.command_runner import run_command
 from tests.stand_ins import ROOT
 
@@ -62,7 +62,7 @@
             self.assertEqual((done.returncode, done.stdout.strip().endswith(f"good ({name})")), (0, True), done.stderr)
 
 
-class People(ControlCase):
+class People(AdministrationCase):
     """The commands against a running control plane."""
 
     async def hallhitch(self, *words: str, token: str = "") -> subprocess.CompletedProcess[str]:
--- a/tests/tls/test_tls_in_service.py
+++ b/tests/tls/test_tls_in_service.py
@@ -7,11 +7,11 @@
 import ssl
 
 from hallhitch.tls.authority import issue_certificate
-from tests.administration_plane import ControlCase
+from tests.administration_process import AdministrationCase
 from tests.stand_ins import soon
 
 
-class TlsInService(ControlCase):
+class TlsInService(AdministrationCase):
     """A control plane with certificates of a local authority."""
 
     def address(self) -> tuple[str, int]:
@@ -35,7 +35,7 @@
 
     async def logged(self, text: str) -> None:
         """Wait for a log line, one that was written before included."""
-        while not any(text in line for line in self.plane.said):
+        while not any(text in line for line in self.plane.log_lines):
             await asyncio.sleep(0.01)
 
     async def test_certificates_are_replaced_without_dropping_connections(self) -> None:
