--- a/hallhitch/administration/writer.py
+++ b/hallhitch/administration/writer.py
@@ -17,51 +17,23 @@
 
 import structlog
 
+from hallhitch.administration.call_decider import RESPONSE_RETENTION_MS, CallDecider, Outcome
 from hallhitch.administration.clock import WallClock
-from hallhitch.administration.errors import (
-    BatchNotWrittenError,
-    CredentialNoLongerValid,
-    IdempotencyKeyReused,
-    StoreError,
-    WriteQueueFull,
-    WriterHalted,
-)
+from hallhitch.administration.errors import BatchNotWrittenError, IdempotencyKeyReused, WriteQueueFull, WriterHalted
 from hallhitch.administration.secrets import ServiceKeys
-from hallhitch.administration.store import SNAPSHOT_CHUNK_ROWS, Batch, SqliteStore
-from hallhitch.administration.store_records import AuditEntry, StoredResponse
-from hallhitch.administration.write_calls import (
-    Call,
-    Reply,
-    StoredReply,
-    decode_stored_reply,
-    encode_stored_reply,
-)
-from hallhitch.catalog.access import valid_credential
-from hallhitch.catalog.changes import apply_change
-from hallhitch.catalog.errors import ChangeRefused
+from hallhitch.administration.store import SNAPSHOT_CHUNK_ROWS, SqliteStore
+from hallhitch.administration.write_calls import Call, Reply
 from hallhitch.catalog.history import Diff, History
 from hallhitch.catalog.model import Catalog
 from hallhitch.catalog.rows import Row, catalog_rows
-from hallhitch.core.invariants import COUNTS, invariant
+from hallhitch.core.invariants import COUNTS
 
 MAX_BATCH_CALLS: Final = 256  # in a transaction
 MAX_QUEUED_CALLS: Final = 4_096  # more are rejected
-RESPONSE_RETENTION_MS: Final = 24 * 3_600_000  # how long responses are kept for repeats, as the API promises
 SNAPSHOT_INTERVAL_CHANGES: Final = 10_000
 RETAINED_LOG_CHANGES: Final = 2_000  # kept before a snapshot, so that followers a little behind get diffs
 log = structlog.get_logger()
 
-Outcome = Reply | Exception
-
-
-@dataclass(slots=True)
-class _Decision:
-    """Outcome of one call: the catalog it leaves and, where it changed something, the diff."""
-
-    catalog: Catalog
-    outcome: Outcome
-    diff: Diff | None = None
-
 
 @dataclass(slots=True)
 class _BatchResult:
@@ -97,7 +69,7 @@
         self.batches = 0
         self._store = store
         self._clock = clock
-        self._keys = keys
+        self._decider = CallDecider(keys)
         self._snapshot_interval = snapshot_interval
         self._retained_log_changes = retained_log_changes
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="writer")
@@ -261,54 +233,9 @@
         result = _BatchResult(catalog)
         with self._store.batch() as batch:
             for call in calls:
-                decision = self._decide(batch, call, result.catalog, now_ms)
+                decision = self._decider.decide(batch, call, result.catalog, now_ms)
                 result.catalog = decision.catalog
                 result.outcomes.append(decision.outcome)
                 if decision.diff is not None:
                     result.diffs.append(decision.diff)
         return result
-
-    def _decide(self, batch: Batch, call: Call, catalog: Catalog, now_ms: int) -> _Decision:
-        # The credential was checked when the call came in; what counts is that it is valid when the change is made.
-        credential = valid_credential(catalog, call.caller.tenant, call.caller.id, now_ms)
-        if credential is None or credential.scope is not call.caller.scope:
-            return _Decision(catalog, CredentialNoLongerValid(call.caller.name))
-        stored = batch.stored_response(call.caller.name, call.key)
-        if stored is not None and now_ms - stored.stored_at_ms < RESPONSE_RETENTION_MS:
-            return _Decision(catalog, self._repeat_reply(call, stored))
-        return self._make_change(batch, call, catalog, now_ms)
-
-    def _make_change(self, batch: Batch, call: Call, catalog: Catalog, now_ms: int) -> _Decision:
-        """Plan and apply a call's change; write the change, the response and the audit entry."""
-        caller = call.caller.name
-        diff: Diff | None = None
-        version = 0
-        try:
-            planned = call.plan(catalog, now_ms)
-            applied = apply_change(catalog, planned.change)
-            reply = planned.reply(applied.catalog)
-            is_sealed = planned.has_secret
-            batch.append_change(applied.catalog, applied.diff, now_ms, call.tenant, caller)
-            invariant(applied.catalog.version == catalog.version + 1, "versions are dense")
-            catalog = applied.catalog
-            version = catalog.version
-            diff = applied.diff
-        except ChangeRefused as refusal:
-            reply = call.refusal_reply(refusal)
-            is_sealed = False
-        body = self._keys.seal(reply.body, f"{caller} {call.key}") if is_sealed else reply.body
-        packed = encode_stored_reply(StoredReply(reply.status, reply.headers, body, is_sealed))
-        batch.store_response(caller, call.key, StoredResponse(now_ms, call.fingerprint, packed))
-        batch.audit(AuditEntry(0, now_ms, call.tenant, caller, call.action, reply.status, catalog.epoch, version))
-        return _Decision(catalog, reply, diff)
-
-    def _repeat_reply(self, call: Call, stored: StoredResponse) -> Outcome:
-        """Return the first reply, byte for byte; IdempotencyKeyReused where it was to a different call."""
-        if stored.fingerprint != call.fingerprint:
-            return IdempotencyKeyReused(call.caller.name, call.key)
-        reply = decode_stored_reply(stored.body)
-        try:
-            body = self._keys.unseal(reply.body, f"{call.caller.name} {call.key}") if reply.sealed else reply.body
-        except StoreError as error:
-            return error
-        return Reply(reply.status, reply.headers, body)
--- a/tests/administration/test_faults.py
+++ b/tests/administration/test_faults.py
@@ -13,12 +13,12 @@
 from pathlib import Path
 
 from hallhitch.administration import backups
+from hallhitch.administration.call_decider import RESPONSE_RETENTION_MS
 from hallhitch.administration.clock import WallClock
 from hallhitch.administration.errors import CorruptStoreError, StoreError
 from hallhitch.administration.store import SqliteStore
 from hallhitch.administration.store_files import connect
 from hallhitch.administration.store_schema import MIGRATIONS
-from hallhitch.administration.writer import RESPONSE_RETENTION_MS
 from hallhitch.catalog.changes import Change, Edit, apply_change
 from hallhitch.catalog.model import Catalog, Head, Kind, Limits, Plan
 from tests.administration_process import PLAN, AdministrationCase, AdministrationProcess, change, issue, seed
