--- a/hallhitch/cli/control.py
+++ b/hallhitch/cli/control.py
@@ -11,7 +11,7 @@
 from hallhitch.administration.errors import StoreError
 from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.administration.store_recovery import LoadResult
-from hallhitch.cli.demo import demo, secret_file
+from hallhitch.cli.demo import demo, write_secret_file
 from hallhitch.cli.output import as_json
 from hallhitch.settings_file import read
 
@@ -22,13 +22,13 @@
     return read(file, AdministrationSettings)
 
 
-def _told(found: LoadResult) -> dict[str, object]:
-    catalog = found.catalog
+def _summarize(result: LoadResult) -> dict[str, object]:
+    catalog = result.catalog
     return {
         "epoch": catalog.epoch,
         "version": catalog.version,
         "tenants": len(catalog.tenants),
-        "replayed": found.replayed_changes,
+        "replayed": result.replayed_changes,
         "checksum": f"{catalog.checksum:032x}",
     }
 
@@ -49,7 +49,7 @@
     """Make an empty store and its first operator; the token is told once."""
     token = create_first_operator(_settings(file), file)
     if token_to is not None:
-        secret_file(Path(token_to), token)
+        write_secret_file(Path(token_to), token)
     if plain:
         as_json({"operator": FIRST_OPERATOR_ID, "token": None if token_to else token, "token_to": token_to})
     else:
@@ -76,7 +76,7 @@
 def backup(file: str, target: str) -> None:
     """Copy the store to TARGET and verify the copy, while it is served or not."""
     settings = _settings(file)
-    as_json(_told(backups.backup(settings.path(settings.store.folder, file), Path(target))))
+    as_json(_summarize(backups.backup(settings.path(settings.store.folder, file), Path(target))))
 
 
 @control.command()
@@ -92,8 +92,8 @@
     """Put the backup SOURCE in the store's place, in a later epoch; what stood there is moved aside."""
     settings = _settings(file)
     folder = settings.path(settings.store.folder, file)
-    made = backups.restore(folder, Path(source), epoch_at_least)
-    as_json({"epoch": made.epoch, "version": made.version, "tenants": len(made.tenants)})
+    catalog = backups.restore(folder, Path(source), epoch_at_least)
+    as_json({"epoch": catalog.epoch, "version": catalog.version, "tenants": len(catalog.tenants)})
 
 
 @control.command()
@@ -104,4 +104,4 @@
     if path.suffix == ".toml":
         settings = _settings(file)
         path = settings.path(settings.store.folder, file) / "state.db"
-    as_json(_told(backups.verify(path)))
+    as_json(_summarize(backups.verify(path)))
--- a/hallhitch/cli/credentials.py
+++ b/hallhitch/cli/credentials.py
@@ -3,24 +3,25 @@
 from __future__ import annotations
 
 from datetime import UTC, datetime
-from typing import Any
+from typing import Any, Final
 
 import click
 
-from hallhitch.cli.api_client import api_of, connected
+from hallhitch.cli.api_client import api_options, connect
 from hallhitch.cli.output import as_json, table
 from hallhitch.cli.tenants import JSON
 
-OPERATORS = "operators"
+OPERATORS: Final = "operators"
 TENANT, ID = click.argument("tenant"), click.argument("id")
 
 
-def _place(tenant: str, *rest: str) -> tuple[str, ...]:
+def _api_path(tenant: str, *rest: str) -> tuple[str, ...]:
+    """The path of a tenant's credentials, or of the operators'."""
     return (OPERATORS, *rest) if tenant == OPERATORS else ("tenants", tenant, "credentials", *rest)
 
 
-def _moment(value: int | None) -> str | None:
-    return None if value is None else datetime.fromtimestamp(value / 1000, UTC).isoformat(timespec="seconds")
+def _format_time(unix_ms: int | None) -> str | None:
+    return None if unix_ms is None else datetime.fromtimestamp(unix_ms / 1000, UTC).isoformat(timespec="seconds")
 
 
 @click.group()
@@ -30,19 +31,27 @@
 
 @credentials.command("list")
 @TENANT
-@connected
+@api_options
 @JSON
 def list_(tenant: str, plain: bool, **options: Any) -> None:
     """A tenant's credentials, without their secrets."""
-    found = list(api_of(**options).pages(*_place(tenant)))
+    items = list(connect(**options).pages(*_api_path(tenant)))
     if plain:
-        return as_json(found)
+        return as_json(items)
     table(
         ("id", "scope", "client", "expires", "old secret until", "version"),
-        [
-            (c["name"], c["scope"], c["client"], _moment(c["expires"]), _moment(c["overlap_until"]), c["version"])
-            for c in found
-        ],
+        [_table_row(item) for item in items],
+    )
+
+
+def _table_row(credential: dict[str, Any]) -> tuple[Any, ...]:
+    return (
+        credential["name"],
+        credential["scope"],
+        credential["client"],
+        _format_time(credential["expires"]),
+        _format_time(credential["overlap_until"]),
+        credential["version"],
     )
 
 
@@ -53,7 +62,7 @@
 @click.option("--client", help="The client that the credential names (scope client).")
 @click.option("--expires", type=click.DateTime(), help="When it stops to count (UTC).")
 @click.option("--certificate", help="SHA-256 of a client certificate, in place of a secret (operators).")
-@connected
+@api_options
 @JSON
 def issue(
     tenant: str,
@@ -73,7 +82,7 @@
         body["certificate"] = certificate
     if expires is not None:
         body["expires"] = int(expires.replace(tzinfo=UTC).timestamp() * 1000)
-    _tell(api_of(**options).change("PUT", *_place(tenant, id), body=body), plain)
+    _print_credential(connect(**options).change("PUT", *_api_path(tenant, id), body=body), plain)
 
 
 @credentials.command()
@@ -86,28 +95,28 @@
     show_default=True,
     help="Seconds for which the secret before counts too.",
 )
-@connected
+@api_options
 @JSON
 def rotate(tenant: str, id: str, overlap: int, plain: bool, **options: Any) -> None:
     """Give a credential a new secret; its token is told this once."""
     body = {"overlap_seconds": overlap}
-    _tell(api_of(**options).change("POST", *_place(tenant, id, "rotate"), body=body), plain)
+    _print_credential(connect(**options).change("POST", *_api_path(tenant, id, "rotate"), body=body), plain)
 
 
 @credentials.command()
 @TENANT
 @ID
-@connected
+@api_options
 @JSON
 def revoke(tenant: str, id: str, plain: bool, **options: Any) -> None:
     """Revoke a credential: once this has ended it does not count."""
-    api_of(**options).change("DELETE", *_place(tenant, id))
+    connect(**options).change("DELETE", *_api_path(tenant, id))
     if plain:
         return as_json({"tenant": tenant, "name": id, "revoked": True})
     click.echo(f"{tenant}/{id} is revoked")
 
 
-def _tell(made: dict[str, Any], plain: bool) -> None:
+def _print_credential(credential: dict[str, Any], plain: bool) -> None:
     if plain:
-        return as_json(made)
-    click.echo(made["token"] or f"{made['name']}: issued, version {made['version']}")
+        return as_json(credential)
+    click.echo(credential["token"] or f"{credential['name']}: issued, version {credential['version']}")
--- a/hallhitch/cli/demo.py
+++ b/hallhitch/cli/demo.py
@@ -13,9 +13,9 @@
 from hallhitch.administration.bootstrap import create_first_operator
 from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.catalog.tenant_file import TenantFile
-from hallhitch.cli.api_client import Api
+from hallhitch.cli.api_client import ApiClient
 from hallhitch.cli.output import Failure
-from hallhitch.cli.tenants import bring
+from hallhitch.cli.tenants import apply_declaration
 from hallhitch.settings_file import read
 from hallhitch.tls import authority
 
@@ -30,14 +30,14 @@
 """
 
 
-def secret_file(path: Path, text: str) -> None:
-    """Write a file that only its owner reads."""
+def write_secret_file(path: Path, text: str) -> None:
+    """Write a file that only its owner can read."""
     path.touch(mode=0o600)
     path.write_text(text + "\n")
 
 
 def prepare(folder: Path, port: int) -> Path:
-    """Make what a control plane needs, once; the settings file."""
+    """Make the files that a control plane needs, unless they are there; return the settings file."""
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / "control.toml"
     file.write_text(SETTINGS.format(port=port))
@@ -46,9 +46,8 @@
     if not (folder / "tls" / "default.crt").exists():
         authority.issue_certificate(folder / "tls", "default", ["localhost", "127.0.0.1"])
     if not (folder / "operator.token").exists():
-        secret_file(
-            folder / "operator.token", create_first_operator(read(str(file), AdministrationSettings), str(file))
-        )
+        settings = read(str(file), AdministrationSettings)
+        write_secret_file(folder / "operator.token", create_first_operator(settings, str(file)))
     return file
 
 
@@ -75,19 +74,19 @@
 
 
 def _show(folder: Path, port: int, process: subprocess.Popen[bytes]) -> None:
-    """Bring the tenants about and say what to try."""
+    """Apply the tenants' declarations, and print the calls to try."""
     url, ca = f"https://127.0.0.1:{port}", str(folder / "tls" / "ca.crt")
-    api = Api(url, (folder / "operator.token").read_text().strip(), ca, None)
+    api = ApiClient(url, (folder / "operator.token").read_text().strip(), ca, None)
     api.get("status")  # tried again until the process serves
     if process.poll() is not None:
         raise Failure(f"the control plane ended; {folder / 'log'} says why")
     for path in sorted(TENANTS.glob("*.toml")):
         wanted = read(str(path), TenantFile)
-        done = bring(api, wanted)
-        click.echo(f"tenant {wanted.tenant}: {len(done)} changes applied")
+        edits = apply_declaration(api, wanted)
+        click.echo(f"tenant {wanted.tenant}: {len(edits)} changes applied")
         if api.find("tenants", wanted.tenant, "credentials", "boss") is None:
-            made = api.change("PUT", "tenants", wanted.tenant, "credentials", "boss", body={"scope": "admin"})
-            secret_file(folder / f"{wanted.tenant}.token", made["token"])
+            credential = api.change("PUT", "tenants", wanted.tenant, "credentials", "boss", body={"scope": "admin"})
+            write_secret_file(folder / f"{wanted.tenant}.token", credential["token"])
     command = f"{os.path.relpath(Path(sys.prefix) / 'bin' / 'hallhitch')}"
     click.echo(f"""
 It serves at {url}; its log is {folder / "log"}. In another shell:
--- a/hallhitch/cli/tenants.py
+++ b/hallhitch/cli/tenants.py
@@ -4,7 +4,7 @@
 
 import sys
 import time
-from typing import Any
+from typing import Any, Final
 
 import click
 import msgspec
@@ -12,13 +12,13 @@
 from hallhitch.catalog.changes import MAX_EDITS_PER_CHANGE
 from hallhitch.catalog.model import VALUE_TYPES, Kind, Value
 from hallhitch.catalog.tenant_file import PlannedEdit, TenantFile, plan_edits
-from hallhitch.cli.api_client import Api, api_of, connected
+from hallhitch.cli.api_client import ApiClient, api_options, connect
 from hallhitch.cli.output import Failure, as_json, table
 from hallhitch.settings_file import read
 
 JSON = click.option("--json", "plain", is_flag=True, help="Print JSON.")
 
-LOOK = 0.2  # s between two looks at how far a change has come
+PROGRESS_POLL_S: Final = 0.2  # between looks at how many gateways have applied a version
 
 
 @click.group()
@@ -27,13 +27,13 @@
 
 
 @tenants.command("list")
-@connected
+@api_options
 @JSON
 def list_(plain: bool, **options: Any) -> None:
     """All tenants that the credential may see."""
-    found = list(api_of(**options).pages("tenants"))
+    items = list(connect(**options).pages("tenants"))
     if plain:
-        return as_json(found)
+        return as_json(items)
     table(
         ("name", "on", "plans", "clients", "hosts", "rate", "version"),
         [
@@ -46,25 +46,25 @@
                 f"{t['uses']['rate']:g}/{t['limits']['rate']:g}",
                 t["part_version"],
             )
-            for t in found
+            for t in items
         ],
     )
 
 
 @tenants.command()
 @click.argument("tenant")
-@connected
+@api_options
 @JSON
 def show(tenant: str, plain: bool, **options: Any) -> None:
     """One tenant, with its plans, hosts and clients."""
-    api = api_of(**options)
-    told = api.get("tenants", tenant)
+    api = connect(**options)
+    summary = api.get("tenants", tenant)
     lists = {kind: list(api.pages("tenants", tenant, kind)) for kind in ("plans", "hosts", "clients")}
     if plain:
-        return as_json(told | lists)
+        return as_json(summary | lists)
     click.echo(
-        f"{tenant}: {'on' if told['on'] else 'off'}, version {told['part_version']}, "
-        f"rate {told['uses']['rate']:g} of {told['limits']['rate']:g}"
+        f"{tenant}: {'on' if summary['on'] else 'off'}, version {summary['part_version']}, "
+        f"rate {summary['uses']['rate']:g} of {summary['limits']['rate']:g}"
     )
     table(
         ("plan", "rate", "burst", "price", "ceiling"),
@@ -74,27 +74,27 @@
     table(("client", "plan", "on"), [(c["name"], c["plan"], "yes" if c["on"] else "no") for c in lists["clients"]])
 
 
-def present(api: Api, tenant: str) -> dict[tuple[Kind, str], tuple[Value, str]]:
-    """What stands of a tenant, with versions."""
-    told = api.find("tenants", tenant)
-    if told is None:
+def read_tenant(api: ApiClient, tenant: str) -> dict[tuple[Kind, str], tuple[Value, str]]:
+    """Read the entries of a tenant, with their versions; none if there is no such tenant."""
+    tenant_item = api.find("tenants", tenant)
+    if tenant_item is None:
         return {}
-    found: dict[tuple[Kind, str], tuple[Value, str]] = {}
+    entries: dict[tuple[Kind, str], tuple[Value, str]] = {}
 
     def add(kind: Kind, item: dict[str, Any]) -> None:
-        form = VALUE_TYPES[kind]
-        fields = {name: item[name] for name in form.__struct_fields__}
-        found[kind, item["name"]] = msgspec.convert(fields, form), item["version"]
+        value_type = VALUE_TYPES[kind]
+        fields = {name: item[name] for name in value_type.__struct_fields__}
+        entries[kind, item["name"]] = msgspec.convert(fields, value_type), item["version"]
 
-    add(Kind.TENANT, told)
+    add(Kind.TENANT, tenant_item)
     for kind, path in ((Kind.PLAN, "plans"), (Kind.CLIENT, "clients"), (Kind.HOST, "hosts")):
         for item in api.pages("tenants", tenant, path):
             add(kind, item)
-    return found
+    return entries
 
 
-def lines(changes: list[PlannedEdit]) -> list[str]:
-    """Differences for people."""
+def describe_edits(changes: list[PlannedEdit]) -> list[str]:
+    """Describe planned edits, a line each."""
     made = []
     for step in changes:
         sign = "+" if step.current is None else "-" if step.wanted is None else "~"
@@ -114,13 +114,13 @@
 
 @tenants.command()
 @click.argument("file", type=click.Path())
-@connected
+@api_options
 @JSON
 def diff(file: str, plain: bool, **options: Any) -> None:
     """What `apply` would change. Exit code 1 if it would change something."""
     wanted = read(file, TenantFile)
-    changes = plan_edits(present(api_of(**options), wanted.tenant), wanted.entries())
-    _print(changes, plain, 0)
+    changes = plan_edits(read_tenant(connect(**options), wanted.tenant), wanted.entries())
+    _print_edits(changes, plain)
     if changes:
         sys.exit(1)
 
@@ -134,47 +134,52 @@
     metavar="SECONDS",
     help="Until all gateways that are counted have applied it (operators); exit code 1 if they have not.",
 )
-@connected
+@api_options
 @JSON
 def apply(file: str, yes: bool, wait: float | None, plain: bool, **options: Any) -> None:
     """Bring a tenant to what FILE declares. Safe to repeat, and to interrupt: what is left is done the next time."""
     wanted = read(file, TenantFile)
-    api = api_of(**options)
-    changes = plan_edits(present(api, wanted.tenant), wanted.entries())
+    api = connect(**options)
+    changes = plan_edits(read_tenant(api, wanted.tenant), wanted.entries())
     if not plain:
-        _print(changes, plain, 0)
+        _print_edits(changes, plain)
     if changes and not yes and not click.confirm("Apply?", err=True):
         raise Failure("nothing was changed")
-    versions = send(api, wanted.tenant, changes)
-    told = waited(api, versions[-1], wait) if versions and wait is not None else None
+    versions = send_edits(api, wanted.tenant, changes)
+    progress = wait_until_applied(api, versions[-1], wait) if versions and wait is not None else None
     if plain:
         as_json(
-            {"tenant": wanted.tenant, "changes": lines(changes), "versions": versions}
-            | ({"gateways": told} if told else {})
+            {"tenant": wanted.tenant, "changes": describe_edits(changes), "versions": versions}
+            | ({"gateways": progress} if progress else {})
         )
     elif versions:
         click.echo(f"applied {len(changes)} changes, now at version {versions[-1]}")
-        if told:
-            click.echo(f"{told['state']}: applied by {told['applied']} of {told['counted']} gateways")
-    if told and told["state"] != "complete":
-        raise Failure(f"version {versions[-1]} is not applied everywhere: {', '.join(told['behind']) or 'no gateways'}")
+        if progress:
+            click.echo(f"{progress['state']}: applied by {progress['applied']} of {progress['counted']} gateways")
+    if progress and progress["state"] != "complete":
+        behind = ", ".join(progress["behind"]) or "no gateways"
+        raise Failure(f"version {versions[-1]} is not applied everywhere: {behind}")
 
 
-def waited(api: Api, version: str, seconds: float) -> dict[str, Any]:
-    """How far a version has come, once it is complete or the time is over; and which gateways are behind."""
-    until = time.monotonic() + seconds
+def wait_until_applied(api: ApiClient, version: str, seconds: float) -> dict[str, Any]:
+    """Wait until all counted gateways have applied a version, or a time is over; return how far it has come."""
+    deadline_s = time.monotonic() + seconds
     while True:
-        told = api.get("gateways", version=version)
-        if told["state"] == "complete" or time.monotonic() >= until:
+        progress = api.get("gateways", version=version)
+        if progress["state"] == "complete" or time.monotonic() >= deadline_s:
             break
-        time.sleep(min(LOOK, max(0.0, until - time.monotonic())))
-    place = tuple(map(int, version.split(".")))
-    behind = [g["name"] for g in told["gateways"] if tuple(map(int, g["version"].split("."))) < place]
-    return {"state": told["state"], "applied": told["applied"], "counted": told["counted"], "behind": behind}
+        time.sleep(min(PROGRESS_POLL_S, max(0.0, deadline_s - time.monotonic())))
+    wanted = _parse_version(version)
+    behind = [gateway["name"] for gateway in progress["gateways"] if _parse_version(gateway["version"]) < wanted]
+    return {name: progress[name] for name in ("state", "applied", "counted")} | {"behind": behind}
 
 
-def send(api: Api, tenant: str, changes: list[PlannedEdit]) -> list[str]:
-    """Make changes, in pieces that are atomic and hold by themselves; the versions they led to."""
+def _parse_version(text: str) -> tuple[int, ...]:
+    return tuple(map(int, text.split(".")))
+
+
+def send_edits(api: ApiClient, tenant: str, changes: list[PlannedEdit]) -> list[str]:
+    """Make planned edits in atomic changes, each valid by itself; return the versions that they led to."""
     versions = []
     for start in range(0, len(changes), MAX_EDITS_PER_CHANGE):
         edits = [
@@ -190,15 +195,15 @@
     return versions
 
 
-def bring(api: Api, wanted: TenantFile) -> list[PlannedEdit]:
-    """Bring a tenant to what is declared; what that took."""
-    changes = plan_edits(present(api, wanted.tenant), wanted.entries())
-    send(api, wanted.tenant, changes)
+def apply_declaration(api: ApiClient, wanted: TenantFile) -> list[PlannedEdit]:
+    """Bring a tenant to its declaration; return the edits that this took."""
+    changes = plan_edits(read_tenant(api, wanted.tenant), wanted.entries())
+    send_edits(api, wanted.tenant, changes)
     return changes
 
 
-def _print(changes: list[PlannedEdit], plain: bool, indent: int) -> None:
+def _print_edits(changes: list[PlannedEdit], plain: bool) -> None:
     if plain:
-        return as_json(lines(changes))
-    for line in lines(changes) or ["nothing to change"]:
-        click.echo(" " * indent + line)
+        return as_json(describe_edits(changes))
+    for line in describe_edits(changes) or ["nothing to change"]:
+        click.echo(line)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -24,11 +24,11 @@
 """
 
 
-class Files(unittest.TestCase):
-    """`check`, and what it says."""
+class CheckCommand(unittest.TestCase):
+    """`check` of settings files."""
 
-    def test_one_line_names_file_field_found_and_allowed(self) -> None:
-        """Guards against a settings file that is half understood, or refused without saying where."""
+    def test_error_names_file_field_value_and_allowed_values(self) -> None:
+        """A wrong file is reported in one line, with exit code 2."""
         control = (ROOT / "deploy" / "control.toml").read_text()
         listen = 'listen = "127.0.0.1:8443"'
         cases = [
@@ -55,14 +55,14 @@
                     self.assertIn(says, done.stderr)
         self.assertEqual(run_command("check", "nowhere.toml").returncode, 2)
 
-    def test_the_files_under_deploy_are_good(self) -> None:
-        """Guards against a file that nobody can start with."""
+    def test_files_under_deploy_are_valid(self) -> None:
+        """All example files pass the check."""
         for name in ("control", "resp"):
             done = run_command("check", str(ROOT / "deploy" / f"{name}.toml"))
             self.assertEqual((done.returncode, done.stdout.strip().endswith(f"good ({name})")), (0, True), done.stderr)
 
 
-class People(AdministrationCase):
+class AdministrationCommands(AdministrationCase):
     """The commands against a running control plane."""
 
     async def hallhitch(self, *words: str, token: str = "") -> subprocess.CompletedProcess[str]:
@@ -75,8 +75,8 @@
             HALLHITCH_CA=str(self.plane.folder / "tls" / "ca.crt"),
         )
 
-    async def test_a_declared_tenant(self) -> None:
-        """Guards against an apply that shows one thing and does another, or changes something the second time."""
+    async def test_declared_tenant_is_applied_once(self) -> None:
+        """`apply` makes the changes that `diff` shows, and none the second time."""
         path = self.plane.folder / "acme.toml"
         path.write_text(TENANT)
         told = await self.hallhitch("tenants", "diff", str(path))
@@ -103,8 +103,8 @@
         self.assertEqual([h["name"] for h in shown["hosts"]], ["shop.tenants.example.org"])
         self.assertEqual([c["name"] for c in shown["clients"]], ["00000000b4d65521", "press"])
 
-    async def test_an_apply_that_was_interrupted(self) -> None:
-        """Guards against an apply that must be undone by hand once it was cut off between two of its pieces."""
+    async def test_interrupted_apply_is_completed_by_the_next_one(self) -> None:
+        """A second `apply` makes the changes that are missing."""
         path = self.plane.folder / "acme.toml"
         clients = "".join(f'[clients.c{n}]\nplan = "small-shop"\n' for n in range(1500))
         path.write_text(TENANT.replace("[plans", "[limits]\nclients = 5000\nrate = 9000\n[plans") + clients)
@@ -121,7 +121,7 @@
         self.assertEqual((await self.hallhitch("tenants", "diff", str(path))).returncode, 0)
 
     async def test_credentials(self) -> None:
-        """Guards against a token that is not the one that counts, and a list that shows it."""
+        """Issued and rotated tokens authenticate, revoked ones do not, and lists show none."""
         path = self.plane.folder / "acme.toml"
         path.write_text(TENANT)
         await self.hallhitch("tenants", "apply", "--yes", str(path))
@@ -140,8 +140,8 @@
         other = await self.hallhitch("tenants", "show", "nobody")
         self.assertIn("404 not-found", other.stderr)
 
-    async def test_backup_while_it_serves(self) -> None:
-        """Guards against a backup that stops the service, or cannot be read."""
+    async def test_backup_during_service(self) -> None:
+        """A backup is made and verified while the control plane serves."""
         path = self.plane.folder / "acme.toml"
         path.write_text(TENANT)
         await self.hallhitch("tenants", "apply", "--yes", str(path))
--- a/tests/cli/test_experiment.py
+++ b/tests/cli/test_experiment.py
@@ -32,17 +32,17 @@
 
 
 def outcome(service: float) -> Outcome:
-    """A result with this service."""
+    """Make an outcome with this service."""
     figures: dict[str, Any] = {name: 0 for name in Figures.__struct_fields__}
     figures |= {"by_class": {}, "by_plan": {}, "curve": [], "service": service}
     return Outcome(Figures(**figures), [], 1.0)
 
 
-class Statistics(unittest.TestCase):
-    """Verdicts."""
+class Comparisons(unittest.TestCase):
+    """Comparisons of settings."""
 
     def test_verdicts(self) -> None:
-        """Guards against a difference that is chance told as one, and one that is plain not told."""
+        """Differences beyond chance get a verdict, others and few pairs do not."""
         base = {seed: outcome(0.9 + seed % 3 * 0.01) for seed in range(20)}
         noisy = {seed: outcome(0.9 + (seed * 7) % 3 * 0.01) for seed in range(20)}
         better = {seed: outcome(o.figures.service + 0.01 + seed % 2 * 0.002) for seed, o in base.items()}
@@ -61,8 +61,8 @@
         )
 
 
-class Command(unittest.TestCase):
-    """The whole way."""
+class Commands(unittest.TestCase):
+    """The commands, from files to reports."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -72,8 +72,8 @@
         (self.folder / "small.toml").write_text(EXPERIMENT)
         self.db = str(self.folder / "results.db")
 
-    def test_an_interrupted_experiment_ends_with_the_same_results(self) -> None:
-        """Guards against runs made twice, lost, or different the second time."""
+    def test_interrupted_experiment_continues_to_the_same_results(self) -> None:
+        """Only the missing runs are made, and their results are the same."""
         file = str(self.folder / "small.toml")
         first = run_command("experiment", "run", file, "--workers", "2", "--db", self.db)
         self.assertIn("12 runs made, 0 were there", first.stdout, first.stderr)
@@ -96,8 +96,8 @@
         self.assertIn("few nodes", text)
         self.assertEqual(re.findall(r'(?:src|href)="(?!data:)', text), [], "nothing from outside")
 
-    def test_one_try(self) -> None:
-        """Guards against a scenario that cannot be tried, or a wrong one that can."""
+    def test_try_command(self) -> None:
+        """A scenario is played and logged; wrong settings are reported in one line."""
         path = str(self.folder / "calm.toml")
         done = run_command("experiment", "try", path, "--set", "world.nodes=6", "--log", str(self.folder / "log"))
         self.assertEqual(done.returncode, 0, done.stderr)
@@ -112,8 +112,8 @@
         self.assertEqual(bad.returncode, 2)
         self.assertIn("NO_SUCH", bad.stderr)
 
-    def test_constants_come_back(self) -> None:
-        """Guards against one setting's constants staying for the next."""
+    def test_replaced_constants_are_restored(self) -> None:
+        """The constants are restored after an error too."""
         from hallhitch.decision import policy
 
         was = policy.LEARN
--- a/tests/lab/test_cases.py
+++ b/tests/lab/test_cases.py
@@ -1,4 +1,4 @@
-"""Hard cases of even load: each in virtual time over seeds, and with several real processes."""
+"""Hard cases for the spread of load: each in virtual time over seeds, and with several real processes."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 SEEDS = (1, 2, 3)
 
 
-def share(events: list[Event], nodes: set[str], begin: float, end: float) -> float:
-    """The share of sends within these ms that went to some nodes, against their share by number."""
+def relative_share(events: list[Event], nodes: set[str], begin: float, end: float) -> float:
+    """The share of sends in a time that went to some nodes, relative to their share by number."""
     nodes_of_run = NodeTimeline(events)
     requests = RequestTable(events)
     inside = (requests.sent_at >= begin) & (requests.sent_at < end)
@@ -35,8 +35,8 @@
     return sum(name in nodes for name in names) / max(1, len(names)) / (len(nodes) / len(set(nodes_of_run.names)))
 
 
-class Virtual(unittest.TestCase):
-    """Six gateways and 24 nodes."""
+class VirtualCases(unittest.TestCase):
+    """The cases in virtual time, with six gateways and 24 nodes."""
 
     def setUp(self) -> None:
         self.cases = load_cases(
@@ -44,7 +44,7 @@
         )
 
     def runs(self, name: str) -> list[list[Event]]:
-        """The logs of a case by seed, all rules kept."""
+        """The journals of a case by seed, without violations."""
         found = []
         for seed in SEEDS:
             events = play(self.cases[name], seed).journal.events
@@ -56,53 +56,56 @@
         return {name for e in events if e[1] == "fault" and e[2] == kind and e[3] == "begins" for name in e[4]}
 
     def test_every_case_keeps_the_rules(self) -> None:
-        """Guards against a rule that some case breaks, a cold node pushed over among them."""
+        """No case violates a rule, and each keeps three quarters of the service."""
         for name, told in self.cases.items():
             with self.subTest(case=name):
                 made = play(told, 4)
                 self.assertEqual([str(b) for b in check(made.journal.events)], [])
                 self.assertGreater(figures(made.journal.events, made.traffic, made.counter_calls).service, 0.75)
 
-    def test_a_black_hole_draws_no_load_by_being_quick(self) -> None:
-        """Guards against a node that fails at once and is taken for the idlest of all."""
+    def test_node_that_fails_quickly_attracts_no_load(self) -> None:
+        """A node that fails at once is not taken for the least loaded."""
         for events in self.runs("black hole"):
-            self.assertLess(share(events, self.whom(events, "quick_failures"), 7_000, 14_000), 0.7)
+            self.assertLess(relative_share(events, self.whom(events, "quick_failures"), 7_000, 14_000), 0.7)
 
-    def test_one_that_is_slow_or_stands_still_is_left_alone(self) -> None:
-        """Guards against work that goes on to where nothing is done."""
+    def test_slow_and_stalled_nodes_are_avoided(self) -> None:
+        """Slow and stalled nodes get less than their share."""
         for events in self.runs("slow"):
-            self.assertLess(share(events, self.whom(events, "slow"), 7_000, 14_000), 0.7)
+            self.assertLess(relative_share(events, self.whom(events, "slow"), 7_000, 14_000), 0.7)
         for events in self.runs("stall"):
-            self.assertLess(share(events, self.whom(events, "stall"), 7_500, 11_000), 0.35)
+            self.assertLess(relative_share(events, self.whom(events, "stall"), 7_500, 11_000), 0.35)
 
-    def test_a_zone_that_is_back_cold_is_met_one_by_one(self) -> None:
-        """Guards against a wave onto cold nodes, and cold nodes that nobody comes to."""
+    def test_nodes_of_a_recovered_zone_are_used_gradually(self) -> None:
+        """Gateways come to restarted nodes, and not all at once."""
         for events in self.runs("zone"):
             back = [a for a in evenness(events).arrivals if a.met < 1e9]
             self.assertGreaterEqual(len(back), 6)  # of eight
             self.assertLess(sum(a.rush for a in back) / len(back), 0.5)
 
-    def test_ability_is_found_out(self) -> None:
-        """Guards against shares by number where one node can do four times as much as another."""
+    def test_stronger_node_gets_more_load(self) -> None:
+        """A node with four times the capacity gets more than an equal share."""
         for events in self.runs("able"):
-            able, weak = share(events, {"node-0"}, 4_000, 14_000), share(events, {"node-1"}, 4_000, 14_000)
+            able, weak = (
+                relative_share(events, {"node-0"}, 4_000, 14_000),
+                relative_share(events, {"node-1"}, 4_000, 14_000),
+            )
             self.assertGreater(able, 1.15 * weak)
 
-    def test_few_busy_gateways_do_not_press_on_few_nodes(self) -> None:
-        """Guards against servers of their own that a busy gateway overruns."""
+    def test_few_busy_gateways_do_not_overload_few_nodes(self) -> None:
+        """Busy gateways spread their load beyond their subsets."""
         for events in self.runs("crowded"):
             found = evenness(events)
             self.assertLess(found.run_most, 2.0)
             self.assertGreater(found.run_least, 0.4)
 
-    def test_a_gateway_with_an_old_list_stands_alone(self) -> None:
-        """Guards against one that was told nothing and takes others with it; and a fault that holds nothing back."""
+    def test_delayed_list_affects_its_gateway_alone(self) -> None:
+        """Five of six gateways receive updates while one is delayed."""
         for events in self.runs("old list"):
             told = {e[2] for e in events if e[1] == "told" and 5_000 < e[0] < 15_000}
             self.assertEqual(len(told), 5)
 
-    def test_what_is_wrong_with_a_file_is_named(self) -> None:
-        """Guards against a case that is played as another one."""
+    def test_errors_in_a_file_are_named(self) -> None:
+        """A wrong case is reported by its field, an unknown one with those there are."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "cases.toml"
             base = f'base = "{ROOT}/scenarios/calm.toml"\n'
@@ -119,14 +122,14 @@
         self.assertEqual(run_command("check", CASES_FILE).stdout.split(": ")[1].strip(), "good (cases)")
 
 
-class Processes(unittest.IsolatedAsyncioTestCase):
-    """Three real gateways and eight nodes for some seconds: the rules hold there too."""
+class ProcessCases(unittest.IsolatedAsyncioTestCase):
+    """The cases with three real gateways and eight nodes for some seconds."""
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)  # it would make slow nodes of all of them
 
     async def case(self, name: str) -> None:
-        """A case's faults within six seconds."""
+        """Run a case with its faults within six seconds, and check the rules."""
         whole = load_cases(
             CASES_FILE, {"world.gateways": 3, "world.nodes": 8, "world.list_late": [100.0, 400.0], "traffic.load": 0.3}
         )[name]
@@ -143,17 +146,17 @@
 
     @staticmethod
     def without_peers(told: Scenario) -> Scenario:
-        """The rig proper plays cuts between gateways (tests/membership); here they do not talk."""
+        """Leave out partitions between gateways, which run without membership here (see tests/membership)."""
         faults = tuple(f for f in told.faults if f.kind != "gateways_split")
         return msgspec.structs.replace(told, world=msgspec.structs.replace(told.world, peers=False), faults=faults)
 
 
 def _on_processes(name: str) -> None:
-    async def test(self: Processes) -> None:
+    async def test(self: ProcessCases) -> None:
         await self.case(name)
 
-    test.__doc__ = f"Guards against '{name}' kept in the model alone."
-    setattr(Processes, "test_" + name.replace(" ", "_"), test)
+    test.__doc__ = f"The rules hold in the case '{name}' with real processes."
+    setattr(ProcessCases, "test_" + name.replace(" ", "_"), test)
 
 
 for _name in load_cases(CASES_FILE, {}):
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker itself: logs that break each rule once, and gateways spoilt on purpose that it must catch."""
+"""The checker: journals that break each rule once, and mutants of the gateway that it catches."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 
 def ask(id: int, klass: str = "look", at: float = 1.0, gateway: int = 0) -> Event:
-    """A try."""
+    """An event: a client sends a request."""
     return (at, "ask", id, gateway, "cust", "p", klass, f"k{id}", at + 1000, True)
 
 
 def served(id: int, at: float, echo: int = 0) -> Event:
-    """Its answer."""
+    """An event: the request is served."""
     return (at, "answer", id, "served", echo or id)
 
 
 def sent(id: int, number: int, node: str, at: float) -> list[Event]:
-    """An attempt that comes whole."""
+    """Events: an attempt is sent and arrives completely."""
     return [(at, "send", id, number, 0, node), (at + 0.1, "arrive", id, number, node, 50.0)]
 
 
 def rules(*events: Any, most: float | None = None) -> list[str]:
-    """The rules that a log breaks."""
+    """The rules that a journal violates."""
     log = [WORLD, *NODES, *events]
     found = check(log, most)
     for violation in found:
@@ -52,11 +52,11 @@
     return [violation.rule for violation in found]
 
 
-class StoodStill(unittest.TestCase):
-    """Gateways that were stopped and went on."""
+class SuspendedGateways(unittest.TestCase):
+    """Gateways that were suspended and resumed."""
 
-    def test_what_a_stopped_gateway_owes(self) -> None:
-        """Guards against a process blamed for time in which it did not run, and against one excused for ever."""
+    def test_suspended_gateway_is_excused_only_while_suspended(self) -> None:
+        """Requests in a suspended gateway may be late or unanswered; those sent after its resumption may not."""
         stop, on = (500.0, "gateway", 0, "stopped"), (1600.0, "gateway", 0, "resumed")
         late = served(1, 1650.0)
         self.assertEqual(rules(ask(1), stop, on, late), [])
@@ -66,8 +66,8 @@
         self.assertEqual(rules(ask(1), stop, on, late, (1700.0, "answer", 1, "failed", 0)), ["one final answer"])
         self.assertEqual(rules(stop, ask(1, gateway=1, at=600.0), on), ["one final answer"], "another gateway's")
 
-    def test_a_drain_told_meanwhile_counts_from_when_it_goes_on(self) -> None:
-        """Guards against a drain that a process is blamed for not having heard of, and one that is never judged."""
+    def test_drain_during_suspension_counts_from_the_resumption(self) -> None:
+        """The grace period of a drain that a suspended gateway was sent begins when it is resumed."""
         stop, on = (500.0, "gateway", 0, "stopped"), (3000.0, "gateway", 0, "resumed")
         told = (600.0, "told", 0, "a", "drain")
         begin = ask(1, at=2900.0)
@@ -75,11 +75,11 @@
         self.assertEqual(rules(stop, told, begin, on, *sent(1, 0, "a", 3600.0), served(1, 3700.0)), ["drains"])
 
 
-class Logs(unittest.TestCase):
-    """Each rule by itself: the log at its edge, and one past it."""
+class RuleBoundaries(unittest.TestCase):
+    """Each rule by itself: a journal at its limit, and one past it."""
 
-    def test_a_good_log(self) -> None:
-        """Guards against a checker that calls everything broken."""
+    def test_journal_without_violations(self) -> None:
+        """A journal that keeps all rules has no violations."""
         good = [
             ask(1),
             *sent(1, 0, "a", 2.0),
@@ -93,7 +93,7 @@
         self.assertEqual(rules(*good), [])
 
     def test_one_final_answer(self) -> None:
-        """Guards against lost and doubled answers that go unseen."""
+        """Missing, second and unsolicited answers are violations."""
         self.assertEqual(rules(ask(1)), ["one final answer"])
         self.assertEqual(rules(ask(1), served(1, 5.0), (6.0, "answer", 1, "refused", 0)), ["one final answer"])
         self.assertEqual(rules(served(1, 5.0)), ["one final answer"])
@@ -102,21 +102,21 @@
         self.assertEqual(rules(ask(1, gateway=1), killed), ["one final answer"])
         self.assertEqual(rules(killed, (6.0, "gateway", 0, "up"), ask(1, at=7.0)), ["one final answer"])
 
-    def test_in_time_and_ones_own(self) -> None:
-        """Guards against late answers, and an answer given to another's request."""
+    def test_answer_in_time_and_to_the_right_request(self) -> None:
+        """Late answers, and answers to another request, are violations."""
         self.assertEqual(rules(ask(1), served(1, 1050.9)), [])
         self.assertEqual(rules(ask(1), served(1, 1051.1)), ["in time"])
         self.assertEqual(rules(ask(1), ask(2), served(1, 5.0, echo=2), served(2, 5.0)), ["own answer"])
 
     def test_one_attempt_at_a_time(self) -> None:
-        """Guards against a second copy that goes unseen."""
+        """A second attempt in flight is a violation."""
         two = [ask(1), *sent(1, 0, "a", 2.0), *sent(1, 1, "b", 3.0), (4.0, "done", 1, 0, "timeout"), served(1, 5.0)]
         self.assertEqual(rules(*two), ["one attempt at a time"])
         one = [ask(1), *sent(1, 0, "a", 2.0), (3.0, "done", 1, 0, "timeout"), *sent(1, 1, "b", 3.0), served(1, 5.0)]
         self.assertEqual(rules(*one), [])
 
-    def test_resends(self) -> None:
-        """Guards against a resend that its class forbids: by effect, pod and window."""
+    def test_retries(self) -> None:
+        """A retry that its class forbids, by effect, pod or window, is a violation."""
 
         def again(klass: str, outcome: str, node: str, at: float) -> list[str]:
             return rules(
@@ -136,7 +136,7 @@
         self.assertEqual(again("pay", "full", "c", 900.0), [], "what never ran may go anywhere")
 
     def test_drains(self) -> None:
-        """Guards against work to a node that wants none, once that was told."""
+        """A send to a draining node after the grace period is a violation."""
         told = (2.0, "told", 0, "a", "drain")
 
         def at(when: float, *between: Event) -> list[str]:
@@ -147,8 +147,8 @@
         self.assertEqual(at(553.0, (3.0, "told", 0, "a", "up")), [])
         self.assertEqual(at(553.0, (3.0, "told", 0, "a", "gone")), ["drains"], "a second word does not start it anew")
 
-    def test_cold_nodes(self) -> None:
-        """Guards against a cold node pushed over, whether or not it fell in the log."""
+    def test_warming_nodes(self) -> None:
+        """More work than a warming node can do is a violation, whether or not it went down."""
         cold = (10.0, "node", "d", "up", 0, 0.5, 10_000.0)
         load = [(100.0 + n, "arrive", n, 0, "d", 100.0) for n in range(17)]
         self.assertEqual(rules(cold, *load[:15]), [])
@@ -158,7 +158,7 @@
         self.assertEqual(rules(cold, (50.0, "node", "d", "fell", 0, 0.0, 0.0)), ["cold nodes"])
 
     def test_quotas(self) -> None:
-        """Guards against units beyond a quota, through several gateways, that go unseen."""
+        """Units beyond a quota count over all gateways."""
         tries = [
             e
             for n in range(1, 6)
@@ -172,8 +172,8 @@
         self.assertEqual(rules(*tries, most=0.6), [])
         self.assertEqual(rules(*tries, most=0.5), ["quotas"])
 
-    def test_logs_come_back_from_their_lines(self) -> None:
-        """Guards against a log that is read as something else than was written."""
+    def test_journal_survives_encoding(self) -> None:
+        """A journal read from its lines equals the one written; a wrong line is named."""
         journal = Journal()
         for event in (WORLD, *NODES, ask(1)):
             journal.add(event[0], *event[1:])
@@ -183,8 +183,8 @@
                 read_journal([bad])
 
 
-def two_attempts(gateway: ModelGateway) -> None:
-    """Every attempt goes out, and a moment later once more, elsewhere."""
+def send_two_attempts(gateway: ModelGateway) -> None:
+    """Send some attempts a second time, to another node."""
     was = gateway.upstream.start
 
     def start(attempt: Attempt) -> None:
@@ -197,8 +197,8 @@
     gateway.upstream.start = start  # type: ignore[method-assign]
 
 
-def double_answer(gateway: ModelGateway) -> None:
-    """A refusal is said twice."""
+def answer_twice(gateway: ModelGateway) -> None:
+    """Give final answers twice."""
     was = gateway.core._finish
 
     def final(exchange_id: int, answer: Any) -> None:
@@ -211,8 +211,8 @@
     gateway.core._finish = final  # type: ignore[method-assign]
 
 
-def late_drain(gateway: ModelGateway) -> None:
-    """News of drains are kept from module and hops."""
+def withhold_drains(gateway: ModelGateway) -> None:
+    """Withhold drains from the decision module and the upstream side."""
     was = gateway.upstream.on_server_list, gateway.core.post
 
     def on_server_list(update: api.ServerList) -> None:
@@ -228,8 +228,8 @@
     gateway.core.post = post  # type: ignore[method-assign]
 
 
-def quota_twice(gateway: ModelGateway) -> None:
-    """Each gateway grants the whole quota to itself: it reads half of the counter's totals."""
+def overgrant_quota(gateway: ModelGateway) -> None:
+    """Read less than half of the counter's totals, so that each gateway grants too much."""
     was = gateway.core.on_counter_reply
 
     def counted(name: int, outcome: str, total: float, lag: float) -> None:
@@ -238,16 +238,16 @@
     gateway.core.on_counter_reply = counted  # type: ignore[method-assign]
 
 
-def any_pod(gateway: ModelGateway) -> None:
-    """A keyed class is repeated wherever there is room."""
+def retry_on_any_pod(gateway: ModelGateway) -> None:
+    """Retry keyed classes on any node."""
     settings = gateway.core.gateway.config
     for kind in settings.classes:
         object.__setattr__(kind, "effect", api.SAFE)
         object.__setattr__(kind, "group", "all")
 
 
-def mute(gateway: ModelGateway) -> None:
-    """Some requests are never answered."""
+def leave_unanswered(gateway: ModelGateway) -> None:
+    """Leave some requests unanswered."""
     was = gateway.core._close
 
     def close(exchange_id: int) -> Any:
@@ -261,22 +261,22 @@
 
 
 class Mutants(unittest.TestCase):
-    """Gateways that break a rule."""
+    """Gateways that violate a rule."""
 
-    def caught(self, scenario: str, mutant: Any, most: float | None = None) -> set[str]:
-        """The rules that a spoilt gateway breaks."""
+    def violated_rules(self, scenario: str, mutant: Any, most: float | None = None) -> set[str]:
+        """The rules that a mutant violates."""
         result = play(short_scenario(ROOT / "scenarios" / f"{scenario}.toml"), 3, mutant)
         found: list[Violation] = check(result.journal.events, most)
         return {violation.rule for violation in found}
 
-    def test_each_is_caught_and_the_good_one_is_not(self) -> None:
-        """Guards against a checker that cannot fail."""
+    def test_each_mutant_is_caught_and_the_gateway_itself_is_not(self) -> None:
+        """Each mutant violates its rule; the gateway as it is violates none."""
         most = 0.16  # of tries sent on: 0.141 are beyond in the good run, 0.182 with quotas kept by nobody
-        self.assertEqual(self.caught("calm", None, most), set())
-        self.assertEqual(self.caught("rolling", None), set())
-        self.assertEqual(self.caught("calm", two_attempts), {"one attempt at a time"})
-        self.assertIn("one final answer", self.caught("calm", double_answer))
-        self.assertIn("drains", self.caught("rolling", late_drain))
-        self.assertIn("quotas", self.caught("calm", quota_twice, most))
-        self.assertIn("resends", self.caught("resets", any_pod))
-        self.assertEqual(self.caught("calm", mute), {"one final answer"})
+        self.assertEqual(self.violated_rules("calm", None, most), set())
+        self.assertEqual(self.violated_rules("rolling", None), set())
+        self.assertEqual(self.violated_rules("calm", send_two_attempts), {"one attempt at a time"})
+        self.assertIn("one final answer", self.violated_rules("calm", answer_twice))
+        self.assertIn("drains", self.violated_rules("rolling", withhold_drains))
+        self.assertIn("quotas", self.violated_rules("calm", overgrant_quota, most))
+        self.assertIn("resends", self.violated_rules("resets", retry_on_any_pod))
+        self.assertEqual(self.violated_rules("calm", leave_unanswered), {"one final answer"})
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -1,4 +1,4 @@
-"""Time lines of faults between gateways, and what they make of links: by known answers."""
+"""Timelines of faults between gateways, and the state of links under them."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 ALL = [f"g{n}" for n in range(6)]
 
 
-class Lines(unittest.TestCase):
-    """The file."""
+class TimelineFiles(unittest.TestCase):
+    """The files."""
 
     def read(self, text: str) -> FaultTimeline:
         with tempfile.TemporaryDirectory() as folder:
@@ -23,8 +23,8 @@
             path.write_text(text)
             return read(str(path), FaultTimeline)
 
-    def test_whom_and_when(self) -> None:
-        """Guards against a fault that befalls others than it names, or at another time."""
+    def test_parties_and_times(self) -> None:
+        """Names and ranges of parties, ratios and repetitions are resolved."""
         self.assertEqual(gateway_numbers(("g1", "g3-g4", "nodes"), 6), [1, 3, 4])
         self.assertEqual(gateway_numbers(("gateways",), 3), [0, 1, 2])
         self.assertEqual(gateway_numbers(("g4-g9",), 6), [4, 5])
@@ -33,8 +33,8 @@
         line = self.read('seconds = 9\n[[troubles]]\nkind = "cut"\nat_s = 1\nfor_s = 0.5\nevery_s = 2\nuntil_s = 6\n')
         self.assertEqual(line.faults[0].times(), [(1000, 1500), (3000, 3500), (5000, 5500)])
 
-    def test_what_cannot_be_is_named(self) -> None:
-        """Guards against a time line in which nothing happens."""
+    def test_errors_name_the_field(self) -> None:
+        """A fault that cannot happen is an error that names the field."""
         for body, field in (
             ('kind = "split"\nat_s = 1\n', "parts"),
             ('kind = "kill"\nat_s = 1\n', "whom"),
@@ -47,8 +47,8 @@
             self.assertIn(field, str(caught.exception))
 
 
-class Ways(unittest.TestCase):
-    """Links."""
+class LinkFaults(unittest.TestCase):
+    """The state of links."""
 
     def setUp(self) -> None:
         self.links = Links(6, Streams(1).of("links"))
@@ -56,8 +56,8 @@
     def passing(self) -> set[tuple[str, str]]:
         return {(a, b) for a in ALL for b in ALL if a != b and self.links.datagram_delays(a, b)}
 
-    def test_cuts_befall_just_what_they_name_and_end(self) -> None:
-        """Guards against a cut that is wider than it says, or stays."""
+    def test_cuts_affect_only_the_named_links_until_they_end(self) -> None:
+        """Cuts and splits affect the links that they name, and none once they have ended."""
         everything = self.passing()
         self.assertEqual(len(everything), 30)
         one = self.links.begin(FleetFault("cut", 0.0, whom=("g0",), to=("g1",), one_way=True))
@@ -76,8 +76,8 @@
         self.links.end_all()
         self.assertFalse(self.links.is_cut("g2", "nodes"))
 
-    def test_shares_are_kept_over_many(self) -> None:
-        """Guards against losses that are not those asked for."""
+    def test_loss_and_duplication_ratios(self) -> None:
+        """Over many datagrams the ratios of loss, duplication and delay are those of the faults."""
         self.links.begin(FleetFault("drop", 0.0, share=0.3))
         self.links.begin(FleetFault("duplicate", 0.0, share=0.5))
         copies = [len(self.links.datagram_delays("g0", "g1")) for _ in range(4000)]
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -49,7 +49,7 @@
         return super().select(0)
 
 
-class Stalling:
+class StallingServer:
     """A server in memory that answers in 1 ms, but for one stall; knows each true delay."""
 
     def __init__(self, loop: JumpingLoop, stall: tuple[float, float]) -> None:
@@ -76,7 +76,7 @@
 
 
 class _Side:
-    def __init__(self, server: Stalling, reader: asyncio.StreamReader) -> None:
+    def __init__(self, server: StallingServer, reader: asyncio.StreamReader) -> None:
         self._server, self._reader = server, reader
 
     def write(self, data: bytes) -> None:
@@ -86,16 +86,16 @@
         """Nothing to close."""
 
 
-class Truth(unittest.TestCase):
-    """Percentiles, on a clock of the test's own."""
+class Percentiles(unittest.TestCase):
+    """Percentiles, on a clock that jumps."""
 
     def setUp(self) -> None:
         self.loop = JumpingLoop()
         self.addCleanup(self.loop.close)
 
-    def test_a_stall_of_two_seconds_is_told_as_it_was(self) -> None:
-        """Guards against a generator that stops asking while the server stands still, and so hides the delay."""
-        server = Stalling(self.loop, (1.0, 3.0))
+    def test_stall_of_two_seconds_is_measured_as_it_was(self) -> None:
+        """The generator keeps sending during a stall, and its percentiles are those of the true delays."""
+        server = StallingServer(self.loop, (1.0, 3.0))
         hosts = ("", "acme.example.org")
         asked = [
             msgspec.structs.replace(line, customer=f"{number:016x}", tenant=hosts[number % 2])
@@ -115,9 +115,9 @@
         self.assertIn(b"Host: acme.example.org\r\n", server.heard)
         self.assertGreater(server.connections, 250, "each request of the stall has gone")
 
-    def test_a_closed_loop_beside_it_hides_the_stall(self) -> None:
-        """Guards against a belief that the two ways of asking tell the same."""
-        server = Stalling(self.loop, (1.0, 3.0))
+    def test_closed_loop_hides_the_stall(self) -> None:
+        """A closed loop sees one slow request of the same stall (coordinated omission)."""
+        server = StallingServer(self.loop, (1.0, 3.0))
 
         async def ask() -> list[float]:
             reader, writer = await server.connect("", 0)
@@ -134,9 +134,9 @@
         self.assertEqual(sum(ms > 500 for ms in seen), 1)
         self.assertLess(float(np.percentile(seen, 99)), 10.0)
 
-    def test_a_generator_that_cannot_keep_up_says_so(self) -> None:
-        """Guards against figures of a run that measured the generator."""
-        server = Stalling(self.loop, (9.0, 9.0))
+    def test_late_generator_makes_the_run_invalid(self) -> None:
+        """A run whose generator was late is invalid, and its latencies count from the due times."""
+        server = StallingServer(self.loop, (9.0, 9.0))
         asked = make_requests(arrival_times("constant", 200.0, 1.0, 1), MIX, 1)
         worker = LoadWorker(LoadPlan("127.0.0.1:9", "http", asked), 0.0, self.loop.time, server.connect)
 
@@ -150,7 +150,7 @@
         self.assertGreater(tally.p99_send_delay_ms, 100.0)
 
 
-class Prompt(StandIn):
+class PromptServer(StandIn):
     """Answers each request at once, on a real socket."""
 
     async def serve(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -160,17 +160,17 @@
             writer.write(http(200, b"x"))
 
 
-class Sockets(unittest.IsolatedAsyncioTestCase):
-    """What the wire adds."""
+class SocketFailures(unittest.IsolatedAsyncioTestCase):
+    """Failures on real sockets."""
 
     async def asyncSetUp(self) -> None:
         # unittest turns the loop's debugging on, which costs more than what is measured.
         asyncio.get_running_loop().set_debug(False)
 
-    async def test_what_breaks_is_told_by_cause(self) -> None:
-        """Guards against failures that are counted as service, or not at all."""
+    async def test_failures_are_tallied_by_cause(self) -> None:
+        """Aborted connections, rejections and errors have statuses of their own."""
 
-        class Odd(StandIn):
+        class FailingServer(StandIn):
             async def serve(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 for turn in range(1000):
                     first, *_ = await read_http(reader)
@@ -178,7 +178,7 @@
                         return writer.transport.abort()
                     writer.write(http([200, 429, 503, 502][turn % 4], b"x"))
 
-        server = Odd()
+        server = FailingServer()
         await server.start()
         asked = make_requests(arrival_times("constant", 100.0, 1.0, 1), MIX, 1)
         tally = await LoadWorker(LoadPlan(server.address, "http", asked), time.monotonic()).run(asked)
@@ -188,9 +188,9 @@
         self.assertGreater(tally.statuses["refused"], tally.statuses["failed 502"])
         await server.stop()
 
-    async def test_several_processes_and_the_command(self) -> None:
-        """Guards against parts of a run that are lost between processes."""
-        server = Prompt()
+    async def test_command_with_several_workers(self) -> None:
+        """The tallies of all workers add up."""
+        server = PromptServer()
         await server.start()
         done = await asyncio.to_thread(
             run_command,
@@ -214,8 +214,8 @@
 class Schedules(unittest.TestCase):
     """Shapes, traces, addresses."""
 
-    def test_shapes_ask_for_the_rate(self) -> None:
-        """Guards against a shape that asks for more or less than was told."""
+    def test_shapes_keep_the_mean_rate(self) -> None:
+        """Each shape has the mean rate, and its own course."""
         for shape in ("poisson", "constant", "bursts", "ramp", "onoff"):
             made = arrival_times(shape, 200.0, 20.0, 5)
             self.assertEqual(made, sorted(made))
@@ -224,8 +224,8 @@
         self.assertLess(sum(at < 10_000 for at in ramp), len(ramp) * 0.3)
         self.assertEqual([at for at in arrival_times("onoff", 50.0, 4.0, 1) if 1000 <= at < 2000], [])
 
-    def test_a_trace_comes_back_as_it_was(self) -> None:
-        """Guards against a replay of something else."""
+    def test_trace_survives_encoding(self) -> None:
+        """A trace read from its lines equals the one written; a wrong line is named."""
         asked = make_requests(arrival_times("bursts", 50.0, 4.0, 1), MIX, 1)
         self.assertEqual(read_trace(write_trace(asked)), asked)
         good = next(write_trace(asked[1:]))
@@ -233,8 +233,8 @@
             with self.subTest(line=bad), self.assertRaisesRegex(ValueError, "line 2"):
                 read_trace([good, bad])
 
-    def test_only_loopback(self) -> None:
-        """Guards against load on anybody else's server."""
+    def test_only_loopback_addresses_are_accepted(self) -> None:
+        """Addresses of other networks are errors."""
         for address in ("10.0.0.1:80", "192.168.1.1:80", "8.8.8.8:53", "example.org:80", "[2001:db8::1]:80"):
             with self.subTest(address=address), self.assertRaises(ValueError):
                 parse_loopback_address(address)
--- a/tests/lab/test_sockets.py
+++ b/tests/lab/test_sockets.py
@@ -1,4 +1,4 @@
-"""The world on real sockets, with real gateways: the rules hold there too."""
+"""Runs on real sockets with real gateway processes."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from tests.stand_ins import ROOT
 
 
-class Sockets(unittest.IsolatedAsyncioTestCase):
-    """Short runs."""
+class SocketRuns(unittest.IsolatedAsyncioTestCase):
+    """Short runs, checked by the rules."""
 
     async def asyncSetUp(self) -> None:
         # unittest turns the loop's debugging on, which would make slow nodes of all of them.
         asyncio.get_running_loop().set_debug(False)
 
     async def short(self, name: str, settings: dict[str, Any] | None = None) -> SocketRun:
-        """A scenario's faults within six seconds."""
+        """Run a scenario with its faults within six seconds."""
         whole = replaced(
             read(str(ROOT / "scenarios" / f"{name}.toml"), Scenario),
             {
@@ -42,8 +42,8 @@
         await run.play()
         return run
 
-    async def test_the_rules_hold_on_sockets_while_gateways_and_nodes_die(self) -> None:
-        """Guards against rules that hold in the model alone, and an emulator whose log says something else."""
+    async def test_rules_hold_while_gateways_and_nodes_die(self) -> None:
+        """The journal has all kinds of events, and no rule is violated."""
         run = await self.short("gateways-die")
         events = run.journal.events
         self.assertEqual([str(b) for b in check(events)], [])
@@ -52,8 +52,8 @@
         self.assertIn("killed", {event[3] for event in events if event[1] == "gateway"})
         self.assertGreater(figures(events, run.traffic, run.counter.calls).service, 0.5)
 
-    async def test_a_gateway_that_stood_still_and_one_that_reads_its_file_again(self) -> None:
-        """Guards against a gateway that breaks a rule once it was stopped, or moved to another counter or list."""
+    async def test_suspended_and_reloaded_gateways(self) -> None:
+        """A gateway that was suspended, or moved to another counter and discovery, violates no rule."""
         run = await self.short("gateways-stop")
         events = run.journal.events
         self.assertEqual([str(b) for b in check(events)], [])
@@ -63,19 +63,19 @@
         reloaded = [event for event in events if event[1] == "gateway" and event[3] == "reloaded"]
         number = reloaded[0][2]
         later = [e for e in events if e[1] == "told" and e[2] == number and e[0] > reloaded[0][0]]
-        self.assertTrue(later, "it asked the new discovery for the list")
+        self.assertTrue(later, "it polls the new discovery")
 
-    async def test_a_counter_that_speaks_resp(self) -> None:
-        """Guards against quotas that hold with one form of the counter alone."""
+    async def test_counter_over_resp(self) -> None:
+        """Quotas are counted over RESP too."""
         run = await self.short("counter-slow", {"world.counter_form": "resp", "traffic.heavy": 0.5})
         events = run.journal.events
         self.assertEqual([str(b) for b in check(events)], [])
         self.assertGreater(run.counter.calls, 50)
         counted = run.counter.totals()
-        self.assertGreater(sum(counted), 20.0, "units were added, not refused")
+        self.assertGreater(sum(counted), 20.0, "units were added, not rejected")
 
-    async def test_all_nodes_are_replaced(self) -> None:
-        """Guards against a drain that is missed, or a client left without an answer, where real processes do it."""
+    async def test_rolling_replacement_of_all_nodes(self) -> None:
+        """All nodes are drained and replaced without a violation."""
         run = await self.short("rolling")
         self.assertEqual([str(b) for b in check(run.journal.events)], [])
         drained = [e for e in run.journal.events if e[1] == "node" and e[3] == "drain"]
--- a/tests/lab/test_traces.py
+++ b/tests/lab/test_traces.py
@@ -1,4 +1,4 @@
-"""Traces from elsewhere: recorded before a real gateway, imported from logs and tables."""
+"""Traces that are recorded before a gateway, or imported from logs and tables."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
             writer.write(http(200, first.split()[1].encode()))
 
 
-class Recorded(unittest.IsolatedAsyncioTestCase):
-    """The pass-through."""
+class RecordedTraces(unittest.IsolatedAsyncioTestCase):
+    """The recording proxy."""
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
@@ -58,11 +58,11 @@
         await self.gateway.stop()
 
     def trace(self) -> list[TraceRequest]:
-        """What was recorded."""
+        """The recorded trace."""
         return read_trace(self.file.getvalue().splitlines())
 
-    async def test_what_is_recorded_is_what_was_asked(self) -> None:
-        """Guards against a trace that loses, changes or reorders requests on the way."""
+    async def test_all_requests_are_recorded_and_served(self) -> None:
+        """The recorded requests are those sent, and all are served."""
         mix = RequestMix(
             {"inspect": MixedClass(0.6, 4000, False), "reject": MixedClass(0.4, 1500, True)},
             {"a": 0.5, "b": 0.5},
@@ -81,8 +81,8 @@
             (self.recorder.recorded, self.recorder.skipped, self.recorder.unreadable_connections), (len(asked), 0, 0)
         )
 
-    async def test_pieces_several_at_once_and_what_is_no_request(self) -> None:
-        """Guards against a recorder that changes bytes, or breaks what it cannot read."""
+    async def test_split_and_pipelined_requests_and_other_bytes(self) -> None:
+        """Requests in pieces and pipelined ones are recorded; other bytes pass through and are counted."""
         reader, writer = await asyncio.open_connection(*parse_loopback_address(self.recorder.address))
         line = TraceRequest(0.0, "inspect", f"{7:016x}", "a")
         data = HttpProtocol(1).encode(line) * 2 + b"GET /_health HTTP/1.1\r\nHost: s\r\n\r\n"
@@ -100,8 +100,8 @@
         odd.close()
         writer.close()
 
-    async def test_the_command(self) -> None:
-        """Guards against a command that loses its end."""
+    async def test_record_command(self) -> None:
+        """The command ends after its time, and reports a wrong address in one line."""
         with tempfile.TemporaryDirectory() as folder:
             out = Path(folder) / "t"
             done = await asyncio.to_thread(
@@ -124,11 +124,11 @@
         self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
 
 
-class Imported(unittest.TestCase):
-    """Logs and tables."""
+class ImportedTraces(unittest.TestCase):
+    """Imports from logs and tables."""
 
-    def test_an_access_log(self) -> None:
-        """Guards against requests that move in time, across zones, or are taken for others."""
+    def test_access_log(self) -> None:
+        """Times of all zones are converted, and other requests are left out."""
         imported = import_access_log(LOG.splitlines(), AccessLogDefaults("small-shop", 3000, 50))
         found = imported.requests
         self.assertEqual(
@@ -145,8 +145,8 @@
             with self.subTest(line=bad), self.assertRaisesRegex(ValueError, "line 2"):
                 import_access_log([LOG.splitlines()[0], bad], AccessLogDefaults("p", 1, 1))
 
-    def test_a_table(self) -> None:
-        """Guards against columns that are mixed up, and rows out of order that go back in time."""
+    def test_csv_table(self) -> None:
+        """Columns are found by name and rows sorted by time; a wrong line is named."""
         rows = [
             "time,class,customer,plan,units,body",
             "2026-12-01T10:00:01.250+00:00,reject,b,p,2,64",
@@ -170,15 +170,15 @@
                 import_csv(bad, 900)
 
     @given(st.lists(st.tuples(st.floats(0, 1e6), st.sampled_from(["x", "y"]), st.integers(0, 99)), max_size=20))
-    def test_any_table_is_a_trace(self, rows: list[tuple[float, str, int]]) -> None:
-        """Guards against an import that the load tool cannot read."""
+    def test_any_csv_table_gives_a_readable_trace(self, rows: list[tuple[float, str, int]]) -> None:
+        """Whatever the rows, the trace survives encoding."""
         text = ["at_ms,class,customer,plan", *(f"{at!r},{klass},{who:016x},p" for at, klass, who in rows)]
         found = import_csv(text, 100)
         self.assertEqual(len(found), len(rows))
         self.assertEqual(read_trace(write_trace(found)), found)
 
-    def test_the_command(self) -> None:
-        """Guards against bad input that costs more than a line."""
+    def test_import_command(self) -> None:
+        """The command counts the requests, and reports wrong input in one line."""
         with tempfile.TemporaryDirectory() as folder:
             log, out = Path(folder) / "log", Path(folder) / "out"
             log.write_text(LOG)
--- a/tests/lab/test_virtual_run.py
+++ b/tests/lab/test_virtual_run.py
@@ -1,4 +1,4 @@
-"""The world in virtual time: every scenario under a few seeds, by the rules, and the same to the byte each time."""
+"""Runs in virtual time: every scenario under a few seeds, checked by the rules, and replayed byte for byte."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 SEEDS = [int(seed) for seed in os.environ.get("HALLHITCH_LAB_SEEDS", "1 2").split()]
 
 
-class Rules(unittest.TestCase):
-    """All scenarios."""
+class AllScenarios(unittest.TestCase):
+    """The rules in all scenarios."""
 
-    def test_no_rule_is_broken_whatever_fails(self) -> None:
-        """Guards against a decision that breaks a rule under any of the faults that were seen in service."""
+    def test_no_scenario_violates_a_rule(self) -> None:
+        """No rule is violated under the faults that were seen in service, and none of them loses half the service."""
         for path in SCENARIOS:
             for seed in SEEDS:
                 with self.subTest(scenario=path.stem, seed=seed):
@@ -37,11 +37,11 @@
                     self.assertEqual(found.missed, 0)
 
 
-class Places(unittest.TestCase):
-    """What a gateway of a large fleet is told of itself."""
+class GatewayIndexes(unittest.TestCase):
+    """The indexes that gateways of a large fleet get."""
 
-    def test_each_gateway_has_a_number_of_its_own_and_no_node_is_left_alone(self) -> None:
-        """Guards against a lab whose gateways all take themselves for the first, and keep to the same few nodes."""
+    def test_gateways_have_distinct_indexes_and_subsets_cover_all_nodes(self) -> None:
+        """Each gateway has an index of its own, and the subsets together have all nodes."""
         base = replaced(short_scenario(ROOT / "scenarios" / "calm.toml"), {"world.gateways": 12, "world.nodes": 40})
         run = VirtualRun(base, 3)
         modules = [gateway.core.gateway for gateway in run.gateways.values() if gateway is not None]
@@ -51,11 +51,11 @@
         self.assertEqual(set(near), set(run.nodes))
 
 
-class Same(unittest.TestCase):
-    """What makes two runs comparable."""
+class Replay(unittest.TestCase):
+    """Runs that can be compared."""
 
-    def test_one_seed_one_log_whatever_the_hash_seed(self) -> None:
-        """Guards against a result that changes with the order of hash tables or with what ran before."""
+    def test_same_seed_gives_the_same_journal_under_any_hash_seed(self) -> None:
+        """A journal depends on scenario and seed, not on the order of hash tables or on earlier runs."""
         code = (
             "import hashlib, structlog, logging\n"
             "structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))\n"
@@ -77,8 +77,8 @@
             )
             self.assertEqual(done.stdout.strip(), here.hexdigest(), done.stderr)
 
-    def test_a_change_in_one_part_leaves_the_draws_of_the_others(self) -> None:
-        """Guards against two settings compared on two different days."""
+    def test_streams_are_independent(self) -> None:
+        """Settings of other parts leave the traffic as it is; another seed changes it."""
 
         def asked(result: Result) -> list[tuple[float, str, float]]:
             return [(i.due_at, i.key, i.service_ms) for i in result.traffic.intents]
@@ -91,8 +91,8 @@
         two.of("another part").random()
         self.assertEqual([one.of("x").random() for _ in range(3)], [two.of("x").random() for _ in range(3)])
 
-    def test_a_setting_that_is_not_there_is_named(self) -> None:
-        """Guards against an experiment that varies nothing."""
+    def test_unknown_setting_is_an_error(self) -> None:
+        """A path that leads to no field is an error."""
         base = read(str(ROOT / "scenarios" / "calm.toml"), Scenario)
         for path in ("world.nodez", "wrld.nodes", "classes.inspekt.aim"):
             with self.subTest(path=path), self.assertRaises(ValueError):
