--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -32,7 +32,9 @@
 from hallhitch.lab import virtual_run
 from hallhitch.lab.figures import figures
 from hallhitch.lab.fleet.cluster import Cluster, ClusterOptions
-from hallhitch.lab.fleet.processes import GatewayFleet, gateway_host, member_states
+from hallhitch.lab.fleet.member_views import member_states
+from hallhitch.lab.fleet.processes import GatewayFleet
+from hallhitch.lab.fleet.relay import gateway_host
 from hallhitch.lab.fleet.timeline import FleetFault
 from hallhitch.lab.scenario import Fault, Scenario, replaced
 from hallhitch.lab.statistics import bootstrap_interval
--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -57,7 +57,7 @@
 
 async def watch_views(run: GatewayFleet) -> None:
     """Print how many members each gateway sees, whenever that changes."""
-    from hallhitch.lab.fleet.processes import present_members
+    from hallhitch.lab.fleet.member_views import present_members
 
     loop, printed = asyncio.get_running_loop(), ""
     began_s = loop.time()
--- a/hallhitch/lab/fleet/processes.py
+++ b/hallhitch/lab/fleet/processes.py
@@ -10,17 +10,17 @@
 import asyncio
 import json
 import signal
-import socket
 import tempfile
 from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Final, cast
+from typing import Any, Final
 
 from hallhitch.lab.errors import GatewayNotRunningError
 from hallhitch.lab.fleet.links import Links
+from hallhitch.lab.fleet.member_views import MEMBERS_PATH, View, fetch, member_states, present_members
+from hallhitch.lab.fleet.relay import Relay, gateway_host, relay_host
 from hallhitch.lab.fleet.timeline import FaultTimeline, FleetFault, gateway_numbers
-from hallhitch.lab.http_messages import read_message
 from hallhitch.lab.scenario import Scenario
 from hallhitch.lab.sockets.listener import free_port
 from hallhitch.lab.sockets.run import SocketRun
@@ -28,41 +28,8 @@
 
 VIEW_POLL_S: Final = 0.03  # between looks at the gateways' views
 WAIT_TIMEOUT_S: Final = 60.0  # for a condition of the views to hold
-FETCH_TIMEOUT_S: Final = 5.0  # for a gateway's operator address to answer
 MAX_STALLED_DATAGRAMS: Final = 4_096  # that are kept on stalled links
-RELAY_BUFFER_BYTES: Final = 1 << 20  # of a relay's socket, so that bursts of a large fleet are not lost there
 SEEDS: Final = (0, 1, 2)  # gateways whose addresses each gateway is started with
-View = dict[str, Any]  # the answer of a gateway's /api/members
-
-
-def gateway_host(number: int) -> str:
-    """The loopback address of a gateway."""
-    return f"127.1.{number >> 8}.{1 + (number & 255)}" if number & 255 != 255 else f"127.1.{number >> 8}.0"
-
-
-def relay_host(number: int) -> str:
-    """The loopback address of a gateway's relay."""
-    return gateway_host(number).replace("127.1.", "127.2.", 1)
-
-
-class Relay(asyncio.DatagramProtocol):
-    """Receives the datagrams for a gateway at the address that it advertises."""
-
-    def __init__(self, number: int, fleet: GatewayFleet) -> None:
-        self.number = number
-        self._fleet = fleet
-        self.transport: asyncio.DatagramTransport
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket's transport."""
-        self.transport = cast(asyncio.DatagramTransport, transport)
-
-    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Forward a datagram for this gateway."""
-        self._fleet.forward(addr[0], self.number, data)
-
-    def error_received(self, exc: Exception) -> None:
-        """Ignore that a gateway does not listen: the datagram is lost, as on any network."""
 
 
 class GatewayFleet(SocketRun):
@@ -112,16 +79,10 @@
 
     async def open(self, folder: Path) -> None:
         """Start the relays, then all parties."""
-        loop = asyncio.get_running_loop()
         for number in range(self.count if self._has_membership else 0):
-            sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RELAY_BUFFER_BYTES)
-            sock.bind((relay_host(number), self.port))
-            sock.setblocking(False)
-            _, self.relays[number] = await loop.create_datagram_endpoint(
-                lambda number=number: Relay(number, self),  # type: ignore[misc]
-                sock=sock,
-            )
+            relay = Relay(number, self.forward)
+            await relay.open(self.port)
+            self.relays[number] = relay
         await super().open(folder)
 
     def _gateway_address(self, number: int) -> tuple[str, int]:
@@ -292,15 +253,9 @@
             if process is not None and number not in self.router.suspended
         ]
 
-    async def fetch(self, number: int, path: str = "/api/members", host: str = "") -> Any:
+    async def fetch(self, number: int, path: str = MEMBERS_PATH, host: str = "") -> Any:
         """Fetch a path from a gateway's operator address: decoded JSON for its view, text otherwise."""
-        reader, writer = await asyncio.open_connection(host or gateway_host(number), self.ops_port)
-        try:
-            writer.write(f"GET {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
-            _, _, body = await asyncio.wait_for(read_message(reader), FETCH_TIMEOUT_S)
-        finally:
-            writer.close()
-        return json.loads(body) if path == "/api/members" else body.decode()
+        return await fetch(host or gateway_host(number), self.ops_port, path)
 
     async def fetch_views(self) -> dict[int, View]:
         """Fetch the views of all running gateways; those that fail to answer are left out."""
@@ -341,17 +296,3 @@
     def log_lines_of(self, number: int, event: str) -> list[dict[str, Any]]:
         """The lines of a gateway's log with an event."""
         return [line for line in self.log_lines[number] if line.get("event") == event]
-
-
-def present_members(view: View) -> list[str]:
-    """The names of the members that a view holds to be present."""
-    return [member["name"] for member in view["members"] if member["state"] in ("alive", "suspect")]
-
-
-def member_states(view: View) -> dict[str, str]:
-    """The states in a view by name; of several instances of a name, that of the one most alive."""
-    order = ("left", "failed", "suspect", "alive")
-    return {
-        member["name"]: member["state"]
-        for member in sorted(view["members"], key=lambda member: order.index(member["state"]))
-    }
--- a/hallhitch/lab/scenario.py
+++ b/hallhitch/lab/scenario.py
@@ -173,7 +173,7 @@
 
     def settings(self, rates: dict[str, tuple[float, float]]) -> api.Settings:
         """Make the settings of its gateways; `rates` has the drawn rate and burst of each plan."""
-        w = self.world
+        world = self.world
         classes = tuple(
             api.RequestClass(
                 name, k.aim, k.deadline, k.worth, k.effect, "cell" if k.effect == "keyed" else "all", k.window
@@ -185,19 +185,19 @@
             for name, p in self.plans.items()
         )
         return api.Settings(
-            w.gateways,
+            world.gateways,
             classes,
             plans,
-            counter_timeout=w.counter_timeout,
-            attempts=w.attempts,
+            counter_timeout=world.counter_timeout,
+            attempts=world.attempts,
             can_cancel=True,
             can_advise=True,
             max_advice=1000.0,
-            keepalive=w.keepalive,
-            cold_time=w.cold_s * 1000,
-            cold_from=w.cold_from,
-            fall_time=w.fall_ms,
-            fall_multiple=w.fall_multiple,
+            keepalive=world.keepalive,
+            cold_time=world.cold_s * 1000,
+            cold_from=world.cold_from,
+            fall_time=world.fall_ms,
+            fall_multiple=world.fall_multiple,
         )
 
 
@@ -213,8 +213,8 @@
     """Make the fields of a journal's first event: what figures and checker need of the scenario."""
     classes = {k.name: [k.aim, k.deadline, k.worth, k.effect, k.repeat_window] for k in settings.classes}
     plans = {p.name: [p.rate, p.burst, p.price, p.beyond_worth, p.beyond_cost] for p in settings.plans}
-    w = scenario.world
-    return classes, plans, [w.cold_from, w.fall_ms, w.fall_multiple], scenario.seconds
+    world = scenario.world
+    return classes, plans, [world.cold_from, world.fall_ms, world.fall_multiple], scenario.seconds
 
 
 def replaced(scenario: Scenario, settings: dict[str, Any]) -> Scenario:
--- a/tests/membership/fleet_case.py
+++ b/tests/membership/fleet_case.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from hallhitch.lab.checker import check
-from hallhitch.lab.fleet.processes import GatewayFleet, View, member_states, present_members
+from hallhitch.lab.fleet.member_views import View, member_states, present_members
+from hallhitch.lab.fleet.processes import GatewayFleet
 from hallhitch.lab.scenario import Scenario, replaced
 from hallhitch.settings_file import read
 from tests.stand_ins import ROOT
--- a/tests/membership/test_foreign_members.py
+++ b/tests/membership/test_foreign_members.py
@@ -6,7 +6,9 @@
 import socket
 from typing import Any
 
-from hallhitch.lab.fleet.processes import GatewayFleet, gateway_host, member_states
+from hallhitch.lab.fleet.member_views import member_states
+from hallhitch.lab.fleet.processes import GatewayFleet
+from hallhitch.lab.fleet.relay import gateway_host
 from hallhitch.membership.messages import PROTOCOL_VERSION, Ping, encode
 from hallhitch.membership.records import MemberRecord, MemberState
 from tests.membership.fleet_case import FleetCase, make_fleet
--- a/tests/membership/test_link_faults.py
+++ b/tests/membership/test_link_faults.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from hallhitch.lab.fleet.processes import member_states, present_members
+from hallhitch.lab.fleet.member_views import member_states, present_members
 from hallhitch.lab.fleet.timeline import FleetFault
 from tests.membership.fleet_case import FAST_SETTINGS, FleetCase, make_fleet, sees_exactly
 
--- a/tests/membership/test_members_command.py
+++ b/tests/membership/test_members_command.py
@@ -7,7 +7,7 @@
 import subprocess
 import sys
 
-from hallhitch.lab.fleet.processes import gateway_host
+from hallhitch.lab.fleet.relay import gateway_host
 from tests.membership.fleet_case import FleetCase, make_fleet
 from tests.stand_ins import ROOT
 
--- a/tests/membership/test_process_faults.py
+++ b/tests/membership/test_process_faults.py
@@ -5,7 +5,9 @@
 import asyncio
 import signal
 
-from hallhitch.lab.fleet.processes import GatewayFleet, gateway_host, member_states
+from hallhitch.lab.fleet.member_views import member_states
+from hallhitch.lab.fleet.processes import GatewayFleet
+from hallhitch.lab.fleet.relay import gateway_host
 from tests.membership.fleet_case import FleetCase, all_views_hold, make_fleet
 from tests.stand_ins import soon
 
