--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -15,10 +15,12 @@
 
 if TYPE_CHECKING:
     from hallhitch.lab.fleet.processes import GatewayFleet
+    from hallhitch.lab.fleet.timeline import FaultTimeline
     from hallhitch.lab.scenario import Scenario
 
 SCENARIOS: Final = Path(__file__).parents[2] / "scenarios"
 WATCH_INTERVAL_S: Final = 0.2
+DEMO_S: Final = 45.0  # long enough for the cut, the agreement after it and the traffic beside them
 CUT_S: Final = 6.0  # that the halves of the demo serve alone, once each has noticed
 PRINTED_FIGURES: Final = ("service", "in_time", "refused", "failed", "attempts", "p50", "p99")
 PRINTED_EVENNESS: Final = (
@@ -80,39 +82,10 @@
     """A dozen gateways under traffic: cut in two, healed, and what each sees of the others. Exit code 1 if a rule was
     broken or they did not come together again."""
     from hallhitch.lab.checker import check
-    from hallhitch.lab.fleet.processes import GatewayFleet
-    from hallhitch.lab.fleet.timeline import FleetFault
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
-    scenario = prepare_scenario("calm", gateways, 45.0)
-
-    async def play() -> GatewayFleet:
-        async with GatewayFleet(scenario, seed) as run:
-            click.echo(f"{gateways} gateways, {scenario.world.nodes} nodes; how many others and itself each sees")
-            click.echo(f"{'s':>6}  " + " ".join(f"{f'n{n}':>2}"[:3] for n in range(gateways)))
-            shown, load = asyncio.create_task(watch_views(run)), asyncio.create_task(run.drive())
-            click.echo(f"        one view after {await run.wait_until_agreed():.1f} s")
-            cut = run.begin_fault(FleetFault("split", 0.0, parts=(0.5, 0.5)))
-            click.echo("        the links between the first half and the second are cut")
-            half = gateways - gateways // 2
-            took = await run.wait_until(
-                lambda views: all(
-                    sum(m["state"] in ("alive", "suspect") for m in v["members"]) <= half for v in views.values()
-                )
-            )
-            click.echo(f"        each half by itself after {took:.1f} s; both go on serving")
-            await asyncio.sleep(CUT_S)
-            run.end_fault(cut)
-            click.echo("        the links are whole again")
-            click.echo(f"        one view after {await run.wait_until_agreed():.1f} s")
-            took = await run.wait_until(lambda views: all(v["places"] == gateways for v in views.values()))
-            click.echo(f"        all count on all again after another {took:.1f} s")
-            await load
-            shown.cancel()
-            return run
-
     try:
-        run = asyncio.run(play())
+        run = asyncio.run(_play_demo(prepare_scenario("calm", gateways, DEMO_S), seed))
     except TimeoutError as error:
         raise Failure(f"the gateways did not come to one view: {error}") from error
     violations = check(run.journal.events)
@@ -121,6 +94,43 @@
     click.echo("no rule broken")
 
 
+async def _play_demo(scenario: Scenario, seed: int) -> GatewayFleet:
+    """Run the demo's traffic, with the cut meanwhile."""
+    from hallhitch.lab.fleet.processes import GatewayFleet
+
+    gateways = scenario.world.gateways
+    async with GatewayFleet(scenario, seed) as run:
+        click.echo(f"{gateways} gateways, {scenario.world.nodes} nodes; how many others and itself each sees")
+        click.echo(f"{'s':>6}  " + " ".join(f"{f'n{n}':>2}"[:3] for n in range(gateways)))
+        watching, traffic = asyncio.create_task(watch_views(run)), asyncio.create_task(run.drive())
+        click.echo(f"        one view after {await run.wait_until_agreed():.1f} s")
+        await _cut_and_heal(run)
+        await traffic
+        watching.cancel()
+        return run
+
+
+async def _cut_and_heal(run: GatewayFleet) -> None:
+    """Cut the gateways in two halves for a while, and wait until all count on all again."""
+    from hallhitch.lab.fleet.member_views import present_members
+    from hallhitch.lab.fleet.timeline import FleetFault
+
+    gateways = run.count
+    larger_half = gateways - gateways // 2
+    cut = run.begin_fault(FleetFault("split", 0.0, parts=(0.5, 0.5)))
+    click.echo("        the links between the first half and the second are cut")
+    seconds = await run.wait_until(
+        lambda views: all(len(present_members(view)) <= larger_half for view in views.values())
+    )
+    click.echo(f"        each half by itself after {seconds:.1f} s; both go on serving")
+    await asyncio.sleep(CUT_S)
+    run.end_fault(cut)
+    click.echo("        the links are whole again")
+    click.echo(f"        one view after {await run.wait_until_agreed():.1f} s")
+    seconds = await run.wait_until(lambda views: all(view["places"] == gateways for view in views.values()))
+    click.echo(f"        all count on all again after another {seconds:.1f} s")
+
+
 @fleet.command("report")
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--write", type=click.Path(path_type=Path), required=True, help="The HTML page.")
@@ -177,10 +187,7 @@
     """Play SCENARIO (a name or a file, or a case of a file of them: cases/evenness:zone) on real gateways, with the
     faults of a time line. Exit code 1 if a rule was broken, or if the rig was too late itself to be believed."""
     from hallhitch.lab.checker import check
-    from hallhitch.lab.evenness import evenness
     from hallhitch.lab.evenness_page import page
-    from hallhitch.lab.figures import figures
-    from hallhitch.lab.fleet.processes import GatewayFleet
     from hallhitch.lab.fleet.timeline import FaultTimeline
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
@@ -189,33 +196,45 @@
     prepared = prepare_scenario(scenario, gateways, seconds, given_sizes, own)
     timeline = read(str(line), FaultTimeline) if line is not None else FaultTimeline()
 
-    async def play() -> GatewayFleet:
-        async with GatewayFleet(prepared, seed, timeline, has_membership=not without_peers) as run:
-            if not without_peers:
-                click.echo(f"one view after {await run.wait_until_agreed():.1f} s")
-                shown = asyncio.create_task(watch_views(run))
-            await run.drive()
-            if not without_peers:
-                shown.cancel()
-            return run
-
-    run = asyncio.run(play())
+    run = asyncio.run(_play(prepared, seed, timeline, has_membership=not without_peers))
     events = run.journal.events
     if log is not None:
         log.write_bytes(b"".join(run.journal.encoded_lines()))
-    run_figures, violations = figures(events, run.traffic, run.counter.calls), check(events)
-    run_evenness = evenness(events)
+    violations = check(events)
     if report is not None:
         report.write_text(page({f"{prepared.name}, {gateways} gateways": events}))
+    _print_figures(run)
+    if (delay_ms := run.p99_send_delay_ms) > late:
+        raise Failure(f"one try in a hundred was sent {delay_ms:.0f} ms late by the rig itself: not to be believed")
+    fail_on_violations(violations)
+    click.echo("no rule broken")
+
+
+async def _play(scenario: Scenario, seed: int, timeline: FaultTimeline, has_membership: bool) -> GatewayFleet:
+    """Run a scenario with a timeline of faults; with membership, the views are printed meanwhile."""
+    from hallhitch.lab.fleet.processes import GatewayFleet
+
+    async with GatewayFleet(scenario, seed, timeline, has_membership) as run:
+        if not has_membership:
+            await run.drive()
+            return run
+        click.echo(f"one view after {await run.wait_until_agreed():.1f} s")
+        watching = asyncio.create_task(watch_views(run))
+        await run.drive()
+        watching.cancel()
+        return run
+
+
+def _print_figures(run: GatewayFleet) -> None:
+    """Print the figures and the evenness of a run."""
+    from hallhitch.lab.evenness import evenness
+    from hallhitch.lab.figures import figures
+
+    events = run.journal.events
+    run_figures, run_evenness = figures(events, run.traffic, run.counter.calls), evenness(events)
     table(
         ("figure", "value"),
         [(name, f"{getattr(run_figures, name):.4g}") for name in PRINTED_FIGURES]
         + [(name, f"{getattr(run_evenness, name):.4g}") for name in PRINTED_EVENNESS]
         + [("rig late, ms", f"{run.p99_send_delay_ms:.1f}")],
     )
-    if run.p99_send_delay_ms > late:
-        raise Failure(
-            f"one try in a hundred was sent {run.p99_send_delay_ms:.0f} ms late by the rig itself: not to be believed"
-        )
-    fail_on_violations(violations)
-    click.echo("no rule broken")
