--- a/hallhitch/lab/checker.py
+++ b/hallhitch/lab/checker.py
@@ -211,7 +211,7 @@
 
     def __init__(self) -> None:
         self._violations: list[Violation] = []
-        self._told: dict[tuple[int, str], Event] = {}  # by gateway and node: the event of the drain
+        self._drain_notices: dict[tuple[int, str], Event] = {}  # by gateway and node: the event of the drain
         self._suspended_at: dict[int, float] = {}
         self._learned_at: dict[tuple[int, str], float] = {}  # by a gateway that was suspended: when it was resumed
 
@@ -219,7 +219,7 @@
         """Take the next event in."""
         name = event[1]
         if name == "told":
-            self._on_told(event)
+            self._on_notice(event)
         elif name == "gateway":
             self._on_gateway(event[0], event[2], event[3])
         elif name == "send":
@@ -229,33 +229,33 @@
         """The violations found."""
         return self._violations
 
-    def _on_told(self, told: Event) -> None:
-        _, _, gateway, node, state = told
+    def _on_notice(self, notice: Event) -> None:
+        _, _, gateway, node, state = notice
         if state == "up":
-            self._told.pop((gateway, node), None)
+            self._drain_notices.pop((gateway, node), None)
             self._learned_at.pop((gateway, node), None)
         else:
-            self._told.setdefault((gateway, node), told)
+            self._drain_notices.setdefault((gateway, node), notice)
 
     def _on_gateway(self, now: float, gateway: int, state: str) -> None:
         if state == "up":  # a restarted gateway has an old list
-            self._told = {key: told for key, told in self._told.items() if key[0] != gateway}
+            self._drain_notices = {key: notice for key, notice in self._drain_notices.items() if key[0] != gateway}
         elif state == "stopped":
             self._suspended_at[gateway] = now
         elif state == "resumed":
             suspended_at = self._suspended_at.pop(gateway, now)
-            for key, told in self._told.items():
-                if key[0] == gateway and told[0] + DRAIN_GRACE_MS + SLACK_MS > suspended_at:
+            for key, notice in self._drain_notices.items():
+                if key[0] == gateway and notice[0] + DRAIN_GRACE_MS + SLACK_MS > suspended_at:
                     self._learned_at[key] = now
 
     def _on_send(self, send: Event) -> None:
         gateway, node = send[4], send[5]
-        told = self._told.get((gateway, node))
-        if told is None:
+        notice = self._drain_notices.get((gateway, node))
+        if notice is None:
             return
-        learned_at = max(told[0], self._learned_at.get((gateway, node), 0.0))
+        learned_at = max(notice[0], self._learned_at.get((gateway, node), 0.0))
         if send[0] > learned_at + DRAIN_GRACE_MS + SLACK_MS:
-            self._violations.append(Violation("drains", f"gateway {gateway} sent to {node}", (told, send)))
+            self._violations.append(Violation("drains", f"gateway {gateway} sent to {node}", (notice, send)))
 
 
 class _WarmUpRule:
--- a/hallhitch/lab/model_upstream.py
+++ b/hallhitch/lab/model_upstream.py
@@ -1,6 +1,6 @@
 """The gateway's upstream side on the model: attempts over pooled connections to nodes, and calls of the counter.
 
-Invariants: the core is told the end of an attempt exactly once; a node's `connections` counts the open ones, idle or
+Invariants: the core gets the end of an attempt exactly once; a node's `connections` counts the open ones, idle or
 in use; an idle connection is reused only by the limits of the real transport
 (`IdleTimeStatistics`, `MAX_IDLE_RATIO`). Times in ms.
 """
--- a/hallhitch/lab/scenario.py
+++ b/hallhitch/lab/scenario.py
@@ -26,7 +26,7 @@
     work: Range  # of one core
     worth: Positive = 1.0
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    window: Natural = 0.0  # how long the nodes of one pod remember its keys
+    window: Natural = 0.0  # for which the nodes of a pod remember its keys
 
 
 class PlanSettings(Struct, frozen=True, forbid_unknown_fields=True):
@@ -46,14 +46,14 @@
     gateways: Count = 3
     nodes: Count = 10
     zones: Count = 2
-    pods: Count = 3  # groups of nodes that know each other's keys
+    pods: Count = 3  # groups of nodes that share idempotency keys
     cores: Positive = 2.0
-    slots: Count = 6  # requests in work at once
-    queue: Count = 24  # requests waiting; more are turned away
-    crowding: Share = 0.01  # part of a node's speed that each request it holds costs
+    slots: Count = 6  # requests in service at once
+    queue: Count = 24  # requests queued; more are rejected
+    crowding: Share = 0.01  # ratio of a node's speed that each request it holds costs
     speed: Range = (0.9, 1.1)  # of each node, drawn once
-    able: tuple[Positive, ...] = ()  # times that, of the first nodes; no gateway is told
-    shuffled: bool = False  # whether each gateway's first list has an order of its own
+    able: tuple[Positive, ...] = ()  # factors of that for the first nodes, which no gateway knows
+    shuffled: bool = False  # whether each gateway's saved list has an order of its own
     cold_s: Natural = 12.0
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.2
     fall_ms: Positive = 1500.0
@@ -72,11 +72,11 @@
     counter_timeout: Positive = 50.0
     attempts: Count = 5
     peers: bool = False  # whether gateways know each other (in virtual time; real processes: lab/fleet)
-    numbers: Literal["own", "zero"] = "own"  # what each gateway is told to be: its own number, or all the first
+    numbers: Literal["own", "zero"] = "own"  # the index that each gateway gets: its own number, or 0
     choice: Literal["module", "uniform", "round_robin", "two", "least", "informed"] = "module"  # lab/baselines.py
-    choice_near: bool = True  # whether another choice than the module's keeps to the module's few servers
-    choice_late_ms: Natural = 0.0  # how late `informed` hears what nodes hold
-    counter_form: Literal["http", "resp"] = "http"  # what the counter speaks; on sockets alone it matters
+    choice_near: bool = True  # whether another choice than the module's keeps to the module's subset of servers
+    choice_late_ms: Natural = 0.0  # age of the node loads that `informed` gets
+    counter_form: Literal["http", "resp"] = "http"  # the counter's protocol, on sockets
 
     def ability(self, number: int) -> float:
         """How much more than others a node can do."""
@@ -88,10 +88,10 @@
 
     load: Natural = 0.55  # use inside quotas, as a share of what the nodes can do
     rate: Natural = 0.0  # the same in requests a second, in place of `load`: for settings that differ in their nodes
-    full: Share = 0.15  # of the clients, who use nearly all of their quota
-    heavy: Share = 0.1  # who ask for far more, all the time
+    full: Share = 0.15  # of the clients: these use nearly all of their quota
+    heavy: Share = 0.1  # these send far more, all the time
     heavy_x: Range = (1.6, 4.5)
-    spiky: Share = 0.2  # who ask for far more for seconds
+    spiky: Share = 0.2  # these send far more for some seconds
     spiky_x: Range = (2.0, 6.0)
     spike_s: Range = (1.8, 5.0)
     spike_every_s: Range = (10.0, 25.0)
@@ -103,7 +103,7 @@
     retry_wait: Range = (100.0, 600.0)
     patience: Range = (0.5, 1.0)  # of the class's deadline
     leave: Share = 0.0  # chance that a client leaves before its answer
-    crowded: tuple[Share, Share] = (0.0, 0.0)  # so many of the gateways get so much of what is asked
+    crowded: tuple[Share, Share] = (0.0, 0.0)  # this share of the gateways gets that share of the traffic
     fresh_per_s: Natural = 0.0  # clients that were never seen before, each with one request
 
 
@@ -141,7 +141,7 @@
     for_s: Natural = 0.0
     part: Share = 0.1
     size: Natural = 1.0
-    empty: bool = False  # a counter that returns has lost its numbers
+    empty: bool = False  # whether the counter has lost its data afterwards
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
--- a/tests/lab/test_cases.py
+++ b/tests/lab/test_cases.py
@@ -57,11 +57,11 @@
 
     def test_every_case_keeps_the_rules(self) -> None:
         """No case violates a rule, and each keeps three quarters of the service."""
-        for name, told in self.cases.items():
+        for name, scenario in self.cases.items():
             with self.subTest(case=name):
-                made = play(told, 4)
-                self.assertEqual([str(b) for b in check(made.journal.events)], [])
-                self.assertGreater(figures(made.journal.events, made.traffic, made.counter_calls).service, 0.75)
+                result = play(scenario, 4)
+                self.assertEqual([str(b) for b in check(result.journal.events)], [])
+                self.assertGreater(figures(result.journal.events, result.traffic, result.counter_calls).service, 0.75)
 
     def test_node_that_fails_quickly_attracts_no_load(self) -> None:
         """A node that fails at once is not taken for the least loaded."""
@@ -101,8 +101,8 @@
     def test_delayed_list_affects_its_gateway_alone(self) -> None:
         """Five of six gateways receive updates while one is delayed."""
         for events in self.runs("old list"):
-            told = {e[2] for e in events if e[1] == "told" and 5_000 < e[0] < 15_000}
-            self.assertEqual(len(told), 5)
+            updated = {e[2] for e in events if e[1] == "told" and 5_000 < e[0] < 15_000}
+            self.assertEqual(len(updated), 5)
 
     def test_errors_in_a_file_are_named(self) -> None:
         """A wrong case is reported by its field, an unknown one with those there are."""
@@ -139,16 +139,18 @@
             )
             for f in whole.faults
         )
-        made = SocketRun(self.without_peers(msgspec.structs.replace(whole, seconds=6.0, faults=faults)), 3)
-        await made.play()
-        self.assertEqual([str(b) for b in check(made.journal.events)], [])
-        self.assertGreater(figures(made.journal.events, made.traffic, made.counter.calls).service, 0.5)
+        run = SocketRun(self.without_membership(msgspec.structs.replace(whole, seconds=6.0, faults=faults)), 3)
+        await run.play()
+        self.assertEqual([str(b) for b in check(run.journal.events)], [])
+        self.assertGreater(figures(run.journal.events, run.traffic, run.counter.calls).service, 0.5)
 
     @staticmethod
-    def without_peers(told: Scenario) -> Scenario:
+    def without_membership(scenario: Scenario) -> Scenario:
         """Leave out partitions between gateways, which run without membership here (see tests/membership)."""
-        faults = tuple(f for f in told.faults if f.kind != "gateways_split")
-        return msgspec.structs.replace(told, world=msgspec.structs.replace(told.world, peers=False), faults=faults)
+        faults = tuple(f for f in scenario.faults if f.kind != "gateways_split")
+        return msgspec.structs.replace(
+            scenario, world=msgspec.structs.replace(scenario.world, peers=False), faults=faults
+        )
 
 
 def _on_processes(name: str) -> None:
