--- a/tests/catalog/test_changes.py
+++ b/tests/catalog/test_changes.py
@@ -83,25 +83,25 @@
         for change in history:
             before = catalog
             try:
-                made = apply_change(catalog, change)
+                applied = apply_change(catalog, change)
             except ChangeRefused as refusal:
                 self.assertIn(refusal.code, ChangeRefused.CODES)
                 continue
-            self.assertEqual(made.catalog.version, before.version + 1)
-            self.assertEqual(apply_diff(before, decode_diff(encode_diff(made.diff))), made.catalog)
+            self.assertEqual(applied.catalog.version, before.version + 1)
+            self.assertEqual(apply_diff(before, decode_diff(encode_diff(applied.diff))), applied.catalog)
             others = {name: part for name, part in before.tenants.items() if name != change.tenant}
-            self.assertEqual(others, {n: p for n, p in made.catalog.tenants.items() if n != change.tenant})
-            catalog = made.catalog
+            self.assertEqual(others, {n: p for n, p in applied.catalog.tenants.items() if n != change.tenant})
+            catalog = applied.catalog
             check(self, catalog)
-            log.add(made.diff)
+            log.add(applied.diff)
             kept.append(catalog)
         for old in kept:
             diff = log.diff(catalog, 3, old.version)
             assert diff is not None
             self.assertEqual(apply_diff(old, decode_diff(encode_diff(diff))), catalog)
-        told = snapshot_diff(catalog)
-        rows = decode_rows(encode_rows(told.rows))
-        self.assertEqual(build_catalog(3, catalog.version, rows, told.parts), catalog)
+        whole_diff = snapshot_diff(catalog)
+        rows = decode_rows(encode_rows(whole_diff.rows))
+        self.assertEqual(build_catalog(3, catalog.version, rows, whole_diff.parts), catalog)
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.data())
@@ -120,10 +120,10 @@
             if "a" in catalog.tenants:
                 for row in catalog_rows(catalog):
                     present[row.kind, row.name] = (row.value, str(row.version))
-            found = plan_edits(present, wanted.entries())
-            piece = data.draw(st.integers(1, 4))
-            for start in range(0, len(found), piece):
-                part = [Edit(s.kind, s.name, s.wanted, int(s.version or 0)) for s in found[start : start + piece]]
+            planned = plan_edits(present, wanted.entries())
+            chunk = data.draw(st.integers(1, 4))
+            for start in range(0, len(planned), chunk):
+                part = [Edit(s.kind, s.name, s.wanted, int(s.version or 0)) for s in planned[start : start + chunk]]
                 catalog = apply_change(catalog, Change("a", tuple(part))).catalog
             self.assertEqual({(r.kind, r.name): r.value for r in catalog_rows(catalog)}, wanted.entries())
 
@@ -152,10 +152,10 @@
                 Edit(Kind.HOST, "a.example.org", Host()),
             ),
         )
-        other = Change("b", (Edit(Kind.TENANT, "b", Head()),))
+        other_change = Change("b", (Edit(Kind.TENANT, "b", Head()),))
         operator = Change("", (Edit(Kind.CREDENTIAL, "root", Credential(Scope.OPERATOR, (Verifier("h"),))),))
         self.was = Catalog(epoch=1)
-        for change in (first, other, operator):
+        for change in (first, other_change, operator):
             self.was = apply_change(self.was, change).catalog
 
     def test_each_refusal_has_its_code_and_field(self) -> None:
@@ -197,19 +197,19 @@
             ("a", (), "invalid", "edits"),
         ]
         for tenant, edit, code, field in cases:
-            with self.subTest(tenant=tenant, edit=edit), self.assertRaises(ChangeRefused) as told:
+            with self.subTest(tenant=tenant, edit=edit), self.assertRaises(ChangeRefused) as refusal:
                 apply_change(self.was, Change(tenant, edit if isinstance(edit, tuple) else (edit,)))
-            self.assertEqual((told.exception.code, told.exception.field), (code, field))
+            self.assertEqual((refusal.exception.code, refusal.exception.field), (code, field))
 
     def test_limits_are_checked_on_the_result_of_all_edits(self) -> None:
         """Guards against refusing an atomic change for the order of its edits."""
-        made = apply_change(
+        applied = apply_change(
             self.was,
             Change(
                 "a", (Edit(Kind.PLAN, "p"), Edit(Kind.CLIENT, "one", Client("q")), Edit(Kind.PLAN, "q", Plan(1.0, 1.0)))
             ),
         )
-        self.assertEqual(list(made.catalog.tenants["a"].plans), ["q"])
+        self.assertEqual(list(applied.catalog.tenants["a"].plans), ["q"])
 
     def test_a_recreated_tenant_is_reset_in_the_diff(self) -> None:
         """Guards against followers that keep what a tenant had before it was dropped and made again."""
@@ -217,9 +217,9 @@
         log.start(1, self.was.version)
         now = self.was
         for change in (Change("a", (Edit(Kind.TENANT, "a"),)), Change("a", (Edit(Kind.TENANT, "a", Head()),))):
-            made = apply_change(now, change)
-            log.add(made.diff)
-            now = made.catalog
+            applied = apply_change(now, change)
+            log.add(applied.diff)
+            now = applied.catalog
         diff = log.diff(now, 1, self.was.version)
         assert diff is not None
         self.assertEqual((diff.reset, apply_diff(self.was, diff)), (("a",), now))
@@ -229,9 +229,9 @@
         log, now = History(max_names=3), self.was
         log.start(1, now.version)
         for number in range(5):
-            made = apply_change(now, Change("b", (Edit(Kind.PLAN, f"p{number}", Plan()),)))
-            log.add(made.diff)
-            now = made.catalog
+            applied = apply_change(now, Change("b", (Edit(Kind.PLAN, f"p{number}", Plan()),)))
+            log.add(applied.diff)
+            now = applied.catalog
         self.assertIsNone(log.diff(now, 1, self.was.version))
         self.assertIsNone(log.diff(now, 2, now.version))
         self.assertIsNone(log.diff(now, 1, now.version + 1))
@@ -254,17 +254,20 @@
                 self.assertEqual(authorize(operator, "a", kind, write), Verdict.ALLOWED)
                 self.assertEqual(authorize(client, "a", kind, write), Verdict.HIDDEN)
                 for caller in (admin, reader):
-                    for other in ("b", "", "nobody"):
-                        self.assertEqual(authorize(caller, other, kind, write), Verdict.HIDDEN)
+                    for other_tenant in ("b", "", "nobody"):
+                        self.assertEqual(authorize(caller, other_tenant, kind, write), Verdict.HIDDEN)
             self.assertEqual(authorize(reader, "a", kind, True), Verdict.BEYOND_SCOPE)
             own = kind in (Kind.PLAN, Kind.CLIENT, Kind.CREDENTIAL)
             self.assertEqual(authorize(admin, "a", kind, True), Verdict.ALLOWED if own else Verdict.BEYOND_SCOPE)
 
     def test_tokens_parse_to_one_form(self) -> None:
         """Guards against a token that could be read as another tenant's."""
-        told = parse_token("hh_acme.boss." + "x" * 43)
-        assert told is not None
-        self.assertEqual((told.tenant, told.id, str(told)), ("acme", "boss", "hh_acme.boss." + "x" * 43))
+        token = parse_token("hh_acme.boss." + "x" * 43)
+        assert token is not None
+        self.assertEqual(
+            (token.tenant, token.id, str(token)),
+            ("acme", "boss", "hh_acme.boss." + "x" * 43),
+        )
         for text in (
             "",
             "hh_acme.boss.short",
@@ -277,8 +280,8 @@
 
     def test_customer_ids_of_two_tenants_hash_differently(self) -> None:
         """Guards against equal client ids meeting in the counter's names."""
-        one, two = (
+        first_id, second_id = (
             names.decision_customer_id("a", "00000000b4d65521"),
             names.decision_customer_id("b", "00000000b4d65521"),
         )
-        self.assertNotEqual(digest(one), digest(two))
+        self.assertNotEqual(digest(first_id), digest(second_id))
--- a/tests/catalog/test_tenant_slots.py
+++ b/tests/catalog/test_tenant_slots.py
@@ -19,40 +19,42 @@
 
     @given(OPS, st.integers(1, 30), st.integers(1, 30))
     def test_random_operations_respect_shares_and_reserve(
-        self, ops: list[tuple[str, str]], total: int, most: int
+        self, ops: list[tuple[str, str]], total: int, limit: int
     ) -> None:
         """Guards against places made or lost, and a tenant kept from its share by one that holds more than its own."""
-        places, held = TenantSlots(total), Counter[str]()
-        for what, tenant in ops:
-            if what == "give" and held[tenant]:
-                places.release(tenant)
+        slots, held = TenantSlots(total), Counter[str]()
+        for operation, tenant in ops:
+            if operation == "give" and held[tenant]:
+                slots.release(tenant)
                 held[tenant] -= 1
-            elif what == "take":
-                free, share = places.free, places.share(tenant, TENANTS[tenant])
-                got = places.acquire(tenant, TENANTS[tenant], most)
+            elif operation == "take":
+                free, share = slots.free, slots.share(tenant, TENANTS[tenant])
+                acquired = slots.acquire(tenant, TENANTS[tenant], limit)
                 own = held[tenant] + 1 <= share
-                self.assertEqual(got, held[tenant] < most and free > 0 and (own or free > RESERVED_SLOT_RATIO * total))
-                held[tenant] += got
-            self.assertEqual(places.free, total - sum(held.values()))
-            self.assertEqual({t: places.held(t) for t in TENANTS}, {t: held[t] for t in TENANTS})
+                self.assertEqual(
+                    acquired, held[tenant] < limit and free > 0 and (own or free > RESERVED_SLOT_RATIO * total)
+                )
+                held[tenant] += acquired
+            self.assertEqual(slots.free, total - sum(held.values()))
+            self.assertEqual({t: slots.held(t) for t in TENANTS}, {t: held[t] for t in TENANTS})
             weights = sum(TENANTS[t] for t in TENANTS if held[t])
-            self.assertAlmostEqual(places._total_weight, weights)
+            self.assertAlmostEqual(slots._total_weight, weights)
 
     def test_a_flood_leaves_the_reserve_to_a_late_tenant(self) -> None:
         """Guards against a tenant that takes all places before another asks for its first."""
-        places = TenantSlots(100)
-        self.assertEqual(sum(places.acquire("flood", 1.0, 1000) for _ in range(500)), 90, "all but the reserve")
-        self.assertEqual(sum(places.acquire("quiet", 1.0, 1000) for _ in range(50)), 10)
+        slots = TenantSlots(100)
+        self.assertEqual(sum(slots.acquire("flood", 1.0, 1000) for _ in range(500)), 90, "all but the reserve")
+        self.assertEqual(sum(slots.acquire("quiet", 1.0, 1000) for _ in range(50)), 10)
         for _ in range(89):  # what the flood gives back goes to the other until each has its share
-            places.release("flood")
-            places.acquire("flood", 1.0, 1000)
-            places.acquire("quiet", 1.0, 1000)
-        self.assertGreaterEqual(places.held("quiet"), 45)
+            slots.release("flood")
+            slots.acquire("flood", 1.0, 1000)
+            slots.acquire("quiet", 1.0, 1000)
+        self.assertGreaterEqual(slots.held("quiet"), 45)
 
     def test_releasing_an_unheld_slot_is_an_error(self) -> None:
         """Guards against a place given back twice."""
-        places = TenantSlots(2)
+        slots = TenantSlots(2)
         with self.assertRaises(ValueError):
-            places.release("a")
+            slots.release("a")
         with self.assertRaises(ValueError):
             TenantSlots(0)
