--- a/hallhitch/adapter.py
+++ b/hallhitch/adapter.py
@@ -96,7 +96,7 @@
 }
 
 
-def encode(action: api.Action) -> dict[str, Any]:
+def encode(action: api.Action) -> dict[str, Any]:  # noqa: C901, PLR0911  one case after the other
     """Write one action in the words of the wire."""
     match action:
         case api.Send(id=i, server=server, limit=limit):
@@ -169,7 +169,7 @@
                 decisions = self.group(now, who, messages)
             except WireError:
                 raise
-            except Exception as error:  # whatever failed in the policy, the simulator is told in words
+            except Exception as error:  # noqa: BLE001  whatever failed in the policy, the simulator is told in words
                 text = f"{type(error).__name__}: {error}"
                 decisions = [{"cmd": "InternalError", "message": text}]
             if decisions:
--- a/hallhitch/core/actor.py
+++ b/hallhitch/core/actor.py
@@ -46,7 +46,7 @@
         for message in messages:
             try:
                 self.handle(message)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
                 self.record_failure(error)
                 self.on_message_failed(message)
 
--- a/hallhitch/core/deadlines.py
+++ b/hallhitch/core/deadlines.py
@@ -35,6 +35,7 @@
         self._base_ms = time.time() * 1000 - time.monotonic() * 1000
 
     def __call__(self) -> float:
+        """Return the present moment in ms."""
         return self._base_ms + time.monotonic() * 1000
 
 
@@ -90,9 +91,9 @@
                 continue
             try:
                 callback()
-            except Exception as error:  # the failure of one callback must not stop the others
+            except Exception as error:  # noqa: BLE001  the failure of one callback must not stop the others
                 COUNTS["deadline_failed"] += 1
-                log.error("actor failed", actor="deadlines", exc_info=error)
+                log.error("actor failed", actor="deadlines", exc_info=error)  # noqa: TRY400  expected: no traceback
 
     def _arm(self, when: float) -> None:
         """Set the loop's timer; where the earliest deadline is cancelled later, the timer finds nothing due."""
--- a/hallhitch/core/module.py
+++ b/hallhitch/core/module.py
@@ -81,7 +81,7 @@
 
     # Called by fronts and transports.
 
-    def begin(
+    def begin(  # noqa: PLR0913  fields of one record
         self,
         customer: str,
         plan_index: int,
@@ -210,7 +210,7 @@
     def _decide(self, events: list[api.Event]) -> None:
         try:
             actions = self.gateway.handle(self.clock(), events)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             self.record_failure(error)
             for event in events:  # actions that were decided before the failure come with the next call
                 if isinstance(event, api.Request | api.AttemptEnded):
@@ -219,12 +219,12 @@
         for action in actions:
             try:
                 self._act(action)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
                 self.record_failure(error)
                 if isinstance(action, api.Send | api.Refuse | api.Fail):
                     self._give_up(action.id)
 
-    def _act(self, action: api.Action) -> None:
+    def _act(self, action: api.Action) -> None:  # noqa: C901  one case after the other
         match action:
             case api.Send():
                 self._send(action)
@@ -290,7 +290,7 @@
     def _call_front(self, call: Callable[[], None]) -> None:
         try:
             call()
-        except Exception as error:  # the failure of a front must not reach the module
+        except Exception as error:  # noqa: BLE001  the failure of a front must not reach the module
             self.record_failure(error)
 
     def _give_up(self, exchange_id: int) -> None:
--- a/hallhitch/decision/policy.py
+++ b/hallhitch/decision/policy.py
@@ -97,7 +97,7 @@
     def on_request(self, ask: api.Request) -> None:
         """Count a new request, or decide at once where asking cannot help."""
         if ask.id in self.requests:
-            return
+            return None
         if ask.kind is None and not 0 <= ask.klass < len(self.config.classes):
             return self.actions.append(api.Refuse(ask.id))
         c = self.customers.get(ask.customer)
--- a/hallhitch/decision/settings.py
+++ b/hallhitch/decision/settings.py
@@ -19,7 +19,7 @@
     if not isinstance(message, dict):
         raise WireError(f"expected an object with field '{name}'")
     value = message.get(name)
-    if isinstance(value, bool) and kind is not bool or not isinstance(value, kind):
+    if (isinstance(value, bool) and kind is not bool) or not isinstance(value, kind):
         raise WireError(f"field '{name}' is missing or of the wrong type")
     if isinstance(value, float) and not math.isfinite(value):
         raise WireError(f"field '{name}' is no finite number")
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -271,9 +271,9 @@
         try:
             fresh = read_config(previous=self._config)
             counter_endpoint = find_counter(fresh, read_resp(self._resp_file))
-        except Exception as error:  # the outermost edge of a signal: whatever the files hold, the gateway goes on
+        except Exception as error:  # noqa: BLE001  outermost edge of a signal: the gateway goes on, whatever the files hold
             self._metrics.reloads_failed += 1
-            log.error("configuration not taken", error=f"{type(error).__name__}: {error}")
+            log.error("configuration not taken", error=f"{type(error).__name__}: {error}")  # noqa: TRY400
             return
         self._metrics.reloads_ok += 1
         previous = self._config
--- a/hallhitch/lab/emulator/backend.py
+++ b/hallhitch/lab/emulator/backend.py
@@ -127,3 +127,4 @@
             if not turn.done():
                 return turn.set_result(None)
         self.busy_slots -= 1
+        return None
--- a/hallhitch/lab/emulator/backend_connection.py
+++ b/hallhitch/lab/emulator/backend_connection.py
@@ -46,6 +46,7 @@
         self._delay_ms = 0.0  # one way
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the transport of a connection that is open."""
         self._transport = cast(asyncio.Transport, transport)
         is_full = len(self.backend.connections) >= self.spec.max_connections
         if is_full or self.backend.has_ended:
@@ -53,8 +54,10 @@
         self.backend.connections.add(self)
         self.fleet.connections_opened += 1
         self._start_idle_timer()
+        return None
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Note that the connection is closed."""
         self.backend.connections.discard(self)
         if self._idle_timer is not None:
             self._idle_timer.cancel()
@@ -63,6 +66,7 @@
         self._reader.close()
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes that have arrived."""
         try:
             self._waiting += self._reader.feed(data)
         except Malformed:
@@ -76,6 +80,8 @@
                 peer, local = get_extra_info("peername"), get_extra_info("sockname")
                 self._sender, self._delay_ms = self.fleet.identify_caller(peer, local, self.backend)
             self._task = asyncio.get_running_loop().create_task(self._serve())
+            return None
+        return None
 
     def abort(self) -> None:
         """Reset the connection."""
@@ -118,6 +124,7 @@
         )
         is_available = backend.is_healthy and not backend.is_draining
         await self._respond(200 if is_available else 503, headers.encode())
+        return None
 
     def _record_arrival(self, message: Message, headers: dict[str, str], path: str) -> BackendArrival:
         backend = self.backend
@@ -181,6 +188,7 @@
         arrival.response_digest = digest_body(body)
         arrival.seal = f"{backend.instance}.{arrival.number:x}.{arrival.response_digest:08x}"
         await self._send_success(arrival, body)
+        return None
 
     def _response_body(self, arrival: BackendArrival) -> bytes:
         size = self.fleet.response_bytes(arrival.path)
--- a/hallhitch/lab/emulator/backend_fleet.py
+++ b/hallhitch/lab/emulator/backend_fleet.py
@@ -38,7 +38,7 @@
     by name; `response_bytes` returns the size of a response by its path.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  fields of one record
         self,
         records: Records,
         network: NetworkPaths,
--- a/hallhitch/lab/emulator/client.py
+++ b/hallhitch/lab/emulator/client.py
@@ -79,7 +79,7 @@
     the directory's answer.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  fields of one record
         self,
         environment: ClientEnvironment,
         region: str,
--- a/hallhitch/lab/emulator/client_request.py
+++ b/hallhitch/lab/emulator/client_request.py
@@ -59,7 +59,7 @@
     is_conclusive = 200 <= result.status < 300 or result.status in CONCLUSIVE_STATUSES
     if is_conclusive or remaining_ms <= 0:
         return None
-    is_surely_not_executed = result.status in NOT_EXECUTED_STATUSES or result.status == 0 and result.is_unread
+    is_surely_not_executed = result.status in NOT_EXECUTED_STATUSES or (result.status == 0 and result.is_unread)
     if not request.is_idempotent and not is_surely_not_executed:
         return None
     delay_ms = backoff_ms
--- a/hallhitch/lab/emulator/emulator.py
+++ b/hallhitch/lab/emulator/emulator.py
@@ -287,7 +287,7 @@
         """
         try:
             async with asyncio.timeout(timeout_s):
-                while not await condition():
+                while not await condition():  # noqa: ASYNC110  polls another process
                     await asyncio.sleep(poll_interval_s)
         except TimeoutError:
             raise ConditionTimeout(f"waited in vain until {description}", self.directory) from None
--- a/hallhitch/lab/emulator/errors.py
+++ b/hallhitch/lab/emulator/errors.py
@@ -18,7 +18,7 @@
         self.descriptions = descriptions
 
 
-class ConditionTimeout(EmulatorError, TimeoutError):
+class ConditionTimeout(EmulatorError, TimeoutError):  # noqa: N818  named for the event, as callers read it
     """A condition did not become true in time; `directory` has the logs."""
 
     def __init__(self, reason: str, directory: Path) -> None:
--- a/hallhitch/lab/emulator/ports.py
+++ b/hallhitch/lab/emulator/ports.py
@@ -32,7 +32,7 @@
         reservation = socket.socket()
         try:
             reservation.bind(("127.0.0.1", base_port))
-            return base_port, reservation
+            return base_port, reservation  # noqa: TRY300  the common case reads first
         except OSError:
             reservation.close()
     raise OSError("no free block of ports")
--- a/hallhitch/lab/emulator/process_rig.py
+++ b/hallhitch/lab/emulator/process_rig.py
@@ -162,7 +162,7 @@
         if self._is_relayed:
             internal_port = self.base_port + INTERNAL_OFFSET
             arguments = [RELAYED_PROGRAM, *arguments, str(machine.number), machine.host, str(internal_port)]
-        with open(machine.log_file, "ab") as log:
+        with open(machine.log_file, "ab") as log:  # noqa: ASYNC230  a small local file, before traffic
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-O",
--- a/hallhitch/lab/emulator/spec.py
+++ b/hallhitch/lab/emulator/spec.py
@@ -94,7 +94,7 @@
     max_ttl_ms: float = 5000.0  # of the directory's answers
     list_rate_per_s: float = 47.0
     list_lag_ms: float = 500.0
-    bounds: CheckBounds = CheckBounds()
+    bounds: CheckBounds = CheckBounds()  # noqa: RUF009  frozen, shared by all
     seed: int = 1
 
     def region_name(self, number: int) -> str:
--- a/hallhitch/lab/emulator/traffic.py
+++ b/hallhitch/lab/emulator/traffic.py
@@ -79,7 +79,7 @@
         second, reported = 0, 0
         for planned in self.planned_requests:
             due_ms = begin_ms + planned.offset_ms
-            while (wait_ms := due_ms - now()) > 0:
+            while (wait_ms := due_ms - now()) > 0:  # noqa: ASYNC110  polls another process
                 await asyncio.sleep(wait_ms / 1000)
             while planned.offset_ms >= (second + 1) * 1000:
                 on_second(second, self.outcomes[reported:])
--- a/hallhitch/lab/simulation/invariants.py
+++ b/hallhitch/lab/simulation/invariants.py
@@ -41,7 +41,7 @@
             )
 
 
-def check_single_content(history: OperationHistory) -> Iterator[Violation]:
+def check_single_content(history: OperationHistory) -> Iterator[Violation]:  # noqa: C901  one case after the other
     """Whatever is read or observed under one version is the same, and was written; so is the state of a serial."""
     written: dict[int, set[str]] = {}
     for write in history.operations_of(OperationKind.REPLACE_CONFIG):
--- a/hallhitch/lab/simulation/machine.py
+++ b/hallhitch/lab/simulation/machine.py
@@ -194,6 +194,7 @@
 
         loop.spawn(leave())
         network.call_at(deadline_s, lambda: self._end_incarnation(loop))
+        return None
 
     def _end_incarnation(self, loop: ProcessLoop) -> None:
         if self.loop is not loop:
--- a/hallhitch/lab/simulation/operator_workload.py
+++ b/hallhitch/lab/simulation/operator_workload.py
@@ -56,7 +56,7 @@
 class SimulatedOperator:
     """One operator of the coordinators that `list_machines` returns; `zone` is the one that it evacuates."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  fields of one record
         self,
         name: str,
         loop: ProcessLoop,
@@ -156,6 +156,7 @@
             await asyncio.sleep(backoff_s * self._rng.uniform(0.5, 1.0))
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
         operation.abandoned_at_s = self.loop.time()
+        return None
 
     @staticmethod
     def _is_conclusive(status: int, attempts: int) -> bool:
--- a/hallhitch/lab/simulation/schedule_check.py
+++ b/hallhitch/lab/simulation/schedule_check.py
@@ -12,7 +12,7 @@
 MAX_REPORTED_VIOLATIONS: Final = 6  # one fault often breaks an invariant again and again
 
 
-class InvariantsViolated(AssertionError):
+class InvariantsViolated(AssertionError):  # noqa: N818  named for the event, as callers read it
     """A schedule violates an invariant."""
 
     def __init__(self, schedule: Schedule, violations: list[Violation]) -> None:
--- a/hallhitch/lab/simulation/simulated_disk.py
+++ b/hallhitch/lab/simulation/simulated_disk.py
@@ -153,7 +153,7 @@
             self._current_job = None
             try:
                 job()
-            except Exception as error:  # whatever a job raises is its caller's
+            except Exception as error:  # noqa: BLE001  whatever a job raises is its caller's
                 if not done.done():
                     done.set_exception(error)
             else:
--- a/hallhitch/lab/simulation/transport.py
+++ b/hallhitch/lab/simulation/transport.py
@@ -13,7 +13,7 @@
 class Segment:
     """Bytes in flight, or the end of a connection (`data` is None)."""
 
-    __slots__ = ("data", "written_at_s", "is_acknowledged")
+    __slots__ = ("data", "is_acknowledged", "written_at_s")
 
     def __init__(self, data: bytes | None, written_at_s: float) -> None:
         self.data = data
--- a/hallhitch/lab/simulation/virtual_time.py
+++ b/hallhitch/lab/simulation/virtual_time.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class SimulationDeadlock(RuntimeError):
+class SimulationDeadlock(RuntimeError):  # noqa: N818  named for the event, as callers read it
     """Every task waits, no timer is set, and nothing can arrive."""
 
     def __init__(self, at_s: float) -> None:
--- a/hallhitch/membership/records.py
+++ b/hallhitch/membership/records.py
@@ -1,4 +1,4 @@
-"""Member records and their precedence: which of two records of one member holds. No I/O, no clock.
+r"""Member records and their precedence: which of two records of one member holds. No I/O, no clock.
 
 | received \\ held | alive | suspect | failed | left |
 | --- | --- | --- | --- | --- |
--- a/hallhitch/membership/service.py
+++ b/hallhitch/membership/service.py
@@ -49,7 +49,7 @@
 class MembershipService:
     """This gateway's part in the group."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  fields of one record
         self,
         settings: MembershipSettings,
         identity: GatewayIdentity,
--- a/hallhitch/membership/settings.py
+++ b/hallhitch/membership/settings.py
@@ -128,6 +128,7 @@
         self._cached_contains = lru_cache(MAX_CACHED_HOSTS)(self._contains)
 
     def __call__(self, address: str) -> bool:
+        """Return whether an address belongs to the network."""
         return self._cached_contains(address.rpartition(":")[0].strip("[]"))
 
     def _contains(self, host: str) -> bool:
--- a/hallhitch/membership/suspicion.py
+++ b/hallhitch/membership/suspicion.py
@@ -18,7 +18,7 @@
 class Suspicion:
     """One member's suspicion, from its first accuser on."""
 
-    __slots__ = ("started_at", "min_timeout_ms", "max_timeout_ms", "accusers", "confirmations", "_full_confirmations")
+    __slots__ = ("_full_confirmations", "accusers", "confirmations", "max_timeout_ms", "min_timeout_ms", "started_at")
 
     def __init__(self, now: float, min_timeout_ms: float, max_timeout_ms: float, other_accusers: int) -> None:
         """`other_accusers` is the number of members that could accuse it besides the first."""
--- a/hallhitch/membership/udp_transport.py
+++ b/hallhitch/membership/udp_transport.py
@@ -143,6 +143,6 @@
         self.bytes_received += size
         try:
             self._on_message(message)
-        except Exception as error:  # the gateway goes on serving, whatever a datagram contains
+        except Exception as error:  # noqa: BLE001  the gateway goes on serving, whatever a datagram contains
             COUNTS["actor_failed"] += 1
-            log.error("actor failed", actor="members", exc_info=error)
+            log.error("actor failed", actor="members", exc_info=error)  # noqa: TRY400  expected: no traceback
--- a/hallhitch/messages/call_sequence.py
+++ b/hallhitch/messages/call_sequence.py
@@ -18,7 +18,7 @@
 class CallSequence:
     """The highest call numbers that were accepted of one sender."""
 
-    __slots__ = ("_last_short", "_last_long", "last_used_ms")
+    __slots__ = ("_last_long", "_last_short", "last_used_ms")
 
     def __init__(self) -> None:
         self._last_short = 0
--- a/hallhitch/messages/connection.py
+++ b/hallhitch/messages/connection.py
@@ -90,8 +90,9 @@
             return self.close_rejecting(error.reason)
         for frame in frames:
             if not self.is_open():
-                return
+                return None
             self._decode(frame.data, frame.is_chunked)
+        return None
 
     def pause_writing(self) -> None:
         """Stop writing: the transport's buffer is full."""
@@ -148,6 +149,7 @@
         if envelope.cluster != self.context.cluster:
             return self.close_rejecting(Rejection.WRONG_CLUSTER)
         self.on_envelope(envelope, is_chunked)
+        return None
 
     def _flush(self) -> None:
         """Write queued chunks while the transport has room."""
--- a/hallhitch/messages/inbound_link.py
+++ b/hallhitch/messages/inbound_link.py
@@ -36,7 +36,7 @@
             return Envelope(error="nobody answers here")
         try:
             return self._handler(call)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             return self._error_reply(error)
 
     def reply_later(self, link: InboundLink, call: Envelope, pending_reply: Awaitable[Envelope]) -> None:
@@ -48,7 +48,7 @@
     async def _reply_when_done(self, link: InboundLink, call: Envelope, pending_reply: Awaitable[Envelope]) -> None:
         try:
             reply = await pending_reply
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             reply = self._error_reply(error)
         link.send_reply(call, reply)
 
@@ -96,8 +96,9 @@
         result = self._server.handle(envelope)
         if isinstance(result, Envelope):
             self.send_reply(envelope, result)
-        else:
-            self._server.reply_later(self, envelope, result)
+            return None
+        self._server.reply_later(self, envelope, result)
+        return None
 
     def send_reply(self, call: Envelope, reply: Envelope) -> None:
         """Send the reply to a call."""
--- a/hallhitch/messages/outbound_link.py
+++ b/hallhitch/messages/outbound_link.py
@@ -65,6 +65,8 @@
             return self.reject(Rejection.UNMATCHED_REPLY)
         if not call.reply.done():
             call.reply.set_result(envelope)
+            return None
+        return None
 
     def begin_call(self, call_id: int, envelope: Envelope) -> PendingCall:
         """Write a call; its future gets the reply, or an error when the connection closes.
--- a/hallhitch/net/client_connection.py
+++ b/hallhitch/net/client_connection.py
@@ -158,11 +158,11 @@
                 if not self.is_ending:
                     self.partial_since = (self.partial_since or self.received_at) if self.is_partial else 0.0
                 dropped += size - handled
-                while self.is_full or dropped > MAX_LINGER_BYTES and self._exceeds_upload_linger(dropped):
+                while self.is_full or (dropped > MAX_LINGER_BYTES and self._exceeds_upload_linger(dropped)):
                     await self._pause_reading(loop)
         except (OSError, asyncio.CancelledError):
             pass
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             self.record_failure(error)
         finally:
             self._clean_up()
@@ -198,7 +198,7 @@
         if self.is_ended:
             if isinstance(message, StreamedMessage):
                 message.flow.abandon()
-            return
+            return None
         self._unsent.append(message)
         if self._writer is None and isinstance(message, bytes):
             # Most answers are sent at once; a task and a deadline are for clients that don't read theirs.
@@ -216,6 +216,8 @@
             self._unsent = [message[sent:]]
         if self._writer is None:
             self._writer = asyncio.get_running_loop().create_task(self._write())
+            return None
+        return None
 
     async def _write(self) -> None:
         try:
@@ -236,6 +238,7 @@
             return self._reset()
         self._writer = None
         self._end_if_done()
+        return None
 
     async def _stream(self, message: StreamedMessage) -> None:
         try:
--- a/hallhitch/net/counter.py
+++ b/hallhitch/net/counter.py
@@ -92,7 +92,7 @@
         if self._successor is not None:
             return self._successor.handle(message)
         if message.is_reported:
-            return
+            return None
         message.connection = self
         now = self._deadlines.clock()
         if self._sock is not None and not self._calls and now - self._active_at > MAX_IDLE_MS:
@@ -104,8 +104,9 @@
         self._calls.append(message)
         if self._sock is not None:
             self._write([message])
-        else:
-            self._start()
+            return None
+        self._start()
+        return None
 
     def on_message_failed(self, message: CounterCall) -> None:
         """End the connection: a call that could not be written has not reached the counter."""
@@ -124,11 +125,11 @@
         except OSError:
             sent = 0
         for call in calls:
-            call.is_written = sent == len(data) or len(calls) > 1 and sent > 0
+            call.is_written = sent == len(data) or (len(calls) > 1 and sent > 0)
         if sent != len(data):  # a full buffer means that the counter reads no more
             self._on_lost()
 
-    async def _serve(self) -> None:
+    async def _serve(self) -> None:  # noqa: C901, PLR0912  one case after the other
         """Connect, write the calls that wait, and read replies until the connection ends or is replaced."""
         loop, buffer = asyncio.get_running_loop(), bytearray(READ_BUFFER_BYTES)
         view, task = memoryview(buffer), asyncio.current_task()
@@ -165,7 +166,7 @@
             pass
         except Malformed:
             COUNTS["counter_spoilt"] += 1
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             if not isinstance(error, OSError):
                 self.record_failure(error)
         if self._task is task:
--- a/hallhitch/net/flow.py
+++ b/hallhitch/net/flow.py
@@ -11,7 +11,7 @@
 from collections.abc import AsyncIterator, Callable
 
 
-class Broken(Exception):
+class Broken(Exception):  # noqa: N818  named for the event, as callers read it
     """The body broke off before it was complete."""
 
 
--- a/hallhitch/net/http.py
+++ b/hallhitch/net/http.py
@@ -23,7 +23,7 @@
 MAX_CHUNK_OVERHEAD_RATIO: Final = 8  # bytes read for each of the body: chunks of one byte are six
 
 
-class Malformed(Exception):
+class Malformed(Exception):  # noqa: N818  named for the event, as callers read it
     """Bytes that are not acceptable; `status` is the answer to a client that sent them."""
 
     def __init__(self, status: int) -> None:
@@ -186,6 +186,8 @@
         self._parts.append(body)
         if (self._size > self._body_most or self._early) and self._passes(len(body)):
             self.pass_on()
+            return None
+        return None
 
     def _passes(self, more: int) -> bool:
         """Return whether a body that has grown by so much is passed on from here on."""
@@ -230,9 +232,11 @@
         self.parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
+        """Take a part of the target (httptools)."""
         self._message.target += url
 
     def on_headers_complete(self) -> None:
+        """End the head (httptools)."""
         super().on_headers_complete()
         head = self._message.headers
         if b"expect" in head:
@@ -241,6 +245,7 @@
             )
 
     def on_body(self, body: bytes) -> None:
+        """Take a part of the body (httptools)."""
         self.expects = False
         super().on_body(body)
 
--- a/hallhitch/net/ingress.py
+++ b/hallhitch/net/ingress.py
@@ -154,6 +154,8 @@
                 self._ingress.core.on_client_gone(self._exchange_id)
                 return self._answer(408, close=True)
             self._start_next()
+            return None
+        return None
 
     def on_data(self, data: memoryview) -> None:
         """Read requests; what cannot be read is answered with its status and ends the connection."""
@@ -177,7 +179,7 @@
             self._reader.expects = False
             self.write_now(CONTINUE)
         self._start_next()
-        self._is_pipelining = self._is_pipelining or self._current is not None and bool(self._queue)
+        self._is_pipelining = self._is_pipelining or (self._current is not None and bool(self._queue))
 
     def _on_body_complete(self) -> None:
         """Start the time of the current request, which was forwarded while it was received."""
@@ -197,15 +199,15 @@
             self._ingress.core.on_client_gone(self._exchange_id)
         self._end_request()
 
-    def _start_next(self) -> None:
+    def _start_next(self) -> None:  # noqa: PLR0911  a reply for each case
         """Start the next request, if none is in progress."""
         if self._current is not None or self._is_slowed_down:
-            return
+            return None
         if not self._queue:
             if self._final_status:
                 self.is_ending = True
                 self.post(answer(self._final_status, close=True))
-            return
+            return None
         request, limits = self._queue.popleft()
         self._current = request
         self._ingress.on_active(self)
@@ -230,9 +232,11 @@
             request.flow.taken = self.resume_reading
             if request.flow.ended:
                 self._ingress.core.on_request_complete(self._exchange_id)
-            else:
-                self._forwarded_body = request.flow
-                self._ingress.uploading.add(self)
+                return None
+            self._forwarded_body = request.flow
+            self._ingress.uploading.add(self)
+            return None
+        return None
 
     def _slow_down(self) -> None:
         """Leave the client unread for a while, as its request was not acceptable."""
@@ -287,7 +291,7 @@
             self._forwarded_body = None
             self._ingress.uploading.discard(self)
         self._release_buffer()
-        close = close or self._ingress.is_leaving and not self._queue and not self._final_status
+        close = close or (self._ingress.is_leaving and not self._queue and not self._final_status)
         self.is_ending, self._exchange_id = close, 0
         self._outcome = "served" if status == 200 else "refused" if status in REJECTED_STATUSES else "failed"
         self._ingress.open_ids.discard(self._request_id)
@@ -298,7 +302,7 @@
             return
         is_chunked = streamed.length is None and request.version != "1.0"
         # A body without a length that is not chunked ends with the connection.
-        self.is_ending = close = close or streamed.length is None and not is_chunked
+        self.is_ending = close = close or (streamed.length is None and not is_chunked)
         answer_head = head(status, streamed.length, headers=headers, close=close, version=request.version)
         if not self.post(StreamedMessage(answer_head, flow, is_chunked)):
             flow.abandon()
@@ -327,7 +331,7 @@
 class Ingress(Acceptor):
     """Turns clients' HTTP requests into exchanges."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  fields of one record
         self,
         core: Core,
         settings: api.Settings,
@@ -375,7 +379,7 @@
         """Return the time that is left for any request before the platform kills a stopping process."""
         return max(1.0, self._last_answer_at - self.deadlines.clock())
 
-    def begin(
+    def begin(  # noqa: C901  one case after the other
         self,
         request: Message,
         path: bytes,
--- a/hallhitch/net/request_limits.py
+++ b/hallhitch/net/request_limits.py
@@ -21,7 +21,7 @@
 )
 
 
-class UnacceptableRequest(Exception):
+class UnacceptableRequest(Exception):  # noqa: N818  named for the event, as callers read it
     """A request that is answered with `status` and `text`, and neither counted nor forwarded."""
 
     def __init__(self, status: int, text: str) -> None:
--- a/hallhitch/net/routes.py
+++ b/hallhitch/net/routes.py
@@ -114,7 +114,7 @@
                     sequence = await self._ask(sock, reader, address, sequence, hold_ms)
                     self._backoff.reset()
                     self._was_updated.set()
-            except Exception as error:  # the outermost edge of the task: whatever discovery sends, the watch goes on
+            except Exception as error:  # noqa: BLE001  outermost edge of the task: whatever discovery sends, it goes on
                 COUNTS["watch_failed"] += 1
                 log.warning("watch failed", error=f"{type(error).__name__}: {error}")
             finally:
--- a/hallhitch/net/upstream/client.py
+++ b/hallhitch/net/upstream/client.py
@@ -32,7 +32,7 @@
 class UpstreamClient:
     """Attempts in flight and the servers that carry them."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  fields of one record
         self,
         routes: Routes,
         reports: AttemptReports,
--- a/hallhitch/net/upstream/receive.py
+++ b/hallhitch/net/upstream/receive.py
@@ -107,7 +107,7 @@
             if not size:
                 connection.reader.end()
                 break
-            if connection.reader.feed(view[:size]) or flow.ended and connection.reader.partial:
+            if connection.reader.feed(view[:size]) or (flow.ended and connection.reader.partial):
                 answer.keep = False  # there is more than belongs to the answer
     except (OSError, Malformed):
         answer.keep = False
--- a/hallhitch/net/upstream/server.py
+++ b/hallhitch/net/upstream/server.py
@@ -50,7 +50,7 @@
             # server, and all others with it where all answers are malformed alike.
             COUNTS["answer_spoilt"] += 1
             outcome, answer = "error", None
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             if not isinstance(error, OSError):
                 self.record_failure(error)
             outcome, answer = "reset" if running.is_written else "unreachable", None
@@ -106,6 +106,7 @@
             return shut_down(connection.sock)
         running.attempt.sent_at = self._context.deadlines.clock()
         self._on_written(running)
+        return None
 
     # The pool of connections.
 
--- a/hallhitch/node/errors.py
+++ b/hallhitch/node/errors.py
@@ -17,15 +17,15 @@
         self.reason = reason
 
 
-class RequestNotSent(PeerCallError):
+class RequestNotSent(PeerCallError):  # noqa: N818  named for the event, as callers read it
     """No part of the call was handed to a connection: the peer did not handle it, and it may be sent again."""
 
 
-class RequestTimeout(PeerCallError):
+class RequestTimeout(PeerCallError):  # noqa: N818  named for the event, as callers read it
     """A part of the call was handed to a connection and no reply came: the peer may have handled it."""
 
 
-class RequestRejected(PeerCallError):
+class RequestRejected(PeerCallError):  # noqa: N818  named for the event, as callers read it
     """The peer replied with an error."""
 
 
--- a/hallhitch/node/http_server.py
+++ b/hallhitch/node/http_server.py
@@ -130,7 +130,7 @@
     async def _reply_when_done(self, pending_reply: Awaitable[HttpReply], is_keep_alive: bool) -> None:
         try:
             reply = await pending_reply
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             reply = self._server.error_reply(error)
         self._is_busy = False
         self._write(reply, is_keep_alive)
@@ -167,7 +167,7 @@
         """Return the handler's reply, or what resolves to it; an exception becomes a reply of status 500."""
         try:
             return self._handler(request.method, request.target, request.body)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             return self.error_reply(error)
 
     def start_task(self, work: Awaitable[None]) -> asyncio.Future[None]:
--- a/hallhitch/ops/hot_restart/state_transfer.py
+++ b/hallhitch/ops/hot_restart/state_transfer.py
@@ -133,7 +133,7 @@
     try:
         temporary_path.write_text(text)
         temporary_path.replace(path)
-        return True
+        return True  # noqa: TRY300  the common case reads first
     except OSError:
         with contextlib.suppress(OSError):
             temporary_path.unlink()  # a partial file would take space on a full disk
--- a/hallhitch/ops/operator_server.py
+++ b/hallhitch/ops/operator_server.py
@@ -75,6 +75,7 @@
         task = self._loop.create_task(self._serve(configure_socket(sock)))
         self._has_call[task] = False
         task.add_done_callback(lambda done: self._has_call.pop(done, None))
+        return None
 
     async def _serve(self, sock: socket.socket) -> None:
         """Answer the call of one connection."""
@@ -124,9 +125,9 @@
         if call is not None:
             try:
                 return call()
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
                 COUNTS["actor_failed"] += 1
-                log.error("actor failed", actor="second address", exc_info=error)
+                log.error("actor failed", actor="second address", exc_info=error)  # noqa: TRY400
                 return OperatorReply(500, "failed\n")
         if any(path == known_path for _, known_path in self._calls):
             return OperatorReply(405, "another method\n")
--- a/hallhitch/planes/control/committed_state.py
+++ b/hallhitch/planes/control/committed_state.py
@@ -41,5 +41,5 @@
     def _notify(self, state: ClusterState) -> None:
         try:
             self._on_commit(state)
-        except Exception as error:  # a fault of the listener does not undo what was committed
+        except Exception as error:  # noqa: BLE001  a fault of the listener does not undo what was committed
             self._log.exception("commit listener failed", error, serial=state.serial)
--- a/hallhitch/planes/control/membership_reconciler.py
+++ b/hallhitch/planes/control/membership_reconciler.py
@@ -108,7 +108,7 @@
                 await self.reconcile()
             except (PeerCallError, TimeoutError) as error:
                 self._failure_log.warning(self._replica.clock(), "reconciliation incomplete", error=error)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
                 self._log.exception("reconciliation failed", error)
 
     async def reconcile(self) -> None:
--- a/hallhitch/planes/control/observation_rounds.py
+++ b/hallhitch/planes/control/observation_rounds.py
@@ -47,7 +47,7 @@
                 await self._run_round()
             except (PeerCallError, TimeoutError) as error:
                 self._failure_log.warning(self._replica.clock(), "observation round incomplete", error=error)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
                 self._log.exception("observation round failed", error)
             jitter = self._rng.uniform(1.0 - JITTER_RATIO, 1.0 + JITTER_RATIO)
             await asyncio.sleep(self._interval_ms() * jitter / 1000)
--- a/hallhitch/planes/control/operator_api.py
+++ b/hallhitch/planes/control/operator_api.py
@@ -63,7 +63,7 @@
         """Take over the zones."""
         self._node = node
 
-    async def handle(self, method: str, target: str, body: bytes) -> HttpReply:
+    async def handle(self, method: str, target: str, body: bytes) -> HttpReply:  # noqa: PLR0911  a reply for each case
         """Return the reply to one request; nothing is raised but for the cancellation of the call."""
         received_ms = self._clock()
         try:
--- a/hallhitch/planes/data/backend_connection.py
+++ b/hallhitch/planes/data/backend_connection.py
@@ -57,23 +57,23 @@
     """One connection to one backend."""
 
     __slots__ = (
-        "attempt",
-        "body_flow",
-        "idle_since",
-        "keep_alive_ms",
-        "received_at",
-        "_pool",
+        "__weakref__",
         "_clock",
-        "_transport",
-        "_reader",
         "_head_outcome",
         "_idle_before_ms",
+        "_is_closed",
         "_is_unused",
         "_must_not_be_reused",
-        "_is_closed",
+        "_pool",
+        "_reader",
+        "_transport",
         "_upload",
         "_write_resumed",
-        "__weakref__",
+        "attempt",
+        "body_flow",
+        "idle_since",
+        "keep_alive_ms",
+        "received_at",
     )
 
     def __init__(self, pool: BackendConnectionOwner, clock: Callable[[], float], body_memory: BodyMemory) -> None:
@@ -133,13 +133,15 @@
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the transport of a connection that is open."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses
         self._pool.on_connection_made(self)
         configure_socket(self._transport, UNACKNOWLEDGED_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes that have arrived."""
         if self._is_closed:
-            return
+            return None
         attempt = self.attempt
         if attempt is None:
             return self.close()  # unsolicited: it belongs to no request
@@ -155,16 +157,20 @@
             if response.status < 200:
                 continue  # informational: the response is still to come
             if self._accept(attempt, response, has_excess_bytes or number < len(responses)):
-                return
+                return None
         if has_excess_bytes:
             self._close_invalid()
+            return None
+        return None
 
     def eof_received(self) -> bool:
+        """Note that the peer sends no more; True keeps the transport open."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Note that the connection is closed."""
         if self._is_closed:
-            return
+            return None
         attempt = self.attempt
         if attempt is None:
             if self.idle_since and not self._must_not_be_reused:
@@ -174,14 +180,17 @@
         if error is None and self.body_flow is None:
             for response in self._reader.end():  # a body that is framed by the end of its connection
                 if response.status >= 200 and self._accept(attempt, response, True):
-                    return
+                    return None
         has_begun = self.body_flow is not None or self._reader.partial
         self._end_attempt(Outcome.INVALID_RESPONSE if has_begun else Outcome.CONNECTION_LOST)
+        return None
 
     def pause_writing(self) -> None:
+        """Note that the transport's buffer is full."""
         self._write_resumed = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
+        """Note that the transport's buffer has room again."""
         if self._write_resumed is not None and not self._write_resumed.done():
             self._write_resumed.set_result(None)
         self._write_resumed = None
--- a/hallhitch/planes/data/client_connection.py
+++ b/hallhitch/planes/data/client_connection.py
@@ -72,22 +72,22 @@
     """One connection of a client."""
 
     __slots__ = (
-        "is_gone",
-        "is_busy",
-        "_listener",
+        "__weakref__",
+        "_body_flow",
         "_context",
-        "_timers",
-        "_transport",
-        "_reader",
+        "_has_ended",
+        "_is_reading_paused",
+        "_listener",
+        "_message_began_at",
         "_queue",
+        "_reader",
         "_rejection_status",
-        "_has_ended",
         "_reserved_bytes",
-        "_is_reading_paused",
+        "_timers",
+        "_transport",
         "_write_resumed",
-        "_message_began_at",
-        "_body_flow",
-        "__weakref__",
+        "is_busy",
+        "is_gone",
     )
 
     def __init__(self, listener: ClientConnectionOwner) -> None:
@@ -110,6 +110,7 @@
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take over the transport of a connection that is open."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses
         if not self._listener.admit(self):
             self._transport.abort()
@@ -117,6 +118,7 @@
         configure_socket(self._transport, UNACKNOWLEDGED_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes that have arrived."""
         if self._rejection_status or self._has_ended or self.is_gone:
             return  # the connection only lingers until its last reply has arrived
         now = self._context.clock()
@@ -137,11 +139,13 @@
             self._advance(now)
 
     def eof_received(self) -> bool:
+        """Note that the peer sends no more; True keeps the transport open."""
         # A client that has closed cannot be told from one that only sends no more: its request is still answered.
         self.is_gone = True
         return self.is_busy and not self._has_ended
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Note that the connection is closed."""
         self.is_gone = self._has_ended = True
         self._listener.on_connection_closed(self)
         self._release_memory()
@@ -150,11 +154,13 @@
         self.resume_writing()
 
     def pause_writing(self) -> None:
+        """Note that the transport's buffer is full."""
         if self._write_resumed is None:
             self._write_resumed = asyncio.get_running_loop().create_future()
             self._timers.write_blocked_since[self] = self._context.clock()
 
     def resume_writing(self) -> None:
+        """Note that the transport's buffer has room again."""
         self._timers.write_blocked_since.pop(self, None)
         if self._write_resumed is not None and not self._write_resumed.done():
             self._write_resumed.set_result(None)
@@ -223,7 +229,7 @@
         context = self._context
         try:
             reply = await RequestHandler(context, request, received_at, self).run()
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             self._listener.on_request_failed(error)
             reply = local_reply(502, request)
         context.count(f"status_{reply.status}")
@@ -298,7 +304,7 @@
     def _finish(self) -> None:
         """End the connection after its last reply; until the client closes its side too, it lingers."""
         if self._has_ended or self._transport.is_closing():
-            return
+            return None
         self._has_ended = True
         self._queue.clear()
         if self.is_gone:
@@ -308,6 +314,8 @@
         self._timers.lingering_since[self] = self._context.clock()
         if self._transport.can_write_eof():
             self._transport.write_eof()
+            return None
+        return None
 
     # Flow control and memory.
 
--- a/hallhitch/planes/data/connection_pool.py
+++ b/hallhitch/planes/data/connection_pool.py
@@ -81,7 +81,7 @@
 
     # Attempts.
 
-    def send(self, attempt: UpstreamAttempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:  # noqa: PLR0911  a reply for each case
         """Carry an attempt on an idle connection or a new one; it may have ended when this returns."""
         if self.is_retired:
             return attempt.end(self._owner.clock(), Outcome.CANCELLED)
@@ -90,17 +90,20 @@
             return connection.carry(attempt)
         self._queue.append(attempt)
         if self.opening_count >= len(self._queue):
-            return
+            return None
         if self._may_open():
             self._open()
-            return
+            return None
         # An unsafe request may be given a connection that was idle for longer: better than none.
         connection = self._take_idle(False)
         if connection is not None:
             self._queue.remove(attempt)
             connection.carry(attempt)
-        elif not self.opening_count:
+            return None
+        if not self.opening_count:
             asyncio.get_running_loop().call_later(CONNECTION_WAIT_MS / 1000, self.withdraw, attempt)
+            return None
+        return None
 
     def withdraw(self, attempt: UpstreamAttempt) -> bool:
         """End an attempt as CANCELLED if it is still queued; return whether it was."""
@@ -200,6 +203,7 @@
             return connection.close()
         connection.idle_since = now
         self.idle.append(connection)
+        return None
 
     def on_connection_closed(self, connection: BackendConnection) -> None:
         """Forget a connection, and open another if attempts wait for one."""
--- a/hallhitch/planes/data/http_readers.py
+++ b/hallhitch/planes/data/http_readers.py
@@ -60,10 +60,12 @@
         )
 
     def on_message_begin(self) -> None:
+        """Start a message (httptools)."""
         super().on_message_begin()
         self._message.fields = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header (httptools)."""
         super().on_header(name, value)
         if self._in_head and self._message.fields is not None:
             self._message.fields.append((name, value))
@@ -88,15 +90,18 @@
         self.is_head_request = False  # the response to HEAD declares a length and has no body
 
     def on_message_begin(self) -> None:
+        """Start a message (httptools)."""
         super().on_message_begin()
         self._message.fields = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header (httptools)."""
         super().on_header(name, value)
         if self._in_head and self._message.fields is not None:
             self._message.fields.append((name, value))
 
     def on_headers_complete(self) -> None:
+        """End the head (httptools)."""
         super().on_headers_complete()
         length = self._message.length
         self._early = length is not None and length > BUFFERED_RESPONSE_MAX_BYTES
--- a/hallhitch/planes/data/load_balancer.py
+++ b/hallhitch/planes/data/load_balancer.py
@@ -127,7 +127,7 @@
 
     # Decisions.
 
-    def _decide(self, now: float, state: RequestState) -> Action:
+    def _decide(self, now: float, state: RequestState) -> Action:  # noqa: PLR0911  a reply for each case
         request = state.request
         route = request.route
         remaining_ms = request.deadline_ms - now
--- a/hallhitch/planes/data/outlier_detection.py
+++ b/hallhitch/planes/data/outlier_detection.py
@@ -27,7 +27,7 @@
 class UnansweredSends:
     """The first few sends to a backend, or to a whole zone, since it last responded."""
 
-    __slots__ = ("sent_at_ms", "_max_sends")
+    __slots__ = ("_max_sends", "sent_at_ms")
 
     def __init__(self, max_sends: int) -> None:
         self.sent_at_ms: list[float] = []  # the oldest first
@@ -56,15 +56,15 @@
     """Failures, ejections and half-open attempts of one backend."""
 
     __slots__ = (
+        "_consecutive_failures",
+        "_ejection_ms",
+        "_first_failure_ms",
+        "_overload_backoff_ms",
         "ejected_until_ms",
         "has_half_open_attempt",
         "is_misdirected",
         "last_failure_ms",
         "overloaded_until_ms",
-        "_consecutive_failures",
-        "_ejection_ms",
-        "_first_failure_ms",
-        "_overload_backoff_ms",
     )
 
     def __init__(self) -> None:
--- a/hallhitch/planes/data/request_handler.py
+++ b/hallhitch/planes/data/request_handler.py
@@ -52,24 +52,24 @@
     """Handles one request; the owner of its attempts."""
 
     __slots__ = (
-        "_context",
-        "_request",
-        "_received_at",
-        "_client",
-        "_info",
-        "_upstream_request",
         "_balancer_state",
-        "_quota_decision",
-        "_in_flight",
-        "_written_count",
-        "_may_have_run",
-        "_winning_response",
+        "_client",
+        "_context",
         "_error_response",
+        "_has_changed",
+        "_in_flight",
+        "_info",
         "_is_finished",
-        "_reply_by",
+        "_may_have_run",
         "_next_decision_at",
-        "_has_changed",
+        "_quota_decision",
+        "_received_at",
+        "_reply_by",
+        "_request",
+        "_upstream_request",
         "_wakeup",
+        "_winning_response",
+        "_written_count",
     )
     # Set in `run`, before there is any attempt.
     _info: RequestInfo
@@ -169,7 +169,7 @@
                 return self._fallback_reply(502)
             self._mark_overdue(now)
             has_changed, self._has_changed = self._has_changed, False
-            must_not_retry = client.is_gone or is_unsafe and (self._may_have_run or bool(self._in_flight))
+            must_not_retry = client.is_gone or (is_unsafe and (self._may_have_run or bool(self._in_flight)))
             if must_not_retry:
                 if not self._in_flight:
                     return self._fallback_reply(502)
--- a/hallhitch/planes/data/response_classification.py
+++ b/hallhitch/planes/data/response_classification.py
@@ -30,8 +30,7 @@
     lacks_id = response_id is None and request_id is not None
     if (
         REQUEST_ID in response.twice
-        or lacks_id
-        and not is_first_on_connection
+        or (lacks_id and not is_first_on_connection)
         or headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked"
     ):
         return Outcome.INVALID_RESPONSE
--- a/hallhitch/planes/data/transports.py
+++ b/hallhitch/planes/data/transports.py
@@ -17,18 +17,20 @@
     """The transport of a protocol before `connection_made`: closing, and nothing can be written to it."""
 
     def is_closing(self) -> bool:
+        """Return True: it never was open."""
         return True
 
     def close(self) -> None:
-        pass
+        """Do nothing."""
 
     def abort(self) -> None:
-        pass
+        """Do nothing."""
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        pass
+        """Drop the bytes."""
 
     def get_write_buffer_size(self) -> int:
+        """Return 0: nothing waits."""
         return 0
 
 
--- a/hallhitch/planes/data/upstream_attempt.py
+++ b/hallhitch/planes/data/upstream_attempt.py
@@ -72,15 +72,15 @@
     """One request on its way to one backend."""
 
     __slots__ = (
+        "backend",
+        "hedge_at",
+        "is_ended",
+        "is_overdue",
+        "latency_ms",
         "owner",
         "request",
-        "backend",
         "started_at",
-        "hedge_at",
         "written_at",
-        "latency_ms",
-        "is_overdue",
-        "is_ended",
     )
 
     def __init__(
--- a/hallhitch/tls/certificate_store.py
+++ b/hallhitch/tls/certificate_store.py
@@ -79,7 +79,7 @@
         except CertificateError as error:
             if self._rejected.get(path.stem) != versions:  # log once for each state of the files
                 self._rejected[path.stem] = versions
-                log.error("certificate rejected", error=str(error), previous_serves=current is not None)
+                log.error("certificate rejected", error=str(error), previous_serves=current is not None)  # noqa: TRY400
             return error
         self._rejected.pop(path.stem, None)
         log.info("certificate loaded", file=path.name, replaced=current is not None)
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import unittest
 
 from hypothesis import given, settings
@@ -57,7 +58,7 @@
 def read(reader: RequestReader | AnswerReader, data: bytes, cuts: list[int]) -> list[Message]:
     """Feed data in pieces; return the messages."""
     places = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
-    return [m for a, b in zip(places, places[1:], strict=False) for m in reader.feed(data[a:b])]
+    return [m for a, b in itertools.pairwise(places) for m in reader.feed(data[a:b])]
 
 
 class Forms(unittest.TestCase):
@@ -82,7 +83,7 @@
         for data, body in ANSWERS.items():
             reader = AnswerReader(long=True)
             messages = read(reader, data, cuts) + reader.end()
-            message = [m for m in messages if m.status >= 200][0]
+            message = next(m for m in messages if m.status >= 200)
             self.assertEqual((message.status, message.headers[b"a"], body_of(message)), (200, b"b", body))
 
     @given(st.lists(st.integers(0, 1 << 20), max_size=30), st.sampled_from(BODILESS))
--- a/tests/ops/hot_restart/test_replacement.py
+++ b/tests/ops/hot_restart/test_replacement.py
@@ -185,7 +185,7 @@
         """Guards against a gateway that starts and serves nobody."""
         with tempfile.TemporaryDirectory() as folder, socket.socket() as other:
             path = f"{folder}/config.json"
-            with open(path, "w") as file:
+            with open(path, "w") as file:  # noqa: ASYNC230  a small local file, before traffic
                 json.dump(self.program.config | {"ops": None}, file)
             for value in ("x", "77", str(other.fileno())):
                 run = await asyncio.to_thread(
--- a/tests/system/control/test_proposal.py
+++ b/tests/system/control/test_proposal.py
@@ -151,6 +151,6 @@
                 replicas[name], accepted = replicas[name].accept(proposal.accept_message(name))
                 is_committed = proposal.on_accepted(name, accepted)
             assert is_committed == all(len(set(accepting) & set(members)) >= 2 for members in ("abc", target))
-            assert (
-                not is_committed or proposal.state is not None and list(proposal.state.previous_members) == list("abc")
+            assert not is_committed or (
+                proposal.state is not None and list(proposal.state.previous_members) == list("abc")
             )
--- a/tests/system/control/test_serving_lease.py
+++ b/tests/system/control/test_serving_lease.py
@@ -96,7 +96,7 @@
                 last_stale_answer_ms = cluster.clock() - acknowledged_ms
             await asyncio.sleep(0.01)
         assert last_stale_answer_ms <= lease.length_ms + LOOP_STEP_MS
-        assert not plane.has_quorum_contact or blocked == "out" and plane.committed_state.config_version == 2
+        assert not plane.has_quorum_contact or (blocked == "out" and plane.committed_state.config_version == 2)
         assert plane_of(second).has_quorum_contact and plane_of(third).has_quorum_contact
 
     for seed in range(8):
--- a/tests/system/control/test_state_store.py
+++ b/tests/system/control/test_state_store.py
@@ -21,7 +21,7 @@
 FILES_OF_A_GENERATION: Final = 4  # two databases of two files
 
 
-class PowerLost(Exception):
+class PowerLost(Exception):  # noqa: N818  named for the event, as callers read it
     """The power is gone, nothing is done any more."""
 
 
@@ -158,7 +158,7 @@
             file.write_bytes(damaged)
             loaded = StateStore(DirectoryStorage(tmp_path), ADDRESS).load()
             # Bytes between the records have no meaning; all others have.
-            assert loaded.state is None and not loaded.is_empty and loaded.problems or loaded.state == last
+            assert (loaded.state is None and not loaded.is_empty and loaded.problems) or loaded.state == last
             assert loaded.state is None or damaged == sound[:-1]
         file.unlink()
         assert StateStore(DirectoryStorage(tmp_path), ADDRESS).load().state is None
@@ -185,7 +185,7 @@
     store.remove_obsolete()
     storage.is_full = True
     for _ in range(5):
-        with pytest.raises(OSError):
+        with pytest.raises(OSError):  # noqa: PT011  any of its subclasses
             store.save(second)
     assert len(list(tmp_path.iterdir())) <= 6
     storage.is_full = False
--- a/tests/system/data/data_plane_harness.py
+++ b/tests/system/data/data_plane_harness.py
@@ -116,7 +116,7 @@
                 await script(peer)
             except (asyncio.IncompleteReadError, ConnectionError):
                 pass
-            except BaseException as error:
+            except BaseException as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
                 self.script_errors.append(error)
             finally:
                 writer.close()
--- a/tests/system/emulator/test_emulated_backend.py
+++ b/tests/system/emulator/test_emulated_backend.py
@@ -110,7 +110,7 @@
                 for _ in range(2):
                     assert (await read_message(reader))[1]["hallhitch-request-id"] == "a1"
             else:
-                with pytest.raises((EOFError, OSError, asyncio.LimitOverrunError, ValueError)):
+                with pytest.raises((EOFError, OSError, asyncio.LimitOverrunError, ValueError)):  # noqa: PT012
                     status_line, _, _ = await read_message(reader)
                     raise ValueError(status_line)  # what is no response
             assert backend.fleet.records.arrivals[0].is_broken_off == (fault not in DUPLICATES)
--- a/tests/system/messages/test_inbound_link.py
+++ b/tests/system/messages/test_inbound_link.py
@@ -32,7 +32,7 @@
         for invalid in (b"GET / HTTP/1.1\r\n\r\n", b"\xff\xff\xff\xff", b"\0\0\0\x03abc"):
             reader, writer = await connect(address)
             writer.write(invalid)
-            with pytest.raises(ConnectionError):
+            with pytest.raises(ConnectionError):  # noqa: PT012  the context manager is part of what is tested
                 if not await reader.read(1):
                     raise ConnectionError
             writer.close()
--- a/tests/system/quota/fault_schedule.py
+++ b/tests/system/quota/fault_schedule.py
@@ -17,7 +17,7 @@
 RUN_MS: Final = 20_000.0
 
 
-def inject_faults(cluster: SimulatedCluster) -> None:
+def inject_faults(cluster: SimulatedCluster) -> None:  # noqa: C901  one case after the other
     """Inject one fault now, and another after a while, and so on."""
     rng = cluster.rng
     draw = rng.random()
--- a/tests/system/quota/simulated_membership.py
+++ b/tests/system/quota/simulated_membership.py
@@ -48,7 +48,7 @@
 
     def _begin_next(self) -> None:
         if self.is_changing or not self.pending_changes:
-            return
+            return None
         members = self.pending_changes.pop(0)
         previous = self.committed
         if not members or set(members) == set(previous.members):
@@ -58,6 +58,7 @@
             return self._commit(LeaseMembership(previous.version + 1, members), previous, self._complete)
         joint = LeaseMembership(previous.version + 1, members, previous.members)
         self._commit(joint, joint, lambda: self._settle(joint))
+        return None
 
     def _settle(self, joint: LeaseMembership) -> None:
         settled = LeaseMembership(joint.version + 1, joint.members, joint.previous_members)
@@ -85,6 +86,7 @@
             if is_reachable and (cluster.is_fault_free or cluster.rng.random() > 0.2):
                 self._send(coordinator, state)
         cluster.schedule(RESEND_INTERVAL_MS, lambda: self._commit(state, voters, on_commit))
+        return None
 
     def _send(self, coordinator: SimulatedCoordinator, state: LeaseMembership) -> None:
         def accept() -> None:
