--- a/hallhitch/core/deadlines.py
+++ b/hallhitch/core/deadlines.py
@@ -93,7 +93,7 @@
                 callback()
             except Exception as error:  # noqa: BLE001  the failure of one callback must not stop the others
                 COUNTS["deadline_failed"] += 1
-                log.error("actor failed", actor="deadlines", exc_info=error)  # noqa: TRY400  expected: no traceback
+                log.error("actor failed", actor="deadlines", exc_info=error)  # noqa: TRY400
 
     def _arm(self, when: float) -> None:
         """Set the loop's timer; where the earliest deadline is cancelled later, the timer finds nothing due."""
