--- a/hallhitch/administration/api/credential_resources.py
+++ b/hallhitch/administration/api/credential_resources.py
@@ -101,7 +101,7 @@
 
     path = "/v1/tenants/{tenant:str}/credentials"
     tags = ("credentials",)
-    opt = {"kind": Kind.CREDENTIAL}
+    opt = {"kind": Kind.CREDENTIAL}  # noqa: RUF012  read by the framework, never changed
 
     @get("/", responses=READ_ERRORS, operation_id="listCredentials")
     async def list(
@@ -120,7 +120,7 @@
         return calls.read(request, Target(tenant, Kind.CREDENTIAL, name))
 
     @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putCredential", opt={"write": True})
-    async def put(
+    async def put(  # noqa: PLR0913  fields of one record
         self,
         request: Conn,
         tenant: str,
@@ -166,7 +166,7 @@
 
     path = "/v1/operators"
     tags = ("operators",)
-    opt = {"kind": Kind.CREDENTIAL, "tenant": OPERATORS}
+    opt = {"kind": Kind.CREDENTIAL, "tenant": OPERATORS}  # noqa: RUF012  read by the framework, never changed
 
     @get("/", responses=READ_ERRORS, operation_id="listOperators")
     async def list(
--- a/hallhitch/administration/api/entry_resources.py
+++ b/hallhitch/administration/api/entry_resources.py
@@ -34,7 +34,7 @@
 
     path = "/v1/tenants/{tenant:str}/plans"
     tags = ("plans",)
-    opt = {"kind": Kind.PLAN}
+    opt = {"kind": Kind.PLAN}  # noqa: RUF012  read by the framework, never changed
 
     @get("/", responses=READ_ERRORS, operation_id="listPlans")
     async def list(
@@ -51,7 +51,7 @@
         return calls.read(request, Target(tenant, Kind.PLAN, name))
 
     @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putPlan", opt={"write": True})
-    async def put(
+    async def put(  # noqa: PLR0913  fields of one record
         self,
         request: Conn,
         tenant: str,
@@ -82,10 +82,10 @@
 
     path = "/v1/tenants/{tenant:str}/clients"
     tags = ("clients",)
-    opt = {"kind": Kind.CLIENT}
+    opt = {"kind": Kind.CLIENT}  # noqa: RUF012  read by the framework, never changed
 
     @get("/", responses=READ_ERRORS, operation_id="listClients")
-    async def list(
+    async def list(  # noqa: PLR0913  fields of one record
         self,
         request: Conn,
         tenant: str,
@@ -115,7 +115,7 @@
         return calls.read(request, Target(tenant, Kind.CLIENT, canonical_client_id(name)))
 
     @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putClient", opt={"write": True})
-    async def put(
+    async def put(  # noqa: PLR0913  fields of one record
         self,
         request: Conn,
         tenant: str,
@@ -146,7 +146,7 @@
 
     path = "/v1/tenants/{tenant:str}/hosts"
     tags = ("hosts",)
-    opt = {"kind": Kind.HOST}
+    opt = {"kind": Kind.HOST}  # noqa: RUF012  read by the framework, never changed
 
     @get("/", responses=READ_ERRORS, operation_id="listHosts")
     async def list(
@@ -163,7 +163,7 @@
         return calls.read(request, Target(tenant, Kind.HOST, name.lower()))
 
     @put("/{name:str}", responses=CHANGE_ERRORS, operation_id="putHost", opt={"write": True})
-    async def put(
+    async def put(  # noqa: PLR0913  fields of one record
         self,
         request: Conn,
         tenant: str,
--- a/hallhitch/administration/api/guard.py
+++ b/hallhitch/administration/api/guard.py
@@ -58,6 +58,7 @@
         self._failures_by_address = TokenBuckets(failures_per_s * 10, settings.failures_per_minute * 5)
 
     async def __call__(self, scope: AsgiScope, receive: Receive, send: Send) -> None:
+        """Admit a call and pass it on, or answer it with the reason."""
         if scope["type"] != "http":
             return await self._app(scope, receive, send)
         try:
@@ -65,8 +66,9 @@
         except ProblemError as problem:
             COUNTS[f"api_{problem.code}"] += 1
             await send_problem(send, problem, scope["method"])
-            return
+            return None
         await self._app(scope, replay, send)
+        return None
 
     async def _admit(self, scope: AsgiScope, receive: Receive) -> Receive:
         """Check a call before any handler sees it, and return the channel from which the framework reads its body."""
--- a/hallhitch/administration/api/tenant_resources.py
+++ b/hallhitch/administration/api/tenant_resources.py
@@ -41,7 +41,7 @@
 
     path = "/v1/tenants"
     tags = ("tenants",)
-    opt = {"kind": Kind.TENANT}
+    opt = {"kind": Kind.TENANT}  # noqa: RUF012  read by the framework, never changed
 
     @get("/", responses=READ_ERRORS, operation_id="listTenants")
     async def list(
--- a/hallhitch/administration/backups.py
+++ b/hallhitch/administration/backups.py
@@ -53,7 +53,7 @@
         _sync_file(temporary)
         os.rename(temporary, target)
         sync_folder(target.parent)
-        return loaded
+        return loaded  # noqa: TRY300  the common case reads first
     except (sqlite3.Error, OSError) as error:
         raise StoreError(target, error) from error
     finally:
@@ -76,7 +76,7 @@
         for actor, key, at_ms, fingerprint, body, checksum in db.execute("SELECT * FROM answer"):
             if columns_checksum(actor, key, at_ms, fingerprint, body) != checksum:
                 raise CorruptStoreError(f"{path}: table answer, actor {actor}, key {key}", "the checksum does not fit")
-        return loaded
+        return loaded  # noqa: TRY300  the common case reads first
     except sqlite3.Error as error:
         raise CorruptStoreError(path, error) from error
     finally:
@@ -110,7 +110,7 @@
             db.execute("PRAGMA journal_mode=DELETE")
         _sync_file(temporary)
         _replace_database(folder, temporary)
-        return catalog
+        return catalog  # noqa: TRY300  the common case reads first
     except (sqlite3.Error, OSError) as error:
         raise StoreError(folder, error) from error
     finally:
--- a/hallhitch/administration/bounded_protocol.py
+++ b/hallhitch/administration/bounded_protocol.py
@@ -18,6 +18,7 @@
     _request_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
+        """Take over the transport of a connection that is open."""
         if len(self.connections) >= self.limits.connections:
             COUNTS["api_connections_refused"] += 1
             self.transport = transport
@@ -31,11 +32,13 @@
         self._start_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Note that the connection is closed."""
         self._stop_timer()
         if self.flow is not None:  # a refused connection was never made
             super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
+        """Take bytes that have arrived."""
         if self.transport.is_closing():
             return
         if self._request_timer is None and (self.cycle is None or self.cycle.response_complete):
--- a/hallhitch/administration/errors.py
+++ b/hallhitch/administration/errors.py
@@ -27,7 +27,7 @@
     """A batch was rolled back as a whole. The same batch may be retried."""
 
 
-class WriteQueueFull(AdministrationError):
+class WriteQueueFull(AdministrationError):  # noqa: N818  named for the event, as callers read it
     """The writer's queue holds as many calls as it may."""
 
     def __init__(self, limit: int) -> None:
@@ -35,7 +35,7 @@
         self.limit = limit
 
 
-class IdempotencyKeyReused(AdministrationError):
+class IdempotencyKeyReused(AdministrationError):  # noqa: N818  named for the event, as callers read it
     """The idempotency key was used for a different call."""
 
     def __init__(self, caller: str, key: str) -> None:
@@ -44,7 +44,7 @@
         self.key = key
 
 
-class CredentialNoLongerValid(AdministrationError):
+class CredentialNoLongerValid(AdministrationError):  # noqa: N818  named for the event, as callers read it
     """The caller's credential expired or was revoked between admission and the change."""
 
     def __init__(self, caller: str) -> None:
@@ -52,7 +52,7 @@
         self.caller = caller
 
 
-class WriterHalted(AdministrationError):
+class WriterHalted(AdministrationError):  # noqa: N818  named for the event, as callers read it
     """Nothing is changed before a restart: the service ends, or a failed write left the store's state in doubt."""
 
     def __init__(self, reason: str) -> None:
@@ -60,7 +60,7 @@
         self.reason = reason
 
 
-class CheckQueueFull(AdministrationError):
+class CheckQueueFull(AdministrationError):  # noqa: N818  named for the event, as callers read it
     """As many secret checks wait as may."""
 
     def __init__(self, limit: int) -> None:
@@ -68,7 +68,7 @@
         self.limit = limit
 
 
-class SnapshotTransfersFull(AdministrationError):
+class SnapshotTransfersFull(AdministrationError):  # noqa: N818  named for the event, as callers read it
     """As many snapshots are under way to gateways as may be; `retry_after_s` is when to ask again."""
 
     def __init__(self, retry_after_s: float) -> None:
--- a/hallhitch/administration/writer.py
+++ b/hallhitch/administration/writer.py
@@ -53,7 +53,7 @@
 class Writer:
     """Owner of the newest catalog and of the way to the next one."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  fields of one record
         self,
         store: SqliteStore,
         catalog: Catalog,
@@ -130,7 +130,7 @@
             count = await self._in_thread(self._store.delete_responses, self._clock.now_ms() - RESPONSE_RETENTION_MS)
             log.info("expired responses deleted", count=count)
         except BatchNotWrittenError as error:
-            log.error("expired responses not deleted", error=str(error))
+            log.error("expired responses not deleted", error=str(error))  # noqa: TRY400  expected: no traceback
 
     async def snapshot(self) -> None:
         """Write the catalog as it is now, chunk by chunk between batches, then truncate the log behind it.
@@ -145,7 +145,7 @@
             await self._in_thread(self._store.commit_snapshot, id, catalog, chunks, self._retained_log_changes)
             log.info("snapshot written", epoch=catalog.epoch, version=catalog.version, pieces=chunks)
         except BatchNotWrittenError as error:
-            log.error("snapshot not written", error=str(error))
+            log.error("snapshot not written", error=str(error))  # noqa: TRY400  expected: no traceback
 
     async def _write_chunks(self, id: int, catalog: Catalog) -> int:
         """Write a snapshot's chunks and return how many."""
@@ -186,9 +186,9 @@
             result = await self._in_thread(self._commit, calls, self.catalog, self._clock.now_ms())
             self._publish(result)
             outcomes = result.outcomes
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
             COUNTS["batches_failed"] += 1
-            log.error("batch not written", error=f"{type(error).__name__}: {error}", calls=len(batch))
+            log.error("batch not written", error=f"{type(error).__name__}: {error}", calls=len(batch))  # noqa: TRY400
             await self._verify_store_after_failure()
             outcomes = [error] * len(batch)
         for pending, outcome in zip(batch, outcomes, strict=True):
@@ -220,8 +220,8 @@
             return
         try:
             on_disk = await self._in_thread(self._store.latest_version)
-        except Exception as error:
-            log.error("the store cannot be read", error=str(error))
+        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+            log.error("the store cannot be read", error=str(error))  # noqa: TRY400  expected: no traceback
             return  # each further batch tries again, and fails as a whole
         if on_disk not in ((self.catalog.epoch, self.catalog.version), (0, 0)):
             held = f"{self.catalog.epoch}.{self.catalog.version}"
--- a/hallhitch/catalog/errors.py
+++ b/hallhitch/catalog/errors.py
@@ -9,7 +9,7 @@
     """Base of the catalog's errors."""
 
 
-class ChangeRefused(CatalogError):
+class ChangeRefused(CatalogError):  # noqa: N818  named for the event, as callers read it
     """A change is not made, nor any part of it; `code` is stable, `field` a path into the change."""
 
     CODES: ClassVar = ("not-found", "stale", "invalid", "over-limit", "in-use", "taken")
@@ -25,7 +25,7 @@
     """A line of the feed, or its end, does not lead on from the catalog that is held; that catalog stays."""
 
 
-class GatewayNameTaken(CatalogError):
+class GatewayNameTaken(CatalogError):  # noqa: N818  named for the event, as callers read it
     """Another instance of this gateway's name holds the lease for so long."""
 
     def __init__(self, name: str, remaining_ms: float) -> None:
@@ -46,7 +46,7 @@
         self.spread = spread
 
 
-class DiffMismatch(CatalogError, ValueError):
+class DiffMismatch(CatalogError, ValueError):  # noqa: N818  named for the event, as callers read it
     """A diff is applied to a catalog at another version than the one it leads on from."""
 
     def __init__(self, since: tuple[int, int], held: tuple[int, int]) -> None:
--- a/hallhitch/catalog_sync/catalog_cache.py
+++ b/hallhitch/catalog_sync/catalog_cache.py
@@ -55,7 +55,7 @@
             self._write(catalog)
         except OSError as error:
             COUNTS["saved_catalogue_unwritten"] += 1
-            log.error("catalogue not saved", file=str(self._path), error=str(error.strerror))
+            log.error("catalogue not saved", file=str(self._path), error=str(error.strerror))  # noqa: TRY400
             self._temporary_path.unlink(missing_ok=True)
             return False
         self._saved_version = catalog.epoch, catalog.version
