--- a/benchmarks/system_capacity.py
+++ b/benchmarks/system_capacity.py
@@ -1,490 +1,461 @@
-"""What the control side costs as gateways are added: three real coordinators, many hollow gateways, all on loopback.
+"""What the control plane costs as gateways are added: three real coordinators, simulated gateways, all on loopback.
 
     python -O -m benchmarks.system_capacity [--sizes 9,36,86,144,300] [--only slopes|fleet]
 
-A hollow gateway is the hub, the follower, the quota plane and the links of a gateway, with an address of its own,
-without the data plane; many of them live in one process. Prints tables; stops by itself after a few minutes. It starts
-and ends its own coordinators and processes of hollow gateways, and nothing else.
+Prints tables and ends by itself after a few minutes. It starts and ends its own coordinators and processes of simulated
+gateways (`simulated_gateways`), and nothing else. Sizes are trials one after the other; a size that is not done in time
+ends the run.
 """
 
 from __future__ import annotations
 
 import argparse
 import asyncio
-import functools
 import http.client
 import json
 import logging
 import os
-import random
 import sys
 import tempfile
 import time
-from collections.abc import Awaitable, Callable, Mapping, Sequence
-from dataclasses import dataclass, replace
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Annotated, Any, Final
 
 import uvloop
 
-from benchmarks.capacity_slopes import backend, config, slopes, table
+from benchmarks.capacity_site import (
+    COORDINATOR_COUNT,
+    ENDPOINT_LIST_PORT,
+    OPERATOR_PORT,
+    coordinator_host,
+    endpoint_list_host,
+    write_settings,
+)
+from benchmarks.capacity_slopes import print_slopes
+from benchmarks.measuring import BenchmarkError, print_table
 from benchmarks.resident import resident
-from hallhitch.messages.peer_links import PeerLinks
-from hallhitch.messages.system_pb2 import Envelope
+from benchmarks.sample_data import sample_backend, sample_config
+from benchmarks.simulated_gateways import EVACUATED_ZONE, Command, GroupReport
 from hallhitch.node import logs
-from hallhitch.node.clock import now
 from hallhitch.node.http_server import HttpReply, HttpServer
-from hallhitch.node.settings import NodeSettings
-from hallhitch.node.settings_file import read_settings
-from hallhitch.planes.distribution.config_compiler import EMPTY_CONFIG, compile_config
-from hallhitch.planes.distribution.gateway_sync import GatewaySync
-from hallhitch.planes.distribution.ports import SyncContext
-from hallhitch.planes.distribution.state_hub import StateHub
-from hallhitch.planes.distribution.versioned_map import Version
-from hallhitch.planes.quota import bucket_placement
 from hallhitch.planes.quota.limits import BUCKET_COUNT
-from hallhitch.planes.quota.plane import QuotaPlane
-from hallhitch.planes.values import Gateway
-
-PORT = 26_180  # internal; the operator's is 8 above, the list's 9 above
-ZONES = {f"zone-{n}": f"region-{n % 3}" for n in range(6)}
-LISTED, PAGE, TENANTS, ROUTES = 100, 50, 64, 50
-SETTLE, REST, WINDOW, SPREAD = 12.0, 7.0, 4.0, 2.5  # s at most; after REST buckets move no more
-TEAM, START = 50, 1.5  # hollow gateways in one process, and the s in which they start
-STEP = 110.0  # s after which a size is given up, and the larger ones with it; a third of it on a quiet machine
-RATE = 4.0  # counts a second that each hollow gateway asks for in the second window
-TICKS = os.sysconf("SC_CLK_TCK")
-KEPT = ("PATH", "HOME", "LANG", "VIRTUAL_ENV")
-
-
-def settings(folder: Path, step: int, core: int) -> Path:
-    """Write the settings file of one coordinator."""
-    hosts = [f"127.1.{step}.{n + 1}" for n in range(3)]
-    data = folder / f"core-{core}" / "data"
-    data.mkdir(parents=True, exist_ok=True)
-    top: dict[str, Any] = {
-        "nodeName": f"core-{core}",
-        "role": "coordinator",
-        "machineClass": "core",
-        "serves": ["control_plane"],
-        "ipAddress": hosts[core],
-        "zone": f"zone-{core}",
-        "region": ZONES[f"zone-{core}"],
-        "internalPortRange": [PORT, PORT + 7],
-        "seedNodes": [f"{host}:{PORT + 8}" for host in hosts],
-        "firstStart": True,
-        "dataDirectory": str(data),
-    }
-    tables: Mapping[str, Mapping[str, Any]] = {
-        "zones": ZONES,
-        "listenAddresses": {"controlPlane": f"{hosts[core]}:{PORT + 8}"},
-        "faultTolerance": {"machineLosses": 1},
-        "cloudApi": {"address": f"127.1.{step}.9:{PORT + 9}", "ratePerS": 47.0, "maxLag": "800ms"},
-    }
-    lines = [f"{name} = {json.dumps(value)}" for name, value in top.items()]
-    for name, rows in tables.items():
-        lines += [f"[{name}]", *(f"{key} = {json.dumps(value)}" for key, value in rows.items())]
-    path = data.parent / "settings.toml"
-    path.write_text("\n".join(lines) + "\n")
-    return path
-
-
-class Listing:
-    """A stand-in of the platform's list: pages of backends, of which some drain."""
+
+BACKEND_COUNT: Final = 100
+TENANT_COUNT: Final = 64
+ROUTE_COUNT: Final = 50
+PAGE_ENTRIES: Final = 50  # two pages for the list: paging is part of the cost
+GATEWAYS_PER_PROCESS: Final = 50
+CONVERGENCE_TIMEOUT_S: Final = 12.0
+REBALANCING_S: Final = 7.0  # after which buckets move no more
+WINDOW_S: Final = 4.0  # over which rates are taken
+PROPAGATION_TIMEOUT_S: Final = 2.5
+POLL_INTERVAL_S: Final = 0.03
+ORDER_RETRY_S: Final = 0.2
+ORDER_TIMEOUT_S: Final = 2.0
+TRIAL_TIMEOUT_S: Final = 110.0  # three times what a trial takes on a quiet machine
+REPLY_LIMIT_BYTES: Final = 2**24  # one line holds the latencies of a whole window
+CLOCK_TICKS_PER_S: Final = os.sysconf("SC_CLK_TCK")
+INHERITED_VARIABLES: Final = ("PATH", "HOME", "LANG", "VIRTUAL_ENV")
+
+
+class EndpointListServer:
+    """Emulates the platform's endpoint list: pages of backends, of which some drain."""
 
     def __init__(self) -> None:
-        self.entries = [backend(n) for n in range(LISTED)]
-        self.draining: set[str] = set()
-        self.calls = 0
-
-    def call(self, method: str, target: str, body: bytes) -> HttpReply:
-        """One page."""
-        self.calls += 1
-        begin = int(target.partition("pageToken=")[2] or 0)
+        self.backends = [sample_backend(number) for number in range(BACKEND_COUNT)]
+        self.draining_instances: set[str] = set()
+
+    def handle(self, method: str, target: str, body: bytes) -> HttpReply:
+        """Return the page that the target asks for."""
+        first = int(target.partition("pageToken=")[2] or 0)
+        end = first + PAGE_ENTRIES
         rows = [
             [
-                e.instance,
-                e.service,
-                f"{e.host}:{e.port}",
-                e.zone,
-                e.slots,
-                "draining" if e.instance in self.draining else "ready",
+                backend.instance,
+                backend.service,
+                f"{backend.host}:{backend.port}",
+                backend.zone,
+                backend.slots,
+                "draining" if backend.instance in self.draining_instances else "ready",
             ]
-            for e in self.entries[begin : begin + PAGE]
+            for backend in self.backends[first:end]
         ]
-        more = str(begin + PAGE) if begin + PAGE < len(self.entries) else None
         page = {
             "instances": {
                 "columnNames": ["instanceId", "targetService", "address", "zone", "slotCount", "state"],
                 "rowValues": rows,
             },
-            "nextPageToken": more,
+            "nextPageToken": str(end) if end < len(self.backends) else None,
         }
         return HttpReply(200, {"Content-Type": "application/json"}, json.dumps(page).encode())
 
 
-class Hollow:
-    """A gateway without its data plane."""
-
-    def __init__(self, number: int, node: NodeSettings) -> None:
-        zone, step = f"zone-{number % 6}", int(node.ip_address.split(".")[2])
-        self.node = replace(
-            node,
-            name=f"edge-{number}",
-            role="gateway",
-            machine_class="edge",
-            data_directory=None,
-            cloud_api_address=None,
-            zone=zone,
-            region=ZONES[zone],
-            ip_address=f"127.{10 * step + number // 250}.{number % 250 + 1}.1",
-            listen_addresses={},
-        )
-        self.incarnation = random.getrandbits(60) + 1
-        self.links = PeerLinks(node.cluster_name, self._handle)
-        self.hub = StateHub(self.incarnation)
-        self.follower = GatewaySync(SyncContext(self.links, self.hub, self._own), node.seed_addresses)
-        self.quota = QuotaPlane(self.node, self.links)
-        self.config, self._gateways = EMPTY_CONFIG, Version()
-
-    def _own(self) -> Gateway:
-        n = self.node
-        return Gateway(
-            n.name, n.internal_address, self.incarnation, "edge", n.zone, n.region, f"{n.ip_address}:{PORT + 8}", True
-        )
+@dataclass(frozen=True, slots=True)
+class UsageRates:
+    """What a gateway, and a coordinator, uses in a second."""
+
+    sent_bytes: float
+    received_bytes: float
+    frames: float
+    gateway_ms: float  # of processor time
+    coordinator_ms: float
 
-    def _handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope]:
-        return (
-            self.hub.respond(envelope.state_request)
-            if envelope.HasField("state_request")
-            else self.quota.handle(envelope)
-        )
 
-    async def start(self) -> None:
-        """As the gateway's program does."""
-        await self.links.serve(self.node.internal_address)
-        self.hub.on_change.append(self._learn)
-        await self.quota.start()
-        self.follower.start()
-
-    def _learn(self) -> None:
-        hub = self.hub
-        if hub.config.serial > self.config.serial:
-            w = hub.config
-            self.config = compile_config(w.serial, w.config_version, w.config, w.evacuated_zones, w.max_gateways)
-            self.quota.set_config(self.config)
-        if (version := hub.gateways.version) != self._gateways:
-            self._gateways = version
-            self.quota.set_gateways([g for g in hub.gateways.values() if g.frontend])
-        self.quota.set_membership(hub.lease_membership)
-        self.quota.set_holders(hub.holders)
-
-
-@dataclass(slots=True)
-class Sums:
-    """Counters at one moment: what all hollow gateways and the three coordinators have used."""
-
-    at: float
-    own: float  # s of processor time of the hollow gateways
-    cores: float  # and of the three coordinators
-    sent: int
-    received: int
+@dataclass(frozen=True, slots=True)
+class UsageSample:
+    """What all simulated gateways and all coordinators have used up to a moment."""
+
+    taken_at_s: float
+    gateways_processor_s: float
+    coordinators_processor_s: float
+    sent_bytes: int
+    received_bytes: int
     frames: int
 
-    def per_second(self, before: Sums, count: int) -> list[float]:
-        """A gateway and second: sent, received bytes, frames, ms there; and ms a coordinator in all."""
-        span = self.at - before.at
-        return [
-            (self.sent - before.sent) / span / count,
-            (self.received - before.received) / span / count,
-            (self.frames - before.frames) / span / count,
-            (self.own - before.own) / span / count * 1000,
-            (self.cores - before.cores) / span / 3 * 1000,
-        ]
+    def rates_since(self, earlier: UsageSample, gateway_count: int) -> UsageRates:
+        """Return the mean rates between two samples."""
+        span_s = self.taken_at_s - earlier.taken_at_s
+        gateways_s = self.gateways_processor_s - earlier.gateways_processor_s
+        coordinators_s = self.coordinators_processor_s - earlier.coordinators_processor_s
+        return UsageRates(
+            sent_bytes=(self.sent_bytes - earlier.sent_bytes) / span_s / gateway_count,
+            received_bytes=(self.received_bytes - earlier.received_bytes) / span_s / gateway_count,
+            frames=(self.frames - earlier.frames) / span_s / gateway_count,
+            gateway_ms=gateways_s / span_s / gateway_count * 1000,
+            coordinator_ms=coordinators_s / span_s / COORDINATOR_COUNT * 1000,
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class SteadyStateCost:
+    """A row of the first table: cost without changes."""
 
+    gateways: Annotated[int, "gateways"]
+    converged_s: Annotated[float | str, "converged after s"]
+    sent_bytes_per_s: Annotated[float, "sent B/s a gateway"]
+    received_bytes_per_s: Annotated[float, "received B/s"]
+    frames_per_s: Annotated[float, "frames/s"]
+    gateway_ms_per_s: Annotated[float, "processor ms/s a gateway"]
+    coordinator_ms_per_s: Annotated[float, "processor ms/s a coordinator"]
+    coordinator_memory_mb: Annotated[float, "memory of a coordinator MB"]
+    coordinator_growth_kib: Annotated[float, "KB more a gateway there"]
+    gateway_memory_kib: Annotated[float, "KB of a simulated gateway"]
 
-class Team:
-    """Some hollow gateways in a process of their own, as the one that leads them sees it."""
+
+@dataclass(frozen=True, slots=True)
+class LoadCost:
+    """A row of the second table: cost of counting, and propagation of one change."""
+
+    gateways: Annotated[int, "gateways"]
+    counts_per_s: Annotated[float, "counts/s a gateway"]
+    median_ms: Annotated[float, "median ms"]
+    p99_ms: Annotated[float, "p99 ms"]
+    sent_bytes_per_count: Annotated[float, "bytes sent a count"]
+    received_bytes_per_count: Annotated[float, "received"]
+    frames_per_count: Annotated[float, "frames a count"]
+    gateway_ms_per_count: Annotated[float, "processor ms a count, both sides"]
+    coordinator_ms_per_s: Annotated[float, "processor ms/s a coordinator"]
+    evacuation_ms: Annotated[float | str, "evacuation at the last gateway ms"]
+    propagation_bytes: Annotated[float, "bytes received a gateway meanwhile"]
+    drain_ms: Annotated[float, "drain at the last gateway ms"]
+
+
+class GatewayProcess:
+    """A process of simulated gateways, as the benchmark that leads it sees it."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
 
     @classmethod
-    async def start(cls, first: int, count: int, file: Path) -> Team:
-        """Start so many gateways."""
+    async def start(cls, first: int, count: int, settings: Path) -> GatewayProcess:
+        """Start a process of `count` gateways."""
         return cls(
             await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-O",
                 "-m",
-                "benchmarks.system_capacity",
-                "--team",
-                f"{first},{count},{file}",
+                "benchmarks.simulated_gateways",
+                str(first),
+                str(count),
+                str(settings),
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                limit=2**24,
+                limit=REPLY_LIMIT_BYTES,
             )
         )
 
-    async def ask(self, what: str) -> Any:
-        """One word to it, and its answer."""
-        assert self.process.stdin is not None and self.process.stdout is not None
-        self.process.stdin.write(f"{what}\n".encode())
+    async def report(self) -> GroupReport:
+        """Return the state and counters of its gateways."""
+        return GroupReport(**await self._call(Command.REPORT))
+
+    async def count(self, duration_s: float) -> list[float]:
+        """Let its gateways count for so long; return the latencies in ms."""
+        latencies_ms: list[float] = await self._call(f"{Command.COUNT} {duration_s}")
+        return latencies_ms
+
+    async def _call(self, command: str) -> Any:
+        if self.process.stdin is None or self.process.stdout is None:
+            raise BenchmarkError("a process of simulated gateways has no pipes")
+        self.process.stdin.write(f"{command}\n".encode())
         line = await self.process.stdout.readline()
         if not line:
-            raise ConnectionError("a team has ended")
+            raise BenchmarkError("a process of simulated gateways has ended")
         return json.loads(line)
 
 
-async def team(first: int, count: int, file: str) -> None:
-    """The other side: run the gateways, answer each line on standard input with one line."""
-    # All gateways here reckon the same order: once in this process, its time is in the table of gateways.
-    kept = functools.lru_cache(maxsize=4)(bucket_placement.rank_gateways)
-    bucket_placement.rank_gateways = lambda gateways: kept(frozenset(gateways))
-    node, reader = read_settings(file), asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    hollows, bare = [Hollow(n, node) for n in range(first, first + count)], resident()
-    for hollow in hollows:
-        await hollow.start()
-        await asyncio.sleep(START / count)
-    drains = backend(0).instance
-    while line := (await reader.readline()).decode().split():
-        traffic = [hollow.links.traffic for hollow in hollows]
-        told: object = {
-            "known": min(len(h.hub.gateways) for h in hollows),
-            "held": sum(len(h.quota.held_buckets()) for h in hollows),
-            "version": min(h.config.version for h in hollows),
-            "evacuated": all("zone-1" in h.config.evacuated_zones for h in hollows),
-            "drained": all((e := h.hub.backends.get(drains)) is not None and e.is_draining for h in hollows),
-            "own": time.process_time(),
-            "sent": sum(one.bytes_sent for one in traffic),
-            "received": sum(one.bytes_received for one in traffic),
-            "grown": resident() - bare,
-            "frames": sum(one.frames_sent + one.frames_received for one in traffic),
-        }
-        if line[0] == "count":
-            told = await counts(hollows, float(line[1]))
-        print(json.dumps(told), flush=True)
-
-
-def used(pids: Sequence[int]) -> float:
-    """Seconds of processor time that these processes have had."""
-    total = 0
+def processor_s(pids: Sequence[int]) -> float:
+    """Return the seconds of processor time that these processes have used."""
+    ticks = 0
     for pid in pids:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-        total += int(fields[11]) + int(fields[12])
-    return total / TICKS
+        user_ticks, system_ticks = int(fields[11]), int(fields[12])
+        ticks += user_ticks + system_ticks
+    return ticks / CLOCK_TICKS_PER_S
 
 
-async def order(host: str, call: str, body: bytes = b"") -> bool:
-    """One order of the operator to one coordinator; whether it was acknowledged."""
+def _send_order(host: str, call: str, body: bytes) -> bool:
+    connection = http.client.HTTPConnection(host, OPERATOR_PORT, timeout=ORDER_TIMEOUT_S)
+    try:
+        connection.request("POST", f"/hallhitch/rpc?call={call}", body)
+        return connection.getresponse().status == 200
+    except OSError:
+        return False
+    finally:
+        connection.close()
 
-    def ask() -> bool:
-        link = http.client.HTTPConnection(host, PORT + 8, timeout=2)
-        try:
-            link.request("POST", f"/hallhitch/rpc?call={call}", body)
-            return link.getresponse().status == 200
-        except OSError:
-            return False
-        finally:
-            link.close()
-
-    return await asyncio.to_thread(ask)
 
+async def order(host: str, call: str, body: bytes = b"") -> bool:
+    """Send one order of the operator to one coordinator; return whether it was acknowledged."""
+    return await asyncio.to_thread(_send_order, host, call, body)
+
+
+async def start_coordinator(settings: Path) -> asyncio.subprocess.Process:
+    """Start one coordinator with that settings file."""
+    environment = {name: os.environ[name] for name in INHERITED_VARIABLES if name in os.environ}
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-O",
+        "-m",
+        "hallhitch.programs.coordinator",
+        stdin=asyncio.subprocess.DEVNULL,
+        stdout=asyncio.subprocess.DEVNULL,
+        stderr=asyncio.subprocess.DEVNULL,
+        env={**environment, "HALLHITCH_NODE_FILE": str(settings)},
+    )
 
-async def counts(hollows: Sequence[Hollow], seconds: float) -> list[float]:
-    """Each gateway takes units of random tenants at the rate, for so long; how long each took (ms), and passed ones."""
-    took = list[float]()
 
-    async def one(hollow: Hollow) -> None:
-        ends, tenants = time.monotonic() + seconds, list(hollow.config.tenants.values())
-        while time.monotonic() < ends and tenants:
-            await asyncio.sleep(random.uniform(0, 2 / RATE))
-            began = now()
-            await hollow.quota.counter.admit(random.choice(tenants), 500.0)
-            took.append(now() - began)
+@dataclass(frozen=True, slots=True)
+class _CountingWindow:
+    """Rates without and with counting, and the latencies of the counts."""
 
-    await asyncio.gather(*(one(hollow) for hollow in hollows))
-    return sorted(took)
+    idle: UsageRates
+    busy: UsageRates
+    latencies_ms: list[float]
+    counts_per_s: float  # a gateway
+    end: UsageSample
 
 
-class Step:
-    """One size: its processes, and what is measured on them."""
+@dataclass(frozen=True, slots=True)
+class _Propagation:
+    """How long two changes took to the last gateway."""
 
-    def __init__(self, folder: Path, number: int, count: int) -> None:
-        self._number, self._count, self._listing = number, count, Listing()
-        self._files = [settings(folder / f"step-{number}", number, core) for core in range(3)]
-        self._cores, self._teams = list[asyncio.subprocess.Process](), list[Team]()
-        self._pids = list[int]()
+    evacuation_ms: float | str
+    received_bytes: float  # a gateway, while the evacuation spread
+    drain_ms: float
 
-    async def _asked(self, what: str) -> list[Any]:
-        return list(await asyncio.gather(*(each.ask(what) for each in self._teams)))
 
-    async def _sums(self) -> Sums:
-        told = await self._asked("state")
-        return Sums(
-            time.monotonic(),
-            sum(t["own"] for t in told),
-            used(self._pids),
-            sum(t["sent"] for t in told),
-            sum(t["received"] for t in told),
-            sum(t["frames"] for t in told),
-        )
+class CapacityTrial:
+    """One size: its processes, and what is measured on them."""
 
-    async def _until(self, what: Callable[[list[Any]], bool], most: float) -> float:
-        """Seconds until it holds, `most` at most."""
-        began = time.monotonic()
-        while not what(await self._asked("state")) and time.monotonic() - began < most:
-            await asyncio.sleep(0.03)
-        return time.monotonic() - began
-
-    async def run(self) -> tuple[list[object], list[object]]:
-        """The rows of both tables."""
-        web = HttpServer("list", self._listing.call)
-        await web.serve((f"127.1.{self._number}.9", PORT + 9))
+    def __init__(self, folder: Path, number: int, gateway_count: int) -> None:
+        self._number = number
+        self._gateway_count = gateway_count
+        self._endpoint_list = EndpointListServer()
+        trial_folder = folder / f"step-{number}"
+        self._settings = [write_settings(trial_folder, number, core) for core in range(COORDINATOR_COUNT)]
+        self._coordinators = list[asyncio.subprocess.Process]()
+        self._gateways = list[GatewayProcess]()
+
+    @property
+    def _coordinator_pids(self) -> list[int]:
+        return [process.pid for process in self._coordinators]
+
+    async def run(self) -> tuple[SteadyStateCost, LoadCost]:
+        """Return the rows of both tables; end all processes."""
+        server = HttpServer("list", self._endpoint_list.handle)
+        await server.serve((endpoint_list_host(self._number), ENDPOINT_LIST_PORT))
         try:
             return await self._measure()
         finally:
-            for process in [*self._cores, *(each.process for each in self._teams)]:
+            for process in [*self._coordinators, *(group.process for group in self._gateways)]:
                 if process.returncode is None:
                     process.kill()
                 await process.wait()
-            await web.close()
-
-    async def _measure(self) -> tuple[list[object], list[object]]:
-        count, host, ends = self._count, f"127.1.{self._number}.1", time.monotonic() + SETTLE
-        for file in self._files:
-            self._cores.append(
-                await asyncio.create_subprocess_exec(
-                    sys.executable,
-                    "-O",
-                    "-m",
-                    "hallhitch.programs.coordinator",
-                    stdin=asyncio.subprocess.DEVNULL,
-                    stdout=asyncio.subprocess.DEVNULL,
-                    stderr=asyncio.subprocess.DEVNULL,
-                    env={name: os.environ[name] for name in KEPT if name in os.environ}
-                    | {"HALLHITCH_NODE_FILE": str(file)},
-                )
-            )
-        self._pids = [process.pid for process in self._cores]
-        while not await order(host, "config.replace", config(1, ROUTES, TENANTS)) and time.monotonic() < ends:
-            await asyncio.sleep(0.2)
-        bare = [resident(pid) for pid in self._pids]
-        for first in range(0, count, TEAM):
-            self._teams.append(await Team.start(first, min(TEAM, count - first), self._files[0]))
-        await self._asked("state")  # once all run
-        took = await self._until(
-            lambda told: (
-                all(t["known"] >= count and t["version"] == 1 for t in told)
-                and sum(t["held"] for t in told) == BUCKET_COUNT
-            ),
-            SETTLE,
+            await server.close()
+
+    async def _measure(self) -> tuple[SteadyStateCost, LoadCost]:
+        await self._start_coordinators()
+        initial_memory_kib = [resident(pid) for pid in self._coordinator_pids]
+        await self._start_gateways()
+        converged_s = await self._wait_until(self._has_converged, CONVERGENCE_TIMEOUT_S)
+        await asyncio.sleep(REBALANCING_S)
+        window = await self._measure_counting()
+        memory_kib = [resident(pid) for pid in self._coordinator_pids]
+        gateway_growth_kib = sum(report.memory_growth_kib for report in await self._reports())
+        propagation = await self._measure_propagation(window.end)
+        growth_kib = max(last - first for last, first in zip(memory_kib, initial_memory_kib, strict=True))
+        is_converged = converged_s < CONVERGENCE_TIMEOUT_S
+        steady_state = SteadyStateCost(
+            self._gateway_count,
+            converged_s=converged_s if is_converged else f"not in {CONVERGENCE_TIMEOUT_S:.0f}",
+            sent_bytes_per_s=window.idle.sent_bytes,
+            received_bytes_per_s=window.idle.received_bytes,
+            frames_per_s=window.idle.frames,
+            gateway_ms_per_s=window.idle.gateway_ms,
+            coordinator_ms_per_s=window.idle.coordinator_ms,
+            coordinator_memory_mb=max(memory_kib) / 1024,
+            coordinator_growth_kib=growth_kib / self._gateway_count,
+            gateway_memory_kib=gateway_growth_kib / self._gateway_count,
         )
-        await asyncio.sleep(REST)
-        before = await self._sums()
-        await asyncio.sleep(WINDOW)
-        after = await self._sums()
-        lags = sorted(lag for lags in await self._asked(f"count {WINDOW}") for lag in lags)
-        end = await self._sums()
-        idle, busy = after.per_second(before, count), end.per_second(after, count)
-        per_count = max(len(lags), 1) / count / (end.at - after.at)
-        memory = [resident(pid) for pid in self._pids]
-        mine = sum(t["grown"] for t in await self._asked("state")) / count
-        acked = await order(host, "evacuations.start&of=zone-1")
-        evacuated = await self._until(lambda told: all(t["evacuated"] for t in told), SPREAD)
-        spread = await self._sums()
-        self._listing.draining.add(self._listing.entries[0].instance)
-        drained = await self._until(lambda told: all(t["drained"] for t in told), SPREAD)
-        return (
-            [
-                count,
-                took if took < SETTLE else f"not in {SETTLE:.0f}",
-                *idle,
-                max(memory) / 1024,
-                max(is_now - was for is_now, was in zip(memory, bare, strict=True)) / count,
-                mine,
-            ],
-            [
-                count,
-                per_count,
-                lags[len(lags) // 2] if lags else 0.0,
-                lags[int(len(lags) * 0.99)] if lags else 0.0,
-                *((b - i) / per_count for b, i in zip(busy[:4], idle[:4], strict=True)),
-                busy[4],
-                evacuated * 1000 if acked else "no answer",
-                (spread.received - end.received) / count,
-                drained * 1000,
-            ],
+        return steady_state, self._load_cost(window, propagation)
+
+    async def _start_coordinators(self) -> None:
+        deadline_s = time.monotonic() + CONVERGENCE_TIMEOUT_S
+        for settings in self._settings:
+            self._coordinators.append(await start_coordinator(settings))
+        config = sample_config(1, ROUTE_COUNT, TENANT_COUNT)
+        while True:
+            is_acknowledged = await self._order("config.replace", config)
+            if is_acknowledged or time.monotonic() >= deadline_s:
+                return
+            await asyncio.sleep(ORDER_RETRY_S)
+
+    async def _order(self, call: str, body: bytes = b"") -> bool:
+        return await order(coordinator_host(self._number, 0), call, body)
+
+    async def _start_gateways(self) -> None:
+        for first in range(0, self._gateway_count, GATEWAYS_PER_PROCESS):
+            count = min(GATEWAYS_PER_PROCESS, self._gateway_count - first)
+            self._gateways.append(await GatewayProcess.start(first, count, self._settings[0]))
+        await self._reports()  # replied to once all gateways run
+
+    async def _reports(self) -> list[GroupReport]:
+        return list(await asyncio.gather(*(group.report() for group in self._gateways)))
+
+    async def _sample(self) -> UsageSample:
+        reports = await self._reports()
+        return UsageSample(
+            time.monotonic(),
+            gateways_processor_s=sum(report.processor_s for report in reports),
+            coordinators_processor_s=processor_s(self._coordinator_pids),
+            sent_bytes=sum(report.sent_bytes for report in reports),
+            received_bytes=sum(report.received_bytes for report in reports),
+            frames=sum(report.frames for report in reports),
+        )
+
+    async def _wait_until(self, condition: Callable[[list[GroupReport]], bool], timeout_s: float) -> float:
+        """Return the seconds until the condition holds, `timeout_s` or little more if it does not."""
+        started_s = time.monotonic()
+        while True:
+            is_met = condition(await self._reports())
+            elapsed_s = time.monotonic() - started_s
+            if is_met or elapsed_s >= timeout_s:
+                return elapsed_s
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def _has_converged(self, reports: list[GroupReport]) -> bool:
+        knows_all = all(report.min_known_gateways >= self._gateway_count for report in reports)
+        has_config = all(report.min_config_version == 1 for report in reports)
+        return knows_all and has_config and sum(report.held_buckets for report in reports) == BUCKET_COUNT
+
+    async def _measure_counting(self) -> _CountingWindow:
+        count = self._gateway_count
+        before = await self._sample()
+        await asyncio.sleep(WINDOW_S)
+        middle = await self._sample()
+        groups = await asyncio.gather(*(group.count(WINDOW_S) for group in self._gateways))
+        latencies_ms = sorted(latency for group in groups for latency in group)
+        end = await self._sample()
+        return _CountingWindow(
+            idle=middle.rates_since(before, count),
+            busy=end.rates_since(middle, count),
+            latencies_ms=latencies_ms,
+            counts_per_s=max(len(latencies_ms), 1) / count / (end.taken_at_s - middle.taken_at_s),
+            end=end,
+        )
+
+    async def _measure_propagation(self, before: UsageSample) -> _Propagation:
+        is_acknowledged = await self._order(f"evacuations.start&of={EVACUATED_ZONE}")
+        evacuation_s = await self._wait_until(
+            lambda reports: all(report.is_evacuated for report in reports), PROPAGATION_TIMEOUT_S
+        )
+        after = await self._sample()
+        self._endpoint_list.draining_instances.add(self._endpoint_list.backends[0].instance)
+        drain_s = await self._wait_until(
+            lambda reports: all(report.is_drained for report in reports), PROPAGATION_TIMEOUT_S
+        )
+        return _Propagation(
+            evacuation_ms=evacuation_s * 1000 if is_acknowledged else "no answer",
+            received_bytes=(after.received_bytes - before.received_bytes) / self._gateway_count,
+            drain_ms=drain_s * 1000,
         )
 
+    def _load_cost(self, window: _CountingWindow, propagation: _Propagation) -> LoadCost:
+        idle, busy, latencies_ms = window.idle, window.busy, window.latencies_ms
+        return LoadCost(
+            self._gateway_count,
+            counts_per_s=window.counts_per_s,
+            median_ms=latencies_ms[len(latencies_ms) // 2] if latencies_ms else 0.0,
+            p99_ms=latencies_ms[int(len(latencies_ms) * 0.99)] if latencies_ms else 0.0,
+            sent_bytes_per_count=(busy.sent_bytes - idle.sent_bytes) / window.counts_per_s,
+            received_bytes_per_count=(busy.received_bytes - idle.received_bytes) / window.counts_per_s,
+            frames_per_count=(busy.frames - idle.frames) / window.counts_per_s,
+            gateway_ms_per_count=(busy.gateway_ms - idle.gateway_ms) / window.counts_per_s,
+            coordinator_ms_per_s=busy.coordinator_ms,
+            evacuation_ms=propagation.evacuation_ms,
+            propagation_bytes=propagation.received_bytes,
+            drain_ms=propagation.drain_ms,
+        )
 
-async def fleet(folder: Path, sizes: Sequence[int]) -> None:
-    """All sizes one after the other, and both tables."""
-    calm, loaded = list[list[object]](), list[list[object]]()
-    for number, count in enumerate(sizes, 1):
+
+async def print_trials(folder: Path, sizes: Sequence[int]) -> None:
+    """Run all sizes one after the other and print both tables."""
+    steady_state_costs = list[SteadyStateCost]()
+    load_costs = list[LoadCost]()
+    for number, gateway_count in enumerate(sizes, 1):
         try:
-            async with asyncio.timeout(STEP):
-                quiet, busy = await Step(folder, number, count).run()
+            async with asyncio.timeout(TRIAL_TIMEOUT_S):
+                steady_state, load = await CapacityTrial(folder, number, gateway_count).run()
         except TimeoutError:
-            print(f"step {count}: not done in {STEP:.0f} s", file=sys.stderr)
+            print(f"{gateway_count} gateways: not done in {TRIAL_TIMEOUT_S:.0f} s", file=sys.stderr)
             break
-        print(f"step {count}: {quiet} {busy}", file=sys.stderr, flush=True)
-        calm.append(quiet)
-        loaded.append(busy)
-    table(
-        f"Calm: {LISTED} backends, {ROUTES} routes, {TENANTS} tenants, three coordinators",
-        [
-            "gateways",
-            "settled s",
-            "sent B/s a gateway",
-            "received B/s",
-            "frames/s",
-            "processor ms/s a gateway",
-            "processor ms/s a coordinator",
-            "memory of a coordinator MB",
-            "more KB a gateway there",
-            "KB of a hollow gateway here",
-        ],
-        calm,
-    )
-    table(
-        "Counting, and news of one change",
-        [
-            "gateways",
-            "counts/s a gateway",
-            "median ms",
-            "p99 ms",
-            "bytes sent a count",
-            "received",
-            "frames a count",
-            "processor ms a count, both sides",
-            "processor ms/s a coordinator",
-            "evacuation at the last gateway ms",
-            "bytes received a gateway meanwhile",
-            "drain at the last gateway ms",
-        ],
-        loaded,
+        print(f"{gateway_count} gateways: {steady_state} {load}", file=sys.stderr, flush=True)
+        steady_state_costs.append(steady_state)
+        load_costs.append(load)
+    print_table(
+        f"Without changes: {BACKEND_COUNT} backends, {ROUTE_COUNT} routes, {TENANT_COUNT} tenants, three coordinators",
+        SteadyStateCost,
+        steady_state_costs,
     )
+    print_table("Counting, and propagation of one change", LoadCost, load_costs)
 
 
 def main() -> None:
-    """Run it."""
+    """Print the tables."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", default="9,36,86,144,300")
     parser.add_argument("--only", choices=("slopes", "fleet"))
-    parser.add_argument("--team", help=argparse.SUPPRESS)
-    chosen = parser.parse_args()
+    arguments = parser.parse_args()
     logs.configure(logging.WARNING)
-    if chosen.team:
-        first, count, file = chosen.team.split(",", 2)
-        uvloop.run(team(int(first), int(count), file))
-        return
     with tempfile.TemporaryDirectory() as folder:
-        if chosen.only != "fleet":
-            slopes([settings(Path(folder), 0, core) for core in range(3)][0])
-        if chosen.only != "slopes":
-            uvloop.run(fleet(Path(folder), [int(size) for size in chosen.sizes.split(",")]))
+        if arguments.only != "fleet":
+            settings = [write_settings(Path(folder), 0, core) for core in range(COORDINATOR_COUNT)]
+            print_slopes(settings[0])
+        if arguments.only != "slopes":
+            sizes = [int(size) for size in arguments.sizes.split(",")]
+            uvloop.run(print_trials(Path(folder), sizes))
 
 
 if __name__ == "__main__":
