--- a/hallhitch/cli/credentials.py
+++ b/hallhitch/cli/credentials.py
@@ -42,6 +42,7 @@
         ("id", "scope", "client", "expires", "old secret until", "version"),
         [_table_row(item) for item in items],
     )
+    return None
 
 
 def _table_row(credential: dict[str, Any]) -> tuple[Any, ...]:
@@ -64,7 +65,7 @@
 @click.option("--certificate", help="SHA-256 of a client certificate, in place of a secret (operators).")
 @api_options
 @JSON
-def issue(
+def issue(  # noqa: PLR0913  fields of one record
     tenant: str,
     id: str,
     scope: str,
@@ -114,9 +115,11 @@
     if plain:
         return as_json({"tenant": tenant, "name": id, "revoked": True})
     click.echo(f"{tenant}/{id} is revoked")
+    return None
 
 
 def _print_credential(credential: dict[str, Any], plain: bool) -> None:
     if plain:
         return as_json(credential)
     click.echo(credential["token"] or f"{credential['name']}: issued, version {credential['version']}")
+    return None
--- a/hallhitch/cli/experiment.py
+++ b/hallhitch/cli/experiment.py
@@ -151,7 +151,7 @@
 @click.option("--less", is_flag=True, help="Less of the figure is better.")
 @DATABASE
 @JSON
-def compare(name: str, first: str, second: str, figure: str, less: bool, db: Path, plain: bool) -> None:
+def compare(name: str, first: str, second: str, figure: str, less: bool, db: Path, plain: bool) -> None:  # noqa: PLR0913
     """Compare two settings of an experiment by paired seeds: the SECOND less the FIRST."""
     from hallhitch.lab import statistics
 
@@ -166,6 +166,7 @@
     if plain:
         return as_json([dict(zip(("scenario", "pairs", "difference", "verdict"), row, strict=True)) for row in rows])
     table(("scenario", "pairs", f"{figure}, difference", "verdict"), rows)
+    return None
 
 
 @experiment.command()
--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -80,7 +80,8 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def demo(gateways: int, seed: int) -> None:
     """A dozen gateways under traffic: cut in two, healed, and what each sees of the others. Exit code 1 if a rule was
-    broken or they did not come together again."""
+    broken or they did not come together again.
+    """  # noqa: D205  the text of --help
     from hallhitch.lab.checker import check
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
@@ -170,7 +171,7 @@
     help="Ms that one try in a hundred may be sent late by the rig itself; past it the run is refused.",
 )
 @click.option("--report", type=click.Path(path_type=Path), help="Write evenness as one HTML page there.")
-def run_(
+def run_(  # noqa: PLR0913  fields of one record
     scenario: str,
     gateways: int,
     line: Path | None,
@@ -185,7 +186,8 @@
     report: Path | None,
 ) -> None:
     """Play SCENARIO (a name or a file, or a case of a file of them: cases/evenness:zone) on real gateways, with the
-    faults of a time line. Exit code 1 if a rule was broken, or if the rig was too late itself to be believed."""
+    faults of a time line. Exit code 1 if a rule was broken, or if the rig was too late itself to be believed.
+    """  # noqa: D205  the text of --help
     from hallhitch.lab.checker import check
     from hallhitch.lab.evenness_page import page
     from hallhitch.lab.fleet.timeline import FaultTimeline
--- a/hallhitch/cli/load.py
+++ b/hallhitch/cli/load.py
@@ -33,7 +33,7 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--record", type=click.Path(path_type=Path), help="Write what is asked as a trace.")
 @click.option("--json", "plain", is_flag=True, help="Print JSON.")
-def load(
+def load(  # noqa: PLR0913  fields of one record
     address: str,
     rate: float,
     seconds: float,
--- a/hallhitch/cli/output.py
+++ b/hallhitch/cli/output.py
@@ -11,7 +11,7 @@
 MAX_PRINTED_VIOLATIONS: Final = 3
 
 
-class Failure(Exception):
+class Failure(Exception):  # noqa: N818  named for the event, as callers read it
     """A command that could not do its work; the message says why."""
 
 
--- a/hallhitch/cli/tenants.py
+++ b/hallhitch/cli/tenants.py
@@ -49,6 +49,7 @@
             for t in items
         ],
     )
+    return None
 
 
 @tenants.command()
@@ -72,6 +73,7 @@
     )
     table(("host", "on"), [(h["name"], "yes" if h["on"] else "no") for h in lists["hosts"]])
     table(("client", "plan", "on"), [(c["name"], c["plan"], "yes" if c["on"] else "no") for c in lists["clients"]])
+    return None
 
 
 def read_tenant(api: ApiClient, tenant: str) -> dict[tuple[Kind, str], tuple[Value, str]]:
@@ -207,3 +209,4 @@
         return as_json(describe_edits(changes))
     for line in describe_edits(changes) or ["nothing to change"]:
         click.echo(line)
+    return None
--- a/hallhitch/cli/trace.py
+++ b/hallhitch/cli/trace.py
@@ -91,7 +91,7 @@
         end = asyncio.Event()
         for number in (signal.SIGINT, signal.SIGTERM):
             asyncio.get_running_loop().add_signal_handler(number, end.set)
-        with open(out, "wb") as file:
+        with open(out, "wb") as file:  # noqa: ASYNC230  a small local file, before traffic
             recorder = TraceRecorder(to, file)
             await recorder.start(listen)
             click.echo(f"recording on {recorder.address}", err=True)
--- a/hallhitch/lab/baselines.py
+++ b/hallhitch/lab/baselines.py
@@ -53,6 +53,7 @@
     """Any server, at random."""
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        """Return any of them."""
         return self.rng.choice(accepting)
 
 
@@ -64,6 +65,7 @@
         self._last = f"node-{self.rng.randrange(ROUND_ROBIN_STARTS)}"
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        """Return the next in turn."""
         server = min(accepting, key=lambda server: (server.entry.server <= self._last, server.entry.server))
         self._last = server.entry.server
         return server
@@ -73,6 +75,7 @@
     """Of two servers at random, the one with less in flight from this gateway (power of two choices)."""
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        """Return the less loaded of two at random."""
         sample = self.rng.sample(accepting, min(2, len(accepting)))
         return min(sample, key=lambda server: len(server.in_flight))
 
@@ -81,6 +84,7 @@
     """The server with the least in flight from this gateway; ties at random."""
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        """Return the least loaded; at random among equals."""
         return min(accepting, key=lambda server: (len(server.in_flight), self.rng.random()))
 
 
@@ -90,6 +94,8 @@
     load_of: Callable[[str], float]
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
+        """Return the one of the lowest predicted latency."""
+
         def predicted_latency(server: Server) -> float:
             from_others = max(0.0, self.load_of(server.entry.server) - len(server.in_flight))
             return self.predict_latency(server, request, start=from_others + self.rng.expovariate(1.0))
--- a/hallhitch/lab/experiments.py
+++ b/hallhitch/lab/experiments.py
@@ -58,7 +58,8 @@
         for number, setting in enumerate(self.settings):
             for constant in setting.module:
                 if not isinstance(getattr(policy, constant, None), int | float):
-                    raise ValueError(f"field 'settings.{number}.module.{constant}': decision/policy.py has none")
+                    where = f"field 'settings.{number}.module.{constant}'"
+                    raise ValueError(f"{where}: decision/policy.py has none")  # noqa: TRY004  msgspec reports it
 
 
 class Job(Struct, frozen=True):
--- a/hallhitch/lab/model_upstream.py
+++ b/hallhitch/lab/model_upstream.py
@@ -144,7 +144,7 @@
     def _send(self, in_flight: ModelAttempt) -> None:
         """Write the request, unless its attempt has ended or is void by now."""
         if in_flight.is_ended:
-            return
+            return None
         attempt, node, now = in_flight.attempt, in_flight.node, self._time()
         has_time = attempt.ends_at - now >= MIN_REMAINING_MS
         if node is None or not attempt.is_wanted or not has_time or not self.is_up.get(attempt.server, False):
@@ -158,8 +158,9 @@
             if not is_stale and not self._network.draw_lost_before_arrival():
                 self._time.after(delay_ms, node.take, self._work(in_flight, is_reply_lost=True))
             self._time.after(2 * delay_ms, self._end, in_flight, "reset")
-            return
+            return None
         self._time.after(delay_ms, node.take, self._work(in_flight))
+        return None
 
     def _work(self, in_flight: ModelAttempt, is_reply_lost: bool = False) -> Work:
         """Make the node's part of an attempt."""
--- a/hallhitch/lab/node.py
+++ b/hallhitch/lab/node.py
@@ -57,9 +57,11 @@
     """The clock and scheduler of the models: virtual, or an event loop's."""
 
     @property
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """Return the present moment in ms."""
 
-    def after(self, delay: float, callback: Callable[..., object], /, *args: object) -> object: ...
+    def after(self, delay: float, callback: Callable[..., object], /, *args: object) -> object:
+        """Call back after a delay in ms; return what cancels it."""
 
 
 @dataclass(slots=True, eq=False)
@@ -185,13 +187,14 @@
             return work.on_reply("full", 0)
         if self.failure_probability and self._stream.chance(self.failure_probability):
             self._time.after(self._stream.uniform(*QUICK_FAILURE_MS), work.on_reply, "error", 0)
-            return
+            return None
         self._update_service()
         if len(self._in_service) < self._world.slots:
             self._begin(work)
         else:
             self._queue.append(work)
         self._arm_timer()
+        return None
 
     def stop(self, state: NodeState) -> None:
         """Go down: all requests that it holds are reset."""
@@ -296,6 +299,7 @@
         if self.double_reply_probability and self._stream.chance(self.double_reply_probability):
             return work.on_reply("twice", work.id)
         work.on_reply("ok", work.id)
+        return None
 
     def _warm_up(self) -> None:
         """Adjust the completion times as a warming node's speed rises."""
--- a/hallhitch/lab/process_time.py
+++ b/hallhitch/lab/process_time.py
@@ -20,6 +20,7 @@
         self._suspended: list[tuple[Callable[..., object], tuple[object, ...]]] | None = None  # None while it runs
 
     def __call__(self) -> float:
+        """Return the present moment in ms."""
         return self._time.now
 
     def call_soon(self, callback: Callable[..., object], /, *args: object) -> Handle:
--- a/hallhitch/lab/report.py
+++ b/hallhitch/lab/report.py
@@ -15,7 +15,7 @@
 from hallhitch.lab.statistics import bootstrap_interval, compare
 
 matplotlib.use("Agg")
-import matplotlib.pyplot as plt  # noqa: E402 - the backend must be chosen first
+import matplotlib.pyplot as plt
 
 FIGURES = (
     "service",
--- a/hallhitch/lab/sockets/http_clients.py
+++ b/hallhitch/lab/sockets/http_clients.py
@@ -75,7 +75,7 @@
         second = 0
         for intent in intents:
             due_s = begin_s + intent.due_at / 1000
-            while (remaining_s := due_s - time.monotonic()) > 0:
+            while (remaining_s := due_s - time.monotonic()) > 0:  # noqa: ASYNC110  polls another process
                 await asyncio.sleep(min(remaining_s, MAX_SLEEP_S))
             while self._on_second is not None and second <= intent.due_at / 1000:
                 self._on_second(second, dict(self.statuses))
--- a/hallhitch/lab/sockets/listener.py
+++ b/hallhitch/lab/sockets/listener.py
@@ -21,6 +21,7 @@
 
     @property
     def now(self) -> float:
+        """Return the present moment in ms of the lab's clock."""
         return self._unix_offset_ms + time.monotonic() * 1000
 
     def after(self, delay: float, callback: Callable[..., object], /, *args: object) -> object:
--- a/hallhitch/lab/statistics.py
+++ b/hallhitch/lab/statistics.py
@@ -27,7 +27,8 @@
     """The outcome of a run, as far as it is compared."""
 
     @property
-    def figures(self) -> Figures: ...
+    def figures(self) -> Figures:
+        """Return the figures of the run."""
 
 
 class Interval(Struct, frozen=True):
--- a/hallhitch/lab/virtual.py
+++ b/hallhitch/lab/virtual.py
@@ -13,7 +13,7 @@
 class Handle:
     """A scheduled callback."""
 
-    __slots__ = ("callback", "args")
+    __slots__ = ("args", "callback")
 
     def __init__(self, callback: Callable[..., Any] | None, args: tuple[Any, ...]) -> None:
         self.callback, self.args = callback, args
@@ -39,6 +39,7 @@
         self.steps = 0
 
     def __call__(self) -> float:
+        """Return the present moment in ms."""
         return self.now
 
     def call_soon(self, callback: Callable[..., Any], /, *args: Any) -> Handle:
--- a/hallhitch/lab/virtual_clients.py
+++ b/hallhitch/lab/virtual_clients.py
@@ -58,6 +58,8 @@
         gateway.run(exchange.begin)
         if not client_try.is_retry and intent.leave_ratio < 1:
             run.time.after(client_try.deadline_ms * intent.leave_ratio, self._leave, exchange, number)
+            return None
+        return None
 
     def _leave(self, exchange: _ClientExchange, number: int) -> None:
         """The client closes its connection, unless it has its answer or the gateway has died."""
--- a/tests/administration/test_api.py
+++ b/tests/administration/test_api.py
@@ -310,7 +310,7 @@
 class RequestLimits(AdministrationCase):
     """What a caller may not do to others."""
 
-    api = {
+    api = {  # noqa: RUF012  read by the framework, never changed
         "calls_per_second": 0.001,
         "burst": 12.0,
         "connections": 6,
--- a/tests/administration/test_faults.py
+++ b/tests/administration/test_faults.py
@@ -241,7 +241,7 @@
             first = Edit(Kind.TENANT, "a", Head(limits=Limits(plans=50)))
             try:
                 made = apply_change(catalog, Change("a", (first,) if number == 0 else (edit,)))
-            except Exception:
+            except Exception:  # noqa: BLE001  an outer edge: logged, and the process goes on
                 continue
             with store.batch() as batch:
                 batch.append_change(made.catalog, made.diff, number, "a", "test")
--- a/tests/administration/test_kill.py
+++ b/tests/administration/test_kill.py
@@ -119,7 +119,7 @@
             db.execute("DELETE FROM answer WHERE key=?", (key,))
             db.commit()
 
-    async def test_kills_under_load_lose_and_repeat_nothing(self) -> None:
+    async def test_kills_under_load_lose_and_repeat_nothing(self) -> None:  # noqa: C901  one case after the other
         """Guards against the same where many changes share a transaction and snapshots are under way."""
         rng = random.Random(20261)
         text = self.plane.file.read_text().replace('folder = "store"', 'folder = "store"\nsnapshot_each = 7\nkeep = 3')
--- a/tests/administration_process.py
+++ b/tests/administration_process.py
@@ -128,7 +128,7 @@
 class AdministrationCase(unittest.IsolatedAsyncioTestCase):
     """Starts the program, and ends it as a planned restart does."""
 
-    api: dict[str, object] = {"failures_per_minute": 6000.0}
+    api: dict[str, object] = {"failures_per_minute": 6000.0}  # noqa: RUF012  read by the framework, never changed
     fault = ""
 
     async def asyncSetUp(self) -> None:
--- a/tests/catalog/test_changes.py
+++ b/tests/catalog/test_changes.py
@@ -60,7 +60,7 @@
         limits = part.head.value.limits
         case.assertLessEqual(handed, limits.rate + 1e-6)
         case.assertLessEqual(len(part.clients), limits.clients)
-        hosts |= {host: name for host in part.hosts}
+        hosts |= dict.fromkeys(part.hosts, name)
         named: dict[str, set[str]] = {}
         for id, kept in part.credentials.items():
             if kept.value.client is not None:
--- a/tests/cli/test_experiment.py
+++ b/tests/cli/test_experiment.py
@@ -33,7 +33,7 @@
 
 def outcome(service: float) -> Outcome:
     """Make an outcome with this service."""
-    figures: dict[str, Any] = {name: 0 for name in Figures.__struct_fields__}
+    figures: dict[str, Any] = dict.fromkeys(Figures.__struct_fields__, 0)
     figures |= {"by_class": {}, "by_plan": {}, "curve": [], "service": service}
     return Outcome(Figures(**figures), [], 1.0)
 
--- a/tests/lab/test_evenness.py
+++ b/tests/lab/test_evenness.py
@@ -74,9 +74,10 @@
 
     def test_work_ends_where_the_node_is_done_and_gone_nodes_do_not_count(self) -> None:
         """Guards against idle nodes hidden by answers under way, and dead ones counted as idle."""
-        events = work(0.0, "a", 10_000.0) + [
-            (5_000.0, "run", next(_ids) - 1, "a", "k", False),
-            (5_000.0, "node", "b", "down", 0, 0.0, 0.0),
+        events = [
+            *work(0.0, "a", 10000.0),
+            (5000.0, "run", next(_ids) - 1, "a", "k", False),
+            (5000.0, "node", "b", "down", 0, 0.0, 0.0),
         ]
         found = evenness(log(node("a"), node("b"), *events))
         self.assertAlmostEqual(found.idle, (0.5 + 1.0) / 2)
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -177,6 +177,7 @@
                     if "reject" in first:
                         return writer.transport.abort()
                     writer.write(http([200, 429, 503, 502][turn % 4], b"x"))
+                return None
 
         server = FailingServer()
         await server.start()
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -204,6 +204,7 @@
         task = asyncio.create_task(write())
         self._later.add(task)
         task.add_done_callback(self._later.discard)
+        return None
 
     async def serve(self, number: int, reader: Reader, writer: Writer) -> None:
         """Answer calls in order."""
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -96,7 +96,7 @@
             "Req-Deadline-Ms: 2000\r\n\r\n".encode()
         )
         ingress.open(listener)
-        time.sleep(0.05)  # a processor that stands still, not a wait for anything
+        time.sleep(0.05)  # noqa: ASYNC251  a processor that stands still, not a wait for anything
         self.assertGreaterEqual(await soon(begun.get()), 50.0)
         client.close()
         ingress.stop()
