--- a/benchmarks/config_cost.py
+++ b/benchmarks/config_cost.py
@@ -20,10 +20,10 @@
 from hallhitch.node.settings import NodeSettings
 from hallhitch.planes.control import config_validation, state_transitions
 from hallhitch.planes.control.errors import ConfigTooLargeError
+from hallhitch.planes.control.operator_api import CONFIG_COMPRESSION_LEVEL
 from hallhitch.planes.control.plane import ControlPlane
 from hallhitch.planes.distribution.config_compiler import compile_config
 
-ZLIB_LEVEL: Final = 6  # as the operator's API packs a configuration
 TRACED_BELOW_BYTES: Final = 1e7  # from here on tracing takes too long, and the kernel's figure is exact enough
 VALIDATION_SAMPLE_S: Final = 0.05  # one validation of the largest configuration takes seconds
 CHANGES: Final = 5  # odd: the median is one of them
@@ -48,7 +48,7 @@
     """Compile a configuration of that size; its memory is traced, or the kernel's figure where it is large."""
     body = sample_config(1, routes, tenants)
     json_bytes = len(body)
-    content = zlib.compress(body, ZLIB_LEVEL)
+    content = zlib.compress(body, CONFIG_COMPRESSION_LEVEL)
     del body
     gc.collect()
     gc.collect()
@@ -92,7 +92,7 @@
         tenants,
         json_mb=len(body) / 1e6,
         validation_ms=_validation_ms(body),
-        zlib_ms=processor_us(lambda: zlib.compress(body, ZLIB_LEVEL), min_sample_s=0.0) / 1000,
+        zlib_ms=processor_us(lambda: zlib.compress(body, CONFIG_COMPRESSION_LEVEL), min_sample_s=0.0) / 1000,
     )
 
 
@@ -145,7 +145,7 @@
         planes = _build_replicas(Path(folder), node)
         await asyncio.gather(*(plane.start() for plane in planes))
         for version in range(1, CHANGES + 1):
-            content = zlib.compress(sample_config(version, routes, CHANGE_TENANTS), ZLIB_LEVEL)
+            content = zlib.compress(sample_config(version, routes, CHANGE_TENANTS), CONFIG_COMPRESSION_LEVEL)
             wall_started_s = time.monotonic()
             processor_started_s = time.process_time()
             await planes[0].propose(state_transitions.replace_config(version, content), CHANGE_TIMEOUT_MS)
--- a/benchmarks/cpu_per_request.py
+++ b/benchmarks/cpu_per_request.py
@@ -1,10 +1,10 @@
-"""CPU of the real gateway a request, against a bare pass-through with the same socket calls and parser, in one run.
+"""Processor time of the real gateway a request, against a bare pass-through with the same socket calls and parser.
 
     python -m benchmarks.cpu_per_request [--rates 100 250 500 1000] [--seconds 6] [--write docs/measured/cpu.md]
     python -m benchmarks.cpu_per_request --profile 500     where the gateway's own time goes
 
-Nodes and counter answer at once, in this process; the load is open-loop, from a process of its own, on kept
-connections.
+Both run in turn, in one run. Backends and counter reply at once, in this process; the load is open-loop, from a process
+of its own, on kept connections.
 """
 
 from __future__ import annotations
@@ -15,99 +15,147 @@
 import os
 import sys
 import tempfile
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Sequence
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Final
 
+from benchmarks.measuring import BenchmarkError
 from benchmarks.memory_by_trouble import Quiet, QuietCounter
 from hallhitch.lab.load.generator import LoadPlan, run_load
 from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
 from hallhitch.lab.load.tally import LoadTally
 from tests.stand_ins import ROOT, Backend, Discovery, Program, free_port, http
 
-TICK = 1e6 / os.sysconf("SC_CLK_TCK")
-MIX = RequestMix(
+US_PER_TICK: Final = 1e6 / os.sysconf("SC_CLK_TCK")
+WARM_UP_S: Final = 1.5
+BACKEND_COUNT: Final = 4
+REQUEST_MIX: Final = RequestMix(
     {"inspect": MixedClass(0.78, 4000, False), "reject": MixedClass(0.22, 1500, True)}, {"full-plant": 1.0}, 400, 64
 )
 
 
-def cpu_us(pid: int) -> float:
-    """CPU time of a process, in us."""
+@dataclass(frozen=True, slots=True)
+class RequestCost:
+    """Processor time a request, and what became of the load."""
+
+    processor_us: float
+    tally: LoadTally
+
+
+def processor_us_of(pid: int) -> float:
+    """Return the user and system time of a process in us."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) * TICK
+    user_ticks, system_ticks = int(fields[11]), int(fields[12])
+    return (user_ticks + system_ticks) * US_PER_TICK
+
+
+async def _run_load(pid: int, address: str, requests_per_s: float, duration_s: float, seed: int) -> RequestCost:
+    arrivals = arrival_times("poisson", requests_per_s, duration_s, seed)
+    requests = make_requests(arrivals, REQUEST_MIX, 3)
+    before_us = processor_us_of(pid)
+    tally = await asyncio.to_thread(run_load, LoadPlan(address, "http", requests))
+    return RequestCost((processor_us_of(pid) - before_us) / max(1, tally.sent), tally)
 
 
-async def cost(pid: int, address: str, rate: float, seconds: float) -> tuple[float, LoadTally]:
-    """us of CPU a request, at a rate, once it is warm."""
-    found = 0.0, LoadTally()
-    for turn, long in enumerate((1.5, seconds)):
-        asked = make_requests(arrival_times("poisson", rate, long, 11 + turn), MIX, 3)
-        before = cpu_us(pid)
-        tally = await asyncio.to_thread(run_load, LoadPlan(address, "http", asked))
-        found = (cpu_us(pid) - before) / max(1, tally.sent), tally
-    return found
+async def measure_cost(pid: int, address: str, requests_per_s: float, duration_s: float) -> RequestCost:
+    """Return the cost of a request at a rate, after warm-up."""
+    await _run_load(pid, address, requests_per_s, WARM_UP_S, seed=11)
+    return await _run_load(pid, address, requests_per_s, duration_s, seed=12)
 
 
 @contextlib.asynccontextmanager
-async def stood() -> AsyncIterator[tuple[QuietCounter, Discovery, list[Backend]]]:
-    """Stand-ins that answer at once, for as long as they are needed."""
-    counter, discovery = QuietCounter(), Discovery()
-    nodes: list[Backend] = [Quiet(f"b{n}", lambda n: http(200, b"scored")) for n in range(4)]
-    for stand_in in (counter, discovery, *nodes):
+async def running_stand_ins() -> AsyncIterator[tuple[QuietCounter, Discovery, list[Backend]]]:
+    """Run a counter, a discovery service and backends that reply at once."""
+    counter = QuietCounter()
+    discovery = Discovery()
+    backends: list[Backend] = [Quiet(f"b{number}", lambda n: http(200, b"scored")) for number in range(BACKEND_COUNT)]
+    for stand_in in (counter, discovery, *backends):
         await stand_in.start()
-    yield counter, discovery, nodes
-    for stand_in in (counter, discovery, *nodes):
-        await stand_in.stop()
+    try:
+        yield counter, discovery, backends
+    finally:
+        for stand_in in (counter, discovery, *backends):
+            await stand_in.stop()
+
+
+async def _measure_passthrough(backends: Sequence[Backend], requests_per_s: float, duration_s: float) -> RequestCost:
+    port = free_port()
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-O",
+        "-m",
+        "benchmarks.passthrough",
+        str(port),
+        *(backend.address for backend in backends),
+        cwd=ROOT,
+        stdout=asyncio.subprocess.PIPE,
+    )
+    if process.stdout is None:
+        raise BenchmarkError("the pass-through has no standard output")
+    await process.stdout.readline()  # it serves
+    cost = await measure_cost(process.pid, f"127.0.0.1:{port}", requests_per_s, duration_s)
+    process.terminate()
+    await process.wait()
+    return cost
+
+
+def _row(requests_per_s: float, gateway: RequestCost, passthrough: RequestCost) -> str:
+    served_ratio = gateway.tally.statuses["served"] / max(1, gateway.tally.sent)
+    is_valid = gateway.tally.is_valid and passthrough.tally.is_valid
+    return (
+        f"| {requests_per_s:g} | {gateway.processor_us:.0f} | {passthrough.processor_us:.0f} | "
+        f"{gateway.processor_us / passthrough.processor_us:.1f} | {served_ratio:.3f} | "
+        f"{gateway.tally.percentiles()[50.0]:.1f} / {passthrough.tally.percentiles()[50.0]:.1f} | "
+        f"{'yes' if is_valid else 'no'} |"
+    )
 
 
-async def measure(rates: list[float], seconds: float) -> list[str]:
-    """The table's rows."""
+async def measure(rates_per_s: Sequence[float], duration_s: float) -> list[str]:
+    """Return the table's rows."""
     rows = []
-    async with stood() as (counter, discovery, nodes):
-        for rate in rates:
+    async with running_stand_ins() as (counter, discovery, backends):
+        for requests_per_s in rates_per_s:
             with tempfile.TemporaryDirectory() as folder:
-                program = Program(folder, discovery.address, counter.address, nodes, 5000.0)
+                program = Program(folder, discovery.address, counter.address, backends, 5000.0)
                 await program.start(optimised=True)
                 await program.logged('"serving"')
-                ours, told = await cost(program.process.pid, program.listen, rate, seconds)
+                gateway = await measure_cost(program.process.pid, program.listen, requests_per_s, duration_s)
                 await program.stop()
-            port = free_port()
-            bare: Any = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-O",
-                "-m",
-                "benchmarks.passthrough",
-                str(port),
-                *(node.address for node in nodes),
-                cwd=ROOT,
-                stdout=asyncio.subprocess.PIPE,
-            )
-            await bare.stdout.readline()
-            theirs, other = await cost(bare.pid, f"127.0.0.1:{port}", rate, seconds)
-            bare.terminate()
-            await bare.wait()
-            served = told.statuses["served"] / max(1, told.sent)
-            rows.append(
-                f"| {rate:g} | {ours:.0f} | {theirs:.0f} | {ours / theirs:.1f} | {served:.3f} | "
-                f"{told.percentiles()[50.0]:.1f} / {other.percentiles()[50.0]:.1f} | "
-                f"{'yes' if told.is_valid and other.is_valid else 'no'} |"
-            )
+            passthrough = await _measure_passthrough(backends, requests_per_s, duration_s)
+            rows.append(_row(requests_per_s, gateway, passthrough))
             print(rows[-1], flush=True)
     return rows
 
 
-async def profile(rate: float, seconds: float) -> str:
-    """Where the gateway's time goes at a rate: a table by function."""
-    async with stood() as (counter, discovery, nodes):
+async def profile(requests_per_s: float, duration_s: float) -> str:
+    """Return where the gateway's time goes at a rate: a table by function."""
+    async with running_stand_ins() as (counter, discovery, backends):
         with tempfile.TemporaryDirectory() as folder:
-            os.environ["PROFILE_TO"] = str(Path(folder) / "profile")
-            program = Program(folder, discovery.address, counter.address, nodes, 5000.0)
+            path = Path(folder) / "profile"
+            os.environ["PROFILE_TO"] = str(path)
+            program = Program(folder, discovery.address, counter.address, backends, 5000.0)
             await program.start(optimised=True, module="benchmarks.profiled_gateway")
             await program.logged('"serving"')
-            await cost(program.process.pid, program.listen, rate, seconds)
+            await measure_cost(program.process.pid, program.listen, requests_per_s, duration_s)
             await program.stop()
-            found = Path(os.environ["PROFILE_TO"]).read_text()
-    return found
+            return path.read_text()
+
+
+def render_page(rows: Sequence[str], duration_s: float) -> str:
+    """Return the page docs/measured/cpu.md."""
+    lines = [
+        "# CPU a request",
+        "",
+        f"`python -m benchmarks.cpu_per_request --seconds {duration_s:g}`: us of user and system time a request,",
+        "of the gateway and of a bare pass-through with the same socket calls and parser, in one run.",
+        "",
+        "| requests a second | gateway | pass-through | ratio | served | p50, ms | schedule kept |",
+        "| --- | --- | --- | --- | --- | --- | --- |",
+        *rows,
+        "",
+    ]
+    return "\n".join(lines)
 
 
 def main() -> None:
@@ -117,25 +165,13 @@
     parser.add_argument("--seconds", type=float, default=6.0)
     parser.add_argument("--write", type=Path)
     parser.add_argument("--profile", type=float, metavar="RATE")
-    told = parser.parse_args()
-    if told.profile:
-        return print(asyncio.run(profile(told.profile, told.seconds)))
-    rows = asyncio.run(measure(told.rates, told.seconds))
-    text = "\n".join(
-        [
-            "# CPU a request",
-            "",
-            f"`python -m benchmarks.cpu_per_request --seconds {told.seconds:g}`: us of user and system time a request,",
-            "of the gateway and of a bare pass-through with the same socket calls and parser, in one run.",
-            "",
-            "| requests a second | gateway | pass-through | ratio | served | p50, ms | schedule kept |",
-            "| --- | --- | --- | --- | --- | --- | --- |",
-            *rows,
-            "",
-        ]
-    )
-    if told.write:
-        told.write.write_text(text)
+    arguments = parser.parse_args()
+    if arguments.profile:
+        print(asyncio.run(profile(arguments.profile, arguments.seconds)))
+        return
+    rows = asyncio.run(measure(arguments.rates, arguments.seconds))
+    if arguments.write:
+        arguments.write.write_text(render_page(rows, arguments.seconds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/feed.py
+++ b/benchmarks/feed.py
@@ -1,16 +1,17 @@
-"""How fast the feed is, and what it costs the loop that takes it in.
+"""How fast the catalog feed is, and what it costs the event loop that applies it.
 
     python -m benchmarks.feed [--changes 200] [--clients 200000] [--write docs/measured/feed.md]
 
-Changes: a real control plane, four links in this process, one change after another; the time from the answer to a
-change until all four have applied it. Whole: 1,000 tenants with so many clients, taken in line by line as the link
-does; the longest step is what an event loop stands still for.
+Changes: a real control plane and four feed clients in this process, one change after another; the time from the
+reply to a change until all four have applied it. Snapshot: 1,000 tenants with so many clients, applied line by line as
+the feed client does; the longest step is what an event loop is blocked for.
 """
 
 from __future__ import annotations
 
 import argparse
 import asyncio
+import contextlib
 import gc
 import logging
 import random
@@ -18,11 +19,16 @@
 import ssl
 import tempfile
 import time
+from collections.abc import AsyncIterator, Callable, Iterator
+from dataclasses import dataclass, field
+from functools import partial
 from pathlib import Path
+from typing import Final
 
 import numpy as np
 import structlog
 
+from benchmarks.measuring import BenchmarkError
 from hallhitch.catalog.draft import build_catalog
 from hallhitch.catalog.feed import snapshot_lines
 from hallhitch.catalog.feed_follower import FeedFollower
@@ -34,95 +40,166 @@
 from hallhitch.tls.certificate_files import certificate_fingerprint
 from tests.administration_process import AdministrationProcess, change, seed
 
-GATEWAYS = 4
+GATEWAY_COUNT: Final = 4
+TENANT_COUNT: Final = 1000
+WARM_UP_CHANGES: Final = 5  # the first ones wait for connections
+GC_THRESHOLDS: Final = (20_000, 20, 20)  # as a gateway sets them once it serves
 
 
-async def changes(count: int) -> list[float]:
-    """ms from the answer to each change until all gateways have applied it."""
-    found: list[float] = []
+class AppliedVersions:
+    """The catalog version that each gateway has applied."""
+
+    def __init__(self) -> None:
+        self._versions: dict[int, int] = {}
+        self._changed = asyncio.Event()
+
+    def on_catalog(self, gateway: int, catalog: Catalog) -> None:
+        """Record that a gateway has applied a catalog."""
+        self._versions[gateway] = catalog.version
+        self._changed.set()
+
+    async def wait_for(self, version: int) -> None:
+        """Return once all gateways have applied the version or a newer one."""
+        while len(self._versions) < GATEWAY_COUNT or min(self._versions.values()) < version:
+            self._changed.clear()
+            await self._changed.wait()
+
+
+@contextlib.asynccontextmanager
+async def _feed_clients(
+    plane: AdministrationProcess, certificate: Path, on_catalog: Callable[[int, Catalog], None]
+) -> AsyncIterator[None]:
+    """Run the gateways' feed clients."""
+    context = client_tls_context(
+        str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
+    )
+    tasks = [
+        asyncio.create_task(
+            FeedClient(
+                plane.url,
+                context,
+                f"gateway-{number}",
+                CatalogCache(plane.folder / f"saved-{number}"),
+                partial(on_catalog, number),
+            ).run()
+        )
+        for number in range(GATEWAY_COUNT)
+    ]
+    try:
+        yield
+    finally:
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+
+async def measure_changes(count: int) -> list[float]:
+    """Return the ms from the reply to each change until all gateways have applied it, warm-up excluded."""
+    latencies_ms = list[float]()
     with tempfile.TemporaryDirectory() as folder:
         plane = AdministrationProcess(Path(folder))
         await plane.start()
         certificate = authority.issue_certificate(plane.folder / "tls", "gateways", ["gateways"], client=True)
-        shown = certificate_fingerprint(ssl.PEM_cert_to_DER_cert(certificate.read_text()))
-        held: dict[int, int] = {}
-        news = asyncio.Event()
-
-        def apply(number: int, made: Catalog) -> None:
-            held[number] = made.version
-            news.set()
-
+        fingerprint = certificate_fingerprint(ssl.PEM_cert_to_DER_cert(certificate.read_text()))
+        applied = AppliedVersions()
         async with plane.client() as root:
-            await change(root, "PUT", "/v1/operators/gateways", {"scope": "gateway", "certificate": shown})
+            await change(root, "PUT", "/v1/operators/gateways", {"scope": "gateway", "certificate": fingerprint})
             await seed(root, "acme")
-            context = client_tls_context(
-                str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
-            )
-            tasks = [
-                asyncio.create_task(
-                    FeedClient(
-                        plane.url,
-                        context,
-                        f"gateway-{n}",
-                        CatalogCache(plane.folder / f"saved-{n}"),
-                        lambda made, n=n: apply(n, made),  # type: ignore[misc]
-                    ).run()
-                )
-                for n in range(GATEWAYS)
-            ]
-            for number in range(count):
-                done = await change(
-                    root, "PUT", "/v1/tenants/acme/plans/small-shop", {"rate": 1.0 + number, "burst": 9.0}, If_Match="*"
-                )
-                began = time.monotonic()
-                version = int(done.headers["etag"].strip('"').partition(".")[2])
-                while len(held) < GATEWAYS or min(held.values()) < version:
-                    news.clear()
-                    await news.wait()
-                found.append((time.monotonic() - began) * 1000)
-            for task in tasks:
-                task.cancel()
-            await asyncio.gather(*tasks, return_exceptions=True)
+            async with _feed_clients(plane, certificate, applied.on_catalog):
+                for number in range(count):
+                    plan = {"rate": 1.0 + number, "burst": 9.0}
+                    reply = await change(root, "PUT", "/v1/tenants/acme/plans/small-shop", plan, If_Match="*")
+                    started_s = time.monotonic()
+                    version = int(reply.headers["etag"].strip('"').partition(".")[2])
+                    await applied.wait_for(version)
+                    latencies_ms.append((time.monotonic() - started_s) * 1000)
         await plane.stop()
-    return found[5:]  # the first ones wait for connections
+    return latencies_ms[WARM_UP_CHANGES:]
+
 
+def _tenant_rows(name: str, client_count: int, client_limit: int) -> Iterator[Row]:
+    yield Row(name, Kind.TENANT, name, 1, Head(limits=Limits(clients=client_limit)))
+    yield Row(name, Kind.PLAN, "small-shop", 1, Plan(1.0, 3.0))
+    for number in range(client_count):
+        yield Row(name, Kind.CLIENT, f"client-{number}", 1, Client("small-shop"))
 
-def large(clients: int) -> Catalog:
-    """1,000 tenants with so many clients together."""
 
-    def rows() -> list[Row]:
-        made = []
-        for t in range(1000):
-            name = f"tenant-{t}"
-            made.append(Row(name, Kind.TENANT, name, 1, Head(limits=Limits(clients=clients))))
-            made.append(Row(name, Kind.PLAN, "small-shop", 1, Plan(1.0, 3.0)))
-            made += [Row(name, Kind.CLIENT, f"client-{n}", 1, Client("small-shop")) for n in range(clients // 1000)]
-        return made
+def build_large_catalog(client_count: int) -> Catalog:
+    """Return a catalog of 1,000 tenants with so many clients together."""
+    names = [f"tenant-{number}" for number in range(TENANT_COUNT)]
+    rows = [row for name in names for row in _tenant_rows(name, client_count // TENANT_COUNT, client_count)]
+    return build_catalog(1, 1, rows, dict.fromkeys(names, (1, 1)))
 
-    return build_catalog(1, 1, rows(), {f"tenant-{t}": (1, 1) for t in range(1000)})
 
+@dataclass
+class SnapshotCost:
+    """Time of each line of a snapshot, and the growth of the process while two catalogs are held."""
 
-def whole(clients: int) -> tuple[list[float], list[float], float]:
-    """ms of each line's making and taking in, and MiB that the process has grown by when both catalogues are held."""
-    old = large(clients)
-    newest = Catalog(2, 2, old.tenants, old.operators, old.hosts, old.checksum)
-    follower = FeedFollower(old, random.Random(1))
+    encode_ms: list[float] = field(default_factory=list)
+    apply_ms: list[float] = field(default_factory=list)
+    growth_mib: float = 0.0
+
+
+def peak_resident_kib() -> int:
+    """Return the largest resident memory of this process so far."""
+    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+
+
+def measure_snapshot(client_count: int) -> SnapshotCost:
+    """Encode and apply a snapshot line by line."""
+    held = build_large_catalog(client_count)
+    newest = Catalog(2, 2, held.tenants, held.operators, held.hosts, held.checksum)
+    follower = FeedFollower(held, random.Random(1))
     gc.collect()
     gc.freeze()  # as a gateway does once it serves
-    gc.set_threshold(20_000, 20, 20)
-    before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    lines, makes, takes = snapshot_lines(newest), [], []
+    gc.set_threshold(*GC_THRESHOLDS)
+    before_kib = peak_resident_kib()
+    cost = SnapshotCost()
+    lines = snapshot_lines(newest)
     while True:
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         line = next(lines, None)
-        made = time.perf_counter()
+        encoded_s = time.perf_counter()
         if line is None:
             break
         follower.receive_line(line)
-        makes.append((made - began) * 1000)
-        takes.append((time.perf_counter() - made) * 1000)
-    assert follower.version == (2, 2)
-    return makes, takes, (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / 1024
+        cost.encode_ms.append((encoded_s - started_s) * 1000)
+        cost.apply_ms.append((time.perf_counter() - encoded_s) * 1000)
+    if follower.version != (2, 2):
+        raise BenchmarkError(f"the follower holds version {follower.version} after the snapshot, not (2, 2)")
+    cost.growth_mib = (peak_resident_kib() - before_kib) / 1024
+    return cost
+
+
+def _steps_row(name: str, steps_ms: list[float]) -> str:
+    return (
+        f"| {name} | {sum(steps_ms) / 1000:.2f} | {np.median(steps_ms):.2f} | {np.percentile(steps_ms, 99.9):.2f} | "
+        f"{max(steps_ms):.2f} |"
+    )
+
+
+def render_page(latencies_ms: list[float], cost: SnapshotCost, change_count: int, client_count: int) -> str:
+    """Return the page docs/measured/feed.md."""
+    lines = [
+        "# The feed",
+        "",
+        f"`python -m benchmarks.feed --changes {change_count} --clients {client_count}`",
+        "",
+        f"From the answer to a change until all {GATEWAY_COUNT} gateways have applied it (links in one process, no "
+        f"other load): median {np.median(latencies_ms):.1f} ms, 99th percentile "
+        f"{np.percentile(latencies_ms, 99):.1f} ms, most {max(latencies_ms):.1f} ms, over {len(latencies_ms)} changes.",
+        "",
+        f"A whole catalogue of 1,000 tenants and {client_count} clients, line by line ({len(cost.apply_ms)} lines):",
+        "",
+        "| | in all, s | median step, ms | 99.9th percentile, ms | longest step, ms |",
+        "| --- | --- | --- | --- | --- |",
+        _steps_row("control plane, making", cost.encode_ms),
+        _steps_row("gateway, taking in", cost.apply_ms),
+        "",
+        f"The process grows by {cost.growth_mib:.0f} MiB at its peak while the gateway holds the old and the new.",
+        "",
+    ]
+    return "\n".join(lines)
 
 
 def main() -> None:
@@ -131,37 +208,14 @@
     parser.add_argument("--changes", type=int, default=200)
     parser.add_argument("--clients", type=int, default=200_000)
     parser.add_argument("--write", type=Path)
-    told = parser.parse_args()
+    arguments = parser.parse_args()
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
-    took = asyncio.run(changes(told.changes))
-    makes, takes, grown = whole(told.clients)
-    text = "\n".join(
-        [
-            "# The feed",
-            "",
-            f"`python -m benchmarks.feed --changes {told.changes} --clients {told.clients}`",
-            "",
-            f"From the answer to a change until all {GATEWAYS} gateways have applied it (links in one process, no "
-            f"other load): median {np.median(took):.1f} ms, 99th percentile {np.percentile(took, 99):.1f} ms, "
-            f"most {max(took):.1f} ms, over {len(took)} changes.",
-            "",
-            f"A whole catalogue of 1,000 tenants and {told.clients} clients, line by line ({len(takes)} lines):",
-            "",
-            "| | in all, s | median step, ms | 99.9th percentile, ms | longest step, ms |",
-            "| --- | --- | --- | --- | --- |",
-            *(
-                f"| {name} | {sum(steps) / 1000:.2f} | {np.median(steps):.2f} | {np.percentile(steps, 99.9):.2f} | "
-                f"{max(steps):.2f} |"
-                for name, steps in (("control plane, making", makes), ("gateway, taking in", takes))
-            ),
-            "",
-            f"The process grows by {grown:.0f} MiB at its peak while the gateway holds the old and the new.",
-            "",
-        ]
-    )
-    print(text)
-    if told.write:
-        told.write.write_text(text)
+    latencies_ms = asyncio.run(measure_changes(arguments.changes))
+    cost = measure_snapshot(arguments.clients)
+    page = render_page(latencies_ms, cost, arguments.changes, arguments.clients)
+    print(page)
+    if arguments.write:
+        arguments.write.write_text(page)
 
 
 if __name__ == "__main__":
