--- a/benchmarks/resident.py
+++ b/benchmarks/resident.py
@@ -1,4 +1,4 @@
-"""How much memory a process holds, as the kernel tells."""
+"""Resident memory of a process, as the kernel reports it."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def resident(pid: int | str = "self", field: str = "VmRSS") -> int:
-    """KiB of a process: VmRSS now, VmHWM at most."""
+    """Return a process's resident memory in KiB: now (`VmRSS`) or at its peak (`VmHWM`)."""
     return int(Path(f"/proc/{pid}/status").read_text().partition(f"{field}:")[2].split()[0])
