--- a/benchmarks/counted_gateway.py
+++ b/benchmarks/counted_gateway.py
@@ -1,7 +1,8 @@
-"""The real gateway, telling its memory: `python -O -m benchmarks.counted_gateway` is started like the gateway itself.
+"""The real gateway, reporting its memory; started like the gateway itself.
 
-Every EVERY seconds a line of JSON goes to the file that COUNTS_TO names, with the process's id put behind: resident
-KiB, what the collector has found, live objects by type, and sizes of the program's own tables.
+`python -O -m benchmarks.counted_gateway`. Every `REPORT_INTERVAL_S` a line of JSON is appended to the file that the
+environment's COUNTS_TO names, with the process's id appended: resident KiB, what the collector has freed, live objects
+by type, and the sizes of the program's own tables.
 """
 
 from __future__ import annotations
@@ -13,67 +14,82 @@
 import sys
 import time
 from collections import Counter
-from typing import Any
+from collections.abc import Mapping
+from pathlib import Path
+from typing import Any, Final
 
 from benchmarks.resident import resident
 from hallhitch import gateway
 from hallhitch.core.module import Core
 
-EVERY = 15.0  # s
-TYPES = 25
+REPORT_INTERVAL_S: Final = 15.0
+REPORTED_TYPES: Final = 25
 _cores: list[Core] = []
 
 
-def told(began: float) -> dict[str, Any]:
-    """One line; what can be collected has been, so that what is counted is held by somebody."""
-    before = resident()
-    found = gc.collect()
+def table_sizes(core: Core) -> Mapping[str, int]:
+    """Return the number of entries of each table of the decision module and of the core."""
+    sizes = dict[str, int]()
+    for name, value in vars(core.gateway).items():
+        if hasattr(value, "__len__"):
+            sizes[f"module {name}"] = len(value)
+        elif hasattr(value, "__dict__"):
+            sizes |= {
+                f"module {name}.{attribute}": len(table)
+                for attribute, table in vars(value).items()
+                if hasattr(table, "__len__")
+            }
+    sizes["open"] = len(core.open_exchanges)
+    sizes["deadlines"] = len(core.deadlines)
+    return sizes
+
+
+def build_report(started_s: float) -> dict[str, Any]:
+    """Return one report; garbage has been collected, so that the objects counted are referenced."""
+    before_kib = resident()
+    collected = gc.collect()
     # What was frozen at the start is not counted: it does not grow.
-    types = Counter(type(one).__name__ for one in gc.get_objects())
-    tables = {}
+    types = Counter(type(item).__name__ for item in gc.get_objects())
+    tables = dict[str, int]()
     for core in _cores:
-        for name, value in vars(core.gateway).items():
-            if hasattr(value, "__len__"):
-                tables[f"module {name}"] = len(value)
-            elif hasattr(value, "__dict__"):
-                tables |= {f"module {name}.{n}": len(v) for n, v in vars(value).items() if hasattr(v, "__len__")}
-        tables["open"] = len(core.open_exchanges)
-        tables["deadlines"] = len(core.deadlines)
+        tables |= table_sizes(core)
     return {
-        "s": round(time.monotonic() - began),
-        "rss": before,
-        "collected": found,
+        "s": round(time.monotonic() - started_s),
+        "rss": before_kib,
+        "collected": collected,
         "after": resident(),
-        "types": dict(types.most_common(TYPES)),
+        "types": dict(types.most_common(REPORTED_TYPES)),
         "tables": tables,
     }
 
 
-async def count(path: str) -> None:
-    """Tell, for as long as the gateway runs."""
-    began = time.monotonic()
-    with open(f"{path}.{os.getpid()}", "a", encoding="utf-8") as file:
+async def write_reports(path: Path) -> None:
+    """Append reports for as long as the gateway runs."""
+    started_s = time.monotonic()
+    with path.open("a", encoding="utf-8") as file:
         while True:
-            await asyncio.sleep(EVERY)
-            print(json.dumps(told(began)), file=file, flush=True)
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            print(json.dumps(build_report(started_s)), file=file, flush=True)
 
 
 def main() -> int:
     """Run the gateway to its end."""
-    path, begin, serve = os.environ.get("COUNTS_TO"), Core.__init__, gateway.serve
+    path = os.environ.get("COUNTS_TO")
+    initialize_core = Core.__init__
+    serve = gateway.serve
 
-    def noted(self: Core, *arguments: Any, **named: Any) -> None:
-        begin(self, *arguments, **named)
+    def initialize_and_register(self: Core, *arguments: Any, **options: Any) -> None:
+        initialize_core(self, *arguments, **options)
         _cores.append(self)
 
-    async def counted(*arguments: Any) -> None:
-        task = asyncio.create_task(count(path)) if path else None
+    async def serve_counted(*arguments: Any) -> None:
+        task = asyncio.create_task(write_reports(Path(f"{path}.{os.getpid()}"))) if path else None
         await serve(*arguments)
         if task is not None:
             task.cancel()
 
-    Core.__init__ = noted  # type: ignore[method-assign]
-    gateway.serve = counted  # type: ignore[assignment]
+    Core.__init__ = initialize_and_register  # type: ignore[method-assign]
+    gateway.serve = serve_counted  # type: ignore[assignment]
     return gateway.main()
 
 
