--- a/hallhitch/planes/__init__.py
+++ b/hallhitch/planes/__init__.py
@@ -1,1 +1,1 @@
-"""The planes of the whole system: a library each. They meet in `values` alone, never in each other's insides."""
+"""The planes of the system, one library each. They exchange the types in `values` and never use internals of others."""
--- a/hallhitch/planes/data/endpoint_set.py
+++ b/hallhitch/planes/data/endpoint_set.py
@@ -1,9 +1,12 @@
-"""The endpoints of one service as this gateway sees them: which one a request goes to, and what each costs now.
+"""Endpoint selection within one service: the candidates for a request, their capacity and their cost.
 
-Owns the order in which endpoints are considered and the comparison between them: a cost per endpoint, the cheapest of
-a few, as in "power of d choices". The requests of other gateways are not seen: they are estimated from this gateway's
-own load, and show in responses that take longer than the mean. Invariant: an endpoint that is selected has capacity for
-one more request beside the estimated requests of its peers; only panic mode takes one that is ejected.
+The set considers groups of endpoints in a fixed order and selects the cheapest endpoint of a group, as in "power of d
+choices". A gateway does not see the requests that its peers send to a backend. It estimates them from its own load, and
+they also show in responses that take longer than the mean.
+
+Invariants:
+- A selected endpoint has capacity for one more request on top of the estimated requests of other gateways.
+- Only panic mode selects an ejected endpoint.
 """
 
 from __future__ import annotations
@@ -20,49 +23,54 @@
 from hallhitch.planes.data.slow_start import CAPACITY_RECOVERY_MS, SlowStart
 from hallhitch.planes.values import Backend, RequestKind, Service
 
-# Which endpoints are considered.
-MIN_PRIMARY_ENDPOINTS: Final = 6  # of its own region, that a gateway considers first: enough to find an idle one
-MIN_GATEWAYS_PER_ENDPOINT: Final = 3  # that consider an endpoint first, where there are that many gateways
-SAMPLE_SIZE: Final = 10  # of the others: the best of ten is hardly worse than the best of all
-
-# How many requests an endpoint takes, in rounds of its slots.
-QUEUE_RATIO: Final = 0.4  # that may queue at an endpoint while no other has capacity either
-FULL_QUEUE_RATIO: Final = 0.7  # of idempotent requests, once all have that much: still better than rejection
-UNSAFE_QUEUE_FACTOR: Final = 0.5  # of the queue for a request that must not run twice: a reset would lose it
-SHARED_SLOTS_RATIO: Final = 0.5  # that each gateway but the preferred may use, or they overload it together
+# Candidates. Primary endpoints are those of its own region that a gateway considers first; six are enough to find an
+# idle one.
+MIN_PRIMARY_ENDPOINTS: Final = 6
+MIN_GATEWAYS_PER_ENDPOINT: Final = 3  # for which each endpoint is primary, if there are that many gateways
+SAMPLE_SIZE: Final = 10  # of the other endpoints: the best of ten is hardly worse than the best of all
+
+# Capacity of an endpoint. A queue ratio is the number of requests that may queue there divided by the number of slots.
+QUEUE_RATIO: Final = 0.4  # while no endpoint has a free slot
+FULL_QUEUE_RATIO: Final = 0.7  # for idempotent requests when all queues are that full: still better than a rejection
+# Factor of the queue ratio for non-idempotent requests, which cannot be retried if the backend resets the connection.
+NON_IDEMPOTENT_QUEUE_FACTOR: Final = 0.5
+# Share of the slots that each non-preferred gateway may use, since together they could overload the backend.
+SHARED_SLOTS_RATIO: Final = 0.5
 MAX_WARMING_IN_FLIGHT: Final = 2  # requests in flight at an endpoint in slow start
-RECOVERY_RESERVED_RATIO: Final = 0.5  # of the slots that count as taken at the end of slow start, falling to none
-LOAD_AVERAGING_MS: Final = 1000.0  # time constant of the own load, by which that of others is estimated
-
-# Half-open attempts: a token bucket that requests to the service fill.
-HALF_OPEN_SHARE: Final = 0.1  # of the requests that may test an ejected endpoint
-MAX_HALF_OPEN_TOKENS: Final = 3.0  # saved up
-
-# What an endpoint costs, in mean latencies of the route.
-WARMING_LATENCY_FACTOR: Final = 2.0  # of a backend in slow start
-SUSPECT_COST: Final = 1.0  # after a failure, or while it is unresponsive
-EVEN_UTILIZATION: Final = 0.3  # of what a warming backend bears: more from one gateway in a second is uneven
-UNEVEN_UTILIZATION_COST: Final = 3.0  # for each whole utilization beyond
-FULL_SLOTS_COST: Final = 0.2  # of full slots though nothing queues: some backends slow down
-TIE_BREAK_COST: Final = 0.1  # at most, drawn at random: gateways must not all choose the same of equals
-
-# What the distance costs, in latency targets of the route.
+RECOVERY_RESERVED_RATIO: Final = 0.5  # of the slots, counted as occupied when slow start ends, then falling to zero
+LOAD_AVERAGING_MS: Final = 1000.0  # time constant of this gateway's average load, the estimate for that of its peers
+
+# Half-open attempts are limited by a token bucket that the requests to the service refill.
+HALF_OPEN_ATTEMPT_RATIO: Final = 0.1  # tokens per request, each for one attempt at an endpoint after its ejection
+MAX_HALF_OPEN_TOKENS: Final = 3.0
+
+# Cost of an endpoint, as a multiple of the route's mean latency.
+WARMING_LATENCY_FACTOR: Final = 2.0  # factor of the expected latency of a backend in slow start
+SUSPECT_COST: Final = 1.0  # after a failure, or while the endpoint is unresponsive
+# Utilization (see `SlowStart.utilization`) that costs nothing. A higher one means that this gateway distributes its
+# requests unevenly.
+FREE_UTILIZATION: Final = 0.3
+UTILIZATION_COST: Final = 3.0  # per unit of utilization above the free one
+FULL_SLOTS_COST: Final = 0.2  # when all slots are occupied and nothing queues yet: some backends slow down by then
+TIE_BREAK_COST: Final = 0.1  # maximum of a random cost, so that gateways choose differently among equal endpoints
+
+# Cost of distance, as a multiple of the route's latency target.
 CROSS_ZONE_COST: Final = 0.01
 CROSS_ZONE_DOWNLOAD_COST: Final = 0.15
-CROSS_REGION_COST: Final = 0.25  # for bytes more than for time
+CROSS_REGION_COST: Final = 0.25  # mainly for the traffic between regions, less for the added latency
 
 
 @dataclass(frozen=True, slots=True)
 class SelectionCriteria:
-    """What one request asks of an endpoint."""
+    """The properties of a request that determine which endpoints it may go to and what they cost."""
 
     now: float
     kind: RequestKind
-    is_unsafe: bool  # it must not run twice
+    is_non_idempotent: bool  # the request must not run twice
     target_ms: float  # latency target of the route
     mean_latency_ms: float  # of the route
     allowed_regions: frozenset[str]  # empty = any
-    excluded_instances: frozenset[str]  # tried before
+    excluded_instances: frozenset[str]  # instances that the request has already tried
     priority: int  # 0 is the highest
 
 
@@ -73,24 +81,27 @@
         self.service = service
         self.latency = LatencyEstimate()
         self.queued = QueuedRequests()
-        self.primary: list[Endpoint] = []  # own region, low rank
-        self.secondary: list[Endpoint] = []  # own region otherwise
-        self.remote: list[Endpoint] = []
+        self.primary: list[Endpoint] = []  # in this gateway's region, where its rank is low; considered first
+        self.secondary: list[Endpoint] = []  # the other endpoints of this gateway's region
+        self.remote: list[Endpoint] = []  # in other regions
         self._slow_start = slow_start
-        self._half_open_tokens = 0.0  # half-open attempts that are due to this service
-        self._gateways = 1  # that share the endpoints of the own region
-        self._region_slots = 1
-        self._max_slots = 1  # of any endpoint
-        self._load = 0.0
+        self._half_open_tokens = 0.0  # one per half-open attempt that is due
+        self._gateway_count = 1  # gateways that share the endpoints of this gateway's region
+        self._region_slots = 1  # total slots of the endpoints in this gateway's region
+        self._max_slots = 1  # maximum slots of any endpoint
+        self._average_load = 0.0
         self._load_updated_at_ms = 0.0
 
-    def set_endpoints(self, endpoints: list[Endpoint], gateways: int) -> None:
-        """Replace the endpoints, localities and ranks set; `gateways` of the own region share them."""
+    def set_endpoints(self, endpoints: list[Endpoint], gateway_count: int) -> None:
+        """Replace the endpoints, whose localities and ranks are already set.
+
+        `gateway_count` is the number of gateways in this gateway's region, which share the region's endpoints.
+        """
         in_region = [e for e in endpoints if e.locality is not Locality.REMOTE_REGION]
         self.remote = [e for e in endpoints if e.locality is Locality.REMOTE_REGION]
-        self._gateways = max(gateways, 1)
-        endpoint_shares = -(-MIN_PRIMARY_ENDPOINTS * self._gateways // max(len(in_region), 1))
-        primary_ranks = max(MIN_GATEWAYS_PER_ENDPOINT, endpoint_shares)
+        self._gateway_count = max(gateway_count, 1)
+        ranks_needed = -(-MIN_PRIMARY_ENDPOINTS * self._gateway_count // max(len(in_region), 1))
+        primary_ranks = max(MIN_GATEWAYS_PER_ENDPOINT, ranks_needed)
         self.primary = [e for e in in_region if e.rank < primary_ranks]
         self.secondary = [e for e in in_region if e.rank >= primary_ranks]
         for endpoint in endpoints:
@@ -100,16 +111,16 @@
         self._region_slots = max(1, sum(e.slots for e in in_region))
         self._max_slots = max((e.slots for e in endpoints), default=1)
 
-    # Selection.
+    # Selection
 
     def select(self, criteria: SelectionCriteria, rng: Random) -> Endpoint | None:
         """Return the cheapest endpoint with capacity now; None if there is none.
 
-        Own region before others, free slots before queues. Downloads leave the region only when nothing in it is
-        healthy.
+        Endpoints of this gateway's region come before remote ones, and free slots come before queues. Downloads leave
+        the region only when none of its endpoints is selectable.
         """
         load = self.estimate_load(criteria.now)
-        # Where peers are estimated to leave no slot free there is none to look for among theirs.
+        # If the peers are estimated to occupy all slots, there is no free one among the endpoints that they prefer.
         may_find_idle = (1.0 - load) * self._max_slots >= 1.0
         best = self._select_in_region(load, may_find_idle, criteria, rng)
         if best is not None:
@@ -122,14 +133,14 @@
                 best = self._cheapest(_sample(self.remote, rng), load, criteria, queue_ratio, rng)
                 if best is not None:
                     return best
-        if healthy and not criteria.is_unsafe:
+        if healthy and not criteria.is_non_idempotent:
             return self._cheapest(healthy, load, criteria, FULL_QUEUE_RATIO, rng)
         return None
 
     def _select_in_region(
         self, load: float, may_find_idle: bool, criteria: SelectionCriteria, rng: Random
     ) -> Endpoint | None:
-        """Select a free slot of a primary endpoint, then of others of the region, then a primary one's queue."""
+        """Select a primary endpoint with a free slot, else a secondary one, else a primary one with room to queue."""
         best = self._cheapest(self.primary, load, criteria, 0.0, rng)
         if best is None and may_find_idle:
             best = self._cheapest(_sample(self.secondary, rng), load, criteria, 0.0, rng)
@@ -138,9 +149,9 @@
         return best
 
     def select_in_panic(self, criteria: SelectionCriteria, rng: Random) -> Endpoint | None:
-        """Return the endpoint that failed longest ago where all are ejected or suspect; None elsewhere.
+        """Return the endpoint that failed longest ago if no eligible endpoint is healthy; None otherwise.
 
-        That all fail at once is more likely the fault of this gateway's network than of every backend.
+        If all backends fail at once, the cause is more likely this gateway's network than the backends.
         """
         now = criteria.now
         eligible = _not_misdirected(self.primary + self.secondary, criteria)
@@ -153,8 +164,8 @@
         return min(eligible, key=lambda e: (e.health.last_failure_ms, rng.random()))
 
     def take_half_open_endpoint(self, criteria: SelectionCriteria) -> Endpoint | None:
-        """Return an endpoint whose ejection is over, if a half-open attempt is due; it spends one token."""
-        if self._half_open_tokens < 1.0 or criteria.is_unsafe or criteria.kind is RequestKind.DOWNLOAD:
+        """Return an endpoint whose ejection is over and spend a token on it, if a half-open attempt is due."""
+        if self._half_open_tokens < 1.0 or criteria.is_non_idempotent or criteria.kind is RequestKind.DOWNLOAD:
             return None
         for endpoint in self.primary:
             if (
@@ -168,54 +179,54 @@
                 return endpoint
         return None
 
-    def earn_half_open_token(self) -> None:
-        """Add one request's share of a half-open attempt."""
-        self._half_open_tokens = min(self._half_open_tokens + HALF_OPEN_SHARE, MAX_HALF_OPEN_TOKENS)
+    def refill_half_open_tokens(self) -> None:
+        """Add one request's share to the token bucket for half-open attempts."""
+        self._half_open_tokens = min(self._half_open_tokens + HALF_OPEN_ATTEMPT_RATIO, MAX_HALF_OPEN_TOKENS)
 
     def is_reserved_for_higher_priority(self, endpoint: Endpoint, criteria: SelectionCriteria) -> bool:
-        """Return whether a queued request of a higher priority comes first at this endpoint."""
+        """Return whether a queued request of a higher priority may use this endpoint."""
         return self.queued.has_higher_priority(criteria.priority, endpoint.backend.region)
 
-    # Load and capacity.
+    # Load and capacity
 
     def estimate_load(self, now: float) -> float:
-        """Update and return the share of slots that peers are estimated to use, were all as loaded as this gateway."""
+        """Update and return the estimated share of occupied slots, as if all gateways were as loaded as this one."""
         in_flight = sum(e.in_flight for e in self.primary) + sum(e.in_flight for e in self.secondary)
-        current = min(1.0, in_flight * self._gateways / self._region_slots)
+        current_load = min(1.0, in_flight * self._gateway_count / self._region_slots)
         elapsed_ms = max(0.0, now - self._load_updated_at_ms)
-        self._load += (current - self._load) * (1.0 - exp(-elapsed_ms / LOAD_AVERAGING_MS))
+        self._average_load += (current_load - self._average_load) * (1.0 - exp(-elapsed_ms / LOAD_AVERAGING_MS))
         self._load_updated_at_ms = now
-        return self._load
+        return self._average_load
 
     def estimated_peer_requests(self, endpoint: Endpoint, load: float) -> float:
-        """Return how many requests of other gateways are likely there."""
+        """Return the estimated number of requests that other gateways have in flight at the endpoint."""
         return 0.0 if endpoint.is_preferred_here else load * endpoint.slots
 
     def has_capacity(self, endpoint: Endpoint, load: float, criteria: SelectionCriteria, queue_ratio: float) -> bool:
-        """Return whether one more request may go there, with `queue_ratio` rounds of its slots allowed to queue."""
+        """Return whether one more request may go there if up to `queue_ratio` times its slots may queue."""
         now, slots = criteria.now, endpoint.slots
-        if endpoint.timed_out and endpoint.timed_out[0].deadline_ms <= now:
+        if endpoint.timed_out_attempts and endpoint.timed_out_attempts[0].deadline_ms <= now:
             endpoint.release_expired(now)
         if self._slow_start.warming_until_ms(endpoint.backend) > now:
             return endpoint.in_flight < MAX_WARMING_IN_FLIGHT and self._slow_start.admits(
                 now, endpoint.backend, self.service
             )
         if endpoint.is_preferred_here:
-            own_queue_ratio = queue_ratio * (UNSAFE_QUEUE_FACTOR if criteria.is_unsafe else 1.0)
+            own_queue_ratio = queue_ratio * (NON_IDEMPOTENT_QUEUE_FACTOR if criteria.is_non_idempotent else 1.0)
             capacity = slots * (1.0 + own_queue_ratio)
         else:
-            # All other gateways may have the same there, and together must not fill it.
-            is_split_evenly = criteria.is_unsafe or endpoint.locality is Locality.REMOTE_REGION
-            capacity = max(1.0, slots / self._gateways if is_split_evenly else slots * SHARED_SLOTS_RATIO)
+            # Each of the other gateways may send as many, and together they must not overload the endpoint.
+            is_split_evenly = criteria.is_non_idempotent or endpoint.locality is Locality.REMOTE_REGION
+            capacity = max(1.0, slots / self._gateway_count if is_split_evenly else slots * SHARED_SLOTS_RATIO)
         in_flight = endpoint.in_flight + 1
         if in_flight > capacity:
             return False
         return in_flight + self.estimated_peer_requests(endpoint, load) <= slots * (1.0 + queue_ratio)
 
-    # Cost.
+    # Cost
 
     def estimate_cost_ms(self, endpoint: Endpoint, load: float, criteria: SelectionCriteria, rng: Random) -> float:
-        """Return how long one more request there is expected to take, distance and risks as ms on top."""
+        """Return the expected latency of one more request there, plus penalties for distance and risk in ms."""
         now, slots, mean_ms = criteria.now, endpoint.slots, criteria.mean_latency_ms
         occupied = endpoint.in_flight + self.estimated_peer_requests(endpoint, load)
         latency_ms = mean_ms * endpoint.latency_ratio.value(now)
@@ -229,8 +240,8 @@
         if endpoint.health.state(now) is not HealthState.HEALTHY or self._is_unresponsive(endpoint, now):
             cost_ms += mean_ms * SUSPECT_COST
         utilization = self._slow_start.utilization(now, endpoint.backend, self.service)
-        if utilization > EVEN_UTILIZATION:
-            cost_ms += mean_ms * (utilization - EVEN_UTILIZATION) * UNEVEN_UTILIZATION_COST
+        if utilization > FREE_UTILIZATION:
+            cost_ms += mean_ms * (utilization - FREE_UTILIZATION) * UTILIZATION_COST
         if endpoint.locality is Locality.SAME_REGION:
             is_download = criteria.kind is RequestKind.DOWNLOAD
             cost_ms += criteria.target_ms * (CROSS_ZONE_DOWNLOAD_COST if is_download else CROSS_ZONE_COST)
@@ -253,25 +264,25 @@
                     cheapest, lowest_cost_ms = endpoint, cost_ms
         return cheapest
 
-    # Health.
+    # Health
 
     def _is_selectable(self, endpoint: Endpoint, criteria: SelectionCriteria) -> bool:
-        """Return whether a request may go there by the endpoint's health, whatever its load."""
+        """Return whether the request may go to the endpoint, judged by its eligibility and health but not its load."""
         now, health = criteria.now, endpoint.health
         if not _is_eligible(endpoint.backend, criteria) or now < health.overloaded_until_ms:
             return False
         state = health.state(now)
-        if criteria.is_unsafe:
+        if criteria.is_non_idempotent:
             return state is HealthState.HEALTHY and not self._is_unresponsive(endpoint, now)
         if state is HealthState.HEALTHY:
             return True
-        # Half-open primary endpoints get their attempts from `take_half_open_endpoint`.
-        is_open_to_one = state is HealthState.SUSPECT or (state is HealthState.HALF_OPEN and not endpoint.is_primary)
-        return is_open_to_one and endpoint.in_flight == 0
+        # `take_half_open_endpoint` selects half-open primary endpoints.
+        admits_one = state is HealthState.SUSPECT or (state is HealthState.HALF_OPEN and not endpoint.is_primary)
+        return admits_one and endpoint.in_flight == 0
 
     def _is_unresponsive(self, endpoint: Endpoint, now: float) -> bool:
         is_remote = endpoint.locality is Locality.REMOTE_REGION
-        return self.latency.is_unresponsive(now, endpoint.unanswered, endpoint.zone_unanswered, is_remote)
+        return self.latency.is_unresponsive(now, endpoint.unanswered_sends, endpoint.zone_unanswered_sends, is_remote)
 
     def _slow_start_admits(self, endpoint: Endpoint, now: float) -> bool:
         backend = endpoint.backend
@@ -279,7 +290,7 @@
 
 
 def _is_eligible(backend: Backend, criteria: SelectionCriteria) -> bool:
-    """Return whether the request may go to this backend at all."""
+    """Return whether the request has not tried this backend yet and may be served in its region."""
     if backend.instance in criteria.excluded_instances:
         return False
     return not criteria.allowed_regions or backend.region in criteria.allowed_regions
--- a/hallhitch/planes/data/load_balancer.py
+++ b/hallhitch/planes/data/load_balancer.py
@@ -1,8 +1,12 @@
-"""The decisions of the data plane: which backend, whether to retry or hedge, what to queue and what to reject.
+"""The load-balancing policy: selects backends, decides on retries and hedged requests, and queues or rejects requests.
 
-Values in and out, no I/O: every call brings the time, randomness is passed in. Invariants: no request goes to a backend
-that drains, stands in an evacuated zone or outside the request's allowed regions; a non-idempotent request that may
-have run is never sent again; retries and hedges stay within the service's retry budget. Times are steady ms.
+The policy performs no I/O and reads no clock: callers pass in the current time and the random number generator. All
+times are milliseconds of the monotonic clock.
+
+Invariants:
+- No request goes to a backend that is draining, in an evacuated zone or outside the request's allowed regions.
+- A non-idempotent request that may have run is never sent again.
+- Retries and hedged requests stay within the retry budget of the service.
 """
 
 from __future__ import annotations
@@ -23,27 +27,33 @@
 from hallhitch.planes.data.slow_start import SlowStartBounds
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway
 
-# Time in the queue, in latency targets of the route.
-MAX_QUEUE_TIME_RATIO: Final = 0.22  # a rejection is early within a quarter, and the response takes its way too
-MAX_RETRY_QUEUE_TIME_RATIO: Final = 0.5  # of a request that a backend declined: its rejection is late already
-MIN_QUEUE_TIME_MS: Final = 1.0  # less is not worth a timer
-# Time between two looks for capacity, in mean latencies of the route.
+# Maximum time from a request's arrival to the end of its wait in the queue, as a multiple of the latency target of its
+# route. A rejection counts as early if it reaches the client within 0.25 of the target; the rest is for sending it.
+MAX_QUEUE_TIME_RATIO: Final = 0.22
+MAX_RETRY_QUEUE_TIME_RATIO: Final = 0.5  # after a backend declined it: too late for an early rejection
+MIN_QUEUE_TIME_MS: Final = 1.0  # a shorter wait is not worth a timer
+# Interval between capacity checks of a queued request, as a multiple of the route's mean latency.
 RECHECK_RATIO: Final = 0.1
 MIN_RECHECK_MS: Final = 4.0
 MAX_RECHECK_MS: Final = 20.0
-MIN_RECHECK_JITTER: Final = 0.75  # factor of it, up to 1.25
+# The interval is multiplied by a random factor from 0.75 to 1.25.
+MIN_RECHECK_JITTER: Final = 0.75
 RECHECK_JITTER_RANGE: Final = 0.5
-# Retry-After of a rejection, in latency targets: spread so that the clients do not come back together.
+# Retry-After of a rejection, as a multiple of the latency target. It is drawn at random from this range so that the
+# rejected clients do not all retry at the same time.
 MIN_RETRY_AFTER_RATIO: Final = 0.6
 MAX_RETRY_AFTER_RATIO: Final = 1.1
 
-MAX_UNREACHED_ATTEMPTS: Final = 6  # backends tried in vain, which costs none of the route's attempts
-MIN_REMAINING_RATIO: Final = 0.8  # of the fastest recent response: with less time left nothing can come back
+# Limit on the attempts of one request that reach no backend; they do not count toward the route's attempt limit.
+MAX_UNREACHED_ATTEMPTS: Final = 6
+# Minimum time to the deadline for another attempt, as a multiple of the fastest recent latency. With less time left,
+# no response can arrive before the deadline.
+MIN_REMAINING_TIME_RATIO: Final = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class LoadBalancerSettings:
-    """What the load balancer needs of a gateway's settings; names are those of the node's settings."""
+    """The settings of a gateway that its load balancer uses; the names match the node's settings."""
 
     name: str
     zone: str
@@ -53,11 +63,11 @@
     retry_budget_slack: float = 0.0
     slow_start_overshoot_ratio: float = 1.0
     slow_start_slack: float = 0.0
-    endpoint_list_lag_ms: float = 1000.0  # how far the endpoint list runs behind
+    endpoint_list_lag_ms: float = 1000.0  # how far the endpoint list may lag behind the platform
 
 
 class LoadBalancer:
-    """The load-balancing policy of one gateway; see `interfaces.LoadBalancingPolicy`."""
+    """The load-balancing policy of one gateway; implements `interfaces.LoadBalancingPolicy`."""
 
     def __init__(self, settings: LoadBalancerSettings, rng: Random) -> None:
         self._settings = settings
@@ -71,29 +81,29 @@
         self._outcomes = OutcomeRecorder(self._slow_start, settings.endpoint_list_lag_ms, rng)
         self._retry_budgets: dict[str, RetryBudget] = {}  # by service
 
-    # Configuration.
+    # Configuration
 
     def set_backends(self, now: float, entries: Sequence[Backend]) -> None:
-        """Replace the list of all backends."""
+        """Replace the list of all backends, including draining ones."""
         self._topology.set_backends(now, entries)
 
     def set_gateways(self, now: float, entries: Sequence[Gateway]) -> None:
-        """Replace the list of all live gateways."""
+        """Replace the list of all live gateways; this gateway always counts, whether listed or not."""
         self._topology.set_gateways(now, entries)
 
     def set_config(self, now: float, config: ClusterConfig) -> None:
         """Replace the cluster configuration."""
         self._topology.set_config(now, config)
 
-    # One request.
+    # Request life cycle
 
     def begin_request(self, now: float, request: RequestInfo) -> RequestState:
-        """Start the state of an admitted request."""
+        """Count an admitted request toward the retry budget and return its initial state."""
         self._retry_budget(now, request.service).record_request(now)
         return RequestState(request)
 
     def next_action(self, now: float, state: RequestState) -> Action:
-        """Decide what to do now with a request."""
+        """Return what to do with a request now; it leaves the queue unless it has to wait again."""
         action = self._decide(now, state)
         if not isinstance(action, Enqueue):
             state.leave_queue()
@@ -102,42 +112,43 @@
     def on_attempt_ended(
         self, now: float, state: RequestState, backend: Backend, outcome: Outcome, latency_ms: float
     ) -> None:
-        """Record that an attempt has ended, or has outlasted its hedge delay (TIMED_OUT)."""
+        """Record that an attempt has ended, or that it has exceeded its hedge delay (TIMED_OUT)."""
         attempt = state.latest_attempt(backend.instance)
         if attempt is None:
             return
         attempt.may_have_run = attempt.may_have_run or outcome.may_have_run
         if outcome is Outcome.TIMED_OUT and not attempt.is_timed_out:
-            attempt.time_out()
+            attempt.mark_timed_out()
             state.failure_status = 504
         else:
             attempt.release()
-        # What is cancelled after the response has come, or after a time-out, may have arrived.
+        # An attempt cancelled after its time-out, or after the response has arrived, may have reached the backend.
         if not attempt.is_timed_out and not state.is_finished:
             self._refund_if_unsent(now, state, attempt, outcome)
         if not state.is_finished or outcome not in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST):
-            # Once nobody waits for the response, its silence or its cut may be this gateway's doing.
+            # Once the request is finished, this gateway itself may have closed the connection or stopped waiting, so
+            # neither outcome says anything about the backend.
             endpoints = self._endpoint_sets.get(backend.service)
             self._outcomes.record(now, state, attempt, endpoints, outcome, latency_ms)
 
     def finish_request(self, now: float, state: RequestState) -> None:
-        """End a request: its client has the response, or is gone."""
+        """End a request whose client has received the response or has disconnected."""
         state.is_finished = True
         state.leave_queue()
 
-    # Decisions.
+    # Decisions
 
-    def _decide(self, now: float, state: RequestState) -> Action:  # noqa: PLR0911  a reply for each case
+    def _decide(self, now: float, state: RequestState) -> Action:  # noqa: PLR0911  one return per case
         request = state.request
         route = request.route
         remaining_ms = request.deadline_ms - now
         if not route.is_idempotent and (state.has_in_flight or state.may_have_run):
-            return _await_unsafe(state, remaining_ms)
+            return _await_non_idempotent(state, remaining_ms)
         endpoints = self._endpoint_sets.get(request.service)
         if endpoints is None:
             return self._reject(request)
         average = endpoints.latency.for_route(route.name, route.latency_target_ms)
-        if remaining_ms <= average.fastest_ms * MIN_REMAINING_RATIO:
+        if remaining_ms <= average.fastest_ms * MIN_REMAINING_TIME_RATIO:
             return self._await_or_give_up(state, remaining_ms, 504)
         if state.attempts and not self._may_try_again(now, state, endpoints):
             return self._await_or_give_up(state, remaining_ms, state.failure_status)
@@ -162,7 +173,10 @@
         return self._enqueue(now, state, endpoints, average)
 
     def _may_try_again(self, now: float, state: RequestState, endpoints: EndpointSet) -> bool:
-        """Return whether the route's attempts, the retry budget and the service's latency allow one more attempt."""
+        """Return whether the route's attempt limit, the retry budget and the service's latency allow one more attempt.
+
+        A slow service gets no second attempt while the first one is in flight.
+        """
         request = state.request
         arrived = sum(1 for a in state.attempts if a.may_have_arrived)
         if arrived >= max(request.route.max_attempts, 1):
@@ -176,7 +190,7 @@
     def _select_first(
         self, request: RequestInfo, endpoints: EndpointSet, criteria: SelectionCriteria
     ) -> EndpointAttempt | None:
-        """Select for a request without attempts: a half-open endpoint where one is due, else by cost."""
+        """Select an endpoint for the first attempt: a half-open endpoint if one is due, otherwise by cost."""
         endpoint = endpoints.take_half_open_endpoint(criteria)
         if endpoint is not None:
             return EndpointAttempt(endpoint, criteria.now, request.deadline_ms, is_half_open=True)
@@ -188,13 +202,14 @@
     def _select_retry(
         self, state: RequestState, endpoints: EndpointSet, criteria: SelectionCriteria
     ) -> EndpointAttempt | None:
-        """Select for a retry or a hedge, elsewhere than before if possible."""
+        """Select an endpoint for a retry or a hedged request, preferably one that the request has not tried."""
         rng = self._rng
         endpoint = endpoints.select(criteria, rng) or endpoints.select_in_panic(criteria, rng)
         if endpoint is None and not state.has_in_flight:
-            # Nothing else: an endpoint where the request certainly never ran may have capacity by now.
-            ran_on = frozenset(a.endpoint.backend.instance for a in state.attempts if a.may_have_run)
-            criteria = replace(criteria, excluded_instances=ran_on)
+            # All other endpoints are excluded or full. An endpoint that was tried but where the request certainly
+            # never ran may have capacity by now.
+            ran_instances = frozenset(a.endpoint.backend.instance for a in state.attempts if a.may_have_run)
+            criteria = replace(criteria, excluded_instances=ran_instances)
             endpoint = endpoints.select(criteria, rng) or endpoints.select_in_panic(criteria, rng)
         if endpoint is None:
             return None
@@ -203,13 +218,13 @@
     def _forward(
         self, state: RequestState, endpoints: EndpointSet, average: LatencyAverage, attempt: EndpointAttempt
     ) -> Forward:
-        """Account for an attempt that starts now."""
+        """Record the start of an attempt and return the action that sends it."""
         now, backend, request = attempt.started_at_ms, attempt.endpoint.backend, state.request
         if any(a.may_have_arrived for a in state.attempts):
             attempt.retry_spent_at_ms = self._retry_budget(now, request.service).spend(now)
         state.attempts.append(attempt)
         attempt.begin()
-        endpoints.earn_half_open_token()
+        endpoints.refill_half_open_tokens()
         self._slow_start.record_send(now, backend)
         route, remaining_ms = request.route, request.deadline_ms - now
         if route.is_idempotent:
@@ -222,7 +237,7 @@
         return Forward(backend, attempt.hedge_delay_ms)
 
     def _enqueue(self, now: float, state: RequestState, endpoints: EndpointSet, average: LatencyAverage) -> Action:
-        """Queue a request for which no endpoint has capacity, or give up where the time for that is over."""
+        """Queue a request for which no endpoint has capacity, or fail or reject it once its queue time is over."""
         request = state.request
         ratio = MAX_RETRY_QUEUE_TIME_RATIO if state.attempts else MAX_QUEUE_TIME_RATIO
         queue_time_ms = min(
@@ -237,7 +252,7 @@
         return Enqueue(min(queue_time_ms, recheck_ms * jitter))
 
     def _await_or_give_up(self, state: RequestState, remaining_ms: float, status: int) -> Action:
-        """Wait for attempts in flight; without any fail or reject the request, by whether it may have run."""
+        """Wait for attempts in flight while time remains; otherwise fail the request, or reject it if it never ran."""
         has_in_flight = state.has_in_flight
         if has_in_flight and remaining_ms > 0:
             return Enqueue(remaining_ms)
@@ -250,7 +265,7 @@
         return Reject(request.route.latency_target_ms * ratio)
 
     def _refund_if_unsent(self, now: float, state: RequestState, attempt: EndpointAttempt, outcome: Outcome) -> None:
-        """Return what an attempt spent of the retry budget if nothing of it reached the backend."""
+        """Refund what an attempt spent of the retry budget if no part of it reached the backend."""
         if outcome not in (Outcome.UNREACHABLE, Outcome.CANCELLED):
             return
         attempt.may_have_arrived = False
@@ -268,8 +283,8 @@
         return budget
 
 
-def _await_unsafe(state: RequestState, remaining_ms: float) -> Action:
-    """Wait for a non-idempotent request that may be running, or fail it: it is never sent a second time."""
+def _await_non_idempotent(state: RequestState, remaining_ms: float) -> Action:
+    """Wait for a non-idempotent request that may be running, or fail it; it is never sent a second time."""
     if remaining_ms <= 0:
         return Fail(504)
     if any(a.is_in_flight and not a.is_timed_out for a in state.attempts):
--- a/hallhitch/planes/data/outcome_recorder.py
+++ b/hallhitch/planes/data/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What the load balancer learns from the end of an attempt: endpoint health, response times, likely restarts."""
+"""Updates endpoint health, latency estimates and slow start from the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 from hallhitch.planes.data.slow_start import SlowStart
 from hallhitch.planes.values import Route
 
-LOCAL_FAULT_RATIO: Final = 0.5  # of a service's endpoints failing at once: this gateway's own network is at fault
+# Share of a service's endpoints in this region that failed recently; above it this gateway's own network is at fault.
+LOCAL_FAULT_RATIO: Final = 0.5
 LOCAL_FAULT_WINDOW_MS: Final = 2.0 * RESTART_SUSPECTED_AFTER_MS
-MIN_JITTER: Final = 0.8  # factor of ejections and backoffs, up to 1.2: gateways must not test alike
+# Ejections and backoffs are multiplied by a random factor from 0.8 to 1.2, so that gateways do not all test a backend
+# at the same time.
+MIN_JITTER: Final = 0.8
 JITTER_RANGE: Final = 0.4
 
 
 class OutcomeRecorder:
-    """Feed attempt outcomes into endpoint health, latency estimates and slow start."""
+    """Records the outcomes of attempts in endpoint health, latency estimates and slow start."""
 
     def __init__(self, slow_start: SlowStart, endpoint_list_lag_ms: float, rng: Random) -> None:
         self._slow_start = slow_start
@@ -36,14 +39,14 @@
         outcome: Outcome,
         latency_ms: float,
     ) -> None:
-        """Record one outcome; `endpoints` is the service's set, None where the service is gone."""
+        """Record one outcome; `endpoints` is the service's endpoint set, None if the service no longer exists."""
         if outcome is Outcome.ABANDONED:
             _forget_send(attempt)
             return
         endpoint, route = attempt.endpoint, state.request.route
         jitter = MIN_JITTER + JITTER_RANGE * self._rng.random()
         if outcome not in (Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.UNREACHABLE):
-            endpoint.zone_unanswered.clear()
+            endpoint.zone_unanswered_sends.clear()
         if outcome in (Outcome.OK, Outcome.SERVER_ERROR):
             self._record_recovery(now, attempt, endpoints)
             if endpoints is not None and outcome is Outcome.OK:
@@ -52,7 +55,7 @@
             endpoint.health.record_overload(now, jitter)
         elif outcome is Outcome.CANCELLED:
             if not state.is_finished and now - attempt.started_at_ms >= attempt.hedge_delay_ms:
-                # Not even a connection came up in that time: the backend is as good as silent.
+                # No connection was established within the hedge delay, so the backend counts as unresponsive.
                 endpoint.health.record_failure(now, Outcome.TIMED_OUT, jitter)
         else:
             endpoint.health.record_failure(now, outcome, jitter)
@@ -62,19 +65,19 @@
     def _record_recovery(self, now: float, attempt: EndpointAttempt, endpoints: EndpointSet | None) -> None:
         endpoint = attempt.endpoint
         outage_ms = endpoint.health.record_success(now, attempt.started_at_ms)
-        endpoint.unanswered.clear()
+        endpoint.unanswered_sends.clear()
         if outage_ms < RESTART_SUSPECTED_AFTER_MS or endpoints is None or _is_local_fault(now, endpoints):
             return
-        # It may have been restarted, which the endpoint list shows late.
+        # The backend may have been restarted; the endpoint list shows its new slow start only after a delay.
         until_ms = now + 2.0 * self._endpoint_list_lag_ms + RESTART_SUSPECTED_AFTER_MS
         self._slow_start.assume_warming(endpoint.backend.instance, until_ms)
 
 
 def _forget_send(attempt: EndpointAttempt) -> None:
-    """Take back the record of a send that was abandoned by this side, unless its response was overdue already."""
+    """Remove the record of a send that this gateway abandoned, unless its response was already overdue."""
     if not attempt.is_timed_out:
-        attempt.endpoint.unanswered.forget(attempt.started_at_ms)
-        attempt.endpoint.zone_unanswered.forget(attempt.started_at_ms)
+        attempt.endpoint.unanswered_sends.forget(attempt.started_at_ms)
+        attempt.endpoint.zone_unanswered_sends.forget(attempt.started_at_ms)
 
 
 def _record_latency(
@@ -88,7 +91,7 @@
 
 
 def _is_local_fault(now: float, endpoints: EndpointSet) -> bool:
-    """Return whether so many endpoints of the region failed of late that this gateway's own network is at fault."""
+    """Return whether so many endpoints of the region failed recently that this gateway's own network is at fault."""
     in_region = endpoints.primary + endpoints.secondary
     failed = sum(1 for e in in_region if e.health.last_failure_ms > now - LOCAL_FAULT_WINDOW_MS)
     return failed > LOCAL_FAULT_RATIO * len(in_region) > 0
--- a/hallhitch/planes/values.py
+++ b/hallhitch/planes/values.py
@@ -1,7 +1,7 @@
-"""Values that the planes exchange. No I/O and no clock; all of them are immutable.
+"""Immutable values that the planes exchange. The module performs no I/O and reads no clock.
 
-A field that ends in `_ms` is a duration in milliseconds, with one exception: `Backend.warming_until_ms` is a point in
-time of this process's steady clock (`hallhitch.node.clock.now`). Wire names and meanings: docs/design/system.md.
+A field that ends in `_ms` is a duration in milliseconds, except for `Backend.warming_until_ms`, which is a time of this
+process's monotonic clock (`hallhitch.node.clock.now`). docs/design/system.md describes the names on the wire.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class RequestKind(StrEnum):
-    """The `routeKind` of a route, spelled as in the configuration."""
+    """The `routeKind` of a route, with the spelling of the configuration."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -25,7 +25,7 @@
 
 
 class WeightedService(NamedTuple):
-    """A service that a route sends requests to, and its weight among those of the route."""
+    """A service that receives requests of a route, and its weight relative to the route's other services."""
 
     service: str
     weight: float
@@ -33,40 +33,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route of the configuration; `weighted_services` is not empty."""
+    """One route of the configuration; `weighted_services` is never empty."""
 
     name: str
     host: str
     prefix: str
     kind: RequestKind
     timeout_ms: float
-    latency_target_ms: float  # a response within it has its full value
+    latency_target_ms: float  # a response within this time has its full value
     priority: int
     weighted_services: tuple[WeightedService, ...]
     max_attempts: int
     is_public: bool
-    allowed_regions: frozenset[str] = ANY_REGION  # where backends and gateways may serve it; empty = anywhere
+    allowed_regions: frozenset[str] = ANY_REGION  # regions whose gateways and backends may serve the route; empty = any
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may be processed more than once."""
+        """Whether requests on this route may be processed more than once."""
         return self.kind is not RequestKind.NON_IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service of the configuration. How its backends warm up: planes/data/slow_start.py."""
+    """One service of the configuration; planes/data/slow_start.py describes how its backends warm up."""
 
     name: str
     health_path: str
     max_connections: int
-    slow_start_ms: float  # for which a backend that starts during traffic is warming
-    slow_start_rate_per_s: float  # requests that a warming backend can take; 0 = not configured
+    slow_start_ms: float  # warm-up time of a backend that starts while traffic is flowing
+    slow_start_rate_per_s: float  # requests per second that a warming backend can take; 0 = not configured
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant of the configuration with its quota: `rate_per_s` requests and a `burst` on top, 0 = no limit."""
+    """One tenant of the configuration; `rate_per_s` requests and an additional `burst` are its quota, 0 = no limit."""
 
     name: str
     api_keys: tuple[str, ...]
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Limits on a client's request and on its idle connection."""
+    """Limits on client requests and on idle client connections."""
 
     max_head_bytes: int = 16_384
     max_body_bytes: int = 64 * 1024 * 1024
@@ -88,10 +88,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterConfig:
-    """The cluster configuration, compiled for look-ups; a change makes a new value.
+    """The cluster configuration, indexed for lookups; each change produces a new value.
 
-    `serial` is incremented by each committed change (of configuration or evacuation); `version` is the operator's
-    `configVersion`, -1 as long as there is no configuration.
+    Each committed change of the configuration or of an evacuation increments `serial`. `version` is the operator's
+    `configVersion`, or -1 before there is a configuration.
     """
 
     serial: int
@@ -102,12 +102,13 @@
     tenants_by_api_key: Mapping[str, Tenant]
     limits: RequestLimits = field(default_factory=RequestLimits)
     evacuated_zones: frozenset[str] = frozenset()
-    max_gateways: int = 0  # upper bound on gateways, committed by the coordinators; 0 = not known yet
-    # By host in lower case: the regions that may serve each of its routes; a host without restricted routes is absent.
+    max_gateways: int = 0  # upper bound on the number of gateways, committed by the coordinators; 0 = unknown
+    # By host in lower case: the regions that may serve every route of the host. Hosts without restricted routes are
+    # absent.
     home_regions: Mapping[str, frozenset[str]] = field(default_factory=dict)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix of `path`, which has no query; None if there is none."""
+        """Return the host's route with the longest prefix of `path`, or None; `path` must not include a query."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """One incarnation of a backend, as the endpoint list of the platform shows it."""
+    """One incarnation of a backend, as listed in the platform's endpoint list."""
 
     instance: str
     service: str
@@ -126,12 +127,12 @@
     region: str
     slots: int
     is_draining: bool = False
-    warming_until_ms: float = 0.0  # when its slow start ends, by this process's clock; a time in the past = warm
+    warming_until_ms: float = 0.0  # end of the slow start by this process's clock; a time in the past = warm
 
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """One process of the system as its peers know it; `incarnation` is a new random number at each start."""
+    """One process of the system as its peers know it; each start of the process has a new random `incarnation`."""
 
     name: str
     address: str  # "ip:port" of its internal port
@@ -139,18 +140,18 @@
     machine_class: str
     zone: str
     region: str
-    frontend: str = ""  # "ip:port" for clients; empty if it serves none, as a coordinator
+    frontend: str = ""  # "ip:port" of its listener for clients; empty if it serves none, as for a coordinator
     is_ready: bool = False
     is_leaving: bool = False
 
     @property
     def serves_clients(self) -> bool:
-        """Whether it is a gateway with a listener for clients; a coordinator has none."""
+        """Whether the process has a listener for clients; a coordinator has none."""
         return bool(self.frontend)
 
     @property
     def is_available(self) -> bool:
-        """Whether it may be given new work: it is ready and does not shut down."""
+        """Whether the process may be given new work, that is, it is ready and not shutting down."""
         return self.is_ready and not self.is_leaving
 
 
@@ -158,8 +159,9 @@
 class LeaseMembership:
     """The voters on quota leases, by internal address.
 
-    A lease needs a majority of `members` and, unless it is empty, of `previous_members` (joint consensus). `version` is
-    that of the membership in the cluster state; with version 0 none is known, and no vote is given or counted.
+    A lease needs a majority of `members` and, unless `previous_members` is empty, also a majority of these (joint
+    consensus). `version` is the version of the membership in the cluster state. Version 0 means that no membership is
+    known; then no vote is given or counted.
     """
 
     version: int = 0
@@ -179,12 +181,12 @@
 
     @property
     def quorum_sets(self) -> frozenset[frozenset[str]]:
-        """The sets of voters of which each has to give a majority."""
+        """The sets of voters, each of which has to provide a majority."""
         return frozenset(frozenset(members) for members in (self.members, self.previous_members) if members)
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """All voters, in the order of their addresses."""
+        """All voters, sorted by address."""
         return tuple(sorted({*self.members, *self.previous_members}))
 
     def has_quorum(self, votes: Iterable[str]) -> bool:
@@ -195,9 +197,9 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaDecision:
-    """The counter's decision on one unit of a tenant's quota."""
+    """The quota counter's decision on one unit of a tenant's quota."""
 
     is_admitted: bool
-    retry_after_ms: float = 0.0  # of a rejected unit
-    refund_token: object = None  # of an admitted unit; opaque to the data plane
-    is_counter_unavailable: bool = False  # rejected as no holder replied and the local reserve is used up
+    retry_after_ms: float = 0.0  # for a rejected unit
+    refund_token: object = None  # for an admitted unit; opaque to the data plane
+    is_counter_unavailable: bool = False  # rejected because no lease holder replied and the local reserve is used up
--- a/tests/system/data/load_balancer_harness.py
+++ b/tests/system/data/load_balancer_harness.py
@@ -41,7 +41,7 @@
 
 
 ANY_REQUEST = RequestSpec()
-UNSAFE_REQUEST = RequestSpec(RequestKind.NON_IDEMPOTENT)
+NON_IDEMPOTENT_REQUEST = RequestSpec(RequestKind.NON_IDEMPOTENT)
 
 
 def backend(
--- a/tests/system/data/test_endpoint_selection.py
+++ b/tests/system/data/test_endpoint_selection.py
@@ -10,8 +10,8 @@
 from hallhitch.planes.values import RequestKind
 from tests.system.data.load_balancer_harness import (
     ANY_REQUEST,
+    NON_IDEMPOTENT_REQUEST,
     START_MS,
-    UNSAFE_REQUEST,
     LoadBalancerHarness,
     RequestSpec,
     backend,
@@ -80,13 +80,13 @@
     harness = LoadBalancerHarness(backend("near"))
     forwarded = []
     for _ in range(20):
-        state, action = harness.start(START_MS, UNSAFE_REQUEST)
+        state, action = harness.start(START_MS, NON_IDEMPOTENT_REQUEST)
         if isinstance(action, Forward):
             forwarded.append((state, action))
         else:
             harness.balancer.finish_request(START_MS, state)
-    low, low_action = harness.start(START_MS, replace(UNSAFE_REQUEST, priority=2))
-    high, high_action = harness.start(START_MS, replace(UNSAFE_REQUEST, priority=0))
+    low, low_action = harness.start(START_MS, replace(NON_IDEMPOTENT_REQUEST, priority=2))
+    high, high_action = harness.start(START_MS, replace(NON_IDEMPOTENT_REQUEST, priority=0))
     assert isinstance(low_action, Enqueue) and isinstance(high_action, Enqueue)
     harness.end_attempt(START_MS + 9, *forwarded[0], Outcome.OK)
     assert isinstance(harness.balancer.next_action(START_MS + 10, low), Enqueue)
@@ -103,7 +103,7 @@
     for own in range(6):
         harness = LoadBalancerHarness(*entries, gateways=(*fleet[own:], *fleet[:own]), seed=own)
         for _ in range(60):
-            _, action = harness.start(START_MS, UNSAFE_REQUEST)
+            _, action = harness.start(START_MS, NON_IDEMPOTENT_REQUEST)
             if isinstance(action, Forward):
                 in_flight[action.backend.instance] += 1
     assert max(in_flight.values()) <= 3 * 3  # three rounds of its slots: a queue holds more than twice the slots
--- a/tests/system/data/test_retries_and_ejection.py
+++ b/tests/system/data/test_retries_and_ejection.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hallhitch.planes.data.interfaces import Enqueue, Fail, Forward, Outcome, Reject
-from tests.system.data.load_balancer_harness import START_MS, UNSAFE_REQUEST, LoadBalancerHarness, backend
+from tests.system.data.load_balancer_harness import NON_IDEMPOTENT_REQUEST, START_MS, LoadBalancerHarness, backend
 
 
 @pytest.mark.parametrize(
@@ -20,7 +20,7 @@
 )
 def test_unsafe_requests_that_may_have_run_are_never_retried(outcome: Outcome) -> None:
     harness = LoadBalancerHarness(*(backend(f"i{n}") for n in range(4)))
-    state, action = harness.start(START_MS, UNSAFE_REQUEST)
+    state, action = harness.start(START_MS, NON_IDEMPOTENT_REQUEST)
     assert isinstance(action, Forward) and action.hedge_delay_ms == 2000.0
     assert harness.balancer.next_action(START_MS + 100, state) == Enqueue(1900.0)
     harness.end_attempt(START_MS + 200, state, action, outcome)
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.DECLINED, Outcome.MISDIRECTED, Outcome.UNREACHABLE, Outcome.CANCELLED])
 def test_unsafe_requests_that_never_ran_are_retried_elsewhere(outcome: Outcome) -> None:
     harness = LoadBalancerHarness(*(backend(f"i{n}") for n in range(4)))
-    state, action = harness.start(START_MS, UNSAFE_REQUEST)
+    state, action = harness.start(START_MS, NON_IDEMPOTENT_REQUEST)
     harness.end_attempt(START_MS + 5, state, action, outcome)
     retry = harness.balancer.next_action(START_MS + 5, state)
     assert isinstance(action, Forward) and isinstance(retry, Forward) and retry.backend != action.backend
@@ -75,7 +75,7 @@
     endpoints = harness.balancer._endpoint_sets["s"]
     for endpoint in endpoints.primary + endpoints.secondary:
         assert endpoint.in_flight == 0 and endpoint.health.last_failure_ms < 0
-        assert not endpoint.unanswered.sent_at_ms and not endpoint.zone_unanswered.sent_at_ms
+        assert not endpoint.unanswered_sends.sent_at_ms and not endpoint.zone_unanswered_sends.sent_at_ms
 
 
 def test_an_unreachable_backend_is_ejected_until_a_half_open_attempt_succeeds() -> None:
@@ -127,7 +127,7 @@
     state, action = harness.start(START_MS + 20)
     assert isinstance(action, Forward)
     harness.end_attempt(START_MS + 30, state, action, Outcome.OK)
-    assert isinstance(harness.start(START_MS + 31, UNSAFE_REQUEST)[1], Forward)
+    assert isinstance(harness.start(START_MS + 31, NON_IDEMPOTENT_REQUEST)[1], Forward)
 
 
 def test_requests_are_forwarded_in_panic_mode_when_all_backends_are_ejected() -> None:
@@ -135,14 +135,14 @@
     for _ in range(12):
         harness.run_one_attempt(START_MS, Outcome.UNREACHABLE)
     assert isinstance(harness.start(START_MS + 1)[1], Forward)
-    assert isinstance(harness.start(START_MS + 1, UNSAFE_REQUEST)[1], Forward)
+    assert isinstance(harness.start(START_MS + 1, NON_IDEMPOTENT_REQUEST)[1], Forward)
 
 
 def test_unsafe_requests_avoid_a_suspect_backend() -> None:
     for seed in range(30):
         harness = LoadBalancerHarness(backend("i0"), backend("i1"), seed=seed)
         suspect = harness.run_one_attempt(START_MS, Outcome.INVALID_RESPONSE)
-        _, action = harness.start(START_MS + 100, UNSAFE_REQUEST)
+        _, action = harness.start(START_MS + 100, NON_IDEMPOTENT_REQUEST)
         assert isinstance(action, Forward) and action.backend.instance != suspect
 
 
