--- a/tests/system/data/load_balancer_harness.py
+++ b/tests/system/data/load_balancer_harness.py
@@ -1,4 +1,4 @@
-"""A load balancer in a fleet of two regions, driven by hand: no sockets, the test gives the time."""
+"""Test harness for one load balancer in a fleet of two regions; it uses no sockets, and tests pass in the time."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 )
 
 REGION_BY_ZONE = {"a1": "a", "a2": "a", "b1": "b"}
-START_MS = 20_000.0  # past the first window of the retry budget, so that its slack counts
+START_MS = 20_000.0  # after the first window of the retry budget, so that its slack is available
 SERVICE = Service("s", "/", 100, 3000.0, 10.0)
 
 
 @dataclass(frozen=True)
 class RequestSpec:
-    """What a test asks of a request."""
+    """The properties of a request that tests vary."""
 
     kind: RequestKind = RequestKind.IDEMPOTENT
     allowed_regions: frozenset[str] = frozenset()
     priority: int = 1
     max_attempts: int = 2
 
-    def arriving(self, now: float) -> RequestInfo:
-        """A request that arrives now, on a route with a latency target of 400 ms and a time-out of 2000 ms."""
-        split = (WeightedService("s", 1.0),)
-        route = Route("r", "h", "/", self.kind, 2000.0, 400.0, self.priority, split, self.max_attempts, False)
+    def request_at(self, now: float) -> RequestInfo:
+        """Return a request that arrives now, on a route with a latency target of 400 ms and a time-out of 2000 ms."""
+        services = (WeightedService("s", 1.0),)
+        route = Route("r", "h", "/", self.kind, 2000.0, 400.0, self.priority, services, self.max_attempts, False)
         return RequestInfo(route, "s", self.allowed_regions, self.priority, now, now + 2000.0)
 
 
@@ -47,17 +47,17 @@
 def backend(
     instance: str, zone: str = "a1", slots: int = 3, is_draining: bool = False, warming_until_ms: float = 0.0
 ) -> Backend:
-    """A backend of the service."""
+    """Return a backend of the service."""
     return Backend(instance, "s", instance, 1, zone, REGION_BY_ZONE[zone], slots, is_draining, warming_until_ms)
 
 
 def gateway(name: str, zone: str) -> Gateway:
-    """A gateway that takes clients."""
+    """Return a ready gateway that serves clients."""
     return Gateway(name, name, 1, "edge", zone, REGION_BY_ZONE[zone], "x", True)
 
 
 def cluster_config(evacuated_zones: frozenset[str]) -> ClusterConfig:
-    """A configuration of the one service."""
+    """Return a configuration with a single service."""
     return ClusterConfig(1, 1, {}, {"s": SERVICE}, {}, {}, RequestLimits(), evacuated_zones)
 
 
@@ -77,24 +77,24 @@
         self.balancer.set_config(0.0, cluster_config(evacuated_zones))
         self.balancer.set_gateways(0.0, gateways)
         self.balancer.set_backends(0.0, list(entries))
-        self.balancer.begin_request(0.0, ANY_REQUEST.arriving(0.0))  # the window of the retry budget begins
+        self.balancer.begin_request(0.0, ANY_REQUEST.request_at(0.0))  # starts the first window of the retry budget
 
     def start(self, now: float, spec: RequestSpec = ANY_REQUEST) -> tuple[RequestState, Action]:
         """Begin a request and return its state and first action."""
-        state = self.balancer.begin_request(now, spec.arriving(now))
+        state = self.balancer.begin_request(now, spec.request_at(now))
         return state, self.balancer.next_action(now, state)
 
     def end_attempt(
         self, now: float, state: RequestState, action: Action, outcome: Outcome, latency_ms: float = 50.0
     ) -> None:
-        """End the attempt that the action began, and with OK the request."""
+        """End the attempt that the action started, and also the request if the outcome is OK."""
         assert isinstance(action, Forward)
         self.balancer.on_attempt_ended(now, state, action.backend, outcome, latency_ms)
         if outcome is Outcome.OK:
             self.balancer.finish_request(now, state)
 
     def run_one_attempt(self, now: float, outcome: Outcome) -> str | None:
-        """Run a request whose first attempt ends so; returns the backend's instance, None if it was not forwarded."""
+        """Run a request with one attempt of this outcome; return the backend's instance, None if not forwarded."""
         state, action = self.start(now)
         if not isinstance(action, Forward):
             return None
--- a/tests/system/data/test_endpoint_selection.py
+++ b/tests/system/data/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoints a request may go to, and what happens to it when none has capacity."""
+"""Tests of which endpoints a request may go to, and of queueing and rejection when none has capacity."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def selected_instances(harness: LoadBalancerHarness, count: int, spec: RequestSpec = ANY_REQUEST) -> set[str]:
-    """Start so many requests at once; returns the backends that they go to."""
+    """Start `count` requests at once and return the instances of the backends that they go to."""
     actions = [harness.start(START_MS, spec)[1] for _ in range(count)]
     return {action.backend.instance for action in actions if isinstance(action, Forward)}
 
@@ -37,18 +37,18 @@
     assert selected_instances(harness, 40, RequestSpec(kind)) == {"remote"}
 
 
-def test_another_region_is_selected_only_when_the_own_has_no_capacity() -> None:
+def test_another_region_is_selected_only_when_the_local_region_has_no_capacity() -> None:
     harness = LoadBalancerHarness(backend("near", slots=6), backend("remote", "b1", slots=6))
     assert selected_instances(harness, 4) == {"near"}
     assert selected_instances(harness, 10) == {"near", "remote"}
 
 
-def test_downloads_stay_in_their_region_without_capacity() -> None:
+def test_downloads_stay_in_the_local_region_when_it_has_no_capacity() -> None:
     harness = LoadBalancerHarness(backend("near"), backend("remote", "b1"))
     assert selected_instances(harness, 30, RequestSpec(RequestKind.DOWNLOAD)) == {"near"}
 
 
-def test_retries_never_go_to_a_backend_tried_before() -> None:
+def test_retries_never_go_to_a_backend_that_was_already_tried() -> None:
     for seed in range(50):
         harness = LoadBalancerHarness(*(backend(f"i{n}") for n in range(4)), seed=seed)
         state, action = harness.start(START_MS, RequestSpec(max_attempts=4))
@@ -76,7 +76,7 @@
     assert 0 < action.retry_after_ms < 1000.0
 
 
-def test_a_released_slot_goes_to_the_higher_priority() -> None:
+def test_a_released_slot_goes_to_the_request_of_higher_priority() -> None:
     harness = LoadBalancerHarness(backend("near"))
     forwarded = []
     for _ in range(20):
@@ -95,8 +95,8 @@
     assert isinstance(harness.balancer.next_action(START_MS + 12, low), Forward)
 
 
-def test_unsafe_requests_of_all_gateways_together_never_fill_a_queue() -> None:
-    """Many gateways, one after the other, send all that they would to the same few backends."""
+def test_non_idempotent_requests_of_all_gateways_together_never_fill_a_queue() -> None:
+    """Each of several gateways in turn sends as many requests as it may to the same few backends."""
     fleet = [gateway(f"g{n}", "a1" if n % 2 else "a2") for n in range(6)]
     entries = [backend(f"i{n}", "a1" if n % 2 else "a2") for n in range(8)]
     in_flight = dict.fromkeys((e.instance for e in entries), 0)
@@ -106,5 +106,5 @@
             _, action = harness.start(START_MS, NON_IDEMPOTENT_REQUEST)
             if isinstance(action, Forward):
                 in_flight[action.backend.instance] += 1
-    assert max(in_flight.values()) <= 3 * 3  # three rounds of its slots: a queue holds more than twice the slots
+    assert max(in_flight.values()) <= 3 * 3  # three times the slots: a queue holds more than twice the slots
     assert min(in_flight.values()) >= 3
--- a/tests/system/data/test_retries_and_ejection.py
+++ b/tests/system/data/test_retries_and_ejection.py
@@ -1,4 +1,4 @@
-"""After an attempt: whether and where a request is retried, and how backends are ejected and return."""
+"""Tests of retries and hedged requests after an attempt, and of the ejection and recovery of backends."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         Outcome.ABANDONED,
     ],
 )
-def test_unsafe_requests_that_may_have_run_are_never_retried(outcome: Outcome) -> None:
+def test_non_idempotent_requests_that_may_have_run_are_never_retried(outcome: Outcome) -> None:
     harness = LoadBalancerHarness(*(backend(f"i{n}") for n in range(4)))
     state, action = harness.start(START_MS, NON_IDEMPOTENT_REQUEST)
     assert isinstance(action, Forward) and action.hedge_delay_ms == 2000.0
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.DECLINED, Outcome.MISDIRECTED, Outcome.UNREACHABLE, Outcome.CANCELLED])
-def test_unsafe_requests_that_never_ran_are_retried_elsewhere(outcome: Outcome) -> None:
+def test_non_idempotent_requests_that_never_ran_are_retried_on_another_backend(outcome: Outcome) -> None:
     harness = LoadBalancerHarness(*(backend(f"i{n}") for n in range(4)))
     state, action = harness.start(START_MS, NON_IDEMPOTENT_REQUEST)
     harness.end_attempt(START_MS + 5, state, action, outcome)
@@ -37,7 +37,7 @@
     assert isinstance(action, Forward) and isinstance(retry, Forward) and retry.backend != action.backend
 
 
-def test_at_the_deadline_requests_that_never_ran_are_rejected_and_others_fail() -> None:
+def test_at_the_deadline_requests_that_never_ran_are_rejected_and_all_others_fail() -> None:
     harness = LoadBalancerHarness(backend("i0"), backend("i1"))
     state, action = harness.start(START_MS)
     harness.end_attempt(START_MS + 1, state, action, Outcome.UNREACHABLE)
@@ -59,11 +59,11 @@
     harness.end_attempt(START_MS + 400, state, first, Outcome.OK)
 
 
-def test_clients_that_leave_say_nothing_of_their_backends() -> None:
-    """Neither is a backend ejected or suspected for them, nor does it lose the capacity that they held."""
+def test_requests_abandoned_by_clients_do_not_affect_the_health_of_backends() -> None:
+    """Such requests must neither make a backend suspect or ejected nor continue to occupy its capacity."""
     harness = LoadBalancerHarness(backend("i0"), backend("i1"))
     now = START_MS
-    for _ in range(30):  # response times are known
+    for _ in range(30):  # the latency estimate learns the response times
         now += 50.0
         harness.run_one_attempt(now, Outcome.OK)
     for _ in range(60):
@@ -85,7 +85,7 @@
         seed = harness.balancer._rng.randrange(10**6)
         harness = LoadBalancerHarness(backend("dead"), backend("healthy"), seed=seed)
     selected = []
-    for step in range(200):  # three seconds of requests, the dead one still dead
+    for step in range(200):  # three seconds of requests while the dead backend stays unreachable
         now = START_MS + 15.0 * (step + 1)
         state, action = harness.start(now)
         assert isinstance(action, Forward)
@@ -93,7 +93,7 @@
         outcome = Outcome.UNREACHABLE if action.backend.instance == "dead" else Outcome.OK
         harness.end_attempt(now, state, action, outcome)
     assert 1 <= selected.count("dead") <= 6
-    for step in range(600):  # it is back: half-open attempts find it, and it gets its share again
+    for step in range(600):  # the backend recovers: half-open attempts succeed, and it gets its share of requests again
         state, action = harness.start(now + 10.0 * step)
         assert isinstance(action, Forward)
         selected.append(action.backend.instance)
@@ -101,14 +101,14 @@
     assert selected[-100:].count("dead") >= 20
 
 
-def test_connections_that_never_come_up_eject_a_backend() -> None:
-    harness = LoadBalancerHarness(backend("dark"), backend("healthy"))
+def test_connections_that_are_never_established_eject_a_backend() -> None:
+    harness = LoadBalancerHarness(backend("silent"), backend("healthy"))
     cancelled, now = 0, START_MS
     for _ in range(60):
         now += 20.0
         state, action = harness.start(now)
         assert isinstance(action, Forward)
-        if action.backend.instance == "dark":
+        if action.backend.instance == "silent":
             cancelled += 1
             now += action.hedge_delay_ms
             harness.end_attempt(now, state, action, Outcome.CANCELLED, action.hedge_delay_ms)
@@ -138,7 +138,7 @@
     assert isinstance(harness.start(START_MS + 1, NON_IDEMPOTENT_REQUEST)[1], Forward)
 
 
-def test_unsafe_requests_avoid_a_suspect_backend() -> None:
+def test_non_idempotent_requests_avoid_a_suspect_backend() -> None:
     for seed in range(30):
         harness = LoadBalancerHarness(backend("i0"), backend("i1"), seed=seed)
         suspect = harness.run_one_attempt(START_MS, Outcome.INVALID_RESPONSE)
--- a/tests/system/data/test_retry_budget.py
+++ b/tests/system/data/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: the shares of all gateways stay within the configured bound, whatever arrives when."""
+"""Tests of the retry budget: all gateways together stay within the configured bound for any arrival pattern."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_every_window_of_all_gateways_together_is_within_the_bound(seed: int) -> None:
     rng = Random(seed)
-    gateways = rng.randint(1, 6)
-    budgets = [RetryBudget(RATIO, WINDOW_MS, SLACK, 0.0) for _ in range(gateways)]
+    gateway_count = rng.randint(1, 6)
+    budgets = [RetryBudget(RATIO, WINDOW_MS, SLACK, 0.0) for _ in range(gateway_count)]
     requests: list[float] = []
     retries: list[float] = []
     now = 0.0
@@ -25,7 +25,7 @@
         if rng.random() < 0.5:
             budget.record_request(now)
             requests.append(now)
-        elif budget.allows_retry(now, gateways):
+        elif budget.allows_retry(now, gateway_count):
             spent_at_ms = budget.spend(now)
             if rng.random() < 0.2:
                 budget.refund(spent_at_ms)
@@ -41,14 +41,14 @@
     assert retries
 
 
-def test_a_new_process_has_no_slack_for_a_window() -> None:
+def test_a_new_process_has_no_slack_during_its_first_window() -> None:
     budget = RetryBudget(RATIO, WINDOW_MS, SLACK, 0.0)
     assert not budget.allows_retry(9000.0, 1)
     assert budget.allows_retry(10_000.0, 1)
     assert not budget.allows_retry(10_000.0, 1000)
 
 
-def test_retries_that_never_arrived_are_refunded() -> None:
+def test_refunded_retries_do_not_count() -> None:
     budget = RetryBudget(RATIO, WINDOW_MS, 0.0, 0.0)
     for n in range(10):
         budget.record_request(float(n))
