--- a/hallhitch/planes/data/endpoint.py
+++ b/hallhitch/planes/data/endpoint.py
@@ -46,7 +46,7 @@
     slots: int  # requests that the backend processes concurrently
     locality: Locality = Locality.REMOTE_REGION
     rank: int = UNRANKED  # number of gateways before this one in the backend's order of gateways
-    is_preferred_here: bool = False  # the rank is 0 and the backend is in this gateway's region
+    is_preferred: bool = False  # the rank is 0 and the backend is in this gateway's region
     is_primary: bool = False  # the endpoint is among those that this gateway considers first
     unanswered_sends: UnansweredSends = field(default_factory=_new_endpoint_sends)
     # Shared by all endpoints of the zone.
@@ -65,7 +65,7 @@
         """Set the backend's locality and this gateway's rank for it."""
         self.locality = locality
         self.rank = rank
-        self.is_preferred_here = rank == 0 and locality is not Locality.REMOTE_REGION
+        self.is_preferred = rank == 0 and locality is not Locality.REMOTE_REGION
 
     def release_expired(self, now: float) -> None:
         """Release the timed-out attempts whose requests are past their deadlines."""
--- a/hallhitch/planes/data/endpoint_set.py
+++ b/hallhitch/planes/data/endpoint_set.py
@@ -200,7 +200,7 @@
 
     def estimated_peer_requests(self, endpoint: Endpoint, load: float) -> float:
         """Return the estimated number of requests that other gateways have in flight at the endpoint."""
-        return 0.0 if endpoint.is_preferred_here else load * endpoint.slots
+        return 0.0 if endpoint.is_preferred else load * endpoint.slots
 
     def has_capacity(self, endpoint: Endpoint, load: float, criteria: SelectionCriteria, queue_ratio: float) -> bool:
         """Return whether one more request may go there if up to `queue_ratio` times its slots may queue."""
@@ -211,7 +211,7 @@
             return endpoint.in_flight < MAX_WARMING_IN_FLIGHT and self._slow_start.admits(
                 now, endpoint.backend, self.service
             )
-        if endpoint.is_preferred_here:
+        if endpoint.is_preferred:
             own_queue_ratio = queue_ratio * (NON_IDEMPOTENT_QUEUE_FACTOR if criteria.is_non_idempotent else 1.0)
             capacity = slots * (1.0 + own_queue_ratio)
         else:
--- a/hallhitch/planes/discovery/__init__.py
+++ b/hallhitch/planes/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: backends by the platform's endpoint list, gateways by their heartbeats, and the directory for clients."""
+"""Discovery of backends from the platform's endpoint list and of gateways by heartbeats; the directory for clients."""
--- a/hallhitch/planes/discovery/directory.py
+++ b/hallhitch/planes/discovery/directory.py
@@ -1,9 +1,9 @@
-"""The directory: which gateways a client should connect to. Decided without I/O.
+"""The directory: tells clients which gateways to connect to. The module performs no I/O.
 
-Clients get the gateways of their own region that are ready and not leaving, and those of others if these are few. A
-host with routes that only some regions may serve has gateways of other regions named only where these are among them:
-otherwise its requests would cross to a region that is neither their home nor their client's. Only where there is no
-other gateway at all, any is named.
+Clients get the gateways of their own region that are ready and not leaving. If these are few, gateways of other regions
+are added. If a host has routes that only some regions may serve, only gateways of these regions are added; otherwise
+its requests would enter the system in a region that is neither the client's nor one that may serve them. If this leaves
+no gateway at all, any gateway is returned.
 """
 
 from __future__ import annotations
@@ -18,18 +18,19 @@
 from hallhitch.planes.values import Gateway
 
 RESOLVE_PATH: Final = "/hallhitch/resolve"
-MAX_ADDRESSES: Final = 64  # in a reply
-MIN_LOCAL_GATEWAYS: Final = 2  # fewer in the client's region, and others are added: one of them may fail
-TTL_RATIO: Final = 0.4  # of the longest TTL that the rules allow: clients keep a reply for up to three times its TTL
+MAX_ADDRESSES: Final = 64  # per reply
+# With fewer gateways in the client's region, gateways of other regions are added, since a single gateway may fail.
+MIN_LOCAL_GATEWAYS: Final = 2
+TTL_RATIO: Final = 0.4  # of the maximum TTL allowed, since some clients keep a reply for up to three times its TTL
 MIN_TTL_MS: Final = 1000.0
-# Of a reply that names gateways of other regions: soon there are more of the client's own, and some clients keep a
-# reply for three times its TTL.
+# TTL of a reply that contains gateways of other regions. It is short because the client's region is expected to have
+# more gateways soon, and some clients keep a reply for three times its TTL.
 OTHER_REGIONS_TTL_MS: Final = 500.0
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryQuery:
-    """What a client asks: where to connect for a host."""
+    """A client's query for the gateways to connect to for a host."""
 
     host: str = ""
     region: str = ""
@@ -39,11 +40,11 @@
 def nearest_gateways(
     gateways: Iterable[Gateway], query: DirectoryQuery, home_regions: Container[str] | None = None
 ) -> list[Gateway]:
-    """Return the gateways for a client in this region, by name, those of its region first.
+    """Return the gateways for a client, sorted by name, with those of its region first.
 
-    `home_regions`: the regions that may serve each route of the host; None where all may. If they are too many for one
-    reply, those of the client's zone come first: clients of each zone get a different subset, so that no gateway is
-    left without clients.
+    `home_regions` are the regions that may serve every route of the host, or None if all regions may. If there are more
+    gateways than fit into a reply, those of the client's zone come first. Clients in different zones then get different
+    subsets, so that no gateway is left without clients.
     """
     usable = sorted(
         (gateway for gateway in gateways if gateway.serves_clients and gateway.is_available),
@@ -60,7 +61,7 @@
 
 
 class Directory:
-    """Serves the directory's HTTP API."""
+    """The HTTP API of the directory."""
 
     def __init__(
         self,
@@ -68,13 +69,16 @@
         max_ttl_ms: float,
         home_regions_of: Callable[[str], Container[str] | None] = lambda host: None,
     ) -> None:
-        """`home_regions_of`: of a host, the regions that may serve each of its routes; None where all may."""
+        """Create the API.
+
+        `home_regions_of` returns the regions that may serve every route of a host, or None if all regions may.
+        """
         self._region_by_zone = region_by_zone
         self._home_regions_of = home_regions_of
         self._ttl_ms = max(MIN_TTL_MS, max_ttl_ms * TTL_RATIO)
 
     def handle(self, method: str, target: str, gateways: Iterable[Gateway]) -> HttpReply:
-        """Return the reply to a request, given the gateways that are known."""
+        """Return the reply to a request, given the known gateways."""
         url = urlsplit(target)
         if url.path != RESOLVE_PATH:
             return HttpReply(404, {}, b'{"errorMessage":"no such call"}')
@@ -90,7 +94,7 @@
         return HttpReply(200, {"Content-Type": "application/json"}, body.encode())
 
     def _parse_query(self, text: str) -> DirectoryQuery:
-        """Return the query with the region that its zone lies in where it names none."""
+        """Parse a query string; a query without a region gets the region of its zone."""
         fields = {name: values[0] for name, values in parse_qs(text).items()}
         zone = fields.get("zone", "")
         region = fields.get("region") or self._region_by_zone.get(zone, "")
--- a/hallhitch/planes/discovery/endpoint_list.py
+++ b/hallhitch/planes/discovery/endpoint_list.py
@@ -1,12 +1,12 @@
-"""The endpoint list: the platform's list of backends. Its format, and the decisions about it, without I/O or a clock.
+"""The endpoint list, the platform's list of backends: how to parse it, when to read it and how to merge a new one.
 
-Any coordinator may read the list, so no lease is needed for it. Normally the one does that comes first in a rendezvous
-order of the live coordinators (highest random weight hashing, Thaler and Ravishankar 1996). The next ones in order step
-in as the newest list that they know gets older.
+The module performs no I/O and reads no clock. Any coordinator may read the list, so reading requires no lease.
+Normally only the first of the live coordinators in a rendezvous order reads it (highest random weight hashing, Thaler
+and Ravishankar 1996). The next ones in the order take over one by one as the latest list that they know gets older.
 
 Invariants:
-- Of two lists, the one that was read later replaces the other. Two readers at once cost calls and nothing else.
-- A backend that was listed as draining stays draining, even if it was absent from the list meanwhile.
+- A list replaces any list that was read earlier. Several simultaneous readers cost only additional calls.
+- A backend that was listed as draining stays draining, even if it was temporarily absent from the list.
 """
 
 from __future__ import annotations
@@ -21,8 +21,10 @@
 from hallhitch.planes.discovery.errors import MalformedPageError
 from hallhitch.planes.values import Backend
 
-SLOW_START_TOLERANCE_MS: Final = 400.0  # within it two ends of a slow start, each read as a duration, are the same
-READER_STAGGER_RATIO: Final = 1.2  # of the interval; each rank waits longer by it than the one before
+# Difference within which two end times of a slow start count as equal. The list contains the remaining duration, so the
+# computed end varies from one read to the next.
+SLOW_START_TOLERANCE_MS: Final = 400.0
+READER_STAGGER_RATIO: Final = 1.2  # of the read interval: how much longer each rank waits than the one before
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,10 +38,10 @@
     zone: str
     slots: int
     is_draining: bool
-    warming_until_ms: float  # steady ms of the process that holds this value; 0 = warm
+    warming_until_ms: float  # by the monotonic clock of the process that holds this value; 0 = warm
 
     def to_backend(self, region: str) -> Backend:
-        """Return the backend as the other planes know it, with the region of its zone."""
+        """Convert the entry to the type that the other planes use, given the region of its zone."""
         return Backend(
             instance=self.instance,
             service=self.service,
@@ -62,7 +64,9 @@
 
 
 def read_page(body: bytes, now: float) -> Page:
-    """Parse a page, as of `now` (steady ms), with rows as objects or as columns.
+    """Parse a page that was received at `now` (monotonic ms).
+
+    The page contains its entries either as a list of objects or as column names with rows of values.
 
     Raises:
         MalformedPageError: the page does not have the platform's format.
@@ -77,7 +81,7 @@
 
 def _parse_token(value: object) -> str | None:
     if value is not None and not isinstance(value, str):
-        raise TypeError("nextPageToken is no text")
+        raise TypeError("nextPageToken is not a string")
     return value or None
 
 
@@ -107,10 +111,11 @@
 def reconcile_list(
     known: Mapping[str, ListedBackend], latest: Iterable[ListedBackend], drained: Container[str] = ()
 ) -> dict[str, ListedBackend]:
-    """Return the latest list by instance, corrected by what is known already.
+    """Return the latest list by instance, reconciled with the list known before.
 
-    The end of a slow start moves only by more than the tolerance. A backend that was draining in `known`, or is among
-    `drained` (draining before it was absent), stays draining: one page of the platform may lag behind another.
+    The end of a slow start changes only if it moves by more than the tolerance. A backend stays draining if it was
+    draining in `known`, or if it is in `drained` because it was draining before it was absent: one page of the platform
+    may lag behind another.
     """
     reconciled = {}
     for backend in latest:
@@ -131,11 +136,11 @@
 
 
 def reader_rank(address: str, live: Sequence[str]) -> int:
-    """Return a coordinator's rank, from 0, among the `live` ones that may read the list."""
+    """Return the rank, from 0, of the coordinator at `address` among the `live` ones in the order of readers."""
     order = sorted({address, *live}, key=lambda name: hashlib.sha256(b"list " + name.encode()).digest())
     return order.index(address)
 
 
 def is_read_due(list_age_ms: float, rank: int, interval_ms: float) -> bool:
-    """Return whether a coordinator of this rank has to read a list of this age, normally read at each interval."""
+    """Return whether a coordinator of this rank has to read the list, given the age of the latest one it knows."""
     return list_age_ms >= interval_ms * (1 + READER_STAGGER_RATIO * rank)
--- a/hallhitch/planes/discovery/endpoint_list_reader.py
+++ b/hallhitch/planes/discovery/endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Reads the endpoint list from the platform."""
+"""Reads the endpoint list from the platform and passes it on."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from hallhitch.planes.discovery.errors import EndpointListError
 from hallhitch.planes.discovery.platform_client import EndpointListReading, PlatformClient
 
-RETRY_PAUSE_RATIO: Final = 1 / 4  # of the interval between readings, after one that failed
-MAX_INTERVAL_MS: Final = 1000.0  # between readings
-INTERVAL_RATIO: Final = 0.2  # of drainTimeout: the way of a change to the last gateway takes the rest
+RETRY_PAUSE_RATIO: Final = 1 / 4  # of the read interval: pause after a failed read
+MAX_INTERVAL_MS: Final = 1000.0  # between two reads
+INTERVAL_RATIO: Final = 0.2  # of drainTimeout; the rest is for propagating a change to the last gateway
 
 
 def reading_interval_ms(drain_timeout_ms: float) -> float:
-    """Return how often the list is read, so that a draining backend is known everywhere in time."""
+    """Return the read interval with which all gateways know of a draining backend before its drain time-out."""
     return min(MAX_INTERVAL_MS, drain_timeout_ms * INTERVAL_RATIO)
 
 
 class EndpointListReader:
-    """Reads the list when asked to, and hands each reading to `on_reading`."""
+    """Reads the list on request and passes each complete list to `on_reading`."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._log = RateLimitedLog(ComponentLogger("list"))
 
     async def read(self) -> None:
-        """Read the list once; pause after a reading that failed."""
+        """Read the list once; after a failure, log it and pause."""
         try:
             reading = await self._client.read()
         except EndpointListError as error:
--- a/hallhitch/planes/discovery/errors.py
+++ b/hallhitch/planes/discovery/errors.py
@@ -1,10 +1,10 @@
-"""Errors of discovery."""
+"""Exceptions raised by discovery."""
 
 from __future__ import annotations
 
 
 class DiscoveryError(Exception):
-    """Base of the errors of discovery."""
+    """Base class of the exceptions of discovery."""
 
 
 class EndpointListError(DiscoveryError):
--- a/hallhitch/planes/discovery/platform_client.py
+++ b/hallhitch/planes/discovery/platform_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's endpoint list: one connection, one request at a time."""
+"""HTTP client for the platform's endpoint list, with a single connection and one request at a time."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from hallhitch.planes.discovery.endpoint_list import ListedBackend, read_page
 from hallhitch.planes.discovery.errors import EndpointListError
 
-PAGE_TIMEOUT_S: Final = 1.0  # for one page; the list is then requested anew
-MAX_PAGES: Final = 2000  # of one list: bounds a reading where the platform repeats its page tokens
-READ_BYTES: Final = 65536
+PAGE_TIMEOUT_S: Final = 1.0  # per page; after a time-out the list is read from its first page again
+MAX_PAGES: Final = 2000  # per list; ends a read if the platform repeats page tokens
+READ_BYTES: Final = 65536  # maximum per read from the connection
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReading:
-    """The complete endpoint list, and when reading it began (steady ms)."""
+    """The complete endpoint list and the time at which the read started (monotonic ms)."""
 
     started_at: float
     backends: list[ListedBackend]
@@ -33,7 +33,7 @@
 
 
 class PlatformClient:
-    """Reads the endpoint list of the platform at one address."""
+    """Reads the endpoint list from the platform at one address."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._address = address
@@ -44,7 +44,7 @@
         """Read all pages of the list.
 
         Raises:
-            EndpointListError: the platform did not reply in time, or not with a list.
+            EndpointListError: the platform did not respond in time, or its response is not a list.
         """
         started_at, backends, token = now(), list[ListedBackend](), ""
         for _ in range(MAX_PAGES):
@@ -53,7 +53,7 @@
             if page.next_token is None:
                 return EndpointListReading(started_at, backends)
             token = page.next_token
-        raise EndpointListError(f"more than {MAX_PAGES} pages")
+        raise EndpointListError(f"the list has more than {MAX_PAGES} pages")
 
     def close(self) -> None:
         """Close the connection."""
@@ -66,13 +66,13 @@
         try:
             return await self._request(target)
         except TimeoutError:
-            raise EndpointListError("no reply in time") from None
+            raise EndpointListError("no response before the time-out") from None
         except (OSError, Malformed) as error:
             if not is_reused:
                 raise EndpointListError(str(error)) from error
         except ValueError as error:  # a host name that cannot be encoded
             raise EndpointListError(str(error)) from error
-        # The platform may have closed the idle connection meanwhile: one retry, over a new one.
+        # The platform may have closed the idle connection: retry once over a new one.
         try:
             return await self._request(target)
         except (OSError, Malformed, ValueError) as error:
@@ -100,23 +100,23 @@
         if not response.keep:
             self.close()
         if response.status != 200:
-            raise OSError(f"status {response.status}")
+            raise OSError(f"the platform responded with status {response.status}")
         return body
 
 
 async def _read_response(connection: _Connection) -> Message:
-    """Read up to the head of the response, and its body as well if that is short."""
+    """Read the head of the response, and also its body if that is short."""
     while True:
         data = await connection.reader.read(READ_BYTES)
         responses = connection.parser.feed(data) if data else connection.parser.end()
         if responses:
             return responses[0]
         if not data:
-            raise ConnectionResetError("the platform closed the connection")
+            raise ConnectionResetError("the platform closed the connection before a response")
 
 
 async def _read_body(connection: _Connection, response: Message) -> bytes:
-    """Return the body of the response, and read what is missing of a long one."""
+    """Return the body of the response; read the rest of a long body from the connection."""
     flow = response.flow
     if flow is None:
         return bytes(response.body)
@@ -128,5 +128,5 @@
             return bytes(body)
         data = await connection.reader.read(READ_BYTES)
         if not data:
-            raise ConnectionResetError("the platform closed the connection within a response")
+            raise ConnectionResetError("the platform closed the connection during a response")
         connection.parser.feed(data)
--- a/tests/system/discovery/test_directory.py
+++ b/tests/system/discovery/test_directory.py
@@ -1,4 +1,4 @@
-"""Which gateways the directory names to a client."""
+"""Tests of which gateways the directory returns to a client."""
 
 import json
 
@@ -30,16 +30,19 @@
 @pytest.mark.parametrize(
     ("query", "names"),
     [
-        ("name=any.example&region=a", ["a1", "b1", "c1", "c2"]),  # one of its own: others may take its place
+        (
+            "name=any.example&region=a",
+            ["a1", "b1", "c1", "c2"],
+        ),  # only one gateway in the client's region: others are added
         ("name=home-c.example&region=a", ["a1", "c1", "c2"]),
         ("name=HOME-C.example&zone=a-z", ["a1", "c1", "c2"]),
-        ("name=none.example&region=a", ["a1"]),  # its routes share no region
+        ("name=none.example&region=a", ["a1"]),  # no region may serve all routes of this host
         ("name=home-c.example&region=c", ["c1", "c2"]),
-        ("name=none.example&region=d", ["a1", "b1", "c1", "c2"]),  # nothing else is there
+        ("name=none.example&region=d", ["a1", "b1", "c1", "c2"]),  # no other gateway is left
         ("region=c", ["c1", "c2"]),
     ],
 )
-def test_other_regions_are_named_only_if_they_may_serve_all_routes_of_the_host(query: str, names: list[str]) -> None:
+def test_other_regions_are_added_only_if_they_may_serve_all_routes_of_the_host(query: str, names: list[str]) -> None:
     gateways = [make_gateway(name, name[0]) for name in ("a1", "b1", "c1", "c2")]
     gateways.append(make_gateway("a2", "a", is_leaving=True))
     home_regions = {"home-c.example": frozenset("c"), "none.example": frozenset[str]()}
@@ -47,4 +50,6 @@
     reply = directory.handle("GET", f"/hallhitch/resolve?{query}", gateways)
     answer = json.loads(reply.body)
     assert answer["addresses"] == [f"{name}:80" for name in names]
-    assert answer["ttl"] == ("2000ms" if names in (["a1"], ["c1", "c2"]) else "500ms")  # briefly, with other regions
+    assert answer["ttl"] == (
+        "2000ms" if names in (["a1"], ["c1", "c2"]) else "500ms"
+    )  # short if the reply has gateways of other regions
--- a/tests/system/discovery/test_endpoint_list.py
+++ b/tests/system/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: parsing of its pages, what a later reading changes, which coordinator reads it."""
+"""Tests of the endpoint list: parsing its pages, reconciling it with a later one, and selecting its reader."""
 
 import json
 
@@ -48,12 +48,12 @@
         b'{"instances":[],"nextPageToken":["p"]}',
     ],
 )
-def test_malformed_page_is_an_error(body: bytes) -> None:
+def test_malformed_page_raises_an_error(body: bytes) -> None:
     with pytest.raises(MalformedPageError):
         read_page(body, 0.0)
 
 
-def test_draining_backend_stays_draining_and_slow_start_does_not_flicker() -> None:
+def test_draining_backend_stays_draining_and_end_of_slow_start_is_stable() -> None:
     known = {"a": make_backend("a", is_draining=True), "b": make_backend("b", warming_until_ms=5000.0)}
     latest = [make_backend("a"), make_backend("b", warming_until_ms=5100.0), make_backend("c")]
     reconciled = reconcile_list(known, latest)
@@ -61,7 +61,7 @@
     assert "a" not in reconcile_list(known, [make_backend("c")])
 
 
-def test_readers_have_distinct_ranks_and_step_in_as_the_list_gets_older() -> None:
+def test_readers_have_distinct_ranks_and_take_over_as_the_list_gets_older() -> None:
     addresses = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"]
     ranks = sorted(reader_rank(address, addresses) for address in addresses)
     assert ranks == [0, 1, 2]
--- a/tests/system/discovery/test_gateway_registry.py
+++ b/tests/system/discovery/test_gateway_registry.py
@@ -1,4 +1,4 @@
-"""Which gateways are live."""
+"""Tests of the registry of live gateways."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return Gateway(name, f"{name}:1", 1, "edge", "r-z", "r", f"{name}:80", is_ready=True, is_leaving=is_leaving)
 
 
-def test_gateway_without_heartbeats_expires_and_a_leaving_one_is_leaving_for_all() -> None:
+def test_gateway_without_heartbeats_expires_and_a_leaving_one_is_leaving_after_the_merge() -> None:
     registry = GatewayRegistry()
     registry.record_heartbeat(0.0, make_gateway("a"))
     registry.record_heartbeat(1000.0, make_gateway("b"))
--- a/tests/system/discovery/test_platform_client.py
+++ b/tests/system/discovery/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The client of the platform's endpoint list, against a server on loopback; and when the list is read."""
+"""Tests of the client of the platform's endpoint list against a server on loopback, and of the list's reader."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PlatformServer:
-    """Replies to each target; closes the connection after a reply if told to."""
+    """A server with a fixed reply for each target; it can close the connection after each reply."""
 
     def __init__(self, replies: dict[str, bytes], *, closes_after_reply: bool = False) -> None:
         self.replies = replies
@@ -107,7 +107,7 @@
     [(response(page(["a"]), 503), "status 503"), (response(b"{"), "malformed page")],
     ids=["status", "malformed"],
 )
-def test_reply_without_a_list_is_an_error(reply: bytes, reason: str) -> None:
+def test_reply_without_a_list_raises_an_error(reply: bytes, reason: str) -> None:
     async def scenario(client: PlatformClient) -> None:
         with pytest.raises(EndpointListError, match=reason):
             await client.read()
@@ -115,7 +115,7 @@
     run_against(PlatformServer({"/instances": reply}), scenario)
 
 
-def test_unreachable_platform_is_an_error() -> None:
+def test_unreachable_platform_raises_an_error() -> None:
     async def scenario(client: PlatformClient) -> None:
         unreachable = PlatformClient(("127.0.0.1", 1))
         with pytest.raises(EndpointListError):
@@ -124,7 +124,7 @@
     run_against(PlatformServer({}), scenario)
 
 
-def test_a_reading_is_handed_on_and_one_that_fails_is_not() -> None:
+def test_a_complete_list_is_passed_on_and_a_failed_read_is_not() -> None:
     class FailingOnceClient(PlatformClient):
         attempts = 0
 
@@ -146,6 +146,6 @@
     asyncio.run(main())
 
 
-def test_reading_interval_follows_the_drain_timeout_up_to_a_second() -> None:
+def test_read_interval_is_proportional_to_the_drain_timeout_up_to_a_second() -> None:
     assert reading_interval_ms(2000.0) == 400.0
     assert reading_interval_ms(60_000.0) == 1000.0
