--- a/benchmarks/distribution_cost.py
+++ b/benchmarks/distribution_cost.py
@@ -12,7 +12,7 @@
 from benchmarks.sample_data import sample_backend, sample_gateway
 from hallhitch.messages.system_pb2 import BackendUpdate, Envelope, GatewayUpdate, LeaseHolderUpdate, StateRequest
 from hallhitch.planes.discovery.directory import DirectoryQuery, nearest_gateways
-from hallhitch.planes.discovery.endpoint_list import ListedBackend, read_page
+from hallhitch.planes.discovery.endpoint_list import ListedBackend, parse_page
 from hallhitch.planes.discovery.gateway_registry import merge_gateways
 from hallhitch.planes.distribution.state_hub import StateHub
 from hallhitch.planes.distribution.state_messages import encode_backend, encode_gateway
@@ -64,7 +64,7 @@
         apply_unchanged_ms=apply_unchanged_us / 1000,
         snapshot_ms=snapshot_us / 1000,
         delta_ms=processor_us(lambda: hub.build_update(request)) / 1000,
-        read_pages_ms=processor_us(lambda: read_page(page, 0.0)) / 1000,
+        read_pages_ms=processor_us(lambda: parse_page(page, 0.0)) / 1000,
     )
 
 
--- a/hallhitch/planes/discovery/endpoint_list.py
+++ b/hallhitch/planes/discovery/endpoint_list.py
@@ -63,7 +63,7 @@
     next_token: str | None  # None on the last page
 
 
-def read_page(body: bytes, now: float) -> Page:
+def parse_page(body: bytes, now: float) -> Page:
     """Parse a page that was received at `now` (monotonic ms).
 
     The page contains its entries either as a list of objects or as column names with rows of values.
--- a/hallhitch/planes/discovery/gateway_registry.py
+++ b/hallhitch/planes/discovery/gateway_registry.py
@@ -61,7 +61,7 @@
     return gateway.is_leaving and gateway.incarnation == known.incarnation
 
 
-def gateways_to_record(seen: int, recorded: int) -> int | None:
+def max_gateways_to_record(seen: int, recorded: int) -> int | None:
     """Return the upper bound on gateways to record in the cluster state; None if the recorded bound still holds.
 
     When no lease holder replies, the local reserves of quotas are divided by this bound. It has to be in the cluster
--- a/hallhitch/planes/discovery/platform_client.py
+++ b/hallhitch/planes/discovery/platform_client.py
@@ -9,7 +9,7 @@
 
 from hallhitch.net.http import AnswerReader, Malformed, Message
 from hallhitch.node.clock import now
-from hallhitch.planes.discovery.endpoint_list import ListedBackend, read_page
+from hallhitch.planes.discovery.endpoint_list import ListedBackend, parse_page
 from hallhitch.planes.discovery.errors import EndpointListError
 
 PAGE_TIMEOUT_S: Final = 1.0  # per page; after a time-out the list is read from its first page again
@@ -48,7 +48,7 @@
         """
         started_at, backends, token = now(), list[ListedBackend](), ""
         for _ in range(MAX_PAGES):
-            page = read_page(await self._get(f"/instances?pageToken={quote(token)}" if token else "/instances"), now())
+            page = parse_page(await self._get(f"/instances?pageToken={quote(token)}" if token else "/instances"), now())
             backends += page.entries
             if page.next_token is None:
                 return EndpointListReading(started_at, backends)
--- a/hallhitch/programs/coordinator.py
+++ b/hallhitch/programs/coordinator.py
@@ -23,7 +23,7 @@
 from hallhitch.planes.discovery.directory import Directory
 from hallhitch.planes.discovery.endpoint_list import is_read_due, reader_rank
 from hallhitch.planes.discovery.endpoint_list_reader import EndpointListReader, reading_interval_ms
-from hallhitch.planes.discovery.gateway_registry import gateways_to_record
+from hallhitch.planes.discovery.gateway_registry import max_gateways_to_record
 from hallhitch.planes.discovery.platform_client import EndpointListReading, PlatformClient
 from hallhitch.planes.distribution.coordinator_sync import CoordinatorSync
 from hallhitch.planes.distribution.ports import SyncContext
@@ -199,7 +199,7 @@
     async def _record_max_gateways(self) -> None:
         """Record in the cluster state how many gateways there may be, when more are seen; the first reader does."""
         recorded = _recorded_max_gateways(self._control.committed_state)
-        max_gateways = gateways_to_record(self._sync.gateway_count(), recorded)
+        max_gateways = max_gateways_to_record(self._sync.gateway_count(), recorded)
         if max_gateways is None or self._reader_rank() != 0 or not self._control.has_quorum_contact:
             return
         change = state_transitions.annotate(MAX_GATEWAYS_ANNOTATION, str(max_gateways))
--- a/tests/system/discovery/test_endpoint_list.py
+++ b/tests/system/discovery/test_endpoint_list.py
@@ -7,7 +7,7 @@
 from hallhitch.planes.discovery.endpoint_list import (
     ListedBackend,
     is_read_due,
-    read_page,
+    parse_page,
     reader_rank,
     reconcile_list,
 )
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("instances", [COLUMNS, [ROW]], ids=["columns", "rows"])
 def test_page_is_parsed_in_both_formats(instances: object) -> None:
-    page = read_page(json.dumps({"instances": instances, "nextPageToken": "p-50"}).encode(), 100.0)
+    page = parse_page(json.dumps({"instances": instances, "nextPageToken": "p-50"}).encode(), 100.0)
     assert page.next_token == "p-50"
     assert page.entries == (ListedBackend("i-1", "s", "10.0.0.9", 8080, "z", 6, True, 1600.0),)
 
@@ -50,7 +50,7 @@
 )
 def test_malformed_page_raises_an_error(body: bytes) -> None:
     with pytest.raises(MalformedPageError):
-        read_page(body, 0.0)
+        parse_page(body, 0.0)
 
 
 def test_draining_backend_stays_draining_and_end_of_slow_start_is_stable() -> None:
--- a/tests/system/discovery/test_gateway_registry.py
+++ b/tests/system/discovery/test_gateway_registry.py
@@ -5,7 +5,7 @@
 from hallhitch.planes.discovery.gateway_registry import (
     HEARTBEAT_TIMEOUT_MS,
     GatewayRegistry,
-    gateways_to_record,
+    max_gateways_to_record,
     merge_gateways,
 )
 from hallhitch.planes.values import Gateway
@@ -30,4 +30,4 @@
 def test_upper_bound_is_recorded_with_headroom_when_more_gateways_are_seen(
     seen: int, recorded: int, expected: int | None
 ) -> None:
-    assert gateways_to_record(seen, recorded) == expected
+    assert max_gateways_to_record(seen, recorded) == expected
