--- a/hallhitch/planes/data/__init__.py
+++ b/hallhitch/planes/data/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: client requests from listener to backend and back. It imports no other plane: state is passed in."""
+"""The data plane forwards client requests to backends. It imports no other plane: its state is passed in."""
--- a/hallhitch/planes/data/context.py
+++ b/hallhitch/planes/data/context.py
@@ -1,4 +1,4 @@
-"""What all requests and client connections of one gateway share."""
+"""The state that all requests and client connections of one gateway share."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 @dataclass(slots=True)
 class DataPlaneContext:
-    """The collaborators, the configuration in force and the event counts of a gateway's data plane."""
+    """The components, the current configuration and the event counters of a gateway's data plane."""
 
     load_balancer: LoadBalancingPolicy[Any]
     quota_counter: QuotaCounter
     pools: ConnectionPools
-    clock: Callable[[], float]  # steady ms
+    clock: Callable[[], float]  # monotonic ms
     event_counts: dict[str, int]
-    config: ClusterConfig | None = None  # None: none was received yet
+    config: ClusterConfig | None = None  # None until the first one is received
     is_draining: bool = False
     default_limits: RequestLimits = field(default_factory=RequestLimits)
 
     @property
     def limits(self) -> RequestLimits:
-        """What a client may send, and how long it may take."""
+        """The size and time limits for client requests; the defaults if there is no configuration yet."""
         return self.config.limits if self.config is not None else self.default_limits
 
     def count(self, event: str) -> None:
-        """Add one to an event count."""
+        """Increment the counter of an event."""
         self.event_counts[event] = self.event_counts.get(event, 0) + 1
--- a/hallhitch/planes/data/http_readers.py
+++ b/hallhitch/planes/data/http_readers.py
@@ -1,9 +1,10 @@
-"""Readers of HTTP messages on client and backend connections, and the memory that buffered bodies may take.
+"""Readers of HTTP messages on client and backend connections, and the memory limit for buffered bodies.
 
-The readers keep every header field in order, because the gateway forwards what it does not understand. A body is
-buffered while memory lasts and streamed through a `Flow` after that. Sizes are bytes.
+The readers keep every header field in order, because the gateway forwards fields that it does not know. A body is
+buffered while memory is available and streamed through a `Flow` otherwise. Sizes are in bytes.
 
-Invariant: `BodyMemory.used_bytes` is the sum of what all readers and client connections have reserved and not released.
+Invariant: `BodyMemory.used_bytes` is the sum of the bytes that all readers and client connections have reserved and not
+yet released.
 """
 
 from __future__ import annotations
@@ -14,35 +15,35 @@
 from hallhitch.net.http import AnswerReader, RequestReader
 from hallhitch.planes.values import RequestLimits
 
-# A response that breaks off while it is buffered can still be retried; once it is streamed to the client, it cannot.
+# A response that is truncated while it is buffered can still be retried; one that is streamed to the client cannot.
 BUFFERED_RESPONSE_MAX_BYTES: Final = 1024 * 1024
-# A body this short is buffered without a reservation: the bound on connections bounds their sum.
+# Bodies up to this size are buffered without a reservation: the connection limit bounds their total size.
 UNRESERVED_BODY_MAX_BYTES: Final = 64 * 1024
 RESPONSE_HEAD_MAX_BYTES: Final = 64 * 1024
-# Practically unbounded: a response longer than BUFFERED_RESPONSE_MAX_BYTES is streamed and takes no memory.
+# Practically unlimited: a response longer than BUFFERED_RESPONSE_MAX_BYTES is streamed and not held in memory.
 RESPONSE_BODY_MAX_BYTES: Final = 1 << 40
 
 
 class BodyMemory:
-    """The memory of this process for buffered bodies longer than UNRESERVED_BODY_MAX_BYTES."""
+    """Accounts for the memory of this process used by buffered bodies longer than UNRESERVED_BODY_MAX_BYTES."""
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
         self.used_bytes = 0
 
     def reserve(self, size: int) -> bool:
-        """Reserve so many more bytes if the limit allows; return whether it did."""
+        """Reserve `size` bytes if the limit allows it; return whether they were reserved."""
         if self.used_bytes + size > self.limit_bytes:
             return False
         self.used_bytes += size
         return True
 
     def reserve_unconditionally(self, size: int) -> None:
-        """Account for bytes that are in memory already, even past the limit."""
+        """Reserve `size` bytes that are already in memory, even beyond the limit."""
         self.used_bytes += size
 
     def release(self, size: int) -> None:
-        """Release so many reserved bytes."""
+        """Release `size` reserved bytes."""
         self.used_bytes -= size
 
 
@@ -50,7 +51,7 @@
     """Reads requests, with all their header fields, from a client connection."""
 
     def __init__(self, limits: RequestLimits, reserve: Callable[[int], bool]) -> None:
-        """Buffer a body past UNRESERVED_BODY_MAX_BYTES as long as `reserve` grants memory; then stream it."""
+        """Buffer a body beyond UNRESERVED_BODY_MAX_BYTES while `reserve` grants memory; otherwise stream it."""
         super().__init__(
             True,
             reserve,
@@ -60,12 +61,12 @@
         )
 
     def on_message_begin(self) -> None:
-        """Start a message (httptools)."""
+        """Handle the start of a message (httptools)."""
         super().on_message_begin()
         self._message.fields = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header (httptools)."""
+        """Handle a header field (httptools)."""
         super().on_header(name, value)
         if self._in_head and self._message.fields is not None:
             self._message.fields.append((name, value))
@@ -74,8 +75,8 @@
 class BackendReader(AnswerReader):
     """Reads responses, with all their header fields, from a backend connection.
 
-    A response longer than BUFFERED_RESPONSE_MAX_BYTES is streamed, and so is one longer than
-    UNRESERVED_BODY_MAX_BYTES when no memory is left.
+    A response longer than BUFFERED_RESPONSE_MAX_BYTES is streamed; so is one longer than UNRESERVED_BODY_MAX_BYTES if
+    no memory is left.
     """
 
     def __init__(self, body_memory: BodyMemory) -> None:
@@ -87,27 +88,27 @@
         )
         self._body_memory = body_memory
         self._reserved_bytes = 0
-        self.is_head_request = False  # the response to HEAD declares a length and has no body
+        self.is_head_request = False  # a response to HEAD may declare a length but has no body
 
     def on_message_begin(self) -> None:
-        """Start a message (httptools)."""
+        """Handle the start of a message (httptools)."""
         super().on_message_begin()
         self._message.fields = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header (httptools)."""
+        """Handle a header field (httptools)."""
         super().on_header(name, value)
         if self._in_head and self._message.fields is not None:
             self._message.fields.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """End the head (httptools)."""
+        """Handle the end of the head (httptools)."""
         super().on_headers_complete()
         length = self._message.length
         self._early = length is not None and length > BUFFERED_RESPONSE_MAX_BYTES
         if self.is_head_request and self.parser.get_status_code() >= 200:
-            # The parser does not know that the request was HEAD and would wait for a body. Its state is wrong from
-            # here on, so that the connection cannot be reused.
+            # The parser does not know that the request was HEAD and would wait for a body. Completing the message here
+            # leaves its state inconsistent, so the connection must not be reused.
             self.on_message_complete()
             self._done[-1].keep = False
 
@@ -118,7 +119,7 @@
         return False
 
     def release_memory(self) -> None:
-        """Release the reservation for the response that was read: it has been handed over or dropped."""
+        """Release the memory reserved for the last response, which has been handed over or dropped."""
         if self._reserved_bytes:
             self._body_memory.release(self._reserved_bytes)
             self._reserved_bytes = 0
--- a/hallhitch/planes/data/request_admission.py
+++ b/hallhitch/planes/data/request_admission.py
@@ -1,6 +1,7 @@
-"""Admission of a request: its route, tenant, regions, priority, service and deadline, or the reply that rejects it.
+"""Admission of a request: determines its route, tenant, regions, priority, service and deadline, or rejects it.
 
-No I/O, and no decision on load: quota and load shedding come after it. Times are steady milliseconds.
+It performs no I/O and does not consider load: the quota and load shedding are checked later. Points in time are
+monotonic milliseconds.
 """
 
 from __future__ import annotations
@@ -16,21 +17,21 @@
 from hallhitch.planes.data.interfaces import RequestInfo
 from hallhitch.planes.values import ClusterConfig, Route, Tenant
 
-# For a gateway that has no configuration yet, and for a tenant that shares no region with its route.
+# Retry-After of a gateway that has no configuration yet, and for a tenant whose regions do not overlap the route's.
 NOT_CONFIGURED_RETRY_AFTER_MS: Final = 1000.0
 CRC32_RANGE: Final = 2**32
 
 
 @dataclass(slots=True)
 class AdmittedRequest:
-    """A request that may be forwarded, on behalf of a tenant or anonymously."""
+    """A request that may be forwarded; `tenant` is None for an anonymous request."""
 
     info: RequestInfo
     tenant: Tenant | None
 
 
 def admit(context: DataPlaneContext, request: Message, received_at: float) -> AdmittedRequest | Reply:
-    """Admit a request, or return the reply that rejects it; `received_at` is when its head was read."""
+    """Admit a request, or return the reply that rejects it; `received_at` is when its first byte arrived."""
     config, now = context.config, context.clock()
     headers = request.headers
     if is_malformed(request):
@@ -48,7 +49,9 @@
     if tenant is not None and tenant.allowed_regions:
         regions = regions & tenant.allowed_regions if regions else tenant.allowed_regions
         if not regions:
-            return local_reply(503, request, NOT_CONFIGURED_RETRY_AFTER_MS)  # route and tenant share no region
+            return local_reply(
+                503, request, NOT_CONFIGURED_RETRY_AFTER_MS
+            )  # the regions of route and tenant do not overlap
     priority = route.priority if tenant is None or tenant.priority is None else tenant.priority
     remaining_ms = parse_deadline_ms(headers.get(DEADLINE_REMAINING), route.timeout_ms)
     deadline_ms = received_at + min(route.timeout_ms, remaining_ms)
@@ -57,20 +60,20 @@
 
 
 def _find_tenant(config: ClusterConfig, request: Message) -> Tenant | None:
-    """Return the tenant whose API key a request carries."""
+    """Return the tenant whose API key the request carries; None if there is none."""
     if not config.tenants:
         return None
     return config.tenants_by_api_key.get(parse_api_key(request.headers.get(b"authorization", b"")))
 
 
 def parse_api_key(authorization: bytes) -> str:
-    """Return the API key in an Authorization field; "" where there is none."""
+    """Return the API key of an Authorization field; "" if it has none."""
     scheme, _, key = authorization.partition(b" ")
     return key.strip().decode("latin-1") if scheme.lower() == b"token" else ""
 
 
 def parse_deadline_ms(value: bytes | None, default_ms: float) -> float:
-    """Return how long the client says that it will wait; the default where that is missing or no such number."""
+    """Return how long the client waits, in ms; the default if the field is missing or not a valid duration."""
     try:
         remaining_ms = float(value) if value is not None else default_ms
     except ValueError:
@@ -79,7 +82,7 @@
 
 
 def choose_service(route: Route, request_id: bytes) -> str:
-    """Return a service of the route in proportion to the weights; the same for the same request id."""
+    """Select a service of the route in proportion to the weights; a request id always selects the same one."""
     services = route.weighted_services
     if len(services) == 1:
         return services[0].service
@@ -88,5 +91,5 @@
         position -= weight
         if position < 0:
             return service
-    # Rounding may leave a position past the last service.
+    # Rounding errors may leave the position past the last service.
     return max(services, key=lambda entry: entry.weight).service
--- a/hallhitch/planes/data/request_state.py
+++ b/hallhitch/planes/data/request_state.py
@@ -1,4 +1,4 @@
-"""What the load balancer keeps for one request: its attempts, and whether it is queued."""
+"""The load balancer's state for one request: its attempts, and whether it is queued."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """One request under way.
+    """The state of one request, from `begin_request` until its last attempt has ended.
 
     Invariant: a request is queued for at most one service, and for none once it is finished.
     """
@@ -19,33 +19,33 @@
     request: RequestInfo
     attempts: list[EndpointAttempt] = field(default_factory=list)
     queued_in: QueuedRequests | None = None
-    failure_status: int = 502  # for the client if no attempt succeeds; 504 after a time-out
-    is_finished: bool = False  # the client has the response, or is gone
+    failure_status: int = 502  # status for the client if no attempt succeeds; 504 after a time-out
+    is_finished: bool = False  # the client has its reply or has disconnected
 
     @property
     def has_in_flight(self) -> bool:
-        """Return whether an attempt holds capacity at an endpoint."""
+        """Whether an attempt occupies capacity at an endpoint."""
         return any(a.is_in_flight for a in self.attempts)
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether a backend may have run the request, as far as attempts have ended."""
+        """Whether a backend may have run the request, according to the attempts that have ended."""
         return any(a.may_have_run for a in self.attempts)
 
     def latest_attempt(self, instance: str) -> EndpointAttempt | None:
-        """Return the last attempt at a backend instance."""
+        """Return the latest attempt at a backend instance; None if there is none."""
         return next((a for a in reversed(self.attempts) if a.endpoint.backend.instance == instance), None)
 
     def enter_queue(self, queue: QueuedRequests) -> None:
-        """Count the request as queued; without effect if it is."""
+        """Count the request as queued, unless it already is."""
         if self.queued_in is not None:
             return
         self.queued_in = queue
-        queue.enter(self.request)
+        queue.add(self.request)
 
     def leave_queue(self) -> None:
-        """Count the request as queued no longer; without effect if it is not."""
+        """Stop counting the request as queued, if it is."""
         if self.queued_in is None:
             return
-        self.queued_in.leave(self.request)
+        self.queued_in.remove(self.request)
         self.queued_in = None
--- a/hallhitch/planes/data/response_classification.py
+++ b/hallhitch/planes/data/response_classification.py
@@ -1,8 +1,8 @@
-"""What the head of a backend's response says about the request: whose response it is, and whether the request ran.
+"""Classification of a backend's response by its head: which request it answers, and whether that request ran.
 
-Pure functions over messages. The backend contract: every response repeats the request's id
-(`Hallhitch-Request-Id`); a 2xx response carries exactly one seal (`Hallhitch-Response-Seal`) and no content coding;
-`Hallhitch-Not-Executed` on an error states that the backend did not run the request.
+The functions are pure. The backend contract: every response repeats the id of its request (`Hallhitch-Request-Id`);
+a 2xx response has exactly one seal (`Hallhitch-Response-Seal`) and no content coding; `Hallhitch-Not-Executed` on an
+error response states that the backend did not run the request.
 """
 
 from __future__ import annotations
@@ -13,18 +13,17 @@
 
 
 def response_id_of(response: Message) -> bytes | None:
-    """Return the id of the request that a response says it answers; None if it names none."""
+    """Return the request id in a response; None if it has none."""
     return response.headers.get(REQUEST_ID) or None
 
 
 def classify_response(
     response: Message, response_id: bytes | None, request_id: bytes | None, is_first_on_connection: bool
 ) -> Outcome:
-    """Return the outcome of an attempt from the head of its response.
+    """Return the outcome of an attempt according to the head of its response.
 
-    `response_id` is `request_id` or None: a response to another request is not classified.
-    `is_first_on_connection`: no other request was sent on the connection, so that a response without an id can only
-    be this request's.
+    `response_id` is `request_id` or None: the caller drops a response to another request. `is_first_on_connection` says
+    that no other request was sent on the connection, so that a response without an id can only belong to this one.
     """
     headers, status = response.headers, response.status
     lacks_id = response_id is None and request_id is not None
@@ -40,13 +39,13 @@
         return Outcome.DECLINED
     if status >= 500 or status in (408, 429):  # without the field, 408 and 429 do not say that the request never ran
         return Outcome.SERVER_ERROR
-    if 200 <= status < 300 and (lacks_id or not _is_intact_success(response)):
+    if 200 <= status < 300 and (lacks_id or not _is_valid_success(response)):
         return Outcome.INVALID_RESPONSE
     return Outcome.OK
 
 
-def _is_intact_success(response: Message) -> bool:
-    """Whether a 2xx response is sealed once, as the backend encoded it, and shows where its body ends."""
+def _is_valid_success(response: Message) -> bool:
+    """Return whether a 2xx response has exactly one seal, no content coding and a delimited body."""
     headers = response.headers
     is_framed = response.length is not None or b"transfer-encoding" in headers or response.status == 204
     is_sealed_once = RESPONSE_SEAL in headers and RESPONSE_SEAL not in response.twice
--- a/hallhitch/planes/data/transports.py
+++ b/hallhitch/planes/data/transports.py
@@ -1,6 +1,6 @@
-"""What client and backend connections have in common as asyncio transports.
+"""Transport helpers that client and backend connections share.
 
-Units: milliseconds where a name says `_ms`.
+Names that end in `_ms` are in milliseconds.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 import socket
 from typing import Final
 
-# Up to here copying a body behind its head is cheaper than a second write.
+# Up to this body size, one write of the concatenated head and body is cheaper than two writes.
 JOINED_WRITE_MAX_BYTES: Final = 64 * 1024
 
 
 class DisconnectedTransport(asyncio.Transport):
-    """The transport of a protocol before `connection_made`: closing, and nothing can be written to it."""
+    """The placeholder transport of a protocol before `connection_made`; it drops all writes."""
 
     def is_closing(self) -> bool:
-        """Return True: it never was open."""
+        """Return True: it was never open."""
         return True
 
     def close(self) -> None:
@@ -30,7 +30,7 @@
         """Drop the bytes."""
 
     def get_write_buffer_size(self) -> int:
-        """Return 0: nothing waits."""
+        """Return 0: nothing is buffered."""
         return 0
 
 
@@ -38,10 +38,10 @@
 
 
 def configure_socket(transport: asyncio.Transport, unacknowledged_timeout_ms: int) -> None:
-    """Send small writes at once, and fail the connection once the peer's host has acknowledged nothing for so long.
+    """Disable Nagle's algorithm, and set how long sent data may stay unacknowledged before the connection fails.
 
-    Without the second, a peer whose host vanished would hold its connection until the kernel's retransmissions end,
-    about a quarter of an hour.
+    Without this time-out, a connection to a host that vanished would stay open until the kernel stops retransmitting,
+    which takes about 15 minutes.
     """
     sock = transport.get_extra_info("socket")
     if sock is not None:
