--- a/tests/system/data/data_plane_harness.py
+++ b/tests/system/data/data_plane_harness.py
@@ -1,4 +1,4 @@
-"""A data plane on loopback between scripted clients and scripted backends, with stand-ins for its decisions."""
+"""A data plane on loopback between scripted clients and backends, with a stub policy and a stub quota counter."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def make_node_settings(max_open_files: int = 1000) -> NodeSettings:
-    """Return the settings of one gateway on loopback."""
+    """Return the node settings of a gateway on loopback."""
     return NodeSettings(
         name="edge-1",
         role="gateway",
@@ -76,7 +76,7 @@
 
 
 def make_config(*routes: Route, tenants: Sequence[Tenant] = (), limits: RequestLimits | None = None) -> ClusterConfig:
-    """Return a configuration with these routes, all of one host."""
+    """Return a configuration with these routes, all for the host shop.example."""
     return ClusterConfig(
         1,
         1,
@@ -89,7 +89,7 @@
 
 
 class DataPlaneHarness:
-    """A data plane with its stand-ins, and the peers that are connected to it."""
+    """A data plane with its stubs, and the clients and backends that are connected to it."""
 
     def __init__(
         self,
@@ -97,7 +97,7 @@
         load_balancer: LoadBalancingPolicy[Any] | None = None,
         clock: Callable[[], float] = now,
     ) -> None:
-        """`load_balancer`: another policy than `policy`, which selects each backend once."""
+        """`load_balancer` replaces `policy`, which selects each backend once."""
         self.policy = EachBackendOncePolicy(hedge_delay_ms)
         self.quota_counter = StubQuotaCounter()
         self.plane = DataPlane(make_node_settings(), load_balancer or self.policy, self.quota_counter, clock)
@@ -107,7 +107,7 @@
         self._peers: list[Peer] = []
 
     async def start_backend(self, name: str, script: Script) -> Backend:
-        """Start a backend of `shop` that runs the script on each connection; the script's end closes it."""
+        """Start a backend of `shop` that runs the script on each connection and closes it when the script returns."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             peer = Peer(reader, writer)
@@ -116,7 +116,7 @@
                 await script(peer)
             except (asyncio.IncompleteReadError, ConnectionError):
                 pass
-            except BaseException as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+            except BaseException as error:  # noqa: BLE001  recorded: the test fails when it ends
                 self.script_errors.append(error)
             finally:
                 writer.close()
@@ -136,7 +136,7 @@
         return peer
 
     async def send(self, request: bytes) -> ReceivedMessage:
-        """Send one request on a connection of its own and return the reply."""
+        """Send one request on a new connection and return the reply."""
         client = await self.connect_client()
         client.write(request)
         return await client.read_message()
@@ -151,7 +151,7 @@
 
 
 def with_data_plane(**arguments: Any) -> Callable[[Callable[..., Coroutine[Any, Any, None]]], Callable[..., None]]:
-    """Run a test on an event loop of its own, with a harness whose configuration has one idempotent route."""
+    """Run a test on a new event loop, with a harness whose configuration has one idempotent route."""
 
     def decorate(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
         async def run_in_harness(**parameters: Any) -> None:
@@ -170,7 +170,7 @@
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 runner.run(run_in_harness(**parameters))
 
-        # pytest passes parameters by name; the first one, the harness, is none of them.
+        # pytest passes parameters by name; the first one, the harness, is not a pytest parameter.
         _, *parameters = signature(test).parameters.values()
         run.__signature__ = Signature(parameters)  # type: ignore[attr-defined]
         return run
--- a/tests/system/data/stub_policies.py
+++ b/tests/system/data/stub_policies.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the load balancer and the quota counter, as plain as their interfaces allow."""
+"""Minimal stubs of the load balancer and the quota counter."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from hallhitch.planes.data.interfaces import Action, Enqueue, Fail, Forward, Outcome, Reject, RequestInfo
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway, QuotaDecision, Tenant
 
-LONG_WAIT_MS = 60_000.0  # past the end of any test
+LONG_WAIT_MS = 60_000.0  # longer than any test runs
 RETRY_AFTER_MS = 250.0
 
 
 @dataclass
 class UntriedBackends:
-    """The state of one request: the backends that it was not sent to yet."""
+    """The state of one request, with the backends that it has not been sent to yet."""
 
     backends: list[Backend]
     in_flight_count: int = 0
@@ -23,16 +23,16 @@
 
 
 class EachBackendOncePolicy:
-    """Selects each backend once, in order; after that rejects what never ran and fails the rest."""
+    """Selects each backend once, in order; then rejects requests that never ran and fails the others."""
 
     def __init__(self, hedge_delay_ms: float = LONG_WAIT_MS) -> None:
         self.hedge_delay_ms = hedge_delay_ms
         self.backends: list[Backend] = []
-        self.outcomes: list[tuple[str, Outcome]] = []  # by backend instance, as reported
+        self.outcomes: list[tuple[str, Outcome]] = []  # backend instance and outcome, in the order of the reports
         self.requests: list[RequestInfo] = []
 
     def set_backends(self, now: float, entries: Sequence[Backend]) -> None:
-        """Select among these from now on."""
+        """Use these backends for requests that begin from now on."""
         self.backends = list(entries)
 
     def set_gateways(self, now: float, entries: Sequence[Gateway]) -> None:
@@ -42,12 +42,12 @@
         """Ignore the configuration."""
 
     def begin_request(self, now: float, request: RequestInfo) -> UntriedBackends:
-        """Record a request."""
+        """Record the request."""
         self.requests.append(request)
         return UntriedBackends(list(self.backends))
 
     def next_action(self, now: float, state: UntriedBackends) -> Action:
-        """Select the next backend, or wait for those that were selected."""
+        """Select the next backend, or wait for the attempts in flight."""
         if state.backends:
             state.in_flight_count += 1
             return Forward(state.backends.pop(0), self.hedge_delay_ms)
@@ -58,19 +58,19 @@
     def on_attempt_ended(
         self, now: float, state: UntriedBackends, backend: Backend, outcome: Outcome, latency_ms: float
     ) -> None:
-        """Record an outcome."""
+        """Record the outcome."""
         self.outcomes.append((backend.instance, outcome))
         if outcome is not Outcome.TIMED_OUT:
             state.in_flight_count -= 1
         state.may_have_run = state.may_have_run or outcome.may_have_run
 
     def finish_request(self, now: float, state: UntriedBackends) -> None:
-        """Record the end of a request."""
+        """Mark the request as finished."""
         state.is_finished = True
 
 
 class StubQuotaCounter:
-    """A quota counter that returns a given decision and records refunds."""
+    """A quota counter that returns a fixed decision and records refunds."""
 
     def __init__(self) -> None:
         self.decision = QuotaDecision(True, refund_token=1)
@@ -78,10 +78,10 @@
         self.admit_count = 0
 
     async def admit(self, tenant: Tenant, timeout_ms: float) -> QuotaDecision:
-        """Return the decision."""
+        """Return the fixed decision."""
         self.admit_count += 1
         return self.decision
 
     def refund(self, decision: QuotaDecision) -> None:
-        """Record a refund."""
+        """Record the refund."""
         self.refunds.append(decision)
--- a/tests/system/data/test_upstream_attempt.py
+++ b/tests/system/data/test_upstream_attempt.py
@@ -1,4 +1,4 @@
-"""The documented table of an attempt's states, against the code."""
+"""Checks that the documented table of attempt states matches the code."""
 
 from __future__ import annotations
 
