--- a/hallhitch/planes/data/backend_connection.py
+++ b/hallhitch/planes/data/backend_connection.py
@@ -1,13 +1,13 @@
-"""One connection to a backend: it carries one attempt at a time and reads the response.
+"""One connection to a backend: it sends one attempt at a time and reads the response.
 
-It decides which request the bytes that arrive belong to. Invariants:
-- At most one attempt is carried; the next one is written only after the response to the last was read completely and
-  nothing followed it.
-- Bytes that arrive while nothing is carried, or behind a response, close the connection: no later request can be given
-  them as its response.
-- A response that names another request is dropped, and its connection is not used again.
+It decides which request the received bytes belong to. Invariants:
+- At most one attempt is in flight. The next one is written only after the response to the previous one was read
+  completely and no bytes followed it.
+- Bytes that arrive while no attempt is in flight, or after a response, close the connection, so that they cannot become
+  the response to a later request.
+- A response with the id of another request is dropped, and the connection is not reused.
 
-Times are steady milliseconds.
+Points in time are monotonic milliseconds.
 """
 
 from __future__ import annotations
@@ -20,37 +20,37 @@
 from hallhitch.net.http import Malformed, Message
 from hallhitch.planes.data.http_messages import CHUNKED_LINE, encode_attempt_head
 from hallhitch.planes.data.http_readers import BackendReader, BodyMemory
-from hallhitch.planes.data.idle_reuse import IdleReuse
+from hallhitch.planes.data.idle_reuse import IdleReuseLimit
 from hallhitch.planes.data.interfaces import Outcome
 from hallhitch.planes.data.response_classification import classify_response, response_id_of
 from hallhitch.planes.data.transports import DISCONNECTED, JOINED_WRITE_MAX_BYTES, configure_socket
 from hallhitch.planes.data.upstream_attempt import UpstreamAttempt
 from hallhitch.planes.values import Backend
 
-# A backend's host acknowledges within a round trip, across regions too; five seconds are many retransmissions.
+# A backend's host acknowledges within one round trip, even across regions; 5 s allow for many retransmissions.
 UNACKNOWLEDGED_TIMEOUT_MS: Final = 5000
-# A backend that had closed the idle connection resets it when the request arrives: one round trip, with a margin.
-STALE_REUSE_SIGN_MS: Final = 250.0
-KEEP_ALIVE_MAX_DIGITS: Final = 6  # a time-out of more digits, in seconds, is not believed
+# A backend that has already closed an idle connection resets it when a request arrives: one round trip plus a margin.
+STALE_RESET_WINDOW_MS: Final = 250.0
+KEEP_ALIVE_MAX_DIGITS: Final = 6  # a time-out in seconds with more digits is ignored
 
 
 class BackendConnectionOwner(Protocol):
-    """The pool of a backend, as far as its connections need it."""
+    """The part of a connection pool that its connections use."""
 
     backend: Backend
 
     @property
-    def idle_reuse(self) -> IdleReuse:
-        """What is known of how long the backend keeps idle connections."""
+    def idle_reuse_limit(self) -> IdleReuseLimit:
+        """The idle time up to which connections to the backend are reused."""
 
     def on_connection_made(self, connection: BackendConnection) -> None:
         """Count a connection as open."""
 
     def on_connection_free(self, connection: BackendConnection) -> None:
-        """Reuse a connection that carries nothing."""
+        """Reuse a connection that has no attempt in flight."""
 
     def on_connection_closed(self, connection: BackendConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
 
 
 class BackendConnection(asyncio.Protocol):
@@ -81,14 +81,14 @@
         self._clock = clock
         self._transport: asyncio.Transport = DISCONNECTED
         self._reader = BackendReader(body_memory)
-        self.attempt: UpstreamAttempt | None = None  # what it carries
+        self.attempt: UpstreamAttempt | None = None  # the attempt in flight
         self.body_flow: Flow | None = None  # the response body that is being streamed
-        self.idle_since = 0.0  # 0 = it was never idle
-        self.keep_alive_ms = 0.0  # how long the backend says that it keeps it idle; 0 = it does not say
-        self.received_at = 0.0  # when bytes came last
+        self.idle_since = 0.0  # when it last became idle; 0 = never
+        self.keep_alive_ms = 0.0  # how long the backend keeps it open when idle, as announced; 0 = not announced
+        self.received_at = 0.0  # when bytes were last received, or the attempt was sent
         self._head_outcome = Outcome.OK  # of the response that is being streamed
-        self._idle_before_ms = 0.0  # for how long it was idle before this attempt
-        self._is_unused = True  # whether no request was completed on it yet
+        self._idle_before_ms = 0.0  # how long it was idle before the current attempt
+        self._is_unused = True  # whether no request has been completed on it yet
         self._must_not_be_reused = False
         self._is_closed = False
         self._upload: asyncio.Task[None] | None = None
@@ -97,15 +97,15 @@
     # Called by the pool.
 
     def is_usable(self) -> bool:
-        """Whether it is open, as far as this side knows."""
+        """Return whether the connection is open, as far as this gateway knows."""
         return not self._is_closed and not self._transport.is_closing()
 
-    def carry(self, attempt: UpstreamAttempt) -> None:
+    def send_attempt(self, attempt: UpstreamAttempt) -> None:
         """Write an attempt and wait for its response."""
         now = self._clock()
         request = attempt.request
         self.attempt = attempt
-        attempt.on_carried(now, self)
+        attempt.on_sent(now, self)
         self._idle_before_ms = now - self.idle_since if self.idle_since else 0.0
         self.received_at = now
         self._reader.is_head_request = request.method == b"HEAD"
@@ -121,36 +121,36 @@
             self._transport.write(request.body)
 
     def close(self) -> None:
-        """Close it, whatever it carries."""
+        """Close the connection; an attempt in flight ends as CONNECTION_LOST."""
         if not self._is_closed and self._transport is not DISCONNECTED:
             self._transport.abort()
             self._end_attempt(Outcome.CONNECTION_LOST)
 
     def abandon(self) -> None:
-        """Close it because nobody waits any more for what it carries."""
+        """Close the connection and end its attempt as ABANDONED, because its result is no longer needed."""
         self._transport.abort()
         self._end_attempt(Outcome.ABANDONED)
 
-    def give_up(self) -> None:
-        """Close it because what it carries does not end."""
+    def time_out(self) -> None:
+        """Close the connection and end its attempt as TIMED_OUT."""
         self._transport.abort()
         self._end_attempt(Outcome.TIMED_OUT)
 
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over the transport of a connection that is open."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses
+        """Store the transport and report the open connection to the pool."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not subclass asyncio's
         self._pool.on_connection_made(self)
         configure_socket(self._transport, UNACKNOWLEDGED_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes that have arrived."""
+        """Parse received bytes and handle the responses in them."""
         if self._is_closed:
             return None
         attempt = self.attempt
         if attempt is None:
-            return self.close()  # unsolicited: it belongs to no request
+            return self.close()  # unsolicited bytes: no request is in flight
         self.received_at = self._clock()
         has_excess_bytes = False
         try:
@@ -161,8 +161,8 @@
             return self._advance_stream(attempt, self.body_flow, has_excess_bytes or bool(responses))
         for number, response in enumerate(responses, 1):
             if response.status < 200:
-                continue  # informational: the response is still to come
-            if self._accept(attempt, response, has_excess_bytes or number < len(responses)):
+                continue  # informational: the final response follows
+            if self._handle_response(attempt, response, has_excess_bytes or number < len(responses)):
                 return None
         if has_excess_bytes:
             self._close_invalid()
@@ -170,41 +170,41 @@
         return None
 
     def eof_received(self) -> bool:
-        """Note that the peer sends no more; True keeps the transport open."""
+        """Return False, so that the transport closes when the backend half-closes the connection."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that the connection is closed."""
+        """End the attempt in flight, with its response if that is delimited by the end of the connection."""
         if self._is_closed:
             return None
         attempt = self.attempt
         if attempt is None:
             if self.idle_since and not self._must_not_be_reused:
                 now = self._clock()
-                self._pool.idle_reuse.on_closed(now, self._pool.backend.instance, now - self.idle_since)
+                self._pool.idle_reuse_limit.on_closed(now, self._pool.backend.instance, now - self.idle_since)
             return self._end_attempt(Outcome.CONNECTION_LOST)
         if error is None and self.body_flow is None:
-            for response in self._reader.end():  # a body that is framed by the end of its connection
-                if response.status >= 200 and self._accept(attempt, response, True):
+            for response in self._reader.end():  # a body delimited by the end of the connection
+                if response.status >= 200 and self._handle_response(attempt, response, True):
                     return None
-        has_begun = self.body_flow is not None or self._reader.partial
-        self._end_attempt(Outcome.INVALID_RESPONSE if has_begun else Outcome.CONNECTION_LOST)
+        has_partial_response = self.body_flow is not None or self._reader.partial
+        self._end_attempt(Outcome.INVALID_RESPONSE if has_partial_response else Outcome.CONNECTION_LOST)
         return None
 
     def pause_writing(self) -> None:
-        """Note that the transport's buffer is full."""
+        """Make the upload wait: the transport's buffer is full."""
         self._write_resumed = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Note that the transport's buffer has room again."""
+        """Resume the upload: the transport's buffer has room again."""
         if self._write_resumed is not None and not self._write_resumed.done():
             self._write_resumed.set_result(None)
         self._write_resumed = None
 
     # Responses.
 
-    def _accept(self, attempt: UpstreamAttempt, response: Message, has_excess_bytes: bool) -> bool:
-        """Take a response, complete or streaming; return whether it is this attempt's and not another request's."""
+    def _handle_response(self, attempt: UpstreamAttempt, response: Message, has_excess_bytes: bool) -> bool:
+        """Handle a complete or streaming response; return whether it belongs to the attempt's request."""
         request_id, response_id = attempt.request.request_id, response_id_of(response)
         if response_id is not None and response_id != request_id:
             self._must_not_be_reused = True
@@ -222,7 +222,7 @@
         return True
 
     def _begin_stream(self, attempt: UpstreamAttempt, outcome: Outcome, response: Message, flow: Flow) -> None:
-        """Hand a response over whose body is still coming."""
+        """Start to stream a response whose body is still arriving."""
         self.body_flow, self._head_outcome = flow, outcome
         attempt.latency_ms = self._clock() - (attempt.written_at or 0.0)
         self._must_not_be_reused = self._must_not_be_reused or not response.keep
@@ -230,10 +230,10 @@
         if outcome is Outcome.OK:
             attempt.owner.on_streaming_response(response, flow)
         else:
-            flow.abandon()  # an error is not worth streaming: its client gets a reply of this gateway's own
+            flow.abandon()  # errors are not streamed: the client gets a reply that this gateway generates
 
     def _advance_stream(self, attempt: UpstreamAttempt, flow: Flow, has_excess_bytes: bool) -> None:
-        """Act on more of the body that is being streamed."""
+        """Handle newly received bytes of the streamed body."""
         if flow.ended:
             self.body_flow = None
             self._complete(attempt, self._head_outcome, None, not has_excess_bytes)
@@ -249,20 +249,20 @@
     def _complete(
         self, attempt: UpstreamAttempt, outcome: Outcome, response: Message | None, may_keep_connection: bool
     ) -> None:
-        """End the attempt, its response being complete; reuse the connection if nothing is left over on it."""
+        """End the attempt after its complete response; return the connection to the pool if it can be reused."""
         if response is not None:
-            self._learn_keep_alive(response)
+            self._record_keep_alive(response)
         is_reusable = may_keep_connection and self._is_clean()
         self.attempt, self._is_unused = None, False
         self._reader.release_memory()
         if is_reusable:
             self._pool.on_connection_free(self)
         else:
-            self._drop()
+            self._tear_down()
         attempt.end(self._clock(), outcome, response)
 
     def _is_clean(self) -> bool:
-        """Whether nothing of the last request or response is left on the connection."""
+        """Return whether no part of the last request or response is left on the connection."""
         is_uploading = self._upload is not None and not self._upload.done()
         return (
             not self._must_not_be_reused
@@ -272,8 +272,8 @@
             and not self._transport.get_write_buffer_size()
         )
 
-    def _learn_keep_alive(self, response: Message) -> None:
-        """Record how long the backend says that it keeps an idle connection."""
+    def _record_keep_alive(self, response: Message) -> None:
+        """Record the keep-alive time-out that the backend announces."""
         value = response.headers.get(b"keep-alive")
         if value is None:
             return
@@ -282,30 +282,30 @@
             if name.lower() == b"timeout" and number.isdigit() and len(number) <= KEEP_ALIVE_MAX_DIGITS:
                 self.keep_alive_ms = 1000.0 * int(number)
 
-    # The end of the connection.
+    # Closing.
 
     def _close_invalid(self) -> None:
-        """Close it because what came is no response, or not a complete one."""
+        """Close the connection because the received bytes are not a complete, valid response."""
         self._transport.abort()
         self._end_attempt(Outcome.INVALID_RESPONSE)
 
     def _end_attempt(self, outcome: Outcome) -> None:
-        """End the attempt that it carries together with the connection."""
+        """Close the connection and end its attempt, if any, with this outcome."""
         attempt, self.attempt = self.attempt, None
         now = self._clock()
         if attempt is not None and self._was_stale(attempt, outcome, now):
-            self._pool.idle_reuse.on_reset(now, self._idle_before_ms)
-        self._drop()
+            self._pool.idle_reuse_limit.on_reset(now, self._idle_before_ms)
+        self._tear_down()
         if attempt is not None:
             attempt.end(now, outcome)
 
     def _was_stale(self, attempt: UpstreamAttempt, outcome: Outcome, now: float) -> bool:
-        """Whether the backend probably had closed the connection before the attempt was written to it."""
+        """Return whether the backend had probably closed the connection before the attempt was written."""
         if outcome is not Outcome.CONNECTION_LOST or attempt.written_at is None or self._is_closed:
             return False
-        return now - attempt.written_at < STALE_REUSE_SIGN_MS
+        return now - attempt.written_at < STALE_RESET_WINDOW_MS
 
-    def _drop(self) -> None:
+    def _tear_down(self) -> None:
         if self._is_closed:
             return
         self._is_closed = True
@@ -317,19 +317,19 @@
         self._reader.close()
         self._pool.on_connection_closed(self)
 
-    # A request whose body is streamed.
+    # Streamed request bodies.
 
     async def _stream_request(self, head: bytes, body: Flow, chunked: bool) -> None:
-        """Forward a long request as it comes; if it breaks off, close the connection, so that the backend drops it."""
+        """Forward a long request as it arrives; if it is truncated, close the connection: the backend then drops it."""
         try:
             async for data in body.written(head, chunked=chunked):
                 self._transport.write(data)
                 while self._write_resumed is not None:
                     await self._write_resumed
         except Broken:
-            self._end_attempt(Outcome.ABANDONED)  # its client's doing
+            self._end_attempt(Outcome.ABANDONED)  # caused by the client, not the backend
 
 
 def is_chunked(head_prefix: bytes) -> bool:
-    """Whether the body behind this head is sent in chunks."""
+    """Return whether the body after this head uses the chunked transfer coding."""
     return b"\r\n" + CHUNKED_LINE + b"\r\n" in head_prefix
--- a/hallhitch/planes/data/client_connection.py
+++ b/hallhitch/planes/data/client_connection.py
@@ -1,15 +1,16 @@
-"""One client connection: requests are read in order, and each is answered before the next one is started.
+"""One client connection: requests are handled one at a time, in the order in which they arrive.
 
 Invariants:
 - At most one request is being handled (`is_busy`); replies are written in the order of the requests.
-- Reading is paused while more than MAX_QUEUED_REQUESTS wait, and while a streamed body waits to be taken.
-- After the last reply nothing more is read, and the connection lingers, so that a client that still sends sees the
-  reply before a reset (RFC 9112, section 9.6).
-- A client that closes its connection, or only its sending side, has left: nothing more is done for it, but for an
-  unsafe request that was sent. The two cannot be told apart, and a client that waits for its reply does neither.
+- Reading is paused while more than MAX_QUEUED_REQUESTS are queued, and while parts of a streamed body are unconsumed.
+- After the last reply, received bytes are ignored and the connection lingers, so that a client that is still sending
+  can read the reply before its connection is reset (RFC 9112, section 9.6).
+- A client that closes the connection or half-closes it (shuts down its sending side) counts as disconnected: no more
+  work is done for it, except that a non-idempotent request that was already sent runs to its end. The gateway cannot
+  distinguish the two cases, and a client that waits for its reply does neither.
 - A connection is in at most one of `idle_since`, `reading_since` and `lingering_since` of its listener's timers.
 
-Times are steady milliseconds.
+Points in time are monotonic milliseconds.
 """
 
 from __future__ import annotations
@@ -27,30 +28,30 @@
 from hallhitch.planes.data.request_handler import RequestHandler
 from hallhitch.planes.data.transports import DISCONNECTED, JOINED_WRITE_MAX_BYTES, configure_socket
 
-# Pipelined requests of one connection that are read ahead; a client that sends more is slowed down by TCP.
+# Pipelined requests that are read ahead on one connection; TCP flow control slows down a client that sends more.
 MAX_QUEUED_REQUESTS: Final = 8
-# Longer than for backends: clients come over links that are slow or lose packets.
+# Longer than for backends: client links may be slow or lose packets.
 UNACKNOWLEDGED_TIMEOUT_MS: Final = 10_000
 CONTINUE_HEAD: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 @dataclass(slots=True)
 class ClientTimers:
-    """Since when connections are in a state that has a time-out; a dict's order is that of the moments."""
+    """When each connection entered a state that has a time-out; the dicts are ordered by that time."""
 
     idle_since: dict[ClientConnection, float] = field(default_factory=dict)
-    reading_since: dict[ClientConnection, float] = field(default_factory=dict)  # part of a request has come
-    write_blocked_since: dict[ClientConnection, float] = field(default_factory=dict)  # the client reads nothing
-    lingering_since: dict[ClientConnection, float] = field(default_factory=dict)  # its last reply is written
+    reading_since: dict[ClientConnection, float] = field(default_factory=dict)  # a partial request was received
+    write_blocked_since: dict[ClientConnection, float] = field(default_factory=dict)  # the transport's buffer is full
+    lingering_since: dict[ClientConnection, float] = field(default_factory=dict)  # the last reply was written
 
-    def forget(self, connection: ClientConnection) -> None:
-        """Stop the timers of a connection that has ended."""
+    def remove(self, connection: ClientConnection) -> None:
+        """Remove all timers of a closed connection."""
         for since in (self.idle_since, self.reading_since, self.write_blocked_since, self.lingering_since):
             since.pop(connection, None)
 
 
 class ClientConnectionOwner(Protocol):
-    """The listener, as far as its connections need it."""
+    """The part of the listener that its connections use."""
 
     context: DataPlaneContext
     body_memory: BodyMemory
@@ -58,16 +59,16 @@
     keep_alive_line: bytes
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Return whether there is room for a new connection."""
+        """Add a new connection if there is room; return whether it was added."""
 
     def start_request(self, connection: ClientConnection, request: Message, received_at: float) -> None:
-        """Start `handle_request` as a task."""
+        """Start a task that runs `handle_request`."""
 
     def on_request_failed(self, error: Exception) -> None:
-        """Report a fault of the program that ended a request."""
+        """Report an unexpected exception that ended a request."""
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -78,7 +79,7 @@
         "_body_flow",
         "_context",
         "_handler",
-        "_has_ended",
+        "_is_finished",
         "_is_reading_paused",
         "_listener",
         "_message_began_at",
@@ -90,7 +91,7 @@
         "_transport",
         "_write_resumed",
         "is_busy",
-        "is_gone",
+        "is_disconnected",
     )
 
     def __init__(self, listener: ClientConnectionOwner) -> None:
@@ -99,32 +100,32 @@
         self._timers = listener.timers
         self._transport: asyncio.Transport = DISCONNECTED
         self._reader = ClientReader(listener.context.limits, self._reserve_memory)
-        self.is_gone = False  # whether the client closed the connection, or its sending side
+        self.is_disconnected = False  # whether the client closed or half-closed the connection
         self.is_busy = False  # whether a request is being handled
-        self._handler: RequestHandler | None = None  # of that request
-        self._queue: deque[tuple[Message, float]] = deque()  # requests, with the moment when each began to come
-        self._rejection_status = 0  # of what came and could not be accepted as a request; 0 = none
-        self._has_ended = False  # whether the last reply was written
-        self._reserved_bytes = 0  # for bodies of the request and the reply
+        self._handler: RequestHandler | None = None  # of the request that is being handled
+        self._queue: deque[tuple[Message, float]] = deque()  # requests, each with the arrival time of its first byte
+        self._rejection_status = 0  # status that rejects bytes which are not an acceptable request; 0 = none
+        self._is_finished = False  # whether the last reply was written or the connection is closed
+        self._reserved_bytes = 0  # for the bodies of the request and the reply
         self._is_reading_paused = False
-        self._write_resumed: asyncio.Future[None] | None = None  # set while the client reads nothing more
-        self._message_began_at = 0.0  # the request that is coming
-        self._body_flow: Flow | None = None  # the request body that is being streamed
+        self._write_resumed: asyncio.Future[None] | None = None  # set while the transport's buffer is full
+        self._message_began_at = 0.0  # when the first byte of the current request arrived
+        self._body_flow: Flow | None = None  # the request body that is being received as a stream
 
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over the transport of a connection that is open."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclasses
+        """Store the transport, unless the listener rejects the connection."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not subclass asyncio's
         if not self._listener.admit(self):
             self._transport.abort()
             return
         configure_socket(self._transport, UNACKNOWLEDGED_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes that have arrived."""
-        if self._rejection_status or self._has_ended or self.is_gone:
-            return  # the connection only lingers until its last reply has arrived
+        """Parse received bytes, queue the complete requests and start the next one if none is being handled."""
+        if self._rejection_status or self._is_finished or self.is_disconnected:
+            return  # no further request is handled on this connection
         now = self._context.clock()
         if not self._reader.partial:
             self._message_began_at = now
@@ -140,43 +141,43 @@
                 request.flow.taken = self._resume_reading
         self._limit_reading()
         if not self.is_busy:
-            self._advance(now)
+            self._start_next_or_wait(now)
 
     def eof_received(self) -> bool:
-        """Note that the peer sends no more; True keeps the transport open."""
-        self._note_gone()
-        return self.is_busy and not self._has_ended
+        """Treat the client as disconnected; return True to keep the transport open while a request is handled."""
+        self._mark_disconnected()
+        return self.is_busy and not self._is_finished
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that the connection is closed."""
-        self._note_gone()
-        self._has_ended = True
+        """Release everything that the closed connection holds."""
+        self._mark_disconnected()
+        self._is_finished = True
         self._listener.on_connection_closed(self)
         self._release_memory()
         self._reader.close()
         self._queue.clear()
         self.resume_writing()
 
-    def _note_gone(self) -> None:
-        """Note that the client has left, and end what is being done for it."""
-        if self.is_gone:
+    def _mark_disconnected(self) -> None:
+        """Mark the client as disconnected, and stop the work for it."""
+        if self.is_disconnected:
             return
-        self.is_gone = True
+        self.is_disconnected = True
         self._queue.clear()
         self._reader.fail()
-        if self.is_busy and not self._has_ended:
+        if self.is_busy and not self._is_finished:
             self._context.count("client_gone")
         if self._handler is not None:
-            self._handler.on_client_gone()
+            self._handler.on_client_disconnected()
 
     def pause_writing(self) -> None:
-        """Note that the transport's buffer is full."""
+        """Start the write time-out: the transport's buffer is full."""
         if self._write_resumed is None:
             self._write_resumed = asyncio.get_running_loop().create_future()
             self._timers.write_blocked_since[self] = self._context.clock()
 
     def resume_writing(self) -> None:
-        """Note that the transport's buffer has room again."""
+        """Stop the write time-out and wake the writer: the transport's buffer has room again."""
         self._timers.write_blocked_since.pop(self, None)
         if self._write_resumed is not None and not self._write_resumed.done():
             self._write_resumed.set_result(None)
@@ -185,45 +186,45 @@
     # Called by the listener.
 
     def on_read_timeout(self) -> None:
-        """Reject a request that did not arrive completely within its time."""
+        """Reject a request that was not received completely within the time-out."""
         if self.is_busy or self._queue:
             self.abort()
         else:
             self._rejection_status = 408
-            self._advance(self._context.clock())
+            self._start_next_or_wait(self._context.clock())
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the connection immediately, discarding unsent bytes."""
         self._transport.abort()
 
     def close(self) -> None:
-        """Close it once everything is sent."""
+        """Close the connection after all buffered bytes are sent."""
         self._transport.close()
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Whether part of what was written has not left this process yet."""
+        """Whether the transport still buffers bytes that were written."""
         return self._transport.get_write_buffer_size() > 0
 
     @property
     def is_reading_head(self) -> bool:
-        """Whether part of a request's head has come and its end has not."""
+        """Whether a request's head was received only in part."""
         return self._reader.partial and self._reader.begun is None
 
-    # Requests, one after the other.
+    # Request handling.
 
-    def _advance(self, now: float) -> None:
-        """Start the next request; if there is none, wait for it, or close the connection."""
+    def _start_next_or_wait(self, now: float) -> None:
+        """Start the next queued request; if there is none, wait for one or close the connection."""
         timers = self._timers
         timers.idle_since.pop(self, None)
         reading_since = timers.reading_since.pop(self, now)
-        if self._has_ended:
+        if self._is_finished:
             return
         if self._queue:
             self._start_next_request()
         elif self._rejection_status:
             self._write_reply(local_reply(self._rejection_status, None, must_close=True), b"GET", "1.1", True)
-        elif self.is_gone:
+        elif self.is_disconnected:
             self.close()
         elif self._reader.partial:
             timers.reading_since[self] = reading_since if self.is_reading_head else now
@@ -246,7 +247,7 @@
         try:
             self._handler = RequestHandler(context, request, received_at, self)
             reply = await self._handler.run()
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+        except Exception as error:  # noqa: BLE001  task boundary: log the error and keep serving
             self._listener.on_request_failed(error)
             reply = local_reply(502, request)
         context.count(f"status_{reply.status}")
@@ -254,7 +255,7 @@
         if request.flow is not None:
             request.flow.abandon()
         if len(reply.body) > UNRESERVED_BODY_MAX_BYTES:
-            # It is in memory already; it is accounted for until the client has taken it.
+            # The body is already in memory, so it is accounted for until the client has received it.
             self._listener.body_memory.reserve_unconditionally(len(reply.body))
             self._reserved_bytes += len(reply.body)
         self._write_reply(reply, request.method, request.version, closes_connection)
@@ -264,24 +265,24 @@
             await self._write_resumed
         self._release_memory()
         self.is_busy, self._handler = False, None
-        self._advance(context.clock())
+        self._start_next_or_wait(context.clock())
 
     def _must_close_after(self, request: Message, reply: Reply) -> bool:
-        """Whether this reply is the last one on the connection."""
+        """Return whether this reply is the last one on the connection."""
         has_unread_body = request.flow is not None and not request.flow.ended
         is_draining = self._context.is_draining and not self._queue
-        return reply.must_close or not request.keep or self.is_gone or has_unread_body or is_draining
+        return reply.must_close or not request.keep or self.is_disconnected or has_unread_body or is_draining
 
     # Replies.
 
     def _write_reply(self, reply: Reply, method: bytes, version: str, closes_connection: bool) -> None:
-        """Write a reply, but for a body that is streamed behind its head."""
+        """Write a reply; of a streamed reply, write only the head."""
         transport = self._transport
-        if transport.is_closing() or self._has_ended:
+        if transport.is_closing() or self._is_finished:
             if reply.body_flow is not None:
                 reply.body_flow.abandon()
             return
-        # A streamed body without a length ends with the connection where the client does not know chunks.
+        # HTTP/1.0 has no chunked coding: a streamed body of unknown length is delimited by closing the connection.
         is_framed_by_close = version == "1.0" and reply.body_flow is not None and reply.content_length is None
         closes_connection = closes_connection or is_framed_by_close
         head = encode_reply_head(reply, method, version, closes_connection, self._listener.keep_alive_line)
@@ -297,7 +298,7 @@
             self._finish()
 
     async def _write_body_flow(self, reply: Reply, flow: Flow, request: Message, closes_connection: bool) -> None:
-        """Write the streamed body of a reply, unless the reply goes without it."""
+        """Write the streamed body of a reply, unless the reply is sent without a body."""
         if reply.has_no_body(request.method):
             flow.abandon()
             return
@@ -306,26 +307,26 @@
             self._finish()
 
     async def _stream_body(self, flow: Flow, chunked: bool) -> None:
-        """Forward a body as fast as the client takes it; if it breaks off, abort, so that it never looks complete."""
+        """Forward a body as fast as the client reads it; if it is truncated, abort so that it never looks complete."""
         try:
             async for data in flow.written(b"", chunked):
-                if self._has_ended or self._transport.is_closing():
+                if self._is_finished or self._transport.is_closing():
                     return flow.abandon()
                 self._transport.write(data)
                 while self._write_resumed is not None:
                     await self._write_resumed
         except Broken:
-            if not self.is_gone:
+            if not self.is_disconnected:
                 self._context.count("truncated_responses")
             self.abort()
 
     def _finish(self) -> None:
-        """End the connection after its last reply; until the client closes its side too, it lingers."""
-        if self._has_ended or self._transport.is_closing():
+        """Half-close the connection after its last reply; it lingers until the client closes its side."""
+        if self._is_finished or self._transport.is_closing():
             return None
-        self._has_ended = True
+        self._is_finished = True
         self._queue.clear()
-        if self.is_gone:
+        if self.is_disconnected:
             return self._transport.close()
         if self._is_reading_paused:
             self._resume_reading()
@@ -338,7 +339,7 @@
     # Flow control and memory.
 
     def _limit_reading(self) -> None:
-        """Pause reading while a streamed body waits to be taken, or enough requests are queued."""
+        """Pause reading if parts of a streamed body are unconsumed or too many requests are queued."""
         if self._body_flow is not None:
             if self._body_flow.ended or self._body_flow.broken:
                 self._body_flow = None
--- a/hallhitch/planes/data/connection_pool.py
+++ b/hallhitch/planes/data/connection_pool.py
@@ -1,11 +1,12 @@
-"""The connections to one incarnation of a backend, and the attempts that wait for one.
+"""The connections to one incarnation of a backend, and the attempts that wait for a connection.
 
 Invariants:
-- A connection is in `idle` if and only if it carries nothing; the list is ordered by `idle_since`, the latest last.
-- An attempt in `_queue` was not written; each attempt leaves the queue by being carried or by ending.
-- A retired pool opens no connection and starts no attempt; attempts in flight end by themselves.
+- A connection is in `idle` if and only if no attempt is in flight on it; the list is ordered by `idle_since`, latest
+  last.
+- An attempt in `_queue` has not been written; it leaves the queue when it is sent on a connection or ends.
+- A retired pool opens no connection and starts no attempt; attempts in flight run to their end.
 
-Times are steady milliseconds, durations milliseconds.
+Points in time are monotonic milliseconds; durations are in milliseconds.
 """
 
 from __future__ import annotations
@@ -17,53 +18,54 @@
 
 from hallhitch.planes.data.backend_connection import BackendConnection
 from hallhitch.planes.data.http_readers import BodyMemory
-from hallhitch.planes.data.idle_reuse import IdleReuse
+from hallhitch.planes.data.idle_reuse import IdleReuseLimit
 from hallhitch.planes.data.interfaces import Outcome
 from hallhitch.planes.data.upstream_attempt import UpstreamAttempt
 from hallhitch.planes.values import Backend
 
-# Above the round trips within a region and across regions: a backend that takes longer counts as unreachable.
+# Longer than the round trips within a region and across regions; a backend that takes longer counts as unreachable.
 CONNECT_TIMEOUT_SAME_REGION_MS: Final = 150.0
 CONNECT_TIMEOUT_OTHER_REGION_MS: Final = 500.0
-# Added to a connect time-out: the event may be there already, behind others in a busy event loop.
+# Added to a connect time-out: in a busy event loop the completion may already be pending behind other events.
 EVENT_LOOP_LAG_ALLOWANCE_MS: Final = 15.0
-# How long an attempt waits for a connection when none may be opened; then another backend is tried.
+# How long an attempt waits for a connection if none may be opened; afterwards another backend is tried.
 CONNECTION_WAIT_MS: Final = 30.0
-# Past its deadline by so much, an attempt is given up: its backend should have stopped long ago.
+# An attempt times out this long after its deadline, when its backend should have stopped long ago.
 OVERDUE_GRACE_MS: Final = 1500.0
-# A streamed response may take longer than its deadline as long as bytes come at least this often.
+# A streamed response may exceed its deadline as long as bytes arrive at least this often.
 STREAM_STALL_TIMEOUT_MS: Final = 10_000.0
-MIN_REMAINING_MS: Final = 1.0  # with less time left an attempt is not written: the deadline field has this resolution
+# With less time left, an attempt is not written, because this is the resolution of the deadline field.
+MIN_REMAINING_MS: Final = 1.0
 
 
 class ConnectionPoolOwner(Protocol):
-    """What the pools of all backends share."""
+    """The state and limits that the pools of all backends share."""
 
     clock: Callable[[], float]
-    region: str  # of this gateway
+    region: str  # the region of this gateway
     body_memory: BodyMemory
-    open_count: int  # connections that are open
+    open_count: int  # open connections
     opening_count: int  # connections that are being opened
     connect_tasks: set[asyncio.Task[None]]
 
     def count(self, event: str) -> None:
-        """Add one to an event count."""
+        """Increment the counter of an event."""
 
-    def idle_reuse_of(self, service: str) -> IdleReuse:
-        """Return what is known of how long a service's backends keep idle connections."""
+    def idle_reuse_limit_of(self, service: str) -> IdleReuseLimit:
+        """Return the idle time up to which connections to a service's backends are reused."""
 
     def max_connections_to(self, service: str) -> int:
-        """Return how many connections this gateway may have to one backend of a service."""
+        """Return the maximum number of connections from this gateway to one backend of a service."""
 
     def ensure_capacity(self) -> bool:
-        """Return whether one more connection may be opened, after closing an idle one if need be."""
+        """Return whether one more connection may be opened, closing an idle one if necessary."""
 
-    def forget_if_drained(self, pool: ConnectionPool) -> None:
-        """Forget a retired pool that has no connection any more."""
+    def remove_if_drained(self, pool: ConnectionPool) -> None:
+        """Remove a retired pool once it has no more connections."""
 
 
 class ConnectionPool:
-    """The connections to one incarnation of a backend."""
+    """Opens, reuses and closes the connections to one incarnation of a backend."""
 
     def __init__(self, owner: ConnectionPoolOwner, backend: Backend) -> None:
         self.backend = backend
@@ -75,37 +77,37 @@
         self._queue: deque[UpstreamAttempt] = deque()
 
     @property
-    def idle_reuse(self) -> IdleReuse:
-        """What is known of how long the service's backends keep idle connections."""
-        return self._owner.idle_reuse_of(self.backend.service)
+    def idle_reuse_limit(self) -> IdleReuseLimit:
+        """The idle time up to which connections to the service's backends are reused."""
+        return self._owner.idle_reuse_limit_of(self.backend.service)
 
     # Attempts.
 
-    def send(self, attempt: UpstreamAttempt) -> None:  # noqa: PLR0911  a reply for each case
-        """Carry an attempt on an idle connection or a new one; it may have ended when this returns."""
+    def send(self, attempt: UpstreamAttempt) -> None:  # noqa: PLR0911  one return per case
+        """Send an attempt on an idle or a new connection; it may have ended when this returns."""
         if self.is_retired:
             return attempt.end(self._owner.clock(), Outcome.CANCELLED)
-        connection = self._take_idle(attempt.request.is_unsafe)
+        connection = self._take_idle(attempt.request.is_non_idempotent)
         if connection is not None:
-            return connection.carry(attempt)
+            return connection.send_attempt(attempt)
         self._queue.append(attempt)
         if self.opening_count >= len(self._queue):
             return None
         if self._may_open():
             self._open()
             return None
-        # An unsafe request may be given a connection that was idle for longer: better than none.
+        # No connection may be opened: a non-idempotent request then accepts one that has been idle for longer.
         connection = self._take_idle(False)
         if connection is not None:
             self._queue.remove(attempt)
-            connection.carry(attempt)
+            connection.send_attempt(attempt)
             return None
         if not self.opening_count:
-            asyncio.get_running_loop().call_later(CONNECTION_WAIT_MS / 1000, self.withdraw, attempt)
+            asyncio.get_running_loop().call_later(CONNECTION_WAIT_MS / 1000, self.cancel_queued, attempt)
             return None
         return None
 
-    def withdraw(self, attempt: UpstreamAttempt) -> bool:
+    def cancel_queued(self, attempt: UpstreamAttempt) -> bool:
         """End an attempt as CANCELLED if it is still queued; return whether it was."""
         if attempt.written_at is None and not attempt.is_ended and attempt in self._queue:
             self._queue.remove(attempt)
@@ -113,14 +115,16 @@
             return True
         return False
 
-    def _take_idle(self, is_unsafe: bool) -> BackendConnection | None:
-        """Take the connection that became idle last, if the backend probably keeps it still."""
-        now, idle_reuse = self._owner.clock(), self.idle_reuse
+    def _take_idle(self, is_non_idempotent: bool) -> BackendConnection | None:
+        """Take the connection that became idle last, if the backend has probably not closed it yet."""
+        now, idle_reuse_limit = self._owner.clock(), self.idle_reuse_limit
         while self.idle:
             connection = self.idle[-1]
             if connection.is_usable():
-                if now - connection.idle_since > idle_reuse.max_idle_ms(now, connection.keep_alive_ms, is_unsafe):
-                    return None  # the others have been idle for longer
+                if now - connection.idle_since > idle_reuse_limit.max_idle_ms(
+                    now, connection.keep_alive_ms, is_non_idempotent
+                ):
+                    return None  # the other connections have been idle for even longer
                 return self.idle.pop()
             connection.close()
         return None
@@ -140,12 +144,12 @@
         task.add_done_callback(self._owner.connect_tasks.discard)
 
     async def _connect(self) -> None:
-        """Open one connection and give it to the attempt that waits longest."""
+        """Open one connection and send the attempt that has waited longest on it."""
         connection: BackendConnection | None = None
         try:
             connection = await self._create_connection()
         except OSError:
-            pass  # refused or no route: unreachable, as below
+            pass  # refused or no route: handled as unreachable below
         finally:
             self.opening_count -= 1
             self._owner.opening_count -= 1
@@ -155,7 +159,7 @@
             self._on_connect_failed()
 
     async def _create_connection(self) -> BackendConnection | None:
-        """Connect to the backend; None if that takes too long.
+        """Connect to the backend; return None after the connect time-out.
 
         Raises:
             OSError: the connection was refused or there is no route.
@@ -177,7 +181,7 @@
         return None
 
     def _on_connect_failed(self) -> None:
-        """End the attempts for which no other connection is being opened."""
+        """End the queued attempts that exceed the number of connections still being opened."""
         now = self._owner.clock()
         self._owner.count("unreachable")
         while len(self._queue) > self.opening_count:
@@ -191,14 +195,14 @@
         self._owner.open_count += 1
 
     def on_connection_free(self, connection: BackendConnection) -> None:
-        """Give a connection that carries nothing to the attempt that waits longest, or keep it idle."""
+        """Send the attempt that has waited longest on a free connection, or keep the connection idle."""
         now = self._owner.clock()
         while self._queue:
             attempt = self._queue.popleft()
             if self.is_retired or attempt.request.deadline_ms - now < MIN_REMAINING_MS:
                 attempt.end(now, Outcome.CANCELLED)
                 continue
-            return connection.carry(attempt)
+            return connection.send_attempt(attempt)
         if self.is_retired:
             return connection.close()
         connection.idle_since = now
@@ -206,36 +210,36 @@
         return None
 
     def on_connection_closed(self, connection: BackendConnection) -> None:
-        """Forget a connection, and open another if attempts wait for one."""
+        """Remove a closed connection, and open another one if attempts are queued."""
         if connection in self.connections:
             self.connections.remove(connection)
             self._owner.open_count -= 1
         if connection in self.idle:
             self.idle.remove(connection)
-        self._owner.forget_if_drained(self)
+        self._owner.remove_if_drained(self)
         if self._queue and not self.opening_count and self._may_open():
             self._open()
 
     # Called by the pools.
 
     def retire(self) -> None:
-        """Start nothing more, because the backend is draining or gone; what is in flight ends by itself."""
+        """Stop sending attempts because the backend is draining or removed; attempts in flight run to their end."""
         self.is_retired = True
         for connection in list(self.idle):
             connection.close()
         now = self._owner.clock()
         while self._queue:
             self._queue.popleft().end(now, Outcome.CANCELLED)
-        self._owner.forget_if_drained(self)
+        self._owner.remove_if_drained(self)
 
     def close(self) -> None:
-        """Close all connections, whatever they carry."""
+        """Close all connections, including those with an attempt in flight."""
         self.retire()
         for connection in list(self.connections):
             connection.close()
 
-    def expire_idle(self, now: float) -> None:
-        """Close connections that were idle for too long, and give up attempts that do not end."""
+    def enforce_timeouts(self, now: float) -> None:
+        """Close connections that were idle for too long, and time out overdue attempts."""
         while self.idle and self._is_idle_too_long(self.idle[0], now):
             self.idle[0].close()
         for connection in [connection for connection in self.connections if connection.attempt is not None]:
@@ -243,7 +247,7 @@
             if attempt is None or now <= attempt.request.deadline_ms + OVERDUE_GRACE_MS:
                 continue
             if connection.body_flow is None or now - connection.received_at > STREAM_STALL_TIMEOUT_MS:
-                connection.give_up()
+                connection.time_out()
 
     def _is_idle_too_long(self, connection: BackendConnection, now: float) -> bool:
-        return now - connection.idle_since > self.idle_reuse.max_idle_ms(now, connection.keep_alive_ms, False)
+        return now - connection.idle_since > self.idle_reuse_limit.max_idle_ms(now, connection.keep_alive_ms, False)
--- a/hallhitch/planes/data/http_listener.py
+++ b/hallhitch/planes/data/http_listener.py
@@ -1,9 +1,9 @@
-"""The listener for clients: it admits their connections, applies their time-outs and drains them at shutdown.
+"""The listener for clients: it admits connections, enforces their time-outs and drains them at shutdown.
 
-Invariant: at most `max_connections` client connections are open; at the bound the one that is idle, or lingers, for the
-longest makes room for a new one.
+Invariant: at most `max_connections` client connections are open. At the limit, the connection that has been idle (or
+else lingering) longest is closed to make room for a new one.
 
-Times are steady milliseconds.
+Points in time are monotonic milliseconds.
 """
 
 from __future__ import annotations
@@ -17,24 +17,26 @@
 from hallhitch.planes.data.context import DataPlaneContext
 from hallhitch.planes.data.http_readers import BodyMemory
 
-# For how long a connection whose last reply was sent waits for its client to close: a client that reads at all has
+# How long a connection waits for the client to close it after the last reply was sent. A client that reads at all has
 # read the reply by then.
 LINGER_TIMEOUT_MS: Final = 1000.0
-# The idle time-out once the listener is closed: a client that comes back within it still gets its reply.
+# The idle time-out after the listener is closed; a client that sends another request within it still gets a reply.
 IDLE_TIMEOUT_WHEN_CLOSED_MS: Final = 1000.0
-# Clients announce this much less than the idle time-out, so that a request is not sent while the connection closes.
+# The keep-alive time announced to clients is shorter than the idle time-out by this margin, so that a client does not
+# send a request while the gateway closes the connection.
 KEEP_ALIVE_MARGIN_S: Final = 1
-# Connections that the kernel completes before they are accepted: a burst while the event loop is busy is not refused.
+# Connections that the kernel completes before they are accepted; large enough that a burst is not refused while the
+# event loop is busy.
 LISTEN_BACKLOG: Final = 4096
 
 
 class HttpListener:
-    """The listener of one gateway, and the owner of its client connections and request tasks."""
+    """Owns the listening socket, the client connections and the request tasks of one gateway."""
 
     def __init__(
         self, context: DataPlaneContext, address: tuple[str, int], max_connections: int, body_memory: BodyMemory
     ) -> None:
-        """Listen at `address` once started; `body_memory` is for long bodies that are buffered."""
+        """`start` listens on `address`; `body_memory` limits the memory for long buffered bodies."""
         self.context = context
         self.body_memory = body_memory
         self.max_connections = max_connections
@@ -42,18 +44,18 @@
         self.timers = ClientTimers()
         self.request_tasks: set[asyncio.Task[None]] = set()
         self.keep_alive_line = b""
-        self.port = 0  # known once it has started
+        self.port = 0  # set by `start`
         self._address = address
-        self._request_faults = RateLimitedLog(ComponentLogger("frontend"))
+        self._request_error_log = RateLimitedLog(ComponentLogger("frontend"))
         self._server: asyncio.Server | None = None
-        self._is_empty = asyncio.Event()  # set when the last connection closes
+        self._all_connections_closed = asyncio.Event()  # set when the last connection closes
         self._is_closed = False
 
     async def start(self) -> None:
         """Listen for clients.
 
         Raises:
-            OSError: the address cannot be listened at.
+            OSError: the address cannot be bound.
         """
         self._server = await asyncio.get_running_loop().create_server(
             lambda: ClientConnection(self), *self._address, reuse_address=True, backlog=LISTEN_BACKLOG
@@ -61,48 +63,48 @@
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     def on_config_changed(self) -> None:
-        """Announce the configured idle time-out to clients."""
+        """Update the Keep-Alive header that announces the configured idle time-out to clients."""
         timeout_s = int(self.context.limits.idle_timeout_ms / 1000) - KEEP_ALIVE_MARGIN_S
         self.keep_alive_line = b"Keep-Alive: timeout=%d\r\n" % timeout_s if timeout_s > 0 else b""
 
     # Called by the connections.
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Add a new connection if there is room, or can be made; return whether it was added."""
+        """Add a new connection, closing an idle one at the limit if there is one; return whether it was added."""
         self.context.count("client_connections")
         if len(self.connections) >= self.max_connections:
-            longest = next(iter(self.timers.idle_since or self.timers.lingering_since), None)
-            if longest is None:
+            evicted = next(iter(self.timers.idle_since or self.timers.lingering_since), None)
+            if evicted is None:
                 self.context.count("client_connections_refused")
                 return False
-            longest.abort()
-            self.on_connection_closed(longest)
+            evicted.abort()
+            self.on_connection_closed(evicted)
         self.connections.add(connection)
         self.timers.idle_since[connection] = self.context.clock()
         return True
 
     def start_request(self, connection: ClientConnection, request: Message, received_at: float) -> None:
-        """Handle a request in a task of its own."""
+        """Start a task that handles the request."""
         self.context.count("requests")
         task = asyncio.get_running_loop().create_task(connection.handle_request(request, received_at))
         self.request_tasks.add(task)
         task.add_done_callback(self.request_tasks.discard)
 
     def on_request_failed(self, error: Exception) -> None:
-        """Log a fault of the program that ended a request."""
-        self._request_faults.exception(self.context.clock(), "request failed", error)
+        """Log an unexpected exception that ended a request, rate-limited."""
+        self._request_error_log.exception(self.context.clock(), "request failed", error)
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection and its timers."""
         self.connections.discard(connection)
-        self.timers.forget(connection)
+        self.timers.remove(connection)
         if not self.connections:
-            self._is_empty.set()
+            self._all_connections_closed.set()
 
     # Time-outs.
 
-    def expire_idle(self, now: float) -> None:
-        """Apply the time-outs of all connections; to be called a few times a second."""
+    def enforce_timeouts(self, now: float) -> None:
+        """Enforce the time-outs of all connections; to be called several times per second."""
         self._close_idle(now)
         self._reject_slow_requests(now)
         self._abort_blocked(now)
@@ -138,7 +140,7 @@
             if now - since < LINGER_TIMEOUT_MS:
                 break
             if connection.has_unsent_bytes:
-                # Over a slow link the reply takes longer than the time-out to leave, which then begins anew.
+                # On a slow link the reply may take longer than the time-out to send, so the time-out restarts.
                 del lingering_since[connection]
                 lingering_since[connection] = now
             else:
@@ -147,27 +149,27 @@
     # Shutdown.
 
     def start_draining(self) -> None:
-        """Close each connection with its next reply, so that its client goes to another gateway."""
+        """Close each connection after its next reply, so that its client connects to another gateway."""
         self.context.is_draining = True
 
     def close_listener(self) -> None:
-        """Accept no new connections; idle ones are closed soon."""
+        """Stop accepting connections; idle ones are closed after IDLE_TIMEOUT_WHEN_CLOSED_MS."""
         self._is_closed = True
         if self._server is not None:
             self._server.close()
 
     async def wait_drained(self, until: float) -> bool:
-        """Wait until no connection is open, at most until a moment; return whether none is."""
+        """Wait until all connections are closed or `until` has passed; return whether all are closed."""
         while self.connections and self.context.clock() < until:
-            self._is_empty.clear()
+            self._all_connections_closed.clear()
             try:
-                await asyncio.wait_for(self._is_empty.wait(), (until - self.context.clock()) / 1000)
+                await asyncio.wait_for(self._all_connections_closed.wait(), (until - self.context.clock()) / 1000)
             except TimeoutError:
                 break
         return not self.connections
 
     def close(self) -> None:
-        """Close the listener and all connections at once."""
+        """Close the listener and all connections immediately."""
         self.close_listener()
         for connection in list(self.connections):
             connection.abort()
--- a/hallhitch/planes/data/plane.py
+++ b/hallhitch/planes/data/plane.py
@@ -1,7 +1,7 @@
-"""The data plane of one gateway: client connections, load balancing and backend connections put together.
+"""The data plane of one gateway: it wires up client connections, load balancing and backend connections.
 
-It divides descriptors and memory among them, passes on what the other planes know, and runs their time-outs. It makes
-no decision on a request itself.
+It divides file descriptors and memory among them, passes updates from the other planes to them and enforces their
+time-outs periodically. It makes no decision about a request itself.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from hallhitch.planes.data.interfaces import LoadBalancingPolicy, QuotaCounter
 from hallhitch.planes.values import Backend, ClusterConfig, Gateway
 
-# Short beside the shortest time-out of a connection, and a small load however many connections there are.
-EXPIRY_INTERVAL_S: Final = 0.2
-# A gap between two expiry runs by which this process itself was suspended or overloaded.
+# Much shorter than the shortest connection time-out, yet long enough that the checks cost little with many connections.
+TIMEOUT_CHECK_INTERVAL_S: Final = 0.2
+# If two time-out checks are further apart than this, the process itself was suspended or overloaded.
 STALL_GAP_MS: Final = 500.0
-# Descriptors for files, for links to other programs and for listeners.
-RESERVED_DESCRIPTORS: Final = 300
-MIN_DESCRIPTORS: Final = 64
-# Of the remaining descriptors; clients get the others, as they also hold connections that are idle.
-BACKEND_DESCRIPTOR_RATIO: Final = 0.35
-# Of the node's memory; the rest is for connections, for other planes and for the interpreter.
+# File descriptors for files, links to other processes and listeners.
+RESERVED_FILE_DESCRIPTORS: Final = 300
+MIN_FILE_DESCRIPTORS: Final = 64
+# Share of the remaining file descriptors. Clients get the larger share because they also hold idle connections open.
+BACKEND_FILE_DESCRIPTOR_RATIO: Final = 0.35
+# Share of the node's memory for buffered bodies; the rest is for connections, other planes and the interpreter.
 BODY_MEMORY_RATIO: Final = 0.25
 BYTES_PER_MB: Final = 1024 * 1024
 
@@ -44,36 +44,36 @@
         quota_counter: QuotaCounter,
         clock: Callable[[], float] = steady_now,
     ) -> None:
-        """`clock` gives steady milliseconds."""
+        """`clock` returns monotonic milliseconds."""
         self.event_counts: dict[str, int] = {}
         self._load_balancer = load_balancer
         self._clock = clock
-        descriptors = max(MIN_DESCRIPTORS, node.max_open_files - RESERVED_DESCRIPTORS)
-        backend_descriptors = int(descriptors * BACKEND_DESCRIPTOR_RATIO)
+        file_descriptors = max(MIN_FILE_DESCRIPTORS, node.max_open_files - RESERVED_FILE_DESCRIPTORS)
+        backend_file_descriptors = int(file_descriptors * BACKEND_FILE_DESCRIPTOR_RATIO)
         body_memory = BodyMemory(int(node.memory_mb * BODY_MEMORY_RATIO * BYTES_PER_MB))
-        self._pools = ConnectionPools(clock, node.region, backend_descriptors, self.event_counts, body_memory)
+        self._pools = ConnectionPools(clock, node.region, backend_file_descriptors, self.event_counts, body_memory)
         self.context = DataPlaneContext(load_balancer, quota_counter, self._pools, clock, self.event_counts)
         self.listener = HttpListener(
-            self.context, node.listen_addresses["frontend"], descriptors - backend_descriptors, body_memory
+            self.context, node.listen_addresses["frontend"], file_descriptors - backend_file_descriptors, body_memory
         )
         self.listener.on_config_changed()
-        self._expiry_timer: asyncio.TimerHandle | None = None
-        self._last_expiry_at = clock()
+        self._timeout_check_timer: asyncio.TimerHandle | None = None
+        self._last_timeout_check_at = clock()
         self._was_stalled = False
 
     async def start(self) -> None:
         """Listen for clients.
 
         Raises:
-            OSError: the frontend address cannot be listened at.
+            OSError: the frontend address cannot be bound.
         """
         await self.listener.start()
-        self._expire_idle()
+        self._enforce_timeouts()
 
-    # What other planes know.
+    # Updates from other planes.
 
     def set_config(self, config: ClusterConfig) -> None:
-        """Replace the cluster configuration; it applies to each request that is read from now on."""
+        """Replace the cluster configuration; it applies to every request that is read after this call."""
         self._load_balancer.set_config(self._clock(), config)
         self._pools.set_services(config.services)
         self.context.config = config
@@ -90,7 +90,7 @@
         self._pools.set_gateway_count(sum(1 for entry in entries if entry.frontend))
 
     def metrics(self) -> list[Metric]:
-        """Return the counts of events, and the connections that are open now."""
+        """Return the event counters and the numbers of open connections."""
         events = {event: float(count) for event, count in self.event_counts.items()}
         connections = {"client": float(len(self.listener.connections)), "backend": float(self._pools.open_count)}
         return [
@@ -101,7 +101,7 @@
     # Shutdown.
 
     def start_draining(self) -> None:
-        """Close each client connection with its next reply."""
+        """Close each client connection after its next reply."""
         self.listener.start_draining()
 
     def close_listener(self) -> None:
@@ -109,26 +109,28 @@
         self.listener.close_listener()
 
     async def wait_drained(self, until: float) -> bool:
-        """Wait until no client connection is open, at most until a moment (steady ms); return whether none is."""
+        """Wait until all client connections are closed or `until` (monotonic ms) has passed; return whether all are."""
         return await self.listener.wait_drained(until)
 
     def close(self) -> None:
-        """Close all connections at once."""
-        if self._expiry_timer is not None:
-            self._expiry_timer.cancel()
+        """Close all connections immediately."""
+        if self._timeout_check_timer is not None:
+            self._timeout_check_timer.cancel()
         self.listener.close()
         self._pools.close()
 
-    def _expire_idle(self) -> None:
-        """Apply the time-outs of all connections, and set the timer for the next run."""
+    def _enforce_timeouts(self) -> None:
+        """Enforce the time-outs of all connections and schedule the next check."""
         now = self._clock()
-        # After a stall, bytes that arrived meanwhile are read first, for one interval: a peer is not late because this
-        # process was.
-        if now - self._last_expiry_at < STALL_GAP_MS or self._was_stalled:
+        # After a stall, skip one check so that the event loop first reads the bytes that arrived in the meantime: a
+        # peer must not time out because this process was late.
+        if now - self._last_timeout_check_at < STALL_GAP_MS or self._was_stalled:
             self._was_stalled = False
-            self.listener.expire_idle(now)
-            self._pools.expire_idle(now)
+            self.listener.enforce_timeouts(now)
+            self._pools.enforce_timeouts(now)
         else:
             self._was_stalled = True
-        self._last_expiry_at = now
-        self._expiry_timer = asyncio.get_running_loop().call_later(EXPIRY_INTERVAL_S, self._expire_idle)
+        self._last_timeout_check_at = now
+        self._timeout_check_timer = asyncio.get_running_loop().call_later(
+            TIMEOUT_CHECK_INTERVAL_S, self._enforce_timeouts
+        )
--- a/tests/system/data/attempt_endings.py
+++ b/tests/system/data/attempt_endings.py
@@ -1,4 +1,4 @@
-"""Every way in which an attempt can end, as a table, and backends that make the first attempt of a request end so."""
+"""A table of the ways in which an attempt can end, and backends that produce them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tests.system.data.scripted_peers import SEAL_LINE, Peer
 
-# More than the kernel takes off a connection whose backend reads only the head.
+# More than the socket buffers hold if the backend reads only the head.
 LONG_BODY = bytes(8 * 1024 * 1024)
 OWN_ID_LINE = b"Hallhitch-Request-Id: id-1\r\n"
 OTHER_ID_LINE = b"Hallhitch-Request-Id: id-0\r\n"
@@ -28,17 +28,17 @@
 
 
 class BackendStep(Enum):
-    """What a backend does besides writing."""
+    """Actions of a backend other than writing bytes."""
 
     READ = "read the body"
     RUN = "read the body and run the request"
     RESET = "reset the connection"
     CLOSE = "close the connection"
-    WAIT = "nothing until the client has its reply"
+    WAIT = "wait until the client has its reply"
 
 
 class RetryRule(Enum):
-    """Whether another attempt may follow an ending."""
+    """Whether the request may be retried after an ending."""
 
     IF_IDEMPOTENT = "the request may have run: only if it is idempotent and attempts remain"
     ALWAYS = "the request certainly did not run: if attempts remain"
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Ending:
-    """One way in which an attempt can end; `status` is what the client gets if no other attempt follows."""
+    """One way in which an attempt can end; `status` is the client's reply status if no other attempt follows."""
 
     name: str
     steps: tuple[BackendStep | bytes, ...]
@@ -55,10 +55,10 @@
     retry_rule: RetryRule = RetryRule.IF_IDEMPOTENT
     request_body: bytes = b"x"
 
-    def expected_status(self, is_unsafe: bool, max_attempts: int) -> int:
-        """Return the status that the client gets where every other attempt succeeds."""
+    def expected_status(self, is_non_idempotent: bool, max_attempts: int) -> int:
+        """Return the status of the client's reply if every other attempt succeeds."""
         may_retry = self.retry_rule is RetryRule.ALWAYS or (
-            self.retry_rule is RetryRule.IF_IDEMPOTENT and not is_unsafe
+            self.retry_rule is RetryRule.IF_IDEMPOTENT and not is_non_idempotent
         )
         return 200 if may_retry and max_attempts > 1 else self.status
 
@@ -66,14 +66,14 @@
 def partly_written(
     name: str, *steps: BackendStep | bytes, status: int = 502, retry_rule: RetryRule = RetryRule.IF_IDEMPOTENT
 ) -> Ending:
-    """Return an ending that comes while the request's body is being written."""
+    """Return an ending that occurs while the request's body is being written."""
     return Ending(f"partly written, {name}", steps, status, retry_rule, LONG_BODY)
 
 
 def fully_written(
     name: str, *steps: BackendStep | bytes, status: int = 502, retry_rule: RetryRule = RetryRule.IF_IDEMPOTENT
 ) -> Ending:
-    """Return an ending after the request was written; it ran unless the first step reads it or waits."""
+    """Return an ending after the request was written; unless the first step is READ or WAIT, the backend runs it."""
     first = () if steps[0] in (BackendStep.READ, BackendStep.WAIT) else (BackendStep.RUN,)
     return Ending(f"fully written, {name}", first + steps, status, retry_rule)
 
@@ -96,7 +96,7 @@
     fully_written("time-out", RUN, WAIT, CLOSE, status=504),
     fully_written("suspended, run later", WAIT, RUN, SUCCESS, status=504),
     fully_written("late response", RUN, WAIT, SUCCESS, status=504),
-    fully_written("late response, doubled", RUN, WAIT, SUCCESS, SUCCESS, status=504),
+    fully_written("late response, sent twice", RUN, WAIT, SUCCESS, SUCCESS, status=504),
     fully_written("late rejection", WAIT, READ, DECLINED, status=504),
     fully_written("1xx, then reset", EARLY_HINTS, RESET),
     fully_written("1xx, then close", EARLY_HINTS, EARLY_HINTS, CLOSE),
@@ -111,8 +111,8 @@
         "another id's rejection, then reset", encode_response(503, OTHER_ID_LINE + NOT_EXECUTED_LINE, b""), RESET
     ),
     fully_written("another id's 421, then close", encode_response(421, OTHER_ID_LINE, b""), CLOSE),
-    fully_written("doubled response", SUCCESS, SUCCESS, status=200, retry_rule=NEVER),
-    fully_written("response, then noise", SUCCESS, b"noise", status=200, retry_rule=NEVER),
+    fully_written("response sent twice", SUCCESS, SUCCESS, status=200, retry_rule=NEVER),
+    fully_written("response, then garbage", SUCCESS, b"noise", status=200, retry_rule=NEVER),
     fully_written("response, then its rejection", SUCCESS, DECLINED, status=200, retry_rule=NEVER),
     fully_written("response truncated by close", SUCCESS[:-3], CLOSE),
     fully_written("response truncated by reset", SUCCESS[:-3], RESET),
@@ -125,14 +125,14 @@
     fully_written("truncated rejection", encode_response(503, OWN_ID_LINE + NOT_EXECUTED_LINE)[:-3], CLOSE),
     fully_written("half a response, then time-out", SUCCESS[:-3], WAIT, CLOSE, status=504),
     fully_written("response without id", encode_response(200, SEAL_LINE)),
-    fully_written("no HTTP", b"\x00\x01 no answer\r\n\r\n", CLOSE),
+    fully_written("not HTTP", b"\x00\x01 no answer\r\n\r\n", CLOSE),
     fully_written("500", encode_response(500, OWN_ID_LINE, b"no"), status=500),
-    fully_written("503 that may have run", encode_response(503, OWN_ID_LINE, b"")),
-    fully_written("429 that may have run", encode_response(429, OWN_ID_LINE, b"")),
-    fully_written("408 that may have run", encode_response(408, OWN_ID_LINE, b"")),
-    fully_written("503 that never ran", READ, DECLINED, status=503, retry_rule=ALWAYS),
+    fully_written("503, may have run", encode_response(503, OWN_ID_LINE, b"")),
+    fully_written("429, may have run", encode_response(429, OWN_ID_LINE, b"")),
+    fully_written("408, may have run", encode_response(408, OWN_ID_LINE, b"")),
+    fully_written("503, never ran", READ, DECLINED, status=503, retry_rule=ALWAYS),
     fully_written(
-        "429 that never ran",
+        "429, never ran",
         READ,
         encode_response(429, OWN_ID_LINE + NOT_EXECUTED_LINE, b""),
         status=503,
@@ -143,11 +143,11 @@
 
 
 class RecordingBackends:
-    """Backends that record what they ran; the first attempt of request id-1 ends as given, all others succeed."""
+    """Backends that count what they run; the first attempt of request id-1 ends with `ending`, all others succeed."""
 
     def __init__(self, ending: Ending) -> None:
         self.ending = ending
-        self.has_met_ending = False
+        self.has_used_ending = False
         self.run_counts: Counter[bytes] = Counter()  # by request id
         self.attempt_counts: Counter[bytes] = Counter()
         self.reply_received = asyncio.Event()
@@ -159,15 +159,15 @@
             _, fields = await peer.read_head()
             length = int(fields.get(b"content-length", b"0"))
             self.attempt_counts[peer.request_id] += 1
-            if peer.request_id == b"id-1" and not self.has_met_ending:
-                self.has_met_ending = True
+            if peer.request_id == b"id-1" and not self.has_used_ending:
+                self.has_used_ending = True
                 is_open = await self._end_attempt(peer, length)
             else:
                 await self._run(peer, length)
                 peer.respond(200, b"ran " + peer.request_id)
 
     async def _end_attempt(self, peer: Peer, length: int) -> bool:
-        """Take the steps of the ending; return whether the connection can carry another request."""
+        """Perform the steps of the ending; return whether the connection can be used for another request."""
         unread = length
         for step in self.ending.steps:
             if isinstance(step, bytes):
--- a/tests/system/data/scripted_peers.py
+++ b/tests/system/data/scripted_peers.py
@@ -1,4 +1,4 @@
-"""Scripted ends of HTTP connections: clients and backends that a test drives message by message."""
+"""HTTP clients and backends that a test controls message by message."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ReceivedHead(NamedTuple):
-    """The head of a message that was read."""
+    """The head of a received message."""
 
     start_line: bytes
     fields: dict[bytes, bytes]  # names in lower case
@@ -22,7 +22,7 @@
 
 
 class ReceivedMessage(NamedTuple):
-    """A message that was read completely."""
+    """A message that was received completely."""
 
     start_line: bytes
     fields: dict[bytes, bytes]  # names in lower case
@@ -35,7 +35,7 @@
 
 
 class Peer:
-    """One end of a connection, which reads messages and writes bytes."""
+    """One end of a connection: reads HTTP messages and writes bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -45,7 +45,7 @@
         """Read the head of the next message.
 
         Raises:
-            asyncio.IncompleteReadError: the connection has ended.
+            asyncio.IncompleteReadError: the connection was closed.
         """
         start_line, *lines = (await self.reader.readuntil(b"\r\n\r\n"))[:-4].split(b"\r\n")
         fields = {name.lower(): value for name, _, value in (line.partition(b": ") for line in lines)}
@@ -68,13 +68,13 @@
         return body
 
     def write(self, data: bytes) -> None:
-        """Write bytes as they are."""
+        """Write bytes unchanged."""
         self.writer.write(data)
 
     def respond(
         self, status: int = 200, body: bytes = b"", field_lines: bytes = SEAL_LINE, request_id: bytes | None = None
     ) -> None:
-        """Write a response, by default to the request that was read last."""
+        """Write a response; its default request id is that of the last request that was read."""
         self.write(
             b"HTTP/1.1 %d X\r\nHallhitch-Request-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s"
             % (status, self.request_id if request_id is None else request_id, field_lines, len(body), body)
@@ -86,14 +86,14 @@
 
 
 Script = Callable[[Peer], Awaitable[None]]
-Response = Callable[[Peer], None]
+ResponseAction = Callable[[Peer], None]
 
 
 class ScriptedBackend:
-    """A backend that records requests and responds to each as listed; the last response repeats."""
+    """A backend that records requests and performs the listed responses in order, repeating the last one."""
 
-    def __init__(self, *responses: Response, is_paused: bool = False) -> None:
-        """`is_paused`: it does not respond before `may_respond` is set."""
+    def __init__(self, *responses: ResponseAction, is_paused: bool = False) -> None:
+        """If `is_paused`, it does not respond until `may_respond` is set."""
         self.responses = responses
         self.requests: list[ReceivedMessage] = []
         self.connection_count = 0
@@ -113,13 +113,13 @@
             respond(peer)
 
 
-def respond_with(body: bytes = b"ok", status: int = 200, field_lines: bytes = SEAL_LINE) -> Response:
-    """Return a backend's action: write this response."""
+def respond_with(body: bytes = b"ok", status: int = 200, field_lines: bytes = SEAL_LINE) -> ResponseAction:
+    """Return an action that writes this response."""
     return lambda peer: peer.respond(status, body, field_lines)
 
 
-def write_and_close(data: bytes) -> Response:
-    """Return a backend's action: write these bytes and close the connection."""
+def write_and_close(data: bytes) -> ResponseAction:
+    """Return an action that writes these bytes and closes the connection."""
 
     def act(peer: Peer) -> None:
         peer.write(data)
--- a/tests/system/data/test_attempt_end_matrix.py
+++ b/tests/system/data/test_attempt_end_matrix.py
@@ -1,9 +1,10 @@
-"""Every way in which an attempt can end: whether it is retried, what the client gets, whether the quota is refunded.
+"""Retries, replies and refunds for every way in which an attempt can end.
 
-The first attempt of a request ends as listed in `attempt_endings`; all others succeed. For each ending, for unsafe and
-idempotent requests, with one attempt and more, by a plain policy and by the load balancer in service: an unsafe request
-runs at most once; 503, 429, 408 and 421 are sent only where the request never ran nor will; no response to another
-request reaches a client, neither at once nor with its next request.
+The first attempt of a request ends as listed in `attempt_endings`; all others succeed. Each ending is tested for
+idempotent and non-idempotent requests, with one attempt and with several, with a stub policy and with the production
+load balancer. The test checks that a non-idempotent request runs at most once, that 503, 429, 408 and 421 are sent only
+if the request never ran and never will, and that no client receives the response to another request, neither as the
+reply to this request nor to its next one.
 """
 
 from __future__ import annotations
@@ -22,20 +23,20 @@
 from tests.system.data.virtual_time_loop import VirtualTimeLoop
 
 TENANT = Tenant("t", ("k",), 0, 1000.0, 1000.0)
-NEVER_RAN_STATUSES = {429, 503, 408, 421}  # by these a client concludes that its request never ran
+NEVER_RAN_STATUSES = {429, 503, 408, 421}  # from these a client concludes that its request never ran
 DEADLINE_MS = 400
 HEDGE_DELAY_MS = 100.0
 
 
 def make_load_balancer() -> LoadBalancer:
-    """Return the load balancer in service, with a budget that allows retries from the first moment on."""
+    """Return the production load balancer, with a retry budget that allows retries immediately."""
     return LoadBalancer(
         LoadBalancerSettings("edge-1", "a-1", "a", retry_window_ms=0.0, retry_budget_slack=100.0), Random(1)
     )
 
 
 def run_in_virtual_time(test: Callable[[DataPlaneHarness], Awaitable[None]], is_load_balanced: bool) -> None:
-    """Run a test with a data plane whose time is virtual."""
+    """Run a test with a data plane on virtual time."""
     loop = VirtualTimeLoop()
 
     async def run() -> None:
@@ -53,26 +54,26 @@
 
 
 def encode_numbered_request(number: int, body: bytes) -> bytes:
-    """Return the bytes of the request with this number."""
+    """Return the bytes of the request `id-<number>`."""
     field_lines = f"Authorization: Token k\r\nHallhitch-Deadline-Remaining: {DEADLINE_MS}\r\n"
     return encode_request(request_id=f"id-{number}", method="POST", body=body, field_lines=field_lines)
 
 
-def configure(harness: DataPlaneHarness, is_unsafe: bool, max_attempts: int) -> None:
+def configure(harness: DataPlaneHarness, is_non_idempotent: bool, max_attempts: int) -> None:
     """Configure one route for a tenant with a quota."""
-    route = make_route("non_idempotent" if is_unsafe else "idempotent", max_attempts=max_attempts)
+    route = make_route("non_idempotent" if is_non_idempotent else "idempotent", max_attempts=max_attempts)
     harness.plane.set_config(make_config(route, tenants=[TENANT]))
 
 
 @pytest.mark.parametrize("ending", ENDINGS, ids=lambda ending: ending.name)
-@pytest.mark.parametrize("is_unsafe", [True, False], ids=["unsafe", "idempotent"])
+@pytest.mark.parametrize("is_non_idempotent", [True, False], ids=["non-idempotent", "idempotent"])
 @pytest.mark.parametrize("max_attempts", [1, 3])
-@pytest.mark.parametrize("is_load_balanced", [False, True], ids=["plain", "load-balanced"])
+@pytest.mark.parametrize("is_load_balanced", [False, True], ids=["stub-policy", "load-balancer"])
 def test_retry_reply_and_refund_after_each_ending(
-    ending: Ending, is_unsafe: bool, max_attempts: int, is_load_balanced: bool
+    ending: Ending, is_non_idempotent: bool, max_attempts: int, is_load_balanced: bool
 ) -> None:
     async def test(harness: DataPlaneHarness) -> None:
-        configure(harness, is_unsafe, max_attempts)
+        configure(harness, is_non_idempotent, max_attempts)
         backends = RecordingBackends(ending)
         for name in ("b-1", "b-2"):
             await harness.start_backend(name, backends)
@@ -81,19 +82,19 @@
         refund_count = len(harness.quota_counter.refunds)
         run_count_at_reply = backends.run_counts[b"id-1"]
         backends.reply_received.set()
-        # Bytes that come late now must not become the response to the next request.
+        # Bytes that arrive late now must not become the response to the next request.
         next_reply = await harness.send(encode_numbered_request(2, b"x"))
         while harness.plane.listener.request_tasks:
             await asyncio.sleep(0)
 
-        assert reply.status == ending.expected_status(is_unsafe, max_attempts)
+        assert reply.status == ending.expected_status(is_non_idempotent, max_attempts)
         assert next_reply.status == 200 and next_reply.body == b"ran id-2" and backends.run_counts[b"id-2"] == 1
         assert reply.body == b"ran id-1" if reply.status == 200 else b"ran" not in reply.body
         says_never_ran = reply.status in NEVER_RAN_STATUSES
-        assert not (says_never_ran and backends.run_counts[b"id-1"]), "the reply says that it never ran, and it ran"
-        assert refund_count == says_never_ran, "a unit is refunded if and only if the request certainly never ran"
+        assert not (says_never_ran and backends.run_counts[b"id-1"]), "the reply says that it never ran, but it ran"
+        assert refund_count == says_never_ran, "the unit must be refunded if and only if the request never ran"
         assert backends.attempt_counts[b"id-1"] <= max_attempts
-        if is_unsafe:
+        if is_non_idempotent:
             assert backends.run_counts[b"id-1"] <= 1 and run_count_at_reply <= 1
             has_retry = ending.retry_rule is RetryRule.ALWAYS and max_attempts > 1
             assert backends.attempt_counts[b"id-1"] == 1 + has_retry
@@ -101,15 +102,15 @@
     run_in_virtual_time(test, is_load_balanced)
 
 
-@pytest.mark.parametrize("is_unsafe", [True, False], ids=["unsafe", "idempotent"])
-@pytest.mark.parametrize("is_load_balanced", [False, True], ids=["plain", "load-balanced"])
+@pytest.mark.parametrize("is_non_idempotent", [True, False], ids=["non-idempotent", "idempotent"])
+@pytest.mark.parametrize("is_load_balanced", [False, True], ids=["stub-policy", "load-balancer"])
 def test_request_that_cannot_be_written_goes_to_another_backend_or_is_rejected(
-    is_unsafe: bool, is_load_balanced: bool
+    is_non_idempotent: bool, is_load_balanced: bool
 ) -> None:
-    """A refused connection does not count as an attempt; without room for a connection the quota is refunded."""
+    """A refused connection does not count as an attempt; if no connection may be opened, the quota is refunded."""
 
     async def test(harness: DataPlaneHarness) -> None:
-        configure(harness, is_unsafe, max_attempts=1)
+        configure(harness, is_non_idempotent, max_attempts=1)
         backends = RecordingBackends(Ending("success", (RUN, SUCCESS), 200))
         await harness.start_backend("b-1", backends)
         harness.servers[0].close()
--- a/tests/system/data/test_attempt_outcomes.py
+++ b/tests/system/data/test_attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts at scripted backends: what is retried, which response is whose, what the client is told."""
+"""Outcomes of attempts at scripted backends: retries, matching of responses to requests, and replies to clients."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.system.data.scripted_peers import (
     SEAL_LINE,
     Peer,
-    Response,
+    ResponseAction,
     Script,
     ScriptedBackend,
     encode_request,
@@ -26,7 +26,7 @@
 RATE_LIMITED_TENANTS = [Tenant("t", ("k",), 0, 9.0, 9.0)]
 
 
-FAILURES: list[tuple[Response, Outcome]] = [
+FAILURES: list[tuple[ResponseAction, Outcome]] = [
     (Peer.reset, Outcome.CONNECTION_LOST),
     (write_and_close(b""), Outcome.CONNECTION_LOST),
     (write_and_close(HEAD + b"Content-Length: 9\r\n\r\npart"), Outcome.INVALID_RESPONSE),
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize(("response", "outcome"), FAILURES)
 @with_data_plane()
 async def test_request_that_may_have_run_is_retried_only_if_idempotent(
-    harness: DataPlaneHarness, response: Response, outcome: Outcome
+    harness: DataPlaneHarness, response: ResponseAction, outcome: Outcome
 ) -> None:
     failing, healthy = ScriptedBackend(response), ScriptedBackend(respond_with(b"well"))
     await harness.start_backend("b-1", failing)
@@ -68,7 +68,7 @@
 )
 @with_data_plane()
 async def test_request_that_never_ran_is_retried_elsewhere_or_rejected_and_refunded(
-    harness: DataPlaneHarness, response: Response, outcome: Outcome
+    harness: DataPlaneHarness, response: ResponseAction, outcome: Outcome
 ) -> None:
     harness.plane.set_config(make_config(make_route("non_idempotent"), tenants=RATE_LIMITED_TENANTS))
     declining, healthy = ScriptedBackend(response), ScriptedBackend(respond_with(b"well"))
@@ -93,7 +93,7 @@
 
 
 @with_data_plane()
-async def test_client_error_that_a_backend_declares_is_forwarded(harness: DataPlaneHarness) -> None:
+async def test_client_error_marked_as_not_executed_is_forwarded(harness: DataPlaneHarness) -> None:
     await harness.start_backend("b-1", ScriptedBackend(respond_with(b"no id", 400, NOT_EXECUTED_LINE)))
     reply = await harness.send(b"GET / HTTP/1.1\r\nHost: shop.example\r\n\r\n")
     assert reply.status == 400 and reply.body == b"no id"
@@ -101,7 +101,7 @@
 
 @with_data_plane()
 async def test_response_to_another_request_is_dropped(harness: DataPlaneHarness) -> None:
-    """A second response to the first request comes in the place of the next; its connection is not reused."""
+    """A duplicate response to the first request arrives before the second one's; the connection is not reused."""
 
     def respond_twice(peer: Peer) -> None:
         peer.respond(200, b"first again", request_id=b"id-1")
@@ -117,8 +117,8 @@
 
 
 @with_data_plane(hedge_delay_ms=20.0)
-async def test_overdue_attempt_completes_after_its_hedge_was_answered(harness: DataPlaneHarness) -> None:
-    """Its late response is read and dropped, and its connection is reused."""
+async def test_overdue_attempt_completes_after_the_hedge_got_a_response(harness: DataPlaneHarness) -> None:
+    """The late response is read and dropped, and the connection is reused."""
     slow = ScriptedBackend(respond_with(b"late"), respond_with(b"next"), is_paused=True)
     await harness.start_backend("b-1", slow)
     await harness.start_backend("b-2", ScriptedBackend(respond_with(b"well")))
@@ -140,14 +140,14 @@
     field_lines = "Hallhitch-Deadline-Remaining: 60\r\n" + API_KEY_LINE
     assert (await harness.send(encode_request(method="POST", field_lines=field_lines))).status == 504
     assert not harness.quota_counter.refunds
-    harness.plane._pools.max_connections = 1  # taken by the attempt that is still in flight
+    harness.plane._pools.max_connections = 1  # used by the attempt that is still in flight
     reply = await harness.send(encode_request(method="POST", request_id="id-2", field_lines=field_lines))
     assert reply.status == 503 and b"retry-after" in reply.fields and len(harness.quota_counter.refunds) == 1
     assert harness.policy.outcomes[-1] == ("b-1", Outcome.CANCELLED)
 
 
 def respond_in_parts(parts: list[bytes], is_complete: bool, is_chunked: bool) -> Script:
-    """Return a backend whose response comes in parts, the last one only if it is to be complete."""
+    """Return a backend script that sends a response in parts, with the last part only if `is_complete`."""
 
     async def script(peer: Peer) -> None:
         await peer.read_message()
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize(("kind", "outcome"), [("idempotent", Outcome.ABANDONED), ("non_idempotent", Outcome.DECLINED)])
 @with_data_plane()
-async def test_request_of_a_client_that_is_gone_is_not_retried(
+async def test_request_of_a_disconnected_client_is_not_retried(
     harness: DataPlaneHarness, kind: str, outcome: Outcome
 ) -> None:
     declining = ScriptedBackend(respond_with(b"", 503, NOT_EXECUTED_LINE), is_paused=True)
@@ -192,7 +192,7 @@
     client.write(encode_request())
     await declining.request_received.wait()
     client.reset()
-    while not all(connection.is_gone for connection in harness.plane.listener.connections):
+    while not all(connection.is_disconnected for connection in harness.plane.listener.connections):
         await asyncio.sleep(0)
     declining.may_respond.set()
     while harness.plane.listener.request_tasks:
--- a/tests/system/data/test_backend_connections.py
+++ b/tests/system/data/test_backend_connections.py
@@ -1,4 +1,4 @@
-"""Connections to backends: which are reused, how many there are, and bytes that belong to no request."""
+"""Connections to backends: their reuse, their number, and received bytes that belong to no request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hallhitch.planes.data.idle_reuse import DEFAULT_MAX_IDLE_MS, LEARNED_LIMIT_TTL_MS, IdleReuse
+from hallhitch.planes.data.idle_reuse import DEFAULT_MAX_IDLE_MS, LEARNED_LIMIT_TTL_MS, IdleReuseLimit
 from hallhitch.planes.data.interfaces import Outcome
 from hallhitch.planes.values import Service
 from tests.system.data.data_plane_harness import DataPlaneHarness, make_config, make_route, with_data_plane
@@ -17,23 +17,21 @@
 
 
 def test_idle_limit_is_learned_from_resets_and_correlated_closes() -> None:
-    idle_reuse = IdleReuse()
-    assert (
-        idle_reuse.max_idle_ms(0, 0, False) == DEFAULT_MAX_IDLE_MS and idle_reuse.max_idle_ms(0, 10_000, False) == 7000
-    )
-    assert idle_reuse.max_idle_ms(0, 0, True) == 1000 and idle_reuse.max_idle_ms(0, 10_000, True) == 3500
-    idle_reuse.on_closed(0, "b-1", 800)  # one backend may have ended
-    assert idle_reuse.max_idle_ms(0, 0, False) == DEFAULT_MAX_IDLE_MS
-    idle_reuse.on_closed(500, "b-2", 700)
-    assert 250 < idle_reuse.max_idle_ms(600, 10_000, False) < 700
-    idle_reuse.on_reset(1000, 600)
-    idle_reuse.on_reset(2000, 20)  # too soon after its last use to say anything about idle time
-    assert idle_reuse.max_idle_ms(2000, 0, True) == 300
-    assert idle_reuse.max_idle_ms(1000 + LEARNED_LIMIT_TTL_MS, 0, False) == DEFAULT_MAX_IDLE_MS
+    limit = IdleReuseLimit()
+    assert limit.max_idle_ms(0, 0, False) == DEFAULT_MAX_IDLE_MS and limit.max_idle_ms(0, 10_000, False) == 7000
+    assert limit.max_idle_ms(0, 0, True) == 1000 and limit.max_idle_ms(0, 10_000, True) == 3500
+    limit.on_closed(0, "b-1", 800)  # a single backend may have stopped
+    assert limit.max_idle_ms(0, 0, False) == DEFAULT_MAX_IDLE_MS
+    limit.on_closed(500, "b-2", 700)
+    assert 250 < limit.max_idle_ms(600, 10_000, False) < 700
+    limit.on_reset(1000, 600)
+    limit.on_reset(2000, 20)  # too soon after the last use to say anything about the idle time-out
+    assert limit.max_idle_ms(2000, 0, True) == 300
+    assert limit.max_idle_ms(1000 + LEARNED_LIMIT_TTL_MS, 0, False) == DEFAULT_MAX_IDLE_MS
 
 
 @with_data_plane()
-async def test_unsafe_request_is_not_written_to_a_connection_idle_for_long(harness: DataPlaneHarness) -> None:
+async def test_non_idempotent_request_is_not_written_to_a_connection_idle_for_long(harness: DataPlaneHarness) -> None:
     harness.plane.set_config(make_config(make_route("non_idempotent", prefix="/once/"), make_route()))
     backend = ScriptedBackend(respond_with())
     await harness.start_backend("b-1", backend)
@@ -45,14 +43,14 @@
         assert backend.connection_count == connection_count
     for connection in pool.idle:
         connection.idle_since -= 5000
-    pool.expire_idle(harness.plane.context.clock())
+    pool.enforce_timeouts(harness.plane.context.clock())
     assert not pool.idle and not pool.connections
 
 
 @pytest.mark.parametrize("excess", [HEAD + b"Content-Length: 4\r\n\r\nmore", b"noise", b""])
 @pytest.mark.parametrize("is_late", [False, True])
 @with_data_plane()
-async def test_connection_with_bytes_behind_a_response_or_closed_by_its_backend_is_not_reused(
+async def test_connection_with_excess_bytes_or_closed_by_its_backend_is_not_reused(
     harness: DataPlaneHarness, excess: bytes, is_late: bool
 ) -> None:
     async def script(peer: Peer) -> None:
@@ -64,10 +62,10 @@
         if is_late:
             peer.write(excess)
         if excess:
-            await peer.reader.read()  # the gateway closes such a connection
+            await peer.reader.read()  # returns when the gateway closes the connection
 
-    assert harness.plane._expiry_timer is not None
-    harness.plane._expiry_timer.cancel()  # it closes for no other reason
+    assert harness.plane._timeout_check_timer is not None
+    harness.plane._timeout_check_timer.cancel()  # so that no time-out closes the connections
     harness.plane.set_config(make_config(make_route("non_idempotent")))
     await harness.start_backend("b-1", script)
     client = await harness.connect_client()
@@ -118,19 +116,19 @@
     [("idempotent", Outcome.ABANDONED), ("download", Outcome.ABANDONED), ("non_idempotent", Outcome.OK)],
 )
 @with_data_plane()
-async def test_long_response_is_read_on_after_its_client_is_gone_only_if_the_request_is_unsafe(
+async def test_long_response_of_a_disconnected_client_is_read_to_its_end_only_if_not_idempotent(
     harness: DataPlaneHarness, kind: str, outcome: Outcome
 ) -> None:
-    was_read_to_its_end: list[bool] = []
+    is_fully_read: list[bool] = []
 
     async def script(peer: Peer) -> None:
         await peer.read_message()
         peer.write(HEAD + b"Content-Length: 30000000\r\n\r\n")
-        was_read_to_its_end.append(False)
+        is_fully_read.append(False)
         for _ in range(300):
             peer.write(bytes(100_000))
             await peer.writer.drain()
-        was_read_to_its_end.append(True)
+        is_fully_read.append(True)
         await peer.reader.read()
 
     harness.plane.set_config(make_config(make_route(kind)))
@@ -142,7 +140,7 @@
     while not harness.policy.outcomes:
         await asyncio.sleep(0)
     assert harness.policy.outcomes == [("b-1", outcome)]
-    assert was_read_to_its_end[-1] == (kind == "non_idempotent")
+    assert is_fully_read[-1] == (kind == "non_idempotent")
     assert harness.plane.listener.body_memory.used_bytes == 0
 
 
@@ -162,8 +160,8 @@
 
 
 @with_data_plane()
-async def test_buffered_response_holds_memory_until_its_client_has_taken_it(harness: DataPlaneHarness) -> None:
-    """Where no memory is left it is streamed; either way all memory is released."""
+async def test_buffered_response_reserves_memory_until_its_client_has_received_it(harness: DataPlaneHarness) -> None:
+    """If no memory is left, the response is streamed; in both cases all memory is released."""
     await harness.start_backend("b-1", ScriptedBackend(respond_with(LONG_BODY)))
     body_memory = harness.plane.listener.body_memory
     client = await harness.connect_client()
--- a/tests/system/data/test_client_departure.py
+++ b/tests/system/data/test_client_departure.py
@@ -1,4 +1,4 @@
-"""A client that leaves before its reply: what becomes of the attempts that work for it."""
+"""Clients that disconnect before their reply: what happens to the attempts of their requests."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
 TENANT = Tenant("plant", ("k-1",), 0, 100.0, 10.0)
 API_KEY_LINE = "Authorization: Token k-1\r\n"
 UPLOAD_BYTES = 4 * 1024 * 1024
-BODY_MEMORY_BYTES = 100_000  # less than the upload: it is streamed to the backend as it comes
+BODY_MEMORY_BYTES = 100_000  # less than the upload, which is therefore streamed to the backend
 
 
-class WorkingBackend:
-    """A backend that works on each request until its connection closes."""
+class NeverRespondingBackend:
+    """A backend that never responds, but notices when its connection closes."""
 
     def __init__(self) -> None:
         self.request_count = 0
-        self.has_request = asyncio.Event()
-        self.has_stopped = asyncio.Event()
+        self.head_received = asyncio.Event()
+        self.connection_ended = asyncio.Event()
 
     async def __call__(self, peer: Peer) -> None:
         """Serve one connection."""
         await peer.read_head()
         self.request_count += 1
-        self.has_request.set()
+        self.head_received.set()
         try:
             await peer.reader.read()
         finally:
-            self.has_stopped.set()
+            self.connection_ended.set()
 
 
-def leave(client: Peer, how: str) -> None:
-    """Close a client's connection, or its sending side."""
-    if how == "reset":
+def disconnect(client: Peer, disconnect_kind: str) -> None:
+    """Reset, close or half-close a client's connection."""
+    if disconnect_kind == "reset":
         client.reset()
-    elif how == "close":
+    elif disconnect_kind == "close":
         client.writer.close()
     else:
         client.writer.write_eof()
 
 
-async def wait_until_gone(harness: DataPlaneHarness) -> None:
-    """Wait until the gateway has noticed that its clients are gone."""
-    while not all(connection.is_gone for connection in harness.plane.listener.connections):
+async def wait_until_disconnected(harness: DataPlaneHarness) -> None:
+    """Wait until the gateway has noticed that all clients are disconnected."""
+    while not all(connection.is_disconnected for connection in harness.plane.listener.connections):
         await asyncio.sleep(0)
 
 
@@ -58,106 +58,106 @@
         await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("how", ["close", "reset", "end of sending"])
+@pytest.mark.parametrize("disconnect_kind", ["close", "reset", "half-close"])
 @with_data_plane()
-async def test_backend_stops_working_once_the_client_of_a_repeatable_request_has_left(
-    harness: DataPlaneHarness, how: str
+async def test_attempt_of_an_idempotent_request_is_abandoned_when_its_client_disconnects(
+    harness: DataPlaneHarness, disconnect_kind: str
 ) -> None:
-    backend = WorkingBackend()
+    backend = NeverRespondingBackend()
     await harness.start_backend("b-1", backend)
     client = await harness.connect_client()
     client.write(encode_request())
-    await backend.has_request.wait()
-    leave(client, how)
-    await wait_until_gone(harness)
+    await backend.head_received.wait()
+    disconnect(client, disconnect_kind)
+    await wait_until_disconnected(harness)
     async with asyncio.timeout(2):
-        await backend.has_stopped.wait()
+        await backend.connection_ended.wait()
     await wait_until_handled(harness)
     assert backend.request_count == 1 and harness.policy.outcomes == [("b-1", Outcome.ABANDONED)]
     assert harness.plane._pools.open_count == 0 and harness.plane.event_counts["client_gone"] == 1
 
 
 @with_data_plane()
-async def test_client_that_only_ends_its_sending_gets_a_reply_without_a_promise(harness: DataPlaneHarness) -> None:
-    backend = WorkingBackend()
+async def test_client_that_half_closes_gets_502_because_the_request_may_have_run(harness: DataPlaneHarness) -> None:
+    backend = NeverRespondingBackend()
     await harness.start_backend("b-1", backend)
     client = await harness.connect_client()
     client.write(encode_request())
-    await backend.has_request.wait()
-    leave(client, "end of sending")
-    assert (await client.read_message()).status == 502  # it may have run
+    await backend.head_received.wait()
+    disconnect(client, "half-close")
+    assert (await client.read_message()).status == 502
     assert await client.reader.read() == b""
 
 
 @with_data_plane(hedge_delay_ms=1.0)
-async def test_all_backends_stop_that_work_on_one_request_of_a_client_that_has_left(harness: DataPlaneHarness) -> None:
-    backends = [WorkingBackend(), WorkingBackend()]
+async def test_all_attempts_of_one_request_are_abandoned_when_its_client_disconnects(harness: DataPlaneHarness) -> None:
+    backends = [NeverRespondingBackend(), NeverRespondingBackend()]
     for number, backend in enumerate(backends):
         await harness.start_backend(f"b-{number}", backend)
     client = await harness.connect_client()
     client.write(encode_request())
     for backend in backends:
-        await backend.has_request.wait()
-    leave(client, "close")
+        await backend.head_received.wait()
+    disconnect(client, "close")
     for backend in backends:
-        await backend.has_stopped.wait()
+        await backend.connection_ended.wait()
     await wait_until_handled(harness)
     ended = [entry for entry in harness.policy.outcomes if entry[1] is not Outcome.TIMED_OUT]
     assert sorted(ended) == [("b-0", Outcome.ABANDONED), ("b-1", Outcome.ABANDONED)]
 
 
 @with_data_plane()
-async def test_unsafe_request_that_was_sent_runs_on_without_its_client(harness: DataPlaneHarness) -> None:
+async def test_non_idempotent_request_that_was_sent_continues_without_its_client(harness: DataPlaneHarness) -> None:
     backend = ScriptedBackend(respond_with(), is_paused=True)
     harness.plane.set_config(make_config(make_route("non_idempotent")))
     await harness.start_backend("b-1", backend)
     client = await harness.connect_client()
     client.write(encode_request(method="POST", body=b"stamp"))
     await backend.request_received.wait()
-    leave(client, "close")
-    await wait_until_gone(harness)
+    disconnect(client, "close")
+    await wait_until_disconnected(harness)
     backend.may_respond.set()
     await wait_until_handled(harness)
     assert harness.policy.outcomes == [("b-1", Outcome.OK)]
-    assert harness.plane._pools.open_count == 1  # the connection is good for the next request
+    assert harness.plane._pools.open_count == 1  # the connection can be reused
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
 @with_data_plane()
-async def test_request_whose_client_leaves_before_it_is_sent_never_runs_and_is_refunded(
+async def test_request_whose_client_disconnects_before_it_is_sent_never_runs_and_is_refunded(
     harness: DataPlaneHarness, kind: str
 ) -> None:
     backend = ScriptedBackend(respond_with())
     await harness.start_backend("b-1", backend)
     harness.plane.set_config(make_config(make_route(kind), tenants=[TENANT]))
-    is_counting, may_answer = asyncio.Event(), asyncio.Event()
+    admit_called, may_admit = asyncio.Event(), asyncio.Event()
 
     async def admit(tenant: Tenant, timeout_ms: float) -> QuotaDecision:
-        is_counting.set()
-        await may_answer.wait()
+        admit_called.set()
+        await may_admit.wait()
         return harness.quota_counter.decision
 
     harness.quota_counter.admit = admit  # type: ignore[method-assign]
     client = await harness.connect_client()
     client.write(encode_request(field_lines=API_KEY_LINE))
-    await is_counting.wait()
-    leave(client, "close")
-    await wait_until_gone(harness)
-    may_answer.set()
+    await admit_called.wait()
+    disconnect(client, "close")
+    await wait_until_disconnected(harness)
+    may_admit.set()
     await wait_until_handled(harness)
     assert not backend.requests and len(harness.quota_counter.refunds) == 1
 
 
 @with_data_plane()
-async def test_pipelined_requests_of_a_client_that_has_left_are_not_sent(harness: DataPlaneHarness) -> None:
+async def test_pipelined_requests_of_a_disconnected_client_are_not_sent(harness: DataPlaneHarness) -> None:
     backend = ScriptedBackend(respond_with(), is_paused=True)
     harness.plane.set_config(make_config(make_route("non_idempotent")))
     await harness.start_backend("b-1", backend)
     client = await harness.connect_client()
     client.write(b"".join(encode_request(f"/{number}", f"id-{number}") for number in range(5)))
     await backend.request_received.wait()
-    leave(client, "close")
-    await wait_until_gone(harness)
+    disconnect(client, "close")
+    await wait_until_disconnected(harness)
     backend.may_respond.set()
     await wait_until_handled(harness)
     assert len(backend.requests) == 1
@@ -165,18 +165,18 @@
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
 @with_data_plane()
-async def test_backend_is_not_blamed_for_a_client_that_leaves_within_its_upload(
+async def test_backend_failure_is_not_recorded_when_a_client_disconnects_during_its_upload(
     harness: DataPlaneHarness, kind: str
 ) -> None:
-    backend = WorkingBackend()
+    backend = NeverRespondingBackend()
     harness.plane.listener.body_memory.limit_bytes = BODY_MEMORY_BYTES
     harness.plane.set_config(make_config(make_route(kind)))
     await harness.start_backend("b-1", backend)
     client = await harness.connect_client()
     request = encode_request(method="POST", body=bytes(UPLOAD_BYTES))
     client.write(request[: UPLOAD_BYTES // 2])
-    await backend.has_request.wait()
-    leave(client, "end of sending")
-    await backend.has_stopped.wait()  # an upload that breaks off never looks complete
+    await backend.head_received.wait()
+    disconnect(client, "half-close")
+    await backend.connection_ended.wait()  # a truncated upload must never look complete
     await wait_until_handled(harness)
     assert harness.policy.outcomes == [("b-1", Outcome.ABANDONED)]
--- a/tests/system/data/test_client_requests.py
+++ b/tests/system/data/test_client_requests.py
@@ -1,4 +1,4 @@
-"""Requests from a client connection to a backend and back: forwarding, rejection, quota, draining and time-outs."""
+"""Client requests through the data plane: forwarding, rejection, quota, draining and time-outs."""
 
 from __future__ import annotations
 
@@ -147,7 +147,7 @@
 
 
 @with_data_plane()
-async def test_request_over_quota_or_not_counted_reaches_no_backend(harness: DataPlaneHarness) -> None:
+async def test_request_over_quota_or_without_quota_counter_reaches_no_backend(harness: DataPlaneHarness) -> None:
     backend = ScriptedBackend(respond_with())
     await harness.start_backend("b-1", backend)
     harness.plane.set_config(make_config(make_route(), tenants=[TENANT]))
@@ -185,7 +185,7 @@
     await backend.request_received.wait()
     harness.plane.start_draining()
     harness.plane.close_listener()
-    harness.plane.listener.expire_idle(harness.plane.context.clock() + 2000)
+    harness.plane.listener.enforce_timeouts(harness.plane.context.clock() + 2000)
     backend.may_respond.set()
     _, fields, body = await client.read_message()
     assert body == b"late" and fields[b"connection"] == b"close"
@@ -201,9 +201,9 @@
     clock = harness.plane.context.clock
     while not harness.plane.listener.timers.reading_since or len(harness.plane.listener.connections) < 2:
         await asyncio.sleep(0)
-    harness.plane.listener.expire_idle(clock() + 3500)
+    harness.plane.listener.enforce_timeouts(clock() + 3500)
     assert (await slow.read_message()).status == 408
-    harness.plane.listener.expire_idle(clock() + 15_500)
+    harness.plane.listener.enforce_timeouts(clock() + 15_500)
     assert await idle.reader.read() == b""
 
 
--- a/tests/system/data/test_lingering_connection.py
+++ b/tests/system/data/test_lingering_connection.py
@@ -1,4 +1,4 @@
-"""A connection that lingers after its last reply."""
+"""Client connections that linger after their last reply."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BlockedTransport(asyncio.Transport):
-    """A transport that sends nothing: what is written stays in its buffer."""
+    """A transport that sends nothing: written bytes stay in its buffer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,8 +44,8 @@
 
 
 @with_data_plane()
-async def test_linger_timeout_starts_once_the_last_reply_has_left(harness: DataPlaneHarness) -> None:
-    """A reply that is still in the transport's buffer is not cut off, however long it takes."""
+async def test_linger_timeout_starts_after_the_last_reply_was_sent(harness: DataPlaneHarness) -> None:
+    """A reply in the transport's buffer is not truncated, however long sending it takes."""
     await harness.start_backend("b-1", ScriptedBackend(respond_with(b"whole")))
     listener, transport = harness.plane.listener, BlockedTransport()
     client = ClientConnection(listener)
@@ -55,11 +55,11 @@
     current_ms = now()
     for _ in range(5):
         current_ms += LINGER_TIMEOUT_MS + 1
-        listener.expire_idle(current_ms)
+        listener.enforce_timeouts(current_ms)
         assert not transport.is_aborted and transport.buffer.endswith(b"whole")
     transport.buffer = b""
-    listener.expire_idle(current_ms + LINGER_TIMEOUT_MS - 1)
+    listener.enforce_timeouts(current_ms + LINGER_TIMEOUT_MS - 1)
     assert not transport.is_aborted
-    listener.expire_idle(current_ms + LINGER_TIMEOUT_MS)
+    listener.enforce_timeouts(current_ms + LINGER_TIMEOUT_MS)
     assert transport.is_aborted
     client.connection_lost(None)
