--- a/hallhitch/planes/data/request_handler.py
+++ b/hallhitch/planes/data/request_handler.py
@@ -39,7 +39,7 @@
 # Pause after an attempt that ended immediately: the load balancer could select the same backend again in a busy loop.
 RESELECT_DELAY_MS: Final = 5.0
 MIN_RECHECK_DELAY_MS: Final = 1.0
-# Maximum delay of one timer; after a longer wait, the loop sets another one.
+# Maximum delay of one timer; for a longer wait, the loop sets several in turn.
 TIMER_MAX_MS: Final = 600_000.0
 # 4xx statuses that concern the backend or its load; the others are caused by the request itself.
 RETRYABLE_CLIENT_ERRORS: Final = frozenset((408, 421, 429))
