--- a/hallhitch/planes/control/errors.py
+++ b/hallhitch/planes/control/errors.py
@@ -1,6 +1,6 @@
-"""Errors of the control plane; each has fields and a text that says what went wrong and where.
+"""Errors of the control plane. The message of each says what failed and where; its fields hold the same data.
 
-A call to a peer that fails raises `node.errors.PeerCallError` instead, as everywhere.
+A failed call to a peer raises `node.errors.PeerCallError` instead, as in the other packages.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 
 
 class ControlPlaneError(Exception):
-    """The base of the control plane's own errors."""
+    """Base class of the errors that are specific to the control plane."""
 
 
 class ProposalNotReadyError(ControlPlaneError):
-    """An accept was asked of a proposal that has not chosen a state yet."""
+    """The accept of a proposal was requested before the proposal had a state."""
 
     def __init__(self, ballot: Ballot) -> None:
-        super().__init__(f"ballot {ballot.round} of {ballot.proposer} has no state to accept yet")
+        super().__init__(f"ballot {ballot.round} of {ballot.proposer} has no proposed state yet")
         self.ballot = ballot
 
 
 class CorruptDatabaseError(ControlPlaneError):
-    """A database of the data directory cannot be used."""
+    """A database in the data directory is unreadable or fails verification."""
 
     def __init__(self, database: str, reason: str) -> None:
         super().__init__(f"{database} {reason}")
@@ -29,14 +29,14 @@
 
 
 class StorageMissingError(ControlPlaneError, OSError):
-    """The settings name no data directory; handled like a disk that refuses."""
+    """The settings name no data directory; an `OSError`, so that it is handled like a failed write."""
 
     def __init__(self) -> None:
         super().__init__("the settings name no data directory")
 
 
 class InvalidConfigError(ControlPlaneError):
-    """A configuration that is not valid; the message is one line that names the field."""
+    """A configuration is invalid; the message is one line that names the field."""
 
     def __init__(self, reason: str, *, path: str = "") -> None:
         super().__init__(f"{path}: {reason}" if path else reason)
@@ -45,7 +45,7 @@
 
 
 class ConfigTooLargeError(InvalidConfigError):
-    """A configuration that is larger than anything that is kept."""
+    """A configuration exceeds the maximum size that is stored."""
 
     def __init__(self, size_bytes: int, max_bytes: int) -> None:
         super().__init__(f"{size_bytes} bytes are more than the {max_bytes} that are kept")
--- a/hallhitch/planes/control/state_delta.py
+++ b/hallhitch/planes/control/state_delta.py
@@ -1,4 +1,4 @@
-"""Deltas between cluster states: a state without the large parts that the receiver holds already.
+"""Deltas between cluster states: a delta is a state without the large parts that the receiver already holds.
 
 Invariant: `apply_delta(make_delta(state, base), base) == state` wherever `make_delta` returns a delta.
 """
@@ -10,14 +10,14 @@
 
 
 def copy_state(state: ClusterState) -> ClusterState:
-    """Return a copy that may be changed without changing the original."""
+    """Return a copy that may be modified without modifying the original."""
     copy = ClusterState()
     copy.CopyFrom(state)
     return copy
 
 
 def make_delta(state: ClusterState, base: ClusterState) -> ClusterState | None:
-    """Return the state without what the base contains; None where `apply_delta` could not restore it."""
+    """Return the state without the parts that `base` contains; None if `apply_delta` could not restore them."""
     newer_digests = config_digests.newer_digests(base.config_digests, state.config_digests)
     if newer_digests is None or (base.config and not state.config):
         return None
@@ -30,7 +30,7 @@
 
 
 def apply_delta(delta: ClusterState, base: ClusterState) -> ClusterState:
-    """Return the state that a delta stands for, given the base it was made from."""
+    """Restore the full state from a delta and the base that it was made from."""
     state = copy_state(delta)
     state.config = delta.config or base.config
     digests = config_digests.append_digests(base.config_digests, delta.config_digests)
--- a/hallhitch/planes/control/state_store.py
+++ b/hallhitch/planes/control/state_store.py
@@ -1,20 +1,20 @@
-"""The durable state of a replica: numbered generations, each in a database under a new name.
+"""The durable state of a replica, stored as numbered generations, each in a database under a new name.
 
 Owns the order of writes, syncs and removals. Invariants.
-- *Durable when reported*: `save` returns only after the files of a generation and their directory are synced.
-- *Newest first*: a generation is removed only after a newer one is durable.
-- *Verified*: each record starts with a digest of the names of cluster, machine, database and record, and of its bytes,
+- *Durable on return*: `save` returns only after the files of a generation and their directory are synced.
+- *New before old*: a generation is removed only after a newer one is durable.
+- *Verified*: each record starts with a digest of the names of its cluster, machine, database and key, and of its bytes,
   so a torn record, or one of another machine, is never read as this replica's state.
 
 Files. `state-N.dat/.dir` hold generation N: the promised and accepted ballots, the incarnations, the cluster state
-without its configuration, and the digest of that. `word-DIGEST.dat/.dir` hold a configuration and are written once, so
-a promise rewrites nothing large.
-
-Recovery. At a start an older generation exists only if the newest was never reported as durable, so falling back to it
-is right. A durable generation that is damaged has none before it: the replica has lost its memory and reports so.
-Generation 1 is the founding one, which holds no vote: where no other ever existed, a torn one equals an empty
-directory. What is read at a start may never have been synced (a killed process leaves its files as they are), so it is
-synced before it is used.
+without its configuration, and the name of the database with the configuration, which contains its digest.
+`word-DIGEST.dat/.dir` hold a configuration and are written once, so that a promise rewrites nothing large.
+
+Recovery. When a process starts, an older generation exists only if the newest one was never reported as durable, so it
+is correct to fall back to the older one. If a durable generation is damaged, there is none before it: the replica has
+lost its state and reports that. Generation 1 is the bootstrap generation, which contains no vote: if there never was
+another one, a torn generation 1 is equivalent to an empty directory. Files that are read at the start may never have
+been synced (a killed process leaves its files unsynced), so they are synced before their content is used.
 """
 
 from __future__ import annotations
@@ -35,29 +35,30 @@
 from hallhitch.planes.control.state_delta import copy_state
 from hallhitch.planes.control.storage import DATABASE_SUFFIXES, Storage
 
-# Names as they are stored. Folders written by earlier releases hold them, so they do not follow the names of the code.
+# Names in stored data. They stay when names in the code change, because directories of earlier releases contain them.
 GENERATION_FILE: Final = re.compile(r"state-(\d{12})\.(dat|dir|bak)")
 CONTENT_FILE: Final = re.compile(r"word-([0-9a-f]{32})\.(dat|dir|bak)")
-STORED_VOTES_KEY: Final = b"votes"  # of a generation: a Promise with the ballots and the incarnations
-STORED_STATE_KEY: Final = b"value"  # of a generation: the ClusterState without its configuration
-STORED_CONTENT_KEY: Final = b"content"  # of a generation: the content database's name; of that one: the configuration
+STORED_VOTES_KEY: Final = b"votes"  # in a generation: a Promise with the ballots and the incarnations
+STORED_STATE_KEY: Final = b"value"  # in a generation: the ClusterState without its configuration
+# In a generation: the name of its content database. In a content database: the configuration.
+STORED_CONTENT_KEY: Final = b"content"
 
-RECORD_DIGEST_BYTES: Final = 16  # before each record; a torn record passes the check by chance once in 2**128
-FOUNDING_GENERATION: Final = 1
+RECORD_DIGEST_BYTES: Final = 16  # prefix of each record; a torn record passes the check with probability 2**-128
+BOOTSTRAP_GENERATION: Final = 1
 
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What a starting process read from the disk."""
+    """What `StateStore.load` read from the disk."""
 
-    state: AcceptorState | None  # to go on from; None where no generation is usable
-    is_empty: bool  # whether the directory holds nothing that any vote was written to
-    problems: tuple[str, ...] = ()  # files that are torn or not this replica's, a sentence each
+    state: AcceptorState | None  # the state to continue from; None if no generation is usable
+    is_empty: bool  # whether no vote was ever written to the directory
+    problems: tuple[str, ...] = ()  # one sentence for each file that is torn or not this replica's
 
 
 @dataclass(frozen=True, slots=True)
 class _Generation:
-    """The names of the databases that make a generation."""
+    """The names of the two databases that form a generation."""
 
     database: str
     content_database: str
@@ -67,25 +68,25 @@
 
 
 class StateStore:
-    """The generations of one replica. All calls block, and are made one at a time."""
+    """The generations of one replica. All calls block, and only one may run at a time."""
 
     def __init__(self, storage: Storage, address: str, cluster: str = "") -> None:
         self._storage = storage
         self._address, self._cluster = address, cluster
-        self._number = 0  # of the newest generation that was ever begun
-        self._synced_contents: set[str] = set()  # content databases known to be on the disk
-        self._durable: _Generation | None = None  # the newest generation that is
+        self._number = 0  # of the newest generation that was ever started, complete or not
+        self._synced_contents: set[str] = set()  # content databases that are known to be durable
+        self._durable: _Generation | None = None  # the newest durable generation
 
     def load(self) -> LoadResult:
         """Read the newest usable generation.
 
         Raises:
-            OSError: the disk refuses; the call may be repeated.
+            OSError: the disk cannot be read or synced; the call may be repeated.
         """
         names = self._storage.file_names()
         matches = (GENERATION_FILE.fullmatch(name) for name in names)
         numbers = sorted({int(match[1]) for match in matches if match}, reverse=True)
-        problems = [f"{name} is no file of ours" for name in names if not _is_own_file(name)]
+        problems = [f"{name} is not a file of the state store" for name in names if not _is_own_file(name)]
         self._number = max(numbers, default=0)
         for number in numbers:
             try:
@@ -95,7 +96,7 @@
                 continue
             self._sync_loaded(_Generation(_generation_name(number), _content_name(state.state.config)))
             return LoadResult(state, False, tuple(problems))
-        is_empty = set(numbers) <= {FOUNDING_GENERATION}
+        is_empty = set(numbers) <= {BOOTSTRAP_GENERATION}
         self._number = 0 if is_empty else self._number
         return LoadResult(None, is_empty, tuple(problems))
 
@@ -103,10 +104,10 @@
         """Write a new generation, which is durable on return.
 
         Raises:
-            OSError: the disk refuses; the generation before stays the durable one.
+            OSError: the write failed; the previous generation is still the durable one.
         """
-        is_founding = state.promised == INITIAL_BALLOT and not state.incarnations
-        first_number = FOUNDING_GENERATION if is_founding else FOUNDING_GENERATION + 1
+        is_bootstrap_state = state.promised == INITIAL_BALLOT and not state.incarnations
+        first_number = BOOTSTRAP_GENERATION if is_bootstrap_state else BOOTSTRAP_GENERATION + 1
         self._number = max(self._number + 1, first_number)
         generation = _Generation(_generation_name(self._number), _content_name(state.state.config))
         try:
@@ -124,7 +125,7 @@
         """Remove the files that the durable generation has replaced.
 
         Raises:
-            OSError: the disk refuses; what is left over is removed by a later call.
+            OSError: a file cannot be removed; a later call removes the remaining files.
         """
         durable = self._durable
         if durable is None:
@@ -139,7 +140,7 @@
         self._synced_contents = {durable.content_database}
 
     def _sync_loaded(self, generation: _Generation) -> None:
-        """Make what was read durable before it is used."""
+        """Make the files that were read durable before their content is used."""
         self._durable = generation
         for database in (generation.content_database, generation.database):
             self._sync_database(database)
@@ -147,7 +148,7 @@
         self._synced_contents = {generation.content_database}
 
     def _write_database(self, database: str, records: Mapping[bytes, bytes]) -> None:
-        """Write records, each behind its digest, and sync the files."""
+        """Write records, each prefixed with its digest, and sync the files."""
         stored = {key: self._digest(database, key, record) + record for key, record in records.items()}
         self._storage.write_database(database, stored)
         self._sync_database(database)
@@ -157,7 +158,7 @@
             self._storage.sync_file(f"{database}{suffix}")
 
     def _discard_database(self, database: str) -> None:
-        """Remove a database that could not be completed: a full disk has no space for it."""
+        """Remove an incomplete database, because a full disk has no space for it."""
         for suffix in reversed(DATABASE_SUFFIXES):
             with suppress(OSError):
                 self._storage.remove_file(f"{database}{suffix}")
@@ -166,7 +167,7 @@
         """Read a generation and its content.
 
         Raises:
-            CorruptDatabaseError: a database cannot be read, or is not what its name says.
+            CorruptDatabaseError: a database cannot be read, or its content does not match its name.
         """
         database = _generation_name(number)
         records = self._read_database(database)
@@ -182,10 +183,10 @@
                 dict(votes.incarnations),
             )
         except (KeyError, ValueError, DecodeError) as error:
-            raise CorruptDatabaseError(database, f"lacks a record: {error}") from None
+            raise CorruptDatabaseError(database, f"lacks a valid record: {error}") from None
         state.config = self._read_database(content_database).get(STORED_CONTENT_KEY, b"")
         if _content_name(state.config) != content_database:
-            raise CorruptDatabaseError(content_database, "holds something else")
+            raise CorruptDatabaseError(content_database, "contains a configuration whose digest differs from the name")
         return replace(acceptor_state, state=state)
 
     def _read_database(self, database: str) -> dict[bytes, bytes]:
@@ -196,7 +197,7 @@
         """
         try:
             stored = self._storage.read_database(database)
-        except Exception as error:  # noqa: BLE001  # dbm.dumb evaluates the index: a torn one raises anything
+        except Exception as error:  # noqa: BLE001  # dbm.dumb evaluates the index, and a torn index raises any type
             raise CorruptDatabaseError(database, f"cannot be read: {type(error).__name__}: {error}") from None
         return self._verify_records(database, stored)
 
@@ -215,7 +216,7 @@
         return records
 
     def _digest(self, database: str, key: bytes, record: bytes) -> bytes:
-        """Return the digest of a record and of where it belongs; the layout is part of the stored format."""
+        """Return the digest of a record and its location. The layout is part of the stored format."""
         prefix = f"{self._cluster}{' ' if self._cluster else ''}{self._address} {database} ".encode()
         return hashlib.sha256(b"%s%s %d " % (prefix, key, len(record)) + record).digest()[:RECORD_DIGEST_BYTES]
 
--- a/hallhitch/planes/control/storage.py
+++ b/hallhitch/planes/control/storage.py
@@ -1,7 +1,7 @@
 """The data directory of a replica: `dbm.dumb` databases that are written once, and explicit syncs.
 
-`dbm.dumb` is part of the standard library; it neither syncs its files nor survives a torn write. `state_store` handles
-both: it decides what is synced when, and detects torn records.
+`dbm.dumb` is part of the standard library. It neither syncs its files nor survives a torn write, so `state_store`
+decides when files are synced, and it detects torn records.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 from pathlib import Path
 from typing import Final, Protocol
 
-UNUSED_FILE_MODE: Final = "0644"  # dbm.dumb wants one; AppendOnlyDatabase does not set it
-DATABASE_SUFFIXES: Final = (".dat", ".dir")  # the files of a database: its records, and their index
+UNUSED_FILE_MODE: Final = "0644"  # dbm.dumb requires an argument; AppendOnlyDatabase ignores it
+DATABASE_SUFFIXES: Final = (".dat", ".dir")  # the files of a database: its records and their index
 
 
 class Storage(Protocol):
-    """A data directory as the state store uses it. All calls block and raise OSError where the disk refuses."""
+    """The interface of a data directory for the state store. All calls block and raise OSError if the disk fails."""
 
     def file_names(self) -> list[str]:
         """Return the names of all files."""
 
     def write_database(self, base: str, records: Mapping[bytes, bytes]) -> None:
-        """Write a new database under a base name; nothing of it is synced."""
+        """Write a new database under a base name, without syncing its files."""
 
     def read_database(self, base: str) -> dict[bytes, bytes]:
         """Return all records of a database.
 
         Raises:
-            Exception: of any type, where the database is torn.
+            Exception: of any type, if the database is torn.
         """
 
     def sync_file(self, name: str) -> None:
         """Sync the content of one file to the disk."""
 
     def sync_directory(self) -> None:
-        """Sync the names of new files, and removals, to the disk."""
+        """Sync created and removed file names to the disk."""
 
     def remove_file(self, name: str) -> None:
         """Remove a file; the removal is durable once the directory is synced."""
@@ -45,8 +45,8 @@
 class AppendOnlyDatabase(dumb._Database):
     """A database that is written once.
 
-    Its files keep the mode they were created with, as not every file system can set one. The index is not rewritten at
-    the end by way of a rename: each record's index line is appended with the record.
+    The file mode is not set explicitly, because not every file system supports that. On close, the index is not
+    rewritten through a rename, because the index line of each record is appended when the record is written.
     """
 
     def _chmod(self, file: object) -> None:
@@ -57,13 +57,13 @@
 
 
 class DirectoryStorage:
-    """A directory of the file system; implements `Storage`."""
+    """A directory in the file system; implements `Storage`."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
 
     def file_names(self) -> list[str]:
-        """Return the names of all files; the directory is created where it is missing."""
+        """Return the names of all files; create the directory if it is missing."""
         try:
             return sorted(os.listdir(self.path))
         except FileNotFoundError:
@@ -71,7 +71,7 @@
             return []
 
     def write_database(self, base: str, records: Mapping[bytes, bytes]) -> None:
-        """Write a new database; nothing of it is synced."""
+        """Write a new database without syncing its files."""
         database = AppendOnlyDatabase(str(self.path / base), UNUSED_FILE_MODE, flag="n")
         try:
             for key, record in records.items():
@@ -80,7 +80,7 @@
             database.close()
 
     def read_database(self, base: str) -> dict[bytes, bytes]:
-        """Return all records of a database; raises any exception where it is torn."""
+        """Return all records of a database; raise any exception if it is torn."""
         database = AppendOnlyDatabase(str(self.path / base), UNUSED_FILE_MODE, flag="r")
         try:
             return {bytes(key): database[key] for key in database.keys()}  # type: ignore[arg-type]  # noqa: SIM118
@@ -92,7 +92,7 @@
         self._sync(self.path / name, os.O_RDWR)
 
     def sync_directory(self) -> None:
-        """Sync the names of new files, and removals, to the disk."""
+        """Sync created and removed file names to the disk."""
         self._sync(self.path, os.O_RDONLY)
 
     def remove_file(self, name: str) -> None:
--- a/hallhitch/planes/control/storage_thread.py
+++ b/hallhitch/planes/control/storage_thread.py
@@ -1,4 +1,4 @@
-"""The thread that waits for the disk, so that the event loop never does."""
+"""A thread for blocking disk calls, so that the event loop never waits for the disk."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import threading
 from collections.abc import Awaitable, Callable
 
-BlockingRunner = Callable[[Callable[[], None]], Awaitable[None]]  # runs a blocking call, raises what it raised
+BlockingRunner = Callable[[Callable[[], None]], Awaitable[None]]  # runs a blocking call and raises whatever it raised
 
 
 class StorageThread:
-    """A thread for blocking calls, one after another; started by the first of them.
+    """Runs blocking calls one after another in a thread, which the first call starts.
 
-    It is a daemon thread: a disk that hangs does not keep the process from exiting.
+    It is a daemon thread, so that a hanging disk does not prevent the process from exiting.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._thread: threading.Thread | None = None
 
     async def run(self, call: Callable[[], None]) -> None:
-        """Run the call in the thread and wait for it.
+        """Run a call in the thread and wait for it.
 
         Raises:
             Exception: whatever the call raised.
@@ -36,7 +36,7 @@
             failure: Exception | None = None
             try:
                 call()
-            except Exception as error:  # noqa: BLE001  # the thread's outermost edge: `run` raises it to the caller
+            except Exception as error:  # noqa: BLE001  # `run` raises it in its caller, whatever it is
                 failure = error
             try:
                 loop.call_soon_threadsafe(_complete, done, failure)
@@ -47,7 +47,7 @@
         await done
 
     def stop(self) -> None:
-        """End the thread after the calls that are queued."""
+        """End the thread after the queued calls."""
         self._jobs.put(None)
 
     def _run_jobs(self) -> None:
--- a/tests/system/control/test_state_delta.py
+++ b/tests/system/control/test_state_delta.py
@@ -1,4 +1,4 @@
-"""Deltas between cluster states: what is left out, and that the state is restored."""
+"""Tests of deltas between cluster states: what they omit, and that the state is restored."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def configured_state(versions: int) -> ClusterState:
-    """Return a state that so many configurations were taken into."""
+    """Return a state in which this many configurations were applied."""
     state = initial_state("abc")
     for version in range(1, versions + 1):
         state = state_transitions.replace_config(version, b"content %d" % version * 100)(state)
     return state
 
 
-@pytest.mark.parametrize("versions", [0, 1, 300], ids=["none", "one", "more digests than are kept"])
+@pytest.mark.parametrize("versions", [0, 1, 300], ids=["none", "one", "more digests than are stored"])
 @pytest.mark.parametrize(
     "transition",
     [
@@ -40,14 +40,14 @@
     assert bool(delta.config) is is_reconfigured
 
 
-def test_no_delta_restores_a_state_that_lost_its_configuration() -> None:
+def test_state_that_lost_its_configuration_has_no_delta() -> None:
     base = configured_state(1)
     without_config = copy_state(base)
     without_config.config = b""
     assert make_delta(without_config, base) is None
 
 
-def test_no_delta_restores_other_digests_under_the_same_versions() -> None:
+def test_state_with_other_digests_for_the_same_versions_has_no_delta() -> None:
     base = configured_state(2)
     state = copy_state(base)
     state.config_digests[0].digest = b"different"
--- a/tests/system/control/test_state_store.py
+++ b/tests/system/control/test_state_store.py
@@ -1,4 +1,4 @@
-"""The files of a replica when power is lost at any write, sync or removal: what was not synced stays, goes or tears."""
+"""Tests of a replica's files after power loss at any write, sync or removal; unsynced data is kept, lost or torn."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from hallhitch.planes.control.storage import DirectoryStorage
 
 ADDRESS: Final = "10.0.0.1:7000"
-FILES_OF_A_GENERATION: Final = 4  # two databases of two files
+FILES_PER_GENERATION: Final = 4  # two databases of two files
 
 
-class PowerLost(Exception):  # noqa: N818  named for the event, as callers read it
-    """The power is gone, nothing is done any more."""
+class PowerLost(Exception):  # noqa: N818  named after the event
+    """The simulated machine has lost power, so the operation is not executed."""
 
 
 class PowerLossStorage(DirectoryStorage):
-    """A directory that loses power after some operations; it knows what surely survives that, and syncs no disk."""
+    """A directory that loses power after some operations. It tracks the durable files and does not really sync."""
 
     def __init__(self, path: Path, operations_before_loss: int = -1) -> None:
         super().__init__(path)
-        self.operations_left = operations_before_loss  # -1: no loss
+        self.operations_left = operations_before_loss  # -1: power is never lost
         self.durable_files = {file.name: file.read_bytes() for file in path.iterdir()}
         self._removed: set[str] = set()
 
@@ -62,8 +62,8 @@
         super().remove_file(name)
         self._removed.add(name)
 
-    def copy_after_power_loss(self, fate: str, rng: random.Random, path: Path) -> Path:
-        """Write the directory as it is found after the loss, by the fate of what was not synced."""
+    def copy_after_power_loss(self, loss_mode: str, rng: random.Random, path: Path) -> Path:
+        """Write the directory as after the power loss; `loss_mode` says what happens to unsynced data."""
         shutil.rmtree(path, ignore_errors=True)
         path.mkdir()
         current_files = {file.name: file.read_bytes() for file in self.path.iterdir()}
@@ -73,7 +73,7 @@
                 "drop": durable,
                 "tear": _tear(current, durable, rng),
                 "any": rng.choice([current, durable, _tear(current, durable, rng)]),
-            }[fate]
+            }[loss_mode]
             if current == durable:
                 survivor = current
             if survivor is not None:
@@ -82,7 +82,7 @@
 
 
 def _tear(current: bytes | None, durable: bytes | None, rng: random.Random) -> bytes | None:
-    """Return some of a file that was being written."""
+    """Return a torn version of a file that was being written: parts of it missing or zeroed."""
     if current is None:
         return durable
     cut = rng.randrange(len(current) + 1)
@@ -90,7 +90,7 @@
 
 
 def successive_states() -> list[AcceptorState]:
-    """Return what a replica goes through: founding, a promise, a configuration, a promise on it, another one."""
+    """Return successive states: bootstrap, a promise, a configuration, a promise, another configuration."""
     state = initial_state([ADDRESS, "10.0.0.2:7000"])
     states = [AcceptorState(ADDRESS, state=state), AcceptorState(ADDRESS, Ballot(1, "a"), state=state)]
     for number, content in enumerate((b"one" * 300, b"two" * 3000), start=2):
@@ -102,9 +102,9 @@
     return states[:5]
 
 
-@pytest.mark.parametrize("fate", ["drop", "tear", "any", "killed"])
-def test_saved_state_is_loaded_wherever_power_is_lost(tmp_path: Path, fate: str) -> None:
-    rng, losses = random.Random(fate), 0
+@pytest.mark.parametrize("loss_mode", ["drop", "tear", "any", "killed"])
+def test_saved_state_is_loaded_wherever_power_is_lost(tmp_path: Path, loss_mode: str) -> None:
+    rng, losses = random.Random(loss_mode), 0
     for operations in range(1000):
         directory = tmp_path / "disk"
         shutil.rmtree(directory, ignore_errors=True)
@@ -121,8 +121,8 @@
         except PowerLost:
             losses += 1
         storage.operations_left = -1
-        if fate != "killed":
-            directory = storage.copy_after_power_loss(fate, rng, tmp_path / "after")
+        if loss_mode != "killed":
+            directory = storage.copy_after_power_loss(loss_mode, rng, tmp_path / "after")
             storage = PowerLossStorage(directory)
 
         loaded = StateStore(storage, ADDRESS).load()
@@ -131,18 +131,18 @@
             assert loaded.state in (None, attempted) and (loaded.state is not None or loaded.is_empty)
         else:
             assert loaded.state in (saved, attempted), f"after {operations} operations: {loaded.problems}"
-        # Other replicas may know what was loaded: it is durable from then on, and the store goes on from it.
+        # Other replicas may learn the loaded state, so it must be durable, and the store must continue from it.
         second_directory = storage.copy_after_power_loss("drop", rng, tmp_path / "again")
         second_store = StateStore(PowerLossStorage(second_directory), ADDRESS)
         assert second_store.load().state == loaded.state
         second_store.save(successive_states()[-1])
         second_store.remove_obsolete()
         assert second_store.load().state == successive_states()[-1]
-        assert len(list(second_directory.iterdir())) == FILES_OF_A_GENERATION
+        assert len(list(second_directory.iterdir())) == FILES_PER_GENERATION
     assert losses > 40
 
 
-def test_damaged_durable_generation_is_a_lost_memory(tmp_path: Path) -> None:
+def test_damaged_durable_generation_counts_as_lost_state(tmp_path: Path) -> None:
     store = StateStore(DirectoryStorage(tmp_path), ADDRESS)
     store.load()
     for state in successive_states()[:3]:
@@ -150,26 +150,26 @@
         store.remove_obsolete()
     last = successive_states()[2]
     files = sorted(tmp_path.iterdir())
-    assert len(files) == FILES_OF_A_GENERATION
+    assert len(files) == FILES_PER_GENERATION
     rng = random.Random(4)
     for file in files:
-        sound = file.read_bytes()
-        for damaged in (b"", sound[:-1], sound[: len(sound) // 2], rng.randbytes(len(sound)), b"\xff" + sound[1:]):
+        intact = file.read_bytes()
+        for damaged in (b"", intact[:-1], intact[: len(intact) // 2], rng.randbytes(len(intact)), b"\xff" + intact[1:]):
             file.write_bytes(damaged)
             loaded = StateStore(DirectoryStorage(tmp_path), ADDRESS).load()
-            # Bytes between the records have no meaning; all others have.
+            # Only the bytes between the records are ignored; damage to any other byte is detected.
             assert (loaded.state is None and not loaded.is_empty and loaded.problems) or loaded.state == last
-            assert loaded.state is None or damaged == sound[:-1]
+            assert loaded.state is None or damaged == intact[:-1]
         file.unlink()
         assert StateStore(DirectoryStorage(tmp_path), ADDRESS).load().state is None
-        file.write_bytes(sound)
+        file.write_bytes(intact)
     (tmp_path / "README").write_text("not ours")
     loaded = StateStore(DirectoryStorage(tmp_path), ADDRESS).load()
     assert loaded.state == last and "README" in loaded.problems[0]
     assert StateStore(DirectoryStorage(tmp_path), "10.0.0.9:7000").load().state is None  # another machine's files
 
 
-def test_full_disk_loses_nothing_and_is_not_filled_further(tmp_path: Path) -> None:
+def test_full_disk_loses_no_state_and_no_further_files_accumulate(tmp_path: Path) -> None:
     class FullStorage(DirectoryStorage):
         is_full = False
 
@@ -193,4 +193,4 @@
     store.save(second)
     store.remove_obsolete()
     assert StateStore(storage, ADDRESS).load().state == second
-    assert len(list(tmp_path.iterdir())) == FILES_OF_A_GENERATION
+    assert len(list(tmp_path.iterdir())) == FILES_PER_GENERATION
