--- a/hallhitch/planes/control/committed_state.py
+++ b/hallhitch/planes/control/committed_state.py
@@ -1,9 +1,9 @@
-"""What this process knows to be committed.
+"""The newest cluster state that this process knows to be committed.
 
-Owns the newest committed cluster state and the report of it to the process. Invariants:
+Owns that state and notifies the process of each newer one. Invariants:
 
-- *Committed*: `state` was accepted by a majority of each set of its members.
-- *Monotonic*: the serial of `state` and `ballot` never fall while the process runs.
+- *Committed*: `state` was accepted by a majority of each of its quorum sets.
+- *Monotonic*: neither the serial of `state` nor `ballot` decreases while the process runs.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 class CommittedState:
-    """The newest state known to be committed. `on_commit` gets each newer one, on the event loop."""
+    """The newest state known to be committed. `on_commit` is called on the event loop with each newer one."""
 
     def __init__(self, proposer: Proposer, on_commit: Callable[[ClusterState], None]) -> None:
-        self.state = ClusterState(config_version=-1)  # serial 0 before any is known; not to be changed
+        self.state = ClusterState(config_version=-1)  # serial 0 until a state is known; must not be modified
         self.ballot: Ballot = INITIAL_BALLOT  # of the newest state that a majority is known to hold
-        self.is_confirmed = False  # whether a majority was found to hold a state since this replica had its memory
+        self.is_confirmed = False  # whether a majority was seen to hold a state since this replica last lost its data
         self._proposer, self._on_commit = proposer, on_commit
         self._log = ComponentLogger("control")
 
     def learn(self, state: ClusterState, ballot: Ballot) -> None:
-        """Take in that a majority holds this state under this ballot."""
+        """Record that a majority holds this state under this ballot."""
         if ballot >= self.ballot:
             self.ballot, self.is_confirmed = ballot, True
             self._proposer.committed_membership = Membership.from_state(state)
@@ -41,5 +41,5 @@
     def _notify(self, state: ClusterState) -> None:
         try:
             self._on_commit(state)
-        except Exception as error:  # noqa: BLE001  a fault of the listener does not undo what was committed
+        except Exception as error:  # noqa: BLE001  an error in the listener does not undo the commit
             self._log.exception("commit listener failed", error, serial=state.serial)
--- a/hallhitch/planes/control/local_replica.py
+++ b/hallhitch/planes/control/local_replica.py
@@ -1,4 +1,4 @@
-"""The parts of a coordinator's replica that the components of its control plane share."""
+"""The objects of a coordinator's replica that the components of its control plane share."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalReplica:
-    """The replica of this process: its acceptor and proposer, what it has observed, and its way to the peers."""
+    """The replica of this process: its acceptor, proposer, observations of peers, and function to call peers."""
 
     address: str
     acceptor: DurableAcceptor
     proposer: Proposer
     observations: PeerObservations
     call_peer: PeerCall  # raises PeerCallError
-    clock: Callable[[], float]  # steady, in ms
+    clock: Callable[[], float]  # monotonic, in ms
 
     def record_reply(self, address: str) -> None:
-        """Note that a coordinator has replied just now."""
+        """Record that a coordinator replied at the current time."""
         self.observations.record_reply(address, self.clock())
--- a/hallhitch/planes/control/member_calls.py
+++ b/hallhitch/planes/control/member_calls.py
@@ -1,6 +1,6 @@
-"""Requests of a proposer to the replicas, its own included, and their answers in the order in which they come.
+"""Requests of a proposer to the replicas, including its own; answers are queued in the order of their arrival.
 
-Owns the task of each call until it has ended or is cancelled.
+Owns the task of each call until the task has ended or is cancelled.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from hallhitch.node.errors import PeerCallError
 from hallhitch.planes.control.acceptor import DurableAcceptor
 
-PeerCall = Callable[[str, Envelope, float], Awaitable[Envelope]]  # address, request, time-out in ms
+PeerCall = Callable[[str, Envelope, float], Awaitable[Envelope]]  # address, request, timeout in ms
 
 
 @dataclass(frozen=True, slots=True)
 class MemberAnswer:
-    """The answer of one replica; an envelope without a body where the call failed."""
+    """The answer of one replica; the envelope has no body if the call failed."""
 
     member: str
     envelope: Envelope
@@ -43,13 +43,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def send(self, member: str, request: Envelope, timeout_ms: float, answers: asyncio.Queue[MemberAnswer]) -> None:
-        """Call a replica; its answer is put into the queue."""
+        """Call a replica in the background and put its answer into the queue."""
         task = asyncio.ensure_future(self._call(member, request, timeout_ms, answers))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel(self) -> None:
-        """Cancel all calls under way."""
+        """Cancel all calls in progress."""
         for task in list(self._tasks):
             task.cancel()
 
--- a/tests/system/control/conftest.py
+++ b/tests/system/control/conftest.py
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def logged_lines(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Collect the warnings and errors that are logged, each as its event and fields."""
+    """Collect logged warnings and errors; each line is the event and its fields."""
     lines: list[str] = []
     for level in ("warning", "error"):
         monkeypatch.setattr(
--- a/tests/system/control/test_catch_up.py
+++ b/tests/system/control/test_catch_up.py
@@ -1,4 +1,4 @@
-"""A replica that missed hundreds of changes catches up, and the number of files stays bounded."""
+"""Tests that a replica that missed hundreds of changes catches up, and that the number of files stays bounded."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from hallhitch.lab.simulation.coordinator_cluster import CoordinatorCluster, CoordinatorMachine, run_scenario
 from tests.system.control.operator_calls import describe_config, replace_config
 
-MAX_FILES: Final = 8  # two generations and two configurations, two files each, while the older ones are being removed
+MAX_FILES: Final = 8  # two generations and two configurations of two files each, until the older ones are removed
 
 
 Fault = Callable[[CoordinatorCluster, CoordinatorMachine], Awaitable[None]]  # injected before each change
 
 
 async def lose_power(cluster: CoordinatorCluster, machine: CoordinatorMachine) -> None:
-    """Keep the machine down."""
+    """Cut the machine's power."""
     await machine.lose_power()
 
 
 async def restart_at_random(cluster: CoordinatorCluster, machine: CoordinatorMachine) -> None:
-    """End the process at some point of some write, with or without what was not synced, and start it at once."""
+    """Sometimes end the process, possibly during a write, with or without its unsynced data, and restart it at once."""
     if cluster.rng.random() < 0.2:
         await (machine.lose_power() if cluster.rng.random() < 0.5 else machine.kill())
         await machine.start()
 
 
 async def slow_down_disk(cluster: CoordinatorCluster, machine: CoordinatorMachine) -> None:
-    """Let each write take long."""
+    """Make each write slow."""
     machine.write_duration_ms = 60.0
 
 
 async def fill_disk(cluster: CoordinatorCluster, machine: CoordinatorMachine) -> None:
-    """Let each write fail."""
+    """Make each write fail."""
     machine.disk.is_full = True
 
 
@@ -56,7 +56,7 @@
         expected, caught_up = first.plane._acceptor.state, third.plane._acceptor.state
         assert not caught_up.is_recovering and caught_up.state == expected.state
         assert caught_up.accepted == expected.accepted
-        await first.kill()  # a majority needs the third from now on
+        await first.kill()  # from now on, a majority needs the third machine
         assert await replace_config(third, 400, "led") == 200 and await replace_config(second, 399, "late") == 200
         assert await describe_config(second) == await describe_config(third) == (400, "led")
 
--- a/tests/system/control/test_lease_membership.py
+++ b/tests/system/control/test_lease_membership.py
@@ -1,4 +1,4 @@
-"""Whose votes on leases count, by the state that a coordinator has accepted: at once, and after a restart."""
+"""Tests that votes on leases count by the state that a coordinator has accepted, immediately and after a restart."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     run_scenario(scenario)
 
 
-def test_replica_without_memory_names_nobody_until_it_has_met_a_majority() -> None:
+def test_replica_that_lost_its_state_names_no_members_until_it_has_contact_with_a_majority() -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         first, second, third = await cluster.bootstrap()
         await asyncio.sleep(2)
--- a/tests/system/control/test_membership_policy.py
+++ b/tests/system/control/test_membership_policy.py
@@ -1,4 +1,4 @@
-"""Which coordinators should be members, over all small cases."""
+"""Tests of the decision which coordinators should be members, over all small cases."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     target_members,
 )
 
-STATES = ("reachable", "leaving", "unresponsive")  # of a member
+MEMBER_STATES = ("reachable", "leaving", "unresponsive")
 
 
 def all_small_cases() -> Iterator[tuple[frozenset[str], PeerSnapshot, int]]:
     """Yield members, observations and tolerated losses: up to five members, two candidates and two losses."""
     for size, candidate_count, losses in itertools.product(range(1, 6), range(3), range(3)):
         members, candidates = "abcde"[:size], frozenset("xy"[:candidate_count])
-        for states in itertools.product(STATES, repeat=size):
+        for states in itertools.product(MEMBER_STATES, repeat=size):
             by_state = {
                 state: {member for member, its_state in zip(members, states, strict=True) if its_state == state}
-                for state in STATES
+                for state in MEMBER_STATES
             }
             yield (
                 frozenset(members),
@@ -52,7 +52,7 @@
         assert after != members and after <= members | observed.candidates
         assert 2 * len(after & observed.reachable) > len(after)
         assert 2 * len(members & observed.reachable) > len(members)
-        assert len(after) % 2 == 1 or len(after) == len(members)  # no detour by an even number
+        assert len(after) % 2 == 1 or len(after) == len(members)  # no even intermediate size
         assert len(after) >= min(len(members), replicas_needed(losses))
         assert len(after) <= max(len(members), replicas_needed(losses))
         assert not (after - members) & (observed.leaving | observed.unresponsive)
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyCase:
-    """Members, each named by a letter, what is observed of them, and the target's members, "" for none."""
+    """Members (one letter each), what is observed of them, and the expected target; "" if no change is expected."""
 
     members: str
     losses: int
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize(
     "case",
     [
-        PolicyCase("abc", 1, "", candidates="x"),  # more than are needed stay candidates
+        PolicyCase("abc", 1, "", candidates="x"),  # superfluous candidates do not become members
         PolicyCase("abc", 1, "", unresponsive="a"),
         PolicyCase("abc", 1, "", leaving="a"),
         PolicyCase("abc", 1, "bcx", unresponsive="a", candidates="x"),
@@ -101,7 +101,7 @@
         PolicyCase("abcde", 2, "", unresponsive="a"),
         PolicyCase("a", 1, "", candidates="x"),
         PolicyCase("ab", 1, "abx", candidates="x"),
-        PolicyCase("abc", 1, "", unresponsive="ab", candidates="xy"),  # no majority: nothing can be agreed
+        PolicyCase("abc", 1, "", unresponsive="ab", candidates="xy"),  # no majority, so no change can be committed
     ],
     ids=str,
 )
@@ -123,11 +123,11 @@
 
 
 @pytest.mark.parametrize("catch_up_ms", [1000.0, 2000.0, 4000.0, 6000.0, 30_000.0])
-def test_member_that_loses_one_reply_is_not_unresponsive_and_a_lost_one_is_within_the_catch_up(
+def test_member_that_loses_one_reply_stays_and_a_lost_member_is_detected_within_the_catch_up(
     catch_up_ms: float,
 ) -> None:
     timing = ObservationTiming.from_catch_up(catch_up_ms)
-    # Between two replies of a live member lie at most a round that waits for another member, and an interval.
+    # At most one round that waits for another member, and one interval, lie between two replies of a live member.
     longest_round_ms = 1.2 * timing.round_interval_ms + timing.reply_timeout_ms
     assert longest_round_ms < timing.unresponsive_after_ms
     assert timing.unresponsive_after_ms < catch_up_ms - 1.2 * timing.round_interval_ms - timing.reply_timeout_ms
--- a/tests/system/control/test_replica_faults.py
+++ b/tests/system/control/test_replica_faults.py
@@ -1,4 +1,4 @@
-"""Disks and machines that are lost, slow, full or replaced: what was acknowledged stays, and reads go on."""
+"""Tests with lost, slow, full or replaced disks and machines: acknowledged changes survive, and reads continue."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     async def scenario(cluster: CoordinatorCluster) -> None:
         machines = await cluster.bootstrap(*([FOURTH, FIFTH] if cluster.tolerated_losses == 2 else []))
         early_status = await replace_config(cluster.rng.choice(machines), 1)
-        assert early_status == 503 or cluster.tolerated_losses == 1  # two losses need five members first
+        assert early_status == 503 or cluster.tolerated_losses == 1  # two tolerated losses need five members
         await asyncio.sleep(3)
         cluster.rng.shuffle(machines)
         calls = replace_config(machines[0], 5, "kept"), call_operator(machines[1], "evacuations.start&of=viti-b")
@@ -47,10 +47,10 @@
             if machine.plane is None:
                 await machine.start()
         await asyncio.sleep(2)
-        for machine in machines:  # no order was sent since: each has found out by itself
+        for machine in machines:  # no order was sent since, so each machine has caught up by itself
             assert machine.plane is not None and machine.plane.committed_state.config_version == 5
             assert await describe_config(machine) == (5, "kept") and await evacuated_zones(machine) == {"viti-b"}
-        for machine in machines[: cluster.tolerated_losses]:  # these vote again, so others may be lost now
+        for machine in machines[: cluster.tolerated_losses]:  # these vote again, so other machines may be lost now
             assert not machine.plane._acceptor.state.is_recovering  # type: ignore[union-attr]
 
     for seed in range(4):
@@ -68,7 +68,7 @@
         started_ms = cluster.clock()
         assert await replace_config(third, 4, "four") == 503 and cluster.clock() - started_ms < 900
         for machine in (first, second, third):
-            assert (await describe_config(machine)).version == 3  # reading goes on
+            assert (await describe_config(machine)).version == 3  # reads continue
         first.write_duration_ms = second.write_duration_ms = 2
         await asyncio.sleep(15)
         first.disk.is_full = second.disk.is_full = True
@@ -80,7 +80,7 @@
         assert await describe_config(first) == (6, "six")
         second.disk.is_full = False
         await asyncio.sleep(3)
-        # At a start on a disk that hangs, nothing is promised and nothing is lost.
+        # While the disk hangs, a starting replica promises nothing and loses nothing.
         await first.kill()
         first.write_duration_ms = 3000
         await first.start()
@@ -92,7 +92,7 @@
     run_scenario(scenario)
 
 
-def test_lost_machines_are_replaced_by_those_that_come() -> None:
+def test_lost_machines_are_replaced_by_new_machines() -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         first, second, third = await cluster.bootstrap()
         assert await replace_config(first, 1, "one") == 200
@@ -102,11 +102,11 @@
         await asyncio.sleep(CATCH_UP_S)
         assert spare.plane is not None and set(spare.plane.members) == {second.address, third.address, SPARE}
         assert await replace_config(spare, 2, "two") == 200
-        await second.wipe()  # the second loss, as soon as the first no longer counts
+        await second.wipe()  # a second loss, once the first one no longer counts
         assert await describe_config(spare) == (2, "two") and await replace_config(third, 3, "three") == 200
         await asyncio.sleep(60)
-        assert second.address in spare.plane.members  # no fewer members than the tolerated losses need
-        await first.start(seed_addresses=(third.address, SPARE))  # comes back after all, with an empty disk
+        assert second.address in spare.plane.members  # still a member: the tolerated losses need three
+        await first.start(seed_addresses=(third.address, SPARE))  # returns with an empty disk
         await asyncio.sleep(CATCH_UP_S)
         assert set(spare.plane.members) == {first.address, third.address, SPARE}
         await third.wipe()
@@ -116,14 +116,14 @@
 
 
 def test_single_machine_restarts_on_real_files(tmp_path: Path) -> None:
-    """The storage thread and the files are those in service, the clock is the loop's own."""
+    """Uses the real storage thread, real files and the clock of a real event loop."""
 
     class NoPeers:
         async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
-            raise RequestTimeout("connect", address, "nobody there")
+            raise RequestTimeout("connect", address, "no peer answers")
 
     async def run_incarnation(version: int, is_first_start: bool) -> int:
-        """Return the configuration version found at the start; commit another one."""
+        """Commit a configuration version and return the one that was committed at the start."""
         node = coordinator_settings("10.0.0.1:7000", is_first_start, ("10.0.0.1:7000",), 0, tmp_path / "data")
         committed: list[ClusterState] = []
         plane = ControlPlane(node, NoPeers(), committed.append)
@@ -143,7 +143,7 @@
 
 
 async def inject_random_fault(cluster: CoordinatorCluster, machine: CoordinatorMachine) -> None:
-    """Wipe, power off, kill, isolate or slow down a machine."""
+    """Wipe, power off, kill, isolate or slow down a machine at random."""
     match cluster.rng.randrange(5):
         case 0:
             await machine.wipe()
@@ -158,7 +158,7 @@
 
 
 async def heal(cluster: CoordinatorCluster, machine: CoordinatorMachine) -> None:
-    """End any fault of a machine and give it time to catch up."""
+    """Remove the fault of a machine and give it time to catch up."""
     cluster.partitions.clear()
     machine.write_duration_ms = 2
     if machine.plane is None:
@@ -177,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingConfig:
-    """A configuration on its way to a machine."""
+    """A configuration that was sent to a machine; `status` is that of the reply."""
 
     version: int
     machine: CoordinatorMachine
@@ -187,7 +187,7 @@
 def send_two_configs(
     cluster: CoordinatorCluster, machines: list[CoordinatorMachine], version: int, turn: int
 ) -> list[PendingConfig]:
-    """Send two configurations of this version or the next to random machines that run."""
+    """Send two configurations, each with this version or the next, to random running machines."""
     running = [machine for machine in machines if machine.plane is not None]
     orders = [
         (version + cluster.rng.randrange(2), f"{turn}.{index}", cluster.rng.choice(running)) for index in range(2)
@@ -199,7 +199,7 @@
 
 
 async def newest_acknowledged(configs: list[PendingConfig]) -> int:
-    """Return the highest version that was acknowledged, 0 if none was."""
+    """Return the highest acknowledged version, or 0; requests to stopped machines are cancelled."""
     newest = 0
     for config in configs:
         if config.machine.plane is None:
