--- a/hallhitch/planes/control/__init__.py
+++ b/hallhitch/planes/control/__init__.py
@@ -1,6 +1,6 @@
 """The control plane: the cluster state, replicated by CASPaxos over the disks of the coordinators.
 
-`plane` is what a program uses, `operator_api` what an operator calls. Decisions stand apart from I/O: those of the
-consensus in `ballot`, `membership`, `acceptor_state`, `vote_tally`, `proposal` and `recovery_quorum`, those on members
-in `membership_policy`.
+Programs use `plane`; operators call `operator_api`. Decisions are separate from I/O: `ballot`, `membership`,
+`acceptor_state`, `vote_tally`, `proposal` and `recovery_quorum` decide for the consensus, `membership_policy` decides
+which coordinators are members.
 """
--- a/hallhitch/planes/control/acceptor.py
+++ b/hallhitch/planes/control/acceptor.py
@@ -1,9 +1,11 @@
-"""The acceptor of a coordinator: decisions of `acceptor_state`, one after another, each on disk before its reply.
+"""The acceptor of a coordinator: handles requests one at a time and writes each new state before it replies.
+
+The decisions themselves are in `acceptor_state`.
 
 Invariants.
 - *Durable before visible*: `DurableAcceptor.state` is what the disk holds, and no reply reveals more than that.
-- *No blocking*: the event loop never waits for the disk (see `storage_thread`), and no queue grows behind a disk that
-  hangs: a request that has waited for `QUEUE_TIMEOUT_MS` is given up.
+- *No blocking*: the event loop never waits for the disk (see `storage_thread`), and no queue grows while the disk
+  hangs: a request fails after it has waited for `QUEUE_TIMEOUT_MS`.
 """
 
 from __future__ import annotations
@@ -17,24 +19,25 @@
 from hallhitch.node.logs import ComponentLogger
 from hallhitch.planes.control.acceptor_state import AcceptorState
 from hallhitch.planes.control.ballot import Ballot
-from hallhitch.planes.control.contention import RivalBallots
+from hallhitch.planes.control.contention import CompetingBallots
 from hallhitch.planes.control.errors import StorageMissingError
 from hallhitch.planes.control.state_store import LoadResult, StateStore
 from hallhitch.planes.control.storage_thread import BlockingRunner
 
-# Above operator_api.ORDER_TIMEOUT_MS (850), so that whoever sent an operator's change has given up by then.
+# Above operator_api.ORDER_TIMEOUT_MS (850), so that the caller of an operator's change has given up by then.
 QUEUE_TIMEOUT_MS: Final = 1500.0
 
-STORAGE_STEP: Final = "keep"  # the step that errors name; part of the error replies that peers get
+STORAGE_STEP: Final = "keep"  # the step in a PeerCallError; peers receive it in error replies
 
 
 class DurableAcceptor:
-    """One replica with its storage; without storage it never votes."""
+    """The acceptor of one replica and its storage. Without storage it never votes."""
 
     def __init__(self, address: str, store: StateStore | None, run: BlockingRunner, clock: Callable[[], float]) -> None:
         self.state = AcceptorState(address, is_recovering=True)
-        self.rivals = RivalBallots(address)
-        self.rival_ended = asyncio.Event()  # set by the accept of a rival ballot; the waiting proposer clears it
+        self.competing_ballots = CompetingBallots(address)
+        # Set by the accept of the competing ballot that is in progress; the proposer clears it before it waits.
+        self.competing_ballot_ended = asyncio.Event()
         self._store, self._run, self._clock = store, run, clock
         self._lock = asyncio.Lock()  # held while a request is decided and written
         self._tasks: set[asyncio.Future[Any]] = set()
@@ -42,7 +45,7 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a write is under way, or hangs."""
+        """Whether a write is in progress or hangs."""
         return self._lock.locked()
 
     @property
@@ -51,10 +54,10 @@
         return self._store is not None
 
     async def load(self) -> LoadResult | None:
-        """Read what the disk holds and continue from it; None without storage.
+        """Load the state from the disk and continue from it; return None without storage.
 
         Raises:
-            OSError: the disk refuses; the call may be repeated.
+            OSError: the disk cannot be read; the call may be repeated.
         """
         store = self._store
         if store is None:
@@ -69,64 +72,66 @@
         return result
 
     async def install(self, state: AcceptorState) -> None:
-        """Write a state and continue from it: a founding one, or one that was recovered from others.
+        """Write a state and continue from it: a bootstrap state, or one that was recovered from other replicas.
 
         Raises:
-            OSError: the disk refuses.
+            OSError: the write failed.
         """
         async with self._lock:
             await self._save(state)
 
     def discard_state(self) -> None:
-        """Continue as a recovering replica: the disk does not hold what this replica voted last."""
+        """Continue as a recovering replica, because the disk does not hold this replica's latest votes."""
         self.state = AcceptorState(self.state.address, is_recovering=True)
 
     async def handle(self, request: Envelope) -> Envelope:
         """Answer a prepare, an accept or a query.
 
         Raises:
-            PeerCallError: the disk refuses or is too slow, so there is no reply.
+            PeerCallError: the write failed or the disk is too slow, so there is no reply.
         """
         if request.HasField("acceptor_query"):
             after, report = self.state.report(request.acceptor_query)
-            if after is self.state:  # nothing to write, so readers need not wait for a disk that hangs
+            if after is self.state:  # nothing to write, so queries are answered even while the disk hangs
                 return Envelope(acceptor_report=report)
         self._record_contention(request)
-        # Shielded: the write completes though the caller leaves, and no other request is decided before that.
+        # Shielded: the write completes even if the caller is cancelled, and no other request is decided before that.
         return await asyncio.shield(self._start_task(self._handle_in_turn(request)))
 
     async def accept_from_peer(self, ballot: BallotMessage, state: ClusterState) -> None:
-        """Accept the state that another replica holds, like an accept that was delayed."""
+        """Accept a state that another replica holds, as if the original accept had been delayed."""
         await self.handle(Envelope(accept=Accept(ballot=ballot, state=state)))
 
     def _record_contention(self, request: Envelope) -> None:
-        """Record the ballots of other proposers as they arrive, before they are on the disk."""
+        """Record the ballots of other proposers on arrival, before they are written to the disk."""
         if request.HasField("prepare") and not request.prepare.is_read:
-            self.rivals.record_prepare(Ballot.from_message(request.prepare.ballot), self._clock())
-        elif request.HasField("accept") and self.rivals.record_accept(Ballot.from_message(request.accept.ballot)):
-            self.rival_ended.set()
+            self.competing_ballots.record_prepare(Ballot.from_message(request.prepare.ballot), self._clock())
+        elif request.HasField("accept") and self.competing_ballots.record_accept(
+            Ballot.from_message(request.accept.ballot)
+        ):
+            self.competing_ballot_ended.set()
 
     async def _handle_in_turn(self, request: Envelope) -> Envelope:
-        """Answer a request once those before it are answered, unless that takes too long."""
+        """Answer a request after all earlier ones, or fail after QUEUE_TIMEOUT_MS."""
         arrived_ms = self._clock()
         try:
             async with asyncio.timeout(QUEUE_TIMEOUT_MS / 1000):
                 await self._lock.acquire()
         except TimeoutError:
-            raise self._too_slow() from None
+            raise self._disk_timeout_error() from None
         try:
             if self._clock() - arrived_ms > QUEUE_TIMEOUT_MS:
-                raise self._too_slow()
+                raise self._disk_timeout_error()
             return await self._answer(request)
         finally:
             self._lock.release()
 
-    def _too_slow(self) -> PeerCallError:
+    def _disk_timeout_error(self) -> PeerCallError:
         return PeerCallError(STORAGE_STEP, self.state.address, "the disk was too slow")
 
     async def _answer(self, request: Envelope) -> Envelope:
-        """Decide a request and write the state after it."""
-        refusal = None if self.state.is_recovering else self._refuse_overtaken(request)
+        """Apply a request to the state, write the resulting state and return the answer."""
+        refusal = None if self.state.is_recovering else self._refuse_preempted(request)
         if refusal is not None:
             return refusal
         answer = Envelope()
@@ -146,9 +151,9 @@
                 raise PeerCallError(STORAGE_STEP, self.state.address, f"the disk refused: {error}") from None
         return answer
 
-    def _refuse_overtaken(self, request: Envelope) -> Envelope | None:
-        """Return a refusal for a ballot that waited while the accept of a higher one arrived; it needs no write."""
-        newest = self.rivals.accepted
+    def _refuse_preempted(self, request: Envelope) -> Envelope | None:
+        """Return a refusal if the accept of a higher ballot arrived while this ballot was queued; it needs no write."""
+        newest = self.competing_ballots.accepted
         if request.HasField("prepare") and Ballot.from_message(request.prepare.ballot) < newest:
             return Envelope(promise=Promise(promised=newest.to_message(), accepted=newest.to_message()))
         if request.HasField("accept") and Ballot.from_message(request.accept.ballot) < newest:
@@ -156,7 +161,7 @@
         return None
 
     async def _save(self, state: AcceptorState) -> None:
-        """Write a state, continue from it, and remove what it replaced in the background."""
+        """Write a state, continue from it, and remove the files that it replaces in the background."""
         store = self._store
         if store is None:
             raise StorageMissingError
@@ -176,6 +181,6 @@
 
 
 def consume_exception(done: asyncio.Future[Any]) -> None:
-    """Retrieve the exception of a task, which its waiters got if there were any; asyncio logs it otherwise."""
+    """Retrieve the exception of a finished task, because asyncio logs an exception that nobody has retrieved."""
     if not done.cancelled():
         done.exception()
--- a/hallhitch/planes/control/acceptor_state.py
+++ b/hallhitch/planes/control/acceptor_state.py
@@ -1,17 +1,18 @@
-"""The acceptor of CASPaxos as a value: what one replica has promised and accepted, and how it answers messages.
+"""The CASPaxos acceptor as an immutable value: what one replica has promised and accepted, and how it answers messages.
 
 Invariants.
-- *Monotonic*: `promised` never falls, and `accepted <= promised`.
-- *Durable before visible*: each method returns an `Answer`, the state after a message beside the reply. The caller
-  writes the state to disk before it sends the reply (see `acceptor`); this module knows no clock, socket or disk.
-- *No vote without memory*: a recovering replica, which does not know what it voted before, grants nothing.
-
-Incarnations. A replica that lost its disk may have promised and accepted what it no longer knows, and a slow proposer
-may still count its old votes. So each replica numbers its incarnations (one more after each loss of its disk), all
-replicas keep the numbers they have learned, every vote carries them, and a vote of an older incarnation than any other
-vote in the tally knows of is void (see `vote_tally`). The recovering replica queries so many others that each majority
-it was part of contains one of them (see `recovery_quorum`). Of that replica's vote and its answer to the query one came
-first: either the recovering replica learns of the promise, or its old vote is void.
+- *Monotonic*: `promised` never decreases, and `accepted <= promised`.
+- *Durable before visible*: each method returns an `Answer`, which holds the reply and the state after the message. The
+  caller writes the state to disk before it sends the reply (see `acceptor`); this module uses no clock, socket or disk.
+- *No votes while recovering*: a recovering replica does not know its earlier votes, so it grants nothing.
+
+Incarnations. A replica that lost its disk no longer knows what it has promised and accepted, and a slow proposer may
+still count its old votes. Therefore each replica numbers its incarnations (incremented after each loss of its disk),
+all replicas store the numbers that they have learned, and every vote carries them. A vote is void if any other vote in
+the tally knows of a newer incarnation of its voter (see `vote_tally`). The recovering replica queries so many others
+that each majority which it was part of contains one of them (see `recovery_quorum`). That other replica either voted
+before it answered the query, in which case the recovering replica learns of the promise, or answered first, in which
+case its vote carries the new incarnation and the old vote of the recovering replica is void.
 """
 
 from __future__ import annotations
@@ -34,17 +35,17 @@
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.state_delta import apply_delta
 
-# Incarnations kept of replicas that do not vote, such as candidates. Candidates are taken in one after another, so
-# few matter at a time; the bound keeps addresses that are never seen again from piling up.
+# Limit of the incarnations that are stored for replicas that do not vote, such as candidates. Candidates join one after
+# another, so few are relevant at a time. Without a limit, addresses that are never seen again would accumulate.
 MAX_NON_MEMBER_INCARNATIONS: Final = 16
 
 ReplyT = TypeVar("ReplyT", Promise, Accepted, AcceptorReport)
 
 
 class Answer(NamedTuple, Generic[ReplyT]):
-    """The state after a message, and the reply to it, which is sent once that state is on disk.
+    """The state after a message and the reply, which may be sent only after that state is on disk.
 
-    `state_after` is the very object that answered where the message changes nothing, so that nothing is written.
+    If the message changes nothing, `state_after` is the same object that handled it, so that nothing is written.
     """
 
     state_after: AcceptorState
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptorState:
-    """What one replica has promised and accepted; each change makes a new value."""
+    """What one replica has promised and accepted. Immutable: each change creates a new value."""
 
     address: str
     promised: Ballot = INITIAL_BALLOT
@@ -64,7 +65,7 @@
 
     @property
     def accepted_state(self) -> BallotedState:
-        """The state that this replica holds and its ballot; no state where it is recovering."""
+        """The accepted state and its ballot; the default `BallotedState` while the replica is recovering."""
         return BallotedState() if self.is_recovering else BallotedState(self.accepted, self.state)
 
     def prepare(self, request: Prepare) -> Answer[Promise]:
@@ -84,7 +85,7 @@
     def accept(self, request: Accept) -> Answer[Accepted]:
         """Accept a state unless a higher ballot was promised.
 
-        The request may come from any process that has seen the proposal, not only from its proposer.
+        The request may come from any process that has received the proposal, not only from its proposer.
         """
         if self.is_recovering:
             return Answer(self, Accepted(is_recovering=True, incarnations=self.incarnations))
@@ -105,7 +106,7 @@
     def report(self, query: AcceptorQuery) -> Answer[AcceptorReport]:
         """Report what is promised and accepted.
 
-        The state changes only where the query names a newer incarnation of the replica that sent it.
+        The state changes only if the query names a newer incarnation of the replica that sent it.
         """
         if self.is_recovering:
             return Answer(self, AcceptorReport(incarnations=self.incarnations))
@@ -123,11 +124,14 @@
         return Answer(after, report)
 
     def _must_send_state(self, known_ballot: BallotMessage) -> bool:
-        """Return whether the sender lacks the state: it holds another ballot, or the ballot does not identify it."""
+        """Return whether the reply must contain the state.
+
+        It must if the sender knows another ballot, or if this is the initial ballot, which does not identify a state.
+        """
         return self.accepted == INITIAL_BALLOT or Ballot.from_message(known_ballot) != self.accepted
 
     def _with_incarnation(self, address: str, incarnation: int) -> dict[str, int]:
-        """Return the incarnations with this one last; the oldest of non-members beyond the bound are dropped."""
+        """Return the incarnations with this one added last, without the oldest of non-members beyond the limit."""
         known = {replica: number for replica, number in self.incarnations.items() if replica != address}
         voters = Membership.from_state(self.state).all_members | {self.address}
         non_members = [replica for replica in known if replica not in voters]
--- a/hallhitch/planes/control/ballot.py
+++ b/hallhitch/planes/control/ballot.py
@@ -1,9 +1,9 @@
-"""Ballots, the proposal numbers of CASPaxos, and the cluster state that was accepted under one.
+"""Ballots (the proposal numbers of CASPaxos) and cluster states with the ballot under which they were accepted.
 
 Invariants.
-- *Unique*: a ballot names one attempt of one process. The proposer's name holds a number drawn at each start of its
-  process, so no ballot is used again after a restart.
-- *Totally ordered*: by round, then by proposer, so of any two ballots one is the higher.
+- *Unique*: a ballot identifies one attempt of one process. The proposer's name contains a random number that each
+  process draws when it starts, so no ballot is reused after a restart.
+- *Totally ordered*: ballots are ordered by round, then by proposer, so of any two different ballots one is higher.
 """
 
 from __future__ import annotations
@@ -16,29 +16,30 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """The number of one attempt to reach agreement; ordered by round, then by proposer."""
+    """The number of one attempt to reach agreement. Ballots are ordered by round, then by proposer."""
 
     round: int = 0
     proposer: str = ""
 
     @staticmethod
     def from_message(message: BallotMessage) -> Ballot:
-        """Return the ballot that a message carries."""
+        """Decode a ballot from its protobuf message."""
         return Ballot(message.round, message.proposer)
 
     def to_message(self) -> BallotMessage:
-        """Return this ballot as messages carry it."""
+        """Encode this ballot as a protobuf message."""
         return BallotMessage(round=self.round, proposer=self.proposer)
 
 
-INITIAL_BALLOT: Final = Ballot()  # of a founding state; lower than any ballot of a proposer, whose rounds begin at 1
+# The ballot of a bootstrap state. It is lower than any ballot of a proposer, whose rounds begin at 1.
+INITIAL_BALLOT: Final = Ballot()
 
 
 @dataclass(frozen=True, slots=True)
 class BallotedState:
-    """A cluster state and the ballot under which it was accepted; not to be changed.
+    """A cluster state and the ballot under which it was accepted. The state must not be modified.
 
-    The default represents the absence of a state: it has no members and the initial ballot.
+    The default value stands for "no state": it has no members and the initial ballot.
     """
 
     ballot: Ballot = INITIAL_BALLOT
--- a/hallhitch/planes/control/contention.py
+++ b/hallhitch/planes/control/contention.py
@@ -1,14 +1,15 @@
-"""Contention among proposers: when to let the ballot of another proposer finish before an own one begins.
+"""Contention among proposers: when to let the ballot of another proposer finish before starting an own one.
 
-A ballot is undone by a higher one whose prepares arrive before its accepts. So a proposer that sees a higher ballot
-prepared and not yet accepted waits for its accept and begins then: its own prepares arrive behind it. Of several
-ballots that begin at the same time the highest prevails, and the others wait for it in turn, without a random draw.
+A ballot is preempted by a higher one whose prepares arrive before its accepts. So a proposer that sees a higher ballot
+prepared and not yet accepted waits for its accept and starts only then, so that its own prepares arrive after it. Of
+several ballots that start at the same time the highest wins, and the others wait for it in turn, without randomness.
 
 Invariants.
-- *A hint only*: agreement is safe whatever is decided here; a proposer that ignores it only undoes the other's ballot.
-- *Bounded wait*: a ballot is held back for no longer than another one is likely to take, as its proposer may be gone.
+- *Only a hint*: agreement is safe whatever this module decides; a proposer that ignores it only preempts other ballots.
+- *Bounded wait*: a ballot waits no longer than the competing one is likely to take, because the proposer of that one
+  may have failed.
 
-No I/O, no clock: times are arguments, in ms by one process's clock.
+No I/O and no clock: callers pass times in ms, all of the same process's clock.
 """
 
 from __future__ import annotations
@@ -17,53 +18,54 @@
 
 from hallhitch.planes.control.ballot import INITIAL_BALLOT, Ballot
 
-INITIAL_PHASE_MS: Final = 150.0  # assumed before a phase was measured: the longest round trip between regions
-MIN_RIVAL_TIMEOUT_MS: Final = 20.0
-MAX_RIVAL_TIMEOUT_MS: Final = 400.0  # under half of operator_api.ORDER_TIMEOUT_MS
-RIVAL_TIMEOUT_PHASES: Final = 2.0  # own phases that a rival is given: its way to a majority may be longer
-PHASE_DECAY_RATIO: Final = 0.8  # of the longest phase measured that still counts after a shorter one
+INITIAL_PHASE_MS: Final = 150.0  # before a phase is measured: the longest round trip between regions
+MIN_COMPETING_TIMEOUT_MS: Final = 20.0
+MAX_COMPETING_TIMEOUT_MS: Final = 400.0  # less than half of operator_api.ORDER_TIMEOUT_MS
+# Timeout of a competing ballot, in phases of this proposer: a majority may be farther away from the other proposer.
+COMPETING_TIMEOUT_PHASES: Final = 2.0
+PHASE_DECAY_RATIO: Final = 0.8  # weight of the previous maximum when a shorter phase is measured
 
 
-class RivalBallots:
-    """The newest ballots of other proposers that arrived at this replica, whether or not they are on its disk yet."""
+class CompetingBallots:
+    """The newest ballots that have arrived at this replica, whether or not they are on its disk yet."""
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self.prepared: Ballot = INITIAL_BALLOT  # of other proposers
-        self.accepted: Ballot = INITIAL_BALLOT  # of any proposer, the own one included
+        self.prepared: Ballot = INITIAL_BALLOT  # the newest prepared ballot of other proposers
+        self.accepted: Ballot = INITIAL_BALLOT  # the newest accepted ballot of any proposer, this one included
         self._prepared_at_ms = float("-inf")
 
     def record_prepare(self, ballot: Ballot, now_ms: float) -> None:
-        """Record a prepare that arrived, or that a peer's refusal names."""
+        """Record the ballot of a prepare that arrived, or the promised ballot in a refusal by a peer."""
         is_own = ballot.proposer.rpartition("#")[0] == self._address
         if ballot > self.prepared and not is_own:
             self.prepared, self._prepared_at_ms = ballot, now_ms
 
     def record_accept(self, ballot: Ballot) -> bool:
-        """Record an accept likewise; return whether it ends the rival ballot that is waited for."""
-        ends_rival = self.accepted < self.prepared <= ballot
+        """Record the ballot of an accept, from the same sources; return whether it ends the competing ballot."""
+        ends_competing_ballot = self.accepted < self.prepared <= ballot
         self.accepted = max(self.accepted, ballot)
-        return ends_rival
+        return ends_competing_ballot
 
     def wait_ms(self, now_ms: float, timeout_ms: float) -> float:
-        """Return for how long to let the newest of them finish; 0 where none is under way."""
+        """Return how long to let the newest competing ballot finish; 0 if none is in progress."""
         if self.prepared <= self.accepted:
             return 0.0
         return max(0.0, self._prepared_at_ms + timeout_ms - now_ms)
 
 
 class PhaseDuration:
-    """How long it takes until a majority has answered this coordinator: a decaying maximum."""
+    """A decaying maximum of the time that a majority takes to answer this coordinator."""
 
     def __init__(self) -> None:
         self._longest_ms = INITIAL_PHASE_MS
 
     def observe(self, duration_ms: float) -> None:
-        """Record a phase that ended with a majority."""
+        """Record the duration of a phase in which a majority answered."""
         decayed_ms = PHASE_DECAY_RATIO * self._longest_ms + (1 - PHASE_DECAY_RATIO) * duration_ms
         self._longest_ms = max(duration_ms, decayed_ms)
 
     @property
-    def rival_timeout_ms(self) -> float:
-        """For how long another proposer's ballot is let through."""
-        return min(max(RIVAL_TIMEOUT_PHASES * self._longest_ms, MIN_RIVAL_TIMEOUT_MS), MAX_RIVAL_TIMEOUT_MS)
+    def competing_timeout_ms(self) -> float:
+        """How long to wait for a competing ballot."""
+        return min(max(COMPETING_TIMEOUT_PHASES * self._longest_ms, MIN_COMPETING_TIMEOUT_MS), MAX_COMPETING_TIMEOUT_MS)
--- a/hallhitch/planes/control/membership.py
+++ b/hallhitch/planes/control/membership.py
@@ -1,7 +1,7 @@
-"""The members of the consensus: which replicas vote on the cluster state, and what is a majority of them.
+"""The members of the consensus: which replicas vote on the cluster state, and which votes are a quorum.
 
-Members are part of the state that is agreed on. They change by joint consensus: a state names the former and the new
-members together, for which a majority of each set is needed, until a second state ends the change.
+The members are part of the replicated state. They change by joint consensus: one state names both the previous and the
+new members, and a majority of each set is needed until a second state finishes the change.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """The replicas that vote under a state. While `previous_members` is not empty, a joint change is under way.
+    """The replicas that vote under a state. While `previous_members` is not empty, a joint change is in progress.
 
-    `previous_lease_members` are former members whose votes on leases may still be counted: a lease needs a majority
-    of them as well. The consensus on the state does not ask them.
+    `previous_lease_members` are previous members whose votes on leases may still be counted: a lease needs a majority
+    of them as well. They do not vote on the state.
     """
 
     version: int = 0
@@ -30,7 +30,7 @@
 
     @staticmethod
     def from_state(state: ClusterState) -> Membership:
-        """Return the membership that a state names."""
+        """Return the membership that is part of a state."""
         return Membership(
             state.membership_version,
             tuple(state.members),
@@ -40,7 +40,7 @@
 
     @property
     def quorum_sets(self) -> QuorumSets:
-        """The sets of which a majority each is needed; empty where no member is known."""
+        """The sets of which a majority each is needed; empty if no member is known."""
         return tuple(frozenset(members) for members in (self.previous_members, self.members) if members)
 
     @property
@@ -50,22 +50,22 @@
 
     def has_quorum(self, votes: Iterable[str]) -> bool:
         """Return whether the votes are a majority of each set."""
-        return majority_of_each(self.quorum_sets, votes)
+        return has_majority_of_each(self.quorum_sets, votes)
 
 
-def majority_of_each(quorum_sets: QuorumSets, votes: Iterable[str]) -> bool:
-    """Return whether the votes are a majority of each set; False where there is no set."""
+def has_majority_of_each(quorum_sets: QuorumSets, votes: Iterable[str]) -> bool:
+    """Return whether the votes are a majority of each set; False if there is no set."""
     voters = frozenset(votes)
     return bool(quorum_sets) and all(2 * len(members & voters) > len(members) for members in quorum_sets)
 
 
 def initial_state(seeds: Iterable[str]) -> ClusterState:
-    """Return the founding state: nothing configured, the seeds as members."""
+    """Return the bootstrap state of a new cluster: no configuration, and the seeds as members."""
     return ClusterState(config_version=-1, members=sorted(set(seeds)), membership_version=1)
 
 
-def has_founding_conflict(own: BallotedState, peer: BallotedState) -> bool:
-    """Return whether two founding states, which no ballot has changed yet, name different members."""
+def has_bootstrap_conflict(own: BallotedState, peer: BallotedState) -> bool:
+    """Return whether both states are bootstrap states, which no ballot has changed yet, with different members."""
     if own.ballot != INITIAL_BALLOT or peer.ballot != INITIAL_BALLOT:
         return False
     if not own.state.members or not peer.state.members:
--- a/hallhitch/planes/control/recovery_quorum.py
+++ b/hallhitch/planes/control/recovery_quorum.py
@@ -1,9 +1,10 @@
-"""Which reports suffice for a replica that lost its memory, and the state it continues from. No clock, no I/O.
+"""Which reports suffice for a replica that lost its data, and the state that it continues from. No clock, no I/O.
 
-A recovering replica queries in two passes. The first, with incarnation 0, finds the incarnation to continue with; the
-second announces that incarnation, which makes all older votes of the replica void (see `acceptor_state`).
+A recovering replica sends its queries in two passes. The first, with incarnation 0, determines the incarnation to
+continue with. The second announces that incarnation, which makes all older votes of the replica void (see
+`acceptor_state`).
 
-Invariant: the reports are sufficient only if each majority that the replica was part of contains one that reported.
+Invariant: the reports suffice only if each majority that the replica was part of contains a member that reported.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 
 
 class RecoveryQuorum:
-    """The reports of one pass, for the replica at `address`."""
+    """The reports of one pass. `address` is that of the recovering replica, `incarnation` the one it announces."""
 
     def __init__(self, address: str, incarnation: int = 0) -> None:
         self.address, self.incarnation = address, incarnation
         self._reports: dict[str, AcceptorReport] = {}
 
     def add_report(self, member: str, report: AcceptorReport) -> None:
-        """Add a report; those of other recovering replicas do not count."""
+        """Add a report; reports of other recovering replicas do not count."""
         if report.ok:
             self._reports[member] = report
 
     def newest_state(self) -> ClusterState:
-        """Return the newest state reported; an empty one where none was."""
+        """Return the newest reported state; an empty state if there is none."""
         return self._newest().state
 
     def is_sufficient(self) -> bool:
@@ -36,12 +37,12 @@
         return bool(quorum_sets) and all(self._is_set_covered(members) for members in quorum_sets)
 
     def next_incarnation(self) -> int:
-        """Return the incarnation to continue with, after the first pass."""
+        """Return the incarnation to continue with; called after the first pass."""
         known = (report.incarnations.get(self.address, 0) for report in self._reports.values())
         return max(known, default=0) + 1
 
     def recovered_state(self) -> AcceptorState:
-        """Return the state to continue from after the second pass; it is written before the first vote."""
+        """Return the state to continue from after the second pass. It must be written before the first vote."""
         newest = self._newest()
         promised = max(
             max(Ballot.from_message(report.promised), Ballot.from_message(report.accepted))
@@ -59,13 +60,13 @@
         """Return whether the members without a report are too few to form a majority together with this replica."""
         peers = members - {self.address}
         if not peers:
-            return True  # this replica was the only member: nobody else can report what it accepted
+            return True  # this replica was the only member, so no other replica can report what it accepted
         majority = len(members) // 2 + 1
         peers_in_majority = majority - (self.address in members)
         return len(peers & self._reports.keys()) >= len(peers) - peers_in_majority + 1
 
     def _merged_incarnations(self) -> dict[str, int]:
-        """Return the newest incarnation of each replica that any report knows."""
+        """Return the newest incarnation of each replica over all reports."""
         merged: dict[str, int] = {self.address: self.incarnation}
         for report in self._reports.values():
             for member, incarnation in report.incarnations.items():
--- a/hallhitch/planes/control/replica_startup.py
+++ b/hallhitch/planes/control/replica_startup.py
@@ -1,10 +1,10 @@
-"""How a replica comes to its state at a start: from its disk, by founding, or by recovery from its peers.
+"""How a replica gets its state when it starts: from its disk, by bootstrapping a cluster, or by recovery from peers.
 
 Owns the task that reads the disk. Invariants:
 
-- A new cluster is founded only on an empty data directory at a first start, or where the settings name this machine as
-  the only seed.
-- Peers are asked to recover a state only once the disk is known to hold none.
+- A new cluster is bootstrapped only on an empty data directory at a first start, or if the settings name this machine
+  as the only seed.
+- A replica recovers its state from peers only after its disk is known to hold none.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from hallhitch.planes.control.local_replica import LocalReplica
 from hallhitch.planes.control.state_recovery import StateRecovery
 
-LOAD_TIMEOUT_MS: Final = 500.0  # that a start waits for the disk; a disk that hangs is read in the background
-# After its start, in which a coordinator waits for others before it founds a cluster alone, and holds orders back
-# while there are fewer replicas than the tolerated losses need.
-STARTUP_GRACE_MS: Final = 3000.0
+LOAD_TIMEOUT_MS: Final = 500.0  # the start waits this long for the disk; then reading goes on in the background
+# For this time after its start, a coordinator waits for others before it bootstraps a cluster alone, and it delays
+# orders while there are fewer replicas than needed for the tolerated losses.
+STARTUP_GRACE_PERIOD_MS: Final = 3000.0
 
 
 class ReplicaStartup:
-    """Loads, founds or recovers the state of one replica."""
+    """Loads, bootstraps or recovers the state of one replica."""
 
     def __init__(
         self,
@@ -44,25 +44,25 @@
 
     @property
     def is_within_grace(self) -> bool:
-        """Whether this process started so recently that other coordinators may still be on their way."""
-        return self._replica.clock() - self._started_at_ms < STARTUP_GRACE_MS
+        """Whether this process started so recently that other coordinators may still be starting."""
+        return self._replica.clock() - self._started_at_ms < STARTUP_GRACE_PERIOD_MS
 
     async def start(self, now_ms: float) -> None:
-        """Begin to read the disk and wait for it, but not for long."""
+        """Begin to read the disk and wait up to LOAD_TIMEOUT_MS for it."""
         self._started_at_ms = now_ms
         await self._load_within_timeout()
 
     def stop(self) -> None:
-        """Cancel the reading of the disk."""
+        """Cancel the task that reads the disk."""
         if self._loading is not None:
             self._loading.cancel()
 
     async def advance(self) -> None:
-        """Do what is due in a round: read the disk again if it failed, found or recover while there is no state."""
+        """Do one round: retry a failed read of the disk, and bootstrap or recover while there is no state."""
         if not self._is_loaded and (self._loading is None or self._loading.done()):
             await self._load_within_timeout()
         if self._replica.acceptor.state.is_recovering:
-            await self._found_or_recover()
+            await self._bootstrap_or_recover()
 
     async def _load_within_timeout(self) -> None:
         self._loading = asyncio.ensure_future(self._load())
@@ -72,34 +72,34 @@
         try:
             loaded = await self._replica.acceptor.load()
         except OSError as error:
-            self._disk_log.warning(self._replica.clock(), "data directory unreadable", error=error)
+            self._disk_log.warning(self._replica.clock(), "data directory cannot be read", error=error)
             return
         if loaded is None:
             self._log.warning("no data directory configured")
         elif loaded.state is None:
             self._is_disk_empty = loaded.is_empty
-            if loaded.is_empty and self._is_founder:
-                # Not loaded before it is founded: a round would ask the peers for a memory that there never was.
-                self._is_loaded = await self._recovery.found_cluster(self.node.seed_addresses)
+            if loaded.is_empty and self._is_bootstrap_member:
+                # Loaded only after the bootstrap: otherwise a round would try to recover a state that never existed.
+                self._is_loaded = await self._recovery.bootstrap_cluster(self.node.seed_addresses)
                 return
-            self._log.warning("no usable state on disk, recovering from peers")
+            self._log.warning("no usable state on disk, recovering it from peers")
         self._is_loaded = True
 
     @property
-    def _is_founder(self) -> bool:
+    def _is_bootstrap_member(self) -> bool:
         return self.node.is_first_start and self._replica.address in self.node.seed_addresses
 
-    async def _found_or_recover(self) -> None:
+    async def _bootstrap_or_recover(self) -> None:
         if not self._is_loaded or not self._replica.acceptor.has_storage:
             return
-        is_alone = not self._known_peers() and self._replica.clock() - self._started_at_ms > STARTUP_GRACE_MS
-        if is_alone and self._may_found_alone():
-            await self._recovery.found_single_member()
+        is_alone = not self._known_peers() and self._replica.clock() - self._started_at_ms > STARTUP_GRACE_PERIOD_MS
+        if is_alone and self._may_bootstrap_alone():
+            await self._recovery.bootstrap_single_member()
             return
         await self._recovery.recover()
 
-    def _may_found_alone(self) -> bool:
-        """Return whether the settings name this very machine alone, or none at a first start on an empty disk."""
+    def _may_bootstrap_alone(self) -> bool:
+        """Return whether this machine is the only seed, or this is a first start on an empty disk without any seed."""
         if self.node.seed_addresses == (self._replica.address,):
             return True
         return self.node.is_first_start and self._is_disk_empty and not self.node.seed_addresses
--- a/hallhitch/planes/control/state_recovery.py
+++ b/hallhitch/planes/control/state_recovery.py
@@ -1,8 +1,8 @@
-"""How a replica without a usable data directory comes to a state: from the others, or by founding a new cluster.
+"""How a replica without a usable data directory gets a state: from other replicas, or by bootstrapping a new cluster.
 
 Invariants.
-- *Durable before voting*: a recovered or founding state is on the disk before the replica votes.
-- *Recovery is covered*: a replica continues only from reports that are sufficient by `recovery_quorum`.
+- *Durable before voting*: a recovered state or a bootstrap state is on the disk before the replica votes.
+- *Sufficient reports*: a replica continues only from reports that `recovery_quorum` finds sufficient.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from hallhitch.planes.control.membership import Membership, initial_state
 from hallhitch.planes.control.recovery_quorum import RecoveryQuorum
 
-GRACE_PERIOD_MS: Final = 50.0  # for further reports once they are sufficient: they may hold something newer
+EXTRA_REPORTS_WAIT_MS: Final = 50.0  # for further reports once they are sufficient: these may have a newer state
 
 QueryPeer = Callable[[str, AcceptorQuery], Awaitable[AcceptorReport | None]]
 
 
 class StateRecovery:
-    """Founding and recovery of one replica.
+    """Bootstraps or recovers the state of one replica.
 
-    `other_replicas` returns the addresses to query; `query_peer` returns a replica's report, None where it does not
-    answer.
+    `other_replicas` returns the addresses to query. `query_peer` returns the report of a replica, or None if it does
+    not answer.
     """
 
     def __init__(
@@ -43,17 +43,17 @@
         self._log = ComponentLogger("recovery")
         self._failure_log = RateLimitedLog(self._log)
 
-    async def found_cluster(self, members: tuple[str, ...]) -> bool:
-        """Found a cluster with these members; return whether its state is on the disk."""
+    async def bootstrap_cluster(self, members: tuple[str, ...]) -> bool:
+        """Bootstrap a cluster with these members; return whether its state was written to the disk."""
         return await self._install(AcceptorState(self._address, state=initial_state(members)))
 
-    async def found_single_member(self) -> None:
-        """Found a cluster with this machine as its only member."""
-        self._log.warning("founding a cluster with this machine alone, no other is known")
-        await self.found_cluster((self._address,))
+    async def bootstrap_single_member(self) -> None:
+        """Bootstrap a cluster with this machine as its only member."""
+        self._log.warning("bootstrapping a cluster with this machine as the only member, no other coordinator is known")
+        await self.bootstrap_cluster((self._address,))
 
     async def recover(self) -> None:
-        """Query the other replicas in two passes and continue from their reports; without enough, change nothing."""
+        """Query the other replicas in two passes and continue from their reports, if these suffice."""
         first_pass = RecoveryQuorum(self._address)
         await self._collect_reports(first_pass)
         if not first_pass.is_sufficient():
@@ -74,7 +74,7 @@
         return True
 
     async def _collect_reports(self, quorum: RecoveryQuorum) -> None:
-        """Query all replicas at once, and the members of newer states as they appear, until the reports suffice."""
+        """Query all replicas, and the members of newer states as these are reported, until the reports suffice."""
         queried = frozenset[str]()
         calls: dict[asyncio.Task[AcceptorReport | None], str] = {}
         query = AcceptorQuery(address=self._address, incarnation=quorum.incarnation)
@@ -86,7 +86,7 @@
                 queried |= known
                 if not calls:
                     return
-                timeout_s = GRACE_PERIOD_MS / 1000 if quorum.is_sufficient() else None
+                timeout_s = EXTRA_REPORTS_WAIT_MS / 1000 if quorum.is_sufficient() else None
                 done, _ = await asyncio.wait(calls, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
                 if not done:
                     return
--- a/tests/system/control/consensus_simulation.py
+++ b/tests/system/control/consensus_simulation.py
@@ -1,8 +1,8 @@
-"""A simulation of the consensus decisions alone: acceptors, proposals and recoveries over messages that may be lost.
+"""A simulation of the consensus logic alone: acceptors, proposals and recoveries over an unreliable network.
 
-Messages are delivered late, twice or never, processes end, and disks are wiped, all drawn from one seed. There is no
-event loop and no time. `ConsensusSimulation` asserts after each step that no two states are committed in one place and
-that nothing acknowledged is missing from a later state.
+Messages are delayed, duplicated or lost, processes restart, and disks are wiped, all at random from one seed. There is
+no event loop and no time. `ConsensusSimulation` asserts at each commit that no two states are committed under one
+serial number and that no acknowledged change is missing from a later state.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 
 REPLICA_NAMES: Final = "abcdefg"
 
-# What a step does, each drawn with these probabilities.
-DELIVERY_RATIO: Final = 0.93  # of the steps with messages in flight
-DUPLICATE_RATIO: Final = 0.03  # of the deliveries leave the message in flight
-LOSS_RATIO: Final = 0.05  # of the deliveries lose the message
+# Probabilities of the random choices in a step.
+DELIVERY_RATIO: Final = 0.93  # a step delivers a message, if one is in flight
+DUPLICATE_RATIO: Final = 0.03  # a delivered message stays in flight, to be delivered again
+LOSS_RATIO: Final = 0.05  # a message is lost instead of delivered
 
-RECOVERY_ROUNDS: Final = 60  # without faults, until all replicas have recovered and a read has committed
+RECOVERY_ROUNDS: Final = 60  # rounds without faults, enough for all replicas to recover and for a read to commit
 ROUNDS_PER_READER: Final = 12
 
 Message = Prepare | Accept | AcceptorQuery | Promise | Accepted | AcceptorReport
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageInFlight:
-    """A message on its way; `exchange` is the proposal, recovery or read that an answer belongs to."""
+    """A message in flight; `exchange` is the proposal, recovery or read that the message belongs to."""
 
     sender: str
     recipient: str
@@ -56,7 +56,7 @@
 
 
 class SimulatedReplica:
-    """One replica: what its disk holds, and what its process does."""
+    """One replica: the content of its disk and the state of its process."""
 
     def __init__(self, name: str, state: ClusterState | None) -> None:
         self.acceptor = AcceptorState(name, is_recovering=True) if state is None else AcceptorState(name, state=state)
@@ -64,27 +64,27 @@
         self.restart()
 
     def restart(self) -> None:
-        """End the process and begin another; the disk stays."""
+        """Replace the process by a new one; the content of the disk stays."""
         self.process_number += 1
         self.proposal: Proposal | None = None
-        self.change_id: str | None = None  # of the proposal; None for reads and changes of members
+        self.change_id: str | None = None  # the change in the proposal; None for reads and changes of members
         self.recovery: RecoveryQuorum | None = None
         self.reports: dict[str, AcceptorReport] = {}
         self.newest_seen = BallotedState()
-        self.restart_from: BallotedState | None = None  # by whose members to prepare next
+        self.restart_from: BallotedState | None = None  # the next prepares go to its members
         self.committed_membership = Membership.from_state(ClusterState())
         self.round = 0
 
 
 class ConsensusSimulation:
-    """All replicas and the messages in flight; `acknowledged` holds the changes that some proposer reported done."""
+    """All replicas and the messages in flight; `acknowledged` contains the changes that a proposer acknowledged."""
 
-    def __init__(self, seed: int, founders: int, spares: int, losses: int) -> None:
-        self.rng, self.losses = random.Random(seed), losses
-        self.founding_state = initial_state(REPLICA_NAMES[:founders])
+    def __init__(self, seed: int, initial_members: int, spares: int, tolerated_losses: int) -> None:
+        self.rng, self.tolerated_losses = random.Random(seed), tolerated_losses
+        self.bootstrap_state = initial_state(REPLICA_NAMES[:initial_members])
         self.replicas = {
-            name: SimulatedReplica(name, self.founding_state if name in self.founding_state.members else None)
-            for name in REPLICA_NAMES[: founders + spares]
+            name: SimulatedReplica(name, self.bootstrap_state if name in self.bootstrap_state.members else None)
+            for name in REPLICA_NAMES[: initial_members + spares]
         }
         self.in_flight: list[MessageInFlight] = []
         self.committed: dict[int, ClusterState] = {}  # by serial number
@@ -94,7 +94,7 @@
     # --- Invariants.
 
     def record_commit(self, state: ClusterState) -> None:
-        """Record that a majority holds this state, and check it against the others."""
+        """Record that a majority holds this state, and check it against the other committed states."""
         assert self.committed.setdefault(state.serial, state) == state, "two states are committed under one serial"
         later = [committed for serial, committed in self.committed.items() if serial > state.serial]
         changes = set(state.annotations)
@@ -103,10 +103,10 @@
             return
         assert self.acknowledged <= changes, "an acknowledged change is missing"
 
-    # --- Requests of a replica.
+    # --- Requests by a replica.
 
     def send(self, sender: str, recipient: str, exchange: object, body: Message) -> None:
-        """Put a message in flight."""
+        """Add a message to those in flight."""
         self.in_flight.append(MessageInFlight(sender, recipient, exchange, body))
 
     def propose(
@@ -115,16 +115,16 @@
         change_id: str | None,
         choose_membership_change: Callable[[ClusterState], StateTransition] | None = None,
     ) -> None:
-        """Begin a ballot of this replica: a change, a change of members, or a read."""
+        """Start a ballot of this replica for a change, a change of members, or a read."""
         replica = self.replicas[name]
         local_state = replica.acceptor.accepted_state
-        basis = replica.restart_from or max(
+        newest_known = replica.restart_from or max(
             local_state, replica.newest_seen, key=lambda known: (known.ballot, bool(known.state.members))
         )
         replica.restart_from = None
-        if not basis.state.members:
-            basis = BallotedState(state=self.founding_state)
-        replica.round = max(replica.round, replica.acceptor.promised.round, basis.ballot.round) + 1
+        if not newest_known.state.members:
+            newest_known = BallotedState(state=self.bootstrap_state)
+        replica.round = max(replica.round, replica.acceptor.promised.round, newest_known.ballot.round) + 1
 
         def change(state: ClusterState) -> ClusterState:
             if choose_membership_change is not None:
@@ -139,13 +139,13 @@
             return after
 
         ballot = Ballot(replica.round, f"{name}#{replica.process_number}")
-        replica.proposal = Proposal(ballot, basis, local_state, change, replica.committed_membership)
+        replica.proposal = Proposal(ballot, newest_known, local_state, change, replica.committed_membership)
         replica.change_id = change_id
         for recipient in sorted(replica.proposal.recipients):
             self.send(name, recipient, replica.proposal, replica.proposal.prepare_message())
 
     def recover(self, name: str) -> None:
-        """Send the queries of a recovering replica, in its first pass or its second."""
+        """Send the queries of a recovering replica, in its first or second pass."""
         replica = self.replicas[name]
         if replica.recovery is None:
             replica.recovery = RecoveryQuorum(name)
@@ -156,7 +156,7 @@
     # --- Deliveries.
 
     def deliver(self, message: MessageInFlight) -> None:
-        """Let a message arrive."""
+        """Deliver a message to its recipient."""
         sender, recipient, exchange = message.sender, message.recipient, message.exchange
         replica = self.replicas[recipient]
         match message.body:
@@ -185,8 +185,8 @@
 
     def _on_promise_outcome(self, name: str, replica: SimulatedReplica, outcome: object) -> None:
         match outcome:
-            case MembershipChanged(found_state):
-                replica.proposal, replica.restart_from = None, found_state
+            case MembershipChanged(newest):
+                replica.proposal, replica.restart_from = None, newest
             case AlreadyChosen(state):
                 assert replica.proposal is not None
                 self._on_commit(replica, state, replica.proposal.newest_state.ballot)
@@ -196,7 +196,7 @@
                     self.send(name, recipient, replica.proposal, replica.proposal.accept_message(recipient))
 
     def _on_commit(self, replica: SimulatedReplica, state: ClusterState, ballot: Ballot) -> None:
-        """Acknowledge the change of a proposal that a majority holds."""
+        """Acknowledge the change of a proposal whose state a majority holds."""
         self.record_commit(state)
         if replica.change_id is not None:
             assert replica.change_id in state.annotations
@@ -220,7 +220,7 @@
             replica.recovery = None
 
     def _read_reports(self, replica: SimulatedReplica) -> None:
-        """Take what is newer from the reports; a state that a majority of them holds is committed."""
+        """Accept the newest reported state; if a majority of the reports holds it, it is committed."""
         newest = max(replica.reports.values(), key=lambda report: Ballot.from_message(report.accepted))
         ballot = Ballot.from_message(newest.accepted)
         tally = VoteTally(Membership.from_state(newest.state).quorum_sets)
@@ -234,30 +234,30 @@
         if ballot != INITIAL_BALLOT:
             replica.acceptor, _ = replica.acceptor.accept(Accept(ballot=ballot.to_message(), state=newest.state))
 
-    # --- Faults and drawn changes.
+    # --- Faults and random changes.
 
-    def draw_membership_change(self, state: ClusterState) -> StateTransition:
-        """Draw a change of members that the state allows."""
+    def choose_random_membership_change(self, state: ClusterState) -> StateTransition:
+        """Choose a random change of members that the state allows."""
         if state.previous_members:
             return state_transitions.finish_reconfiguration
         if state.previous_lease_members:
             return state_transitions.finish_lease_transition
         membership = Membership.from_state(state)
-        sound = [name for name, replica in self.replicas.items() if not replica.acceptor.is_recovering]
-        chosen = self.rng.choice(sound)
+        recovered = [name for name, replica in self.replicas.items() if not replica.acceptor.is_recovering]
+        chosen = self.rng.choice(recovered)
         if chosen in state.members:
-            can_shrink = len(state.members) > 2 * self.losses + 1
+            can_shrink = len(state.members) > 2 * self.tolerated_losses + 1
             return state_transitions.remove_member(chosen, membership) if can_shrink else state_transitions.identity
-        if self.rng.random() < 0.5:  # an exchange in one step
-            leaver = self.rng.choice(list(state.members))
-            return state_transitions.reconfigure_members({*state.members, chosen} - {leaver}, membership)
+        if self.rng.random() < 0.5:  # a replacement in one step
+            removed = self.rng.choice(list(state.members))
+            return state_transitions.reconfigure_members({*state.members, chosen} - {removed}, membership)
         return state_transitions.add_member(chosen, membership)
 
     def wipe(self, name: str) -> None:
-        """Wipe a disk, unless that is more than the losses that any membership in use must bear."""
+        """Wipe a disk, unless a membership in use would then lose more disks than it must tolerate."""
         lost = {other for other, replica in self.replicas.items() if replica.acceptor.is_recovering} | {name}
         if all(
-            len(members & lost) <= min(self.losses, (len(members) - 1) // 2)
+            len(members & lost) <= min(self.tolerated_losses, (len(members) - 1) // 2)
             for state in self._states_in_use()
             for members in Membership.from_state(state).quorum_sets
         ):
@@ -265,7 +265,7 @@
             self.replicas[name].acceptor = AcceptorState(name, is_recovering=True)
 
     def _states_in_use(self) -> list[ClusterState]:
-        """Return the states that acceptors hold and proposals may still have accepted."""
+        """Return the states that acceptors hold or that proposals in progress may still commit."""
         replicas = self.replicas.values()
         proposed = [replica.proposal.state for replica in replicas if replica.proposal is not None]
         return [replica.acceptor.state for replica in replicas] + [state for state in proposed if state is not None]
@@ -273,22 +273,22 @@
     # --- The schedule.
 
     def step(self) -> None:
-        """Draw one thing to happen: mostly the delivery of a message."""
+        """Perform one random action, in most cases the delivery of a message."""
         name = self.rng.choice(sorted(self.replicas))
         if self.in_flight and self.rng.random() < DELIVERY_RATIO:
-            self._deliver_drawn_message()
+            self._deliver_random_message()
         else:
             self._act(name)
 
-    def _deliver_drawn_message(self) -> None:
-        position = int(len(self.in_flight) * self.rng.random() ** 3)  # mostly, but by no means always, in order
-        fate = self.rng.random()
-        message = self.in_flight[position] if fate < DUPLICATE_RATIO else self.in_flight.pop(position)
-        if fate < 1 - LOSS_RATIO:
+    def _deliver_random_message(self) -> None:
+        position = int(len(self.in_flight) * self.rng.random() ** 3)  # mostly in order, but not always
+        outcome_draw = self.rng.random()
+        message = self.in_flight[position] if outcome_draw < DUPLICATE_RATIO else self.in_flight.pop(position)
+        if outcome_draw < 1 - LOSS_RATIO:
             self.deliver(message)
 
     def _act(self, name: str) -> None:
-        """Let a replica read, restart, lose its disk, recover or propose."""
+        """Make a replica read, restart, lose its disk, recover or propose."""
         replica = self.replicas[name]
         draw = self.rng.random()
         if draw < 0.1:
@@ -302,17 +302,17 @@
         elif replica.acceptor.is_recovering:
             self.recover(name)
         elif replica.proposal is None or draw > 0.95:
-            self._propose_drawn_change(name)
+            self._propose_random_change(name)
 
-    def _propose_drawn_change(self, name: str) -> None:
+    def _propose_random_change(self, name: str) -> None:
         draw = self.rng.random()
         if draw < 0.25 and self.replicas[name].committed_membership.members:
-            self.propose(name, None, self.draw_membership_change)
+            self.propose(name, None, self.choose_random_membership_change)
         else:
             self.propose(name, f"{next(self.change_numbers)}" if draw < 0.75 else None)
 
     def run_without_faults(self) -> None:
-        """Deliver everything: the recovering replicas recover, and replicas in turn read through ballots."""
+        """Deliver all messages; recovering replicas recover, and the replicas take turns to read through ballots."""
         for turn in range(RECOVERY_ROUNDS):
             for message in [*self.in_flight]:
                 self.in_flight.remove(message)
--- a/tests/system/control/test_cluster_founding.py
+++ b/tests/system/control/test_cluster_founding.py
@@ -1,4 +1,4 @@
-"""First starts with seed lists that are short or differ, and starts on data directories that have no vote."""
+"""Tests of first starts with short or different seed lists, and of starts on data directories that have no vote."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from hallhitch.planes.control.acceptor_state import MAX_NON_MEMBER_INCARNATIONS, AcceptorState
 from hallhitch.planes.control.ballot import Ballot, BallotedState
 from hallhitch.planes.control.membership import Membership, initial_state
-from hallhitch.planes.control.proposal import FoundingConflict, Proposal
+from hallhitch.planes.control.proposal import BootstrapConflict, Proposal
 from tests.system.control.operator_calls import FIRST, FOURTH, SECOND, THIRD, describe_config, replace_config
 
 
 async def start_for_the_first_time(
     cluster: CoordinatorCluster, seeds_by_machine: dict[str, tuple[str, ...]]
 ) -> list[CoordinatorMachine]:
-    """Start all machines for the first time, each with its own seeds."""
+    """Start all machines for the first time, each with its own list of seeds."""
     for address in seeds_by_machine:
         if address not in cluster.machines:
             cluster.add_machine(address)
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("seeds", [(FIRST,), (FIRST, SECOND), (FIRST, SECOND, THIRD)], ids=["one", "two", "three"])
-def test_few_seeds_found_the_cluster_and_other_machines_join(seeds: tuple[str, ...]) -> None:
+def test_few_seeds_bootstrap_the_cluster_and_other_machines_join(seeds: tuple[str, ...]) -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         machines = await start_for_the_first_time(cluster, dict.fromkeys((FIRST, SECOND, THIRD), seeds))
         await asyncio.sleep(3)
@@ -56,9 +56,9 @@
         {FIRST: (FIRST, SECOND), SECOND: (SECOND, THIRD), THIRD: (FIRST, SECOND, THIRD)},
         {FIRST: (FIRST,), SECOND: (FIRST, SECOND)},
     ],
-    ids=["overlapping", "each its own", "one inside the other"],
+    ids=["overlapping", "all different", "one inside the other"],
 )
-def test_different_seed_lists_are_reported_and_never_found_two_clusters(
+def test_different_seed_lists_are_reported_and_never_bootstrap_two_clusters(
     seeds_by_machine: dict[str, tuple[str, ...]], logged_lines: list[str]
 ) -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
@@ -68,11 +68,11 @@
         assert 200 not in statuses or len({await describe_config(machine) for machine in machines}) == 1
 
     run_scenario(scenario)
-    conflicts = [line for line in logged_lines if "founded with" in line]
+    conflicts = [line for line in logged_lines if "bootstrapped with" in line]
     assert 1 <= len(conflicts) <= len(seeds_by_machine)
 
 
-def test_proposal_stops_at_a_promise_of_another_founding() -> None:
+def test_proposal_stops_at_a_promise_from_another_bootstrap() -> None:
     own = initial_state((FIRST, SECOND, THIRD))
     conflicting = initial_state((SECOND, THIRD, FOURTH))
     proposal = Proposal(
@@ -84,25 +84,25 @@
     )
     for address, state in ((FIRST, own), (THIRD, conflicting)):
         _, promise = AcceptorState(address, state=state).prepare(proposal.prepare_message())
-        chosen = proposal.on_promise(address, promise)
-    assert chosen == FoundingConflict(Membership.from_state(own), Membership.from_state(conflicting))
+        outcome = proposal.on_promise(address, promise)
+    assert outcome == BootstrapConflict(Membership.from_state(own), Membership.from_state(conflicting))
 
 
 @pytest.mark.parametrize(
-    ("seeds", "is_founded"),
+    ("seeds", "is_bootstrapped"),
     [((FIRST, SECOND, THIRD), False), ((), False), ((SECOND,), False), ((FIRST,), True)],
     ids=["all", "none", "another", "own"],
 )
-def test_empty_directory_founds_a_cluster_only_where_this_machine_is_the_only_seed(
-    seeds: tuple[str, ...], is_founded: bool
+def test_empty_directory_bootstraps_a_cluster_only_if_this_machine_is_the_only_seed(
+    seeds: tuple[str, ...], is_bootstrapped: bool
 ) -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         first = cluster.machines[FIRST]
         cluster.seeds = seeds
         await first.start(is_first_start=False, seed_addresses=seeds)
         await asyncio.sleep(60)
-        assert first.plane is not None and first.plane._acceptor.state.is_recovering is not is_founded
-        assert await replace_config(first, 1, "alone") == (200 if is_founded else 503)
+        assert first.plane is not None and first.plane._acceptor.state.is_recovering is not is_bootstrapped
+        assert await replace_config(first, 1, "alone") == (200 if is_bootstrapped else 503)
 
     run_scenario(scenario)
 
@@ -118,7 +118,7 @@
         assert await replace_config(second, 2, "two") == 200
         await first.kill()
         first.disk.files = outdated_files
-        await third.lose_power()  # the outdated directory and the second would be a majority
+        await third.lose_power()  # the outdated replica and the second one would be a majority
         await first.start()
         await asyncio.sleep(0.1)
         assert first.plane is not None and first.plane._acceptor.state.is_recovering
@@ -159,7 +159,7 @@
         logged_lines.clear()
 
 
-def test_number_of_remembered_incarnations_of_non_members_is_bounded() -> None:
+def test_number_of_stored_incarnations_of_non_members_is_bounded() -> None:
     state = AcceptorState("a", state=initial_state("abc"))
     for address in ("b", "a", *(f"m{n}" for n in range(100))):
         state, _ = state.report(AcceptorQuery(address=address, incarnation=3))
--- a/tests/system/control/test_consensus_schedules.py
+++ b/tests/system/control/test_consensus_schedules.py
@@ -1,4 +1,4 @@
-"""The consensus under thousands of drawn schedules: messages lost, doubled and late, restarts, and wiped disks."""
+"""Tests of the consensus under random schedules: lost, duplicate and late messages, restarts, and wiped disks."""
 
 from __future__ import annotations
 
@@ -12,11 +12,15 @@
 STEPS: Final = 600
 
 
-@pytest.mark.parametrize(("founders", "spares", "losses"), [(3, 0, 1), (3, 2, 1), (3, 3, 2), (5, 1, 2), (2, 2, 0)])
-def test_acknowledged_changes_are_read_under_drawn_faults(founders: int, spares: int, losses: int) -> None:
+@pytest.mark.parametrize(
+    ("initial_members", "spares", "tolerated_losses"), [(3, 0, 1), (3, 2, 1), (3, 3, 2), (5, 1, 2), (2, 2, 0)]
+)
+def test_acknowledged_changes_are_read_under_random_faults(
+    initial_members: int, spares: int, tolerated_losses: int
+) -> None:
     acknowledged = recovered = reconfigured = 0
     for seed in range(SEEDS):
-        simulation = ConsensusSimulation(seed, founders, spares, losses)
+        simulation = ConsensusSimulation(seed, initial_members, spares, tolerated_losses)
         for _ in range(STEPS):
             simulation.step()
         simulation.run_without_faults()
@@ -29,5 +33,5 @@
         acknowledged += len(simulation.acknowledged)
         reconfigured += newest.membership_version > 1
     assert acknowledged > 2 * SEEDS
-    assert losses == 0 or recovered > SEEDS // 2
+    assert tolerated_losses == 0 or recovered > SEEDS // 2
     assert spares == 0 or reconfigured > SEEDS // 8
--- a/tests/system/control/test_contention.py
+++ b/tests/system/control/test_contention.py
@@ -1,4 +1,4 @@
-"""Contention of proposers: waiting for rivals, latency of concurrent changes, and what a slow disk need not write."""
+"""Tests of contention among proposers: waits for competing ballots, latency of concurrent changes, and slow disks."""
 
 from __future__ import annotations
 
@@ -15,38 +15,44 @@
 from hallhitch.planes.control.acceptor import DurableAcceptor, consume_exception
 from hallhitch.planes.control.acceptor_state import AcceptorState
 from hallhitch.planes.control.ballot import Ballot
-from hallhitch.planes.control.contention import MAX_RIVAL_TIMEOUT_MS, MIN_RIVAL_TIMEOUT_MS, PhaseDuration, RivalBallots
+from hallhitch.planes.control.contention import (
+    MAX_COMPETING_TIMEOUT_MS,
+    MIN_COMPETING_TIMEOUT_MS,
+    CompetingBallots,
+    PhaseDuration,
+)
 from hallhitch.planes.control.membership import initial_state
 from hallhitch.planes.control.state_store import StateStore
 
 
-def test_rival_ballot_is_waited_for_between_its_prepare_and_its_accept() -> None:
-    rivals = RivalBallots("a:1")
-    assert rivals.wait_ms(0, 100) == 0
-    rivals.record_prepare(Ballot(2, "a:1#x"), 10)  # the replica's own proposer
-    assert rivals.wait_ms(10, 100) == 0
-    rivals.record_prepare(Ballot(3, "b:1#x"), 20)
-    assert rivals.wait_ms(40, 100) == 80 and rivals.wait_ms(121, 100) == 0  # its proposer may be gone
-    rivals.record_prepare(Ballot(3, "b:1#x"), 90)  # the same prepare again does not extend the wait
-    rivals.record_prepare(Ballot(2, "c:1#x"), 90)  # a lower ballot is undone by the other
-    assert rivals.wait_ms(100, 100) == 20
-    assert not rivals.record_accept(Ballot(2, "c:1#x")) and rivals.wait_ms(100, 100) == 20
-    assert rivals.record_accept(Ballot(3, "b:1#x")) and rivals.wait_ms(100, 100) == 0
-    assert not rivals.record_accept(Ballot(3, "b:1#x"))
+def test_competing_ballot_is_waited_for_between_its_prepare_and_its_accept() -> None:
+    competing_ballots = CompetingBallots("a:1")
+    assert competing_ballots.wait_ms(0, 100) == 0
+    competing_ballots.record_prepare(Ballot(2, "a:1#x"), 10)  # from the replica's own proposer
+    assert competing_ballots.wait_ms(10, 100) == 0
+    competing_ballots.record_prepare(Ballot(3, "b:1#x"), 20)
+    # The wait ends after the timeout, because the proposer of that ballot may have failed.
+    assert competing_ballots.wait_ms(40, 100) == 80 and competing_ballots.wait_ms(121, 100) == 0
+    competing_ballots.record_prepare(Ballot(3, "b:1#x"), 90)  # a duplicate prepare does not extend the wait
+    competing_ballots.record_prepare(Ballot(2, "c:1#x"), 90)  # a lower ballot is preempted by the higher one
+    assert competing_ballots.wait_ms(100, 100) == 20
+    assert not competing_ballots.record_accept(Ballot(2, "c:1#x")) and competing_ballots.wait_ms(100, 100) == 20
+    assert competing_ballots.record_accept(Ballot(3, "b:1#x")) and competing_ballots.wait_ms(100, 100) == 0
+    assert not competing_ballots.record_accept(Ballot(3, "b:1#x"))
 
 
-def test_rival_timeout_follows_measured_phases_within_its_bounds() -> None:
+def test_competing_timeout_follows_measured_phases_within_its_bounds() -> None:
     phase = PhaseDuration()
     for duration_ms, least_ms, most_ms in (
-        (1000, MAX_RIVAL_TIMEOUT_MS, MAX_RIVAL_TIMEOUT_MS),
-        (50, 100, MAX_RIVAL_TIMEOUT_MS),
-        (1, MIN_RIVAL_TIMEOUT_MS, MAX_RIVAL_TIMEOUT_MS),
+        (1000, MAX_COMPETING_TIMEOUT_MS, MAX_COMPETING_TIMEOUT_MS),
+        (50, 100, MAX_COMPETING_TIMEOUT_MS),
+        (1, MIN_COMPETING_TIMEOUT_MS, MAX_COMPETING_TIMEOUT_MS),
     ):
         phase.observe(duration_ms)
-        assert least_ms <= phase.rival_timeout_ms <= most_ms
+        assert least_ms <= phase.competing_timeout_ms <= most_ms
     for _ in range(60):
         phase.observe(1)
-    assert phase.rival_timeout_ms == MIN_RIVAL_TIMEOUT_MS
+    assert phase.competing_timeout_ms == MIN_COMPETING_TIMEOUT_MS
 
 
 @pytest.mark.parametrize(("members", "losses", "delay_ms"), [(3, 1, 35.0), (3, 1, 55.0), (5, 2, 35.0)])
@@ -61,7 +67,7 @@
         assert len(statistics.waits_ms) == 80 and max(statistics.waits_ms) <= 1000
 
 
-def test_ballot_overtaken_while_it_waits_for_the_disk_is_not_written() -> None:
+def test_ballot_preempted_while_it_waits_for_the_disk_is_not_written() -> None:
     loop = VirtualLoop()
     initial = initial_state("abc")
     written: list[AcceptorState] = []
@@ -98,7 +104,7 @@
     loop.close()
 
 
-def test_no_queue_grows_behind_a_disk_that_hangs() -> None:
+def test_no_queue_grows_while_the_disk_hangs() -> None:
     loop = VirtualLoop()
 
     async def hang(call: Callable[[], None]) -> None:
@@ -114,7 +120,7 @@
             asyncio.ensure_future(acceptor.handle(prepare)).add_done_callback(consume_exception)
             await asyncio.sleep(0.1)
             most_tasks = max(most_tasks, len(asyncio.all_tasks()))
-        assert most_tasks < 40  # those of a second and a half, two each
+        assert most_tasks < 40  # two tasks for each request of the last 1.5 s
         await asyncio.sleep(60)
         assert acceptor.state.promised.round == 1 and not acceptor.is_busy
 
--- a/tests/system/control/test_proposal.py
+++ b/tests/system/control/test_proposal.py
@@ -1,4 +1,4 @@
-"""A proposal against acceptors without faults drawn at random: directed schedules and exhaustive ones."""
+"""Tests of a proposal against acceptors, in fixed and in exhaustive schedules without random faults."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 def new_proposal(
     ballot: Ballot,
-    basis: ClusterState,
+    newest_known: ClusterState,
     transition: StateTransition,
     committed: Membership | None = None,
 ) -> Proposal:
-    """Return a proposal of a process that holds no state; the members of the basis are committed by default."""
-    membership = Membership.from_state(basis) if committed is None else committed
-    return Proposal(ballot, BallotedState(state=basis), BallotedState(), transition, membership)
+    """Return a proposal of a process that holds no state; by default, the members of `newest_known` are committed."""
+    membership = Membership.from_state(newest_known) if committed is None else committed
+    return Proposal(ballot, BallotedState(state=newest_known), BallotedState(), transition, membership)
 
 
-def test_racing_contents_of_one_version_leave_one_that_stays() -> None:
-    """Two proposers, each with any two replicas for its prepares and any two for its accepts, in every order."""
-    pairs, founding, outcomes = list(itertools.combinations("abc", 2)), initial_state("abc"), set()
+def test_only_one_of_two_concurrent_contents_of_one_version_is_committed_and_it_stays() -> None:
+    """Run two proposers, each with any two replicas for its prepares and any two for its accepts, in every order."""
+    pairs, initial, outcomes = list(itertools.combinations("abc", 2)), initial_state("abc"), set()
     for steps_of_a in itertools.combinations(range(8), 4):
-        for quorums in itertools.product(pairs[:1], pairs, pairs, pairs):  # the first by symmetry
-            replicas = {name: AcceptorState(name, state=founding) for name in "abc"}
+        for quorums in itertools.product(pairs[:1], pairs, pairs, pairs):  # by symmetry, one first pair is enough
+            replicas = {name: AcceptorState(name, state=initial) for name in "abc"}
             proposals = {
                 proposer: new_proposal(
-                    Ballot(1, proposer), founding, state_transitions.replace_config(7, proposer.encode())
+                    Ballot(1, proposer), initial, state_transitions.replace_config(7, proposer.encode())
                 )
                 for proposer in "AB"
             }
@@ -51,16 +51,16 @@
                     proposal.on_promise(name, promise)
             assert len(acknowledged) <= 1
             for quorum in pairs:
-                later = new_proposal(Ballot(2, "C"), founding, state_transitions.replace_config(7, b"C"))
+                later = new_proposal(Ballot(2, "C"), initial, state_transitions.replace_config(7, b"C"))
                 for name in quorum:
                     later.on_promise(name, replicas[name].prepare(later.prepare_message())[1])
                 assert later.state is not None
                 assert not acknowledged or {later.state.config} == acknowledged
             outcomes.add(tuple(sorted(acknowledged)))
-    assert outcomes == {(b"A",), (b"B",)}  # the higher ballot is never refused by both
+    assert outcomes == {(b"A",), (b"B",)}  # the higher ballot is never refused, so one is committed
 
 
-def test_state_is_left_out_of_messages_for_those_who_hold_it() -> None:
+def test_state_is_omitted_from_messages_to_replicas_that_hold_it() -> None:
     held = initial_state("abc")
     held.config, held.serial = b"x" * 1000, 1
     ballot = Ballot(3, "a#1")
@@ -84,16 +84,16 @@
     assert Membership.from_state(held).all_members == set("abc")
 
 
-def test_abandoned_evacuation_does_not_come_after_its_stop() -> None:
-    """One replica accepted the start; the stop changes nothing at the two others, and is written all the same."""
-    founding = initial_state("abc")
-    replicas = {name: AcceptorState(name, state=founding) for name in "bc"}
-    evacuated = state_transitions.evacuate_zone("z")(founding)
+def test_abandoned_start_of_an_evacuation_is_not_committed_after_its_stop() -> None:
+    """One replica accepted the start. The stop changes nothing on the two others, but it is written nevertheless."""
+    initial = initial_state("abc")
+    replicas = {name: AcceptorState(name, state=initial) for name in "bc"}
+    evacuated = state_transitions.evacuate_zone("z")(initial)
     replicas["a"] = AcceptorState("a", Ballot(1, "x"), Ballot(1, "x"), evacuated)
     for round_number, (transition, quorum) in enumerate(
         ((state_transitions.restore_zone("z"), "bc"), (state_transitions.recommit, "ab")), start=2
     ):
-        proposal = new_proposal(Ballot(round_number, "y"), founding, transition)
+        proposal = new_proposal(Ballot(round_number, "y"), initial, transition)
         for name in quorum:
             replicas[name], promise = replicas[name].prepare(proposal.prepare_message())
             proposal.on_promise(name, promise)
@@ -104,10 +104,10 @@
 
 
 def test_vote_of_earlier_incarnation_does_not_count() -> None:
-    """`a` promises, is wiped and queries b, c and e before their promises: its old promise is not in the majority."""
-    founding = initial_state("abcde")
-    replicas = {name: AcceptorState(name, state=founding) for name in "abcde"}
-    slow = new_proposal(Ballot(9, "d#1"), founding, state_transitions.replace_config(1, b"late"))
+    """`a` promises, is wiped, and queries b, c and e before they promise, so its old promise must not count."""
+    initial = initial_state("abcde")
+    replicas = {name: AcceptorState(name, state=initial) for name in "abcde"}
+    slow = new_proposal(Ballot(9, "d#1"), initial, state_transitions.replace_config(1, b"late"))
     promises = {name: replicas[name].prepare(slow.prepare_message())[1] for name in "ad"}
     recovery = RecoveryQuorum("a", RecoveryQuorum("a").next_incarnation())
     for name in "bce":
@@ -121,28 +121,28 @@
 
 
 def test_members_change_only_on_top_of_committed_members() -> None:
-    founding = initial_state("abc")
-    half_made = state_transitions.add_member("d", Membership.from_state(founding))(founding)
+    initial = initial_state("abc")
+    uncommitted = state_transitions.add_member("d", Membership.from_state(initial))(initial)
     replicas = {name: AcceptorState(name, state=initial_state("abc")) for name in "abd"}
-    replicas["d"] = AcceptorState("d", Ballot(1, "x"), Ballot(1, "x"), half_made)
+    replicas["d"] = AcceptorState("d", Ballot(1, "x"), Ballot(1, "x"), uncommitted)
     for committed, expected in (
-        (Membership.from_state(founding), Membership.from_state(half_made)),
-        (Membership.from_state(half_made), Membership(3, ("a", "b", "c", "d"), (), ("a", "b", "c"))),
+        (Membership.from_state(initial), Membership.from_state(uncommitted)),
+        (Membership.from_state(uncommitted), Membership(3, ("a", "b", "c", "d"), (), ("a", "b", "c"))),
     ):
-        proposal = new_proposal(Ballot(2, "d#1"), half_made, state_transitions.finish_reconfiguration, committed)
+        proposal = new_proposal(Ballot(2, "d#1"), uncommitted, state_transitions.finish_reconfiguration, committed)
         for name, replica in replicas.items():
             proposal.on_promise(name, replica.prepare(proposal.prepare_message())[1])
         assert proposal.state is not None and Membership.from_state(proposal.state) == expected
 
 
-def test_joint_change_needs_a_majority_of_the_former_and_of_the_new_members() -> None:
-    """Every choice of replicas that accept: else the former members could agree without the new ones knowing."""
-    founding, target = initial_state("abc"), "cde"
+def test_joint_change_needs_a_majority_of_the_previous_and_of_the_new_members() -> None:
+    """Try every set of accepting replicas. Otherwise the previous members could commit without the new ones."""
+    initial, target = initial_state("abc"), "cde"
     for size in range(6):
         for accepting in itertools.combinations("abcde", size):
-            transition = state_transitions.reconfigure_members(target, Membership.from_state(founding))
-            proposal = new_proposal(Ballot(1, "a#1"), founding, transition)
-            replicas = {name: AcceptorState(name, state=founding) for name in "abcde"}
+            transition = state_transitions.reconfigure_members(target, Membership.from_state(initial))
+            proposal = new_proposal(Ballot(1, "a#1"), initial, transition)
+            replicas = {name: AcceptorState(name, state=initial) for name in "abcde"}
             for name in "abc":
                 replicas[name], promise = replicas[name].prepare(proposal.prepare_message())
                 proposal.on_promise(name, promise)
--- a/tests/system/control/test_void_votes.py
+++ b/tests/system/control/test_void_votes.py
@@ -1,7 +1,7 @@
-"""Schedules that random draws do not reach: a vote is cast, its disk is lost, and the vote is counted long after.
+"""Tests of schedules that random choices do not reach: a replica votes, loses its disk, and its vote counts later.
 
-With the rule of incarnations nothing is lost in any of them; without it each of them loses what was acknowledged. A
-cluster that has to bear no loss has no such schedule: none of its members may lose its disk.
+With incarnations, no schedule loses an acknowledged change; without them, each schedule loses one. There is no such
+schedule for a cluster that tolerates no loss, because none of its members may lose its disk.
 """
 
 from __future__ import annotations
@@ -16,32 +16,33 @@
 from hallhitch.planes.control.vote_tally import VoteTally
 from tests.system.control.consensus_simulation import ConsensusSimulation, MessageInFlight
 
-CLUSTERS: Final = [(3, 0, 1), (3, 2, 1), (3, 3, 2), (5, 1, 2)]  # founders, spares, losses to bear
+CLUSTERS: Final = [(3, 0, 1), (3, 2, 1), (3, 3, 2), (5, 1, 2)]  # initial members, spares, tolerated losses
 SEEDS: Final = 30
 
 
 def deliver_matching(simulation: ConsensusSimulation, matches: Callable[[MessageInFlight], bool]) -> None:
-    """Deliver these messages and what follows from them, in order; all others stay in flight."""
+    """Deliver matching messages, including those sent in response, in order; all others stay in flight."""
     while message := next((message for message in simulation.in_flight if matches(message)), None):
         simulation.in_flight.remove(message)
         simulation.deliver(message)
 
 
 def belongs_to(exchange: object, among: Iterable[str]) -> Callable[[MessageInFlight], bool]:
-    """Match the messages of one proposal between these replicas."""
+    """Return a predicate that matches the messages of one proposal between these replicas."""
     names = set(among)
     return lambda message: (message.exchange is exchange and message.sender in names and message.recipient in names)
 
 
 def count_vote_of_earlier_incarnation(simulation: ConsensusSimulation, rng: random.Random) -> None:
-    """One votes for a slow ballot and loses its disk, a majority with it agrees on more, the slow ballot goes on.
+    """Run a schedule in which a replica votes for a slow ballot, loses its disk, and votes for another one.
 
-    It begins at the founding: later an accept may name the state that it builds on in place of repeating it, and a
-    replica that holds another one refuses, which would hide what is tested here.
+    A majority that includes the replica commits the other change, then the slow ballot continues. The schedule starts
+    at the bootstrap state: later, an accept may carry a delta, which a replica with another base state refuses, and
+    that would hide the failure that is tested here.
     """
-    names = sorted(simulation.replicas)[: len(simulation.founding_state.members)]
+    names = sorted(simulation.replicas)[: len(simulation.bootstrap_state.members)]
     majority = len(names) // 2 + 1
-    slow = names[-1]  # of equal rounds the ballot of the later name is the higher one
+    slow = names[-1]  # in equal rounds, the ballot of the later name is higher
     wiped, *others = rng.sample(names[:-1], len(names) - 1)
     quick_quorum, unaware = [wiped, *others[: majority - 1]], others[majority - 1 :]
 
@@ -70,11 +71,11 @@
     simulation.run_without_faults()
 
 
-def count_violations(founders: int, spares: int, losses: int) -> int:
-    """Return in how many of the seeds something acknowledged was lost."""
+def count_violations(initial_members: int, spares: int, tolerated_losses: int) -> int:
+    """Return the number of seeds with which an acknowledged change was lost."""
     violations = 0
     for seed in range(SEEDS):
-        simulation = ConsensusSimulation(seed, founders, spares, losses)
+        simulation = ConsensusSimulation(seed, initial_members, spares, tolerated_losses)
         try:
             count_vote_of_earlier_incarnation(simulation, random.Random(seed))
         except AssertionError:
@@ -82,14 +83,14 @@
     return violations
 
 
-@pytest.mark.parametrize(("founders", "spares", "losses"), CLUSTERS)
-def test_void_vote_never_counts(founders: int, spares: int, losses: int) -> None:
-    assert count_violations(founders, spares, losses) == 0
+@pytest.mark.parametrize(("initial_members", "spares", "tolerated_losses"), CLUSTERS)
+def test_void_vote_never_counts(initial_members: int, spares: int, tolerated_losses: int) -> None:
+    assert count_violations(initial_members, spares, tolerated_losses) == 0
 
 
-@pytest.mark.parametrize(("founders", "spares", "losses"), CLUSTERS)
+@pytest.mark.parametrize(("initial_members", "spares", "tolerated_losses"), CLUSTERS)
 def test_each_schedule_loses_a_change_without_incarnations(
-    founders: int, spares: int, losses: int, monkeypatch: pytest.MonkeyPatch
+    initial_members: int, spares: int, tolerated_losses: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(VoteTally, "valid_votes", lambda tally: set(tally._granted))
-    assert count_violations(founders, spares, losses) == SEEDS
+    assert count_violations(initial_members, spares, tolerated_losses) == SEEDS
