--- a/hallhitch/planes/control/replica_startup.py
+++ b/hallhitch/planes/control/replica_startup.py
@@ -18,7 +18,7 @@
 from hallhitch.planes.control.local_replica import LocalReplica
 from hallhitch.planes.control.state_recovery import StateRecovery
 
-LOAD_TIMEOUT_MS: Final = 500.0  # the start waits this long for the disk; then reading goes on in the background
+LOAD_TIMEOUT_MS: Final = 500.0  # the start waits this long for the disk; the read then continues in the background
 # For this time after its start, a coordinator waits for others before it bootstraps a cluster alone, and it delays
 # orders while there are fewer replicas than needed for the tolerated losses.
 STARTUP_GRACE_PERIOD_MS: Final = 3000.0
