--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -136,7 +136,7 @@
     @property
     def is_under_replicated(self) -> bool:
         """Whether the tolerated losses need more members, and these may still be on their way."""
-        if not self._startup.is_within_grace:
+        if not self._startup.is_in_startup_grace_period:
             return False
         members = self._proposer.committed_membership.members
         needed = replicas_needed(self._node.tolerated_machine_losses)
--- a/hallhitch/planes/control/replica_startup.py
+++ b/hallhitch/planes/control/replica_startup.py
@@ -43,7 +43,7 @@
         self._disk_log = RateLimitedLog(self._log)
 
     @property
-    def is_within_grace(self) -> bool:
+    def is_in_startup_grace_period(self) -> bool:
         """Whether this process started so recently that other coordinators may still be starting."""
         return self._replica.clock() - self._started_at_ms < STARTUP_GRACE_PERIOD_MS
 
