--- a/hallhitch/core/__init__.py
+++ b/hallhitch/core/__init__.py
@@ -1,1 +1,1 @@
-"""What all fronts share: exchanges, deadlines and the actor of the decision module. Independent of any wire format."""
+"""Exchanges, deadlines and the decision module's actor, shared by all frontends and independent of any wire format."""
--- a/hallhitch/core/actor.py
+++ b/hallhitch/core/actor.py
@@ -1,4 +1,4 @@
-"""Actors: each owns its state and is reached through a bounded mailbox alone."""
+"""Actors: each owns its state and receives messages only through its bounded mailbox."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Actor(Generic[MessageT]):
-    """Handles the messages of its mailbox in order, in one turn of the loop all that have come by then."""
+    """Handles the messages of its mailbox in order, all that are queued in one iteration of the event loop."""
 
     def __init__(self, name: str, scheduler: Scheduler, max_messages: int = MAX_MAILBOX_MESSAGES) -> None:
         self.name = name
@@ -25,7 +25,7 @@
         self._is_scheduled = False
 
     def post(self, message: MessageT) -> bool:
-        """Append a message to the mailbox; return False if the mailbox is full and the message was dropped."""
+        """Append a message to the mailbox; return False if the mailbox was full and the message was dropped."""
         if len(self._mailbox) >= self._max_messages:
             COUNTS["mailbox_full"] += 1
             return False
@@ -42,11 +42,11 @@
             self.handle_batch(messages)
 
     def handle_batch(self, messages: list[MessageT]) -> None:
-        """Handle the messages of one turn; a failure affects its own message only."""
+        """Handle a batch of messages; an exception affects only the message that caused it."""
         for message in messages:
             try:
                 self.handle(message)
-            except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+            except Exception as error:  # noqa: BLE001  logged; the process must keep running
                 self.record_failure(error)
                 self.on_message_failed(message)
 
@@ -60,4 +60,4 @@
         raise NotImplementedError
 
     def on_message_failed(self, message: MessageT) -> None:
-        """Clean up after a message whose handling raised."""
+        """Clean up after a message whose handler raised an exception."""
--- a/hallhitch/core/addresses.py
+++ b/hallhitch/core/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as settings write them: `host:port`, an IPv6 host in brackets."""
+"""Parses and formats the addresses in settings: `host:port`, with an IPv6 host in brackets."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return host and port of `host:port`.
+    """Return the host and the port of a `host:port` address.
 
     Raises:
-        ValueError: the text is no address.
+        ValueError: The text is not an address.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
--- a/hallhitch/core/grants.py
+++ b/hallhitch/core/grants.py
@@ -1,4 +1,4 @@
-"""The one local server of a limit server: an attempt to reach it is itself the grant."""
+"""The upstream of the limit server: one local pseudo server that serves every attempt at once."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class LocalGrants:
-    """Ends every attempt at once as served; the payload of its exchange is its class."""
+    """Ends every attempt at once as served; the payload of an exchange is its request class."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
 
     def start(self, attempt: Attempt) -> None:
-        """Grant the request."""
-        # A grant takes no time, but from a time of 0 the module would learn a work of 0 and divide by it. It gets the
-        # time that it assumes before it has learned any, so that it learns nothing.
+        """Grant the request by ending its attempt as served."""
+        # A grant takes no time, but from a latency of 0 the decision module would learn a cost of 0 and divide by it.
+        # Report the latency that the module assumes before its first measurement, so that its estimate stays as it is.
         assert isinstance(attempt.payload, api.RequestClass)
         self._core.on_attempt_ended(attempt, "ok", lag=attempt.payload.aim / STALL)
 
--- a/hallhitch/core/module.py
+++ b/hallhitch/core/module.py
@@ -1,8 +1,8 @@
-"""The actor of the decision module and the table of open exchanges: the core that every front drives.
+"""The actor that runs the decision module and keeps the table of open exchanges; all frontends use it.
 
 Invariants:
-- An exchange gets exactly one final answer, at BACKUP_DELAY_MS after its end at the latest.
-- The module sees each attempt end exactly once; only the first good end is the answer.
+- An exchange gets exactly one final answer, no later than FALLBACK_DELAY_MS after its deadline.
+- The module sees each attempt end exactly once; only the first successful attempt becomes the answer.
 
 Times are Unix time in ms.
 """
@@ -23,40 +23,41 @@
 from hallhitch.decision import api
 from hallhitch.decision.policy import Gateway
 
-# Kept back of a deadline: the client's clock began at its send, the answer has still to arrive, and a processor that
-# gateways share may stand still for a while.
+# Subtracted from a client's deadline: the client's clock started when it sent the request, the answer must still reach
+# it, and the process may be descheduled for a while on a CPU that gateways share.
 DEADLINE_MARGIN_MS: Final = 20.0
 MAX_DEADLINE_MARGIN_RATIO: Final = 0.1
-MAX_RECEIVE_MS: Final = 600_000.0  # for a request that is forwarded while it is received; its front checks its progress
-BACKUP_DELAY_MS: Final = 3.0  # past the end of an exchange: then the core answers in the module's place
-DEFAULT_RETRY_AFTER_MS: Final = 100.0  # where the module rejects for lack of capacity and gives no time
+# For a request that is forwarded while it is received; its frontend checks that it makes progress.
+MAX_RECEIVE_MS: Final = 600_000.0
+FALLBACK_DELAY_MS: Final = 3.0  # after the deadline of an exchange, when the core answers if the module has not
+DEFAULT_RETRY_AFTER_MS: Final = 100.0  # if the module rejects for lack of capacity without a retry delay
 FULL_MAILBOX_RETRY_AFTER_MS: Final = 1000.0
 MAILBOX_RETRY_MS: Final = 1.0
 MAX_CORE_MESSAGES: Final = 65_536
-HEX_CUSTOMER: Final = re.compile("[0-9a-fA-F]{16}")  # how the platform writes customers
+HEX_CUSTOMER_ID: Final = re.compile("[0-9a-fA-F]{16}")  # the platform's format of customer ids
 log = structlog.get_logger()
 
 
 def canonical_customer(customer: str) -> str:
-    """Return the spelling that all gateways and fronts use: the names of quota windows are hashed from it."""
-    return customer.lower() if HEX_CUSTOMER.fullmatch(customer) else customer
+    """Return the one spelling of a customer id, so that all gateways hash it to the same names of quota windows."""
+    return customer.lower() if HEX_CUSTOMER_ID.fullmatch(customer) else customer
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A request that has not got its final answer."""
+    """A request that has not been answered yet."""
 
     id: int
     ends_at: float
     answer: AnswerPort
     payload: object
-    timeout_ms: float  # from when the request is complete
-    backup: Deadline | None = None
+    timeout_ms: float  # starts once the request is complete
+    fallback_deadline: Deadline | None = None  # when the core answers if the module has not
     attempts: int = 0
 
 
 class Core(Actor[api.Event]):
-    """Hands the events of each turn to the module in one call and carries out its actions."""
+    """Passes the queued events to the decision module in one call and executes the actions that it returns."""
 
     upstream: UpstreamPort
     counter: CounterPort
@@ -69,19 +70,19 @@
         name: str = "module",
         batch_size: int = 0,
     ) -> None:
-        """`batch_size` bounds the events of one call of the module; 0 means no bound."""
+        """`batch_size` limits the events of one call of the module; 0 means no limit."""
         super().__init__(name, scheduler, MAX_CORE_MESSAGES)
         self.gateway = gateway
         self.deadlines = deadlines
         self.clock = deadlines.clock
         self.open_exchanges: dict[int, Exchange] = {}
         self._batch_size = batch_size
-        self._in_flight: dict[tuple[int, int], Attempt] = {}  # by exchange and number
+        self._in_flight: dict[tuple[int, int], Attempt] = {}  # by exchange id and attempt number
         self._last_exchange_id = 0
 
-    # Called by fronts and transports.
+    # Calls from frontends and transports.
 
-    def begin(  # noqa: PLR0913  fields of one record
+    def begin(  # noqa: PLR0913  the fields of one request
         self,
         customer: str,
         plan_index: int,
@@ -98,11 +99,11 @@
         coming: bool = False,
         waited: float = 0.0,
     ) -> int:
-        """Open an exchange and return its id; its final answer goes to `answer` before the client's deadline.
+        """Open an exchange and return its id; `answer` gets its final answer before the client's deadline.
 
-        `kind` is its class itself, where the index may mean another one meanwhile. A request that is `coming` is
-        forwarded while it is received: its time begins with `on_request_complete`. `waited` are the ms for which a
-        request was not read, while its client's clock ran.
+        `kind` is the request class itself, for callers whose settings may differ from the module's, where the index may
+        stand for another class. A request that is `coming` is forwarded while it is received: its timeout starts at
+        `on_request_complete`. `waited` is how long the request stayed unread, in ms, while its client's clock ran.
         """
         self._last_exchange_id += 1
         margin_ms = min(DEADLINE_MARGIN_MS, MAX_DEADLINE_MARGIN_RATIO * deadline_ms)
@@ -126,35 +127,35 @@
             answer.on_rejected(FULL_MAILBOX_RETRY_AFTER_MS)
             return exchange_id
         self.open_exchanges[exchange_id] = exchange
-        exchange.backup = self.deadlines.call_at(
-            exchange.ends_at + BACKUP_DELAY_MS, lambda: self._on_overdue(exchange_id)
+        exchange.fallback_deadline = self.deadlines.call_at(
+            exchange.ends_at + FALLBACK_DELAY_MS, lambda: self._on_fallback_due(exchange_id)
         )
         return exchange_id
 
     def on_request_complete(self, exchange_id: int) -> None:
-        """Start the time of an exchange whose request was forwarded while it was received."""
+        """Start the timeout of an exchange whose request was forwarded while it was received."""
         exchange = self.open_exchanges.get(exchange_id)
         if exchange is not None:
             exchange.ends_at = self.clock() + exchange.timeout_ms
-            self.deadlines.cancel(exchange.backup)
-            exchange.backup = self.deadlines.call_at(
-                exchange.ends_at + BACKUP_DELAY_MS, lambda: self._on_overdue(exchange_id)
+            self.deadlines.cancel(exchange.fallback_deadline)
+            exchange.fallback_deadline = self.deadlines.call_at(
+                exchange.ends_at + FALLBACK_DELAY_MS, lambda: self._on_fallback_due(exchange_id)
             )
 
     def on_streaming_started(self, attempt: Attempt) -> None:
-        """Note that parts of an attempt's request were dropped: the module neither cancels nor retries it."""
+        """Mark an attempt whose forwarded body was partly discarded: the module neither cancels nor retries it."""
         attempt.is_streaming = True
         self.post(api.StreamStarted(attempt.exchange_id, attempt.number, attempt.server))
 
     def on_client_gone(self, exchange_id: int) -> None:
-        """Close an exchange without an answer."""
+        """Close an exchange whose client has disconnected; it gets no answer."""
         exchange = self._close(exchange_id)
         if exchange is not None:
             self.post(api.RequestGone(exchange_id))
             self._cancel_streaming(exchange)
 
     def _cancel_streaming(self, exchange: Exchange) -> None:
-        # The module cancels none of these: it regards them as the client's.
+        # The module leaves streaming attempts to the core, which cancels them when their exchange is closed.
         for attempt in self._attempts_of(exchange):
             if attempt.is_streaming:
                 self.upstream.cancel(attempt)
@@ -168,9 +169,10 @@
     def on_attempt_ended(
         self, attempt: Attempt, outcome: str, payload: object = None, lag: float | None = None
     ) -> bool:
-        """Report an attempt's end, `lag` ms or the time since its send after it; the first good one is the answer.
+        """Report the end of an attempt; the first successful attempt of an exchange becomes its answer.
 
-        Return whether the payload was handed to the front.
+        `lag` is the latency of the attempt in ms, by default the time since it was sent. Return whether the payload was
+        passed to the frontend.
         """
         if self._in_flight.pop((attempt.exchange_id, attempt.number), None) is None:
             COUNTS["late_outcome"] += 1
@@ -180,23 +182,23 @@
         lag = self.clock() - attempt.sent_at if lag is None else lag
         self.post(api.AttemptEnded(attempt.exchange_id, attempt.number, attempt.server, outcome, lag, is_done))
         if exchange is not None:
-            self._call_front(lambda: exchange.answer.on_served(payload))
+            self._call_frontend(lambda: exchange.answer.on_served(payload))
         return exchange is not None
 
     def on_counter_reply(self, name: int, outcome: str, total: float, lag: float) -> None:
-        """Report the reply to one call of the counter."""
+        """Report the reply to a call of the quota counter."""
         self.post(api.CounterAnswer(name, outcome, total, lag))
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Apply settings to requests that come from now on; if the mailbox is full, retry with the latest ones."""
+        """Apply settings to new requests; if the mailbox is full, retry later with the latest settings."""
         self._latest_settings = settings
         if not self.post(api.NewSettings(settings)):
             self.deadlines.call_after(MAILBOX_RETRY_MS, lambda: self.apply_settings(self._latest_settings))
 
-    # One turn.
+    # Processing of events.
 
     def handle_batch(self, messages: list[api.Event]) -> None:
-        """Call the module once for all events that have come, or for `batch_size` of them at a time."""
+        """Call the module once for all queued events, or once for each `batch_size` of them."""
         self.deadlines.run_due()
         if not self._batch_size:
             self._decide(messages)
@@ -204,27 +206,27 @@
         while messages:
             self._decide(messages[: self._batch_size])
             del messages[: self._batch_size]
-            # The events that a decision causes at once come before the next decision.
+            # Events that an action has posted are handled before the remaining ones.
             messages, self._mailbox = self._mailbox + messages, []
 
     def _decide(self, events: list[api.Event]) -> None:
         try:
             actions = self.gateway.handle(self.clock(), events)
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+        except Exception as error:  # noqa: BLE001  logged; the process must keep running
             self.record_failure(error)
-            for event in events:  # actions that were decided before the failure come with the next call
+            for event in events:  # the module returns actions from before the exception at its next call
                 if isinstance(event, api.Request | api.AttemptEnded):
-                    self._give_up(event.id)
+                    self._fail_exchange(event.id)
             return
         for action in actions:
             try:
-                self._act(action)
-            except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+                self._execute(action)
+            except Exception as error:  # noqa: BLE001  logged; the process must keep running
                 self.record_failure(error)
                 if isinstance(action, api.Send | api.Refuse | api.Fail):
-                    self._give_up(action.id)
+                    self._fail_exchange(action.id)
 
-    def _act(self, action: api.Action) -> None:  # noqa: C901  one case after the other
+    def _execute(self, action: api.Action) -> None:  # noqa: C901  one case for each type of action
         match action:
             case api.Send():
                 self._send(action)
@@ -245,16 +247,16 @@
             case api.Log(text=text):
                 log.info("module", actor=self.name, text=text)
             case api.Probe(server=server):
-                self.post(api.ProbeEnded(server, "void", 0.0))  # no transport here probes
+                self.post(api.ProbeEnded(server, "void", 0.0))  # no transport of this program probes servers
             case api.WatchList() | api.FetchList():
-                COUNTS["list_asked"] += 1  # the route table watches all the time by itself
+                COUNTS["list_asked"] += 1  # the route table always watches discovery
 
     def _on_timer(self, token: int) -> None:
         self.post(api.TimerFired(token))
 
     def _send(self, action: api.Send) -> None:
         exchange, now = self.open_exchanges.get(action.id), self.clock()
-        if exchange is None:  # answered or abandoned in the same turn: the module learns of it in the next one
+        if exchange is None:  # answered or abandoned in this batch; the module learns of it in the next one
             COUNTS["void_send"] += 1
             self.post(api.AttemptEnded(action.id, 0, action.server, "void", 0.0, True))
             return
@@ -262,20 +264,20 @@
         ends_at = min(exchange.ends_at, now + action.limit) if action.limit else exchange.ends_at
         attempt = Attempt(action.id, number, action.server, now, ends_at, exchange.payload)
         exchange.attempts += 1
-        is_only_one = not any((exchange.id, earlier) in self._in_flight for earlier in range(number))
-        invariant(is_only_one or self.gateway.config.second_copies, "one attempt out at a time")
+        is_only_attempt = not any((exchange.id, earlier) in self._in_flight for earlier in range(number))
+        invariant(is_only_attempt or self.gateway.config.second_copies, "at most one attempt in flight")
         self._in_flight[exchange.id, number] = attempt
         if now >= ends_at or number >= self.gateway.config.attempts:
             self.on_attempt_ended(attempt, "void")
         else:
             self.upstream.start(attempt)
 
-    # Final answers.
+    # Closing of exchanges.
 
     def _close(self, exchange_id: int) -> Exchange | None:
         exchange = self.open_exchanges.pop(exchange_id, None)
         if exchange is not None:
-            self.deadlines.cancel(exchange.backup)
+            self.deadlines.cancel(exchange.fallback_deadline)
             for attempt in self._attempts_of(exchange):
                 attempt.is_wanted = False
         return exchange
@@ -285,21 +287,21 @@
         if exchange is None:
             COUNTS["late_answer"] += 1
         else:
-            self._call_front(lambda: answer(exchange))
+            self._call_frontend(lambda: answer(exchange))
 
-    def _call_front(self, call: Callable[[], None]) -> None:
+    def _call_frontend(self, call: Callable[[], None]) -> None:
         try:
             call()
-        except Exception as error:  # noqa: BLE001  the failure of a front must not reach the module
+        except Exception as error:  # noqa: BLE001  a failing frontend must not affect the module
             self.record_failure(error)
 
-    def _give_up(self, exchange_id: int) -> None:
+    def _fail_exchange(self, exchange_id: int) -> None:
         exchange = self.open_exchanges.get(exchange_id)
         if exchange is not None:
             self._finish(exchange_id, lambda closed: closed.answer.on_failed())
             self.post(api.RequestGone(exchange_id))
             self._cancel_streaming(exchange)
 
-    def _on_overdue(self, exchange_id: int) -> None:
+    def _on_fallback_due(self, exchange_id: int) -> None:
         COUNTS["backup_answer"] += 1
-        self._give_up(exchange_id)
+        self._fail_exchange(exchange_id)
--- a/hallhitch/core/ports.py
+++ b/hallhitch/core/ports.py
@@ -1,4 +1,4 @@
-"""The ports through which the core acts; fronts and transports implement them."""
+"""The interfaces through which the core acts; frontends and transports implement them."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 
 class AnswerPort(Protocol):
-    """Receives the one final answer of an exchange: exactly one of the methods is called, once."""
+    """Receives the final answer of an exchange: exactly one of its methods is called, exactly once."""
 
     def on_served(self, payload: object) -> None:
-        """Answer with what a server returned."""
+        """Answer with the response of a server."""
 
-    def on_rejected(self, advice: float) -> None:
-        """Reject the request; the client may retry after `advice` ms."""
+    def on_rejected(self, retry_after_ms: float) -> None:
+        """Reject the request; the client may retry after `retry_after_ms`."""
 
     def on_failed(self) -> None:
-        """Answer that no result is known."""
+        """Answer that the result of the request is unknown."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt to serve an exchange, handed to a transport that reports its end once. Times in ms."""
+    """One attempt to serve an exchange; the transport that carries it reports its end exactly once. Times in ms."""
 
     exchange_id: int
-    number: int  # among the attempts of its exchange, from 0
+    number: int  # index among the attempts of its exchange, from 0
     server: str
     sent_at: float
     ends_at: float
-    payload: object  # what the front received; only the transport reads it
-    is_streaming: bool = False  # parts of the request were forwarded and dropped: it cannot be retried
-    is_wanted: bool = True  # False once the exchange has its answer: nothing more may be written
+    payload: object  # the request as the frontend received it; read only by the transport
+    is_streaming: bool = False  # forwarded parts of the request were discarded, so it cannot be retried
+    is_wanted: bool = True  # False once the exchange is answered: the transport must write no more of it
 
 
 class UpstreamPort(Protocol):
-    """Carries attempts to servers."""
+    """Transports attempts to servers."""
 
     def start(self, attempt: Attempt) -> None:
         """Start an attempt."""
@@ -44,7 +44,7 @@
 
 
 class CounterPort(Protocol):
-    """Adds to a named counter; the totals come back to the core in the order of the calls."""
+    """Adds to named quota counters; their totals are reported to the core in the order of the calls."""
 
     def add(self, name: int, units: float, lifetime: float) -> None:
-        """Add units to a counter that expires `lifetime` ms after it was created."""
+        """Add units to a counter, which expires `lifetime` ms after its creation."""
