--- a/hallhitch/__init__.py
+++ b/hallhitch/__init__.py
@@ -1,3 +1,3 @@
-"""hallhitch: a gateway that keeps each customer of a shared back end to its plan, over all gateways."""
+"""hallhitch: a load balancer whose gateways together enforce each customer's quota on shared backends."""
 
 __version__ = "0.1.0"
--- a/hallhitch/__main__.py
+++ b/hallhitch/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m hallhitch`: the platform's gateway, or with a subcommand the command line.
+"""`python -m hallhitch` starts the platform's gateway; with a subcommand it runs the command line.
 
-The gateway's way through here imports nothing of the hosted parts.
+The gateway must not import the packages of the hosted service, so both are imported only when they are used.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 
 
 def main() -> int:
-    """Run what the first argument asks for; an option or nothing means the gateway."""
+    """Run the command line if the first argument is a subcommand, the gateway otherwise; return the exit code."""
     if len(sys.argv) > 1 and not sys.argv[1].startswith("-"):
-        from hallhitch.cli.main import main as command_line
+        from hallhitch.cli.main import main as run_command_line
 
-        return command_line()
-    from hallhitch.gateway import main as gateway
+        return run_command_line()
+    from hallhitch.gateway import main as run_gateway
 
-    return gateway()
+    return run_gateway()
 
 
 if __name__ == "__main__":
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -1,7 +1,7 @@
 """The process of one gateway: `python -m hallhitch`.
 
-The RESP front and membership are imported only where they are asked for: their settings files need what the platform
-does not install.
+The RESP frontend and membership are imported only if they are enabled: reading their settings files requires packages
+that the platform does not install.
 """
 
 from __future__ import annotations
@@ -51,42 +51,43 @@
     from hallhitch.resp.server import LimitServer
     from hallhitch.resp.settings import RespSettings
 
-# Fields of the configuration that a reload changes, or that matter at the start alone.
+# Configuration fields that a reload applies, or that are only used at start.
 RELOADABLE_FIELDS: Final = frozenset(("discovery", "counter", "settings", "zones", "file", "known", "seed"))
-# Fields that hold until the next start, whatever a reload brings.
+# Configuration fields that keep their values until the next start.
 FIXED_FIELDS: Final = frozenset(("name", "listen", "sockets", "memory", "ops", "inherited"))
-# For discovery's first answer at a start: the saved list may name servers that are long gone. Not Final: tests set it.
+# The wait for discovery's first update at start: the saved server list may be outdated. Not Final, as tests set it.
 FIRST_UPDATE_TIMEOUT_MS = 500.0
-UPLOAD_BUFFER_PARTS: Final = 16  # of the memory, long requests that are buffered get one part
-GC_THRESHOLDS: Final = (20_000, 20, 20)  # the objects of a request die with it, nearly all without a cycle
+UPLOAD_BUFFER_DIVISOR: Final = 16  # long requests may be buffered in the memory limit divided by this
+# Few collections are needed: nearly all objects of a request are freed with it, as they form no reference cycles.
+GC_THRESHOLDS: Final = (20_000, 20, 20)
 log = structlog.get_logger()
 
 CounterEndpoint = tuple[tuple[str, int], Callable[[], CounterCodec]]
 
 
 class GatewayProcess:
-    """The parts of one gateway, wired together; owns their order at start, reload and stop."""
+    """Creates the components of one gateway and starts, reloads and stops them in the right order."""
 
     def __init__(self, config: GatewayConfig, resp_file: str | None, peers_file: str | None) -> None:
-        """Build the parts; nothing is listened to yet, but for the operators' address."""
-        resp = read_resp(resp_file)
+        """Create the components; only the operators' address is listened on before `run`."""
+        resp = read_resp_settings(resp_file)
         self._config = config
         self._resp_file = resp_file
         self._peers_file = peers_file
         self._loop = asyncio.get_running_loop()
         self._deadlines = Deadlines(Clock(), self._loop)
-        self._processes = 1  # of this gateway, that serve
+        self._processes = 1  # processes of this gateway that serve clients
         self._is_serving = False
         self._cores: list[Core] = []
         self._counters: dict[Core, CounterClient] = {}
-        self._counter_endpoint = find_counter(config, resp)
+        self._counter_endpoint = find_counter_endpoint(config, resp)
         shared_folder = os.environ.get("TMPDIR") if config.inherited is not None else None
         settings = config.settings
 
         self._core = self._make_core("module", config.seed)
         self._membership = self._make_membership(shared_folder)
         backoff = WatchBackoff(settings.gateways, not settings.push_list, config.seed)
-        self._metrics = GatewayMetrics(kind.name for kind in settings.classes)
+        self._metrics = GatewayMetrics(request_class.name for request_class in settings.classes)
         self._lifecycle = Lifecycle()
         self._routes = RouteTable(self._loop, self._deadlines, config.zones, self._core.post, backoff)
         self._budget = divide_descriptors(config.sockets, config.ops is not None)
@@ -102,7 +103,8 @@
         self._core.upstream = self._upstream
         if config.known is not None:
             self._routes.post(config.known)
-        self._fronts: dict[Ingress | LimitServer, Callable[[], socket.socket]] = {}  # and what opens their listeners
+        # Each frontend with the function that opens its listener.
+        self._frontends: dict[Ingress | LimitServer, Callable[[], socket.socket]] = {}
         clients = self._budget.clients
         if resp is not None:
             clients -= self._add_limit_server(resp)
@@ -113,13 +115,13 @@
             "backends_excluded": self._core.gateway.unavailable_count,
         }
         self._operator_server = self._make_operator_server()
-        # Without a shared folder the platform starts no process beside this one.
+        # Without a shared folder the platform never starts a second process of this gateway.
         self._siblings = SiblingMonitor(shared_folder, self._deadlines, self._core.gateway, self._upstream.idle_times)
         self._siblings.restore_state()
         self._ingress.check_sibling = self._siblings.check
 
     async def run(self) -> None:
-        """Serve until the last client has its answer after SIGTERM; SIGHUP reloads the configuration."""
+        """Serve until SIGTERM, then answer all open requests and return; SIGHUP reloads the configuration."""
         self._loop.add_signal_handler(signal.SIGTERM, self._stop)
         self._loop.add_signal_handler(signal.SIGINT, self._stop)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
@@ -128,21 +130,21 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
-        if self._config.settings.push_list:  # otherwise the first answer may take long, as all gateways ask
+        if self._config.settings.push_list:  # otherwise the first update may take long, as all gateways poll
             await self._routes.wait_until_updated(FIRST_UPDATE_TIMEOUT_MS)
-        # Clients cannot connect before all is ready: what waits in a backlog is accepted, and its time runs.
-        for front, open_front_listener in self._fronts.items() if not self._lifecycle.is_stopping else ():
-            front.open(open_front_listener())
+        # Listen only once all is ready: a client in the backlog is already connected, and its timeout runs.
+        for frontend, open_frontend_listener in self._frontends.items() if not self._lifecycle.is_stopping else ():
+            frontend.open(open_frontend_listener())
             self._is_serving = True
-        listeners = [front.on_sibling_changed for front in self._fronts]
+        listeners = [frontend.on_sibling_changed for frontend in self._frontends]
         self._siblings.start_serving([*listeners, self._upstream.on_sibling_changed, self._on_sibling_changed])
         host, port = self._config.listen
         log.info("serving", gateway=self._config.name, listen=f"{host}:{port}")
-        for front in self._fronts:
-            await front.wait_closed()
+        for frontend in self._frontends:
+            await frontend.wait_closed()
         self._close()
 
-    # Building of parts.
+    # Creation of components.
 
     def _make_core(self, name: str, seed: int, batch_size: int = 0) -> Core:
         core = Core(Gateway(self._config.settings, seed), self._deadlines, self._loop, name, batch_size)
@@ -151,7 +153,7 @@
         return core
 
     def _connect_counter(self, core: Core) -> None:
-        if self._counter_endpoint is None:  # the settings keep the module from calling a counter
+        if self._counter_endpoint is None:  # without a counter the settings keep the module from calling one
             return
         address, make_codec = self._counter_endpoint
         core.counter = self._counters[core] = CounterClient(
@@ -171,7 +173,7 @@
         )
 
     def _add_limit_server(self, resp: RespSettings) -> int:
-        """Add the RESP front; return how many client connections it takes."""
+        """Add the RESP frontend; return how many client connections are reserved for it."""
         from hallhitch.resp.server import LimitServer
 
         core = self._make_core("limits", self._config.seed + 1, batch_size=1)
@@ -180,7 +182,7 @@
         spare = self._budget.spare
         max_clients = min(resp.connections, self._budget.clients // 2)
         server = LimitServer(core, self._config.settings, self._deadlines, self._loop, max_clients, spare)
-        self._fronts[server] = partial(open_or_inherit, "listen (RESP)", parse_address(resp.listen))
+        self._frontends[server] = partial(open_or_inherit, "listen (RESP)", parse_address(resp.listen))
         return max_clients + spare
 
     def _add_ingress(self, max_clients: int) -> Ingress:
@@ -193,18 +195,18 @@
             max_clients,
             self._budget.spare,
             config.inherited is not None,
-            config.memory // UPLOAD_BUFFER_PARTS,
+            config.memory // UPLOAD_BUFFER_DIVISOR,
             lambda: self._lifecycle.is_healthy,
             self._metrics.record_request,
         )
         if config.inherited is None:
-            self._fronts[ingress] = partial(open_or_inherit, "listen", config.listen)
+            self._frontends[ingress] = partial(open_or_inherit, "listen", config.listen)
         else:
-            self._fronts[ingress] = partial(open_or_inherit, "EDGE_FD", config.inherited)
+            self._frontends[ingress] = partial(open_or_inherit, "EDGE_FD", config.inherited)
         return ingress
 
     def _make_operator_server(self) -> OperatorServer | None:
-        calls: dict[tuple[str, str], Callable[[], OperatorReply]] = {
+        handlers: dict[tuple[str, str], Callable[[], OperatorReply]] = {
             ("GET", "/api/ready"): self._readiness,
             ("GET", "/api/telemetry"): lambda: OperatorReply(200, self._metrics.render(), CONTENT_TYPE),
             ("PUT", "/api/evacuate"): lambda: self._apply(Command.EVACUATE),
@@ -213,10 +215,10 @@
         membership = self._membership
         if membership is not None:
             self._metrics.render_extra = membership.metrics_text
-            calls["GET", "/api/members"] = lambda: OperatorReply(200, membership.view_json(), "application/json")
+            handlers["GET", "/api/members"] = lambda: OperatorReply(200, membership.view_json(), "application/json")
         if self._config.ops is None:
             return None
-        server = OperatorServer(calls, self._deadlines, self._loop, self._budget.operators)
+        server = OperatorServer(handlers, self._deadlines, self._loop, self._budget.operators)
         server.open(open_or_inherit("ops", self._config.ops))
         return server
 
@@ -228,17 +230,17 @@
         except OSError as error:
             raise WireError(f"{self._peers_file}: field 'listen': {error}") from error
 
-    # Operators' calls.
+    # Operator calls.
 
     def _apply(self, command: Command) -> OperatorReply:
-        """Drain the gateway, or end the draining."""
+        """Start or stop draining the gateway, and return its state."""
         if self._lifecycle.apply(command):
             log.info("lifecycle changed", command=command.value, state=self._lifecycle.state.value)
-        for front in self._fronts:
+        for frontend in self._frontends:
             if self._lifecycle.is_healthy:
-                front.stop_draining()
+                frontend.stop_draining()
             else:
-                front.start_draining()
+                frontend.start_draining()
         if self._membership is not None:
             if self._lifecycle.is_healthy:
                 self._membership.rejoin()
@@ -250,7 +252,7 @@
         is_ready = self._is_serving and not self._lifecycle.is_stopping
         return OperatorReply(200 if is_ready else 503, ("ready" if is_ready else "not ready") + "\n")
 
-    # Changes.
+    # Changes while serving.
 
     def _on_gateways_counted(self, counts: GatewayCounts) -> None:
         for core in self._cores:
@@ -263,42 +265,42 @@
     def _apply_settings(self) -> None:
         for core in self._cores:
             core.apply_settings(replace(self._config.settings, processes=self._processes))
-        if self._membership is not None:  # the members that are seen go before the number that the settings give
+        if self._membership is not None:  # the number of live members overrides the number of gateways in the settings
             self._membership.republish()
 
     def _reload(self) -> None:
-        """Apply the configuration's file; a file that cannot be used changes nothing."""
+        """Reload the configuration file; an invalid file changes nothing."""
         try:
-            fresh = read_config(previous=self._config)
-            counter_endpoint = find_counter(fresh, read_resp(self._resp_file))
-        except Exception as error:  # noqa: BLE001  outermost edge of a signal: the gateway goes on, whatever the files hold
+            new_config = read_config(previous=self._config)
+            counter_endpoint = find_counter_endpoint(new_config, read_resp_settings(self._resp_file))
+        except Exception as error:  # noqa: BLE001  an invalid file must not stop the gateway
             self._metrics.reloads_failed += 1
             log.error("configuration not taken", error=f"{type(error).__name__}: {error}")  # noqa: TRY400
             return
         self._metrics.reloads_ok += 1
         previous = self._config
         fixed = {field.name: getattr(previous, field.name) for field in fields(previous) if field.name in FIXED_FIELDS}
-        self._config = replace(fresh, **fixed)
-        if fresh.settings != previous.settings:
-            self._metrics.add_classes(kind.name for kind in fresh.settings.classes)
+        self._config = replace(new_config, **fixed)
+        if new_config.settings != previous.settings:
+            self._metrics.add_classes(request_class.name for request_class in new_config.settings.classes)
             self._apply_settings()
-            for front in self._fronts:
-                front.apply_settings(fresh.settings)
-            self._upstream.apply_settings(fresh.settings)
-        if fresh.discovery != previous.discovery or fresh.zones != previous.zones:
-            # The whole list is asked for: sequence numbers are each discovery's own, and zones are positions.
-            self._routes.set_zones(fresh.zones)
-            self._routes.watch(fresh.discovery)
-        self._move_counters(counter_endpoint)
+            for frontend in self._frontends:
+                frontend.apply_settings(new_config.settings)
+            self._upstream.apply_settings(new_config.settings)
+        if new_config.discovery != previous.discovery or new_config.zones != previous.zones:
+            # Request the full list: sequence numbers differ between discovery services, and zones are list indexes.
+            self._routes.set_zones(new_config.zones)
+            self._routes.watch(new_config.discovery)
+        self._update_counters(counter_endpoint)
         log.info(
             "configuration taken",
-            discovery=fresh.discovery,
+            discovery=new_config.discovery,
             counter=counter_endpoint and counter_endpoint[0],
-            classes=[kind.name for kind in fresh.settings.classes],
-            kept_until_restart=changed_fixed_fields(previous, fresh),
+            classes=[request_class.name for request_class in new_config.settings.classes],
+            kept_until_restart=fields_requiring_restart(previous, new_config),
         )
 
-    def _move_counters(self, endpoint: CounterEndpoint | None) -> None:
+    def _update_counters(self, endpoint: CounterEndpoint | None) -> None:
         previous, self._counter_endpoint = self._counter_endpoint, endpoint
         for core in self._cores:
             if core not in self._counters:
@@ -309,14 +311,14 @@
                     self._counters[core].move(*endpoint)
 
     def _stop(self) -> None:
-        """Begin to stop, at SIGTERM."""
+        """Start the graceful shutdown, on SIGTERM or SIGINT."""
         if self._lifecycle.apply(Command.TERMINATE):
             log.info("ending")
             self._siblings.stop_writing()
             if self._membership is not None:
                 self._membership.leave()
-        for front in self._fronts:
-            front.stop()
+        for frontend in self._frontends:
+            frontend.stop()
 
     def _close(self) -> None:
         if self._membership is not None:
@@ -332,13 +334,13 @@
     """Run a gateway until SIGTERM.
 
     Raises:
-        WireError: a part of the configuration cannot be used.
+        WireError: A part of the configuration is invalid.
     """
     await GatewayProcess(config, resp_file, peers_file).run()
 
 
-def find_counter(config: GatewayConfig, resp: RespSettings | None) -> CounterEndpoint | None:
-    """Return the counter's address and what encodes its calls, None if there is no counter."""
+def find_counter_endpoint(config: GatewayConfig, resp: RespSettings | None) -> CounterEndpoint | None:
+    """Return the counter's address and the factory of its codec, None if no counter is configured."""
     if resp is not None and resp.counter is not None:
         from hallhitch.resp.counter_codec import RespCounterCodec
 
@@ -348,8 +350,8 @@
     return None
 
 
-def read_resp(path: str | None) -> RespSettings | None:
-    """Return the settings of the RESP front, None if there is none."""
+def read_resp_settings(path: str | None) -> RespSettings | None:
+    """Return the settings of the RESP frontend, None if it is not enabled."""
     if path is None:
         return None
     from hallhitch.resp.settings import read_settings
@@ -357,12 +359,12 @@
     return read_settings(path)
 
 
-def changed_fixed_fields(previous: GatewayConfig, fresh: GatewayConfig) -> list[str]:
-    """Return the fields that a reload would change and that hold until the next start."""
+def fields_requiring_restart(previous: GatewayConfig, new_config: GatewayConfig) -> list[str]:
+    """Return the names of changed fields that a reload does not apply."""
     return [
         field.name
         for field in fields(previous)
-        if field.name not in RELOADABLE_FIELDS and getattr(previous, field.name) != getattr(fresh, field.name)
+        if field.name not in RELOADABLE_FIELDS and getattr(previous, field.name) != getattr(new_config, field.name)
     ]
 
 
@@ -374,10 +376,10 @@
     loop: asyncio.AbstractEventLoop,
     on_counted: Callable[[GatewayCounts], None],
 ) -> MembershipService:
-    """Return this gateway's part in the membership; `shared_folder` is that of all processes of this gateway.
+    """Create the membership service; `shared_folder` is shared by all processes of this gateway.
 
     Raises:
-        WireError: the gateway's name cannot be a member's.
+        WireError: The gateway's name is not a valid member name.
     """
     from hallhitch.membership.errors import MemberNameError
     from hallhitch.membership.gateway_id import read_gateway_id
@@ -398,23 +400,25 @@
         raise WireError(f"field 'name': {error}") from error
 
 
-def open_or_inherit(field: str, place: tuple[str, int] | int) -> socket.socket:
-    """Return a listener at an address or of a descriptor.
+def open_or_inherit(field: str, address_or_fd: tuple[str, int] | int) -> socket.socket:
+    """Open a listener on an address, or inherit the listener with the given file descriptor.
 
     Raises:
-        WireError: there is none; the message names the field.
+        WireError: The listener cannot be opened or inherited; the message names the field.
     """
     try:
-        return inherit_listener(place) if isinstance(place, int) else open_listener(place)
+        return inherit_listener(address_or_fd) if isinstance(address_or_fd, int) else open_listener(address_or_fd)
     except OSError as error:
         raise WireError(f"field '{field}': {error}") from error
 
 
 def main() -> int:
-    """Start a gateway; an unusable configuration is one line and exit code 2."""
-    parser = argparse.ArgumentParser(prog="hallhitch", description="One gateway, configured by EDGE_CONFIG.")
-    parser.add_argument("--resp", metavar="FILE", help="also answer RESP commands for limits, as FILE says")
-    parser.add_argument("--peers", metavar="FILE", help="know the other gateways, as FILE says")
+    """Run a gateway and return the exit code: 2, with one line on stderr, if the configuration is invalid."""
+    parser = argparse.ArgumentParser(
+        prog="hallhitch", description="Run one gateway, configured by the file that EDGE_CONFIG names."
+    )
+    parser.add_argument("--resp", metavar="FILE", help="also answer RESP limit commands, configured by FILE")
+    parser.add_argument("--peers", metavar="FILE", help="join the membership of gateways, configured by FILE")
     arguments = parser.parse_args()
     logs.configure()
     try:
