--- a/hallhitch/core/addresses.py
+++ b/hallhitch/core/addresses.py
@@ -15,7 +15,7 @@
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        raise ValueError(f"'{text}' is no host:port")
+        raise ValueError(f"'{text}' is not a host:port address")
     return host.strip("[]"), int(port)
 
 
