--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The platform's front, by the real program: a client, nodes, a counter and discovery round it."""
+"""The gateway process with a client and fake backends, counter and discovery on loopback."""
 
 from __future__ import annotations
 
@@ -19,37 +19,39 @@
 )
 
 
-class OneNode(GatewayCase):
-    """What a client sees."""
+class SingleBackendTest(GatewayCase):
+    """Requests and responses as a client sees them."""
 
-    async def test_a_request_is_counted_sent_on_and_its_answer_passed_unchanged(self) -> None:
-        """Guards against a head or body altered on its way, in either direction."""
+    async def test_request_is_counted_and_its_response_forwarded_unchanged(self) -> None:
+        """Guards against a head or body that is altered while it is forwarded, in either direction."""
         self.nodes[0].reply = lambda n: http(200, bytes(range(256)) * 200, Content_Type="image/x-score")
         line, headers, body = await self.ask(self.request("reject", 1500, Req_Id="9b1f03aa5c7e2d41"))
         self.assertIn(" 200 ", line)
         self.assertEqual((headers["content-type"], body), ("image/x-score", bytes(range(256)) * 200))
-        _, first, sent, part = self.nodes[0].came.get_nowait()
-        self.assertEqual((first, part), (f"POST /reject/{'00000000b4d65521'}?part=7 HTTP/1.1", b"part"))
-        self.assertEqual((sent["req-id"], sent["idempotency-key"]), ("9b1f03aa5c7e2d41", "5c0f6e1a"))
-        self.assertTrue(0 < int(sent["req-deadline-ms"]) <= 1480, "a little is kept back for the answer")
+        _, request_line, request_headers, request_body = self.nodes[0].came.get_nowait()
+        self.assertEqual((request_line, request_body), (f"POST /reject/{'00000000b4d65521'}?part=7 HTTP/1.1", b"part"))
+        self.assertEqual(
+            (request_headers["req-id"], request_headers["idempotency-key"]), ("9b1f03aa5c7e2d41", "5c0f6e1a")
+        )
+        self.assertTrue(0 < int(request_headers["req-deadline-ms"]) <= 1480, "a margin is subtracted for the response")
         self.assertEqual(list(self.counter.totals.values()), [1.0])
 
-    async def test_past_the_quota_a_refusal_says_when_to_come_back(self) -> None:
-        """Guards against quotas that do not bind, and against refusals without advice."""
+    async def test_rejection_over_quota_has_a_retry_after(self) -> None:
+        """Guards against quotas that are not enforced, and against rejections without Retry-After."""
         lines = [await self.ask(self.request(X_Contract="small-shop")) for _ in range(24)]
         refused = [headers for line, headers, _ in lines if " 429 " in line]
-        self.assertTrue(8 <= len(refused) <= 23, len(refused))  # a window may end meanwhile
+        self.assertTrue(8 <= len(refused) <= 23, len(refused))  # a quota window may end during the test
         self.assertTrue(all(0 < float(h["retry-after"]) <= 1 for h in refused))
 
-    async def test_one_spelling_of_a_customer(self) -> None:
-        """Guards against a quota doubled by the case of its customer's hexadecimal digits."""
+    async def test_customer_id_is_case_insensitive(self) -> None:
+        """Guards against a customer that doubles its quota by writing its id in the other case."""
         for customer in ("00000000b4d65521", "00000000B4D65521") * 3:
             self.assertIn(" 200 ", (await self.ask(self.request(customer=customer)))[0])
         calls = [self.counter.came.get_nowait() for _ in range(self.counter.came.qsize())]
         assert_one_customer(self, [call.partition("?")[0] for call in calls])
 
-    async def test_what_cannot_be_read_is_told_so(self) -> None:
-        """Guards against malformed, oversized or unknown requests taking the connection down unanswered."""
+    async def test_malformed_request_gets_an_error_response(self) -> None:
+        """Guards against closing the connection without a response to a malformed, oversized or unknown request."""
         cases = [
             (b"NONSENSE\r\n\r\n", 400),
             (self.request(Content_Length="60000000"), 413),
@@ -66,16 +68,16 @@
                 self.assertIn(f" {status} ", (await self.ask(data))[0])
         self.assertEqual(self.nodes[0].taken, 0)
 
-    async def test_what_came_whole_before_an_error_is_answered_first(self) -> None:
-        """Guards against a request lost because what follows it on the connection cannot be read."""
+    async def test_requests_before_a_malformed_one_are_answered(self) -> None:
+        """Guards against a request lost because a malformed one follows it on the connection."""
         reader, writer = await self.program.connect()
         writer.write(self.request() + self.request(customer="0000000000000002") + b"NONSENSE\r\n\r\n")
         statuses = [(await soon(read_http(reader)))[0].split()[1] for _ in range(3)]
         self.assertEqual((statuses, await soon(reader.read())), (["200", "200", "400"], b""))
         writer.close()
 
-    async def test_a_client_that_leaves_ends_its_attempt(self) -> None:
-        """Guards against work going on for clients that are gone."""
+    async def test_client_disconnect_cancels_its_attempt(self) -> None:
+        """Guards against backends that keep working for disconnected clients."""
         self.nodes[0].reply = lambda n: None
         _, writer = await self.program.connect()
         writer.write(self.request())
@@ -83,13 +85,13 @@
         writer.close()
         self.assertEqual(await soon(self.nodes[0].ended.get()), number)
 
-    async def test_a_mute_node_costs_no_more_than_the_deadline(self) -> None:
-        """Guards against requests that are held without a final answer."""
+    async def test_silent_backend_delays_a_request_no_longer_than_its_deadline(self) -> None:
+        """Guards against requests that never get a final answer."""
         self.nodes[0].reply = lambda n: None
         self.assertRegex((await self.ask(self.request(deadline=300)))[0], " (429|502) ")
 
-    async def test_connections_are_kept_on_both_sides(self) -> None:
-        """Guards against a connection for each request."""
+    async def test_connections_are_reused_on_both_sides(self) -> None:
+        """Guards against opening a connection for each request."""
         reader, writer = await self.program.connect()
         for _ in range(5):
             writer.write(self.request())
@@ -97,8 +99,8 @@
         writer.close()
         self.assertEqual((self.nodes[0].connections, self.nodes[0].taken), (1, 5))
 
-    async def test_term_finishes_what_is_open(self) -> None:
-        """Guards against requests lost to a planned restart, those in the last moment before it included."""
+    async def test_sigterm_finishes_open_requests(self) -> None:
+        """Guards against requests lost in a planned restart, including those sent at the time of the SIGTERM."""
         self.nodes[0].reply = lambda n: None
         reader, writer = await self.program.connect()
         writer.write(self.request())
@@ -114,59 +116,59 @@
         self.assertEqual(await soon(self.program.process.wait()), 0)
 
 
-class NoNode(GatewayCase):
-    """Nothing to send to."""
+class NoBackendTest(GatewayCase):
+    """A server list without backends."""
 
     backends = 0
 
-    async def test_a_refusal_for_want_of_room_says_when_to_come_back(self) -> None:
-        """Guards against `Retry-After: 0`, which asks a client that honours it to come back at once."""
+    async def test_rejection_without_backends_has_a_retry_after(self) -> None:
+        """Guards against `Retry-After: 0`, which tells clients to retry at once."""
         line, headers, _ = await self.ask(self.request())
         self.assertIn(" 429 ", line)
         self.assertEqual(float(headers["retry-after"]), 0.1)
 
 
-class TwoNodes(GatewayCase):
-    """Repeats, and the list."""
+class TwoBackendsTest(GatewayCase):
+    """Retries, and changes of the server list."""
 
     backends = 2
 
-    async def test_a_repeat_waits_for_the_end_of_the_first(self) -> None:
-        """Guards against two attempts out at once: the first connection ends before the second begins."""
+    async def test_retry_starts_after_the_end_of_the_first_attempt(self) -> None:
+        """Guards against two attempts in flight: the first connection closes before the retry starts."""
         for node in self.nodes:
-            node.reply = lambda n: b"" if sum(o.taken for o in self.nodes) == 1 else http(200, b"again")
+            node.reply = lambda n: b"" if sum(other.taken for other in self.nodes) == 1 else http(200, b"again")
         self.assertEqual((await self.ask(self.request()))[2], b"again")
         self.assertEqual(sum(node.taken for node in self.nodes), 2)
 
-    async def test_a_refused_connection_goes_elsewhere(self) -> None:
-        """Guards against a dead node costing its requests."""
+    async def test_request_is_retried_after_a_refused_connection(self) -> None:
+        """Guards against requests that fail because a backend is down."""
         await self.nodes[0].stop()
         for _ in range(6):
             self.assertIn(" 200 ", (await self.ask(self.request()))[0])
         self.assertEqual(self.nodes[1].taken, 6)
 
-    async def test_a_declined_request_goes_elsewhere_and_only_then(self) -> None:
-        """Guards against taking any 503 for proof that nothing ran: a keyed repeat must stay in its cell."""
+    async def test_only_a_declined_keyed_request_is_retried_in_another_cell(self) -> None:
+        """Guards against taking any 503 as proof that a request did not run: a keyed retry must stay in its cell."""
         self.nodes[1].block = 1
         self.discovery.tell(2, True, *self.nodes)
         await soon(self.discovery.came.get())
         await soon(self.discovery.came.get())
         for node in self.nodes:
-            node.reply = lambda n: http(503, Srv_Declined="1") if self.first() else http(200, b"again")
+            node.reply = lambda n: http(503, Srv_Declined="1") if self.is_first_request() else http(200, b"again")
         self.assertEqual((await self.ask(self.request("reject", 1500)))[2], b"again")
         before = [node.taken for node in self.nodes]
         for node in self.nodes:
             node.reply = lambda n: http(503)
         self.assertRegex((await self.ask(self.request("reject", 1500)))[0], " 502 ")
-        grown = [node.taken - b for node, b in zip(self.nodes, before, strict=True)]
-        self.assertIn(0, grown, "both cells were tried")
+        grown = [node.taken - earlier for node, earlier in zip(self.nodes, before, strict=True)]
+        self.assertIn(0, grown, "the request was sent to both cells")
 
-    def first(self) -> bool:
-        """Whether this is the first request that any node has taken."""
+    def is_first_request(self) -> bool:
+        """Return whether the backends have received exactly one request in total."""
         return sum(node.taken for node in self.nodes) == 1
 
-    async def test_a_draining_node_gets_nothing_new(self) -> None:
-        """Guards against sends after discovery has told of a drain; the next watch follows at once."""
+    async def test_draining_backend_gets_no_new_requests(self) -> None:
+        """Guards against requests to a backend that discovery reports as draining; the next watch starts at once."""
         self.assertIn("from=1&", await soon(self.discovery.came.get()))
         self.nodes[0].health = "leaving"
         self.discovery.tell(2, False, self.nodes[0])
@@ -176,40 +178,42 @@
         self.assertEqual(self.nodes[0].taken, 0)
 
 
-class DeafDiscovery(GatewayCase):
+class SilentDiscoveryTest(GatewayCase):
     """A watch that is never answered."""
 
-    async def test_a_watch_without_answer_is_begun_anew(self) -> None:
-        """Guards against a list that stays old for as long as a dead connection keeps silent."""
+    async def test_unanswered_watch_is_restarted(self) -> None:
+        """Guards against a server list that stays outdated because the watch's connection is dead."""
         self.assertIn("from=1&", await soon(self.discovery.came.get()))
         self.assertIn("from=1&", await soon(self.discovery.came.get()))
         self.assertEqual(self.discovery.connections, 2)
 
 
-class CounterTrouble(GatewayCase):
-    """Passage is open while the counter is silent."""
+class CounterFaultsTest(GatewayCase):
+    """Requests pass while the counter does not respond."""
 
     give_up = 50.0
 
-    async def test_a_stalled_counter_holds_nobody_for_long_and_late_answers_stay_in_order(self) -> None:
-        """Guards against waiting for the counter, and late totals taken for those of later calls."""
+    async def test_stalled_counter_does_not_block_requests_and_late_replies_stay_in_order(self) -> None:
+        """Guards against waiting for the counter, and against late totals attributed to later calls."""
         self.counter.open.clear()
         self.assertIn(" 200 ", (await self.ask(self.request("reject", 1500)))[0])
         self.counter.open.set()
         for _ in range(4):
             self.assertIn(" 200 ", (await self.ask(self.request()))[0])
         total = sum(self.counter.totals.values())
-        self.assertTrue(2.0 <= total < 9.0, total)  # once each; those that ask speak for some that do not
+        self.assertTrue(
+            2.0 <= total < 9.0, total
+        )  # each request counts once; a call also reports requests that made no call
 
-    async def test_a_silent_connection_to_the_counter_is_replaced(self) -> None:
-        """Guards against a counter that was cut off without a word staying lost for ever."""
+    async def test_silent_counter_connection_is_replaced(self) -> None:
+        """Guards against never reaching the counter again after its connections died without a reset."""
         self.counter.open.clear()
         async with asyncio.timeout(GUARD):
-            while self.counter.connections < 3:  # two are held; a silent one is given up for a third
+            while self.counter.connections < 3:  # a third connection replaces one of the two
                 self.assertRegex((await self.ask(self.request()))[0], " (200|429) ")
 
-    async def test_a_counter_that_refuses_and_returns_empty(self) -> None:
-        """Guards against outages of the counter that refuse or crash anything."""
+    async def test_counter_outages_and_lost_totals_are_tolerated(self) -> None:
+        """Guards against outages of the counter that reject requests or crash the gateway."""
         self.assertIn(" 200 ", (await self.ask(self.request()))[0])
         await self.counter.stop()
         self.assertIn(" 200 ", (await self.ask(self.request()))[0])
@@ -218,13 +222,13 @@
         self.assertIn(" 200 ", (await self.ask(self.request()))[0])
 
 
-class FewSockets(GatewayCase):
-    """The least number of descriptors."""
+class FewDescriptorsTest(GatewayCase):
+    """The lowest number of descriptors that is allowed."""
 
     sockets = 256
 
-    async def test_idle_clients_make_room_for_newcomers(self) -> None:
-        """Guards against running out of descriptors while connections stand idle."""
+    async def test_idle_connections_are_closed_for_new_ones(self) -> None:
+        """Guards against running out of descriptors while connections are idle."""
         held = []
         for _ in range(200):
             reader, writer = await self.program.connect()
@@ -236,41 +240,41 @@
             writer.close()
 
 
-class FailingModule(GatewayCase):
-    """A module that fails on one customer, and says nothing of another."""
+class FailingModuleTest(GatewayCase):
+    """A decision module that raises for one customer, and ignores the requests of another."""
 
     fault = (
         "from hallhitch.decision.policy import Gateway as G; was = G.on_request; "
         "G.on_request = lambda g, r: 1 / 0 if r.customer[-1] == 'a' else r.customer[-1] == 'b' or was(g, r)"
     )
 
-    async def test_a_failure_costs_its_own_exchange(self) -> None:
-        """Guards against an exception in the module ending the program, or leaving a client unanswered."""
+    async def test_exception_fails_only_its_own_exchange(self) -> None:
+        """Guards against an exception in the module that ends the process or leaves a client unanswered."""
         self.assertIn(" 502 ", (await self.ask(self.request(customer="000000000000000a")))[0])
         self.assertIn(" 200 ", (await self.ask(self.request(customer="0000000000000001")))[0])
 
-    async def test_the_sweep_answers_for_a_silent_module(self) -> None:
-        """Guards against a request that the module forgets: one final answer by its deadline all the same."""
+    async def test_core_answers_if_the_module_does_not(self) -> None:
+        """Guards against a request that the module forgets: it must still be answered once, by its deadline."""
         self.assertIn(" 502 ", (await self.ask(self.request(customer="000000000000000a")))[0])
         self.assertIn(" 502 ", (await self.ask(self.request(deadline=100, customer="000000000000000b")))[0])
 
 
-class Configuration(unittest.TestCase):
-    """Bad configuration is one line that names the field, and exit code 2."""
+class ConfigurationTest(unittest.TestCase):
+    """An invalid configuration causes one line that names the field, and exit code 2."""
 
-    def test_the_field_is_named(self) -> None:
-        """Guards against a start that half works, and against tracebacks where a word would do."""
+    def test_error_names_the_field(self) -> None:
+        """Guards against starting with an invalid configuration, and against tracebacks in place of a message."""
         with tempfile.TemporaryDirectory() as folder:
-            good = Program(folder, "127.0.0.1:1", "127.0.0.1:2", []).config
+            valid = Program(folder, "127.0.0.1:1", "127.0.0.1:2", []).config
             cases: list[tuple[object, str]] = [
                 (None, "EDGE_CONFIG"),
-                (good | {"listen": "here"}, "listen"),
-                (good | {"seed": "x"}, "seed"),
-                (good | {"settings": {}}, "classes"),
-                (good | {"counter": 5}, "counter"),
+                (valid | {"listen": "here"}, "listen"),
+                (valid | {"seed": "x"}, "seed"),
+                (valid | {"settings": {}}, "classes"),
+                (valid | {"counter": 5}, "counter"),
                 ([], "settings"),
-                (good | {"known": {"seq": 1, "hosts": [{"host": "a"}]}}, "dial"),
-                (good | {"limits": {"sockets": 10}}, "sockets"),
+                (valid | {"known": {"seq": 1, "hosts": [{"host": "a"}]}}, "dial"),
+                (valid | {"limits": {"sockets": 10}}, "sockets"),
             ]
             for config, field in cases:
                 assert_refused(self, "{" if config is None else json.dumps(config), field)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What the platform's gateway loads."""
+"""The modules that the platform's gateway imports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from tests.stand_ins import ROOT
 
-HOSTED = (
+HOSTED_MODULES = (
     "hallhitch.cli",
     "hallhitch.administration",
     "hallhitch.catalog",
@@ -29,20 +29,20 @@
 )
 
 
-class Platform(unittest.TestCase):
-    """`python -m hallhitch` without a command."""
+class GatewayImportsTest(unittest.TestCase):
+    """`python -m hallhitch` without a subcommand."""
 
-    def test_the_gateway_imports_nothing_of_the_hosted_parts(self) -> None:
-        """Guards against memory, start-up time and packages that the platform does not give."""
+    def test_gateway_does_not_import_the_hosted_service(self) -> None:
+        """Guards against imports that cost memory and start time, or need packages that the platform lacks."""
         code = (
             "import sys, hallhitch.__main__ as m\n"
             "sys.argv = ['hallhitch']\n"
-            "code = m.main()\n"  # without EDGE_CONFIG: everything is loaded, then it ends with 2
+            "code = m.main()\n"  # without EDGE_CONFIG the gateway exits with 2 after all its imports
             "print(code, *sorted(sys.modules))"
         )
-        done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, env={})
-        code_, *modules = done.stdout.split()
-        self.assertEqual(code_, "2", done.stderr)
+        run = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, env={})
+        exit_code, *modules = run.stdout.split()
+        self.assertEqual(exit_code, "2", run.stderr)
         self.assertIn("hallhitch.net.ingress", modules)
-        found = [m for m in modules if any(m == name or m.startswith(name + ".") for name in HOSTED)]
+        found = [m for m in modules if any(m == name or m.startswith(name + ".") for name in HOSTED_MODULES)]
         self.assertEqual(found, [])
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as written."""
+"""The example in the README."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 
-def test_the_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     code = text.split("```python\n")[1].split("```")[0]
     exec(compile(code, "README.md", "exec"), {})
