--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -275,7 +275,7 @@
             counter_endpoint = find_counter_endpoint(new_config, read_resp_settings(self._resp_file))
         except Exception as error:  # noqa: BLE001  an invalid file must not stop the gateway
             self._metrics.reloads_failed += 1
-            log.error("configuration not taken", error=f"{type(error).__name__}: {error}")  # noqa: TRY400
+            log.error("configuration reload failed", error=f"{type(error).__name__}: {error}")  # noqa: TRY400
             return
         self._metrics.reloads_ok += 1
         previous = self._config
@@ -293,7 +293,7 @@
             self._routes.watch(new_config.discovery)
         self._update_counters(counter_endpoint)
         log.info(
-            "configuration taken",
+            "configuration reloaded",
             discovery=new_config.discovery,
             counter=counter_endpoint and counter_endpoint[0],
             classes=[request_class.name for request_class in new_config.settings.classes],
--- a/tests/ops/hot_restart/test_replacement.py
+++ b/tests/ops/hot_restart/test_replacement.py
@@ -158,7 +158,7 @@
         await self.program.call("/api/evacuate", "PUT")
         successor, predecessor = await self.start_successor(), self.program
         predecessor.process.send_signal(signal.SIGHUP)
-        await predecessor.logged("configuration taken")
+        await predecessor.logged("configuration reloaded")
         predecessor.process.terminate()
         self.assertEqual(await soon(predecessor.process.wait()), 0)
         self.program = successor
--- a/tests/ops/test_operator_server.py
+++ b/tests/ops/test_operator_server.py
@@ -154,7 +154,7 @@
         """Guards against a signal that brings clients back, and against a drained process that never ends."""
         await self.program.call("/api/evacuate", "PUT")
         text = json.dumps(self.program.config)
-        await self.program.reload(text, "configuration taken")
+        await self.program.reload(text, "configuration reloaded")
         self.assertIn(" 503 ", (await self.ask(HEALTH))[0])
         self.program.process.terminate()
         self.assertEqual(await soon(self.program.process.wait()), 0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -35,7 +35,7 @@
     async def reload_addresses(self) -> None:
         """Reload with the addresses of the new discovery and counter."""
         addresses = {"discovery": self.new_discovery.address, "counter": self.new_counter.address}
-        await self.program.reload(json.dumps(self.program.config | addresses), "configuration taken")
+        await self.program.reload(json.dumps(self.program.config | addresses), "configuration reloaded")
 
     async def test_watch_moves_at_once_and_requests_the_full_list(self) -> None:
         """Guards against a SIGHUP that ends the process or leaves the environment's discovery address in use.
@@ -74,7 +74,7 @@
     async def test_invalid_file_changes_nothing(self) -> None:
         """Guards against an exit or a partial change because the file is only partly written yet."""
         for text in ("{", json.dumps({"discovery": self.new_discovery.address}), "[]"):
-            await self.program.reload(text, "configuration not taken")
+            await self.program.reload(text, "configuration reload failed")
         self.assertIn(" 200 ", (await self.ask(self.request()))[0])
         self.assertEqual((self.counter.connections, self.new_discovery.connections), (1, 0))
 
@@ -102,7 +102,7 @@
 
     async def reload_settings(self, settings: dict[str, Any]) -> None:
         """Reload with other settings."""
-        await self.program.reload(json.dumps(self.program.config | {"settings": settings}), "configuration taken")
+        await self.program.reload(json.dumps(self.program.config | {"settings": settings}), "configuration reloaded")
 
     async def test_open_requests_keep_a_class_that_the_reload_removes(self) -> None:
         """Guards against a request that changes or loses its class, and a class that becomes known too late."""
@@ -148,7 +148,7 @@
                 settings = self.settings()
                 settings["classes"][0]["name"] = name
                 self.program.replace(json.dumps(self.program.config | {"settings": settings}))
-            while f'"{names[-1]}"' not in await self.program.logged("configuration taken"):
+            while f'"{names[-1]}"' not in await self.program.logged("configuration reloaded"):
                 pass
             self.assertIn(" 200 ", (await self.ask(self.request().replace(b"/inspect/", f"/{names[-1]}/".encode())))[0])
 
@@ -156,7 +156,7 @@
         """Guards against operators who cannot see that a reload failed."""
         await self.reload_settings(self.settings(send_cap=2))
         for invalid in ("", json.dumps(self.program.config | {"settings": self.settings(send_cap=0)})):
-            await self.program.reload(invalid, "configuration not taken")
+            await self.program.reload(invalid, "configuration reload failed")
         await self.reload_settings(self.settings(send_cap=3))
         metrics = await self.program.figures()
         self.assertEqual((metrics["svc_reloads_ok"], metrics["svc_reloads_failed"]), (2, 2))
