--- a/hallhitch/core/actor.py
+++ b/hallhitch/core/actor.py
@@ -15,7 +15,7 @@
 
 
 class Actor(Generic[MessageT]):
-    """Handles the messages of its mailbox in order, all that are queued in one iteration of the event loop."""
+    """Handles the messages of its mailbox in order; an iteration of the event loop handles all that are queued."""
 
     def __init__(self, name: str, scheduler: Scheduler, max_messages: int = MAX_MAILBOX_MESSAGES) -> None:
         self.name = name
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -57,7 +57,7 @@
 FIXED_FIELDS: Final = frozenset(("name", "listen", "sockets", "memory", "ops", "inherited"))
 # The wait for discovery's first update at start: the saved server list may be outdated. Not Final, as tests set it.
 FIRST_UPDATE_TIMEOUT_MS = 500.0
-UPLOAD_BUFFER_DIVISOR: Final = 16  # long requests may be buffered in the memory limit divided by this
+UPLOAD_BUFFER_DIVISOR: Final = 16  # buffered long requests may take the memory limit divided by this
 # Few collections are needed: nearly all objects of a request are freed with it, as they form no reference cycles.
 GC_THRESHOLDS: Final = (20_000, 20, 20)
 log = structlog.get_logger()
@@ -76,7 +76,7 @@
         self._peers_file = peers_file
         self._loop = asyncio.get_running_loop()
         self._deadlines = Deadlines(Clock(), self._loop)
-        self._processes = 1  # processes of this gateway that serve clients
+        self._serving_processes = 1  # of this gateway: 2 while a hot restart replaces this process
         self._is_serving = False
         self._cores: list[Core] = []
         self._counters: dict[Core, CounterClient] = {}
@@ -90,14 +90,14 @@
         self._metrics = GatewayMetrics(request_class.name for request_class in settings.classes)
         self._lifecycle = Lifecycle()
         self._routes = RouteTable(self._loop, self._deadlines, config.zones, self._core.post, backoff)
-        self._budget = divide_descriptors(config.sockets, config.ops is not None)
+        self._descriptor_budget = divide_descriptors(config.sockets, config.ops is not None)
         self._upstream = UpstreamClient(
             self._routes,
             self._core,
             self._deadlines,
             self._loop,
             settings,
-            self._budget.upstream,
+            self._descriptor_budget.upstream,
             self._metrics.record_attempt,
         )
         self._core.upstream = self._upstream
@@ -105,10 +105,10 @@
             self._routes.post(config.known)
         # Each frontend with the function that opens its listener.
         self._frontends: dict[Ingress | LimitServer, Callable[[], socket.socket]] = {}
-        clients = self._budget.clients
+        max_clients = self._descriptor_budget.clients
         if resp is not None:
-            clients -= self._add_limit_server(resp)
-        self._ingress = self._add_ingress(clients)
+            max_clients -= self._add_limit_server(resp)
+        self._ingress = self._add_ingress(max_clients)
         self._metrics.gauges = {
             "in_flight": lambda: self._ingress.in_flight,
             "backends_known": lambda: len(self._routes.entries),
@@ -179,8 +179,8 @@
         core = self._make_core("limits", self._config.seed + 1, batch_size=1)
         core.upstream = LocalGrants(core)
         core.post(LOCAL_SERVER_LIST)
-        spare = self._budget.spare
-        max_clients = min(resp.connections, self._budget.clients // 2)
+        spare = self._descriptor_budget.spare
+        max_clients = min(resp.connections, self._descriptor_budget.clients // 2)
         server = LimitServer(core, self._config.settings, self._deadlines, self._loop, max_clients, spare)
         self._frontends[server] = partial(open_or_inherit, "listen (RESP)", parse_address(resp.listen))
         return max_clients + spare
@@ -193,7 +193,7 @@
             self._deadlines,
             self._loop,
             max_clients,
-            self._budget.spare,
+            self._descriptor_budget.spare,
             config.inherited is not None,
             config.memory // UPLOAD_BUFFER_DIVISOR,
             lambda: self._lifecycle.is_healthy,
@@ -218,7 +218,7 @@
             handlers["GET", "/api/members"] = lambda: OperatorReply(200, membership.view_json(), "application/json")
         if self._config.ops is None:
             return None
-        server = OperatorServer(handlers, self._deadlines, self._loop, self._budget.operators)
+        server = OperatorServer(handlers, self._deadlines, self._loop, self._descriptor_budget.operators)
         server.open(open_or_inherit("ops", self._config.ops))
         return server
 
@@ -259,12 +259,12 @@
             core.post(api.Peers(counts.placement_count, counts.budget_count, counts.rank))
 
     def _on_sibling_changed(self, is_running: bool, is_serving: bool) -> None:
-        self._processes = 1 + is_serving
+        self._serving_processes = 1 + is_serving
         self._apply_settings()
 
     def _apply_settings(self) -> None:
         for core in self._cores:
-            core.apply_settings(replace(self._config.settings, processes=self._processes))
+            core.apply_settings(replace(self._config.settings, processes=self._serving_processes))
         if self._membership is not None:  # the number of live members overrides the number of gateways in the settings
             self._membership.republish()
 
