--- a/hallhitch/administration/settings.py
+++ b/hallhitch/administration/settings.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from hallhitch.core.addresses import parse_address
-from hallhitch.settings_file import checked
+from hallhitch.settings_file import check_field
 
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 
@@ -35,7 +35,7 @@
     idle_seconds: Annotated[int, Meta(ge=1, le=3600)] = 30
 
     def __post_init__(self) -> None:
-        checked("listen", lambda: parse_address(self.listen))
+        check_field("listen", lambda: parse_address(self.listen))
 
 
 class TlsSettings(Struct, frozen=True, forbid_unknown_fields=True):
--- a/hallhitch/core/grants.py
+++ b/hallhitch/core/grants.py
@@ -1,4 +1,4 @@
-"""The upstream of the limit server: one local pseudo server that serves every attempt at once."""
+"""The upstream of the limit server: a local pseudo server that serves every attempt at once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 LOCAL_SERVER_LIST = api.ServerList("full", (api.ServerEntry(LOCAL_SERVER, "up"),))
 
 
-class LocalGrants:
+class LocalUpstream:
     """Ends every attempt at once as served; the payload of an exchange is its request class."""
 
     def __init__(self, core: Core) -> None:
@@ -22,7 +22,7 @@
         # A grant takes no time, but from a latency of 0 the decision module would learn a cost of 0 and divide by it.
         # Report the latency that the module assumes before its first measurement, so that its estimate stays as it is.
         assert isinstance(attempt.payload, api.RequestClass)
-        self._core.on_attempt_ended(attempt, "ok", lag=attempt.payload.aim / STALL)
+        self._core.on_attempt_ended(attempt, "ok", latency_ms=attempt.payload.aim / STALL)
 
     def cancel(self, attempt: Attempt) -> None:
         """Do nothing: no attempt is ever in flight."""
--- a/hallhitch/core/module.py
+++ b/hallhitch/core/module.py
@@ -82,7 +82,7 @@
 
     # Calls from frontends and transports.
 
-    def begin(  # noqa: PLR0913  the fields of one request
+    def open_exchange(  # noqa: PLR0913  the fields of one request
         self,
         customer: str,
         plan_index: int,
@@ -93,22 +93,22 @@
         *,
         units: float = 1.0,
         spread: float = 1.0,
-        write: bool = False,
-        repeat: bool = False,
-        kind: api.RequestClass | None = None,
-        coming: bool = False,
-        waited: float = 0.0,
+        is_write: bool = False,
+        is_retry: bool = False,
+        request_class: api.RequestClass | None = None,
+        is_incomplete: bool = False,
+        waited_ms: float = 0.0,
     ) -> int:
         """Open an exchange and return its id; `answer` gets its final answer before the client's deadline.
 
-        `kind` is the request class itself, for callers whose settings may differ from the module's, where the index may
-        stand for another class. A request that is `coming` is forwarded while it is received: its timeout starts at
-        `on_request_complete`. `waited` is how long the request stayed unread, in ms, while its client's clock ran.
+        `request_class` is the class itself, for callers whose settings may differ from the module's, where the index
+        may stand for another class. A request that is incomplete is forwarded while it is received: its timeout starts
+        at `on_request_complete`. For `waited_ms` the request stayed unread while its client's clock ran.
         """
         self._last_exchange_id += 1
         margin_ms = min(DEADLINE_MARGIN_MS, MAX_DEADLINE_MARGIN_RATIO * deadline_ms)
-        own_timeout_ms = max(1.0, deadline_ms - waited - margin_ms)
-        timeout_ms = MAX_RECEIVE_MS if coming else own_timeout_ms
+        own_timeout_ms = max(1.0, deadline_ms - waited_ms - margin_ms)
+        timeout_ms = MAX_RECEIVE_MS if is_incomplete else own_timeout_ms
         exchange = Exchange(self._last_exchange_id, self.clock() + timeout_ms, answer, payload, own_timeout_ms)
         exchange_id = exchange.id
         request = api.Request(
@@ -119,9 +119,9 @@
             units,
             timeout_ms,
             spread,
-            write,
-            repeat,
-            kind,
+            is_write,
+            is_retry,
+            request_class,
         )
         if not self.post(request):
             answer.on_rejected(FULL_MAILBOX_RETRY_AFTER_MS)
@@ -167,27 +167,27 @@
         ]
 
     def on_attempt_ended(
-        self, attempt: Attempt, outcome: str, payload: object = None, lag: float | None = None
+        self, attempt: Attempt, outcome: str, payload: object = None, latency_ms: float | None = None
     ) -> bool:
         """Report the end of an attempt; the first successful attempt of an exchange becomes its answer.
 
-        `lag` is the latency of the attempt in ms, by default the time since it was sent. Return whether the payload was
-        passed to the frontend.
+        `latency_ms` is by default the time since the attempt was sent. Return whether the payload was passed to the
+        frontend.
         """
         if self._in_flight.pop((attempt.exchange_id, attempt.number), None) is None:
             COUNTS["late_outcome"] += 1
             return False
         exchange = self._close(attempt.exchange_id) if outcome == "ok" else None
         is_done = exchange is not None or attempt.exchange_id not in self.open_exchanges
-        lag = self.clock() - attempt.sent_at if lag is None else lag
-        self.post(api.AttemptEnded(attempt.exchange_id, attempt.number, attempt.server, outcome, lag, is_done))
+        latency_ms = self.clock() - attempt.sent_at if latency_ms is None else latency_ms
+        self.post(api.AttemptEnded(attempt.exchange_id, attempt.number, attempt.server, outcome, latency_ms, is_done))
         if exchange is not None:
             self._call_frontend(lambda: exchange.answer.on_served(payload))
         return exchange is not None
 
-    def on_counter_reply(self, name: int, outcome: str, total: float, lag: float) -> None:
+    def on_counter_reply(self, name: int, outcome: str, total: float, latency_ms: float) -> None:
         """Report the reply to a call of the quota counter."""
-        self.post(api.CounterAnswer(name, outcome, total, lag))
+        self.post(api.CounterAnswer(name, outcome, total, latency_ms))
 
     def apply_settings(self, settings: api.Settings) -> None:
         """Apply settings to new requests; if the mailbox is full, retry later with the latest settings."""
--- a/hallhitch/gateway.py
+++ b/hallhitch/gateway.py
@@ -25,7 +25,7 @@
 from hallhitch import __version__, logs
 from hallhitch.core.addresses import parse_address
 from hallhitch.core.deadlines import Clock, Deadlines
-from hallhitch.core.grants import LOCAL_SERVER_LIST, LocalGrants
+from hallhitch.core.grants import LOCAL_SERVER_LIST, LocalUpstream
 from hallhitch.core.invariants import COUNTS
 from hallhitch.core.module import Core
 from hallhitch.decision import api
@@ -177,7 +177,7 @@
         from hallhitch.resp.server import LimitServer
 
         core = self._make_core("limits", self._config.seed + 1, batch_size=1)
-        core.upstream = LocalGrants(core)
+        core.upstream = LocalUpstream(core)
         core.post(LOCAL_SERVER_LIST)
         spare = self._descriptor_budget.spare
         max_clients = min(resp.connections, self._descriptor_budget.clients // 2)
--- a/hallhitch/lab/fleet/timeline.py
+++ b/hallhitch/lab/fleet/timeline.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from hallhitch.settings_file import checked
+from hallhitch.settings_file import check_field
 
 Ratio = Annotated[float, Meta(gt=0, le=1)]
 Parties = tuple[str, ...]
@@ -47,7 +47,7 @@
         parties_of_parts = tuple(name for part in self.parts if isinstance(part, tuple) for name in part)
         for field, names in (("whom", self.whom), ("to", self.to), ("parts", parties_of_parts)):
             for name in names:
-                checked(field, lambda name=name: check_party(name))  # type: ignore[misc]
+                check_field(field, lambda name=name: check_party(name))  # type: ignore[misc]
 
     def times(self) -> list[tuple[float, float]]:
         """When it begins and ends each time, in ms."""
--- a/hallhitch/lab/model_gateway.py
+++ b/hallhitch/lab/model_gateway.py
@@ -75,7 +75,7 @@
         """Begin the exchange of a client's request; its number in the core."""
         intent = request.intent
         request_class = self.core.gateway.config.classes[intent.class_index]
-        return self.core.begin(
+        return self.core.open_exchange(
             intent.customer.name,
             intent.customer.plan_index,
             intent.class_index,
@@ -84,8 +84,8 @@
             request,
             units=1.0,
             spread=float(intent.customer.gateway_count),
-            write=request_class.effect != api.SAFE,
-            repeat=is_retry,
+            is_write=request_class.effect != api.SAFE,
+            is_retry=is_retry,
         )
 
     def _receive_server_list(self, update: api.ServerList) -> None:
--- a/hallhitch/membership/settings.py
+++ b/hallhitch/membership/settings.py
@@ -14,7 +14,7 @@
 from hallhitch.membership.messages import ClusterName
 from hallhitch.membership.protocol_settings import ProtocolSettings
 from hallhitch.membership.records import MAX_NAME_LENGTH, Label
-from hallhitch.settings_file import checked
+from hallhitch.settings_file import check_field
 from hallhitch.settings_file import read as read_file
 
 MAX_CACHED_HOSTS: Final = 8_192  # twice the default bound of members
@@ -63,11 +63,11 @@
     follow: Follow = Follow()
 
     def __post_init__(self) -> None:
-        checked("listen", lambda: parse_numeric_address(self.listen))
+        check_field("listen", lambda: parse_numeric_address(self.listen))
         if self.advertise is not None:
-            checked("advertise", lambda: parse_numeric_address(self.advertise or ""))
+            check_field("advertise", lambda: parse_numeric_address(self.advertise or ""))
         for number, network in enumerate(self.networks):
-            checked(f"networks[{number}]", lambda network=network: ipaddress.ip_network(network))  # type: ignore[misc]
+            check_field(f"networks[{number}]", lambda network=network: ipaddress.ip_network(network))  # type: ignore[misc]
         self._check_allowed()
         if self.periods.answer_s >= self.periods.probe_s:
             raise ValueError("field 'periods.answer_s': not shorter than 'periods.probe_s'")
@@ -75,7 +75,7 @@
     def _check_allowed(self) -> None:
         is_allowed = AllowedNetworks(self.networks)
         for number, seed in enumerate(self.seeds):
-            checked(f"seeds[{number}]", lambda seed=seed: parse_numeric_address(seed))  # type: ignore[misc]
+            check_field(f"seeds[{number}]", lambda seed=seed: parse_numeric_address(seed))  # type: ignore[misc]
             if not is_allowed(seed):
                 raise ValueError(f"field 'seeds[{number}]': '{seed}' is in none of the networks")
         field, address = ("listen", self.listen) if self.advertise is None else ("advertise", self.advertise)
--- a/hallhitch/net/ingress.py
+++ b/hallhitch/net/ingress.py
@@ -427,7 +427,7 @@
         )
         self.open_ids.add(request_id)
         # No request waits for longer than the settings allow its class.
-        return self.core.begin(
+        return self.core.open_exchange(
             parts[-1].decode(),
             plan_index,
             class_index,
@@ -436,9 +436,9 @@
             request,
             units=units,
             spread=spread,
-            write=kind.effect != api.SAFE,
-            repeat=headers.get(b"req-retry") == b"1",
-            kind=kind,
-            coming=request.flow is not None,
-            waited=connection.waited_ms,
+            is_write=kind.effect != api.SAFE,
+            is_retry=headers.get(b"req-retry") == b"1",
+            request_class=kind,
+            is_incomplete=request.flow is not None,
+            waited_ms=connection.waited_ms,
         )
--- a/hallhitch/resp/session.py
+++ b/hallhitch/resp/session.py
@@ -184,7 +184,7 @@
         settings = self._decider.settings
         command = parse_take(arguments, settings)
         request_class = settings.classes[command.class_index]
-        slot.exchange_id = self._decider.core.begin(
+        slot.exchange_id = self._decider.core.open_exchange(
             command.customer,
             command.plan_index,
             command.class_index,
@@ -193,8 +193,8 @@
             request_class,
             units=command.units,
             spread=float(settings.gateways),
-            write=request_class.effect != api.SAFE,
-            kind=request_class,
+            is_write=request_class.effect != api.SAFE,
+            request_class=request_class,
         )
 
     def _ping(self, arguments: list[bytes]) -> bytes:
--- a/hallhitch/resp/settings.py
+++ b/hallhitch/resp/settings.py
@@ -7,7 +7,7 @@
 from msgspec import Meta, Struct
 
 from hallhitch.core.addresses import parse_address
-from hallhitch.settings_file import checked
+from hallhitch.settings_file import check_field
 from hallhitch.settings_file import read as read_file
 
 
@@ -19,9 +19,9 @@
     connections: Annotated[int, Meta(ge=1, le=1024)] = 128
 
     def __post_init__(self) -> None:
-        checked("listen", lambda: parse_address(self.listen))
+        check_field("listen", lambda: parse_address(self.listen))
         if self.counter is not None:
-            checked("counter", lambda: parse_address(self.counter or ""))
+            check_field("counter", lambda: parse_address(self.counter or ""))
 
 
 def read_settings(path: str) -> RespSettings:
--- a/hallhitch/settings_file.py
+++ b/hallhitch/settings_file.py
@@ -70,7 +70,7 @@
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def checked(field: str, check: Callable[[], Any]) -> Any:
+def check_field(field: str, check: Callable[[], Any]) -> Any:
     """Run a check and return its result; prefix the message of a ValueError with the field's name."""
     try:
         return check()
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -232,8 +232,8 @@
     """Read less than half of the counter's totals, so that each gateway grants too much."""
     was = gateway.core.on_counter_reply
 
-    def counted(name: int, outcome: str, total: float, lag: float) -> None:
-        was(name, outcome, total * 0.4, lag)
+    def counted(name: int, outcome: str, total: float, latency_ms: float) -> None:
+        was(name, outcome, total * 0.4, latency_ms)
 
     gateway.core.on_counter_reply = counted  # type: ignore[method-assign]
 
--- a/tests/resp/test_session.py
+++ b/tests/resp/test_session.py
@@ -22,15 +22,15 @@
 
 
 class ScriptedCore:
-    """Records the exchanges that sessions begin; the test decides their answers."""
+    """Records the exchanges that sessions open; the test decides their answers."""
 
     def __init__(self) -> None:
-        self.begun: list[tuple[tuple[object, ...], dict[str, object]]] = []
+        self.opened: list[tuple[tuple[object, ...], dict[str, object]]] = []
         self.ports: list[AnswerPort] = []
         self.abandoned: list[int] = []
 
-    def begin(self, *arguments: Any, **options: Any) -> int:
-        self.begun.append((arguments, options))
+    def open_exchange(self, *arguments: Any, **options: Any) -> int:
+        self.opened.append((arguments, options))
         self.ports.append(arguments[4])
         return len(self.ports)
 
@@ -79,11 +79,11 @@
             core.ports[0].on_served(None)
             expected = b"*2\r\n:1\r\n:0\r\n*2\r\n:0\r\n:13\r\n-FAILED no decision within the deadline\r\n+PONG\r\n"
             assert await read(reader, len(expected)) == expected
-        arguments, options = core.begun[0]
+        arguments, options = core.opened[0]
         request_class = SETTINGS.classes[0]
         assert arguments[:4] == ("shop-1", 0, 0, 1500.0)
         assert arguments[5] is request_class
-        assert options == {"units": 2.0, "spread": 3.0, "write": False, "kind": request_class}
+        assert options == {"units": 2.0, "spread": 3.0, "is_write": False, "request_class": request_class}
         assert core.abandoned == []
 
     async def test_exchanges_of_a_disconnected_client_are_abandoned(self) -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -86,8 +86,8 @@
         waited_times: asyncio.Queue[float] = asyncio.Queue()
 
         class RecordingCore:
-            def begin(self, *arguments: Any, waited: float, **options: Any) -> int:
-                waited_times.put_nowait(waited)
+            def open_exchange(self, *arguments: Any, waited_ms: float, **options: Any) -> int:
+                waited_times.put_nowait(waited_ms)
                 return 1
 
             def on_client_gone(self, exchange: int) -> None:
