--- a/hallhitch/decision/__init__.py
+++ b/hallhitch/decision/__init__.py
@@ -1,4 +1,4 @@
-"""The decision module: which server, whether to retry, what to turn away. Events in, actions out; no I/O."""
+"""The decision module: selects servers, retries and rejects. It maps events to actions and does no I/O."""
 
 from hallhitch.decision.policy import Gateway
 
--- a/hallhitch/decision/api.py
+++ b/hallhitch/decision/api.py
@@ -1,6 +1,6 @@
-"""The interface of the decision module: settings, events and actions. It decides nothing.
+"""The interface of the decision module: settings, events and actions.
 
-All times are milliseconds, all clocks one shared clock; units are quota units.
+Times and durations are milliseconds, all times of one shared clock. `units` are units of the quota.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What the callers of one class of request need, and how it may be repeated."""
+    """A class of requests: its latency targets, its worth, and whether attempts may be repeated."""
 
     name: str
-    aim: float
+    aim: float  # target of the response time
     deadline: float
-    worth: float = 1.0
-    effect: str = UNSAFE
-    group: str = "all"
-    repeat_window: float = 0.0
+    worth: float = 1.0  # of a unit that is served
+    effect: str = UNSAFE  # KEYED: a repeat has no effect where and as long as the key is known
+    group: str = "all"  # servers that share keys: 'all', those of one 'zone' or of one 'cell'
+    repeat_window: float = 0.0  # how long a key is known
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The quota of each customer on the plan, over all gateways together; 0 means no such limit."""
+    """The limits of each customer on the plan, over all gateways together; 0 means no such limit."""
 
     name: str
-    rate: float = 0.0
+    rate: float = 0.0  # units per second
     burst: float = 0.0
-    open_limit: int = 0
-    price: float = 1.0
-    beyond_worth: float = 0.0
-    beyond_cost: float = 0.0
-    ceiling_rate: float = 0.0
+    open_limit: int = 0  # attempts in flight
+    price: float = 1.0  # factor of the worth of a request
+    beyond_worth: float = 0.0  # of a unit beyond the quota, relative to one within it
+    beyond_cost: float = 0.0  # likewise
+    ceiling_rate: float = 0.0  # of a limit that holds even when the counter does not respond
     ceiling_burst: float = 0.0
 
     def faults(self) -> list[str]:
-        """The fields that no quota could be kept by, or that contradict another; empty where there are none."""
+        """Return the names of the fields that are out of range or contradict another."""
         checks = [
             ("rate", self.rate >= 0),
             ("burst", self.burst > 0 or self.rate == 0),
@@ -50,32 +50,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a gateway is told at its start."""
+    """The settings of one gateway."""
 
     gateways: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     has_counter: bool = True
     counter_timeout: float = 50.0
-    postpaid: bool = False
-    most_units: float = 1.0
-    push_list: bool = True
-    attempts: int = 1
-    second_copies: bool = False
+    postpaid: bool = False  # whether the units of a request are known only after its response
+    most_units: float = 1.0  # of one request
+    push_list: bool = True  # whether the server list arrives without a subscription
+    attempts: int = 1  # maximum per request
+    second_copies: bool = False  # whether two attempts of a request may be in flight (hedging)
     can_cancel: bool = False
-    can_advise: bool = False
+    can_advise: bool = False  # whether a rejection may tell the client when to retry
     max_advice: float = 0.0
     connect_timeout: float = 250.0
     keepalive: float = 15_000.0
-    cold_time: float = 0.0
-    cold_from: float = 1.0
-    fall_time: float = 1000.0
-    fall_multiple: float = 1.0
-    index: int = 0  # this gateway's number, from 0
-    processes: int = 1  # of this gateway that take clients at once, each with its own module
+    cold_time: float = 0.0  # warm-up of a server after its start
+    cold_from: float = 1.0  # share of its capacity that a server has at its start
+    fall_time: float = 1000.0  # interval over which the load of a cold server is summed
+    fall_multiple: float = 1.0  # of its present capacity: a cold server that gets more in that interval fails
+    index: int = 0  # number of this gateway, from 0
+    processes: int = 1  # that serve clients for this gateway at once, each with its own module
 
     def __post_init__(self) -> None:
-        """Refuse settings that no decision could be built on, and name the culprit."""
+        """Check the ranges; raise ValueError with the name of the setting that is wrong."""
         checks = [
             ("gateways", self.gateways >= 1),
             ("processes", self.processes >= 1),
@@ -101,19 +101,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of the server list; state is 'up', 'drain' or 'gone'."""
+    """One entry of the server list; `state` is 'up', 'drain' or 'gone'."""
 
     server: str
     state: str
     zone: int = 0
     cell: int = 0
-    started: float = 0.0
+    started: float = 0.0  # 0: long ago
     weight: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """News of the servers; mode is 'full', 'changes', 'saved' or 'failed'."""
+    """An update of the server list; `mode` is 'full', 'changes', 'saved' or 'failed'."""
 
     mode: str
     entries: tuple[ServerEntry, ...] = ()
@@ -121,30 +121,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's try has arrived and is owed one final answer."""
+    """A request has arrived; it gets exactly one final answer."""
 
     id: int
     customer: str
-    plan: int
-    klass: int
+    plan: int  # index in the settings' plans
+    klass: int  # index in the settings' classes
     units: float
-    patience: float
-    spread: float = 1.0
+    patience: float  # time until the client gives up
+    spread: float = 1.0  # number of gateways that share the customer's requests
     write: bool = False
-    repeat: bool = False
-    kind: RequestClass | None = None  # its class itself, where that goes before the number
+    repeat: bool = False  # whether the client has sent it before
+    kind: RequestClass | None = None  # its class, if given; otherwise `klass` tells it
 
 
 @dataclass(frozen=True, slots=True)
 class RequestGone:
-    """The client left; nothing more is owed."""
+    """The client has disconnected; the request needs no answer."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun; the attempt belongs to the client now."""
+    """An attempt has begun to stream: from now on it is neither cancelled nor repeated."""
 
     id: int
     attempt: int
@@ -153,22 +153,22 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How one attempt ended: ok, error, full, timeout, unreachable, reset, cancelled or void."""
+    """An attempt has ended: ok, error, full, timeout, unreachable, reset, cancelled or void (never sent)."""
 
     id: int
     attempt: int
     server: str
     outcome: str
-    lag: float
-    done: bool
+    lag: float  # time since its send
+    done: bool  # whether the request has its final answer
     used: float = 0.0
-    true_units: float = 0.0
-    report: dict[str, float] = field(default_factory=dict)
+    true_units: float = 0.0  # as measured by the server; 0: unknown
+    report: dict[str, float] = field(default_factory=dict)  # the server's load
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """How one probe ended."""
+    """A probe has ended; the outcomes are those of attempts."""
 
     server: str
     outcome: str
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterAnswer:
-    """The answer to one call of the counter; outcome is ok, full, unreachable or timeout."""
+    """A call of the counter has ended; `outcome` is ok, full (overloaded), unreachable or timeout."""
 
     name: int
     outcome: str
@@ -188,21 +188,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set earlier has come due."""
+    """A timer has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class NewSettings:
-    """The settings that hold from now on, for requests that come from now on."""
+    """The settings have changed; they apply to requests that arrive from now on."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another gateway's message."""
+    """A message of another gateway has arrived."""
 
     sender: int
     text: str
@@ -210,9 +210,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """Who is there: the gateways that places are shared by, those that budgets are, and this one's places.
+    """The set of live gateways has changed.
 
-    `seen` is at most `counted`; `rank` gives this gateway's place, from 0, in a server's own order of those seen.
+    The ranks are among the `seen` gateways; budgets are shared by the `counted` ones, which are as many or more.
+    `rank` returns this gateway's rank, from 0, in a server's own order of those seen.
     """
 
     seen: int
@@ -237,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Begin an attempt; limit 0 waits as long as the client does."""
+    """Begin an attempt; with a `limit` of 0 it lasts as long as the client waits."""
 
     id: int
     server: str
@@ -246,7 +247,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel an attempt."""
 
     id: int
     attempt: int
@@ -254,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: refused, a further try is harmless; advice 0 gives no time."""
+    """Final answer: rejected; a retry has no double effect. `advice` is the time until then, 0 for none."""
 
     id: int
     advice: float = 0.0
@@ -262,14 +263,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed; the request may have run."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Add units to a name on the counter and read its total."""
+    """Add units to a name on the counter and read its total; the name expires after `lifetime`."""
 
     name: int
     units: float
@@ -278,7 +279,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired after some time."""
+    """Request a TimerFired with this token after some time."""
 
     after: float
     token: int
@@ -286,24 +287,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for a sign of life."""
+    """Probe a server."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    """Subscribe to the server list where it is not pushed."""
+    """Subscribe to the server list, where it is not pushed."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask once for the whole server list."""
+    """Request the whole server list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """A line of the operator's log."""
 
     text: str
 
--- a/hallhitch/decision/policy.py
+++ b/hallhitch/decision/policy.py
@@ -1,8 +1,4 @@
-"""The decisions of one gateway; settings, events and actions: api.py; records: state.py.
-
-Read top to bottom: quota (a request is counted on its customer's window name, held until the total is
-read, then sent or refused), counter health, server choice and health, attempts.
-"""
+"""The decisions of one gateway: quotas, health of the counter, choice and health of servers, attempts."""
 
 from __future__ import annotations
 
@@ -18,32 +14,32 @@
 from hallhitch.decision import api
 from hallhitch.decision.state import Attempt, Customer, OpenRequest, QuotaWindow, Server
 
-COUNT_LIFE = 60_000.0  # the counter forgets a name after this (wire page): the longest window there is
-ASK_DOWN, ASK_UP = 0.8, 0.05  # a failed call cuts the share that asks by a fifth, a quick one adds to it
-WELL = 1000.0  # ms without a slow answer until each quick one adds all of that
-SURE = 2.0  # how much rarer a customer asks whose store is full than one of whom nothing is known
-MEMORY = 1000.0  # ms that weigh as much as a first look at what others use of a quota
-EVEN = 0.5  # the chance that a try is beyond its quota where nothing was read yet
-CHANCE = 5  # calls in a row answered, or without answer, that are no chance: crowded counters answer some
-UNEVEN = 2.0  # how many times an even share of a customer's requests its busier gateways see
-FEW, WHOLE = 8, 16  # servers that a gateway keeps to: a fleet of at most WHOLE all, of a larger one few
-UNSEEN = 3.0  # attempts that others are taken to have out where all of them go before this gateway
-LEARN = 0.1  # weight of a new sample in running means: about the last ten count
-QUIET = 2.0  # usual answer times without an answer that are no reason to refuse: work scatters as much
-STALL = 4.0  # a server with work out, quiet for this many usual answer times, is taken for stalled
-RETRY_SHARE = 0.1  # further attempts a first one pays for: trouble may add a tenth to the load, not more
-RETRY_STORE = 10.0  # further attempts saved up at most: one server's worth of broken attempts
-COLD_MARGIN = 0.5  # share of the cold budget to plan for: chance and uneven gateways fill the rest
-SHED_AT = 0.6  # share of the aim a foreseen answer may take: answers scatter to about twice what is foreseen
-WORTH_SPAN = 2.0  # how far worth for work may move that share, so that no class or plan is shed wholesale
-DEPTH = 4.0  # attempts out a server, over all gateways, to begin with: few, as late answers come too late
-GROW = 0.1  # share of that a good answer adds to it: less than the fifth that a late one takes off
-ALL = ""  # a server's rest for every plan
-LOOK, RELIST, LAST = 0, 1, 2  # tokens of timers; a request's last moment is LAST + its id
+MAX_WINDOW_MS = 60_000.0  # the longest quota window: the counter's protocol keeps a name no longer
+DECREASE, CALL_RATIO_STEP = 0.8, 0.05  # a failed counter call multiplies the call ratio, a fast one adds
+CALL_RECOVERY_MS = 1000.0  # after the last cut, until each fast reply adds the whole step
+FULL_BUCKET_EXPONENT = 2.0  # full buckets are read this much more rarely than those of unknown customers
+PEER_MEMORY_MS = 1000.0  # an earlier estimate of peers' use weighs as much as a new one over this time
+INITIAL_OVERRUN_RATIO = 0.5  # assumed probability of exceeding the quota before any total is read
+STREAK = 5  # equal results of counter calls that are no coincidence: an overloaded counter answers some
+TRAFFIC_SKEW = 2.0  # busy gateways get this multiple of an even share of a customer's requests
+FEW, MAX_FULL_FLEET = 8, 16  # a gateway uses every server of a fleet of MAX_FULL_FLEET or fewer
+UNSEEN = 3.0  # assumed in flight from peers at a server where all of them rank before this gateway
+LEARN = 0.1  # weight of a new sample in running means: about the last ten samples count
+SILENCE_TOLERANCE = 2.0  # service times without a response that reject nobody: response times vary as much
+STALL = 4.0  # a server with attempts in flight is stalled after this many silent service times
+RETRY_SHARE = 0.1  # retries a first attempt pays for, so that failures add at most a tenth to the load
+RETRY_BURST = 10.0  # retries that can be saved up: enough for the broken attempts of one server
+COLD_BUDGET_RATIO = 0.5  # planned share of the cold budget: chance and uneven gateways use the rest
+SHED_AIM_RATIO = 0.6  # share of the aim that a predicted latency may take: real ones reach twice that
+WORTH_SPAN = 2.0  # factor by which worth per work may move that share, lest a class or plan be shed entirely
+INITIAL_LIMIT = 4.0  # per server, over all gateways; low, since late responses warn too late
+LIMIT_GROWTH = 0.1  # share of INITIAL_LIMIT that a fast response adds, less than the fifth a late one removes
+ALL_PLANS = ""  # key of an ejection that applies to every plan
+WATCH, RELIST, DEADLINE = 0, 1, 2  # tokens of timers; that of a request's deadline is DEADLINE + its id
 
 
 class Gateway:
-    """The decisions of one gateway: `handle` takes what happened and returns what to do."""
+    """The decisions of one gateway. `api` defines its events and actions, `state` the records it keeps."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.config, self.rng, self.gateways = settings, random.Random(seed), 0
@@ -51,30 +47,29 @@
         self.windows: dict[int, QuotaWindow] = {}
         self.servers: dict[str, Server] = {}
         self.requests: dict[int, OpenRequest] = {}
-        self.service_ms: dict[str, float] = {}  # answer time a place in line, learned, by class
-        self.learned_at: dict[str, float] = defaultdict(float)  # when
-        self.class_error_ratio: dict[str, float] = defaultdict(float)  # share that ends as errors everywhere
-        self.overrun_ratio: dict[tuple[str, bool], float] = {}  # found beyond the quota, by plan and repeat
-        self.now, self.usual_worth = 0.0, 0.0  # usual worth for work, learned
-        self.pool: list[Server] = []  # servers that are up
+        self.service_ms: dict[str, float] = {}  # response time per attempt in flight, learned by class
+        self.learned_at: dict[str, float] = defaultdict(float)  # when `service_ms` was last updated
+        self.class_error_ratio: dict[str, float] = defaultdict(float)  # errors of a class on all servers
+        self.overrun_ratio: dict[tuple[str, bool], float] = {}  # of unknown customers, by plan and repeat
+        self.now, self.usual_worth = 0.0, 0.0  # usual_worth: running mean of worth per work
+        self.pool: list[Server] = []  # the servers in state "up"
         self.ask_ratio, self.counter_streak, self.counter_silent = 1.0, 0, False
-        self.ask_cut_at = self.streak_began_at = self.limit_cut = 0.0  # when each last changed
-        self.concurrency_limit, self.is_limited = 0.0, False  # a server's, fleet-wide; whether it was met
-        self.connect_failures, self.connect_at = 0.0, 0.0  # share of new connections refused
-        self.in_flight, self.sent_at_sum, self.is_watching, self.retry_tokens = 0, 0.0, False, RETRY_STORE
+        self.ask_cut_at = self.streak_began_at = self.limit_cut = 0.0  # time of each last change
+        self.concurrency_limit, self.is_limited = 0.0, False  # per server, over all gateways; was it reached
+        self.connect_failures, self.connect_at = 0.0, 0.0  # ratio of refused new connections, and when
+        self.in_flight, self.sent_at_sum, self.is_watching, self.retry_tokens = 0, 0.0, False, RETRY_BURST
         self.actions: list[api.Action] = [] if settings.push_list else [api.WatchList()]
         self.handlers: dict[type, Callable[[Any], None]] = {
             api.Request: self.on_request, api.TimerFired: self.on_timer, api.Peers: self.set_peers,
             api.CounterAnswer: self.on_counter_answer, api.AttemptEnded: self.on_attempt_ended,
             api.NewSettings: lambda e: self.apply_settings(e.settings), api.ServerList: self.on_server_list,
             api.RequestGone: lambda e: self.finish(e.id), api.StreamStarted: self.on_stream_started,
-            api.ProbeEnded: lambda e: None, api.PeerMessage: lambda e: None,  # nothing here asks for these
-        }
+            api.ProbeEnded: lambda e: None, api.PeerMessage: lambda e: None}  # never requested
         self.apply_settings(settings)
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Go by these settings: what was learned stays by name, requests under way keep their class."""
-        if settings.gateways != self.gateways:  # holds until it is told who is there
+        """Apply settings. Learned values stay, by name; open requests keep their class."""
+        if settings.gateways != self.gateways:  # assumes all of them, until `Peers` tells who is alive
             count = self.gateways = settings.gateways
             self.set_peers(api.Peers(count, count, partial(rendezvous_rank, settings.index, count)))
         self.config, self.shortest_aim = settings, min(kind.aim for kind in settings.classes)
@@ -83,209 +78,207 @@
             self.bind_plan(c, next((plan for plan in settings.plans if plan.name == c.plan.name), c.plan))
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Take the events of one moment, in order, and answer with actions, in order."""
+        """Handle the events of one moment in order; return the actions in the order to carry them out."""
         self.now = now
-        # Timers last: after a stall of this gateway's own all comes at once, and its timers must not take
-        # servers for quiet whose answers lie behind them.
+        # Timers come last: after a stall of this gateway, responses in the same batch disprove a silence.
         for event in sorted(events, key=lambda e: isinstance(e, api.TimerFired)):
             self.handlers[type(event)](event)
-        done, self.actions = self.actions, []
-        return done
-
-    # Quota: one add-and-read a request on the customer's window count, checked before release.
+        actions, self.actions = self.actions, []
+        return actions
 
-    def on_request(self, ask: api.Request) -> None:
-        """Count a new request, or decide at once where asking cannot help."""
-        if ask.id in self.requests:
+    def on_request(self, new: api.Request) -> None:
+        """Count a new request and hold it until the total is read, or decide at once if none would help."""
+        if new.id in self.requests:
             return None
-        if ask.kind is None and not 0 <= ask.klass < len(self.config.classes):
-            return self.actions.append(api.Refuse(ask.id))
-        c = self.customers.get(ask.customer)
+        if new.kind is None and not 0 <= new.klass < len(self.config.classes):
+            return self.actions.append(api.Refuse(new.id))
+        c = self.customers.get(new.customer)
         if c is None:
-            plan = self.config.plans[ask.plan] if 0 <= ask.plan < len(self.config.plans) else api.Plan("none")
-            c = Customer(ask.customer, plan, plan.burst, plan.ceiling_burst, self.now, -COUNT_LIFE)
+            plan = self.config.plans[new.plan] if 0 <= new.plan < len(self.config.plans) else api.Plan("none")
+            c = Customer(new.customer, plan, plan.burst, plan.ceiling_burst, self.now, -MAX_WINDOW_MS)
             self.forget_idle_customers()
-            self.customers[ask.customer], c.spread, c.local_tokens = c, max(1.0, ask.spread), plan.burst
+            self.customers[new.customer], c.spread, c.local_tokens = c, max(1.0, new.spread), plan.burst
             self.bind_plan(c, plan)
-        r = self.requests[ask.id] = OpenRequest(
-            ask, c, ask.kind or self.config.classes[ask.klass], self.now + ask.patience)
-        if ask.patience < STALL * self.config.counter_timeout:  # whatever the counter does
-            self.actions.append(api.SetTimer(max(0.0, ask.patience), LAST + ask.id))
-        self.retry_tokens = min(RETRY_STORE, self.retry_tokens + RETRY_SHARE)
+        request = self.requests[new.id] = OpenRequest(
+            new, c, new.kind or self.config.classes[new.klass], self.now + new.patience)
+        if new.patience < STALL * self.config.counter_timeout:  # whatever becomes of the counter call
+            self.actions.append(api.SetTimer(max(0.0, new.patience), DEADLINE + new.id))
+        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
         if c.plan.open_limit and c.in_flight >= c.plan.open_limit:
-            self.reject(r)
+            self.reject(request)
         elif not c.is_counted:
-            self.decide_without_total(r)
-        elif not (chance := self.ask_ratio ** self.read_exponent(r)):
-            self.decide_by_total(r, True)
+            self.decide_without_total(request)
+        elif not (chance := self.ask_ratio ** self.read_exponent(request)):
+            self.decide_by_total(request, True)
         elif self.rng.random() >= chance:
-            self.decide_without_total(r)
+            self.decide_without_total(request)
         else:
-            r.counted = ask.units
-            self.add_and_read(c, 0 if self.counter_silent else ask.id, r.counted)
-            if self.counter_silent:  # the call goes on as the check whether the counter is back
-                self.decide_without_total(r)
-
-    def bind_plan(self, c: Customer, plan: api.Plan) -> None:
-        """Have a customer's quota follow its plan."""
-        c.plan, c.risk = plan, max(0.0, plan.beyond_cost - plan.beyond_worth)
-        c.refill_ms = 1000 * plan.burst / plan.rate if plan.rate else COUNT_LIFE
-        c.is_counted = self.config.has_counter and plan.rate + plan.ceiling_rate > 0
-        c.local_share = min(1.0, (UNEVEN if self.config.has_counter else 1.0) / c.spread)
+            request.counted = new.units
+            self.add_and_read(c, 0 if self.counter_silent else new.id, request.counted)
+            if self.counter_silent:  # the call is sent all the same, to detect that the counter is back
+                self.decide_without_total(request)
+
+    def bind_plan(self, customer: Customer, plan: api.Plan) -> None:
+        """Set the limits of a customer from its plan."""
+        customer.plan, customer.risk = plan, max(0.0, plan.beyond_cost - plan.beyond_worth)
+        customer.refill_ms = 1000 * plan.burst / plan.rate if plan.rate else MAX_WINDOW_MS
+        customer.is_counted = self.config.has_counter and plan.rate + plan.ceiling_rate > 0
+        customer.local_share = min(1.0, (TRAFFIC_SKEW if self.config.has_counter else 1.0) / customer.spread)
 
     def forget_idle_customers(self) -> None:
-        """Look at the two customers longest not looked at; drop those of whom nothing decides any more."""
+        """Check the two customers checked longest ago; drop those whose record decides nothing any more."""
         for name in list(itertools.islice(self.customers, 2)):
             c = self.customers.pop(name)
-            calls = c.window in self.windows and self.windows[c.window].pending_calls
-            life = COUNT_LIFE if c.plan.ceiling_rate else 2 * max(c.refill_ms, self.config.counter_timeout)
-            if c.in_flight or calls or self.now - max(c.refilled_at, c.total_read_at) < life:
+            pending = c.window in self.windows and self.windows[c.window].pending_calls
+            life = MAX_WINDOW_MS if c.plan.ceiling_rate else 2 * max(c.refill_ms, self.config.counter_timeout)
+            if c.in_flight or pending or self.now - max(c.refilled_at, c.total_read_at) < life:
                 self.customers[name] = c
-            else:  # its stores are full, its window is over: a newcomer's record is the same
+            else:  # the buckets are full and the window is over, as in the record of a new customer
                 self.windows.pop(c.window, None)
 
-    def read_exponent(self, r: OpenRequest) -> float:
-        """How much an answer is needed where a crowded counter cannot be asked each time: 0 is always."""
-        # What a counter bears goes to those near their limit. Guards as well against few customers with much
-        # traffic taking all of it. Harm: who was far from the limit a moment ago is noticed late.
-        c = r.customer
+    def read_exponent(self, request: OpenRequest) -> float:
+        """Exponent to the call ratio: the larger, the rarer the call to a busy counter; 0 calls always."""
+        # Spends the calls an overloaded counter can bear on customers near their limit, and keeps a few busy
+        # ones from using them all. The cost: one that was far from its limit a moment ago is noticed late.
+        c = request.customer
         if self.ask_ratio >= 1 or self.is_stale(c):
             return 1.0
         self.refill(c)
-        if not self.counter_silent and c.plan.rate and c.tokens + c.others_guess < r.request.units:
-            return math.inf  # past the quota even if nobody else took of it since: the answer is known
-        return 1 / SURE + SURE * max(0.0, c.tokens) / (c.plan.burst or 1.0)
-
-    def add_and_read(self, c: Customer, rid: int, units: float) -> None:
-        """Add units, and what is pending, to the customer's count for this window."""
-        # As long as the burst takes to refill; a ceiling is held over the longest window there is.
-        life = COUNT_LIFE if c.plan.ceiling_rate else min(COUNT_LIFE, max(1.0, c.refill_ms))
-        shift = digest(c.name) % int(life)  # so that not all windows end at once
-        window = (self.now + shift) // life
-        key = digest(f"{c.name} {window:.0f}")
+        if not self.counter_silent and c.plan.rate and c.tokens + c.others_guess < request.arrival.units:
+            return math.inf  # beyond the quota even if no peer has used any since: a total adds nothing
+        return 1 / FULL_BUCKET_EXPONENT + FULL_BUCKET_EXPONENT * max(0.0, c.tokens) / (c.plan.burst or 1.0)
+
+    def add_and_read(self, c: Customer, request_id: int, units: float) -> None:
+        """Add units, and those pending, to the customer's count in the current window."""
+        # A window lasts as long as the burst takes to refill; with a ceiling it is the longest there is.
+        lifetime = MAX_WINDOW_MS if c.plan.ceiling_rate else min(MAX_WINDOW_MS, max(1.0, c.refill_ms))
+        shift = digest(c.name) % int(lifetime)  # so that the windows of customers end at different times
+        index = (self.now + shift) // lifetime
+        key = digest(f"{c.name} {index:.0f}")
         if key != c.window and c.window in self.windows and not self.windows[c.window].pending_calls:
-            del self.windows[c.window]  # its window is over
-        name, c.window = self.windows.setdefault(key, QuotaWindow(c, window * life - shift)), key
-        if self.is_stale(c):  # of what passed unasked, what may belong to this window
+            del self.windows[c.window]  # that window is over
+        window, c.window = self.windows.setdefault(key, QuotaWindow(c, index * lifetime - shift)), key
+        if self.is_stale(c):  # of the units passed uncounted, those that may fall into this window
             c.pending = max(0.0, c.pending) * c.refill_ms / (self.now - c.total_read_at)
         amount, c.pending = units + c.pending, 0.0
-        name.pending_calls.append((rid, amount))
-        self.actions.append(api.Count(key, amount, life))
+        window.pending_calls.append((request_id, amount))
+        self.actions.append(api.Count(key, amount, lifetime))
 
-    def on_counter_answer(self, e: api.CounterAnswer) -> None:
-        """Read a total: what the others passed since the last look comes off the store; then decide."""
-        name = self.windows.get(e.name)
-        if name is None or not name.pending_calls:
+    def on_counter_answer(self, event: api.CounterAnswer) -> None:
+        """Take what peers used since the last total from the bucket, then decide the waiting request."""
+        window = self.windows.get(event.name)
+        if window is None or not window.pending_calls:
             return
-        c, (rid, amount) = name.customer, name.pending_calls.popleft()
-        if not name.pending_calls and e.name != c.window:
-            del self.windows[e.name]  # its window is over, and this was the last call for it
-        seen = not self.is_stale(c)
-        self.update_counter_health(e)
-        if e.outcome == "ok":
-            self.apply_total(c, name, e.total - amount)
-            name.last_total = e.total
-        elif e.outcome != "timeout":  # what got no answer in time may have been added
-            c.pending += amount
-        if rid in self.requests and e.outcome == "ok":
-            self.decide_by_total(self.requests[rid], seen)
-        elif rid in self.requests:
-            self.decide_without_total(self.requests[rid])
-
-    def apply_total(self, c: Customer, name: QuotaWindow, prior: float) -> None:
-        """Bring the stores up to date with a total: refilled at the rate, less what the others added."""
-        age, growth = (self.now - name.started_at) / 1000, prior - name.last_total
+        customer, (request_id, amount) = window.customer, window.pending_calls.popleft()
+        if not window.pending_calls and event.name != customer.window:
+            del self.windows[event.name]  # that window is over and this was its last call
+        is_known = not self.is_stale(customer)
+        self.update_counter_health(event)
+        if event.outcome == "ok":
+            self.apply_total(customer, window, event.total - amount)
+            window.last_total = event.total
+        elif event.outcome != "timeout":  # a call that timed out may have been counted
+            customer.pending += amount
+        if request_id in self.requests and event.outcome == "ok":
+            self.decide_by_total(self.requests[request_id], is_known)
+        elif request_id in self.requests:
+            self.decide_without_total(self.requests[request_id])
+
+    def apply_total(self, c: Customer, window: QuotaWindow, prior: float) -> None:
+        """Update the buckets from a total: refill at the rate, subtract what peers added."""
+        age, growth = (self.now - window.started_at) / 1000, prior - window.last_total
         if growth < -self.config.most_units * c.spread:
-            growth = prior  # lost counts (flush, back empty): all there is now is new, no fresh window
-        gap, stranger = self.now - c.total_read_at, self.is_stale(c)
-        c.others = 0.0 if stranger else c.others + (max(0.0, growth) - c.others * gap) / (gap + MEMORY)
-        self.refill(c, 0.0 if stranger else growth)
-        if stranger:
-            # A first look, or as good as one (restart, one gateway of many): what the window can have left,
-            # begun with as much of a burst as is worth the risk of passing beyond the quota.
+            growth = prior  # counts were lost (a flush or restart): the rest is new, not a fresh window
+        gap, is_new = self.now - c.total_read_at, self.is_stale(c)
+        c.others = 0.0 if is_new else c.others + (max(0.0, growth) - c.others * gap) / (gap + PEER_MEMORY_MS)
+        self.refill(c, 0.0 if is_new else growth)
+        if is_new:
+            # A first total, or as good as one (after a restart, or as one gateway of many): what the window
+            # can have left, plus as much of a burst as is worth the risk of exceeding the quota.
             c.tokens = min(c.plan.burst, c.plan.burst / (1 + c.risk) + c.plan.rate * age - prior)
             c.ceiling_tokens = min(c.ceiling_tokens, c.plan.ceiling_burst + c.plan.ceiling_rate * age - prior)
         c.total_read_at = self.now
 
-    def is_stale(self, c: Customer) -> bool:
-        """Whether nothing kept here of a customer holds: its store may have filled, its window is over."""
-        return self.now - c.total_read_at > max(c.refill_ms, self.config.counter_timeout)
+    def is_stale(self, customer: Customer) -> bool:
+        """Whether the record of a customer is outdated: its bucket may be full and its window over."""
+        return self.now - customer.total_read_at > max(customer.refill_ms, self.config.counter_timeout)
 
     def refill(self, c: Customer, used: float | None = None) -> None:
-        """Fill the stores for the time passed, less what was used since the last total, or a guess at it."""
+        """Refill the buckets for the time elapsed; subtract use since the last total, `used` or estimated."""
         seconds = (self.now - c.refilled_at) / 1000
         guess = c.others * (self.now - c.refilled_at) if used is None else 0.0
         taken = guess if used is None else used - c.others_guess
-        # How far uncertain totals may take the store below nothing follows from what beyond the quota costs.
-        fill, most = c.plan.rate * seconds, max(c.plan.burst * c.local_share, self.config.most_units)
-        c.local_tokens = min(most, c.local_tokens + fill * c.local_share)  # may pass unread
+        # Uncertain totals may overdraw the bucket as far as the cost of exceeding the quota justifies.
+        fill, local_burst = c.plan.rate * seconds, max(c.plan.burst * c.local_share, self.config.most_units)
+        c.local_tokens = min(local_burst, c.local_tokens + fill * c.local_share)  # may pass without a total
         low = -c.risk * self.config.most_units
         c.others_guess = c.others_guess + min(guess, max(0.0, c.tokens + fill - low)) if used is None else 0.0
         c.tokens = max(min(c.plan.burst, c.tokens + fill - taken), low)
         ceiling = c.ceiling_tokens + c.plan.ceiling_rate * seconds - max(0.0, used or 0.0)
         c.ceiling_tokens, c.refilled_at = min(c.plan.ceiling_burst, ceiling), self.now
 
-    def decide_by_total(self, r: OpenRequest, seen: bool) -> None:
-        """The total is read: within the limit release, beyond it refuse at once."""
-        c, units = r.customer, r.request.units
-        r.is_within_quota = not c.plan.rate or c.tokens >= units
-        if not seen:
-            was = self.overrun_ratio.get((c.plan.name, r.request.repeat), EVEN)
-            self.overrun_ratio[c.plan.name, r.request.repeat] = was + LEARN * ((not r.is_within_quota) - was)
-        # Where the plan pays for it and servers have room to spare, beyond the quota too.
-        pays = c.plan.beyond_worth > c.plan.beyond_cost and self.admissible_server(r, WORTH_SPAN**-2)
-        if (r.is_within_quota or pays) and (c.ceiling_tokens >= units or not c.plan.ceiling_rate):
-            self.admit(r)
+    def decide_by_total(self, request: OpenRequest, is_known: bool) -> None:
+        """Decide with a total: send within the limit, else reject at once."""
+        c, units = request.customer, request.arrival.units
+        request.is_within_quota = not c.plan.rate or c.tokens >= units
+        if not is_known:
+            was = self.overrun_ratio.get((c.plan.name, request.arrival.repeat), INITIAL_OVERRUN_RATIO)
+            self.overrun_ratio[c.plan.name, request.arrival.repeat] = (
+                was + LEARN * ((not request.is_within_quota) - was))
+        # Requests beyond the quota pass too, where the plan pays for them and servers have spare capacity.
+        is_paid = c.plan.beyond_worth > c.plan.beyond_cost and self.admissible_server(request, WORTH_SPAN**-2)
+        if (request.is_within_quota or is_paid) and (c.ceiling_tokens >= units or not c.plan.ceiling_rate):
+            self.admit(request)
         else:
-            c.pending -= r.counted
-            self.reject(r)
-            if units > 1 and r.counted and not self.counter_silent and seen:
-                self.add_and_read(c, 0, 0.0)  # left standing, a refused request looks like use to the others
-
-    def decide_without_total(self, r: OpenRequest) -> None:
-        """No total to be had: passage is open; only a ceiling holds, of which this gateway takes its part."""
-        c, units = r.customer, r.request.units
-        self.refill(c)
-        known = c.plan.burst if self.is_stale(c) else c.tokens
-        if self.counter_silent or self.is_stale(c) or not c.is_counted:
-            known = min(c.local_tokens, known)
-        r.is_within_quota = not c.plan.rate or known >= units
-        room = not c.plan.ceiling_rate or c.ceiling_tokens >= units * c.spread
-        if c.is_counted and c.plan.rate and not self.counter_silent and self.is_stale(c):
-            # A crowded counter: worth its risk only by what was read of its like.
-            room = room and self.overrun_ratio.get((c.plan.name, r.request.repeat), EVEN) * (1 + c.risk) < 1
-        if room and (r.is_within_quota or self.counter_silent):
-            c.ceiling_tokens -= units * (c.spread - 1)  # as if the other gateways did the same
-            self.admit(r)
+            c.pending -= request.counted
+            self.reject(request)
+            if units > 1 and request.counted and not self.counter_silent and is_known:
+                self.add_and_read(c, 0, 0.0)  # else peers would count the rejected units as used
+
+    def decide_without_total(self, request: OpenRequest) -> None:
+        """Decide without a total: fail open, but keep to this gateway's share of a ceiling."""
+        customer, units = request.customer, request.arrival.units
+        self.refill(customer)
+        available = customer.plan.burst if self.is_stale(customer) else customer.tokens
+        if self.counter_silent or self.is_stale(customer) or not customer.is_counted:
+            available = min(customer.local_tokens, available)
+        request.is_within_quota = not customer.plan.rate or available >= units
+        has_room = not customer.plan.ceiling_rate or customer.ceiling_tokens >= units * customer.spread
+        if customer.is_counted and customer.plan.rate and not self.counter_silent and self.is_stale(customer):
+            # The counter is overloaded: admit only if the overrun ratio of such requests is worth the risk.
+            has_room = has_room and self.overrun_ratio.get(
+                (customer.plan.name, request.arrival.repeat), INITIAL_OVERRUN_RATIO) * (1 + customer.risk) < 1
+        if has_room and (request.is_within_quota or self.counter_silent):
+            customer.ceiling_tokens -= units * (customer.spread - 1)  # as if its peers did the same
+            self.admit(request)
         else:
-            c.pending -= r.counted
-            self.reject(r)
+            customer.pending -= request.counted
+            self.reject(request)
 
     def update_counter_health(self, e: api.CounterAnswer) -> None:
-        """Cut the share that asks while answers are late or missing; raise it as they come quickly."""
+        """Lower the call ratio while replies are late or missing; raise it while they are fast."""
         good, quick = e.outcome == "ok", e.lag <= self.config.counter_timeout / 2
         if good and quick:
-            self.ask_ratio = min(1.0, self.ask_ratio + ASK_UP * min(1.0, (self.now - self.ask_cut_at) / WELL))
-        # One quickly gone after a good one was spoilt, not slow; and calls in one line are late together.
+            self.ask_ratio = min(1.0, self.ask_ratio + CALL_RATIO_STEP * min(
+                1.0, (self.now - self.ask_cut_at) / CALL_RECOVERY_MS))
+        # A fast timeout after a success is a broken connection, not overload. Queued calls are late together.
         elif not (quick and e.outcome == "timeout" and self.counter_streak > 0) and (
                 self.now - self.ask_cut_at > self.config.counter_timeout):
-            self.ask_ratio, self.ask_cut_at = max(ASK_UP, self.ask_ratio * ASK_DOWN), self.now
-        # Late or turned away is answered too: a slow or crowded counter must not keep every quota open.
+            self.ask_ratio, self.ask_cut_at = max(CALL_RATIO_STEP, self.ask_ratio * DECREASE), self.now
+        # Late and "full" replies count as alive: a slow or overloaded counter must not open every quota.
         alive = good or e.outcome == "full"
         if alive != (self.counter_streak > 0):
             self.streak_began_at = self.now
         self.counter_streak = max(1, self.counter_streak + 1) if alive else min(-1, self.counter_streak - 1)
-        # Calls on one connection end with it together: that alone is one failure, not a row of them.
+        # Calls on one connection fail together with it: that is one failure, not a streak of them.
         long = self.now - self.streak_began_at >= self.config.counter_timeout
-        if self.counter_streak >= CHANCE if self.counter_silent else self.counter_streak <= -CHANCE and long:
+        if self.counter_streak >= STREAK if self.counter_silent else self.counter_streak <= -STREAK and long:
             self.counter_silent = not self.counter_silent
-            text = f"counter silent ({e.outcome}): passing unread" if self.counter_silent else "counter back"
+            text = f"counter silent ({e.outcome}): failing open" if self.counter_silent else "counter is back"
             self.actions.append(api.Log(text))
 
-    # Server choice and health.
-
     def on_server_list(self, news: api.ServerList) -> None:
-        """Follow the list; a server that drains or is gone gets nothing new from this moment on."""
+        """Apply a server list; a draining or removed server gets no new attempt from now on."""
         if news.mode == "failed":
             self.actions.append(api.SetTimer(self.config.connect_timeout * STALL, RELIST))
             return
@@ -297,54 +290,54 @@
             elif s is None or s.entry.started != entry.started:
                 s = self.servers[entry.server] = Server(entry, self.now)
                 s.rank = self.peers.rank(entry.server)
-                # Gateways hear of a cold start together: each begins at a moment of its own.
-                first = max(self.config.fall_time, self.warming_pause(s)) if self.warm_ratio(s) < 1 else 0.0
-                s.warming_until = self.now + self.rng.random() * first
+                # All gateways learn of a cold start at once: each begins at a random time.
+                delay = max(self.config.fall_time, self.warming_pause(s)) if self.warm_ratio(s) < 1 else 0.0
+                s.warming_until = self.now + self.rng.random() * delay
             else:
                 s.entry, self.servers[entry.server] = entry, s
         self.pool = [s for s in self.servers.values() if s.entry.state == "up"]
         self.select_subset()
-        self.concurrency_limit = self.concurrency_limit or max(DEPTH, self.fleet_in_flight(1))
+        self.concurrency_limit = self.concurrency_limit or max(INITIAL_LIMIT, self.fleet_in_flight(1))
 
-    def warm_ratio(self, s: Server) -> float:
-        """The share of its capacity a server surely has, as if the slowest warm-up applied."""
-        age = self.now - s.entry.started
-        if not s.entry.started or age >= self.config.cold_time:
+    def warm_ratio(self, server: Server) -> float:
+        """The least share of its capacity that a server can have, as if it warmed up at the slowest rate."""
+        age = self.now - server.entry.started
+        if not server.entry.started or age >= self.config.cold_time:
             return 1.0
         return self.config.cold_from + (1 - self.config.cold_from) * max(0.0, age) / self.config.cold_time
 
-    def predict_latency(self, s: Server, r: OpenRequest, usual: float = 0.0, start: float = 1.0) -> float:
-        """The answer time to expect of a server now; so many usual answer times of quiet are no sign."""
-        stale = (self.now - s.queue_at) / r.kind.aim  # reports are late and noisy: they add, and fade
-        line = len(s.in_flight) + start + s.queue_length * max(0.0, 1 - stale)
-        fails = s.error_ratio if s.is_connected else max(s.error_ratio, self.connect_failure_ratio())
-        cost = self.service_ms[r.kind.name] * s.slowness * line / self.warm_ratio(s) / max(LEARN, 1 - fails)
-        # Silence with work out is the first sign of any stall, whatever its cause.
-        quiet = (self.now - s.heard_at) / self.service_ms[r.kind.name] if s.in_flight else 0.0
-        return cost * (1 + max(0.0, quiet - usual))
-
-    def select_server(self, r: OpenRequest) -> Server | None:
-        """The best server that may take this request; a tried one only for want of others."""
+    def predict_latency(self, s: Server, r: OpenRequest, tolerance: float = 0.0, start: float = 1.0) -> float:
+        """Expected latency of a server now; `tolerance` service times of silence do not increase it."""
+        report_age = (self.now - s.queue_at) / r.kind.aim  # late, noisy reports add to the queue and expire
+        queue = len(s.in_flight) + start + s.queue_length * max(0.0, 1 - report_age)
+        failure_ratio = s.error_ratio if s.is_connected else max(s.error_ratio, self.connect_failure_ratio())
+        cost = (self.service_ms[r.kind.name] * s.slowness * queue / self.warm_ratio(s)
+                / max(LEARN, 1 - failure_ratio))
+        # Silence while attempts are in flight is the first symptom of any stall, whatever its cause.
+        silence = (self.now - s.heard_at) / self.service_ms[r.kind.name] if s.in_flight else 0.0
+        return cost * (1 + max(0.0, silence - tolerance))
+
+    def select_server(self, request: OpenRequest) -> Server | None:
+        """The best server that accepts this request; one already tried only if there is no other."""
         if self.now >= self.subset_expires_at:
             self.select_subset()
-        tried = [a.entry.server for a in r.attempts]
-        good = [s for s in self.subset if s.entry.server not in tried and self.accepts(s, r)]
-        good = good or [s for s in self.pool if self.warm_ratio(s) >= 1 and self.accepts(s, r)]
-        # What others have out is unseen, and more of it where more of them go first: each gateway has most of
-        # its own servers' work before its eyes. Chance weighs as one attempt: idle servers share by ability.
+        tried = [attempt.entry.server for attempt in request.attempts]
+        choices = [s for s in self.subset if s.entry.server not in tried and self.accepts(s, request)]
+        choices = choices or [s for s in self.pool if self.warm_ratio(s) >= 1 and self.accepts(s, request)]
+        # Peers' attempts are unseen, and more of them go where more peers rank first: each gateway sees most
+        # work of its own servers. A random term of one attempt divides work among idle servers by capacity.
         draw, unseen = self.rng.expovariate, UNSEEN / self.subset_gateways
-        return min(good, default=None, key=lambda s: self.predict_latency(
-            s, r, start=draw(1) + unseen * s.rank * self.warm_ratio(s)))
+        return min(choices, default=None, key=lambda s: self.predict_latency(
+            s, request, start=draw(1) + unseen * s.rank * self.warm_ratio(s)))
 
     def connect_failure_ratio(self) -> float:
-        """The share of new connections to expect to fail; what failed long ago says nothing of today."""
+        """Expected ratio of new connections that fail; old failures say nothing about the present."""
         return self.connect_failures * max(0.0, 1 - (self.now - self.connect_at) / self.config.keepalive)
 
     def record_connection(self, s: Server, a: Attempt, outcome: str) -> None:
-        """Learn whether servers still accept connections."""
-        # Servers that hold all the connections they accept turn newcomers away at once, look idle here, and
-        # serve whoever has one: keep to those that hold one of ours. Guards as well against any fault that
-        # lets old connections live and new ones fail. Harm: a server just started gets little for a while.
+        """Learn whether servers still accept new connections."""
+        # A server with a full connection table refuses new clients and looks idle, yet serves connected ones.
+        # Keep to open connections, as in any fault that spares them. New servers get little for a while.
         if not a.was_connected:
             ratio, failed = self.connect_failure_ratio(), outcome == "unreachable"
             self.connect_failures, self.connect_at = ratio + LEARN * (failed - ratio), self.now
@@ -353,43 +346,44 @@
             self.select_subset()
 
     def select_subset(self) -> None:
-        """Choose the few servers that this gateway keeps to."""
-        # Connections of hundreds fill every server's table and teach little. Each server takes as many of the
-        # gateways by an order of its own: nobody is left out, who comes back is kept to by the same again.
-        shut = {s for s in self.pool if not s.is_connected and s.ejected.get(ALL, 0.0) > self.now}
-        self.subset_expires_at = min((s.ejected[ALL] for s in shut), default=math.inf)  # when these are
+        """Choose the subset of servers that this gateway uses."""
+        # Connections from hundreds of gateways fill every table and teach little. Each server takes as many
+        # gateways, in an order of its own: none is left out, and one that returns gets the same ones again.
+        ejected = {s for s in self.pool if not s.is_connected and s.ejected.get(ALL_PLANS, 0.0) > self.now}
+        self.subset_expires_at = min((s.ejected[ALL_PLANS] for s in ejected), default=math.inf)  # first end
         self.subset_gateways = self.gateways_per_server()
-        good = sorted(set(self.pool) - shut, key=lambda s: (s.rank, s.entry.server))
-        self.subset = [s for n, s in enumerate(good) if s.rank < self.subset_gateways or n < FEW]
+        usable = sorted(set(self.pool) - ejected, key=lambda s: (s.rank, s.entry.server))
+        self.subset = [s for n, s in enumerate(usable) if s.rank < self.subset_gateways or n < FEW]
 
     def gateways_per_server(self) -> int:
-        """How many gateways keep to a server: all in a small fleet; else FEW, or as many as give each FEW."""
+        """How many gateways use a server: all in a small fleet, else enough to give each FEW."""
         few = math.ceil(FEW * max(1.0, self.peers.seen / max(1, len(self.pool))))
-        return self.peers.seen if len(self.pool) <= WHOLE else min(self.peers.seen, few)
+        return self.peers.seen if len(self.pool) <= MAX_FULL_FLEET else min(self.peers.seen, few)
 
     def set_peers(self, peers: api.Peers) -> None:
-        """Follow who is there: places among those seen, budgets over all that may be there."""
+        """Update the peers: subset ranks are among those seen, budgets are shared by all counted."""
         self.peers = peers
-        for s in self.servers.values():
-            s.rank = peers.rank(s.entry.server)
+        for server in self.servers.values():
+            server.rank = peers.rank(server.entry.server)
         self.select_subset()
 
     def unavailable_count(self) -> int:
-        """How many listed servers get nothing: not up, or set aside for more than a moment."""
-        return len(self.servers) - sum(s.fails < 3 or s.ejected.get(ALL, 0.0) <= self.now for s in self.pool)
+        """Number of listed servers that get no attempts: not up, or ejected after repeated failures."""
+        return len(self.servers) - sum(
+            server.fails < 3 or server.ejected.get(ALL_PLANS, 0.0) <= self.now for server in self.pool)
 
     def accepts(self, s: Server, r: OpenRequest) -> bool:
-        """Whether a server may get this request now; one that turns a plan away may have room for others."""
-        rests = max(s.warming_until, s.ejected.get(ALL, 0.0), s.ejected.get(r.customer.plan.name, 0.0))
-        return rests <= self.now and self.allows_retry_at(r, s.entry)
+        """Whether a server may get this request now. An ejection can be limited to one plan."""
+        until = max(s.warming_until, s.ejected.get(ALL_PLANS, 0.0), s.ejected.get(r.customer.plan.name, 0.0))
+        return until <= self.now and self.allows_retry_at(r, s.entry)
 
     def fleet_in_flight(self, out: float) -> float:
-        """What is out at a server if every gateway has so much out."""
+        """Attempts in flight at each server if every gateway has `out` of them in flight."""
         return out * self.peers.counted / max(1, len(self.servers))
 
     def warming_pause(self, s: Server) -> float:
-        """How long a server rests after a send: none when warm, else so that it gets its part, evenly."""
-        # By what is served, not sent, lest a full fleet make it look able; at least one of all in a fall.
+        """How long a server rests after a send: none when warm; when cold, its share spread evenly."""
+        # Responses count, not sends, lest an overloaded fleet look capable; one per fall time is the least.
         if self.warm_ratio(s) >= 1:
             return 0.0
         fleet = sum(o.entry.weight * self.warm_ratio(o) for o in self.servers.values())
@@ -397,103 +391,103 @@
         seen, share = self.peers.seen * self.config.processes, self.peers.counted / self.peers.seen
         part = served * seen * s.entry.weight * self.warm_ratio(s) * self.config.fall_multiple / fleet
         processes, subset = self.config.processes, self.subset_gateways
-        own = max(1, 2 * (subset - s.rank) - 1) / subset  # who goes there first has more: 1 in the mean
-        return self.config.fall_time * share * subset * processes / max(1, part * COLD_MARGIN) / own
+        own = max(1, 2 * (subset - s.rank) - 1) / subset  # lower ranks get more; the mean is 1
+        return self.config.fall_time * share * subset * processes / max(1, part * COLD_BUDGET_RATIO) / own
 
     def allows_retry_at(self, r: OpenRequest, to: api.ServerEntry) -> bool:
-        """Where a repeat may go: keyed only in its group and window, unsafe nowhere once it may have run."""
-        ran = [a for a in r.attempts if a.state != "never"]
+        """Whether a server may run a retry: keyed in its group and window, unsafe only if nothing ran."""
+        ran = [attempt for attempt in r.attempts if attempt.state != "never"]
         if not ran or r.kind.effect == api.SAFE:
             return True
         first = ran[0].entry
-        near = {"all": True, "zone": first.zone == to.zone,
+        is_near = {"all": True, "zone": first.zone == to.zone,
                 "cell": (first.zone, first.cell) == (to.zone, to.cell)}[r.kind.group]
-        return r.kind.effect == api.KEYED and near and self.now - ran[0].sent_at < r.kind.repeat_window
+        return r.kind.effect == api.KEYED and is_near and self.now - ran[0].sent_at < r.kind.repeat_window
 
     def admissible_server(self, r: OpenRequest, worth: float) -> Server | None:
-        """The server to send to, unless even the best is foreseen to take too much of the aim."""
+        """The server to use, or None if the predicted latency is too large a share of the aim."""
         best = self.select_server(r)
-        # All gateways together may always keep one attempt out at each server: enough to learn of recovery.
-        part, out = 1 / self.fleet_in_flight(1), self.in_flight + self.rng.random()
-        if best is None or out < part:
+        # All gateways together may always keep one attempt in flight per server, to notice recovery.
+        share, out = 1 / self.fleet_in_flight(1), self.in_flight + self.rng.random()
+        if best is None or out < share:
             return best
-        # Few have their part out at one moment: the root of the mean is what chance adds to it. No such grace
-        # while the counter does not answer, when nobody's load is known, nor soon after a late answer.
-        most, heard = part * self.concurrency_limit, self.counter_streak > 0 or not r.customer.is_counted
+        # Few gateways use their share at one time: the root of the mean allows for random variation. There is
+        # no allowance while the counter is silent, as nobody's load is known, or soon after a late response.
+        limit, heard = share * self.concurrency_limit, self.counter_streak > 0 or not r.customer.is_counted
         if heard and self.now - self.limit_cut > STALL * r.kind.aim:
-            most = UNEVEN * (most + most**0.5)
-        if out > most:
+            limit = TRAFFIC_SKEW * (limit + limit**0.5)
+        if out > limit:
             self.is_limited = True
             return None
-        # What is out tells of a jam before its answers do; one long request alone is none.
-        fore = self.predict_latency(best, r, QUIET)
+        # The age of attempts in flight shows congestion before responses do; one long request alone does not.
+        latency = self.predict_latency(best, r, SILENCE_TOLERANCE)
         age = max(0.0, self.now - self.sent_at_sum / self.in_flight) if self.in_flight else 0.0
-        fore = max(fore, (age * SHED_AT * fore) ** 0.5)
-        return best if fore <= SHED_AT * r.kind.aim * worth else None
+        latency = max(latency, (age * SHED_AIM_RATIO * latency) ** 0.5)
+        return best if latency <= SHED_AIM_RATIO * r.kind.aim * worth else None
 
     def admit(self, r: OpenRequest) -> None:
-        """Send a request that may pass, or refuse it before it crowds out what is worth more."""
-        worth = r.kind.worth * r.customer.plan.price * r.request.units / self.service_ms[r.kind.name]
+        """Send a request that may pass, or reject it so that it does not displace worthier ones."""
+        worth = r.kind.worth * r.customer.plan.price * r.arrival.units / self.service_ms[r.kind.name]
         self.usual_worth += LEARN * (worth - self.usual_worth)
-        # What is past the quota by all that is known here (silence) goes first when servers are pressed.
+        # While the counter is silent, what exceeds the quota by all that is known is shed first under load.
         span = min(WORTH_SPAN, max(1 / WORTH_SPAN, worth / self.usual_worth))
         best = self.admissible_server(r, span if r.is_within_quota else 1 / WORTH_SPAN)
         if r.is_within_quota and best is not None:
-            r.customer.tokens -= r.request.units
-            r.customer.local_tokens -= r.request.units
-            r.customer.ceiling_tokens -= r.request.units
-            r.customer.pending += r.request.units - r.counted  # told with the next call if none was made
+            r.customer.tokens -= r.arrival.units
+            r.customer.local_tokens -= r.arrival.units
+            r.customer.ceiling_tokens -= r.arrival.units
+            r.customer.pending += r.arrival.units - r.counted  # if uncounted, added with the next call
         else:
-            r.customer.pending -= r.counted  # neither what is shed nor what is beyond takes of the quota
+            r.customer.pending -= r.counted  # what is shed or beyond the quota uses none of it
         if best is not None:
             self.send(r, best)
         else:
             self.reject(r)
 
-    def send(self, r: OpenRequest, s: Server) -> None:
-        """Begin an attempt."""
-        if not s.in_flight:
-            s.heard_at = self.now
-        s.in_flight.add((r.request.id, len(r.attempts)))
+    def send(self, request: OpenRequest, server: Server) -> None:
+        """Begin an attempt of a request at a server."""
+        if not server.in_flight:
+            server.heard_at = self.now
+        server.in_flight.add((request.arrival.id, len(request.attempts)))
         self.in_flight, self.sent_at_sum = self.in_flight + 1, self.sent_at_sum + self.now
         if not self.is_watching:
             self.is_watching = True
-            self.actions.append(api.SetTimer(self.shortest_aim / 2, LOOK))
-        r.attempts.append(Attempt(s.entry, self.now, len(s.in_flight), s.is_connected))
-        s.warming_until = self.now + self.warming_pause(s)
-        r.customer.in_flight += 1
-        self.actions.append(api.Send(r.request.id, s.entry.server))
+            self.actions.append(api.SetTimer(self.shortest_aim / 2, WATCH))
+        request.attempts.append(Attempt(server.entry, self.now, len(server.in_flight), server.is_connected))
+        server.warming_until = self.now + self.warming_pause(server)
+        request.customer.in_flight += 1
+        self.actions.append(api.Send(request.arrival.id, server.entry.server))
 
     def on_attempt_ended(self, e: api.AttemptEnded) -> None:
-        """Learn from an attempt's end, then answer, repeat or give up."""
-        s, r = self.servers.get(e.server), self.requests.get(e.id)
-        a = r.attempts[e.attempt] if r and e.attempt < len(r.attempts) else None
-        if a is not None:
-            self.in_flight, self.sent_at_sum = self.in_flight - 1, self.sent_at_sum - a.sent_at
-        if s is not None:
-            s.in_flight.discard((e.id, e.attempt))
-            self.observe(s, e, a, r)
-            if a is not None and e.outcome != "void":
-                self.record_connection(s, a, e.outcome)
-        if r is None or a is None:
+        """Learn from the end of an attempt, then finish, retry or give up."""
+        server, request = self.servers.get(e.server), self.requests.get(e.id)
+        attempt = request.attempts[e.attempt] if request and e.attempt < len(request.attempts) else None
+        if attempt is not None:
+            self.in_flight, self.sent_at_sum = self.in_flight - 1, self.sent_at_sum - attempt.sent_at
+        if server is not None:
+            server.in_flight.discard((e.id, e.attempt))
+            self.observe(server, e, attempt, request)
+            if attempt is not None and e.outcome != "void":
+                self.record_connection(server, attempt, e.outcome)
+        if request is None or attempt is None:
             return
-        r.customer.in_flight -= 1
-        a.state = "never" if e.outcome in ("full", "unreachable", "void") else "maybe"
-        if e.outcome == "ok" and self.config.postpaid and e.true_units and r.is_within_quota:
-            r.customer.tokens -= e.true_units - r.request.units
-            r.customer.pending += e.true_units - r.request.units
+        request.customer.in_flight -= 1
+        attempt.state = "never" if e.outcome in ("full", "unreachable", "void") else "maybe"
+        if e.outcome == "ok" and self.config.postpaid and e.true_units and request.is_within_quota:
+            request.customer.tokens -= e.true_units - request.arrival.units
+            request.customer.pending += e.true_units - request.arrival.units
         if e.done:
             self.finish(e.id)
-        elif not any(x.state == "out" for x in r.attempts):
-            self.retry_or_answer(r, e)
+        elif not any(other.state == "out" for other in request.attempts):
+            self.retry_or_answer(request, e)
 
-    def observe(self, s: Server, e: api.AttemptEnded, a: Attempt | None, r: OpenRequest | None) -> None:
-        """Health and pace of a server from one outcome."""
+    def observe(self, s: Server, e: api.AttemptEnded, attempt: Attempt | None, r: OpenRequest | None) -> None:
+        """Update a server's health and speed from the outcome of an attempt."""
         if "waiting" in e.report:
             s.queue_length, s.queue_at = e.report["waiting"], self.now
         if e.outcome in ("ok", "error"):
             s.heard_at, s.fails = self.now, 0
-            # What fails everywhere is the class's failure, and no server is the worse for it.
+            # Errors that a class has everywhere are charged to the class, not to the server.
             kind, failed = (r.kind if r else self.config.classes[0]).name, float(e.outcome == "error")
             s.error_ratio += LEARN * (failed * (1 - self.class_error_ratio[kind]) - s.error_ratio)
             self.class_error_ratio[kind] += LEARN * (failed - self.class_error_ratio[kind])
@@ -501,113 +495,116 @@
             s.served_at.append(self.now)
             while s.served_at[0] < self.now - self.config.fall_time:
                 s.served_at.popleft()
-        if e.outcome in ("ok", "timeout") and a is not None and r is not None:
-            # A server given too much is slow for long after, and its first late answers come after the harm:
-            # begin with little, more as answers come in time, less as they do not while half of it is used.
-            # Guards against all slow fleets. Harm: refuses in the first seconds of one that could do more.
-            late = e.lag > r.kind.aim and a.sent_at > self.limit_cut
+        if e.outcome in ("ok", "timeout") and attempt is not None and r is not None:
+            # An overloaded server stays slow for long, and its first late responses come after the damage. So
+            # the limit starts low, rises with timely responses, and falls with late ones while half of it is
+            # used. This guards slow fleets; the cost is that a fast one rejects some in its first seconds.
+            late = e.lag > r.kind.aim and attempt.sent_at > self.limit_cut
             if late and self.fleet_in_flight(self.in_flight + 1) > self.concurrency_limit / 2:
-                self.concurrency_limit, self.limit_cut = max(1.0, self.concurrency_limit * ASK_DOWN), self.now
-            elif e.lag < SHED_AT * r.kind.aim and self.is_limited:
-                self.concurrency_limit += GROW * max(DEPTH, self.fleet_in_flight(1))
+                self.concurrency_limit, self.limit_cut = max(1.0, self.concurrency_limit * DECREASE), self.now
+            elif e.lag < SHED_AIM_RATIO * r.kind.aim and self.is_limited:
+                self.concurrency_limit += LIMIT_GROWTH * max(INITIAL_LIMIT, self.fleet_in_flight(1))
                 self.is_limited = False
-            work, lag = self.service_ms[r.kind.name], e.lag / a.concurrency
-            s.slowness += LEARN * (min(STALL, lag / work) * self.warm_ratio(s) - s.slowness)
-            gap, self.learned_at[r.kind.name] = self.now - self.learned_at[r.kind.name], self.now
-            # What was learned long ago weighs less: few answers must do where few are sent.
-            self.service_ms[r.kind.name] += min(0.5, LEARN / 2 + gap / r.kind.aim / STALL) * (lag - work)
-        mute = a is not None and s.heard_at <= a.sent_at < self.now - STALL * max(self.service_ms.values())
-        if e.outcome in ("full", "unreachable", "reset") or mute and e.outcome != "ok":
-            # Longer each time: one that turns work away or swallows it has nothing out and would draw all.
+            usual, sample = self.service_ms[r.kind.name], e.lag / attempt.concurrency
+            s.slowness += LEARN * (min(STALL, sample / usual) * self.warm_ratio(s) - s.slowness)
+            age, self.learned_at[r.kind.name] = self.now - self.learned_at[r.kind.name], self.now
+            # A value learned long ago weighs less: where few requests are sent, few samples must do.
+            self.service_ms[r.kind.name] += (
+                min(0.5, LEARN / 2 + age / r.kind.aim / STALL) * (sample - usual))
+        is_silent = attempt is not None and (
+            s.heard_at <= attempt.sent_at < self.now - STALL * max(self.service_ms.values()))
+        if e.outcome in ("full", "unreachable", "reset") or is_silent and e.outcome != "ok":
+            # Ejections grow: a server that refuses or swallows work has none in flight and would attract all.
             base = min(self.service_ms.values()) if e.outcome == "full" else self.config.connect_timeout
-            where = r.customer.plan.name if e.outcome == "full" and r is not None else ALL
-            # One connection that broke says little of a server, nothing where those of all break at times.
+            scope = r.customer.plan.name if e.outcome == "full" and r is not None else ALL_PLANS
+            # One broken connection says little about a server, and nothing where all servers break some.
             if e.outcome != "reset" or s.fails:
-                s.ejected[where] = self.now + base * 2 ** min(s.fails, STALL)
+                s.ejected[scope] = self.now + base * 2 ** min(s.fails, STALL)
             s.fails += 1
 
-    def retry_or_answer(self, r: OpenRequest, e: api.AttemptEnded) -> None:
-        """Nothing is out any more: try elsewhere if that is allowed, paid for and in time; else answer."""
-        best, left = None if r.is_streaming else self.select_server(r), r.deadline - self.now
-        ran = any(a.state != "never" for a in r.attempts)
-        # What found no connection is no repeat: nothing ran, nothing is out, another server costs nothing.
-        price = float(e.outcome != "unreachable")
-        if best and left > 0 and len(r.attempts) < self.config.attempts and self.retry_tokens >= price:
-            self.retry_tokens -= price
+    def retry_or_answer(self, r: OpenRequest, event: api.AttemptEnded) -> None:
+        """With nothing in flight: retry elsewhere if allowed, within the budget and in time; else answer."""
+        best, remaining = None if r.is_streaming else self.select_server(r), r.deadline - self.now
+        ran = any(attempt.state != "never" for attempt in r.attempts)
+        # An attempt without a connection costs no budget: nothing ran, nothing is in flight.
+        cost = float(event.outcome != "unreachable")
+        if best and remaining > 0 and len(r.attempts) < self.config.attempts and self.retry_tokens >= cost:
+            self.retry_tokens -= cost
             self.send(r, best)
-        elif left > 0 and (not ran or r.kind.effect != api.UNSAFE and r.kind.group == "all"):
-            self.reject(r, self.config.connect_timeout * (e.outcome == "unreachable"))
+        elif remaining > 0 and (not ran or r.kind.effect != api.UNSAFE and r.kind.group == "all"):
+            self.reject(r, self.config.connect_timeout * (event.outcome == "unreachable"))
         else:
-            self.fail(r.request.id)
-
-    def fail(self, rid: int) -> None:
-        """Answer that nothing is known, and promise nothing."""
-        self.actions.append(api.Fail(rid))
-        self.finish(rid)
-
-    def reject(self, r: OpenRequest, least: float = 0.0) -> None:
-        """Refuse at once, and say when the store will hold the units and servers may be asked again."""
-        self.refill(r.customer)
-        wait = (r.request.units - r.customer.tokens) / (r.customer.plan.rate or 1.0) * 1000
-        advice = min(max(wait, least), self.config.max_advice) if self.config.can_advise else 0.0
-        self.actions.append(api.Refuse(r.request.id, advice))
-        self.finish(r.request.id)
-
-    def finish(self, rid: int) -> None:
-        """Forget a request; attempts still out are called off."""
-        r = self.requests.pop(rid, None)
-        for number, a in enumerate(r.attempts if r else []):
-            if r and a.state == "out":
-                r.customer.in_flight -= 1
-                self.in_flight, self.sent_at_sum = self.in_flight - 1, self.sent_at_sum - a.sent_at
-                if self.config.can_cancel and not r.is_streaming:
-                    self.actions.append(api.Cancel(rid, number))
-
-    def on_stream_started(self, e: api.StreamStarted) -> None:
-        """A streamed answer has begun: that attempt is the client's now."""
-        if e.id in self.requests:
-            self.requests[e.id].is_streaming = True
+            self.fail(r.arrival.id)
+
+    def fail(self, request_id: int) -> None:
+        """Answer with a failure that tells nothing about whether the request ran."""
+        self.actions.append(api.Fail(request_id))
+        self.finish(request_id)
+
+    def reject(self, request: OpenRequest, least_wait: float = 0.0) -> None:
+        """Reject at once; advise when the bucket holds the units and servers may be tried again."""
+        self.refill(request.customer)
+        wait = (request.arrival.units - request.customer.tokens) / (request.customer.plan.rate or 1.0) * 1000
+        advice = min(max(wait, least_wait), self.config.max_advice) if self.config.can_advise else 0.0
+        self.actions.append(api.Refuse(request.arrival.id, advice))
+        self.finish(request.arrival.id)
+
+    def finish(self, request_id: int) -> None:
+        """Forget a request and cancel its attempts in flight."""
+        request = self.requests.pop(request_id, None)
+        for number, attempt in enumerate(request.attempts if request else []):
+            if request and attempt.state == "out":
+                request.customer.in_flight -= 1
+                self.in_flight, self.sent_at_sum = self.in_flight - 1, self.sent_at_sum - attempt.sent_at
+                if self.config.can_cancel and not request.is_streaming:
+                    self.actions.append(api.Cancel(request_id, number))
+
+    def on_stream_started(self, event: api.StreamStarted) -> None:
+        """Note that an attempt has begun to stream: it is neither cancelled nor retried."""
+        if event.id in self.requests:
+            self.requests[event.id].is_streaming = True
 
     def on_timer(self, e: api.TimerFired) -> None:
-        """Now and then: ask again for a list that failed, end what is overdue, go round stalled servers."""
+        """Fetch a failed list again, move attempts away from silent servers, or fail an overdue request."""
         if e.token == RELIST:
             self.actions.append(api.FetchList() if self.config.push_list else api.WatchList())
-        elif e.token == LOOK:
+        elif e.token == WATCH:
             due = [self.hedge_or_cancel(r, n) for r in list(self.requests.values()) if not r.is_streaming
-                   for n, a in enumerate(r.attempts) if a.state == "out"]
+                   for n, attempt in enumerate(r.attempts) if attempt.state == "out"]
             self.is_watching = bool(due)
             if due:
-                self.actions.append(api.SetTimer(max(min(due) - self.now, LEARN * self.shortest_aim), LOOK))
-        elif e.token >= LAST and (r := self.requests.get(e.token - LAST)) and not r.is_streaming:
-            self.fail(e.token - LAST)
+                self.actions.append(
+                    api.SetTimer(max(min(due) - self.now, LEARN * self.shortest_aim), WATCH))
+        elif e.token >= DEADLINE and (r := self.requests.get(e.token - DEADLINE)) and not r.is_streaming:
+            self.fail(e.token - DEADLINE)
 
     def hedge_or_cancel(self, r: OpenRequest, number: int) -> float:
-        """A second copy, or a move where one may be out, away from a quiet server; when to look again."""
+        """Hedge or cancel an attempt at a silent server; return when to check it again."""
         a, usual = r.attempts[number], self.service_ms[r.kind.name]
-        s = self.servers.get(a.entry.server)
-        # Not while such gaps are usual: in overload every move is work done twice.
-        due = max(a.sent_at, s.heard_at if s else 0.0) + max(STALL * usual, r.kind.aim / 2)
+        server = self.servers.get(a.entry.server)
+        # Not while such silences are common: in overload each move does the work twice.
+        due = max(a.sent_at, server.heard_at if server else 0.0) + max(STALL * usual, r.kind.aim / 2)
         if due > self.now:
             return due
-        only = sum(a.state == "out" for a in r.attempts) == 1 and self.retry_tokens >= 1
-        best = self.select_server(r) if only and r.kind.effect != api.UNSAFE else None
-        if best in (None, s) or len(r.attempts) >= self.config.attempts or self.now + usual > r.deadline:
+        can_move = sum(a.state == "out" for a in r.attempts) == 1 and self.retry_tokens >= 1
+        best = self.select_server(r) if can_move and r.kind.effect != api.UNSAFE else None
+        if best in (None, server) or len(r.attempts) >= self.config.attempts or self.now + usual > r.deadline:
             return r.deadline
         if best and self.config.second_copies:
             self.retry_tokens -= 1
             self.send(r, best)
         elif self.config.can_cancel:
-            self.actions.append(api.Cancel(r.request.id, number))
+            self.actions.append(api.Cancel(r.arrival.id, number))
         return r.deadline
 
 
 def digest(text: str) -> int:
-    """The same number for the same text in every process."""
+    """A hash of the text that is the same in every process."""
     return int.from_bytes(hashlib.sha256(text.encode()).digest()[:8], "big") >> 1
 
 
 def rendezvous_rank(index: int, count: int, server: str) -> int:
-    """A gateway's place in a server's own order of all gateways, from 0: a start and a step through them."""
+    """A gateway's rank, from 0, in a server's own order of gateways: a start and a step through them."""
     seed = digest(server)
     step = next(n for n in itertools.count(1 + seed // count) if math.gcd(n, count) == 1)
     return (seed + index * step) % count
--- a/hallhitch/decision/settings.py
+++ b/hallhitch/decision/settings.py
@@ -1,4 +1,4 @@
-"""Reading of the settings object, as the simulator's first message and a real gateway's file both hold it."""
+"""Parser of the settings object, which the simulator's first message and a gateway's settings file share."""
 
 from __future__ import annotations
 
@@ -11,41 +11,45 @@
 
 
 class WireError(Exception):
-    """The input is not what its page promises; the text names the field."""
+    """Input that does not follow its format; the text names the field."""
 
 
 def need(message: Any, name: str, kind: Any = (int, float)) -> Any:
-    """Fetch a required field of the stated type, or say which one is wrong."""
+    """Return a required field of the given type.
+
+    Raises:
+        WireError: the field is missing, has another type or is not finite.
+    """
     if not isinstance(message, dict):
         raise WireError(f"expected an object with field '{name}'")
     value = message.get(name)
     if (isinstance(value, bool) and kind is not bool) or not isinstance(value, kind):
         raise WireError(f"field '{name}' is missing or of the wrong type")
     if isinstance(value, float) and not math.isfinite(value):
-        raise WireError(f"field '{name}' is no finite number")
+        raise WireError(f"field '{name}' is not a finite number")
     return value
 
 
 def word(message: Any, name: str, words: dict[str, str]) -> str:
-    """Fetch a required field that holds one of a few known words."""
+    """Return what a required field stands for, whose value is a key of `words`."""
     value = need(message, name, str)
     if value not in words:
-        raise WireError(f"field '{name}' holds the unknown word '{value}'")
+        raise WireError(f"field '{name}' has the unknown value '{value}'")
     return words[value]
 
 
 def number(message: dict[str, Any], name: str, default: float = 0.0) -> float:
-    """Fetch an optional number; null and absent mean the default."""
+    """Return an optional number; a null or absent field means the default."""
     return default if message.get(name) is None else float(need(message, name))
 
 
 def section(message: dict[str, Any], name: str) -> dict[str, Any]:
-    """Fetch an optional object; null and absent mean an empty one."""
+    """Return an optional object; a null or absent field means an empty one."""
     return {} if message.get(name) is None else need(message, name, dict)
 
 
 def settings_of(info: dict[str, Any]) -> api.Settings:
-    """Read the settings of the first message."""
+    """Parse the settings object."""
     family, limits, safety = section(info, "family-info"), section(info, "limits"), section(info, "safety")
     classes = tuple(
         api.RequestClass(
