--- a/hallhitch/adapter.py
+++ b/hallhitch/adapter.py
@@ -1,4 +1,4 @@
-"""Translates between the simulator's wire and the interface of the decision module; decides nothing."""
+"""Translates between the simulator's JSON messages and the events and actions of the decision module."""
 
 from __future__ import annotations
 
@@ -21,15 +21,16 @@
     "withdrawn": "cancelled",
     "void": "void",
 }
-STATES = {"healthy": "up", "cordoned": "drain", "deregistered": "gone"}
-SCOPES = {"Partial": "changes", "Complete": "full", "Persisted": "saved", "Error": "failed"}
+SERVER_STATES = {"healthy": "up", "cordoned": "drain", "deregistered": "gone"}
+LIST_MODES = {"Partial": "changes", "Complete": "full", "Persisted": "saved", "Error": "failed"}
+REPEAT_FLAG, WRITE_FLAG = 2, 4  # bits of `attrs`
 
 
-def entry_of(entry: dict[str, Any]) -> api.ServerEntry:
-    """Read one line of the server list."""
+def parse_server_entry(entry: dict[str, Any]) -> api.ServerEntry:
+    """Parse an entry of the server list."""
     return api.ServerEntry(
         need(entry, "server", str),
-        word(entry, "condition", STATES),
+        word(entry, "condition", SERVER_STATES),
         int(number(entry, "campus")),
         int(number(entry, "block")),
         number(entry, "online-since"),
@@ -37,76 +38,84 @@
     )
 
 
-def report_of(message: dict[str, Any]) -> dict[str, float]:
-    """Read a load report, if one came along."""
+def parse_load_report(message: dict[str, Any]) -> dict[str, float]:
+    """Parse the load report of a message; empty if it has none."""
     return {name: float(value) for name, value in section(message, "stats").items() if value is not None}
 
 
-def list_of(m: dict[str, Any]) -> api.ServerList:
-    """Read news of the server list."""
-    entries = m.get("entries") or []
-    return api.ServerList(word(m, "scope", SCOPES), tuple(entry_of(e) for e in entries))
+def parse_server_list(message: dict[str, Any]) -> api.ServerList:
+    """Parse an update of the server list."""
+    entries = message.get("entries") or []
+    return api.ServerList(word(message, "scope", LIST_MODES), tuple(parse_server_entry(e) for e in entries))
 
 
-def request_of(m: dict[str, Any]) -> api.Request:
-    """Read an arriving request."""
-    flags = int(number(m, "attrs"))
+def parse_request(message: dict[str, Any]) -> api.Request:
+    """Parse a new request."""
+    flags = int(number(message, "attrs"))
     return api.Request(
-        need(m, "op-id", int),
-        need(m, "client-id", str),
-        need(m, "terms", int),
-        need(m, "qos", int),
-        number(m, "quota-units", 1.0),
-        need(m, "patience-left"),
-        number(m, "set-size", 1.0),
-        bool(flags & 4),
-        bool(flags & 2),
+        need(message, "op-id", int),
+        need(message, "client-id", str),
+        need(message, "terms", int),
+        need(message, "qos", int),
+        number(message, "quota-units", 1.0),
+        need(message, "patience-left"),
+        number(message, "set-size", 1.0),
+        bool(flags & WRITE_FLAG),
+        bool(flags & REPEAT_FLAG),
     )
 
 
-def outcome_of(m: dict[str, Any]) -> api.AttemptEnded:
-    """Read the end of an attempt."""
+def parse_attempt_end(message: dict[str, Any]) -> api.AttemptEnded:
+    """Parse the end of an attempt."""
     return api.AttemptEnded(
-        need(m, "op-id", int),
-        need(m, "send-no", int),
-        need(m, "server", str),
-        word(m, "status", OUTCOMES),
-        number(m, "lag"),
-        bool(m.get("ended")),
-        number(m, "quota-use"),
-        number(m, "true-units"),
-        report_of(m),
+        need(message, "op-id", int),
+        need(message, "send-no", int),
+        need(message, "server", str),
+        word(message, "status", OUTCOMES),
+        number(message, "lag"),
+        bool(message.get("ended")),
+        number(message, "quota-use"),
+        number(message, "true-units"),
+        parse_load_report(message),
     )
 
 
-EVENTS: dict[str, Callable[[dict[str, Any]], api.Event]] = {
-    "Discovery": list_of,
-    "NewRequest": request_of,
-    "Reply": outcome_of,
-    "Aborted": lambda m: api.RequestGone(need(m, "op-id", int)),
-    "HeadReceived": lambda m: api.StreamStarted(need(m, "op-id", int), need(m, "send-no", int), need(m, "server", str)),
-    "CheckResult": lambda m: api.ProbeEnded(
-        need(m, "server", str), word(m, "status", OUTCOMES), number(m, "lag"), report_of(m)
+EVENT_PARSERS: dict[str, Callable[[dict[str, Any]], api.Event]] = {
+    "Discovery": parse_server_list,
+    "NewRequest": parse_request,
+    "Reply": parse_attempt_end,
+    "Aborted": lambda message: api.RequestGone(need(message, "op-id", int)),
+    "HeadReceived": lambda message: api.StreamStarted(
+        need(message, "op-id", int), need(message, "send-no", int), need(message, "server", str)
     ),
-    "CountResult": lambda m: api.CounterAnswer(
-        need(m, "entry-name", int), word(m, "status", OUTCOMES), number(m, "level"), number(m, "lag")
+    "CheckResult": lambda message: api.ProbeEnded(
+        need(message, "server", str),
+        word(message, "status", OUTCOMES),
+        number(message, "lag"),
+        parse_load_report(message),
     ),
-    "DeadlineHit": lambda m: api.TimerFired(need(m, "token", int)),
-    "FromPeer": lambda m: api.PeerMessage(need(m, "author", int), need(m, "octets", str)),
+    "CountResult": lambda message: api.CounterAnswer(
+        need(message, "entry-name", int),
+        word(message, "status", OUTCOMES),
+        number(message, "level"),
+        number(message, "lag"),
+    ),
+    "DeadlineHit": lambda message: api.TimerFired(need(message, "token", int)),
+    "FromPeer": lambda message: api.PeerMessage(need(message, "author", int), need(message, "octets", str)),
 }
 
 
-def encode(action: api.Action) -> dict[str, Any]:  # noqa: C901, PLR0911  one case after the other
-    """Write one action in the words of the wire."""
+def encode(action: api.Action) -> dict[str, Any]:  # noqa: C901, PLR0911  one case per action
+    """Return the JSON object of an action."""
     match action:
-        case api.Send(id=i, server=server, limit=limit):
-            return {"cmd": "Assign", "op-id": i, "server": server, "limit": limit}
-        case api.Cancel(id=i, attempt=attempt):
-            return {"cmd": "Withdraw", "op-id": i, "send-no": attempt}
-        case api.Refuse(id=i, advice=advice):
-            return {"cmd": "TurnAway", "op-id": i, "retry-in": advice}
-        case api.Fail(id=i):
-            return {"cmd": "Abort", "op-id": i}
+        case api.Send(id=request_id, server=server, limit=limit):
+            return {"cmd": "Assign", "op-id": request_id, "server": server, "limit": limit}
+        case api.Cancel(id=request_id, attempt=attempt):
+            return {"cmd": "Withdraw", "op-id": request_id, "send-no": attempt}
+        case api.Refuse(id=request_id, advice=advice):
+            return {"cmd": "TurnAway", "op-id": request_id, "retry-in": advice}
+        case api.Fail(id=request_id):
+            return {"cmd": "Abort", "op-id": request_id}
         case api.Count(name=name, units=units, lifetime=lifetime):
             return {"cmd": "AddAndGet", "amount": units, "expire-in": lifetime, "entry-name": name}
         case api.SetTimer(after=after, token=token):
@@ -122,13 +131,13 @@
 
 
 class Host:
-    """The gateways hosted by this process; they share nothing."""
+    """The gateways of this process, by name; they share no state."""
 
     def __init__(self) -> None:
         self.gateways: dict[str, Gateway] = {}
 
-    def group(self, now: float, who: str, messages: list[Any]) -> list[dict[str, Any]]:
-        """Hand one instance its events, life by life."""
+    def handle_group(self, now: float, who: str, messages: list[Any]) -> list[dict[str, Any]]:
+        """Handle the messages of one gateway and return the decisions since it was last launched."""
         events: list[api.Event] = []
         actions: list[api.Action] = []
 
@@ -150,26 +159,26 @@
                     except ValueError as error:
                         raise WireError(f"field 'profile-data': {error}") from error
                     self.gateways[who] = Gateway(settings, seed)
-            elif name in EVENTS:
-                events.append(EVENTS[name](message))
+            elif name in EVENT_PARSERS:
+                events.append(EVENT_PARSERS[name](message))
         flush()
         return [encode(action) for action in actions]
 
-    def batch(self, line: str) -> dict[str, Any]:
-        """Answer one line of input."""
+    def handle_line(self, line: str) -> dict[str, Any]:
+        """Handle one line of input and return the reply."""
         try:
             batch = json.loads(line)
         except ValueError as error:
-            raise WireError(f"a line is not JSON: {error}") from error
+            raise WireError(f"invalid JSON in an input line: {error}") from error
         now, reply = need(batch, "ts"), []
         for group in need(batch, "groups", list):
             who = need(group, "who", str)
             messages = need(group, "happened", list)
             try:
-                decisions = self.group(now, who, messages)
+                decisions = self.handle_group(now, who, messages)
             except WireError:
                 raise
-            except Exception as error:  # noqa: BLE001  whatever failed in the policy, the simulator is told in words
+            except Exception as error:  # noqa: BLE001  any failure of the policy is reported to the simulator
                 text = f"{type(error).__name__}: {error}"
                 decisions = [{"cmd": "InternalError", "message": text}]
             if decisions:
@@ -178,13 +187,13 @@
 
 
 def main() -> int:
-    """Answer every line until the input ends."""
+    """Reply to each line until the input ends; return the exit status."""
     host = Host()
     for line in sys.stdin:
         if not line.strip():
             continue
         try:
-            reply = host.batch(line)
+            reply = host.handle_line(line)
         except WireError as error:
             print(f"hallhitch: {error}", file=sys.stderr)
             return 2
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: lines in, lines out, and plain words on what is malformed."""
+"""Tests of the adapter: lines of JSON in, lines of JSON out, and the errors for malformed input."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     "model": 0,
 }
 LAUNCH = {"cmd": "Launch", "rng-seed": 3, "profile-data": PROFILE}
-LIST = {"cmd": "Discovery", "scope": "Persisted", "seq-no": 1, "entries": [ENTRY]}
-ASK = {
+SERVER_LIST = {"cmd": "Discovery", "scope": "Persisted", "seq-no": 1, "entries": [ENTRY]}
+NEW_REQUEST = {
     "cmd": "NewRequest",
     "op-id": 5,
     "quota-units": 2,
@@ -46,26 +46,26 @@
 }
 
 
-def batch(ts: float, *events: dict[str, Any]) -> str:
-    """One line of input for one instance."""
+def make_line(ts: float, *events: dict[str, Any]) -> str:
+    """Return one line of input for one gateway."""
     return json.dumps({"ts": ts, "groups": [{"who": "gateway_0", "happened": list(events)}]})
 
 
-def run(monkeypatch: pytest.MonkeyPatch, *lines: str) -> int:
-    """The adapter's exit code on some input."""
+def run_adapter(monkeypatch: pytest.MonkeyPatch, *lines: str) -> int:
+    """Run the adapter on lines of input and return its exit status."""
     monkeypatch.setattr(sys, "stdin", io.StringIO("\n".join(lines) + "\n"))
     return adapter.main()
 
 
-def test_a_request_from_start_to_end() -> None:
+def test_request_from_start_to_end() -> None:
     host = adapter.Host()
-    assert host.batch('{"ts":1.0,"groups":[]}') == {"groups": []}
-    first = host.batch(batch(10.0, LAUNCH, LIST, ASK))["groups"][0]["decisions"]
+    assert host.handle_line('{"ts":1.0,"groups":[]}') == {"groups": []}
+    first = host.handle_line(make_line(10.0, LAUNCH, SERVER_LIST, NEW_REQUEST))["groups"][0]["decisions"]
     count = next(d for d in first if d["cmd"] == "AddAndGet")
     assert count["amount"] == 2
     answer = {"cmd": "CountResult", "status": "success", "level": 2, "lag": 2}
     answer["entry-name"] = count["entry-name"]
-    sent = host.batch(batch(12.0, answer))["groups"][0]["decisions"]
+    sent = host.handle_line(make_line(12.0, answer))["groups"][0]["decisions"]
     assert {"cmd": "Assign", "op-id": 5, "server": "10.0.0.1:80", "limit": 0.0} in sent
     reply = {
         "cmd": "Reply",
@@ -79,12 +79,12 @@
         "true-units": None,
         "stats": {"waiting": 1},
     }
-    assert host.batch(batch(30.0, reply, {"cmd": "Aborted", "op-id": 5})) == {"groups": []}
+    assert host.handle_line(make_line(30.0, reply, {"cmd": "Aborted", "op-id": 5})) == {"groups": []}
 
 
-def test_every_event_is_read() -> None:
+def test_every_event_is_parsed() -> None:
     host = adapter.Host()
-    host.batch(batch(10.0, {"cmd": "Retire"}, LAUNCH, LAUNCH, LIST, LIST))
+    host.handle_line(make_line(10.0, {"cmd": "Retire"}, LAUNCH, LAUNCH, SERVER_LIST, SERVER_LIST))
     events: list[dict[str, Any]] = [
         {"cmd": "HeadReceived", "op-id": 1, "send-no": 0, "server": "x", "lag": 1.0},
         {"cmd": "FromPeer", "author": 1, "octets": "hi"},
@@ -95,7 +95,7 @@
         {"cmd": "Discovery", "scope": "Error", "seq-no": 2, "entries": None},
         {"cmd": "Unheard"},
     ]
-    reply = host.batch(batch(11.0, *events))
+    reply = host.handle_line(make_line(11.0, *events))
     assert "InternalError" not in json.dumps(reply)
 
 
@@ -114,7 +114,7 @@
         (api.Log("x"), {"cmd": "Debug", "message": "x"}),
     ],
 )
-def test_every_action_is_written(action: api.Action, expected: dict[str, Any]) -> None:
+def test_every_action_is_encoded(action: api.Action, expected: dict[str, Any]) -> None:
     assert adapter.encode(action) == expected
 
 
@@ -125,33 +125,33 @@
         ("[]", "ts"),
         ('{"ts":1}', "groups"),
         ('{"ts":1,"groups":[{"happened":[]}]}', "who"),
-        (batch(1.0, {"cmd": "Launch", "rng-seed": 1, "profile-data": {"balancers": 1, "index": 0}}), "classes"),
-        (batch(1.0, LAUNCH, {**ASK, "op-id": None}), "op-id"),
-        (batch(1.0, LAUNCH, {**LIST, "scope": "Odd"}), "scope"),
-        (batch(1.0, {**LAUNCH, "profile-data": {**PROFILE, "balancers": 0}}), "gateways"),
+        (make_line(1.0, {"cmd": "Launch", "rng-seed": 1, "profile-data": {"balancers": 1, "index": 0}}), "classes"),
+        (make_line(1.0, LAUNCH, {**NEW_REQUEST, "op-id": None}), "op-id"),
+        (make_line(1.0, LAUNCH, {**SERVER_LIST, "scope": "Odd"}), "scope"),
+        (make_line(1.0, {**LAUNCH, "profile-data": {**PROFILE, "balancers": 0}}), "gateways"),
     ],
 )
-def test_malformed_input_is_named(
+def test_error_names_the_malformed_field(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], line: str, field: str
 ) -> None:
-    assert run(monkeypatch, line) == 2
+    assert run_adapter(monkeypatch, line) == 2
     text = capsys.readouterr().err
     assert field in text and len(text.splitlines()) == 1
 
 
-def test_a_failure_of_the_policy_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failure_of_the_policy_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     host = adapter.Host()
-    host.batch(batch(10.0, LAUNCH, LIST))
+    host.handle_line(make_line(10.0, LAUNCH, SERVER_LIST))
     monkeypatch.setattr(Gateway, "handle", lambda *_: 1 / 0)
-    decisions = host.batch(batch(11.0, ASK))["groups"][0]["decisions"]
+    decisions = host.handle_line(make_line(11.0, NEW_REQUEST))["groups"][0]["decisions"]
     assert decisions[0]["cmd"] == "InternalError"
 
 
-def test_empty_input_ends_well(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert run(monkeypatch, "", '{"ts":1,"groups":[]}') == 0
+def test_empty_input_succeeds(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert run_adapter(monkeypatch, "", '{"ts":1,"groups":[]}') == 0
 
 
-def test_the_keep_alive_time_is_read() -> None:
+def test_keepalive_time_is_parsed() -> None:
     limits = {"keepalive": 7000.0, "connect-timeout": 90.0}
     assert settings_of(PROFILE | {"limits": limits}).keepalive == 7000.0
     assert settings_of(PROFILE).keepalive > 0
