--- a/hallhitch/decision/policy.py
+++ b/hallhitch/decision/policy.py
@@ -38,7 +38,7 @@
 WATCH, RELIST, DEADLINE = 0, 1, 2  # tokens of timers; that of a request's deadline is DEADLINE + its id
 
 
-class Gateway:
+class Gateway:  # in long lines: c customer, r open request, s server, a attempt, e event
     """The decisions of one gateway. `api` defines its events and actions, `state` the records it keeps."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -334,21 +334,21 @@
         """Expected ratio of new connections that fail; old failures say nothing about the present."""
         return self.connect_failures * max(0.0, 1 - (self.now - self.connect_at) / self.config.keepalive)
 
-    def record_connection(self, s: Server, a: Attempt, outcome: str) -> None:
+    def record_connection(self, server: Server, attempt: Attempt, outcome: str) -> None:
         """Learn whether servers still accept new connections."""
         # A server with a full connection table refuses new clients and looks idle, yet serves connected ones.
         # Keep to open connections, as in any fault that spares them. New servers get little for a while.
-        if not a.was_connected:
+        if not attempt.was_connected:
             ratio, failed = self.connect_failure_ratio(), outcome == "unreachable"
             self.connect_failures, self.connect_at = ratio + LEARN * (failed - ratio), self.now
-        s.is_connected = outcome not in ("unreachable", "reset")
-        if not s.is_connected:
+        server.is_connected = outcome not in ("unreachable", "reset")
+        if not server.is_connected:
             self.select_subset()
 
     def select_subset(self) -> None:
         """Choose the subset of servers that this gateway uses."""
-        # Connections from hundreds of gateways fill every table and teach little. Each server takes as many
-        # gateways, in an order of its own: none is left out, and one that returns gets the same ones again.
+        # Connections of hundreds of gateways fill a server's table, and each learns little. All servers
+        # get equally many, each by its own order: none is left out, and one that returns gets the same again.
         ejected = {s for s in self.pool if not s.is_connected and s.ejected.get(ALL_PLANS, 0.0) > self.now}
         self.subset_expires_at = min((s.ejected[ALL_PLANS] for s in ejected), default=math.inf)  # first end
         self.subset_gateways = self.gateways_per_server()
@@ -357,8 +357,8 @@
 
     def gateways_per_server(self) -> int:
         """How many gateways use a server: all in a small fleet, else enough to give each FEW."""
-        few = math.ceil(FEW * max(1.0, self.peers.seen / max(1, len(self.pool))))
-        return self.peers.seen if len(self.pool) <= MAX_FULL_FLEET else min(self.peers.seen, few)
+        enough = math.ceil(FEW * max(1.0, self.peers.seen / max(1, len(self.pool))))
+        return self.peers.seen if len(self.pool) <= MAX_FULL_FLEET else min(self.peers.seen, enough)
 
     def set_peers(self, peers: api.Peers) -> None:
         """Update the peers: subset ranks are among those seen, budgets are shared by all counted."""
@@ -389,19 +389,19 @@
         fleet = sum(o.entry.weight * self.warm_ratio(o) for o in self.servers.values())
         served = sum(t > self.now - self.config.fall_time for o in self.servers.values() for t in o.served_at)
         seen, share = self.peers.seen * self.config.processes, self.peers.counted / self.peers.seen
-        part = served * seen * s.entry.weight * self.warm_ratio(s) * self.config.fall_multiple / fleet
+        budget = served * seen * s.entry.weight * self.warm_ratio(s) * self.config.fall_multiple / fleet
         processes, subset = self.config.processes, self.subset_gateways
         own = max(1, 2 * (subset - s.rank) - 1) / subset  # lower ranks get more; the mean is 1
-        return self.config.fall_time * share * subset * processes / max(1, part * COLD_BUDGET_RATIO) / own
+        return self.config.fall_time * share * subset * processes / max(1, budget * COLD_BUDGET_RATIO) / own
 
-    def allows_retry_at(self, r: OpenRequest, to: api.ServerEntry) -> bool:
+    def allows_retry_at(self, r: OpenRequest, target: api.ServerEntry) -> bool:
         """Whether a server may run a retry: keyed in its group and window, unsafe only if nothing ran."""
         ran = [attempt for attempt in r.attempts if attempt.state != "never"]
         if not ran or r.kind.effect == api.SAFE:
             return True
         first = ran[0].entry
-        is_near = {"all": True, "zone": first.zone == to.zone,
-                "cell": (first.zone, first.cell) == (to.zone, to.cell)}[r.kind.group]
+        is_near = {"all": True, "zone": first.zone == target.zone,
+                   "cell": (first.zone, first.cell) == (target.zone, target.cell)}[r.kind.group]
         return r.kind.effect == api.KEYED and is_near and self.now - ran[0].sent_at < r.kind.repeat_window
 
     def admissible_server(self, r: OpenRequest, worth: float) -> Server | None:
@@ -413,8 +413,8 @@
             return best
         # Few gateways use their share at one time: the root of the mean allows for random variation. There is
         # no allowance while the counter is silent, as nobody's load is known, or soon after a late response.
-        limit, heard = share * self.concurrency_limit, self.counter_streak > 0 or not r.customer.is_counted
-        if heard and self.now - self.limit_cut > STALL * r.kind.aim:
+        limit, alive = share * self.concurrency_limit, self.counter_streak > 0 or not r.customer.is_counted
+        if alive and self.now - self.limit_cut > STALL * r.kind.aim:
             limit = TRAFFIC_SKEW * (limit + limit**0.5)
         if out > limit:
             self.is_limited = True
