--- a/benchmarks/evenness.py
+++ b/benchmarks/evenness.py
@@ -6,9 +6,9 @@
     python -m benchmarks.evenness loss [--seeds 20] [--sizes 1,4,40,200]
     python -m benchmarks.evenness cases [--seeds 20] [--sizes 40]
 
-`--constant UNSEEN=0` plays the module without places in its choice. `cases` plays each hard case with and without, by
-paired seeds, with three nodes to two gateways. The others: virtual time, 100 nodes, 700 requests a second, a calm day.
-Each prints a table of docs/measured/evenness.md.
+`--constant UNSEEN_ATTEMPTS=0` plays the module without places in its choice. `cases` plays each hard case with and
+without, by paired seeds, with three nodes to two gateways. The others: virtual time, 100 nodes, 700 requests a second,
+a calm day. Each prints a table of docs/measured/evenness.md.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 SERVERS: Final = 100
 REQUESTS_PER_S: Final = 700.0
 CASE_DURATION_S: Final = 20.0
-WITHOUT_PLACES: Final = {"UNSEEN": 0.0}  # constant of the decision's policy that gives places no part in the choice
+WITHOUT_PLACES: Final = {"UNSEEN_ATTEMPTS": 0.0}  # constant of the policy that gives places no part in the choice
 INFORMED_LATENESS_MS: Final = (0.0, 20.0, 50.0, 100.0, 200.0, 500.0, 1000.0)
 HEADINGS_BY_FIGURE: Final = {
     "service": "service",
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -28,7 +28,7 @@
 import msgspec
 import structlog
 
-from hallhitch.decision.policy import FEW
+from hallhitch.decision.policy import SUBSET_SIZE
 from hallhitch.lab import virtual_run
 from hallhitch.lab.figures import figures
 from hallhitch.lab.fleet.cluster import Cluster, ClusterOptions
@@ -257,7 +257,7 @@
     servers = [f"node-{n}" for n in range(100)]
 
     def kept(names: list[str]) -> dict[str, set[str]]:
-        few, found = math.ceil(FEW * max(1.0, len(names) / len(servers))), {}
+        few, found = math.ceil(SUBSET_SIZE * max(1.0, len(names) / len(servers))), {}
         for name in names:
             places = RendezvousRanking(name)
             places.set_gateways(names)
@@ -273,14 +273,14 @@
         for gone in itertools.islice(names, 0, count, max(1, count // 10)):
             after = kept([name for name in names if name != gone])
             moved.append(float(sum(len(after[name] - before[name]) for name in after)))
-            least.append(float(len(before[gone])) if count * FEW > 0 else 0.0)
+            least.append(float(len(before[gone])) if count * SUBSET_SIZE > 0 else 0.0)
         print(f"| {count} | {sum(map(len, before.values()))} | {mean(moved)} | {mean(least)} |")
 
 
 def damping() -> None:
     """Print how places and budgets move in a release, in a mass death and behind a split: damped and as it comes."""
     size, servers = 60, [f"node-{n}" for n in range(100)]
-    few = math.ceil(FEW * max(1.0, size / len(servers)))
+    few = math.ceil(SUBSET_SIZE * max(1.0, size / len(servers)))
     settings = {"damped": DampingSettings(), "as it comes": DampingSettings(0.0, 0.0, 200.0, 1.0, 0.0, 1.0)}
 
     def release(c: Cluster) -> None:
--- a/hallhitch/adapter.py
+++ b/hallhitch/adapter.py
@@ -9,7 +9,14 @@
 
 from hallhitch.decision import api
 from hallhitch.decision.policy import Gateway
-from hallhitch.decision.settings import WireError, need, number, section, settings_of, word
+from hallhitch.decision.settings import (
+    WireError,
+    optional_number,
+    optional_section,
+    parse_settings,
+    require,
+    require_choice,
+)
 
 OUTCOMES = {
     "success": "ok",
@@ -29,37 +36,37 @@
 def parse_server_entry(entry: dict[str, Any]) -> api.ServerEntry:
     """Parse an entry of the server list."""
     return api.ServerEntry(
-        need(entry, "server", str),
-        word(entry, "condition", SERVER_STATES),
-        int(number(entry, "campus")),
-        int(number(entry, "block")),
-        number(entry, "online-since"),
-        number(entry, "heft", 1.0),
+        require(entry, "server", str),
+        require_choice(entry, "condition", SERVER_STATES),
+        int(optional_number(entry, "campus")),
+        int(optional_number(entry, "block")),
+        optional_number(entry, "online-since"),
+        optional_number(entry, "heft", 1.0),
     )
 
 
 def parse_load_report(message: dict[str, Any]) -> dict[str, float]:
     """Parse the load report of a message; empty if it has none."""
-    return {name: float(value) for name, value in section(message, "stats").items() if value is not None}
+    return {name: float(value) for name, value in optional_section(message, "stats").items() if value is not None}
 
 
 def parse_server_list(message: dict[str, Any]) -> api.ServerList:
     """Parse an update of the server list."""
     entries = message.get("entries") or []
-    return api.ServerList(word(message, "scope", LIST_MODES), tuple(parse_server_entry(e) for e in entries))
+    return api.ServerList(require_choice(message, "scope", LIST_MODES), tuple(parse_server_entry(e) for e in entries))
 
 
 def parse_request(message: dict[str, Any]) -> api.Request:
     """Parse a new request."""
-    flags = int(number(message, "attrs"))
+    flags = int(optional_number(message, "attrs"))
     return api.Request(
-        need(message, "op-id", int),
-        need(message, "client-id", str),
-        need(message, "terms", int),
-        need(message, "qos", int),
-        number(message, "quota-units", 1.0),
-        need(message, "patience-left"),
-        number(message, "set-size", 1.0),
+        require(message, "op-id", int),
+        require(message, "client-id", str),
+        require(message, "terms", int),
+        require(message, "qos", int),
+        optional_number(message, "quota-units", 1.0),
+        require(message, "patience-left"),
+        optional_number(message, "set-size", 1.0),
         bool(flags & WRITE_FLAG),
         bool(flags & REPEAT_FLAG),
     )
@@ -68,14 +75,14 @@
 def parse_attempt_end(message: dict[str, Any]) -> api.AttemptEnded:
     """Parse the end of an attempt."""
     return api.AttemptEnded(
-        need(message, "op-id", int),
-        need(message, "send-no", int),
-        need(message, "server", str),
-        word(message, "status", OUTCOMES),
-        number(message, "lag"),
+        require(message, "op-id", int),
+        require(message, "send-no", int),
+        require(message, "server", str),
+        require_choice(message, "status", OUTCOMES),
+        optional_number(message, "lag"),
         bool(message.get("ended")),
-        number(message, "quota-use"),
-        number(message, "true-units"),
+        optional_number(message, "quota-use"),
+        optional_number(message, "true-units"),
         parse_load_report(message),
     )
 
@@ -84,24 +91,24 @@
     "Discovery": parse_server_list,
     "NewRequest": parse_request,
     "Reply": parse_attempt_end,
-    "Aborted": lambda message: api.RequestGone(need(message, "op-id", int)),
+    "Aborted": lambda message: api.RequestGone(require(message, "op-id", int)),
     "HeadReceived": lambda message: api.StreamStarted(
-        need(message, "op-id", int), need(message, "send-no", int), need(message, "server", str)
+        require(message, "op-id", int), require(message, "send-no", int), require(message, "server", str)
     ),
     "CheckResult": lambda message: api.ProbeEnded(
-        need(message, "server", str),
-        word(message, "status", OUTCOMES),
-        number(message, "lag"),
+        require(message, "server", str),
+        require_choice(message, "status", OUTCOMES),
+        optional_number(message, "lag"),
         parse_load_report(message),
     ),
     "CountResult": lambda message: api.CounterAnswer(
-        need(message, "entry-name", int),
-        word(message, "status", OUTCOMES),
-        number(message, "level"),
-        number(message, "lag"),
+        require(message, "entry-name", int),
+        require_choice(message, "status", OUTCOMES),
+        optional_number(message, "level"),
+        optional_number(message, "lag"),
     ),
-    "DeadlineHit": lambda message: api.TimerFired(need(message, "token", int)),
-    "FromPeer": lambda message: api.PeerMessage(need(message, "author", int), need(message, "octets", str)),
+    "DeadlineHit": lambda message: api.TimerFired(require(message, "token", int)),
+    "FromPeer": lambda message: api.PeerMessage(require(message, "author", int), require(message, "octets", str)),
 }
 
 
@@ -112,7 +119,7 @@
             return {"cmd": "Assign", "op-id": request_id, "server": server, "limit": limit}
         case api.Cancel(id=request_id, attempt=attempt):
             return {"cmd": "Withdraw", "op-id": request_id, "send-no": attempt}
-        case api.Refuse(id=request_id, advice=advice):
+        case api.Reject(id=request_id, advice=advice):
             return {"cmd": "TurnAway", "op-id": request_id, "retry-in": advice}
         case api.Fail(id=request_id):
             return {"cmd": "Abort", "op-id": request_id}
@@ -147,15 +154,15 @@
             events.clear()
 
         for message in messages:
-            name = need(message, "cmd", str)
+            name = require(message, "cmd", str)
             if name in ("Launch", "Retire"):
                 events.clear()
                 actions.clear()
                 self.gateways.pop(who, None)
                 if name == "Launch":
-                    seed = need(message, "rng-seed", int)
+                    seed = require(message, "rng-seed", int)
                     try:
-                        settings = settings_of(need(message, "profile-data", dict))
+                        settings = parse_settings(require(message, "profile-data", dict))
                     except ValueError as error:
                         raise WireError(f"field 'profile-data': {error}") from error
                     self.gateways[who] = Gateway(settings, seed)
@@ -170,10 +177,10 @@
             batch = json.loads(line)
         except ValueError as error:
             raise WireError(f"invalid JSON in an input line: {error}") from error
-        now, reply = need(batch, "ts"), []
-        for group in need(batch, "groups", list):
-            who = need(group, "who", str)
-            messages = need(group, "happened", list)
+        now, reply = require(batch, "ts"), []
+        for group in require(batch, "groups", list):
+            who = require(group, "who", str)
+            messages = require(group, "happened", list)
             try:
                 decisions = self.handle_group(now, who, messages)
             except WireError:
--- a/hallhitch/core/module.py
+++ b/hallhitch/core/module.py
@@ -223,7 +223,7 @@
                 self._execute(action)
             except Exception as error:  # noqa: BLE001  logged; the process must keep running
                 self.record_failure(error)
-                if isinstance(action, api.Send | api.Refuse | api.Fail):
+                if isinstance(action, api.Send | api.Reject | api.Fail):
                     self._fail_exchange(action.id)
 
     def _execute(self, action: api.Action) -> None:  # noqa: C901  one case for each type of action
@@ -234,7 +234,7 @@
                 attempt = self._in_flight.get((exchange_id, number))
                 if attempt is not None:
                     self.upstream.cancel(attempt)
-            case api.Refuse(id=exchange_id, advice=advice):
+            case api.Reject(id=exchange_id, advice=advice):
                 self._finish(
                     exchange_id, lambda exchange: exchange.answer.on_rejected(advice or DEFAULT_RETRY_AFTER_MS)
                 )
@@ -265,7 +265,7 @@
         attempt = Attempt(action.id, number, action.server, now, ends_at, exchange.payload)
         exchange.attempts += 1
         is_only_attempt = not any((exchange.id, earlier) in self._in_flight for earlier in range(number))
-        invariant(is_only_attempt or self.gateway.config.second_copies, "at most one attempt in flight")
+        invariant(is_only_attempt or self.gateway.config.can_hedge, "at most one attempt in flight")
         self._in_flight[exchange.id, number] = attempt
         if now >= ends_at or number >= self.gateway.config.attempts:
             self.on_attempt_ended(attempt, "void")
--- a/hallhitch/decision/api.py
+++ b/hallhitch/decision/api.py
@@ -58,10 +58,10 @@
     has_counter: bool = True
     counter_timeout: float = 50.0
     postpaid: bool = False  # whether the units of a request are known only after its response
-    most_units: float = 1.0  # of one request
+    max_units: float = 1.0  # of one request
     push_list: bool = True  # whether the server list arrives without a subscription
     attempts: int = 1  # maximum per request
-    second_copies: bool = False  # whether two attempts of a request may be in flight (hedging)
+    can_hedge: bool = False  # whether two attempts of a request may be in flight (hedging)
     can_cancel: bool = False
     can_advise: bool = False  # whether a rejection may tell the client when to retry
     max_advice: float = 0.0
@@ -254,7 +254,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: rejected; a retry has no double effect. `advice` is the time until then, 0 for none."""
 
     id: int
@@ -309,4 +309,4 @@
     text: str
 
 
-Action = Send | Cancel | Refuse | Fail | Count | SetTimer | Probe | WatchList | FetchList | Log
+Action = Send | Cancel | Reject | Fail | Count | SetTimer | Probe | WatchList | FetchList | Log
--- a/hallhitch/decision/policy.py
+++ b/hallhitch/decision/policy.py
@@ -22,12 +22,12 @@
 INITIAL_OVERRUN_RATIO = 0.5  # assumed probability of exceeding the quota before any total is read
 STREAK = 5  # equal results of counter calls that are no coincidence: an overloaded counter answers some
 TRAFFIC_SKEW = 2.0  # busy gateways get this multiple of an even share of a customer's requests
-FEW, MAX_FULL_FLEET = 8, 16  # a gateway uses every server of a fleet of MAX_FULL_FLEET or fewer
-UNSEEN = 3.0  # assumed in flight from peers at a server where all of them rank before this gateway
-LEARN = 0.1  # weight of a new sample in running means: about the last ten samples count
+SUBSET_SIZE, MAX_FULL_FLEET = 8, 16  # a gateway uses every server of a fleet of MAX_FULL_FLEET or fewer
+UNSEEN_ATTEMPTS = 3.0  # assumed in flight from peers at a server where all of them rank before this gateway
+EWMA_WEIGHT = 0.1  # weight of a new sample in running means: about the last ten samples count
 SILENCE_TOLERANCE = 2.0  # service times without a response that reject nobody: response times vary as much
-STALL = 4.0  # a server with attempts in flight is stalled after this many silent service times
-RETRY_SHARE = 0.1  # retries a first attempt pays for, so that failures add at most a tenth to the load
+STALL_FACTOR = 4.0  # a server with attempts in flight is stalled after this many silent service times
+RETRY_BUDGET_RATIO = 0.1  # retries a first attempt pays for, so that failures add at most a tenth to the load
 RETRY_BURST = 10.0  # retries that can be saved up: enough for the broken attempts of one server
 COLD_BUDGET_RATIO = 0.5  # planned share of the cold budget: chance and uneven gateways use the rest
 SHED_AIM_RATIO = 0.6  # share of the aim that a predicted latency may take: real ones reach twice that
@@ -53,8 +53,8 @@
         self.overrun_ratio: dict[tuple[str, bool], float] = {}  # of unknown customers, by plan and repeat
         self.now, self.usual_worth = 0.0, 0.0  # usual_worth: running mean of worth per work
         self.pool: list[Server] = []  # the servers in state "up"
-        self.ask_ratio, self.counter_streak, self.counter_silent = 1.0, 0, False
-        self.ask_cut_at = self.streak_began_at = self.limit_cut = 0.0  # time of each last change
+        self.call_ratio, self.counter_streak, self.counter_silent = 1.0, 0, False
+        self.call_cut_at = self.streak_began_at = self.limit_cut = 0.0  # time of each last change
         self.concurrency_limit, self.is_limited = 0.0, False  # per server, over all gateways; was it reached
         self.connect_failures, self.connect_at = 0.0, 0.0  # ratio of refused new connections, and when
         self.in_flight, self.sent_at_sum, self.is_watching, self.retry_tokens = 0, 0.0, False, RETRY_BURST
@@ -73,7 +73,7 @@
             count = self.gateways = settings.gateways
             self.set_peers(api.Peers(count, count, partial(rendezvous_rank, settings.index, count)))
         self.config, self.shortest_aim = settings, min(kind.aim for kind in settings.classes)
-        self.service_ms = {kind.name: kind.aim / STALL for kind in settings.classes} | self.service_ms
+        self.service_ms = {kind.name: kind.aim / STALL_FACTOR for kind in settings.classes} | self.service_ms
         for c in self.customers.values():
             self.bind_plan(c, next((plan for plan in settings.plans if plan.name == c.plan.name), c.plan))
 
@@ -91,7 +91,7 @@
         if new.id in self.requests:
             return None
         if new.kind is None and not 0 <= new.klass < len(self.config.classes):
-            return self.actions.append(api.Refuse(new.id))
+            return self.actions.append(api.Reject(new.id))
         c = self.customers.get(new.customer)
         if c is None:
             plan = self.config.plans[new.plan] if 0 <= new.plan < len(self.config.plans) else api.Plan("none")
@@ -101,14 +101,14 @@
             self.bind_plan(c, plan)
         request = self.requests[new.id] = OpenRequest(
             new, c, new.kind or self.config.classes[new.klass], self.now + new.patience)
-        if new.patience < STALL * self.config.counter_timeout:  # whatever becomes of the counter call
+        if new.patience < STALL_FACTOR * self.config.counter_timeout:  # whatever becomes of the counter call
             self.actions.append(api.SetTimer(max(0.0, new.patience), DEADLINE + new.id))
-        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
+        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_BUDGET_RATIO)
         if c.plan.open_limit and c.in_flight >= c.plan.open_limit:
             self.reject(request)
         elif not c.is_counted:
             self.decide_without_total(request)
-        elif not (chance := self.ask_ratio ** self.read_exponent(request)):
+        elif not (chance := self.call_ratio ** self.read_exponent(request)):
             self.decide_by_total(request, True)
         elif self.rng.random() >= chance:
             self.decide_without_total(request)
@@ -141,7 +141,7 @@
         # Spends the calls an overloaded counter can bear on customers near their limit, and keeps a few busy
         # ones from using them all. The cost: one that was far from its limit a moment ago is noticed late.
         c = request.customer
-        if self.ask_ratio >= 1 or self.is_stale(c):
+        if self.call_ratio >= 1 or self.is_stale(c):
             return 1.0
         self.refill(c)
         if not self.counter_silent and c.plan.rate and c.tokens + c.others_guess < request.arrival.units:
@@ -187,7 +187,7 @@
     def apply_total(self, c: Customer, window: QuotaWindow, prior: float) -> None:
         """Update the buckets from a total: refill at the rate, subtract what peers added."""
         age, growth = (self.now - window.started_at) / 1000, prior - window.last_total
-        if growth < -self.config.most_units * c.spread:
+        if growth < -self.config.max_units * c.spread:
             growth = prior  # counts were lost (a flush or restart): the rest is new, not a fresh window
         gap, is_new = self.now - c.total_read_at, self.is_stale(c)
         c.others = 0.0 if is_new else c.others + (max(0.0, growth) - c.others * gap) / (gap + PEER_MEMORY_MS)
@@ -209,9 +209,9 @@
         guess = c.others * (self.now - c.refilled_at) if used is None else 0.0
         taken = guess if used is None else used - c.others_guess
         # Uncertain totals may overdraw the bucket as far as the cost of exceeding the quota justifies.
-        fill, local_burst = c.plan.rate * seconds, max(c.plan.burst * c.local_share, self.config.most_units)
+        fill, local_burst = c.plan.rate * seconds, max(c.plan.burst * c.local_share, self.config.max_units)
         c.local_tokens = min(local_burst, c.local_tokens + fill * c.local_share)  # may pass without a total
-        low = -c.risk * self.config.most_units
+        low = -c.risk * self.config.max_units
         c.others_guess = c.others_guess + min(guess, max(0.0, c.tokens + fill - low)) if used is None else 0.0
         c.tokens = max(min(c.plan.burst, c.tokens + fill - taken), low)
         ceiling = c.ceiling_tokens + c.plan.ceiling_rate * seconds - max(0.0, used or 0.0)
@@ -224,7 +224,7 @@
         if not is_known:
             was = self.overrun_ratio.get((c.plan.name, request.arrival.repeat), INITIAL_OVERRUN_RATIO)
             self.overrun_ratio[c.plan.name, request.arrival.repeat] = (
-                was + LEARN * ((not request.is_within_quota) - was))
+                was + EWMA_WEIGHT * ((not request.is_within_quota) - was))
         # Requests beyond the quota pass too, where the plan pays for them and servers have spare capacity.
         is_paid = c.plan.beyond_worth > c.plan.beyond_cost and self.admissible_server(request, WORTH_SPAN**-2)
         if (request.is_within_quota or is_paid) and (c.ceiling_tokens >= units or not c.plan.ceiling_rate):
@@ -259,12 +259,12 @@
         """Lower the call ratio while replies are late or missing; raise it while they are fast."""
         good, quick = e.outcome == "ok", e.lag <= self.config.counter_timeout / 2
         if good and quick:
-            self.ask_ratio = min(1.0, self.ask_ratio + CALL_RATIO_STEP * min(
-                1.0, (self.now - self.ask_cut_at) / CALL_RECOVERY_MS))
+            self.call_ratio = min(1.0, self.call_ratio + CALL_RATIO_STEP * min(
+                1.0, (self.now - self.call_cut_at) / CALL_RECOVERY_MS))
         # A fast timeout after a success is a broken connection, not overload. Queued calls are late together.
         elif not (quick and e.outcome == "timeout" and self.counter_streak > 0) and (
-                self.now - self.ask_cut_at > self.config.counter_timeout):
-            self.ask_ratio, self.ask_cut_at = max(CALL_RATIO_STEP, self.ask_ratio * DECREASE), self.now
+                self.now - self.call_cut_at > self.config.counter_timeout):
+            self.call_ratio, self.call_cut_at = max(CALL_RATIO_STEP, self.call_ratio * DECREASE), self.now
         # Late and "full" replies count as alive: a slow or overloaded counter must not open every quota.
         alive = good or e.outcome == "full"
         if alive != (self.counter_streak > 0):
@@ -280,7 +280,7 @@
     def on_server_list(self, news: api.ServerList) -> None:
         """Apply a server list; a draining or removed server gets no new attempt from now on."""
         if news.mode == "failed":
-            self.actions.append(api.SetTimer(self.config.connect_timeout * STALL, RELIST))
+            self.actions.append(api.SetTimer(self.config.connect_timeout * STALL_FACTOR, RELIST))
             return
         old, self.servers = self.servers, dict(self.servers) if news.mode == "changes" else {}
         for entry in news.entries:
@@ -312,7 +312,7 @@
         queue = len(s.in_flight) + start + s.queue_length * max(0.0, 1 - report_age)
         failure_ratio = s.error_ratio if s.is_connected else max(s.error_ratio, self.connect_failure_ratio())
         cost = (self.service_ms[r.kind.name] * s.slowness * queue / self.warm_ratio(s)
-                / max(LEARN, 1 - failure_ratio))
+                / max(EWMA_WEIGHT, 1 - failure_ratio))
         # Silence while attempts are in flight is the first symptom of any stall, whatever its cause.
         silence = (self.now - s.heard_at) / self.service_ms[r.kind.name] if s.in_flight else 0.0
         return cost * (1 + max(0.0, silence - tolerance))
@@ -326,7 +326,7 @@
         choices = choices or [s for s in self.pool if self.warm_ratio(s) >= 1 and self.accepts(s, request)]
         # Peers' attempts are unseen, and more of them go where more peers rank first: each gateway sees most
         # work of its own servers. A random term of one attempt divides work among idle servers by capacity.
-        draw, unseen = self.rng.expovariate, UNSEEN / self.subset_gateways
+        draw, unseen = self.rng.expovariate, UNSEEN_ATTEMPTS / self.subset_gateways
         return min(choices, default=None, key=lambda s: self.predict_latency(
             s, request, start=draw(1) + unseen * s.rank * self.warm_ratio(s)))
 
@@ -340,7 +340,7 @@
         # Keep to open connections, as in any fault that spares them. New servers get little for a while.
         if not attempt.was_connected:
             ratio, failed = self.connect_failure_ratio(), outcome == "unreachable"
-            self.connect_failures, self.connect_at = ratio + LEARN * (failed - ratio), self.now
+            self.connect_failures, self.connect_at = ratio + EWMA_WEIGHT * (failed - ratio), self.now
         server.is_connected = outcome not in ("unreachable", "reset")
         if not server.is_connected:
             self.select_subset()
@@ -353,11 +353,11 @@
         self.subset_expires_at = min((s.ejected[ALL_PLANS] for s in ejected), default=math.inf)  # first end
         self.subset_gateways = self.gateways_per_server()
         usable = sorted(set(self.pool) - ejected, key=lambda s: (s.rank, s.entry.server))
-        self.subset = [s for n, s in enumerate(usable) if s.rank < self.subset_gateways or n < FEW]
+        self.subset = [s for n, s in enumerate(usable) if s.rank < self.subset_gateways or n < SUBSET_SIZE]
 
     def gateways_per_server(self) -> int:
-        """How many gateways use a server: all in a small fleet, else enough to give each FEW."""
-        enough = math.ceil(FEW * max(1.0, self.peers.seen / max(1, len(self.pool))))
+        """How many gateways use a server: all in a small fleet, else enough to give each SUBSET_SIZE."""
+        enough = math.ceil(SUBSET_SIZE * max(1.0, self.peers.seen / max(1, len(self.pool))))
         return self.peers.seen if len(self.pool) <= MAX_FULL_FLEET else min(self.peers.seen, enough)
 
     def set_peers(self, peers: api.Peers) -> None:
@@ -414,7 +414,7 @@
         # Few gateways use their share at one time: the root of the mean allows for random variation. There is
         # no allowance while the counter is silent, as nobody's load is known, or soon after a late response.
         limit, alive = share * self.concurrency_limit, self.counter_streak > 0 or not r.customer.is_counted
-        if alive and self.now - self.limit_cut > STALL * r.kind.aim:
+        if alive and self.now - self.limit_cut > STALL_FACTOR * r.kind.aim:
             limit = TRAFFIC_SKEW * (limit + limit**0.5)
         if out > limit:
             self.is_limited = True
@@ -428,7 +428,7 @@
     def admit(self, r: OpenRequest) -> None:
         """Send a request that may pass, or reject it so that it does not displace worthier ones."""
         worth = r.kind.worth * r.customer.plan.price * r.arrival.units / self.service_ms[r.kind.name]
-        self.usual_worth += LEARN * (worth - self.usual_worth)
+        self.usual_worth += EWMA_WEIGHT * (worth - self.usual_worth)
         # While the counter is silent, what exceeds the quota by all that is known is shed first under load.
         span = min(WORTH_SPAN, max(1 / WORTH_SPAN, worth / self.usual_worth))
         best = self.admissible_server(r, span if r.is_within_quota else 1 / WORTH_SPAN)
@@ -489,8 +489,8 @@
             s.heard_at, s.fails = self.now, 0
             # Errors that a class has everywhere are charged to the class, not to the server.
             kind, failed = (r.kind if r else self.config.classes[0]).name, float(e.outcome == "error")
-            s.error_ratio += LEARN * (failed * (1 - self.class_error_ratio[kind]) - s.error_ratio)
-            self.class_error_ratio[kind] += LEARN * (failed - self.class_error_ratio[kind])
+            s.error_ratio += EWMA_WEIGHT * (failed * (1 - self.class_error_ratio[kind]) - s.error_ratio)
+            self.class_error_ratio[kind] += EWMA_WEIGHT * (failed - self.class_error_ratio[kind])
         if e.outcome == "ok":
             s.served_at.append(self.now)
             while s.served_at[0] < self.now - self.config.fall_time:
@@ -506,20 +506,20 @@
                 self.concurrency_limit += LIMIT_GROWTH * max(INITIAL_LIMIT, self.fleet_in_flight(1))
                 self.is_limited = False
             usual, sample = self.service_ms[r.kind.name], e.lag / attempt.concurrency
-            s.slowness += LEARN * (min(STALL, sample / usual) * self.warm_ratio(s) - s.slowness)
+            s.slowness += EWMA_WEIGHT * (min(STALL_FACTOR, sample / usual) * self.warm_ratio(s) - s.slowness)
             age, self.learned_at[r.kind.name] = self.now - self.learned_at[r.kind.name], self.now
             # A value learned long ago weighs less: where few requests are sent, few samples must do.
             self.service_ms[r.kind.name] += (
-                min(0.5, LEARN / 2 + age / r.kind.aim / STALL) * (sample - usual))
+                min(0.5, EWMA_WEIGHT / 2 + age / r.kind.aim / STALL_FACTOR) * (sample - usual))
         is_silent = attempt is not None and (
-            s.heard_at <= attempt.sent_at < self.now - STALL * max(self.service_ms.values()))
+            s.heard_at <= attempt.sent_at < self.now - STALL_FACTOR * max(self.service_ms.values()))
         if e.outcome in ("full", "unreachable", "reset") or is_silent and e.outcome != "ok":
             # Ejections grow: a server that refuses or swallows work has none in flight and would attract all.
             base = min(self.service_ms.values()) if e.outcome == "full" else self.config.connect_timeout
             scope = r.customer.plan.name if e.outcome == "full" and r is not None else ALL_PLANS
             # One broken connection says little about a server, and nothing where all servers break some.
             if e.outcome != "reset" or s.fails:
-                s.ejected[scope] = self.now + base * 2 ** min(s.fails, STALL)
+                s.ejected[scope] = self.now + base * 2 ** min(s.fails, STALL_FACTOR)
             s.fails += 1
 
     def retry_or_answer(self, r: OpenRequest, event: api.AttemptEnded) -> None:
@@ -546,7 +546,7 @@
         self.refill(request.customer)
         wait = (request.arrival.units - request.customer.tokens) / (request.customer.plan.rate or 1.0) * 1000
         advice = min(max(wait, least_wait), self.config.max_advice) if self.config.can_advise else 0.0
-        self.actions.append(api.Refuse(request.arrival.id, advice))
+        self.actions.append(api.Reject(request.arrival.id, advice))
         self.finish(request.arrival.id)
 
     def finish(self, request_id: int) -> None:
@@ -574,7 +574,7 @@
             self.is_watching = bool(due)
             if due:
                 self.actions.append(
-                    api.SetTimer(max(min(due) - self.now, LEARN * self.shortest_aim), WATCH))
+                    api.SetTimer(max(min(due) - self.now, EWMA_WEIGHT * self.shortest_aim), WATCH))
         elif e.token >= DEADLINE and (r := self.requests.get(e.token - DEADLINE)) and not r.is_streaming:
             self.fail(e.token - DEADLINE)
 
@@ -583,14 +583,14 @@
         a, usual = r.attempts[number], self.service_ms[r.kind.name]
         server = self.servers.get(a.entry.server)
         # Not while such silences are common: in overload each move does the work twice.
-        due = max(a.sent_at, server.heard_at if server else 0.0) + max(STALL * usual, r.kind.aim / 2)
+        due = max(a.sent_at, server.heard_at if server else 0.0) + max(STALL_FACTOR * usual, r.kind.aim / 2)
         if due > self.now:
             return due
         can_move = sum(a.state == "out" for a in r.attempts) == 1 and self.retry_tokens >= 1
         best = self.select_server(r) if can_move and r.kind.effect != api.UNSAFE else None
         if best in (None, server) or len(r.attempts) >= self.config.attempts or self.now + usual > r.deadline:
             return r.deadline
-        if best and self.config.second_copies:
+        if best and self.config.can_hedge:
             self.retry_tokens -= 1
             self.send(r, best)
         elif self.config.can_cancel:
--- a/hallhitch/decision/settings.py
+++ b/hallhitch/decision/settings.py
@@ -14,7 +14,7 @@
     """Input that does not follow its format; the text names the field."""
 
 
-def need(message: Any, name: str, kind: Any = (int, float)) -> Any:
+def require(message: Any, name: str, kind: Any = (int, float)) -> Any:
     """Return a required field of the given type.
 
     Raises:
@@ -30,72 +30,76 @@
     return value
 
 
-def word(message: Any, name: str, words: dict[str, str]) -> str:
-    """Return what a required field stands for, whose value is a key of `words`."""
-    value = need(message, name, str)
-    if value not in words:
+def require_choice(message: Any, name: str, choices: dict[str, str]) -> str:
+    """Return what a required field stands for, whose value is a key of `choices`."""
+    value = require(message, name, str)
+    if value not in choices:
         raise WireError(f"field '{name}' has the unknown value '{value}'")
-    return words[value]
+    return choices[value]
 
 
-def number(message: dict[str, Any], name: str, default: float = 0.0) -> float:
+def optional_number(message: dict[str, Any], name: str, default: float = 0.0) -> float:
     """Return an optional number; a null or absent field means the default."""
-    return default if message.get(name) is None else float(need(message, name))
+    return default if message.get(name) is None else float(require(message, name))
 
 
-def section(message: dict[str, Any], name: str) -> dict[str, Any]:
+def optional_section(message: dict[str, Any], name: str) -> dict[str, Any]:
     """Return an optional object; a null or absent field means an empty one."""
-    return {} if message.get(name) is None else need(message, name, dict)
+    return {} if message.get(name) is None else require(message, name, dict)
 
 
-def settings_of(info: dict[str, Any]) -> api.Settings:
+def parse_settings(info: dict[str, Any]) -> api.Settings:
     """Parse the settings object."""
-    family, limits, safety = section(info, "family-info"), section(info, "limits"), section(info, "safety")
+    family, limits, safety = (
+        optional_section(info, "family-info"),
+        optional_section(info, "limits"),
+        optional_section(info, "safety"),
+    )
     classes = tuple(
         api.RequestClass(
-            name=need(c, "name", str),
-            aim=need(c, "aim"),
-            deadline=need(c, "deadline"),
-            worth=number(c, "worth", 1.0),
-            effect=word(c, "repeat", EFFECTS),
+            name=require(c, "name", str),
+            aim=require(c, "aim"),
+            deadline=require(c, "deadline"),
+            worth=optional_number(c, "worth", 1.0),
+            effect=require_choice(c, "repeat", EFFECTS),
             group=c.get("group") or "all",
-            repeat_window=number(c, "window"),
+            repeat_window=optional_number(c, "window"),
         )
-        for c in need(info, "classes", list)
+        for c in require(info, "classes", list)
     )
     plans = tuple(
         api.Plan(
-            name=need(p, "name", str),
-            rate=number(p, "per-second"),
-            burst=number(p, "peak-units"),
-            open_limit=int(number(p, "concurrency")),
-            price=number(p, "worth-factor", 1.0),
-            beyond_worth=number(p, "beyond-earns"),
-            beyond_cost=number(p, "overrun-cost"),
-            ceiling_rate=number(p, "never-over-rate"),
-            ceiling_burst=number(p, "hard-burst"),
+            name=require(p, "name", str),
+            rate=optional_number(p, "per-second"),
+            burst=optional_number(p, "peak-units"),
+            open_limit=int(optional_number(p, "concurrency")),
+            price=optional_number(p, "worth-factor", 1.0),
+            beyond_worth=optional_number(p, "beyond-earns"),
+            beyond_cost=optional_number(p, "overrun-cost"),
+            ceiling_rate=optional_number(p, "never-over-rate"),
+            ceiling_burst=optional_number(p, "hard-burst"),
         )
         for p in info.get("tiers-of-service") or []
     )
     return api.Settings(
-        gateways=need(info, "balancers", int),
+        gateways=require(info, "balancers", int),
         classes=classes,
         plans=plans,
         has_counter=bool(family.get("shared-counter")),
-        counter_timeout=number(family, "counter-timeout", 50.0),
+        counter_timeout=optional_number(family, "counter-timeout", 50.0),
         postpaid=bool(family.get("post-paid")),
-        most_units=number(family, "units-top", 1.0),
+        max_units=optional_number(family, "units-top", 1.0),
         push_list=info.get("discovery", "push") == "push",
-        attempts=int(number(limits, "send-cap", 1.0)),
-        second_copies=bool(limits.get("second-copies")),
+        attempts=int(optional_number(limits, "send-cap", 1.0)),
+        can_hedge=bool(limits.get("second-copies")),
         can_cancel=bool(limits.get("cancel")),
         can_advise=bool(limits.get("retry-after")),
-        max_advice=number(limits, "max-retry-after"),
-        connect_timeout=number(limits, "connect-timeout", 250.0),
-        keepalive=number(limits, "keepalive", 15_000.0),
-        cold_time=number(safety, "cold"),
-        cold_from=number(safety, "cold-from", 1.0),
-        fall_time=number(safety, "fall", 1000.0),
-        fall_multiple=number(safety, "fall-multiple", 1.0),
-        index=int(number(info, "index")),
+        max_advice=optional_number(limits, "max-retry-after"),
+        connect_timeout=optional_number(limits, "connect-timeout", 250.0),
+        keepalive=optional_number(limits, "keepalive", 15_000.0),
+        cold_time=optional_number(safety, "cold"),
+        cold_from=optional_number(safety, "cold-from", 1.0),
+        fall_time=optional_number(safety, "fall", 1000.0),
+        fall_multiple=optional_number(safety, "fall-multiple", 1.0),
+        index=int(optional_number(info, "index")),
     )
--- a/hallhitch/net/config.py
+++ b/hallhitch/net/config.py
@@ -10,7 +10,7 @@
 
 from hallhitch.core.addresses import parse_address
 from hallhitch.decision import api
-from hallhitch.decision.settings import WireError, need, number, section, settings_of
+from hallhitch.decision.settings import WireError, optional_number, optional_section, parse_settings, require
 from hallhitch.net.descriptor_budget import MIN_DESCRIPTORS
 from hallhitch.net.route_updates import RouteUpdate, parse_update
 
@@ -85,14 +85,14 @@
 
     def address(name: str, variable: str) -> tuple[str, int]:
         try:
-            return parse_address(environ.get(variable) or need(top, name, str))
+            return parse_address(environ.get(variable) or require(top, name, str))
         except ValueError as error:
             raise WireError(f"field '{name}': {error}") from error
 
     settings, zones = _read_settings(top)
     seed = _read_seed(top)
     sockets = _read_sockets(top)
-    memory = int(number(section(top, "limits"), "memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MB)
+    memory = int(optional_number(optional_section(top, "limits"), "memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MB)
     known = top.get("known")
     has_operators = environ.get("EDGE_OPS") or top.get("ops") is not None
     operators = address("ops", "EDGE_OPS") if has_operators else None
@@ -100,7 +100,7 @@
     if descriptor is not None and not descriptor.isdigit():
         raise WireError("EDGE_FD is no descriptor")
     return GatewayConfig(
-        name=environ.get("EDGE_NAME") or need(top, "name", str),
+        name=environ.get("EDGE_NAME") or require(top, "name", str),
         listen=address("listen", "EDGE_LISTEN"),
         discovery=address("discovery", "" if previous else "EDGE_DISCOVERY"),
         counter=address("counter", "") if settings.has_counter else None,
@@ -129,9 +129,9 @@
 
 def _read_settings(top: Any) -> tuple[api.Settings, list[str]]:
     """Return the settings of the decision module and the names of the zones."""
-    info = need(top, "settings", dict)
+    info = require(top, "settings", dict)
     try:
-        settings = settings_of(info)
+        settings = parse_settings(info)
     except ValueError as error:
         raise WireError(f"field 'settings': {error}") from error
     zones = info.get("zones") or []
@@ -142,13 +142,13 @@
 
 def _read_seed(top: Any) -> int:
     try:
-        return int(need(top, "seed", str), 16)
+        return int(require(top, "seed", str), 16)
     except ValueError as error:
         raise WireError("field 'seed' is no hexadecimal number") from error
 
 
 def _read_sockets(top: Any) -> int:
-    sockets = int(number(section(top, "limits"), "sockets", DEFAULT_DESCRIPTORS))
+    sockets = int(optional_number(optional_section(top, "limits"), "sockets", DEFAULT_DESCRIPTORS))
     if sockets < MIN_DESCRIPTORS:
         raise WireError(f"field 'sockets' is too small: {MIN_DESCRIPTORS} is the least")
     return sockets
--- a/hallhitch/net/ingress.py
+++ b/hallhitch/net/ingress.py
@@ -423,7 +423,7 @@
         if not 1 <= deadline_ms <= MAX_DEADLINE_MS:
             raise UnacceptableRequest(400, "Req-Deadline-Ms is out of range")
         units, spread = parse_metering(
-            headers.get(b"x-metering", b""), limits.settings.most_units, limits.settings.gateways
+            headers.get(b"x-metering", b""), limits.settings.max_units, limits.settings.gateways
         )
         self.open_ids.add(request_id)
         # No request waits for longer than the settings allow its class.
--- a/hallhitch/net/route_updates.py
+++ b/hallhitch/net/route_updates.py
@@ -7,7 +7,7 @@
 
 from hallhitch.core.addresses import parse_address
 from hallhitch.decision import api
-from hallhitch.decision.settings import WireError, need, number, word
+from hallhitch.decision.settings import WireError, optional_number, require, require_choice
 
 STATE_BY_HEALTH: Final = {"active": "up", "leaving": "drain", "left": "gone"}
 
@@ -28,22 +28,22 @@
         WireError: a field is missing or cannot be used.
     """
     entries, addresses = [], {}
-    for entry in need(document, "hosts", list):
-        host, site = need(entry, "host", str), entry.get("site")
+    for entry in require(document, "hosts", list):
+        host, site = require(entry, "host", str), entry.get("site")
         zone = zones.index(site) if site in zones else 0
         try:
-            addresses[host] = parse_address(need(entry, "dial", str))
+            addresses[host] = parse_address(require(entry, "dial", str))
         except ValueError as error:
             raise WireError(f"field 'dial' {error}") from error
         entries.append(
             api.ServerEntry(
                 host,
-                word(entry, "health", STATE_BY_HEALTH),
+                require_choice(entry, "health", STATE_BY_HEALTH),
                 zone,
-                int(number(entry, "block")),
-                number(entry, "born_ms"),
-                number(entry, "share", 1.0),
+                int(optional_number(entry, "block")),
+                optional_number(entry, "born_ms"),
+                optional_number(entry, "share", 1.0),
             )
         )
     mode = "saved" if is_saved else "full" if document.get("whole") else "changes"
-    return RouteUpdate(need(document, "seq", int), api.ServerList(mode, tuple(entries)), addresses)
+    return RouteUpdate(require(document, "seq", int), api.ServerList(mode, tuple(entries)), addresses)
--- a/hallhitch/ops/hot_restart/state_transfer.py
+++ b/hallhitch/ops/hot_restart/state_transfer.py
@@ -77,7 +77,7 @@
     """The content of a file that was read and validated."""
 
     concurrency_limit: float
-    ask_ratio: float
+    call_ratio: float
     classes: Mapping[str, ClassRow]
     idle_times: tuple[IdleTimeRow, ...]
     customers: tuple[CustomerRow, ...]
@@ -90,7 +90,7 @@
     learned_at: dict[str, float]
     class_error_ratio: dict[str, float]
     concurrency_limit: float
-    ask_ratio: float
+    call_ratio: float
     config: api.Settings
     customers: dict[str, Customer]
     windows: dict[int, QuotaWindow]
@@ -119,7 +119,7 @@
             "version": VERSION,
             "at": now,
             "depth": module.concurrency_limit,
-            "asks": module.ask_ratio,
+            "asks": module.call_ratio,
             "classes": {
                 name: [module.service_ms[name], module.learned_at[name], module.class_error_ratio[name]]
                 for name in module.service_ms
@@ -156,7 +156,7 @@
     """Apply transferred state for the classes and plans of the present settings."""
     idle_times.import_rows(state.idle_times)
     module.concurrency_limit = state.concurrency_limit
-    module.ask_ratio = state.ask_ratio
+    module.call_ratio = state.call_ratio
     for name, (service_ms, learned_at, error_ratio) in state.classes.items():
         if name in module.service_ms:
             module.service_ms[name] = service_ms
--- a/tests/cli/test_experiment.py
+++ b/tests/cli/test_experiment.py
@@ -116,8 +116,8 @@
         """The constants are restored after an error too."""
         from hallhitch.decision import policy
 
-        was = policy.LEARN
-        with self.assertRaises(ZeroDivisionError), experiments.replaced_constants({"LEARN": 0.5}):
-            self.assertEqual(policy.LEARN, 0.5)
+        was = policy.EWMA_WEIGHT
+        with self.assertRaises(ZeroDivisionError), experiments.replaced_constants({"EWMA_WEIGHT": 0.5}):
+            self.assertEqual(policy.EWMA_WEIGHT, 0.5)
             raise ZeroDivisionError
-        self.assertEqual(policy.LEARN, was)
+        self.assertEqual(policy.EWMA_WEIGHT, was)
--- a/tests/membership/test_decision_counts.py
+++ b/tests/membership/test_decision_counts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hallhitch.decision import api
-from hallhitch.decision.policy import FEW, Gateway
+from hallhitch.decision.policy import SUBSET_SIZE, Gateway
 from hallhitch.membership.rendezvous import RendezvousRanking
 
 SERVERS = [f"node-{number}" for number in range(100)]
@@ -37,7 +37,7 @@
         module.handle(21_000.0, [api.Peers(GATEWAYS, GATEWAYS, ranking.rank)])
     for server in SERVERS:
         count = sum(any(state.entry.server == server for state in module.subset) for module in modules)
-        assert FEW <= count <= FEW + 3, server
+        assert SUBSET_SIZE <= count <= SUBSET_SIZE + 3, server
 
 
 def test_budgets_follow_the_larger_count_and_traffic_the_smaller() -> None:
--- a/tests/membership/test_rendezvous.py
+++ b/tests/membership/test_rendezvous.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hallhitch.decision.policy import FEW
+from hallhitch.decision.policy import SUBSET_SIZE
 from hallhitch.membership.rendezvous import RendezvousRanking
 
 SERVERS = [f"node-{number}" for number in range(100)]
@@ -26,7 +26,7 @@
 
 
 def gateways_per_server(gateway_count: int) -> int:
-    return math.ceil(FEW * max(1.0, gateway_count / len(SERVERS)))
+    return math.ceil(SUBSET_SIZE * max(1.0, gateway_count / len(SERVERS)))
 
 
 def servers_of(name: str, gateways: list[str]) -> set[str]:
@@ -69,7 +69,7 @@
     shares = dict.fromkeys(SERVERS, 0.0)
     for name, view in views.items():
         ranking = ranking_of(name, view)
-        keepers = min(FEW, len(view))
+        keepers = min(SUBSET_SIZE, len(view))
         for server in SERVERS:
             rank = ranking.rank(server)
             if rank < keepers:
--- a/tests/ops/hot_restart/test_state_transfer.py
+++ b/tests/ops/hot_restart/test_state_transfer.py
@@ -23,7 +23,7 @@
         "learned_at": {"a": 900.0},
         "class_error_ratio": {"a": 0.1},
         "concurrency_limit": 6.0,
-        "ask_ratio": 0.8,
+        "call_ratio": 0.8,
         "customers": {},
         "windows": {},
     }
@@ -60,11 +60,11 @@
             learned_at={},
             class_error_ratio={},
             concurrency_limit=0.0,
-            ask_ratio=1.0,
+            call_ratio=1.0,
         )
         state_transfer.apply_state(state, new, idle())
         self.assertEqual((new.service_ms, new.learned_at), ({"a": 40.0, "b": 300.0}, {"a": 900.0}))
-        self.assertEqual((new.concurrency_limit, new.ask_ratio), (6.0, 0.8))
+        self.assertEqual((new.concurrency_limit, new.call_ratio), (6.0, 0.8))
         state_transfer.apply_state(
             state, gone := learner(service_ms={"b": 300.0}, learned_at={}, class_error_ratio={}), idle()
         )
@@ -121,8 +121,8 @@
             {"service_ms": {"a": 0.0}},
             {"service_ms": {"a": float("nan")}},
             {"concurrency_limit": -1.0},
-            {"ask_ratio": 2.0},
-            {"ask_ratio": True},
+            {"call_ratio": 2.0},
+            {"call_ratio": True},
             {"class_error_ratio": {"a": 7.0}},
             {"learned_at": {"a": 5000.0}},
         ]
@@ -146,7 +146,7 @@
         if state is not None:
             state_transfer.apply_state(state, new := learner(), idle())
             json.dumps(
-                [new.service_ms, new.learned_at, new.class_error_ratio, new.concurrency_limit, new.ask_ratio],
+                [new.service_ms, new.learned_at, new.class_error_ratio, new.concurrency_limit, new.call_ratio],
                 allow_nan=False,
             )
             self.assertTrue(all(work > 0 for work in new.service_ms.values()))
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,7 @@
 
 from hallhitch import adapter
 from hallhitch.decision import Gateway, api
-from hallhitch.decision.settings import settings_of
+from hallhitch.decision.settings import parse_settings
 
 PROFILE: dict[str, Any] = {
     "balancers": 2,
@@ -104,7 +104,7 @@
     [
         (api.Send(1, "s", 5.0), {"cmd": "Assign", "op-id": 1, "server": "s", "limit": 5.0}),
         (api.Cancel(1, 2), {"cmd": "Withdraw", "op-id": 1, "send-no": 2}),
-        (api.Refuse(1, 9.0), {"cmd": "TurnAway", "op-id": 1, "retry-in": 9.0}),
+        (api.Reject(1, 9.0), {"cmd": "TurnAway", "op-id": 1, "retry-in": 9.0}),
         (api.Fail(1), {"cmd": "Abort", "op-id": 1}),
         (api.Count(7, 2.0, 9.0), {"cmd": "AddAndGet", "amount": 2.0, "expire-in": 9.0, "entry-name": 7}),
         (api.SetTimer(5.0, 1), {"cmd": "Sleep", "sleep-for": 5.0, "token": 1}),
@@ -153,5 +153,5 @@
 
 def test_keepalive_time_is_parsed() -> None:
     limits = {"keepalive": 7000.0, "connect-timeout": 90.0}
-    assert settings_of(PROFILE | {"limits": limits}).keepalive == 7000.0
-    assert settings_of(PROFILE).keepalive > 0
+    assert parse_settings(PROFILE | {"limits": limits}).keepalive == 7000.0
+    assert parse_settings(PROFILE).keepalive > 0
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -119,7 +119,7 @@
     harness = Harness()
     for _ in range(4):
         assert actions_of(harness.request(), api.Send)
-    refusal = actions_of(harness.request(), api.Refuse)[0]
+    refusal = actions_of(harness.request(), api.Reject)[0]
     assert 0 < refusal.advice <= 900.0
     harness.serve_all()
     harness.now += 1500
@@ -141,7 +141,7 @@
     harness.request()
     name = next(iter(harness.totals))
     harness.totals[name] += 3
-    assert actions_of(harness.request(), api.Refuse)
+    assert actions_of(harness.request(), api.Reject)
 
 
 def test_restart_with_a_used_quota_grants_no_fresh_burst() -> None:
@@ -152,7 +152,7 @@
     first.totals[name] = 500.0
     again = Harness()
     again.totals = first.totals
-    assert actions_of(again.request(), api.Refuse)
+    assert actions_of(again.request(), api.Reject)
 
 
 def test_lost_counts_grant_no_fresh_window() -> None:
@@ -165,7 +165,7 @@
     harness.request()
     harness.totals.clear()
     actions = harness.request()
-    assert actions_of(actions, api.Refuse)
+    assert actions_of(actions, api.Reject)
 
 
 @pytest.mark.parametrize("outcome", ["timeout", "unreachable"])
@@ -246,7 +246,7 @@
         asked += len(actions_of(actions, api.Count))
         passed += len(actions_of(actions, api.Send))
         harness.serve_all()
-        harness.gateway.ask_ratio = 0.6
+        harness.gateway.call_ratio = 0.6
     assert 0 < asked < 150 and passed == 200
     assert sum(harness.totals.values()) + harness.gateway.customers["k"].pending == pytest.approx(passed)
 
@@ -261,7 +261,7 @@
             harness.request()
             harness.serve_all()
             c = harness.gateway.customers["k"]
-            harness.gateway.ask_ratio, c.tokens, c.others_guess = 0.5, tokens, 0.0
+            harness.gateway.call_ratio, c.tokens, c.others_guess = 0.5, tokens, 0.0
             made += len(actions_of(harness.request(), api.Count))
             harness.serve_all()
         return made
@@ -306,7 +306,7 @@
     plan = api.Plan("p", rate=2.0, burst=4.0, beyond_cost=1.2)
     harness = Harness(make_settings(plan=plan))
     harness.counter_outcome = "full"
-    assert actions_of(harness.request(), api.Refuse)
+    assert actions_of(harness.request(), api.Reject)
 
 
 def test_late_replies_end_the_silence() -> None:
@@ -357,7 +357,7 @@
         harness.request(f"k{n}")
     assert {send.server for send in harness.sent} == {"s1"}
     harness.process(api.ServerList("changes", (api.ServerEntry("s1", "gone"),)))
-    assert actions_of(harness.request("z"), api.Refuse)
+    assert actions_of(harness.request("z"), api.Reject)
 
 
 def test_cold_server_gets_only_its_share() -> None:
@@ -406,7 +406,7 @@
 
 
 def test_unknown_class_is_rejected() -> None:
-    assert actions_of(Harness().process(api.Request(1, "k", 0, 9, 1.0, 500.0)), api.Refuse)
+    assert actions_of(Harness().process(api.Request(1, "k", 0, 9, 1.0, 500.0)), api.Reject)
 
 
 def test_silent_server_is_avoided() -> None:
@@ -443,7 +443,7 @@
     elsewhere = bool(again) and again[0].server != first.server
     assert elsewhere == sent_again or (group == "cell" and again and again[0].server == first.server)
     if answer is api.Fail and group != "cell":
-        assert actions_of(actions, api.Fail) and not actions_of(actions, api.Refuse)
+        assert actions_of(actions, api.Fail) and not actions_of(actions, api.Reject)
 
 
 def test_keyed_request_is_not_retried_after_its_window() -> None:
@@ -496,7 +496,7 @@
 
 def test_hedge_waits_for_half_the_aim() -> None:
     """Guards against doubled work in overload: no hedge before half the aim has passed."""
-    harness = Harness(make_settings(second_copies=True))
+    harness = Harness(make_settings(can_hedge=True))
     harness.request()
     harness.now += 300
     assert not actions_of(harness.process(api.TimerFired(0)), api.Send)
@@ -590,7 +590,7 @@
 
 def test_stall_of_the_gateway_itself_hedges_nothing() -> None:
     """Guards against hedging attempts whose responses arrived while the gateway itself had stalled."""
-    harness = Harness(make_settings(second_copies=True))
+    harness = Harness(make_settings(can_hedge=True))
     harness.request()
     send = harness.sent.pop()
     harness.now += 2000
@@ -638,7 +638,7 @@
         if server in gateway.subset and server.rank < gateway.subset_gateways:
             parts[server.rank] = gateway.config.fall_time / gateway.warming_pause(server)
     assert abs(sum(parts.values()) - 1) < 1e-9, "while idle, all together may send one request per fall time"
-    assert sorted(parts) == list(range(len(parts))) and len(parts) == min(gateways, policy.FEW)
+    assert sorted(parts) == list(range(len(parts))) and len(parts) == min(gateways, policy.SUBSET_SIZE)
     assert all(parts[n] > parts[n + 1] for n in range(len(parts) - 1))
 
 
@@ -669,7 +669,7 @@
 def test_unexpected_input_is_ignored() -> None:
     """No server, thousands of servers, a clock that jumps, events of requests that ended long ago."""
     harness = Harness(listed=api.ServerList("full"))
-    assert actions_of(harness.request(), api.Refuse), "no server is listed"
+    assert actions_of(harness.request(), api.Reject), "no server is listed"
     harness.process(list_servers(3000))
     harness.now += 60_000
     harness.request("other")
@@ -717,7 +717,7 @@
     harness.request()
     harness.end_attempt(harness.sent[0], "unreachable")
     actions = harness.end_attempt(harness.sent[1], "unreachable", attempt=1)
-    assert [a.advice for a in actions_of(actions, api.Refuse)] == [harness.gateway.config.connect_timeout]
+    assert [a.advice for a in actions_of(actions, api.Reject)] == [harness.gateway.config.connect_timeout]
     assert not harness.gateway.requests
 
 
@@ -764,7 +764,7 @@
             ]
             actions += gateway.handle(now + 30, timeouts)
             sent_count += len(actions_of(actions, api.Send))
-            rejected_count = len(actions_of(actions, api.Refuse))
+            rejected_count = len(actions_of(actions, api.Reject))
             assert len(actions_of(actions, api.Send)) + rejected_count == 1, "sent or rejected at once, never held"
     assert sent_count <= 20 * 6, "of a thousand requests, about four or five for each server"
 
@@ -826,7 +826,7 @@
     for n in range(50):
         harness.request(f"other{n}")
         harness.now += 20.0
-    assert actions_of(harness.request("empty"), api.Refuse)
+    assert actions_of(harness.request("empty"), api.Reject)
     harness.now += 60_000.0
     for n in range(50):
         harness.request(f"more{n}")
@@ -990,7 +990,7 @@
     usual = dict(gateway.service_ms)
     first = api.RequestClass("first", 500.0, 900.0)
     harness.process(api.NewSettings(replace(old, classes=(first, *old.classes))))
-    assert gateway.service_ms == {"first": 500.0 / policy.STALL} | usual
+    assert gateway.service_ms == {"first": 500.0 / policy.STALL_FACTOR} | usual
     assert gateway.config.classes[0] is first
 
 
