--- a/hallhitch/planes/control/config_validation.py
+++ b/hallhitch/planes/control/config_validation.py
@@ -1,10 +1,10 @@
-"""Validation of an operator's configuration: what is valid, and where an invalid one is wrong.
+"""Validation of an operator's configuration; an error names the invalid field.
 
-Invariants: what was sent is not changed, and fields that are not known here are allowed. The texts of errors go into
-the answers of the operator API.
+Invariants: validation never changes the configuration, and unknown fields are allowed. The texts of errors become part
+of the responses of the operator API.
 
-`cerberus` checks the outer shape, services and limits. Routes and tenants come by the thousand, and it takes about
-0.5 ms for each: they are checked by the functions here, by the same rules.
+`cerberus` checks the top-level schema, the services and the limits. Routes and tenants come by the thousand, and
+`cerberus` takes about 0.5 ms for each, so the functions here check them by the same rules.
 """
 
 from __future__ import annotations
@@ -23,52 +23,52 @@
 from hallhitch.planes.control.errors import ConfigTooLargeError, InvalidConfigError
 from hallhitch.planes.values import RequestKind
 
-MAX_CONFIG_BYTES: Final = 32 * 1024 * 1024  # as much as the HTTP server of the operator API reads
-MAX_ROUTE_TIMEOUT_MS: Final = 600_000.0  # the texts of errors say ten minutes
-MAX_INTEGER: Final = 2**63 - 1  # the largest that the wire's int64 carries
+MAX_CONFIG_BYTES: Final = 32 * 1024 * 1024  # equals the body limit of the HTTP server of the operator API
+MAX_ROUTE_TIMEOUT_MS: Final = 600_000.0  # the text of the error says "ten minutes"
+MAX_INTEGER: Final = 2**63 - 1  # the largest value of the int64 fields in protocol messages
 ROUTE_KINDS: Final = tuple(RequestKind)
 
-Table = Mapping[str, Any]
+JsonObject = Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class ValidatedConfig:
-    """What is known of a valid configuration."""
+    """Properties of a configuration that passed validation."""
 
     version: int
     route_count: int
-    digest: bytes  # of what it means; see `config_digests`
+    digest: bytes  # the canonical digest; see `config_digests`
 
 
 def validate_config(body: bytes) -> ValidatedConfig:
     """Check a whole configuration.
 
     Raises:
-        ConfigTooLargeError: it is larger than anything that is kept.
-        InvalidConfigError: it is not valid.
+        ConfigTooLargeError: the body has more than `MAX_CONFIG_BYTES`.
+        InvalidConfigError: the body is not a valid configuration.
     """
     if len(body) > MAX_CONFIG_BYTES:
         raise ConfigTooLargeError(len(body), MAX_CONFIG_BYTES)
     config = parse_config(body)
-    _check_shape(_CONFIG_SCHEMA, "", config)
-    for table in ("routes", "services", "tenants"):
-        for name, entry in (config.get(table) or {}).items():
+    _check_schema(_CONFIG_SCHEMA, "", config)
+    for section in ("routes", "services", "tenants"):
+        for name, entry in (config.get(section) or {}).items():
             if not name or not isinstance(entry, dict):
-                raise InvalidConfigError("is no object with a name", path=f"{table}.{name}")
+                raise InvalidConfigError("is no object with a name", path=f"{section}.{name}")
     services = config["services"]
     for name, service in services.items():
-        _check_shape(_SERVICE_SCHEMA, f"services.{name}.", service)
-    _check_shape(_LIMITS_SCHEMA, "limits.", config.get("limits") or {})
+        _check_schema(_SERVICE_SCHEMA, f"services.{name}.", service)
+    _check_schema(_LIMITS_SCHEMA, "limits.", config.get("limits") or {})
     _check_routes(config["routes"], services)
     _check_tenants(config.get("tenants") or {})
     return ValidatedConfig(config["configVersion"], len(config["routes"]), canonical_digest(body))
 
 
-# --- Values.
+# --- Checks of single values.
 
 
 def _is_integer(value: object, minimum: int) -> bool:
-    # By exact type, as a truth value is an integer to the language and never what is meant here.
+    # The exact type is compared because `bool` is a subclass of `int`, and a boolean is never valid here.
     return type(value) is int and minimum <= value <= MAX_INTEGER
 
 
@@ -77,13 +77,13 @@
 
 
 def _is_text(value: object) -> TypeGuard[str]:
-    """Return whether a value is a text that is not empty and that bytes can carry."""
+    """Return whether a value is a non-empty string that UTF-8 can encode: one without surrogates."""
     if not isinstance(value, str) or not value:
         return False
     return value.isascii() or not any("\ud800" <= character <= "\udfff" for character in value)
 
 
-# --- Shapes, by cerberus. A check takes the field, its value and the function that records an error.
+# --- Schemas for cerberus. A check function gets the field, its value and the function that records an error.
 
 
 def _check_duration(field: str, value: object, error: Any) -> None:
@@ -139,28 +139,28 @@
 )
 
 
-def _check_shape(schema: Validator, prefix: str, table: Table) -> None:
-    if not schema.validate(table, normalize=False):
+def _check_schema(schema: Validator, prefix: str, json_object: JsonObject) -> None:
+    if not schema.validate(json_object, normalize=False):
         field, errors = next(iter(schema.errors.items()))
         raise InvalidConfigError(errors[0], path=f"{prefix}{field}")
 
 
-# --- Routes and tenants.
+# --- Checks of routes and tenants.
 
 
-def _check_routes(routes: Table, services: Table) -> None:
-    """Check each route, and that no two have the same host and path prefix."""
-    name_by_place = dict[tuple[str, str], str]()
+def _check_routes(routes: JsonObject, services: JsonObject) -> None:
+    """Check each route, and that no two have the same location: host and path prefix."""
+    name_by_location = dict[tuple[str, str], str]()
     for name, route in routes.items():
         path = f"routes.{name}"
         _check_route(path, route, services)
-        place = (route["host"].lower(), route["pathPrefix"])
-        if name_by_place.setdefault(place, name) != name:
-            raise InvalidConfigError(f"has the host and pathPrefix of {name_by_place[place]}", path=path)
+        location = (route["host"].lower(), route["pathPrefix"])
+        if name_by_location.setdefault(location, name) != name:
+            raise InvalidConfigError(f"has the host and pathPrefix of {name_by_location[location]}", path=path)
 
 
-def _check_route(path: str, route: Table, services: Table) -> None:
-    _check_place(path, route)
+def _check_route(path: str, route: JsonObject, services: JsonObject) -> None:
+    _check_location(path, route)
     if route.get("routeKind") not in ROUTE_KINDS:
         reason = f"{route.get('routeKind')!r} is none of {', '.join(ROUTE_KINDS)}"
         raise InvalidConfigError(reason, path=f"{path}.routeKind")
@@ -176,7 +176,7 @@
     _check_targets(path, route, services)
 
 
-def _check_place(path: str, route: Table) -> None:
+def _check_location(path: str, route: JsonObject) -> None:
     host, prefix = route.get("host"), route.get("pathPrefix")
     if not _is_text(host) or any(character <= " " or character == "/" for character in host):
         raise InvalidConfigError(f"{host!r} is no host", path=f"{path}.host")
@@ -184,7 +184,7 @@
         raise InvalidConfigError(f"{prefix!r} does not start and end with a slash", path=f"{path}.pathPrefix")
 
 
-def _check_route_durations(path: str, route: Table) -> None:
+def _check_route_durations(path: str, route: JsonObject) -> None:
     timeout = route.get("timeout")
     if not 0 < _parse_duration(f"{path}.timeout", timeout) <= MAX_ROUTE_TIMEOUT_MS:
         raise InvalidConfigError(f"{timeout!r} is not within ten minutes", path=f"{path}.timeout")
@@ -200,8 +200,8 @@
         raise InvalidConfigError(str(error), path=path) from None
 
 
-def _check_targets(path: str, route: Table, services: Table) -> None:
-    """Check that a route names services that exist: one, or several with weights."""
+def _check_targets(path: str, route: JsonObject, services: JsonObject) -> None:
+    """Check that a route names an existing service, or several existing services with weights."""
     split, target = route.get("trafficSplit"), route.get("targetService")
     if split is None and target is None:
         raise InvalidConfigError("has neither targetService nor trafficSplit", path=path)
@@ -211,18 +211,18 @@
         _check_traffic_split(f"{path}.trafficSplit", split, services, may_be_empty=target is not None)
 
 
-def _check_traffic_split(path: str, split: object, services: Table, *, may_be_empty: bool) -> None:
+def _check_traffic_split(path: str, split: object, services: JsonObject, *, may_be_empty: bool) -> None:
     if not isinstance(split, list) or not (split or may_be_empty):
         raise InvalidConfigError("is no list of services", path=path)
-    total_weight = sum((_checked_weight(path, part, services) for part in split), 0.0)
+    total_weight = sum((_checked_weight(path, entry, services) for entry in split), 0.0)
     if split and not 0 < total_weight < math.inf:
         raise InvalidConfigError(f"the weights add up to {total_weight:g}", path=path)
 
 
-def _checked_weight(path: str, part: object, services: Table) -> float:
-    """Return the weight of one part of a traffic split."""
-    entry: Table = part if isinstance(part, dict) else {}
-    name, weight = entry.get("targetService"), entry.get("weight")
+def _checked_weight(path: str, entry: object, services: JsonObject) -> float:
+    """Check one entry of a traffic split and return its weight."""
+    fields: JsonObject = entry if isinstance(entry, dict) else {}
+    name, weight = fields.get("targetService"), fields.get("weight")
     if not isinstance(name, str) or name not in services:
         raise InvalidConfigError(f"{name!r} is no service here", path=path)
     if not _is_number(weight):
@@ -230,8 +230,8 @@
     return weight
 
 
-def _check_tenants(tenants: Table) -> None:
-    """Check each tenant, and that no two have the same key."""
+def _check_tenants(tenants: JsonObject) -> None:
+    """Check each tenant, and that no two have the same API key."""
     name_by_key = dict[str, str]()
     for name, tenant in tenants.items():
         path = f"tenants.{name}"
@@ -241,7 +241,7 @@
                 raise InvalidConfigError(f"one of them belongs to {name_by_key[key]}", path=f"{path}.apiKeys")
 
 
-def _check_tenant(path: str, tenant: Table) -> None:
+def _check_tenant(path: str, tenant: JsonObject) -> None:
     keys = tenant.get("apiKeys")
     if not isinstance(keys, list) or not all(_is_text(key) for key in keys):
         raise InvalidConfigError("is no list of keys", path=f"{path}.apiKeys")
@@ -253,8 +253,8 @@
     _check_regions(path, tenant)
 
 
-def _check_regions(path: str, table: Table) -> None:
-    regions = table.get("allowedRegions")
+def _check_regions(path: str, json_object: JsonObject) -> None:
+    regions = json_object.get("allowedRegions")
     if regions is None:
         return
     if not isinstance(regions, list) or not all(isinstance(region, str) for region in regions):
--- a/tests/system/control/test_config_digests.py
+++ b/tests/system/control/test_config_digests.py
@@ -1,4 +1,4 @@
-"""One content for each configuration version: canonical digests, outcomes of lost messages, the bound of digests."""
+"""Each configuration version has one content: canonical digests, outcomes despite lost messages, bounded digests."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 VERSION: Final = 7
 STEPS: Final = 6  # three prepares and three accepts of one ballot
 CONTENTS: Final = {"A": b"a", "B": b"b"}  # by operator
-Loss = Literal["", "request", "answer"]
+Loss = Literal["", "request", "reply"]
 
 
 class RacingOperators:
-    """Three acceptors and the ballots of two operators' changes, message by message; messages may be lost."""
+    """Three acceptors and the ballots of two operators' changes, run message by message; messages may be lost."""
 
     def __init__(self) -> None:
         self.acceptors = {name: AcceptorState(name, state=initial_state("abc")) for name in "abc"}
         self.outcomes: dict[str, set[ConfigOutcome]] = {operator: set() for operator in CONTENTS}
 
     def new_proposal(self, operator: str, round_number: int) -> Proposal:
-        """Begin an attempt of an operator's change."""
+        """Begin a ballot for an operator's change."""
         founding = initial_state("abc")
         return Proposal(
             Ballot(round_number, operator),
@@ -45,7 +45,7 @@
         )
 
     def step(self, operator: str, proposal: Proposal, step: int, loss: Loss = "") -> None:
-        """Exchange one message and its answer: a prepare in the first three steps, an accept in the others."""
+        """Exchange one message and its reply: a prepare in the first three steps, an accept in the others."""
         name, is_accept = "abc"[step % 3], step >= 3
         if loss == "request" or (is_accept and proposal.state is None):
             return
@@ -60,7 +60,7 @@
             self.outcomes[operator].add(config_outcome(proposal.state, VERSION, digest))
 
     def resend(self, operator: str, round_number: int, quorum: tuple[str, ...]) -> None:
-        """Send the change again through another machine, which reaches this quorum."""
+        """Send the change again through another machine, which reaches only this quorum."""
         proposal = self.new_proposal(operator, round_number)
         for step in range(STEPS):
             if "abc"[step % 3] in quorum:
@@ -69,19 +69,21 @@
 
 @pytest.mark.parametrize("quorum", list(itertools.combinations("abc", 2)), ids="".join)
 def test_two_changes_of_one_version_with_one_lost_message(quorum: tuple[str, ...]) -> None:
-    """Every place of B's two phases in A's ballot, each message or its answer lost, then both changes sent again."""
+    """Runs B's two phases at every position within A's ballot, loses each message or its reply, and resends both."""
     no_loss: tuple[str, int, Loss] = ("", -1, "")
-    ways: tuple[Loss, ...] = ("request", "answer")
-    losses = [no_loss, *itertools.product("AB", range(STEPS), ways)]
-    recorded_of = set()
+    loss_kinds: tuple[Loss, ...] = ("request", "reply")
+    losses = [no_loss, *itertools.product("AB", range(STEPS), loss_kinds)]
+    recorded_operators = set()
     for first, second in itertools.combinations_with_replacement(range(STEPS + 1), 2):
-        places = sorted([(first, "B", step) for step in range(3)] + [(second, "B", step) for step in range(3, STEPS)])
+        positions = sorted(
+            [(first, "B", step) for step in range(3)] + [(second, "B", step) for step in range(3, STEPS)]
+        )
         for losing_operator, lost_step, loss in losses:
             race = RacingOperators()
             proposals = {operator: race.new_proposal(operator, 1) for operator in CONTENTS}
-            schedule = [(operator, step) for _, operator, step in places]
+            schedule = [(operator, step) for _, operator, step in positions]
             for step in reversed(range(STEPS)):
-                schedule.insert(sum(place <= step for place, _, _ in places), ("A", step))
+                schedule.insert(sum(position <= step for position, _, _ in positions), ("A", step))
             for operator, step in schedule:
                 is_lost = (operator, step) == (losing_operator, lost_step)
                 race.step(operator, proposals[operator], step, loss if is_lost else "")
@@ -89,11 +91,11 @@
                 race.resend(operator, round_number, quorum)
             outcomes = race.outcomes.values()
             assert sorted(next(iter(outcome)).value for outcome in outcomes) == ["conflict", "recorded"]
-            assert all(len(outcome) == 1 for outcome in outcomes)  # the same answer at any time
-            recorded_of |= {
+            assert all(len(outcome) == 1 for outcome in outcomes)  # no resend changed the outcome
+            recorded_operators |= {
                 operator for operator, outcome in race.outcomes.items() if outcome == {ConfigOutcome.RECORDED}
             }
-    assert recorded_of == {"A", "B"}
+    assert recorded_operators == {"A", "B"}
 
 
 @pytest.mark.parametrize(
@@ -140,4 +142,4 @@
             assert proposal.accept_message(name).ByteSize() < max_accept_bytes
             acceptors[name], accepted = acceptors[name].accept(proposal.accept_message(name))
             assert accepted.ok and acceptors[name].state == proposal.state == transition(state)
-        assert proposal.accept_message("c").state == proposal.state  # it has not promised, so it gets a full state
+        assert proposal.accept_message("c").state == proposal.state  # "c" has not promised, so it gets the full state
--- a/tests/system/control/test_config_outcomes.py
+++ b/tests/system/control/test_config_outcomes.py
@@ -1,4 +1,4 @@
-"""Configurations that are sent again, through other machines and beside newer ones: each has one outcome for ever."""
+"""A configuration keeps its outcome when it is resent, through any machine and concurrently with newer ones."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def reformatted_config(version: int, mark: str) -> bytes:
-    """Return what `replace_config` sends, with other white space and another order of names."""
+    """Return the configuration that `replace_config` sends, with other white space and another order of names."""
     return json.dumps(json.loads(config_body(version, mark)), indent=version % 3, sort_keys=True).encode()
 
 
-def test_resent_config_is_acknowledged_beside_newer_ones_by_every_machine() -> None:
+def test_every_machine_acknowledges_a_resent_config_after_newer_ones() -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         machines = await cluster.bootstrap()
         for version in (3, 5, 9, 12):
@@ -28,19 +28,19 @@
                 for version in (3, 5, 9, 12):
                     same = reformatted_config(version, f"first {version}")
                     different = reformatted_config(version, "another")
-                    status, answer = await call_operator(machine, "config.replace", same)
-                    assert (status, answer["outcome"], answer["configVersion"]) == (200, "recorded", 12)
-                    status, answer = await call_operator(machine, "config.replace", different)
-                    assert status == 409 and answer["configVersion"] == 12
-                status, answer = await call_operator(machine, "config.replace", reformatted_config(7, "never seen"))
-                assert (status, answer["outcome"], answer["configVersion"]) == (200, "superseded", 12)
+                    status, reply = await call_operator(machine, "config.replace", same)
+                    assert (status, reply["outcome"], reply["configVersion"]) == (200, "recorded", 12)
+                    status, reply = await call_operator(machine, "config.replace", different)
+                    assert status == 409 and reply["configVersion"] == 12
+                status, reply = await call_operator(machine, "config.replace", reformatted_config(7, "never seen"))
+                assert (status, reply["outcome"], reply["configVersion"]) == (200, "superseded", 12)
                 assert await describe_config(machine) == (12, "first 12")
 
     run_scenario(scenario)
 
 
-def test_resent_config_of_a_caller_that_gave_up_is_acknowledged() -> None:
-    """Whether or not the abandoned ballot goes on, one content is taken and the other never is."""
+def test_racing_resent_and_conflicting_configs_have_one_winner_after_the_first_caller_gave_up() -> None:
+    """Whether or not the abandoned ballot continues, one content is committed and the other is always refused."""
 
     async def scenario(cluster: CoordinatorCluster) -> None:
         machines = await cluster.bootstrap()
--- a/tests/system/control/test_config_validation.py
+++ b/tests/system/control/test_config_validation.py
@@ -1,4 +1,4 @@
-"""Which configurations are valid, and that thousands of routes cost a bounded number of shape checks."""
+"""Validation of configurations, and that the number of schema checks stays bounded with thousands of routes."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         "y": {"apiKeys": []},
     },
 }
-REMOVED: Final = object()  # in place of a value: the field is taken out
+REMOVED: Final = object()  # stands for a value in `config_with`: the field is removed
 INVALID_VALUES: list[tuple[str, list[Any]]] = [
     ("configVersion", [REMOVED, -1, True, 1.5, "7", None, 2**63]),
     ("routes", [REMOVED, [], None, {"r": 1}, {"r": {}}]),
@@ -101,28 +101,28 @@
 
 
 def config_with(path: str, value: Any) -> bytes:
-    """Return the valid configuration with one field set to a value, or removed."""
+    """Return the valid configuration with the field at this path set to a value, or removed."""
     config = copy.deepcopy(VALID_CONFIG)
-    *tables, field = path.split(".")
-    table = config
-    for name in tables:
-        table = table[name]
+    *parents, field = path.split(".")
+    parent = config
+    for name in parents:
+        parent = parent[name]
     if value is REMOVED:
-        del table[field]
+        del parent[field]
     else:
-        table[field] = value
+        parent[field] = value
     return json.dumps(config).encode()
 
 
 @pytest.mark.parametrize(("path", "values"), INVALID_VALUES, ids=[path for path, _ in INVALID_VALUES])
-def test_invalid_value_is_refused_with_a_reason_of_one_line(path: str, values: list[Any]) -> None:
+def test_invalid_value_is_rejected_with_a_one_line_reason(path: str, values: list[Any]) -> None:
     for value in values:
         with pytest.raises(InvalidConfigError) as error:
             config_validation.validate_config(config_with(path, value))
         assert "\n" not in str(error.value) and str(error.value)
 
 
-def test_malformed_and_truncated_bodies_are_refused() -> None:
+def test_malformed_and_truncated_bodies_are_rejected() -> None:
     body = json.dumps(VALID_CONFIG).encode()
     repeated_names = [
         b'{"configVersion":8,' + body[1:],
@@ -176,18 +176,18 @@
         config_validation.validate_config(config_with(path, value))
 
 
-def test_number_of_shape_checks_does_not_grow_with_routes_and_tenants(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The library that checks shapes takes long for each table, so it gets none of those that come by the thousand."""
-    validations: list[object] = []
-    check_shape = config_validation._check_shape
+def test_number_of_schema_checks_does_not_grow_with_routes_and_tenants(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The schema library is slow per object, so it must not check routes and tenants, of which there are thousands."""
+    validated: list[object] = []
+    check_schema = config_validation._check_schema
 
-    def counted(schema: Validator, prefix: str, table: Mapping[str, Any]) -> None:
-        validations.append(table)
-        check_shape(schema, prefix, table)
+    def recording_check_schema(schema: Validator, prefix: str, json_object: Mapping[str, Any]) -> None:
+        validated.append(json_object)
+        check_schema(schema, prefix, json_object)
 
-    monkeypatch.setattr(config_validation, "_check_shape", counted)
+    monkeypatch.setattr(config_validation, "_check_schema", recording_check_schema)
     config = copy.deepcopy(VALID_CONFIG)
     config["routes"] = {f"r-{n}": {**VALID_CONFIG["routes"]["r-1"], "pathPrefix": f"/{n}/"} for n in range(5000)}
     config["tenants"] = {f"t-{n}": {"apiKeys": [f"k-{n}"]} for n in range(1000)}
     assert config_validation.validate_config(json.dumps(config).encode()).route_count == 5000
-    assert len(validations) == 4
+    assert len(validated) == 4
