--- a/hallhitch/planes/control/operator_api.py
+++ b/hallhitch/planes/control/operator_api.py
@@ -1,13 +1,14 @@
-"""The operator's calls on one coordinator: HTTP requests in, HTTP replies out, as plain values.
+"""The operator API of one coordinator: takes HTTP requests and returns HTTP replies, as plain values without I/O.
 
-Owns status and body of each reply. Invariants:
+Owns the status and the body of each reply. A command is a call that changes the cluster state. Invariants:
 
-- *Acknowledged means durable*: 200 to an order says that a majority of each set of members holds it on disk.
-- *In time*: a reply comes within the second after which callers give up, but for large configurations, to which their
-  callers allow more.
+- *Acknowledged means durable*: a reply of 200 to a command means that a majority of each set of members holds the
+  state after it on disk.
+- *In time*: a reply comes within one second, after which callers give up. Large configurations are the exception, as
+  their callers allow more time.
 
-Whoever owns the connection cancels the call when its caller leaves, so that a late order is dropped with its caller;
-`state_transitions` says why.
+The owner of the connection cancels the call when its caller disconnects, so that a late command is dropped with its
+caller; `state_transitions` explains why.
 """
 
 from __future__ import annotations
@@ -33,19 +34,19 @@
 from hallhitch.planes.control.state_transitions import StateTransition
 
 OPERATOR_PATH: Final = "/hallhitch/rpc"
-ORDER_TIMEOUT_MS: Final = 850.0  # callers give up after a second
-ORDER_TIMEOUT_PER_ROUTE_MS: Final = 1.0  # callers allow more time for each route of a configuration
-READ_TIMEOUT_MS: Final = 600.0  # for a read that has to finish what an order under way has left open
-# For one read of the peers, which needs no disk: twice the round trip between regions, and a slowed machine.
+ORDER_TIMEOUT_MS: Final = 850.0  # callers give up after one second
+ORDER_TIMEOUT_PER_ROUTE_MS: Final = 1.0  # callers allow additional time for each route of a configuration
+READ_TIMEOUT_MS: Final = 600.0  # for a read that has to finish what a command in progress has left open
+# For one read of the peers, which needs no disk: twice the round trip between regions, plus time for a slowed machine.
 CONFIRM_TIMEOUT_MS: Final = 250.0
-MEMBERS_WAIT_INTERVAL_MS: Final = 50.0  # between two looks whether there are enough members
+MEMBERS_POLL_INTERVAL_MS: Final = 50.0  # between two checks whether there are enough members
 CONFIG_COMPRESSION_LEVEL: Final = 6  # zlib's default
-RETRY_AFTER_S: Final = "0.3"  # as the header carries it
+RETRY_AFTER_S: Final = "0.3"  # the value of the Retry-After header
 RETRY_AFTER_SUSPENSION_S: Final = "0.5"
 
 
 class OperatorCall(StrEnum):
-    """The calls by their names on the wire."""
+    """The calls; each value is the name in the request."""
 
     REPLACE_CONFIG = "config.replace"
     DESCRIBE_CONFIG = "config.describe"
@@ -54,17 +55,17 @@
 
 
 class OperatorApi:
-    """The calls of `control_plane` on one coordinator."""
+    """Handles the operator's calls on one coordinator."""
 
     def __init__(self, node: NodeSettings, plane: ControlPlane, clock: Callable[[], float] = now) -> None:
         self._node, self._plane, self._clock = node, plane, clock
 
     def apply_settings(self, node: NodeSettings) -> None:
-        """Take over the zones."""
+        """Use the zones of new settings from now on."""
         self._node = node
 
     async def handle(self, method: str, target: str, body: bytes) -> HttpReply:  # noqa: PLR0911  a reply for each case
-        """Return the reply to one request; nothing is raised but for the cancellation of the call."""
+        """Return the reply to one request; raises nothing but CancelledError, when the call is cancelled."""
         received_ms = self._clock()
         try:
             url = urlsplit(target)
@@ -87,8 +88,8 @@
                 return await self._change_evacuation(zone, state_transitions.restore_zone, received_ms)
 
     async def _describe_config(self) -> HttpReply:
-        # A majority that agrees is enough and needs no disk. What is known here and not confirmed may be older than
-        # what was acknowledged elsewhere, so it is not sent.
+        # Confirmation by a majority is enough and needs no disk. A state that is known here but not confirmed is not
+        # sent, because it may be older than what was acknowledged elsewhere.
         if await self._plane.confirm(CONFIRM_TIMEOUT_MS):
             state = self._plane.committed_state
         elif not self._plane.has_quorum_contact:
@@ -112,7 +113,7 @@
         content = zlib.compress(body, CONFIG_COMPRESSION_LEVEL)
         transition = state_transitions.replace_config(config.version, content, config.digest)
         timeout_ms = ORDER_TIMEOUT_MS + ORDER_TIMEOUT_PER_ROUTE_MS * config.route_count
-        return await self._order(transition, received_ms + timeout_ms, lambda state: _config_reply(state, config))
+        return await self._commit(transition, received_ms + timeout_ms, lambda state: _config_reply(state, config))
 
     async def _change_evacuation(
         self, zone: str, transition_for: Callable[[str], StateTransition], received_ms: float
@@ -120,21 +121,23 @@
         if zone not in self._node.region_by_zone:
             return _error_reply(400, f"there is no zone {zone!r}" if zone else "the zone is missing: of=ZONE")
         transition = transition_for(zone)
-        # One turn of the loop: a caller that has left long ago is noticed before its order is taken.
+        # Yields to the event loop once, so that a caller that disconnected long ago is noticed before its command is
+        # processed.
         await asyncio.sleep(0)
         if self._plane.was_suspended:
             return _retry_reply("this machine stood still: ask again", RETRY_AFTER_SUSPENSION_S)
-        return await self._order(transition, received_ms + ORDER_TIMEOUT_MS, _acknowledgement)
+        return await self._commit(transition, received_ms + ORDER_TIMEOUT_MS, _acknowledgement)
 
-    async def _order(
+    async def _commit(
         self, transition: StateTransition, deadline_ms: float, make_reply: Callable[[ClusterState], HttpReply]
     ) -> HttpReply:
-        """Commit a transition; the reply is made of the state that a majority holds after it."""
+        """Commit a transition; `make_reply` turns the state that a majority holds after it into the reply."""
         while self._plane.is_under_replicated:
             if deadline_ms - self._clock() < ORDER_TIMEOUT_MS / 2:
                 return _retry_reply("not enough replicas yet")
-            await asyncio.sleep(MEMBERS_WAIT_INTERVAL_MS / 1000)
-        # Without contact one short try, as it may just have come back; then the caller is sent elsewhere at once.
+            await asyncio.sleep(MEMBERS_POLL_INTERVAL_MS / 1000)
+        # Without contact to a majority, one short attempt is made, as contact may just have come back. If it fails, the
+        # reply comes at once, so that the caller can turn to another machine.
         if not self._plane.has_quorum_contact and not await self._plane.confirm(CONFIRM_TIMEOUT_MS):
             return _retry_reply("no contact with a majority")
         try:
@@ -145,7 +148,7 @@
 
 
 def _config_reply(state: ClusterState, config: ValidatedConfig) -> HttpReply:
-    """Return the reply to a configuration, by the committed state after its ballot."""
+    """Return the reply to a configuration, according to the committed state after its ballot."""
     outcome = config_outcome(state, config.version, config.digest)
     if outcome is ConfigOutcome.CONFLICT:
         text = f"configVersion {config.version} was taken with another content; {state.config_version} is in force"
@@ -156,7 +159,7 @@
 
 
 def _acknowledgement(state: ClusterState, outcome: ConfigOutcome = ConfigOutcome.RECORDED) -> HttpReply:
-    """Return the reply that says what became of an order and what is in force now."""
+    """Return the reply that states the outcome of a command and what is in force now."""
     return _json_reply(
         200,
         {"configVersion": state.config_version, "outcome": outcome.value, "evacuations": sorted(state.evacuations)},
--- a/hallhitch/planes/control/state_transitions.py
+++ b/hallhitch/planes/control/state_transitions.py
@@ -1,20 +1,22 @@
-"""The changes of the cluster state, each a plain function from state to state.
+"""The transitions of the cluster state, each a pure function from state to state.
 
-A transition returns the very object it got where it changes nothing; otherwise a copy with the next serial.
+A transition that changes nothing returns the very object that it was given; any other returns a copy with the next
+serial.
 
-Late orders. An order that changes nothing is acknowledged all the same, once a majority has confirmed the state that it
-found. Evacuations carry no version, so a `start` that was sent again and comes late looks just like a new one. Neither
-its content nor the time tells them apart: a real start soon after a stop must be taken, and machines share no clock.
-What tells a late order is its caller, who has left. Hence:
+Late commands. A command that changes nothing is still acknowledged, once a majority has confirmed the state that it
+found. Evacuations carry no version, so a `start` that was resent and arrives late looks exactly like a new one. Neither
+its content nor its time distinguishes the two: a new `start` soon after a `stop` must be applied, and machines share no
+clock. What distinguishes a late command is that its caller has left. Hence:
 
-- An order is proposed only while its caller waits on an open connection, within the time after which callers give up,
+- A command is proposed only while its caller waits on an open connection, within the time after which callers give up,
   and not while the process finds that it was suspended (see `operator_api`).
-- A `stop` comes only after its `start` was answered or given up, so all earlier callers of that `start` have left.
-- The proposer checks, when a majority has promised its ballot, that the caller is there and that the order's time is
-  not over by the clock, as a process that was suspended may read promises before its time-outs run.
+- A `stop` is sent only after its `start` was answered or given up, so all earlier callers of that `start` have left.
+- When a majority has promised its ballot, the proposer checks that the caller is still there and that the clock has not
+  reached the deadline of the command. The clock is checked as well because a process that was suspended may read
+  promises before its timeouts run.
 
-So whatever state a late `start` is in was promised by a majority before any such `stop`. The `stop` is written under a
-higher ballot even where it changes nothing, and accepts of the `start` that come after it are refused.
+So any state that contains a late `start` was promised by a majority before any such `stop`. The `stop` is written under
+a higher ballot even if it changes nothing, and accepts of the `start` that arrive after it are refused.
 """
 
 from __future__ import annotations
@@ -26,24 +28,24 @@
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.state_delta import copy_state
 
-StateTransition = Callable[[ClusterState], ClusterState]  # returns the same object where it changes nothing
+StateTransition = Callable[[ClusterState], ClusterState]  # returns the same object if it changes nothing
 
 
 def identity(state: ClusterState) -> ClusterState:
-    """Read the state; where a majority agrees on it, nothing is written."""
+    """Read the state; nothing is written if a majority agrees on it."""
     return state
 
 
 def recommit(state: ClusterState) -> ClusterState:
-    """Commit the same state under a new ballot, for members that lack it."""
+    """Commit the same state under a new ballot, which replicates it to members that lack it."""
     return state
 
 
 def replace_config(version: int, content: bytes, digest: bytes | None = None) -> StateTransition:
-    """Replace the configuration; the highest version prevails, and the first of equal ones stays.
+    """Replace the configuration if its version is higher; of two with the same version, the first one stays.
 
-    The digest (by default of the content's bytes) is recorded with it: by it `config_digests.config_outcome` tells
-    later whether this content was committed under its version.
+    The digest (by default that of the bytes of the content) is recorded with it. `config_digests.config_outcome` uses
+    it to determine later whether this content was committed under its version.
     """
     entry = ConfigDigest(config_version=version, digest=content_digest(content) if digest is None else digest)
 
@@ -61,7 +63,7 @@
 
 
 def evacuate_zone(zone: str) -> StateTransition:
-    """Start the evacuation of a zone: nothing more is sent to its backends."""
+    """Start the evacuation of a zone: no more requests are sent to its backends."""
 
     def transition(state: ClusterState) -> ClusterState:
         if zone in state.evacuations:
@@ -100,16 +102,16 @@
 
 
 def reconfigure_members(members: Iterable[str], expected: Membership) -> StateTransition:
-    """Begin a joint change to other members, if the membership is the expected one and no change is under way.
+    """Begin a joint change to other members, if the membership is the expected one and no change is in progress.
 
-    The state names both sets until `finish_reconfiguration`. Votes on leases by the former members count until
-    `finish_lease_transition`.
+    The state names both sets of members until `finish_reconfiguration`. Votes on leases by the former members count
+    until `finish_lease_transition`.
     """
     target = sorted(set(members))
 
     def transition(state: ClusterState) -> ClusterState:
-        is_change_under_way = bool(state.previous_members or state.previous_lease_members)
-        if Membership.from_state(state) != expected or is_change_under_way:
+        is_change_in_progress = bool(state.previous_members or state.previous_lease_members)
+        if Membership.from_state(state) != expected or is_change_in_progress:
             return state
         if not target or target == list(state.members):
             return state
@@ -124,12 +126,12 @@
 
 
 def add_member(address: str, expected: Membership) -> StateTransition:
-    """Begin a change to one member more, if the membership is the expected one."""
+    """Begin a change that adds a member, if the membership is the expected one."""
     return reconfigure_members([*expected.members, address], expected)
 
 
 def remove_member(address: str, expected: Membership) -> StateTransition:
-    """Begin a change to one member less, if the membership is the expected one; the last member stays."""
+    """Begin a change that removes a member, if the membership is the expected one; the last member stays."""
     return reconfigure_members([member for member in expected.members if member != address], expected)
 
 
@@ -144,7 +146,7 @@
 
 
 def finish_lease_transition(state: ClusterState) -> ClusterState:
-    """End a joint change for leases, once all votes of the former members have expired."""
+    """End a joint change for leases; to be proposed once all votes of the former members have expired."""
     if not state.previous_lease_members or state.previous_members:
         return state
     after = _successor(state)
--- a/tests/system/control/operator_calls.py
+++ b/tests/system/control/operator_calls.py
@@ -1,7 +1,7 @@
 """Operator calls and configurations for tests on a simulated cluster of coordinators.
 
-For the cluster itself see `hallhitch.lab.simulation.coordinator_cluster`. Its initial members have the first three
-addresses, or five; the others are of machines that a test adds.
+For the cluster itself see `hallhitch.lab.simulation.coordinator_cluster`. Its initial members have the first three or
+five of the addresses below; the others are for machines that a test adds.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 
 class OperatorReply(NamedTuple):
-    """Status and decoded body of a reply."""
+    """The status and the decoded body of a reply."""
 
     status: int
     body: Any
 
 
 class DescribedConfig(NamedTuple):
-    """The configuration in force, as far as tests tell one from another."""
+    """The configuration in force, reduced to what tests compare."""
 
     version: int
     mark: str
 
 
 def config_body(version: int, mark: str = "", routes: int = 1) -> bytes:
-    """Return a valid configuration with this version, a free text to recognise it by, and so many routes."""
+    """Return a valid configuration with this version and number of routes; `mark` identifies it."""
     return json.dumps(
         {
             "configVersion": version,
@@ -69,12 +69,12 @@
 
 
 async def replace_config(machine: CoordinatorMachine, version: int, mark: str = "", routes: int = 1) -> int:
-    """Send a configuration and return the status of the answer."""
+    """Send a configuration and return the status of the reply."""
     return (await call_operator(machine, "config.replace", config_body(version, mark, routes))).status
 
 
 async def describe_config(machine: CoordinatorMachine) -> DescribedConfig:
-    """Read the configuration back."""
+    """Return the configuration that a machine reports as being in force."""
     status, body = await call_operator(machine, "config.describe")
     assert status == 200, body
     return DescribedConfig(body["configVersion"], body["mark"])
--- a/tests/system/control/test_late_changes.py
+++ b/tests/system/control/test_late_changes.py
@@ -14,7 +14,7 @@
 
 
 def test_refused_membership_change_does_not_drop_a_change_in_the_same_ballot() -> None:
-    """Both are applied to members of which this process does not know that a majority holds them."""
+    """Both changes are applied to a membership that this process does not know to be committed."""
 
     async def scenario(cluster: CoordinatorCluster) -> None:
         first, second, _ = await cluster.bootstrap()
@@ -32,8 +32,8 @@
 
 
 @pytest.mark.parametrize("step", range(12))
-def test_evacuation_of_a_machine_suspended_in_its_ballot_does_not_come_after_its_stop(step: int) -> None:
-    """The answers of the others wait in its sockets for 30 s; whichever it reads first then, the change is over."""
+def test_evacuation_proposed_by_a_machine_suspended_during_its_ballot_does_not_apply_after_its_stop(step: int) -> None:
+    """The replies of the others wait in its sockets for 30 s; the change is past its deadline when it reads them."""
 
     async def scenario(cluster: CoordinatorCluster) -> None:
         suspended, other, _ = await cluster.bootstrap()
@@ -67,22 +67,22 @@
 
 
 def test_evacuations_resent_by_several_callers() -> None:
-    """Each start is abandoned, sent again through others and acknowledged; once stopped, it does not come back."""
+    """Each call is abandoned, resent through others and acknowledged; an evacuation that was stopped stays stopped."""
 
     async def scenario(cluster: CoordinatorCluster) -> None:
         machines = await cluster.bootstrap()
-        for turn in range(10):
+        for iteration in range(10):
             for name, expected in (("start", {"viti-a"}), ("stop", set[str]())):
                 call = f"evacuations.{name}&of=viti-a"
                 abandoned = [asyncio.ensure_future(call_operator(machine, call)) for machine in machines[:2]]
                 await asyncio.sleep(cluster.rng.random() / 100)
                 for task in abandoned:
                     task.cancel()
-                resent = (call_operator(machine, call) for machine in (machines[2], machines[turn % 2]))
+                resent = (call_operator(machine, call) for machine in (machines[2], machines[iteration % 2]))
                 assert [status for status, _ in await asyncio.gather(*resent)] == [200, 200]
-                assert await evacuated_zones(machines[turn % 3]) == expected
+                assert await evacuated_zones(machines[iteration % 3]) == expected
             await asyncio.sleep(3)
-            assert await evacuated_zones(machines[turn % 3]) == set()
+            assert await evacuated_zones(machines[iteration % 3]) == set()
 
     for seed in range(4):
         run_scenario(scenario, seed)
--- a/tests/system/control/test_operator_orders.py
+++ b/tests/system/control/test_operator_orders.py
@@ -1,4 +1,4 @@
-"""Orders and reads of operators: what got a 200 is in force, and nothing else is."""
+"""Commands and reads of operators: a command is in force if and only if it was acknowledged with 200."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_orders_without_faults_are_acknowledged_and_known_to_every_machine() -> None:
+def test_commands_without_faults_are_acknowledged_and_known_to_every_machine() -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         first, second, third = await cluster.bootstrap()
         assert (await call_operator(first, "config.describe")).status == 503
@@ -63,7 +63,7 @@
         ("evacuations.start&of=viti-a", b"", "PUT", 405),
     ],
 )
-def test_invalid_call_is_refused_and_changes_nothing(name: str, body: bytes, method: str, status: int) -> None:
+def test_invalid_call_is_rejected_and_changes_nothing(name: str, body: bytes, method: str, status: int) -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         machine, *_ = await cluster.bootstrap()
         reply_status, reply = await call_operator(machine, name, body, method)
@@ -84,7 +84,7 @@
                 replace_config(third, version - 1, "old"),
             )
             assert sorted(statuses[:2]) == [200, 409]
-            assert statuses[2] == 409  # its version was taken by another content as well
+            assert statuses[2] == 409  # another content was committed under this version, too
             winner = "ab"[statuses.index(200)]
             assert {await describe_config(machine) for machine in (first, second, third)} == {(version, winner)}
         await asyncio.sleep(5)
@@ -109,13 +109,15 @@
         assert (await call_operator(first, "config.describe")).status == 503 and cluster.clock() - started_ms < 900
         assert (await call_operator(first, "evacuations.start&of=viti-a")).status == 503
         assert await replace_config(second, 2, "two") == 200
-        assert (await call_operator(first, "config.describe")).status == 503  # it only knows what is no longer in force
+        assert (
+            await call_operator(first, "config.describe")
+        ).status == 503  # it knows only a configuration that is no longer in force
         assert await describe_config(second) == (2, "two")
         assert (await call_operator(second, "evacuations.start&of=viti-a")).status == 200
         assert (await call_operator(third, "evacuations.stop&of=viti-a")).status == 200
         cluster.partitions.clear()
         await asyncio.sleep(4)
-        # What the minority gave up does not come back from there.
+        # The changes that the minority abandoned do not reappear.
         assert await describe_config(first) == (2, "two") and await evacuated_zones(first) == set()
         assert first.plane is not None and second.plane is not None
         assert first.plane.committed_state == second.plane.committed_state
@@ -123,7 +125,7 @@
     run_scenario(scenario)
 
 
-def test_order_read_right_after_a_suspension_is_refused() -> None:
+def test_command_read_right_after_a_suspension_is_refused() -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         first, *_ = await cluster.bootstrap()
         await asyncio.sleep(1)
@@ -135,14 +137,14 @@
     run_scenario(scenario)
 
 
-def test_order_is_dropped_when_its_caller_leaves() -> None:
+def test_command_is_dropped_when_its_caller_leaves() -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         first, second, _ = await cluster.bootstrap()
         await asyncio.sleep(1)
         cluster.isolate(first.address)
-        order = asyncio.ensure_future(call_operator(first, "evacuations.start&of=viti-a"))
+        command = asyncio.ensure_future(call_operator(first, "evacuations.start&of=viti-a"))
         await asyncio.sleep(0.2)
-        order.cancel()
+        command.cancel()
         cluster.partitions.clear()
         await asyncio.sleep(3)
         assert await evacuated_zones(second) == set()
