--- a/hallhitch/planes/control/graceful_departure.py
+++ b/hallhitch/planes/control/graceful_departure.py
@@ -1,9 +1,9 @@
-"""The graceful departure of a coordinator: its membership goes to another, and what it holds to all reachable members.
+"""Graceful departure of a coordinator: hands its membership to another one and its state to all reachable members.
 
-Owns when the process may end. Invariants:
+Decides when the process may exit. Invariants:
 
-- While another member replies, the process stays until each that replies holds the newest state that this one holds.
-- It stays no longer than the time it was given.
+- While other members reply, the process stays until each of these holds the newest state that this process holds.
+- The process never stays longer than its time budget.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_reconciler import MembershipReconciler
 
-PUBLISH_INTERVAL_MS: Final = 100.0  # between two times that the members are told of the departure and read
-REPLY_TIMEOUT_MS: Final = 400.0  # for their replies: an unresponsive member must not hold up the others
+PUBLISH_INTERVAL_MS: Final = 100.0  # between announcements of the departure, which also ask what the members hold
+REPLY_TIMEOUT_MS: Final = 400.0  # for the replies of the members: an unresponsive one must not delay the others
 
 Publish = Callable[[frozenset[str], float], Awaitable[Mapping[str, AcceptorReport]]]
 
 
 class GracefulDeparture:
-    """One departure. `publish` tells peers that this one leaves and returns what they hold."""
+    """One departure. `publish` announces it to peers and returns the reports of what they hold."""
 
     def __init__(self, replica: LocalReplica, reconciler: MembershipReconciler, publish: Publish) -> None:
         self._replica, self._proposer = replica, replica.proposer
@@ -36,12 +36,12 @@
 
     @property
     def has_left(self) -> bool:
-        """Whether this process is known to be no member any more."""
+        """Whether a committed membership no longer includes this process."""
         committed = self._proposer.committed_membership
         return bool(committed.members) and self._replica.address not in committed.all_members
 
     async def run(self, budget_ms: float) -> None:
-        """Hand over membership and state; returns when that is done, cannot be done, or the time is over."""
+        """Hand over membership and state. Returns when that is done, when it is impossible, or after the budget."""
         deadline_ms = self._replica.clock() + budget_ms
         while True:
             remaining_ms = deadline_ms - self._replica.clock()
@@ -54,13 +54,13 @@
                 return
             reports = await self._publish(peers, min(REPLY_TIMEOUT_MS, remaining_ms))
             is_state_held = await self._replicate_state(reports, remaining_ms)
-            if is_state_held and not self._may_change_come(self._newest_membership(reports)):
+            if is_state_held and not self._may_membership_change(self._newest_membership(reports)):
                 self._log.info("membership handed over" if self.has_left else "departing without a successor")
                 return
             await asyncio.sleep(min(PUBLISH_INTERVAL_MS, max(remaining_ms, 0)) / 1000)
 
     def _newest_membership(self, reports: Mapping[str, AcceptorReport]) -> Membership:
-        """Return the newest membership: as seen here, or as a majority of its members has just reported."""
+        """Return the newest membership: the one seen here, or a newer one that a majority of its members reported."""
         seen = self._proposer.newest_seen
         for report in reports.values():
             if not report.ok or Ballot.from_message(report.accepted) <= seen.ballot:
@@ -71,8 +71,8 @@
                 return membership
         return Membership.from_state(seen.state)
 
-    def _may_change_come(self, membership: Membership) -> bool:
-        """Return whether a change that takes this member out, or the end of its votes on leases, may still come."""
+    def _may_membership_change(self, membership: Membership) -> bool:
+        """Return whether a change that removes this member, or that ends its votes on leases, may still come."""
         if membership.previous_members or membership.previous_lease_members:
             return True
         if self._replica.address not in membership.members:
@@ -82,10 +82,13 @@
         return self._replica.observations.has_prospective_candidate(membership, self._replica.clock())
 
     async def _replicate_state(self, reports: Mapping[str, AcceptorReport], remaining_ms: float) -> bool:
-        """Send the state held here to the peers that lack it; return whether none of those that replied did."""
+        """Send the state of this replica to the peers that lack it.
+
+        Return whether at least one peer reported and none of those that did lacked the state.
+        """
         own = self._replica.acceptor.state
         if own.is_recovering:
-            return True  # nothing is held here
+            return True  # a recovering replica holds no state
         usable = {address: report for address, report in reports.items() if report.ok}
         lagging = [address for address, report in usable.items() if Ballot.from_message(report.accepted) < own.accepted]
         accept = Accept(ballot=own.accepted.to_message(), state=own.state)
@@ -94,7 +97,7 @@
         return bool(usable) and not lagging
 
     async def _send_state(self, address: str, accept: Accept, timeout_ms: float) -> None:
-        """Send the accept that did not reach a peer: it may come from anybody."""
+        """Send a peer the accept that it missed; acceptors take an accept from any sender."""
         try:
             await self._replica.call_peer(address, Envelope(accept=accept), timeout_ms)
         except PeerCallError as error:
--- a/hallhitch/planes/control/membership_reconciler.py
+++ b/hallhitch/planes/control/membership_reconciler.py
@@ -1,8 +1,8 @@
-"""Reconciliation of the members: agreement where it is missing, then the right members, one member at a time acting.
+"""Reconciliation of the members: replicate the newest state fully first, then change to the right members.
 
-Owns when a change of members is proposed. One change is: the joint state, finished for the consensus at once, and
-finished for leases after the votes on leases by the former members have expired. Invariant: the next change begins
-only after that.
+Decides when a membership change is proposed; members take turns, so that one of them acts at a time. A change commits
+a joint state, is finished for the consensus immediately, and is finished for leases after the votes on leases by the
+former members have expired. Invariant: the next change begins only after the current one is finished for leases.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_policy import PeerSnapshot, TargetMembers
 
-RECONCILE_INTERVAL_MS: Final = 100.0  # small against PROPOSER_STAGGER_MS, by which members take turns
-PROPOSAL_TIMEOUT_MS: Final = 800.0  # for one change: others wait behind it, and the next reconciliation tries again
+RECONCILE_INTERVAL_MS: Final = 100.0  # short compared with PROPOSER_STAGGER_MS, the delay from one turn to the next
+PROPOSAL_TIMEOUT_MS: Final = 800.0  # for one change: others wait behind it, and the next reconciliation retries it
 
 
 class GapKind(Enum):
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationGap:
-    """What the last read has found missing; another ballot makes it another gap."""
+    """What the last read found missing; a gap of the same kind at another ballot is a new gap."""
 
     kind: GapKind
     ballot: Ballot  # of the newest state
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recommit:
-    """Bring the newest state to the members that lack it."""
+    """Replicate the newest state to the members that lack it, by committing it again."""
 
     gap: ReplicationGap
 
@@ -65,8 +65,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _DueAction:
-    """An action and since when it has been left to members whose turn comes first."""
+class _DeferredAction:
+    """An action that is left to members whose turn comes first, and since when."""
 
     action: Action | None
     since_ms: float
@@ -74,17 +74,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _LeaseTransition:
-    """A change that is finished for the consensus, and when that was known to be committed."""
+    """A change that is finished for the consensus but not for leases."""
 
     membership_version: int
-    committed_ms: float
+    committed_ms: float  # when this process learned that the finished change is committed
 
 
 class MembershipReconciler:
-    """One member's part in the reconciliation.
+    """The reconciliation as one member runs it.
 
-    `replication_gap` is what the last read found missing; `has_pending_work` says whether something is to be done,
-    here or by a member whose turn comes first. `lease_ms` is for how long votes on leases by former members count.
+    `replication_gap` is what the last read found missing. `has_pending_work` says whether an action is due, here or at
+    a member whose turn comes first, or a change is in progress. `lease_ms` is how long votes on leases by former
+    members count.
     """
 
     def __init__(self, replica: LocalReplica, lease_ms: float) -> None:
@@ -93,13 +94,13 @@
         self.has_pending_work = False
         self._replica, self._proposer = replica, replica.proposer
         self._lease_ms = lease_ms
-        self._due = _DueAction(None, 0.0)
+        self._deferred = _DeferredAction(None, 0.0)
         self._lease_transition = _LeaseTransition(0, 0.0)
         self._log = ComponentLogger("members")
         self._failure_log = RateLimitedLog(self._log)
 
     async def run(self, may_propose: Callable[[], bool]) -> None:
-        """Reconcile again and again while this process may propose; never ends by itself."""
+        """Reconcile periodically while this process may propose; never returns by itself."""
         while True:
             await asyncio.sleep(RECONCILE_INTERVAL_MS / 1000)
             if not may_propose():
@@ -108,26 +109,26 @@
                 await self.reconcile()
             except (PeerCallError, TimeoutError) as error:
                 self._failure_log.warning(self._replica.clock(), "reconciliation incomplete", error=error)
-            except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+            except Exception as error:  # noqa: BLE001  logged here, so that the loop and the process go on
                 self._log.exception("reconciliation failed", error)
 
     async def reconcile(self) -> None:
-        """Do what is to be done, if it is this member's turn."""
+        """Perform the next action if it is this member's turn."""
         now_ms = self._replica.clock()
         membership = self._newest_membership()
-        self._note_lease_transition(now_ms)
+        self._record_lease_transition(now_ms)
         action = self._next_action(membership, now_ms)
-        is_change_under_way = bool(membership.previous_members or membership.previous_lease_members)
-        self.has_pending_work = action is not None or is_change_under_way
-        if action != self._due.action:
-            self._due = _DueAction(action, now_ms)
-        if action is None or now_ms - self._due.since_ms < self._delay_ms(action, membership, now_ms):
+        is_change_in_progress = bool(membership.previous_members or membership.previous_lease_members)
+        self.has_pending_work = action is not None or is_change_in_progress
+        if action != self._deferred.action:
+            self._deferred = _DeferredAction(action, now_ms)
+        if action is None or now_ms - self._deferred.since_ms < self._delay_ms(action, membership, now_ms):
             return
-        self._due = _DueAction(None, now_ms)
+        self._deferred = _DeferredAction(None, now_ms)
         await self._perform(action, membership)
 
     def can_hand_over(self) -> bool:
-        """Return whether a change of members is under way or could begin now."""
+        """Return whether a membership change is in progress or could begin now."""
         membership = self._newest_membership()
         if membership.previous_members or membership.previous_lease_members:
             return True
@@ -140,15 +141,19 @@
     def _snapshot(self, membership: Membership, now_ms: float) -> PeerSnapshot:
         return self._replica.observations.snapshot(membership, now_ms)
 
-    def _note_lease_transition(self, now_ms: float) -> None:
-        """Count from the finished change: a joint state that was given up may bear the version of the one chosen."""
+    def _record_lease_transition(self, now_ms: float) -> None:
+        """Record when a change was first known to be finished for the consensus.
+
+        The expiry of votes on leases is counted from then and not from the joint state, because an abandoned joint
+        state may have the same version as the chosen one.
+        """
         committed = self._proposer.committed_membership
         is_lease_transition = bool(committed.previous_lease_members) and not committed.previous_members
         if is_lease_transition and committed.version != self._lease_transition.membership_version:
             self._lease_transition = _LeaseTransition(committed.version, now_ms)
 
     def _next_action(self, membership: Membership, now_ms: float) -> Action | None:
-        """Return what is to be done first."""
+        """Return the action that comes first; None if there is nothing to do or nothing can be done now."""
         observed = self._snapshot(membership, now_ms)
         if self.replication_gap is not None:
             return Recommit(self.replication_gap) if membership.has_quorum(observed.reachable) else None
@@ -164,7 +169,7 @@
     def _delay_ms(self, action: Action, membership: Membership, now_ms: float) -> float:
         """Return how long to leave the action to other members.
 
-        A recommit waits for one turn more, as the state may be on its way to the others at this moment.
+        A recommit waits one turn longer, because the state may still be on its way to the other members.
         """
         observed = self._snapshot(membership, now_ms)
         delay_ms = membership_policy.proposal_delay_ms(membership.members, self._replica.address, observed)
@@ -183,7 +188,7 @@
                 await self._reconfigure(action, membership)
 
     async def _reconfigure(self, target: TargetMembers, membership: Membership) -> None:
-        """Commit the joint state and finish it for the consensus."""
+        """Commit the joint state, then finish the change for the consensus."""
         self._log.info("changing membership", members=target.members, reason=target.reason.value)
         transition = state_transitions.reconfigure_members(target.members, membership)
         after = await self._proposer.change(transition, PROPOSAL_TIMEOUT_MS)
--- a/hallhitch/planes/control/observation_rounds.py
+++ b/hallhitch/planes/control/observation_rounds.py
@@ -1,6 +1,7 @@
-"""The rounds in which a replica advances its startup and observes its peers.
+"""Periodic rounds in which a replica advances its startup and observes its peers.
 
-Owns the pace of the rounds: a fraction of the catch-up time, and faster while something is missing or under way.
+Owns the interval between rounds: a fraction of the catch-up time, and shorter while the replica is recovering or a
+change is expected.
 """
 
 from __future__ import annotations
@@ -17,14 +18,14 @@
 from hallhitch.planes.control.replica_startup import ReplicaStartup
 from hallhitch.planes.control.state_observer import StateObserver
 
-MAX_BUSY_INTERVAL_MS: Final = 300.0  # between rounds while something is missing or under way
-# Part of the interval by which each round may come sooner or later, so that replicas which started together do not
-# stay in step.
+MAX_BUSY_INTERVAL_MS: Final = 300.0  # between rounds while the replica is recovering or a change is expected
+# Fraction of the interval by which each round may come sooner or later, so that replicas which started together do not
+# stay synchronized.
 JITTER_RATIO: Final = 0.2
 
 
 class ObservationRounds:
-    """Runs one round after the other; `timing` may be replaced while they run."""
+    """Runs one round after another; `timing` may be replaced meanwhile, and applies from the next interval or round."""
 
     def __init__(
         self,
@@ -41,13 +42,13 @@
         self._failure_log = RateLimitedLog(self._log)
 
     async def run(self) -> None:
-        """Run rounds; never ends by itself."""
+        """Run rounds; never returns by itself."""
         while True:
             try:
                 await self._run_round()
             except (PeerCallError, TimeoutError) as error:
                 self._failure_log.warning(self._replica.clock(), "observation round incomplete", error=error)
-            except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+            except Exception as error:  # noqa: BLE001  logged here, so that the loop and the process go on
                 self._log.exception("observation round failed", error)
             jitter = self._rng.uniform(1.0 - JITTER_RATIO, 1.0 + JITTER_RATIO)
             await asyncio.sleep(self._interval_ms() * jitter / 1000)
--- a/hallhitch/planes/control/peer_observations.py
+++ b/hallhitch/planes/control/peer_observations.py
@@ -1,7 +1,7 @@
-"""What a coordinator has observed of the others: who replies, who queries it, who leaves. No I/O, no clock.
+"""What a coordinator has observed of the others: which of them reply, query it, or leave. No I/O, no clock.
 
-Moments are arguments, in ms of the process's steady clock. Invariant: only members, this process, and peers that were
-observed within `RETENTION_INTERVALS` intervals of unresponsiveness are kept, once `prune` has run.
+Times are passed in as arguments, in ms of the process's monotonic clock. Invariant: after `prune`, only members, this
+process and peers observed within the last `RETENTION_INTERVALS` times `unresponsive_after_ms` are kept.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from hallhitch.planes.control.membership import Membership
 from hallhitch.planes.control.membership_policy import PeerSnapshot
 
-# Times `unresponsive_after_ms` after which a non-member is forgotten: longer than any decision looks back, and short
-# enough that addresses which are never seen again do not pile up.
+# How many times `unresponsive_after_ms` a non-member is remembered: longer than any decision looks back, and short
+# enough that addresses which are never seen again do not accumulate.
 RETENTION_INTERVALS: Final = 10.0
 
 
@@ -24,15 +24,15 @@
     """A coordinator that queries this one."""
 
     last_query_ms: float
-    last_current_ms: float = float("-inf")  # when it last held the newest state known here on its disk
+    last_current_ms: float = float("-inf")  # when it last had the newest state known here on its disk
     is_leaving: bool = False
 
 
 class PeerObservations:
     """The observations of one process.
 
-    `last_reply_ms` says when each coordinator last replied, this one included; `listening_since_ms` from when on this
-    process has listened without a gap; `is_leaving` whether this process is about to end.
+    `last_reply_ms` is when each coordinator, this one included, last replied. `listening_since_ms` is the time since
+    which this process has listened without a gap. `is_leaving` says whether this process is about to exit.
     """
 
     def __init__(self, address: str, listening_since_ms: float, unresponsive_after_ms: float) -> None:
@@ -44,7 +44,7 @@
         self._queriers: dict[str, QueryingPeer] = {}
 
     def record_query(self, query: AcceptorQuery, now_ms: float, newest_ballot: Ballot) -> None:
-        """Note a query of another coordinator; `newest_ballot` is that of the newest state known here."""
+        """Record a query of another coordinator; `newest_ballot` belongs to the newest state known here."""
         if not query.address or query.address == self._address:
             return
         querier = self._queriers.setdefault(query.address, QueryingPeer(now_ms))
@@ -54,11 +54,11 @@
             querier.last_current_ms = now_ms
 
     def record_reply(self, address: str, now_ms: float) -> None:
-        """Note that a coordinator has replied."""
+        """Record that a coordinator replied."""
         self.last_reply_ms[address] = now_ms
 
     def is_responsive(self, address: str, now_ms: float) -> bool:
-        """Return whether a coordinator replied recently; this process always does."""
+        """Return whether a coordinator replied recently; this process itself always counts as responsive."""
         if address == self._address:
             return True
         return self._is_recent(self.last_reply_ms.get(address, float("-inf")), now_ms)
@@ -69,17 +69,17 @@
             address for address, querier in self._queriers.items() if self._is_recent(querier.last_query_ms, now_ms)
         )
 
-    def has_unheard_querier(self, now_ms: float) -> bool:
-        """Return whether a recent querier has never replied to this process."""
+    def has_silent_querier(self, now_ms: float) -> bool:
+        """Return whether a recent querier has never replied to this process, as far as is remembered."""
         return any(address not in self.last_reply_ms for address in self.recent_queriers(now_ms))
 
     def has_prospective_candidate(self, membership: Membership, now_ms: float) -> bool:
-        """Return whether a non-member that is not leaving may soon be a candidate."""
+        """Return whether a non-member that is not leaving queried recently, and so may soon be a candidate."""
         non_members = self.recent_queriers(now_ms) - membership.all_members
         return any(not self._queriers[address].is_leaving for address in non_members)
 
     def snapshot(self, membership: Membership, now_ms: float) -> PeerSnapshot:
-        """Return what counts for a decision on these members."""
+        """Return what a decision on these members is based on."""
         members = membership.all_members
         known = self.last_reply_ms.keys() | members
         responsive = frozenset(address for address in known if self.is_responsive(address, now_ms))
@@ -96,22 +96,22 @@
         )
 
     def prune(self, membership: Membership, now_ms: float) -> None:
-        """Forget non-members that were not observed for long."""
-        horizon_ms = now_ms - RETENTION_INTERVALS * self.unresponsive_after_ms
+        """Forget non-members that were not observed within the retention time."""
+        oldest_kept_ms = now_ms - RETENTION_INTERVALS * self.unresponsive_after_ms
         kept = membership.all_members | {self._address}
         self.last_reply_ms = {
             address: replied_ms
             for address, replied_ms in self.last_reply_ms.items()
-            if address in kept or replied_ms >= horizon_ms
+            if address in kept or replied_ms >= oldest_kept_ms
         }
         self._queriers = {
             address: querier
             for address, querier in self._queriers.items()
-            if address in kept or querier.last_query_ms >= horizon_ms
+            if address in kept or querier.last_query_ms >= oldest_kept_ms
         }
 
-    def _is_recent(self, moment_ms: float, now_ms: float) -> bool:
-        return now_ms - moment_ms <= self.unresponsive_after_ms
+    def _is_recent(self, event_ms: float, now_ms: float) -> bool:
+        return now_ms - event_ms <= self.unresponsive_after_ms
 
     def _leaving(self) -> frozenset[str]:
         peers = frozenset(address for address, querier in self._queriers.items() if querier.is_leaving)
--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -1,10 +1,11 @@
-"""The control plane of a coordinator, as the program sees it.
+"""The control plane of a coordinator: the interface that the coordinator program uses.
 
-Owns the parts of the replica, their tasks, and the rounds in which the replica observes its peers. Invariants:
+Owns the components of the replica, their tasks, and the rounds in which the replica observes its peers. Invariants:
 
-- `committed_state` is held by a majority of each set of members; see `committed_state`.
-- Nothing is proposed after the replica has left or met another founding; see `graceful_departure`, `vote_eligibility`.
-- A recovering replica changes no members, and its own vote counts for nothing; see `state_recovery`, `acceptor_state`.
+- A majority of each set of members holds `committed_state`; see the module `committed_state`.
+- Nothing is proposed after the replica has left the membership, or has met a replica that was founded with different
+  members; see `graceful_departure` and `vote_eligibility`.
+- A recovering replica changes no members, and its own vote does not count; see `state_recovery` and `acceptor_state`.
 """
 
 from __future__ import annotations
@@ -41,11 +42,11 @@
 from hallhitch.planes.control.suspension_detector import SuspensionDetector
 from hallhitch.planes.values import LeaseMembership
 
-DEPARTED: Final = "this machine has left the register"  # in answers of the operator API
+DEPARTED: Final = "this machine has left the register"  # part of responses of the operator API
 
 
 class Peers(Protocol):
-    """What is used of `messages.peer_links.PeerLinks`."""
+    """The part of `messages.peer_links.PeerLinks` that the control plane uses."""
 
     async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         """Call a peer and return its reply.
@@ -57,19 +58,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaEnvironment:
-    """What a replica uses of its machine, and what a simulation replaces."""
+    """The facilities of the machine that a replica uses, and that a simulation replaces."""
 
-    storage: Storage | None = None  # None: the settings' data directory, if there is one
-    run_blocking: BlockingRunner | None = None  # None: a thread of its own
-    clock: Callable[[], float] = now  # steady, in ms
+    storage: Storage | None = None  # None: the data directory of the settings, if they name one
+    run_blocking: BlockingRunner | None = None  # None: a dedicated thread
+    clock: Callable[[], float] = now  # monotonic, in ms
     rng: random.Random = field(default_factory=random.Random)
 
 
 class ControlPlane:
     """The replicated cluster state on one coordinator.
 
-    `on_commit` gets each newer committed state, on the event loop. `lease_ms` is for how long votes on leases by former
-    members may still be counted; 0 where nobody votes on any.
+    `on_commit` is called on the event loop with each newer committed state. `lease_ms` is how long votes on leases by
+    former members may still be counted; 0 if nobody votes on leases.
     """
 
     def __init__(
@@ -109,12 +110,12 @@
 
     @property
     def committed_state(self) -> ClusterState:
-        """The newest state known to be committed, with serial 0 before any is known; not to be changed."""
+        """The newest state known to be committed, with serial 0 before any is known. Callers must not modify it."""
         return self._committed.state
 
     @property
     def members(self) -> tuple[str, ...]:
-        """The internal addresses of the members, as far as known."""
+        """The internal addresses of the members, as far as they are known here; empty if they are not."""
         states = (self._committed.state, self._proposer.newest_seen.state, self._acceptor.state.state)
         return next((tuple(state.members) for state in states if state.members), ())
 
@@ -122,20 +123,21 @@
     def lease_membership(self) -> LeaseMembership:
         """Whose votes on leases count, by the newest state that this replica has accepted or knows to be committed.
 
-        An accepted state counts at once: a replica that has accepted a change must not vote for claims that do not
-        know of it. A recovering replica holds no state, and so names nobody until it has met a majority.
+        An accepted state counts immediately, because a replica that has accepted a change must not vote for a claim
+        whose sender does not know of the change. A recovering replica holds no state, so it names nobody until it has
+        been in contact with a majority.
         """
         newest = max(self._committed.state, self._acceptor.state.state, key=lambda state: state.membership_version)
         return LeaseMembership(newest.membership_version, tuple(newest.members), tuple(newest.previous_lease_members))
 
     @property
     def has_quorum_contact(self) -> bool:
-        """Whether a majority has confirmed this process within the serving lease, at this very moment."""
+        """Whether the serving lease is valid right now: a majority has confirmed this process within its length."""
         return self.lease.is_valid(self._clock())
 
     @property
     def is_under_replicated(self) -> bool:
-        """Whether the tolerated losses need more members, and these may still be on their way."""
+        """Whether the tolerated losses require more members than there are, and these may still be starting."""
         if not self._startup.is_in_startup_grace_period:
             return False
         members = self._proposer.committed_membership.members
@@ -144,11 +146,11 @@
 
     @property
     def was_suspended(self) -> bool:
-        """Whether this process was suspended a moment ago: what it reads now may have waited long."""
+        """Whether this process was suspended until a moment ago: the messages that it reads now may be old."""
         return self._suspension.was_suspended
 
     async def start(self) -> None:
-        """Read the disk and begin; a disk that fails or hangs is read again in the background."""
+        """Read the disk and start all tasks; a disk that fails or hangs is read again in the background."""
         now_ms = self._clock()
         self._observations.listening_since_ms = now_ms
         self._suspension.start(now_ms)
@@ -164,12 +166,12 @@
         ]
 
     async def leave(self, budget_ms: float) -> None:
-        """Hand over membership and state within a time; callers and peers are answered meanwhile."""
+        """Hand over membership and state within `budget_ms`; callers and peers still get answers meanwhile."""
         self._observations.is_leaving = True
         await self._departure.run(budget_ms)
 
     async def stop(self) -> None:
-        """Cancel all rounds, ballots and writes."""
+        """Cancel all rounds and ballots; the storage thread ends after the writes that are queued."""
         for task in self._tasks:
             task.cancel()
         self._startup.stop()
@@ -178,7 +180,7 @@
         self._storage_thread.stop()
 
     def apply_settings(self, node: NodeSettings) -> None:
-        """Take over seeds, tolerated losses and the times that follow from the bounds."""
+        """Use the seeds, the tolerated losses and the times derived from the bounds of these settings from now on."""
         self._node = self._startup.node = node
         self._rounds.timing = ObservationTiming.from_catch_up(node.bounds.catch_up_ms)
         self._observations.unresponsive_after_ms = self._rounds.timing.unresponsive_after_ms
@@ -186,11 +188,11 @@
         self._reconciler.tolerated_losses = node.tolerated_machine_losses
 
     def set_live_coordinators(self, addresses: Iterable[str]) -> None:
-        """Take over the internal addresses of the live coordinators, as discovery has found them."""
+        """Set the internal addresses of the live coordinators, as discovery has found them."""
         self._observer.live_coordinators = frozenset(addresses)
 
     def handle(self, envelope: Envelope) -> Envelope | Awaitable[Envelope] | None:
-        """Return the reply to another replica's message; None where the message is not for the control plane."""
+        """Return the reply to another replica's message, or None if the message is not for the control plane."""
         if envelope.HasField("acceptor_query"):
             newest_ballot = self._proposer.newest_seen.ballot
             self._observations.record_query(envelope.acceptor_query, self._clock(), newest_ballot)
@@ -203,7 +205,7 @@
         """Commit a transition and return the state after it.
 
         Raises:
-            RequestTimeout: no majority within the time; the transition may be committed yet.
+            RequestTimeout: no majority within `timeout_ms`; the transition may still be committed later.
             PeerCallError: this process may not propose.
         """
         refusal = self._proposal_refusal()
@@ -212,16 +214,16 @@
         return await self._proposer.change(transition, timeout_ms)
 
     async def read_committed(self, timeout_ms: float) -> None:
-        """Observe the peers within a time; `committed_state` is newer after it, or as before."""
+        """Observe the peers for up to `timeout_ms`; this updates `committed_state` if a newer state is committed."""
         await self._observer.read_committed(timeout_ms)
 
     async def confirm(self, timeout_ms: float) -> bool:
-        """Return whether a majority, asked from now on, confirms in time that `committed_state` is the newest."""
-        asked_at_ms = self._clock()
-        deadline_ms = asked_at_ms + timeout_ms
+        """Return whether a majority, queried from now on, confirms in time that `committed_state` is the newest."""
+        requested_at_ms = self._clock()
+        deadline_ms = requested_at_ms + timeout_ms
         if not await self._renewal.confirm(timeout_ms):
             await self.read_committed(deadline_ms - self._clock())
-        return self.lease.confirmed_at_ms >= asked_at_ms
+        return self.lease.confirmed_at_ms >= requested_at_ms
 
     def _create_acceptor(self, environment: ReplicaEnvironment) -> DurableAcceptor:
         storage = environment.storage
@@ -231,7 +233,7 @@
         return DurableAcceptor(self.address, store, environment.run_blocking or self._storage_thread.run, self._clock)
 
     def _create_proposer(self, peers: Peers, environment: ReplicaEnvironment) -> Proposer:
-        incarnation = f"{environment.rng.getrandbits(64):016x}"  # no ballot of an earlier process is used again
+        incarnation = f"{environment.rng.getrandbits(64):016x}"  # so that no ballot of an earlier process is reused
         ports = ProposerPorts(
             peers.call,
             self._on_own_ballot_committed,
@@ -240,7 +242,7 @@
         return Proposer(self._acceptor, incarnation, ports, self._clock, environment.rng)
 
     def _on_own_ballot_committed(self, state: ClusterState, ballot: Ballot) -> None:
-        """Learn the state; whatever was committed before the ballot began is in it, or older than it."""
+        """Learn the state; whatever was committed before the ballot began is part of it, or older than it."""
         self._committed.learn(state, ballot)
         self.lease.confirm(self._proposer.ballot_started_ms)
 
@@ -248,10 +250,10 @@
         self._reconciler.replication_gap = gap
 
     def _on_resume(self, now_ms: float) -> None:
-        self._observations.listening_since_ms = now_ms  # it was this process that did not listen
+        self._observations.listening_since_ms = now_ms  # peers were not silent: this process did not listen
 
     def _proposal_refusal(self) -> str:
-        """Return why this process may not propose; empty where it may."""
+        """Return why this process may not propose; empty if it may."""
         has_left = self._observations.is_leaving and self._departure.has_left
         return self._observer.eligibility.refusal_reason or (DEPARTED if has_left else "")
 
@@ -269,12 +271,12 @@
         return LeaseBasis(self._committed.ballot, membership, own_report, self._observations.is_leaving)
 
     def _is_change_expected(self) -> bool:
-        """Return whether there is something to learn or to do, so that rounds come faster."""
+        """Return whether there is something to learn or to do, so that rounds should come faster."""
         return (
             not self._committed.is_confirmed
             or self._reconciler.has_pending_work
             or self._observations.is_leaving
-            or self._observations.has_unheard_querier(self._clock())
+            or self._observations.has_silent_querier(self._clock())
         )
 
     async def _read_committed_for_lease(self) -> None:
--- a/hallhitch/planes/control/state_observer.py
+++ b/hallhitch/planes/control/state_observer.py
@@ -1,9 +1,9 @@
-"""The reads by which a replica observes its peers: what they hold, what a majority holds, what it must catch up with.
+"""Full reads of the peers: a replica learns which states they hold, which one is committed, and what it is missing.
 
 Owns the queries of this process to other acceptors. Invariants:
 
-- A state is learned as committed only where a majority of each set of its members holds it under one ballot.
-- The serving lease is confirmed as of the moment at which such a read began.
+- A state is learned as committed only if a majority of each set of its members holds it under the same ballot.
+- Such a read confirms the serving lease as of the time at which the read began.
 """
 
 from __future__ import annotations
@@ -25,12 +25,15 @@
 from hallhitch.planes.control.vote_eligibility import VoteEligibility
 from hallhitch.planes.control.vote_tally import VoteTally
 
-QUERY_TIMEOUT_MS: Final = 800.0  # for a peer's report, and for the disk that takes a state in: below a caller's second
-REPLY_SHARE: Final = 0.8  # of the time for a read, for the replies: the rest is for taking a newer state in
+QUERY_TIMEOUT_MS: Final = 800.0  # for a peer's report, and for a write to the disk: below the second that callers wait
+REPLY_TIME_FRACTION: Final = 0.8  # of the time for a read; the rest is for writing a newer state to the disk
 
 
 class StateObserver:
-    """Reads what the other acceptors hold. `on_replication_gap` gets what each read has found missing, or None."""
+    """Reads what the other acceptors hold.
+
+    `on_replication_gap` is called after each read with the gap that it found, or with None.
+    """
 
     def __init__(
         self,
@@ -46,10 +49,10 @@
         self._on_replication_gap = on_replication_gap
 
     def known_peers(self) -> frozenset[str]:
-        """Return whom to query: the members under any state known here, and whoever queries this process.
+        """Return the peers to query: the members under any state known here, and the recent queriers of this process.
 
-        The seeds and the coordinators that discovery has found join them while this process has no contact with a
-        majority or is no member.
+        The seeds and the coordinators found by discovery are included while this process has no contact with a majority
+        or is not a member.
         """
         replica = self._replica
         states = (replica.acceptor.state.state, replica.proposer.newest_seen.state, self._committed.state)
@@ -63,7 +66,7 @@
     async def call_peer(
         self, address: str, query: AcceptorQuery, timeout_ms: float = QUERY_TIMEOUT_MS
     ) -> AcceptorReport | None:
-        """Query one peer; None where it does not reply."""
+        """Query one peer and return its report, or None if it does not reply."""
         replica = self._replica
         query.is_leaving = replica.observations.is_leaving
         try:
@@ -77,21 +80,24 @@
         return report
 
     async def publish(self, addresses: frozenset[str], timeout_ms: float) -> dict[str, AcceptorReport]:
-        """Tell peers what this replica holds and whether it leaves; return the reports of those that reply."""
+        """Tell peers what this replica holds and whether it is leaving; return the reports of those that reply."""
         return await self._call_peers(addresses, self._own_query(self._replica.acceptor.state), timeout_ms)
 
     async def read_committed(self, timeout_ms: float) -> None:
-        """Observe the peers within a time; needs no disk. The committed state is newer after it, or as before."""
+        """Observe the peers for up to `timeout_ms` and learn a newer committed state, if there is one.
+
+        Learning it does not depend on the disk of this replica.
+        """
         with suppress(PeerCallError, TimeoutError):
             async with asyncio.timeout(timeout_ms / 1000):
-                await self.observe(REPLY_SHARE * timeout_ms)
+                await self.observe(REPLY_TIME_FRACTION * timeout_ms)
 
     async def observe(self, timeout_ms: float) -> None:
-        """Query the peers, learn what a majority holds, report what is missing, and take in what is newer.
+        """Query the peers, learn what a majority holds, report what is missing, and accept a newer state.
 
         Raises:
-            PeerCallError: the disk of this replica was too slow or refused a newer state.
-            TimeoutError: the same, after QUERY_TIMEOUT_MS.
+            PeerCallError: the disk of this replica was too slow for a newer state, or refused it.
+            TimeoutError: the disk did not finish within QUERY_TIMEOUT_MS.
         """
         own, began_ms = self._replica.acceptor.state, self._replica.clock()
         reports = await self._collect_reports(own, timeout_ms)
@@ -99,31 +105,31 @@
             return
         newest_report = max(reports.values(), key=_accepted_ballot)
         newest = BallotedState(_accepted_ballot(newest_report), newest_report.state)
-        self._note_newest(newest)
+        self._record_newest(newest)
         is_committed = _is_held_by_majority(newest, reports)
         if is_committed:
             self._committed.learn(newest.state, newest.ballot)
             self._lease.confirm(began_ms)
         self._on_replication_gap(_replication_gap(newest, reports, is_committed))
         if newest.ballot > own.accepted and not own.is_recovering and not self._replica.acceptor.is_busy:
-            # The accept did not reach this replica, or has not yet: it may come from anybody.
-            take = self._replica.acceptor.accept_from_peer(newest_report.accepted, newest.state)
-            await asyncio.wait_for(take, QUERY_TIMEOUT_MS / 1000)
+            # The accept of this state was lost or has not arrived yet; acceptors take an accept from any sender.
+            acceptance = self._replica.acceptor.accept_from_peer(newest_report.accepted, newest.state)
+            await asyncio.wait_for(acceptance, QUERY_TIMEOUT_MS / 1000)
 
     async def _collect_reports(self, own: AcceptorState, timeout_ms: float) -> dict[str, AcceptorReport]:
-        """Return the reports of all who reply and are not recovering, this replica's last."""
+        """Return the reports of all replicas that reply and are not recovering; that of this replica comes last."""
         replies = await self._call_peers(self.known_peers(), self._own_query(own), timeout_ms)
         reports = {address: report for address, report in replies.items() if report.ok}
         for report in reports.values():
             if _accepted_ballot(report) == own.accepted != INITIAL_BALLOT:
-                report.state.CopyFrom(own.state)  # left out of the report, as this replica holds it
+                report.state.CopyFrom(own.state)  # the peer left it out, because this replica holds the same state
         if not own.is_recovering:
             self._replica.record_reply(self._replica.address)
             _, reports[self._replica.address] = own.report(AcceptorQuery(address=self._replica.address))
         return reports
 
-    def _note_newest(self, newest: BallotedState) -> None:
-        """Take in a state that may not be committed: by its members the next ballot asks."""
+    def _record_newest(self, newest: BallotedState) -> None:
+        """Record the newest state, committed or not: the next ballot is sent to its members."""
         proposer = self._replica.proposer
         if newest.ballot > proposer.newest_seen.ballot or not proposer.newest_seen.state.members:
             proposer.newest_seen = newest
@@ -131,7 +137,7 @@
     async def _call_peers(
         self, addresses: Iterable[str], query: AcceptorQuery, timeout_ms: float
     ) -> dict[str, AcceptorReport]:
-        """Query several peers at once; those that do not reply are left out."""
+        """Query several peers concurrently; those that do not reply are left out."""
         peers = sorted(addresses)
         replies = await asyncio.gather(*(self.call_peer(address, query, timeout_ms) for address in peers))
         return {address: report for address, report in zip(peers, replies, strict=True) if report is not None}
@@ -147,7 +153,7 @@
 
 
 def _is_held_by_majority(newest: BallotedState, reports: Mapping[str, AcceptorReport]) -> bool:
-    """Return whether a majority of each set of its members holds the state, by votes that are not void."""
+    """Return whether a majority of each set of its members holds the state; void votes do not count."""
     tally = VoteTally(Membership.from_state(newest.state).quorum_sets)
     for member, report in reports.items():
         tally.add(member, _accepted_ballot(report) == newest.ballot, report.incarnations)
@@ -157,7 +163,7 @@
 def _replication_gap(
     newest: BallotedState, reports: Mapping[str, AcceptorReport], is_committed: bool
 ) -> ReplicationGap | None:
-    """Return what another ballot should bring about; None where nothing is missing or no ballot can succeed now."""
+    """Return the gap that another ballot should close; None if nothing is missing or no ballot can succeed now."""
     membership = Membership.from_state(newest.state)
     if is_committed:
         reporting_members = membership.all_members & reports.keys()
@@ -165,5 +171,5 @@
         return ReplicationGap(GapKind.LAGGING_MEMBER, newest.ballot) if is_any_lagging else None
     if membership.has_quorum(reports):
         return ReplicationGap(GapKind.NO_MAJORITY, newest.ballot)
-    # A ballot would hang now, and an order that comes as the partition ends would wait behind it.
+    # A ballot would hang now, and a command that arrives as the partition ends would wait behind it.
     return None
--- a/tests/system/control/test_member_replacement.py
+++ b/tests/system/control/test_member_replacement.py
@@ -1,4 +1,4 @@
-"""Members that are replaced or leave, and losses in the middle of it: no acknowledged order is lost."""
+"""Replacement and departure of members, with losses in the middle of it: no acknowledged command is lost."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 )
 from tests.system.control.operator_calls import CATCH_UP_S, FIFTH, FOURTH, SPARE, describe_config, replace_config
 
-CANDIDATE_AFTER_S: Final = 1.0  # within which a machine that starts is to be a candidate
-FAULT_STEPS: Final = range(0, 72, 3)  # messages after which a fault is injected: a replacement takes some fifty
+CANDIDATE_AFTER_S: Final = 1.0  # time within which a machine that starts must become a candidate
+FAULT_STEPS: Final = range(0, 72, 3)  # message counts at which a fault is injected; a replacement takes about fifty
 
 
 async def replace_config_at_any(machines: list[CoordinatorMachine], version: int, timeout_s: float) -> None:
-    """Send a configuration to one machine after the other until one acknowledges it."""
+    """Send a configuration to the machines in turn until one acknowledges it."""
     deadline_ms = machines[0].cluster.clock() + timeout_s * 1000
     while machines[0].cluster.clock() < deadline_ms:
         for machine in machines:
             if machine.operator is not None and await replace_config(machine, version, f"v{version}") == 200:
                 return
         await asyncio.sleep(0.05)
-    raise AssertionError(f"version {version} was not taken within {timeout_s} s")
+    raise AssertionError(f"no machine acknowledged configuration version {version} within {timeout_s} s")
 
 
 def members_known_to(machine: CoordinatorMachine) -> set[str]:
-    """Return the addresses of the members, as far as this machine knows."""
+    """Return the addresses of the members according to this machine."""
     assert machine.plane is not None
     return set(machine.plane.members)
 
 
 async def start_with_candidate(cluster: CoordinatorCluster) -> tuple[list[CoordinatorMachine], CoordinatorMachine]:
-    """Start as many members as the losses need and a machine that becomes a candidate."""
+    """Start as many members as the tolerated losses require, and a machine that becomes a candidate."""
     machines = await cluster.bootstrap(*([FOURTH, FIFTH] if cluster.tolerated_losses == 2 else []))
     await asyncio.sleep(2)
     await replace_config_at_any(machines, 1, 1)
-    await asyncio.sleep(2)  # a change of members ends for leases as well
+    await asyncio.sleep(2)  # so that a change of members is finished for leases, too
     assert members_known_to(machines[0]) == {machine.address for machine in machines}
     spare = cluster.add_machine(SPARE)
     await spare.start(seed_addresses=tuple(machine.address for machine in machines[:3]))
@@ -55,14 +55,15 @@
 @pytest.mark.parametrize("losses", [1, 2])
 def test_tolerated_losses_right_after_a_graceful_departure(losses: int) -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
-        (leaver, *stay), spare = await start_with_candidate(cluster)
+        (leaver, *remaining), spare = await start_with_candidate(cluster)
         started_ms = cluster.clock()
         await leaver.terminate()
-        assert cluster.clock() - started_ms < FORMER_LEASE_MS + 800  # it ends for leases once former votes have expired
-        assert members_known_to(spare) == {machine.address for machine in (*stay, spare)}
-        for machine in stay[:losses]:
+        # The change is finished for leases only after the votes of the former members have expired.
+        assert cluster.clock() - started_ms < FORMER_LEASE_MS + 800
+        assert members_known_to(spare) == {machine.address for machine in (*remaining, spare)}
+        for machine in remaining[:losses]:
             await machine.lose_power()
-        await replace_config_at_any([stay[-1], spare], 2, 0.5)
+        await replace_config_at_any([remaining[-1], spare], 2, 0.5)
         assert await describe_config(spare) == (2, "v2")
 
     for seed in range(3):
@@ -72,19 +73,19 @@
 @pytest.mark.parametrize("losses", [1, 2])
 def test_tolerated_disks_lost_right_after_a_graceful_departure(losses: int) -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
-        (leaver, *stay), spare = await start_with_candidate(cluster)
+        (leaver, *remaining), spare = await start_with_candidate(cluster)
         await replace_config_at_any([leaver], 2, 0.5)
         await leaver.terminate()
-        lost = [spare, *stay][:losses]
+        lost = [spare, *remaining][:losses]
         for machine in lost:
             await machine.wipe()
-        kept = [machine for machine in (*stay, spare) if machine not in lost]
+        kept = [machine for machine in (*remaining, spare) if machine not in lost]
         assert await describe_config(kept[0]) == (2, "v2")
         for machine in lost:
             await machine.start(seed_addresses=tuple(machine.address for machine in kept))
         await asyncio.sleep(CANDIDATE_AFTER_S)
         await replace_config_at_any(lost, 3, 0.5)
-        for machine in kept[:losses]:  # the machines that came back hold it and vote
+        for machine in kept[:losses]:  # the restarted machines hold the state and vote
             await machine.lose_power()
         assert await describe_config(lost[0]) == (3, "v3")
 
@@ -98,23 +99,23 @@
     inject: Callable[[], Coroutine[Any, Any, None]],
     change: Coroutine[Any, Any, None],
 ) -> asyncio.Task[None]:
-    """Begin a change and inject a fault after so many messages."""
+    """Begin a change and inject a fault after `step` messages."""
     cluster.message_faults = {cluster.message_count + 1 + step: inject}
     return asyncio.ensure_future(change)
 
 
 @pytest.mark.parametrize("losses", [1, 2])
-def test_graceful_departure_bears_the_tolerated_losses_at_every_step(losses: int) -> None:
+def test_graceful_departure_survives_the_tolerated_losses_at_every_step(losses: int) -> None:
     async def scenario(cluster: CoordinatorCluster, step: int, first_victim: int) -> None:
-        (leaver, *stay), spare = await start_with_candidate(cluster)
-        victims = [(*stay, spare)[(first_victim + n) % (len(stay) + 1)] for n in range(losses)]
+        (leaver, *remaining), spare = await start_with_candidate(cluster)
+        victims = [(*remaining, spare)[(first_victim + n) % (len(remaining) + 1)] for n in range(losses)]
 
         async def inject() -> None:
             for machine in victims:
                 await machine.lose_power()
 
         leaving = begin_with_fault(cluster, step, inject, leaver.terminate())
-        live = [machine for machine in (*stay, spare) if machine not in victims]
+        live = [machine for machine in (*remaining, spare) if machine not in victims]
         await replace_config_at_any(live, 2, 1.0)
         await leaving
         cluster.message_faults = {}
@@ -124,7 +125,7 @@
             await machine.start()
         await asyncio.sleep(CATCH_UP_S)
         await replace_config_at_any([*victims, *live], 4, 0.5)
-        assert members_known_to(live[0]) >= {machine.address for machine in stay}
+        assert members_known_to(live[0]) >= {machine.address for machine in remaining}
         assert len(members_known_to(live[0])) == 2 * losses + 1
 
     for step in FAULT_STEPS:
@@ -134,13 +135,13 @@
 
 def test_member_that_crashes_at_any_step_of_its_departure_is_replaced() -> None:
     async def scenario(cluster: CoordinatorCluster, step: int) -> None:
-        (leaver, *stay), spare = await start_with_candidate(cluster)
+        (leaver, *remaining), spare = await start_with_candidate(cluster)
         leaving = begin_with_fault(cluster, step, leaver.lose_power, leaver.terminate())
-        await replace_config_at_any([*stay, spare], 2, 1.0)
+        await replace_config_at_any([*remaining, spare], 2, 1.0)
         await asyncio.sleep(CATCH_UP_S)
         await asyncio.wait([leaving])
-        assert members_known_to(spare) == {machine.address for machine in (*stay, spare)}
-        await stay[0].lose_power()
+        assert members_known_to(spare) == {machine.address for machine in (*remaining, spare)}
+        await remaining[0].lose_power()
         assert await describe_config(spare) == (2, "v2")
         await replace_config_at_any([spare], 3, 0.5)
 
@@ -150,23 +151,23 @@
 
 def test_replacement_of_a_lost_member_survives_a_power_loss_at_every_step() -> None:
     async def scenario(cluster: CoordinatorCluster, step: int, victim: int) -> None:
-        (lost, *stay), spare = await start_with_candidate(cluster)
+        (lost, *remaining), spare = await start_with_candidate(cluster)
         await replace_config_at_any([lost], 2, 0.5)
-        hit_machine = (*stay, spare)[victim]
+        victim_machine = (*remaining, spare)[victim]
 
         async def inject() -> None:
-            await hit_machine.lose_power()
+            await victim_machine.lose_power()
 
         await lost.wipe()
         unresponsive_after_ms = cluster.node_settings(lost.address, False).bounds.catch_up_ms / 2
         await asyncio.sleep(unresponsive_after_ms / 1000 - 0.1)
         await begin_with_fault(cluster, step, inject, asyncio.sleep(1.5))
         cluster.message_faults = {}
-        if hit_machine.plane is None:
-            await hit_machine.start()
+        if victim_machine.plane is None:
+            await victim_machine.start()
         await asyncio.sleep(CATCH_UP_S)
-        assert members_known_to(spare) == {machine.address for machine in (*stay, spare)}
-        await stay[victim % 2].lose_power()
+        assert members_known_to(spare) == {machine.address for machine in (*remaining, spare)}
+        await remaining[victim % 2].lose_power()
         assert await describe_config(spare) == (2, "v2")
         await replace_config_at_any([spare], 3, 0.5)
 
@@ -185,7 +186,7 @@
         started_ms = cluster.clock()
         await first.terminate()
         assert cluster.clock() - started_ms < 1000
-        await second.lose_power()  # one loss more than is tolerated: only the third holds it now
+        await second.lose_power()  # exceeds the tolerated losses: of the three, only `third` still runs
         assert third.plane is not None and third.plane._acceptor.state.state.config_version == 2
         await second.start()
         await asyncio.sleep(1)
@@ -202,22 +203,22 @@
     async def scenario(cluster: CoordinatorCluster) -> None:
         machines = await cluster.bootstrap(FOURTH, FIFTH)
         await asyncio.sleep(4)
-        for machine in machines:  # the settings tolerate fewer losses from now on
+        for machine in machines:  # lowers the tolerated losses, so that fewer members are needed
             assert machine.plane is not None
             machine.plane.apply_settings(
                 replace(cluster.node_settings(machine.address, False), tolerated_machine_losses=1)
             )
         first, *rest = machines
         await first.terminate()
-        live = [machine for machine in rest if machine.address in members_known_to(rest[0])]
-        assert len(members_known_to(rest[0])) == 3 == len(live)
-        await live[0].wipe()
-        await replace_config_at_any(live[1:], 2, 0.5)
+        members = [machine for machine in rest if machine.address in members_known_to(rest[0])]
+        assert len(members_known_to(rest[0])) == 3 == len(members)
+        await members[0].wipe()
+        await replace_config_at_any(members[1:], 2, 0.5)
 
     run_scenario(scenario, tolerated_losses=2)
 
 
-def test_candidates_follow_the_state_and_a_replaced_member_returns_as_a_candidate() -> None:
+def test_candidate_replicates_the_state_and_a_replaced_member_returns_as_a_candidate() -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         (first, second, third), spare = await start_with_candidate(cluster)
         assert members_known_to(spare) == {first.address, second.address, third.address}
@@ -237,14 +238,14 @@
     run_scenario(scenario)
 
 
-def test_departed_member_refuses_orders_and_answers_reads() -> None:
+def test_departed_member_refuses_commands_and_answers_reads() -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         (first, second, _), spare = await start_with_candidate(cluster)
         leaving = asyncio.ensure_future(first.terminate())
         await asyncio.sleep(0.6)
         assert first.address not in members_known_to(second) and first.operator is not None
         assert await replace_config(first, 2, "out") == 503 and await replace_config(spare, 3, "in") == 200
-        assert (await describe_config(first)).version == 3  # it still answers what a majority confirms
+        assert (await describe_config(first)).version == 3  # it still serves reads that a majority confirms
         await leaving
 
     run_scenario(scenario)
--- a/tests/system/control/test_peer_observations.py
+++ b/tests/system/control/test_peer_observations.py
@@ -1,4 +1,4 @@
-"""What a coordinator remembers of the others is bounded."""
+"""The memory that a coordinator uses for observations of others is bounded."""
 
 from __future__ import annotations
 
