--- a/hallhitch/planes/control/lease_renewal.py
+++ b/hallhitch/planes/control/lease_renewal.py
@@ -2,7 +2,7 @@
 
 Owns the tasks of these reads. Invariants:
 
-- *Counted from the request*: a round confirms the lease as of the moment at which its queries were sent, and only
+- *Counted from the request*: a round confirms the lease as of the time at which its queries were sent, and only
   replies to its own queries count.
 - *Overlapping*: a round that gets no replies does not delay the rounds after it.
 """
--- a/hallhitch/planes/control/pending_changes.py
+++ b/hallhitch/planes/control/pending_changes.py
@@ -27,7 +27,7 @@
 
     transition: StateTransition
     requested_at_ms: float
-    deadline_ms: float  # by when its caller gets an answer at the latest
+    deadline_ms: float  # the latest time at which its caller is answered
     outcome: asyncio.Future[ClusterState]
 
     @property
--- a/hallhitch/planes/control/serving_lease.py
+++ b/hallhitch/planes/control/serving_lease.py
@@ -1,4 +1,4 @@
-"""The serving lease of a coordinator: until when it may answer for the core. No I/O, no clock.
+"""The serving lease of a coordinator: until when it may serve the cluster state. No I/O, no clock.
 
 A valid lease allows the coordinator to answer reads and to send gateways their first configuration. It does not allow
 acknowledgements: these need a committed ballot, with or without a lease. Times are passed in as arguments, in ms of the
@@ -42,7 +42,7 @@
         self.confirmed_at_ms = max(self.confirmed_at_ms, requested_at_ms)
 
     def is_valid(self, now_ms: float) -> bool:
-        """Return whether this process may answer for the core at this time."""
+        """Return whether this process may serve the cluster state at this time."""
         return now_ms - self.confirmed_at_ms <= self.length_ms
 
     def age_ms(self, now_ms: float) -> float:
--- a/tests/system/control/test_serving_lease.py
+++ b/tests/system/control/test_serving_lease.py
@@ -1,4 +1,4 @@
-"""A coordinator answers for the core only with a valid serving lease: partitions, suspensions, high latencies."""
+"""A coordinator serves the cluster state only with a valid serving lease: partitions, suspensions, high latencies."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("blocked", ["in", "out", "both"])
 def test_partitioned_coordinator_serves_no_state_older_than_its_lease(blocked: str) -> None:
-    """Each coordinator that answers for the core knows whatever was acknowledged longer ago than the lease length."""
+    """A coordinator that serves the cluster state knows whatever was acknowledged longer ago than the lease length."""
 
     async def scenario(cluster: CoordinatorCluster) -> None:
         first, second, third = await cluster.bootstrap()
@@ -200,7 +200,7 @@
     run_scenario(scenario, link_delay_ms=link_delay_ms)
 
 
-def test_started_process_answers_for_the_core_only_after_a_majority_confirms() -> None:
+def test_started_process_serves_the_state_only_after_a_majority_confirms() -> None:
     async def scenario(cluster: CoordinatorCluster) -> None:
         first, second, third = await cluster.bootstrap()
         assert await replace_config(first, 1) == 200
