--- a/hallhitch/planes/control/plane.py
+++ b/hallhitch/planes/control/plane.py
@@ -42,7 +42,7 @@
 from hallhitch.planes.control.suspension_detector import SuspensionDetector
 from hallhitch.planes.values import LeaseMembership
 
-DEPARTED: Final = "this machine has left the register"  # part of responses of the operator API
+DEPARTED_REASON: Final = "this machine has left the register"  # part of responses of the operator API
 
 
 class Peers(Protocol):
@@ -255,7 +255,7 @@
     def _proposal_refusal(self) -> str:
         """Return why this process may not propose; empty if it may."""
         has_left = self._observations.is_leaving and self._departure.has_left
-        return self._observer.eligibility.refusal_reason or (DEPARTED if has_left else "")
+        return self._observer.eligibility.refusal_reason or (DEPARTED_REASON if has_left else "")
 
     def _may_propose(self) -> bool:
         return not self._acceptor.state.is_recovering and not self._proposal_refusal()
