--- a/hallhitch/planes/control/acceptor.py
+++ b/hallhitch/planes/control/acceptor.py
@@ -24,7 +24,7 @@
 from hallhitch.planes.control.state_store import LoadResult, StateStore
 from hallhitch.planes.control.storage_thread import BlockingRunner
 
-# Above operator_api.ORDER_TIMEOUT_MS (850), so that the caller of an operator's change has given up by then.
+# Above operator_api.COMMAND_TIMEOUT_MS (850), so that the caller of an operator's change has given up by then.
 QUEUE_TIMEOUT_MS: Final = 1500.0
 
 STORAGE_STEP: Final = "keep"  # the step in a PeerCallError; peers receive it in error replies
--- a/hallhitch/planes/control/ballot_attempt.py
+++ b/hallhitch/planes/control/ballot_attempt.py
@@ -25,7 +25,7 @@
     SendAccepts,
 )
 
-PREPARE_TIMEOUT_MS: Final = 900.0  # above operator_api.ORDER_TIMEOUT_MS (850): later promises would be of no use
+PREPARE_TIMEOUT_MS: Final = 900.0  # above operator_api.COMMAND_TIMEOUT_MS (850): later promises are too late to be used
 ACCEPT_TIMEOUT_MS: Final = 2500.0  # an accept may carry a large configuration over a slow link
 # After a majority has accepted, the longest wait for further members, so that more disks than needed hold a change.
 EXTRA_ACCEPTS_WAIT_MS: Final = 150.0
--- a/hallhitch/planes/control/contention.py
+++ b/hallhitch/planes/control/contention.py
@@ -20,7 +20,7 @@
 
 INITIAL_PHASE_MS: Final = 150.0  # before a phase is measured: the longest round trip between regions
 MIN_COMPETING_TIMEOUT_MS: Final = 20.0
-MAX_COMPETING_TIMEOUT_MS: Final = 400.0  # less than half of operator_api.ORDER_TIMEOUT_MS
+MAX_COMPETING_TIMEOUT_MS: Final = 400.0  # less than half of operator_api.COMMAND_TIMEOUT_MS
 # Timeout of a competing ballot, in phases of this proposer: a majority may be farther away from the other proposer.
 COMPETING_TIMEOUT_PHASES: Final = 2.0
 PHASE_DECAY_RATIO: Final = 0.8  # weight of the previous maximum when a shorter phase is measured
--- a/hallhitch/planes/control/operator_api.py
+++ b/hallhitch/planes/control/operator_api.py
@@ -34,8 +34,8 @@
 from hallhitch.planes.control.state_transitions import StateTransition
 
 OPERATOR_PATH: Final = "/hallhitch/rpc"
-ORDER_TIMEOUT_MS: Final = 850.0  # callers give up after one second
-ORDER_TIMEOUT_PER_ROUTE_MS: Final = 1.0  # callers allow additional time for each route of a configuration
+COMMAND_TIMEOUT_MS: Final = 850.0  # callers give up after one second
+COMMAND_TIMEOUT_PER_ROUTE_MS: Final = 1.0  # callers allow additional time for each route of a configuration
 READ_TIMEOUT_MS: Final = 600.0  # for a read that has to finish what a command in progress has left open
 # For one read of the peers, which needs no disk: twice the round trip between regions, plus time for a slowed machine.
 CONFIRM_TIMEOUT_MS: Final = 250.0
@@ -112,7 +112,7 @@
             return _error_reply(400, str(error))
         content = zlib.compress(body, CONFIG_COMPRESSION_LEVEL)
         transition = state_transitions.replace_config(config.version, content, config.digest)
-        timeout_ms = ORDER_TIMEOUT_MS + ORDER_TIMEOUT_PER_ROUTE_MS * config.route_count
+        timeout_ms = COMMAND_TIMEOUT_MS + COMMAND_TIMEOUT_PER_ROUTE_MS * config.route_count
         return await self._commit(transition, received_ms + timeout_ms, lambda state: _config_reply(state, config))
 
     async def _change_evacuation(
@@ -126,14 +126,14 @@
         await asyncio.sleep(0)
         if self._plane.was_suspended:
             return _retry_reply("this machine stood still: ask again", RETRY_AFTER_SUSPENSION_S)
-        return await self._commit(transition, received_ms + ORDER_TIMEOUT_MS, _acknowledgement)
+        return await self._commit(transition, received_ms + COMMAND_TIMEOUT_MS, _acknowledgement)
 
     async def _commit(
         self, transition: StateTransition, deadline_ms: float, make_reply: Callable[[ClusterState], HttpReply]
     ) -> HttpReply:
         """Commit a transition; `make_reply` turns the state that a majority holds after it into the reply."""
         while self._plane.is_under_replicated:
-            if deadline_ms - self._clock() < ORDER_TIMEOUT_MS / 2:
+            if deadline_ms - self._clock() < COMMAND_TIMEOUT_MS / 2:
                 return _retry_reply("not enough replicas yet")
             await asyncio.sleep(MEMBERS_POLL_INTERVAL_MS / 1000)
         # Without contact to a majority, one short attempt is made, as contact may just have come back. If it fails, the
