--- a/hallhitch/planes/quota/__init__.py
+++ b/hallhitch/planes/quota/__init__.py
@@ -1,4 +1,4 @@
-"""Quota plane: leases on buckets of tenants, counts of the tenants' requests, and reserves for when no holder responds.
+"""Quota plane: leases on tenant buckets, request counts by tenant, and local reserves for when no holder responds.
 
-A coordinator runs `lease_coordinator.py`; a gateway runs `plane.py`, whose `counter` decides on its requests.
+A coordinator runs `lease_coordinator.py`. A gateway runs `plane.py`, whose `counter` admits or rejects its requests.
 """
--- a/hallhitch/planes/quota/bucket_placement.py
+++ b/hallhitch/planes/quota/bucket_placement.py
@@ -1,9 +1,10 @@
-"""Which gateway should hold which bucket, by rendezvous hashing. Owns this gateway's view of gateways and holders.
+"""Decides by rendezvous hashing which gateway should hold which bucket, from one gateway's view of the cluster.
 
-Every gateway ranks all gateways for each bucket alike; the first in the ranking should hold the bucket, and the next
-ones acquire it where the first does not. Nothing here makes a lease safe: a wrong view costs time, not correctness.
+Every gateway computes the same ranking of all gateways for each bucket. The first gateway of the ranking should hold
+the bucket; if it does not acquire it, the next ones do. The safety of leases does not depend on this module: a wrong
+view of the cluster costs time, not correctness.
 
-Rendezvous (highest random weight) hashing: Thaler and Ravishankar, 1998. Times are steady ms of this process.
+Rendezvous (highest random weight) hashing: Thaler and Ravishankar, 1998. Times are ms of this process's steady clock.
 """
 
 from __future__ import annotations
@@ -16,22 +17,22 @@
 
 from hallhitch.planes.quota.limits import BUCKET_COUNT
 
-# How long each gateway that ranks before this one has to acquire a free bucket: longer than a claim interval, so that
-# it has sent a claim by then.
+# How long this gateway waits for each higher-ranked gateway to acquire a free bucket. It is longer than a claim
+# interval, so that the other gateway has sent a claim by then.
 ACQUIRE_STAGGER_MS: Final = 350.0
-# Nothing is acquired for this long after the first view of the gateways, which is still growing.
+# No bucket is acquired for this long after the first view of the gateways, because that view is still incomplete.
 VIEW_SETTLING_MS: Final = 300.0
-# Delay after a rejected attempt: a claim interval, as the release of its votes goes out with the next claim, and then
-# the stagger for each rank, so that the gateways do not split the votes once more.
+# Delay after a rejected attempt. It is one claim interval, because the next claim releases the attempt's votes, plus
+# a stagger for each rank, so that the gateways do not split the votes again.
 REJECTED_RETRY_MS: Final = 300.0
 RETRY_STAGGER_MS: Final = 100.0
-UNRANKED_RETRY_MS: Final = 500.0  # where this gateway is in no ranking, as after an attempt that timed out
+UNRANKED_RETRY_MS: Final = 500.0  # if this gateway is in no ranking; the same delay as after a timed-out attempt
 
-HELD_ELSEWHERE: Final = math.inf  # in place of the time since which a bucket is free
+HELD_ELSEWHERE: Final = math.inf  # stored instead of the time since which a bucket has been free
 
 
 def rank_gateways(gateways: Iterable[str]) -> list[list[str]]:
-    """Return for each bucket the gateways in the order in which they should hold it.
+    """Return, for each bucket, the gateways in order of preference as its holder.
 
     >>> len(rank_gateways(["10.0.0.1:7000", "10.0.0.2:7000"])), sorted(rank_gateways(["a", "b"])[0])
     (128, ['a', 'b'])
@@ -47,20 +48,20 @@
 
 
 class BucketPlacement:
-    """The buckets as one gateway sees them: ranking, last holder, since when free, and when to try again."""
+    """One gateway's view of each bucket: its ranking and last holder, when it became free and when to try again."""
 
     def __init__(self, own_address: str) -> None:
         self._own_address = own_address
         self._gateways: frozenset[str] = frozenset()
         self._settled_at = math.inf
         self._ranking: list[list[str]] = [[] for _ in range(BUCKET_COUNT)]
-        self._first_since = [0.0] * BUCKET_COUNT  # since when the ranking's first gateway is the first
+        self._first_since = [0.0] * BUCKET_COUNT  # when the first gateway of the ranking became the first
         self._free_since = [0.0] * BUCKET_COUNT
         self._last_holder = [""] * BUCKET_COUNT
         self._retry_at = [0.0] * BUCKET_COUNT
 
     def set_gateways(self, now: float, gateways: Iterable[str]) -> None:
-        """Set the live gateways that may hold buckets, this one among them if it may."""
+        """Set the live gateways that may hold buckets, including this one if it may hold any."""
         names = frozenset(gateways)
         if names == self._gateways:
             return
@@ -87,38 +88,41 @@
         self._free_since[bucket] = now
 
     def defer(self, bucket: int, until: float) -> None:
-        """Do not acquire a bucket before a time."""
+        """Prevent the acquisition of a bucket before a point in time."""
         self._retry_at[bucket] = until
 
     def can_acquire(self, now: float) -> bool:
-        """Return whether this gateway may hold buckets, by a view of the gateways that has settled."""
+        """Return whether this gateway may hold buckets and its view of the gateways has settled."""
         return now >= self._settled_at and self._own_address in self._gateways
 
     def is_own_turn(self, now: float, bucket: int) -> bool:
-        """Return whether a bucket has been free for long enough for this gateway to acquire it; needs `can_acquire`."""
+        """Return whether a bucket has been free long enough for this gateway to acquire it.
+
+        `can_acquire` must be true.
+        """
         free_since = self._free_since[bucket]
         if free_since == HELD_ELSEWHERE or now < self._retry_at[bucket]:
             return False
         return now - max(free_since, self._settled_at) >= ACQUIRE_STAGGER_MS * self._rank(bucket)
 
     def retry_delay_ms(self, bucket: int) -> float:
-        """Return how long to wait after a rejected attempt: the longer, the lower this gateway ranks for the bucket."""
+        """Return how long to wait after a rejected attempt; a gateway that ranks lower for the bucket waits longer."""
         ranking = self._ranking[bucket]
         if self._own_address not in ranking:
             return UNRANKED_RETRY_MS
         return REJECTED_RETRY_MS + RETRY_STAGGER_MS * ranking.index(self._own_address)
 
     def preferred_elsewhere_since(self, bucket: int) -> float:
-        """Return since when another gateway has been first for a bucket, infinity where none is."""
+        """Return when another gateway became the first for a bucket; infinity if none is."""
         ranking = self._ranking[bucket]
         if not ranking or ranking[0] == self._own_address:
             return math.inf
         return self._first_since[bucket]
 
     def _rank(self, bucket: int) -> int:
-        """Return how many gateways are to try before this one.
+        """Return how many gateways should try to acquire the bucket before this one.
 
-        The last holder is not among them: it has most likely died, though the view does not show that yet.
+        The last holder is not counted: it has most likely died, even if the view does not show that yet.
         """
         ranking, last_holder = self._ranking[bucket], self._last_holder[bucket]
         position = ranking.index(self._own_address)
--- a/hallhitch/planes/quota/counter_client.py
+++ b/hallhitch/planes/quota/counter_client.py
@@ -1,8 +1,11 @@
-"""The quota counter as the data plane uses it: one unit for one request, from the holder or the local reserve.
+"""The quota counter that the data plane calls: it takes one unit per request from the holder or the local reserve.
 
-Owns what this gateway observes of each holder as a caller: its round-trip time, and whether it responds. Invariants:
-no request is admitted unless a holder or the local reserve has counted it; a failed call leads to a decision, not to an
-error. A unit whose call got no response may have been counted: the count may be too high, but never too low.
+It also tracks, for each holder that it calls, the round-trip time and whether the holder responds.
+
+Invariants:
+- No request is admitted unless a holder or the local reserve has counted it.
+- A failed call leads to a decision, not to an error.
+- The count may be too high but never too low: a unit whose call got no response may have been counted.
 """
 
 from __future__ import annotations
@@ -21,41 +24,42 @@
 from hallhitch.planes.quota.tenant_counter import CountResult
 from hallhitch.planes.values import QuotaDecision, Tenant
 
-# Time-out of a call to a holder whose round-trip time is not known yet, and of a refund.
+# Time-out of a refund, and of a call to a holder whose round-trip time is not known yet.
 INITIAL_CALL_TIMEOUT_MS: Final = 800.0
-# The least time-out of a call. A call that had less time and failed does not count against its holder.
+# Minimum time-out of a call. A call that failed with less time than this does not count against its holder.
 MIN_CALL_TIMEOUT_MS: Final = 200.0
-# Added to the round-trip time's bound; a chosen value.
+# Added to the upper bound of the round-trip time.
 CALL_TIMEOUT_SLACK_MS: Final = 50.0
-# Time without calls after a holder did not respond; then one trial call at a time (a half-open circuit breaker).
+# How long a holder that did not respond is not called; after that, one trial call at a time is made (as in a half-open
+# circuit breaker).
 HOLDER_BACKOFF_MS: Final = 300.0
-# Time without calls about one bucket after its presumed holder replied that it does not hold it.
+# How long no calls are made for a bucket after its presumed holder replied that it does not hold the bucket.
 NOT_HOLDER_BACKOFF_MS: Final = 200.0
-# The client's retry delay where neither a holder nor the reserve could count its request.
+# Retry delay for a client whose request neither a holder nor the reserve could count.
 UNAVAILABLE_RETRY_MS: Final = 400.0
-# The least retry delay for a tenant over its limit. Its capacity frees unit by unit, and many requests wait for it: a
-# client that retries at once is mostly rejected again.
+# Minimum retry delay for a tenant over its limit. Its capacity becomes free one unit at a time and many requests wait
+# for it, so a client that retries at once is usually rejected again.
 MIN_RETRY_AFTER_MS: Final = 250.0
 
 UNLIMITED: Final = QuotaDecision(is_admitted=True)
 
 
 class PeerCaller(Protocol):
-    """Calls to other processes; see messages.peer_links.PeerLinks."""
+    """Makes calls to other processes; see messages.peer_links.PeerLinks."""
 
     async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         """Return a peer's reply.
 
         Raises:
-            PeerCallError: there was no reply.
+            PeerCallError: the peer did not reply.
         """
 
 
 class LocalCounter(Protocol):
-    """The counts of the buckets that this gateway holds itself."""
+    """Counts for the buckets that this gateway holds itself."""
 
     def count(self, tenant: str, limit: RateLimit) -> CountResult | None:
-        """Count one unit; None where this gateway does not hold the tenant's bucket."""
+        """Count one unit; return None if this gateway does not hold the tenant's bucket."""
 
     def refund(self, tenant: str, slot: int) -> None:
         """Return a unit whose request never ran."""
@@ -63,26 +67,26 @@
 
 @dataclass(slots=True)
 class _HolderContact:
-    """A holder as this gateway observes it."""
+    """The round-trip time and the responsiveness of one holder, as this gateway observes them."""
 
-    # Measured apart from the link's own round trip, as long replies on a link delay short ones.
+    # Measured separately from the link's own round-trip time, because long replies on a link delay short ones.
     round_trip: RoundTripEstimate = field(default_factory=RoundTripEstimate)
     last_response_at: float = float("-inf")
-    backoff_until: float = 0.0  # 0 = it responded to the last call
+    backoff_until: float = 0.0  # 0 = the holder responded to the last call
     is_trial_running: bool = False
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether it did not respond to the last call."""
+        """Whether the holder failed to respond to the last call."""
         return self.backoff_until > 0
 
     def can_call(self, now: float) -> bool:
-        """Return whether to call it: always while it responds, else once at a time after the backoff."""
+        """Return whether to call the holder: always while it responds, else one call at a time after the backoff."""
         is_trial_due = not self.is_trial_running and now >= self.backoff_until
         return is_trial_due or not self.is_unresponsive
 
     def call_timeout_ms(self) -> float:
-        """Return the time-out of a call, which nearly every response meets."""
+        """Return a time-out within which nearly every response arrives."""
         if not self.round_trip.has_samples:
             return INITIAL_CALL_TIMEOUT_MS
         return max(
@@ -90,13 +94,13 @@
         )
 
     def record_response(self, called_at: float, responded_at: float) -> None:
-        """Record that a call was answered."""
+        """Record that the holder responded to a call."""
         self.backoff_until = 0.0
         self.last_response_at = responded_at
         self.round_trip.observe(responded_at - called_at)
 
     def record_failure(self, called_at: float, failed_at: float, timeout_ms: float) -> None:
-        """Record that a call got no response within the time that the request had left."""
+        """Record that the holder did not respond within the time that the request had left."""
         had_enough_time = timeout_ms >= MIN_CALL_TIMEOUT_MS
         has_responded_since = self.last_response_at > called_at
         if had_enough_time and not has_responded_since:
@@ -106,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _HolderToken:
-    """Refunds a unit that a holder counted."""
+    """Identifies a unit that a holder counted, for its refund."""
 
     tenant: str
     holder: str
@@ -115,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReserveToken:
-    """Refunds a unit of the local reserve."""
+    """Identifies a unit of the local reserve, for its refund."""
 
     tenant: str
     slot: int
@@ -123,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _UnitRequest:
-    """A request for one unit of a tenant's quota, and how long it may take."""
+    """A request for one unit of a tenant's quota, with the time that it may take."""
 
     tenant: str
     limit: RateLimit
@@ -149,7 +153,7 @@
         self._clock = clock
         self._holders: Mapping[int, str] = {}
         self._contacts: dict[str, _HolderContact] = {}
-        self._not_holder_until: dict[int, float] = {}  # by bucket, of the holder in `_holders`
+        self._not_holder_until: dict[int, float] = {}  # by bucket; applies to the holder in `_holders`
         self._refund_tasks: set[asyncio.Task[None]] = set()
 
     def set_holders(self, holders: Mapping[int, str]) -> None:
@@ -164,7 +168,7 @@
         self._contacts = {address: contact for address, contact in self._contacts.items() if address in addresses}
 
     async def admit(self, tenant: Tenant, timeout_ms: float) -> QuotaDecision:
-        """Add one unit and read the count within the time-out; see planes.data.interfaces.QuotaCounter."""
+        """Count one unit and return the decision within the time-out; see planes.data.interfaces.QuotaCounter."""
         if tenant.rate_per_s <= 0:
             return UNLIMITED
         now = self._clock()
@@ -185,7 +189,10 @@
         return await self._ask_holder(holder, contact, request)
 
     def refund(self, decision: QuotaDecision) -> None:
-        """Return the unit of a request that certainly never ran, if its lease still exists; does not wait."""
+        """Refund the unit of a request that certainly never ran, if its lease still exists.
+
+        Does not wait for the refund to complete.
+        """
         token = decision.refund_token
         if isinstance(token, _ReserveToken):
             self._reserve.refund(token.tenant, token.slot)
@@ -197,7 +204,7 @@
             task.add_done_callback(self._refund_tasks.discard)
 
     async def _ask_holder(self, holder: str, contact: _HolderContact, request: _UnitRequest) -> QuotaDecision:
-        """Return the decision by a holder, or by the reserve where it does not respond or cannot count."""
+        """Return the holder's decision, or the reserve's if the holder does not respond or cannot count."""
         contact.is_trial_running = contact.is_unresponsive
         try:
             response = await self._count_at_holder(holder, contact, request)
@@ -223,7 +230,7 @@
         return self._decide(responded_at, request, holder, result)
 
     async def _count_at_holder(self, holder: str, contact: _HolderContact, request: _UnitRequest) -> CountResponse:
-        """Count one unit at a holder, with the tenant's limit if the holder does not know it.
+        """Count one unit at a holder; send the tenant's limit if the holder does not know it.
 
         Raises:
             PeerCallError: the holder did not respond.
@@ -241,7 +248,7 @@
 
     async def _refund_at_holder(self, token: _HolderToken) -> None:
         refund = CountRequest(tenant=token.tenant, units=-1, slot=token.slot)
-        with contextlib.suppress(PeerCallError):  # then the unit leaves with the window
+        with contextlib.suppress(PeerCallError):  # the unit then expires with the window
             await self._call(token.holder, refund, INITIAL_CALL_TIMEOUT_MS)
 
     async def _call(self, holder: str, request: CountRequest, timeout_ms: float) -> CountResponse:
@@ -249,18 +256,18 @@
         return reply.count_response
 
     def _decide(self, now: float, request: _UnitRequest, holder: str, result: CountResult) -> QuotaDecision:
-        """Return the decision that follows from a holder's count."""
+        """Return the decision for a request by the result of a holder's count."""
         if not result.is_over_limit:
             return QuotaDecision(True, refund_token=_HolderToken(request.tenant, holder, result.slot))
         if result.is_over_share:
-            # The reserve is counted apart from the holder's share, and the tenant is within its limit.
+            # The reserve is counted separately from the holder's share, and the tenant is within its limit.
             slot = self._reserve.take(now, request.tenant, request.limit)
             if slot is not None:
                 return QuotaDecision(True, refund_token=_ReserveToken(request.tenant, slot))
         return QuotaDecision(False, retry_after_ms=max(result.retry_after_ms, MIN_RETRY_AFTER_MS))
 
     def _take_from_reserve(self, now: float, request: _UnitRequest) -> QuotaDecision:
-        """Return a decision by the local reserve alone, as no holder can be asked."""
+        """Return a decision by the local reserve alone, because no holder can be called."""
         slot = self._reserve.take(now, request.tenant, request.limit)
         if slot is None:
             return QuotaDecision(False, retry_after_ms=UNAVAILABLE_RETRY_MS, is_counter_unavailable=True)
--- a/hallhitch/planes/quota/lease.py
+++ b/hallhitch/planes/quota/lease.py
@@ -1,11 +1,11 @@
-"""Values of the lease protocol: claims of gateways, votes of coordinators, usage reports. Owns no state.
+"""Value types of the lease protocol: claims of gateways, votes of coordinators, and usage reports.
 
-The tenants' names are hashed into buckets (`limits.bucket_of`). The gateway that holds the lease on a bucket counts
-the requests of its tenants. A lease is a quorum of unexpired votes, each of one coordinator (`lease_table.py`), as
-the gateway that claimed them counts it (`lease_client.py`).
+Tenant names are hashed into buckets (`limits.bucket_of`). The gateway that holds the lease on a bucket counts the
+requests of the bucket's tenants. A lease is a quorum of unexpired votes. Each coordinator casts one vote
+(`lease_table.py`), and the gateway that claims the lease counts the votes (`lease_client.py`).
 
-Points in time (`now`, `*_at`, `*_since`, `*_until`) are ms of the steady clock of the process that keeps them; they
-never cross the network. Durations are `*_ms`.
+Points in time (`now`, `*_at`, `*_since`, `*_until`) are ms of the steady clock of the process that stores them. They
+are never sent over the network. Durations are named `*_ms`.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 from hallhitch.planes.values import LeaseMembership
 
-# How long a vote counts. Three claims go out in it (plane.CLAIM_INTERVAL_MS), so that two of them may be lost.
+# How long a vote is valid. Three claims are sent within it (plane.CLAIM_INTERVAL_MS), so two of them may be lost.
 LEASE_DURATION_MS: Final = 1000.0
-# The holder ends its lease sooner by this, as two steady clocks may differ by so much within one lease.
+# The holder ends its lease earlier by this margin: two steady clocks may drift apart by that much during one lease.
 CLOCK_MARGIN_MS: Final = 50.0
 
 
@@ -31,9 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """Units in a holder's windows when it sent a claim, by tenant: `CELLS_PER_WINDOW` spans each, newest first.
+    """Units in a holder's windows when it sent a claim, by tenant.
 
-    A tenant without an entry has used nothing, or, in a partial report, up to all that its limits allow.
+    Each tenant has the units of `CELLS_PER_WINDOW` time spans, newest first. A tenant without an entry has used
+    nothing; in a partial report it may have used as much as its limits allow.
     """
 
     units_by_tenant: Mapping[str, Sequence[int]]
@@ -41,7 +42,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether the report says that nothing was used."""
+        """Whether the report states that no units were used."""
         return not self.units_by_tenant and not self.is_partial
 
 
@@ -50,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PredecessorReport:
-    """The newest usage report that a process has of a bucket's last holder.
+    """The newest usage report that a process has received from a bucket's last holder.
 
-    `is_final`: the holder counted nothing after it. Otherwise the holder counted for no longer than
-    LEASE_DURATION_MS after the newest claim of it that any coordinator of a quorum has.
+    `is_final`: the holder counted nothing after this report. Otherwise the holder stopped counting at most
+    LEASE_DURATION_MS after its newest claim that any coordinator of a quorum has received.
     """
 
     holder: str
@@ -64,14 +65,17 @@
     received_at: float
 
     def relay(self, now: float) -> RelayedReport:
-        """Return the report as it is sent to another process."""
+        """Return the report in the form in which it is sent to another process."""
         age_ms = now - self.received_at
         return RelayedReport(self.holder, self.incarnation, self.sequence, self.usage, self.is_final, age_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedReport:
-    """A predecessor report on its way from a coordinator to the next holder, whose clocks differ: it has an age."""
+    """A predecessor report that a coordinator sends to the next holder.
+
+    It has an age instead of a time of receipt, because the clocks of the two processes differ.
+    """
 
     holder: str
     incarnation: int
@@ -81,29 +85,29 @@
     age_ms: float
 
     def receive(self, now: float) -> PredecessorReport:
-        """Return the report as received at the latest time, by the recipient's clock, that its age allows."""
+        """Return the report with its time of receipt by the recipient's clock: the latest that its age allows."""
         received_at = now - self.age_ms
         return PredecessorReport(self.holder, self.incarnation, self.sequence, self.usage, self.is_final, received_at)
 
 
 class BucketUsage(Protocol):
-    """What was counted in the buckets that this gateway holds; see tenant_counter.TenantCounter."""
+    """The usage of the buckets that this gateway holds; see tenant_counter.TenantCounter."""
 
     def is_in_use(self, bucket: int, now: float) -> bool:
-        """Return whether units lie in a window of the bucket."""
+        """Return whether a window of the bucket contains units."""
 
     def usage_report(self, bucket: int, now: float) -> UsageReport:
-        """Return what the windows of the bucket hold."""
+        """Return the units in the windows of the bucket."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseClaim:
-    """One claim of a gateway, sent alike to all voters but for `coordinator_incarnation`.
+    """One claim of a gateway; only `coordinator_incarnation` differs between the voters that it is sent to.
 
-    `renew`: buckets whose lease runs; `acquire`: buckets that it asks votes for; `release`: buckets that it no longer
-    counts; `drop`: buckets that it no longer holds and counted nothing in within a window.
-    `usage_reports` belong to renewed or released buckets; one without a report has counted nothing.
-    `coordinator_incarnation`: the recipient's, 0 while it is not known.
+    `renew`: buckets whose lease is valid. `acquire`: buckets for which the gateway requests votes. `release`: buckets
+    in which it no longer counts. `drop`: buckets that it no longer holds and in which it counted nothing within a
+    window. `usage_reports`: for renewed and released buckets; a bucket without a report has counted nothing.
+    `coordinator_incarnation`: that of the recipient, 0 while it is not known.
     """
 
     holder: str
@@ -119,23 +123,24 @@
 
     @property
     def claimant(self) -> Claimant:
-        """Who sent the claim."""
+        """The gateway incarnation that sent the claim."""
         return Claimant(self.holder, self.incarnation)
 
     @property
     def is_heartbeat(self) -> bool:
-        """Whether the claim names no bucket and only shows that its gateway is alive."""
+        """Whether the claim names no bucket and only shows that the gateway is alive."""
         return not (self.renew or self.acquire or self.release or self.drop)
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseVotes:
-    """A coordinator's response to one claim: its vote on every bucket to renew or acquire that is not rejected.
+    """A coordinator's response to one claim: a vote for each bucket to renew or acquire that is not rejected.
 
-    `is_accepted`: False where the claim was stale or addressed to another incarnation, and nothing was voted.
-    `idle_ms` goes with the claim's `acquire`, in its order: for how long no other claimant has had this coordinator's
-    vote (0 where rejected). `gateways_seen`: claimants of the last minute; 0 while some may not have claimed yet.
-    `predecessors`: by acquired bucket, where the last holder is known. `membership`: where the claim's was older.
+    `is_accepted`: False if the claim was stale or addressed to another incarnation; no vote was cast then.
+    `idle_ms`: for each bucket of the claim's `acquire`, in the same order, how long no other claimant has had this
+    coordinator's vote; 0 for rejected buckets. `gateways_seen`: the number of claimants in the last minute; 0 while
+    some may not have sent a claim yet. `predecessors`: by acquired bucket, if the last holder is known.
+    `membership`: the coordinator's membership, if that of the claim was older.
     """
 
     is_accepted: bool
@@ -152,9 +157,9 @@
 class LeaseStart:
     """A lease that has just begun at this gateway.
 
-    `exclusive_since`: no other gateway has counted the bucket since. `predecessor`: the report of the last holder,
-    None where a quorum does not agree on who that was. `own_last_ended_at`: the end of this gateway's last lease on
-    the bucket, minus infinity where it had none.
+    `exclusive_since`: no other gateway has counted in the bucket since then. `predecessor`: the report of the last
+    holder; None if a quorum does not agree on who that was. `own_last_ended_at`: when this gateway's last lease on the
+    bucket ended; minus infinity if it had none.
     """
 
     bucket: int
--- a/hallhitch/planes/quota/lease_acquisition.py
+++ b/hallhitch/planes/quota/lease_acquisition.py
@@ -1,10 +1,10 @@
-"""The attempt of a gateway to acquire the lease on one bucket. Owns the votes that the attempt has.
+"""A gateway's attempt to acquire the lease on one bucket, with the votes received so far.
 
-A lease begins only once there was one moment at which a quorum's tables all had the gateway's votes: each coordinator
-had answered a claim before that moment and answers, in the same incarnation, another claim sent after it. A
-coordinator that restarts forgets its votes, so one round of votes proves nothing.
+A lease begins only once there was a moment at which the tables of a whole quorum contained votes for the gateway: each
+coordinator had responded to a claim before that moment, and responds in the same incarnation to another claim that was
+sent after it. One round of votes proves nothing, because a coordinator that restarts forgets its votes.
 
-Times are steady ms of this process.
+Times are ms of this process's steady clock.
 """
 
 from __future__ import annotations
@@ -16,46 +16,47 @@
 from hallhitch.planes.quota.lease import PredecessorReport
 from hallhitch.planes.values import LeaseMembership
 
-# An attempt is given up after so long. A vote given in it lasts a lease duration, so none can have expired and been
-# given to the same claimant anew within one attempt.
+# Time-out of an attempt. It is shorter than a lease duration, for which a vote is valid, so that within one attempt no
+# vote can expire and be cast again for the same claimant.
 ACQUIRE_TIMEOUT_MS: Final = 700.0
 
 
 @dataclass(slots=True)
 class AcquisitionVote:
-    """A coordinator's vote, which it certainly had in its table from `confirmed_from` to `confirmed_until`.
+    """A coordinator's vote, which was certainly in its table from `confirmed_from` to `confirmed_until`.
 
-    `confirmed_from`: when its first response came; `confirmed_until`: when the last claim that it voted for was sent.
+    `confirmed_from`: when the coordinator's first response arrived. `confirmed_until`: when the last claim that it
+    voted for was sent.
     """
 
     incarnation: int
     confirmed_from: float
     confirmed_until: float
     expires_at: float
-    exclusive_since: float  # no other claimant has had this vote since
+    exclusive_since: float  # no other claimant has had this coordinator's vote since then
     predecessor: PredecessorReport | None
 
     def is_confirmed_at(self, instant: float) -> bool:
-        """Return whether the coordinator certainly had the vote in its table at a moment."""
+        """Return whether the vote was certainly in the coordinator's table at a moment."""
         return self.confirmed_from <= instant <= self.confirmed_until
 
     def extend(self, later: AcquisitionVote) -> None:
-        """Take over a further vote of the same incarnation."""
+        """Extend this vote by a later one of the same incarnation."""
         self.confirmed_until = max(self.confirmed_until, later.confirmed_until)
         self.expires_at = max(self.expires_at, later.expires_at)
 
 
 @dataclass(slots=True)
 class LeaseAcquisition:
-    """An attempt to acquire one bucket: votes for it by coordinator, and the coordinators that rejected it."""
+    """An attempt to acquire one bucket: the votes for it by coordinator, and the coordinators that rejected it."""
 
     started_at: float
-    first_claim: int  # sequence number of its first claim
+    first_claim: int  # sequence number of the attempt's first claim
     votes: dict[str, AcquisitionVote] = field(default_factory=dict)
     rejected_by: set[str] = field(default_factory=set)
 
     def is_timed_out(self, now: float) -> bool:
-        """Return whether the attempt has taken too long."""
+        """Return whether the attempt has exceeded its time-out."""
         return now - self.started_at > ACQUIRE_TIMEOUT_MS
 
     def add_rejection(self, coordinator: str) -> None:
@@ -64,7 +65,7 @@
         self.rejected_by.add(coordinator)
 
     def can_succeed(self, membership: LeaseMembership) -> bool:
-        """Return whether the coordinators that have not rejected the attempt are a quorum."""
+        """Return whether the coordinators that have not rejected the attempt still form a quorum."""
         return membership.has_quorum(frozenset(membership.voters) - self.rejected_by)
 
     def add_vote(self, coordinator: str, vote: AcquisitionVote) -> bool:
@@ -78,7 +79,7 @@
         return True
 
     def winning_votes(self, now: float, membership: LeaseMembership) -> Mapping[str, AcquisitionVote]:
-        """Return unexpired votes of a quorum that were all confirmed at one moment; empty while there are none."""
+        """Return the unexpired votes of a quorum that were all confirmed at one moment; empty if there are none."""
         for instant in [vote.confirmed_from for vote in self.votes.values()]:
             confirmed = {name: vote for name, vote in self.votes.items() if vote.is_confirmed_at(instant)}
             if membership.has_quorum(confirmed) and all(now < vote.expires_at for vote in confirmed.values()):
@@ -87,12 +88,12 @@
 
 
 def newest_common_report(reports: Iterable[PredecessorReport | None]) -> PredecessorReport | None:
-    """Return the newest report of a bucket's last holder, None unless all voters report of the same one.
+    """Return the newest report of a bucket's last holder; None unless all voters report the same holder.
 
-    Any holder before this gateway shared a voter with it, or a quorum set was dropped after that holder, and voters
-    report of nobody whose vote they gave before that (LeaseTable.set_membership). So if all report of the same
-    holder, no other came after it, and it counted for no longer than a lease after the newest claim of it that any
-    voter has.
+    Either an earlier holder shared a voter with this gateway, or a quorum set was dropped after that holder; voters do
+    not report holders that they voted for before a quorum set was dropped (LeaseTable.set_membership). So if all
+    voters report the same holder, no other gateway held the bucket after it, and it stopped counting at most a lease
+    duration after its newest claim that any voter has received.
     """
     newest: PredecessorReport | None = None
     for report in reports:
--- a/hallhitch/planes/quota/lease_client.py
+++ b/hallhitch/planes/quota/lease_client.py
@@ -1,22 +1,25 @@
-"""The leases of one gateway: what it claims, and what follows from the coordinators' votes. Does no I/O itself.
-
-Owns the attempts and the claims in flight. Its parts own the rest: an attempt to acquire (`lease_acquisition.py`),
-held leases (`held_lease.py`), released ones (`lease_release.py`), who should hold what (`bucket_placement.py`), what to
-hand over (`rebalancing.py`), and what is known of the coordinators (`coordinator_view.py`).
-
-**Why no bucket has two holders.** A lease needs votes of a majority of the members and, during a change of members,
-of a majority of the previous ones too; a coordinator votes for one claimant at a time (`lease_table.py`). A lease
-ends by the holder's clock before the votes do (CLOCK_MARGIN_MS). Coordinators that restart forget their votes. So
-they vote only to renew for a lease duration, a lease begins only after two rounds of votes (`lease_acquisition.py`),
-and when it ends every earlier vote for it is void, those in flight among them, and it is acquired anew.
-
-**Change of members**, from M0 through the joint membership J = (M0, M1) to M1. Quorums of M0 and J share a voter, so
-do those of J and M1; those of M0 and M1 need not. Invariant: no lease is counted by M0 alone while one is counted by
-M1 alone. When J is committed, a majority of M0 has accepted it and rejects claims of M0 from then on; its earlier
-votes end within a lease duration; and M1 counts alone only once the cluster state has dropped M0, at least a lease
-duration and a margin later. A gateway may learn of any of this late: its claims of the older membership are rejected.
-
-Joint consensus: Ongaro and Ousterhout (Raft), 2014. Times are steady ms of this process.
+"""The lease state machine of one gateway: it builds claims and processes the coordinators' votes. Does no I/O.
+
+This module keeps the acquisition attempts and the claims in flight. Other modules implement the rest: one attempt to
+acquire a bucket (`lease_acquisition.py`), held leases (`held_lease.py`), released leases (`lease_release.py`), which
+gateway should hold which bucket (`bucket_placement.py`), which buckets to hand over (`rebalancing.py`), and what is
+known about the coordinators (`coordinator_view.py`).
+
+**Why no bucket has two holders.** A lease needs the votes of a majority of the members and, during a change of members,
+also those of a majority of the previous members. A coordinator votes for one claimant at a time (`lease_table.py`). By
+the holder's clock a lease ends before its votes expire (CLOCK_MARGIN_MS). Coordinators that restart forget their votes;
+therefore a restarted coordinator only renews leases for one lease duration, and a lease begins only after two rounds of
+votes (`lease_acquisition.py`). When a lease ends, all earlier votes for it become void, including those in flight, and
+the bucket must be acquired again.
+
+**Change of members**, from M0 through the joint membership J = (M0, M1) to M1. Quorums of M0 and J share a voter, and
+so do those of J and M1; those of M0 and M1 need not. Invariant: no lease relies on votes of M0 alone while another
+relies on votes of M1 alone. Once J is committed, a majority of M0 has accepted it and from then on rejects claims of
+M0; the votes that this majority cast earlier expire within a lease duration. M1 alone counts only once the cluster
+state has dropped M0, at least a lease duration and a margin later. A gateway may learn of each step late: its claims
+of the older membership are rejected.
+
+Joint consensus: Ongaro and Ousterhout (Raft), 2014. Times are ms of this process's steady clock.
 """
 
 from __future__ import annotations
@@ -43,7 +46,8 @@
 from hallhitch.planes.quota.rebalancing import HANDED_OVER_RETRY_MS, buckets_to_hand_over
 from hallhitch.planes.values import LeaseMembership
 
-# After an attempt that timed out: longer than a claim interval, so that the release of its votes goes out before.
+# Delay after an attempt that timed out. It is longer than a claim interval, so that the votes are released before the
+# next attempt.
 TIMED_OUT_RETRY_MS: Final = 500.0
 
 UNKNOWN_USAGE: Final = UsageReport({}, is_partial=True)
@@ -51,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _SentClaim:
-    """A claim, and when it was sent: votes on it count from then."""
+    """A claim and the time at which it was sent, from which votes on it are valid."""
 
     sent_at: float
     claim: LeaseClaim
 
 
 class LeaseClient:
-    """The leases of one incarnation of one gateway; `on_acquired` is called when a lease begins."""
+    """The leases of one gateway incarnation; `on_acquired` is called when a lease begins."""
 
     def __init__(
         self,
@@ -85,30 +89,30 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The coordinators that claims go to."""
+        """The coordinators to which claims are sent."""
         return self._membership.voters
 
     @property
     def gateways_seen(self) -> int:
-        """How many gateways may exist, as far as a quorum of coordinators has reported; 0 = not known."""
+        """How many gateways may exist according to a quorum of coordinators; 0 = not known."""
         return self._coordinators.gateways_seen
 
     def coordinator_incarnation(self, coordinator: str) -> int:
-        """Return the incarnation of a coordinator to address a claim to; 0 while it is not known."""
+        """Return the coordinator's incarnation, to which a claim is addressed; 0 while it is not known."""
         return self._coordinators.incarnation(coordinator)
 
     def is_holder(self, now: float, bucket: int) -> bool:
-        """Return whether this gateway counts the bucket's tenants now."""
-        return self._held.is_running(now, bucket)
+        """Return whether this gateway holds a valid lease on the bucket and counts its tenants."""
+        return self._held.is_valid(now, bucket)
 
     def held_buckets(self, now: float) -> list[int]:
-        """Return the buckets whose lease runs."""
-        return self._held.running(now)
+        """Return the buckets whose lease is valid."""
+        return self._held.valid_buckets(now)
 
     def set_membership(self, now: float, membership: LeaseMembership) -> bool:
-        """Set whose votes count from now on; return whether it is newer than the last, which is kept otherwise.
+        """Set the membership whose votes count; return False and ignore it if it is not newer than the current one.
 
-        A running lease continues on the votes it has: the gateway might as well have learned of the change later.
+        A valid lease continues on the votes that it has, as if the gateway had learned of the change later.
         """
         previous = self._membership
         if membership.version <= previous.version:
@@ -124,7 +128,7 @@
         return True
 
     def set_gateways(self, now: float, gateways: Iterable[str]) -> None:
-        """Set the live gateways that may hold buckets, this one among them if it may."""
+        """Set the live gateways that may hold buckets, including this one if it may hold any."""
         self._placement.set_gateways(now, gateways)
 
     def set_holders(self, now: float, holders: Mapping[int, str]) -> None:
@@ -132,7 +136,7 @@
         self._placement.set_holders(now, holders)
 
     def release_all(self, now: float) -> None:
-        """Stop counting, release all buckets with the next claim, and acquire none from now on."""
+        """Stop counting, release all buckets with the next claim, and acquire no more buckets."""
         self._is_releasing_all = True
         for bucket in [*self._held]:
             self._release(now, bucket, has_counted=True)
@@ -140,7 +144,7 @@
             self._abandon(now, bucket, retry_delay_ms=0.0)
 
     def next_claim(self, now: float, usage: BucketUsage) -> LeaseClaim:
-        """Return the claim to send to every voter now."""
+        """Build the next claim, to be sent to every voter at once."""
         self._remove_expired(now)
         for bucket, acquisition in [*self._acquisitions.items()]:
             if acquisition.is_timed_out(now):
@@ -167,7 +171,7 @@
         return claim
 
     def on_votes(self, now: float, coordinator: str, sequence: int, votes: LeaseVotes) -> bool:
-        """Process a coordinator's votes on one claim; return whether the next claim should go out at once."""
+        """Process a coordinator's votes on one claim; return whether the next claim should be sent at once."""
         has_new_membership = votes.membership is not None and self.set_membership(now, votes.membership)
         sent = self._sent_claims.get(sequence)
         if coordinator not in self._membership.voters or sent is None:
@@ -180,7 +184,7 @@
         return self._on_acquire_votes(now, coordinator, sent, votes)
 
     def _on_renew_votes(self, now: float, coordinator: str, sent: _SentClaim, votes: LeaseVotes) -> None:
-        """Prolong leases, but for those that have ended or begun anew since the claim was sent."""
+        """Extend the renewed leases, except those that have ended or begun since the claim was sent."""
         expires_at = self._vote_expiry(sent)
         for bucket in sent.claim.renew:
             lease = self._held.get(bucket)
@@ -188,20 +192,20 @@
                 continue
             if sent.claim.sequence < lease.first_renewal:  # the lease began after this claim was sent
                 continue
-            if not self._held.is_running(now, bucket):
+            if not self._held.is_valid(now, bucket):
                 self._release(now, bucket, has_counted=True)
                 continue
             lease.renew(coordinator, expires_at)
             self._held.recompute_expiry(bucket, lease, self._membership)
 
     def _on_acquire_votes(self, now: float, coordinator: str, sent: _SentClaim, votes: LeaseVotes) -> bool:
-        """Process the votes on attempts that still go on; return whether the next claim should go out at once."""
+        """Process the votes on pending attempts; return whether the next claim should be sent at once."""
         claim_at_once = False
         for bucket, idle_ms in zip(sent.claim.acquire, votes.idle_ms, strict=False):
             acquisition = self._acquisitions.get(bucket)
             if acquisition is None or sent.claim.sequence < acquisition.first_claim:
                 continue
-            if acquisition.is_timed_out(now):  # by now a vote may have expired and been given again
+            if acquisition.is_timed_out(now):  # a vote may have expired and been cast again since
                 self._abandon(now, bucket, TIMED_OUT_RETRY_MS)
             elif bucket in votes.rejected:
                 claim_at_once |= self._on_rejection(now, bucket, coordinator, acquisition)
@@ -219,11 +223,15 @@
         return claim_at_once
 
     def _vote_expiry(self, sent: _SentClaim) -> float:
-        """Return until when a vote on a claim counts here: from when the claim was sent, less the margin."""
+        """Return when a vote on a claim expires here: a lease duration after the claim was sent, less the margin."""
         return sent.sent_at + LEASE_DURATION_MS - CLOCK_MARGIN_MS
 
     def _on_rejection(self, now: float, bucket: int, coordinator: str, acquisition: LeaseAcquisition) -> bool:
-        """Record a vote against an attempt; return whether it was given up while coordinators have votes of it."""
+        """Record a rejection of an attempt.
+
+        Return whether the attempt was abandoned while coordinators still have votes for it, which the next claim
+        releases.
+        """
         acquisition.add_rejection(coordinator)
         if acquisition.can_succeed(self._membership):
             return False
@@ -233,7 +241,7 @@
     def _on_acquire_vote(
         self, now: float, bucket: int, coordinator: str, acquisition: LeaseAcquisition, vote: AcquisitionVote
     ) -> bool:
-        """Record a vote for an attempt; return whether the next claim should go out at once."""
+        """Record a vote for an attempt; return whether the next claim should be sent at once."""
         is_confirmation = acquisition.add_vote(coordinator, vote)
         if not is_confirmation:
             return self._membership.has_quorum(acquisition.votes)
@@ -262,19 +270,19 @@
         )
 
     def _remove_expired(self, now: float) -> None:
-        for bucket in self._held.expired(now):
+        for bucket in self._held.expired_buckets(now):
             self._release(now, bucket, has_counted=True)
 
     def _release(self, now: float, bucket: int, *, has_counted: bool) -> None:
-        """End a lease: this gateway counts nothing in the bucket from now on."""
+        """End a lease; this gateway counts nothing in the bucket from now on."""
         self._held.remove(now, bucket)
         self._releases.add(bucket, Release(has_counted, now + LEASE_DURATION_MS, is_usage_complete=True))
         self._placement.mark_free(now, bucket)
 
     def _abandon(self, now: float, bucket: int, retry_delay_ms: float) -> None:
-        """Give up an attempt to acquire a bucket."""
+        """Abandon an attempt to acquire a bucket."""
         del self._acquisitions[bucket]
-        # Nothing was counted by the votes of an attempt, but an earlier lease of this gateway may have counted.
+        # Nothing is counted during an attempt, but this gateway may have counted under an earlier lease.
         has_counted = self._held.has_ended_within(now, bucket, self._window_ms)
         self._releases.add(bucket, Release(has_counted, now + LEASE_DURATION_MS, is_usage_complete=False))
         self._placement.defer(bucket, now + retry_delay_ms)
@@ -282,12 +290,12 @@
     def _usage_reports(self, now: float, usage: BucketUsage) -> dict[int, UsageReport]:
         reports = {bucket: usage.usage_report(bucket, now) for bucket in self._held}
         for bucket, release in self._releases.counted().items():
-            # Others may have counted between an earlier lease of this gateway and an attempt that failed.
+            # Other gateways may have counted between an earlier lease of this gateway and its failed attempt.
             reports[bucket] = usage.usage_report(bucket, now) if release.is_usage_complete else UNKNOWN_USAGE
         return {bucket: report for bucket, report in reports.items() if not report.is_empty}
 
     def _hand_over(self, now: float, usage: BucketUsage) -> None:
-        """Release buckets for the gateways that should hold them."""
+        """Release buckets that other gateways should hold."""
         for bucket in buckets_to_hand_over(now, self._held, self._placement, usage, self._window_ms):
             self._release(now, bucket, has_counted=False)
             self._placement.defer(bucket, now + HANDED_OVER_RETRY_MS)
--- a/hallhitch/planes/quota/lease_coordinator.py
+++ b/hallhitch/planes/quota/lease_coordinator.py
@@ -1,4 +1,4 @@
-"""The lease service of one coordinator: a claim message in, its votes out. Owns the coordinator's lease table."""
+"""The lease service of one coordinator: it decodes claims, votes on them by its lease table, and encodes the votes."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from hallhitch.planes.quota.lease_table import LeaseTable
 from hallhitch.planes.values import LeaseMembership
 
-INCARNATION_BITS: Final = 48  # random: no two starts of a process share an incarnation
+INCARNATION_BITS: Final = 48  # random, so that no two starts of a process share an incarnation
 
 
 class LeaseCoordinator:
-    """Votes on claims of gateways; `incarnation` distinguishes this start of the process from others."""
+    """Votes on claims of gateways; `incarnation` distinguishes this start of the process from other starts."""
 
     def __init__(self, clock: Callable[[], float] = steady_now, incarnation: int | None = None) -> None:
         self._clock = clock
@@ -24,7 +24,7 @@
         self._table = LeaseTable(incarnation, clock())
 
     def set_membership(self, membership: LeaseMembership) -> None:
-        """Set the newest membership that this coordinator has accepted; without any it does not vote."""
+        """Set the newest membership that this coordinator has accepted; it does not vote until one is set."""
         self._table.set_membership(self._clock(), membership)
 
     def handle(self, envelope: Envelope) -> Envelope:
--- a/hallhitch/planes/quota/lease_messages.py
+++ b/hallhitch/planes/quota/lease_messages.py
@@ -1,4 +1,4 @@
-"""Conversion of claims and votes to protobuf messages and back. Owns nothing."""
+"""Converts claims and votes to and from protobuf messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def encode_claim(claim: LeaseClaim, coordinator_incarnation: int) -> messages.LeaseRequest:
-    """Return a claim as the request to one incarnation of a coordinator."""
+    """Return the request that carries a claim to one incarnation of a coordinator."""
     return messages.LeaseRequest(
         holder=claim.holder,
         incarnation=claim.incarnation,
@@ -43,7 +43,7 @@
 
 
 def encode_votes(votes: LeaseVotes) -> messages.LeaseResponse:
-    """Return a coordinator's votes as its response."""
+    """Return the response that carries a coordinator's votes."""
     return messages.LeaseResponse(
         ok=votes.is_accepted,
         incarnation=votes.incarnation,
--- a/hallhitch/planes/quota/lease_release.py
+++ b/hallhitch/planes/quota/lease_release.py
@@ -1,9 +1,9 @@
-"""The buckets that a gateway gives up. Owns what its next claims announce of them.
+"""The buckets that a gateway has released, which its next claims announce.
 
-Invariant: a release is announced in every claim of the next lease duration, so that each coordinator that has a vote
-for this gateway may receive it; after that its vote has expired anyway.
+Invariant: every claim of the next lease duration announces a release, so that each coordinator with a vote for this
+gateway can receive it. After that time the vote has expired anyway.
 
-Times are steady ms of this process.
+Times are ms of this process's steady clock.
 """
 
 from __future__ import annotations
@@ -13,9 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """A bucket that is given up. `has_counted`: units of this gateway may lie in the window.
+    """The release of one bucket.
 
-    `is_usage_complete`: no other gateway may have counted since this one last did.
+    `has_counted`: the window may contain units counted by this gateway. `is_usage_complete`: no other gateway can have
+    counted since this one last did.
     """
 
     has_counted: bool
@@ -30,21 +31,21 @@
         self._releases: dict[int, Release] = {}
 
     def add(self, bucket: int, release: Release) -> None:
-        """Announce a release with the claims to come."""
+        """Announce a release in the next claims."""
         self._releases[bucket] = release
 
     def cancel(self, bucket: int) -> None:
-        """Stop announcing the release of a bucket, as it is to be acquired again."""
+        """Stop announcing the release of a bucket, which is about to be acquired again."""
         self._releases.pop(bucket, None)
 
     def expire(self, now: float) -> None:
-        """Remove the releases that were announced for long enough."""
+        """Remove the releases that have been announced for long enough."""
         self._releases = {
             bucket: release for bucket, release in self._releases.items() if now < release.announced_until
         }
 
     def counted(self) -> dict[int, Release]:
-        """Return the releases of buckets that this gateway may have counted in."""
+        """Return the releases of buckets in which this gateway may have counted within a window."""
         return {bucket: release for bucket, release in self._releases.items() if release.has_counted}
 
     def uncounted(self) -> list[int]:
--- a/hallhitch/planes/quota/lease_table.py
+++ b/hallhitch/planes/quota/lease_table.py
@@ -1,10 +1,10 @@
-"""The votes of one coordinator on which gateway holds which bucket. Owns this coordinator's own votes alone.
+"""The votes of one coordinator on which gateway holds which bucket.
 
 Invariants:
-- Until a vote expires or is released, the coordinator votes for no other claimant on that bucket.
-- A claim of an older membership than the coordinator's is not accepted, and answered with the newer membership.
-- The coordinator keeps nothing on disk. After its start it is in a grace period of LEASE_DURATION_MS, in which it
-  votes only to renew leases, as votes that its last incarnation gave may still count.
+- Until a vote on a bucket expires or is released, the coordinator votes for no other claimant of that bucket.
+- The coordinator does not accept a claim of an older membership than its own; its response contains the newer one.
+- The coordinator stores nothing on disk. It starts with a grace period of LEASE_DURATION_MS, in which it votes only to
+  renew leases, because votes of its previous incarnation may still be valid.
 
 Why no bucket has two holders: see lease_client.py.
 """
@@ -26,26 +26,26 @@
 from hallhitch.planes.quota.limits import BUCKET_COUNT
 from hallhitch.planes.values import LeaseMembership
 
-# A gateway counts as one that may exist for so long after its last claim: a minute, as LocalReserve remembers counts.
+# How long after its last claim a gateway is assumed to exist: a minute, as long as LocalReserve remembers counts.
 CLAIMANT_RETENTION_MS: Final = 60_000.0
-# Versions of one change of members in which both sets count (joint, then final). A larger step between two known
-# versions may have skipped a quorum set that was added and dropped in between.
+# One change of members has this many versions in which both sets count (joint, then final). A larger step between two
+# known versions may have skipped a quorum set that was added and dropped in between.
 JOINT_VERSIONS_PER_CHANGE: Final = 2
-# Sequence numbers of ended incarnations are removed once there are clearly more than live claimants may have.
+# Sequence numbers of ended incarnations are removed once there are clearly more than the live claimants can have.
 SEQUENCES_PER_CLAIMANT: Final = 4
 SPARE_SEQUENCES: Final = 64
 
 
 @dataclass(slots=True)
 class _BucketVote:
-    """The last vote on a bucket. `exclusive_since`: no other claimant has had this coordinator's vote since."""
+    """The last vote on a bucket. `exclusive_since`: no other claimant has had this coordinator's vote since then."""
 
     claimant: Claimant
     exclusive_since: float
     expires_at: float = 0.0
     predecessor: PredecessorReport | None = None  # the last report of the holder before this one
-    own_report: PredecessorReport | None = None  # the last report of this holder since it took the bucket
-    is_lease_confirmed: bool = False  # the claimant has renewed: its lease runs
+    own_report: PredecessorReport | None = None  # the last report of this holder since it acquired the bucket
+    is_lease_confirmed: bool = False  # the claimant has renewed, so its lease has begun
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class _AcquireVotes:
-    """The votes on the buckets of LeaseClaim.acquire; for the fields see LeaseVotes."""
+    """The votes on the buckets of LeaseClaim.acquire; see LeaseVotes for the fields."""
 
     rejected: set[int] = field(default_factory=set)
     idle_ms: list[int] = field(default_factory=list)
@@ -66,7 +66,7 @@
 
 
 class LeaseTable:
-    """The votes of one incarnation of one coordinator."""
+    """The votes of one coordinator incarnation."""
 
     def __init__(self, incarnation: int, started_at: float) -> None:
         self._incarnation = incarnation
@@ -79,11 +79,11 @@
         self._first_claim_at: float | None = None
 
     def set_membership(self, now: float, membership: LeaseMembership) -> None:
-        """Take over the newest membership that this coordinator has accepted or knows to be committed.
+        """Set the newest membership that this coordinator has accepted or knows to be committed.
 
-        An older one is ignored. Once a quorum set is dropped, its quorums need not share a voter with those that
-        count. A lease held by that set alone has ended by then (see lease_client.py), but the votes kept here need
-        not show it: so the moment at which it was dropped bounds what they prove.
+        An older membership is ignored. Once a quorum set is dropped, its quorums need not share a voter with the
+        quorums that count. A lease that relied on that set alone has ended by then (see lease_client.py), but the votes
+        in this table need not show that lease. So they prove nothing about the time before the set was dropped.
         """
         current = self._membership
         if membership.version < current.version or membership == current:
@@ -96,7 +96,7 @@
         self._membership = membership
 
     def in_grace_period(self, now: float) -> bool:
-        """Return whether votes of an earlier incarnation may still count."""
+        """Return whether votes of an earlier incarnation may still be valid."""
         return now < self._grace_until
 
     def vote(self, now: float, claim: LeaseClaim) -> LeaseVotes:
@@ -118,7 +118,7 @@
         )
 
     def holders(self, now: float) -> dict[int, str]:
-        """Return the holder's internal address for each bucket whose lease runs, as far as is known here."""
+        """Return the holder's internal address for each bucket with a valid lease that this coordinator knows of."""
         return {
             bucket: vote.claimant.address
             for bucket, vote in self._votes.items()
@@ -126,10 +126,11 @@
         }
 
     def _accept(self, now: float, claim: LeaseClaim) -> bool:
-        """Record a claim; return whether it may be voted on.
+        """Record a claim; return whether to vote on it.
 
-        An overtaken claim would undo a newer one; one for an earlier incarnation of this coordinator relies on votes
-        that are forgotten; one of an older membership may be counted without the current members.
+        A claim that arrives after a newer one would undo the newer one. A claim to an earlier incarnation of this
+        coordinator relies on votes that are forgotten. Votes on a claim of an older membership may be counted without
+        the current members.
         """
         if claim.coordinator_incarnation != self._incarnation or not self._membership.members:
             return False
@@ -153,12 +154,12 @@
                 vote.expires_at = min(vote.expires_at, now)
                 vote.own_report = self._report(now, bucket, claim, is_final=True)
             else:
-                # It counted nothing, so for the next holder it is as if it had never had the vote.
+                # The claimant counted nothing, so for the next holder it is as if it had never had the vote.
                 vote.expires_at = min(vote.expires_at, vote.exclusive_since)
                 vote.own_report = vote.predecessor
 
     def _renew(self, now: float, claim: LeaseClaim) -> set[int]:
-        """Vote for leases that run; return the rejected buckets."""
+        """Vote for leases to be renewed; return the rejected buckets."""
         rejected = set()
         for bucket in claim.renew:
             if not self._cast_vote(now, bucket, claim.claimant):
@@ -172,7 +173,7 @@
     def _acquire(self, now: float, claim: LeaseClaim) -> _AcquireVotes:
         """Vote for leases to be acquired."""
         result = _AcquireVotes()
-        # A newer membership than the one known here may have dropped a quorum set in between.
+        # A membership newer than this coordinator's own may have dropped a quorum set in the meantime.
         is_claim_newer = claim.membership_version > self._membership.version
         dropped_at = now if is_claim_newer else self._quorum_set_dropped_at
         for bucket in claim.acquire:
@@ -192,12 +193,12 @@
         return result
 
     def _cast_vote(self, now: float, bucket: int, claimant: Claimant) -> bool:
-        """Vote for a claimant unless another one has the vote; return whether it has the vote now."""
+        """Vote for a claimant unless another one has the vote; return whether the claimant has the vote now."""
         if not 0 <= bucket < BUCKET_COUNT:
             return False
         vote = self._votes.get(bucket)
         if vote is None:
-            # Votes of an earlier incarnation of this coordinator end with the grace period.
+            # Votes of an earlier incarnation of this coordinator have expired by the end of the grace period.
             vote = self._votes[bucket] = _BucketVote(claimant, exclusive_since=self._grace_until)
         elif vote.claimant != claimant:
             if now < vote.expires_at:
@@ -208,23 +209,26 @@
         return True
 
     def _report(self, now: float, bucket: int, claim: LeaseClaim, *, is_final: bool) -> PredecessorReport | None:
-        """Return what a claim reports of a bucket; None in the grace period, as a later holder may be forgotten."""
+        """Return a claim's report on a bucket.
+
+        None in the grace period, as this coordinator may have forgotten a later holder.
+        """
         if self.in_grace_period(now):
             return None
         usage = claim.usage_reports.get(bucket, NO_USAGE)
         return PredecessorReport(claim.holder, claim.incarnation, claim.sequence, usage, is_final, received_at=now)
 
     def _count_gateways(self, now: float) -> int:
-        """Return the claimants of the last minute; 0 while not each of them has had the time for a claim."""
+        """Return the number of claimants in the last minute; 0 until all gateways have had time to send a claim."""
         for address, seen_at in [*self._last_seen_at.items()]:
             if now - seen_at > CLAIMANT_RETENTION_MS:
                 del self._last_seen_at[address]
         if len(self._last_claims) > SEQUENCES_PER_CLAIMANT * len(self._last_seen_at) + SPARE_SEQUENCES:
-            # No claim of an incarnation that has sent none for this long is still in flight.
+            # An incarnation that has sent no claim for this long has no claim in flight any more.
             self._last_claims = {
                 claimant: last_claim
                 for claimant, last_claim in self._last_claims.items()
                 if now - last_claim.received_at <= CLAIMANT_RETENTION_MS
             }
-        has_heard_all = self._first_claim_at is not None and now - self._first_claim_at >= LEASE_DURATION_MS
-        return len(self._last_seen_at) if has_heard_all and not self.in_grace_period(now) else 0
+        is_count_complete = self._first_claim_at is not None and now - self._first_claim_at >= LEASE_DURATION_MS
+        return len(self._last_seen_at) if is_count_complete and not self.in_grace_period(now) else 0
--- a/hallhitch/planes/quota/plane.py
+++ b/hallhitch/planes/quota/plane.py
@@ -1,6 +1,7 @@
-"""The quota plane of one gateway: message handlers, and the loop that sends claims. Decides nothing itself.
+"""The quota plane of one gateway: message handlers and the loop that sends claims.
 
-Owns the claim loop and the claims in flight. Durations are ms.
+The decisions are made by the modules that it calls; this one keeps the claim loop and the claims in flight. Durations
+are ms.
 """
 
 from __future__ import annotations
@@ -26,17 +27,17 @@
 from hallhitch.planes.quota.tenant_counter import CountResult, TenantCounter
 from hallhitch.planes.values import ClusterConfig, Gateway, LeaseMembership
 
-CLAIM_INTERVAL_MS: Final = 300.0  # a third of a lease, so that two lost claims end none
-IDLE_CLAIM_INTERVAL_MS: Final = 900.0  # where the claim is a heartbeat only: more than one in each lease duration
-MIN_CLAIM_GAP_MS: Final = 20.0  # votes of several coordinators that come together are answered by one claim
-CLAIM_TIMEOUT_MS: Final = 700.0  # as long as an attempt to acquire (lease_acquisition.ACQUIRE_TIMEOUT_MS)
-MAX_CLAIMS_IN_FLIGHT: Final = 3  # to one coordinator: as many as are sent in CLAIM_TIMEOUT_MS without a response
-MAX_RELEASE_CLAIMS: Final = 2  # at shutdown: the response to the first may name a newer membership or incarnation
-RESERVE_CLEANUP_INTERVAL_MS: Final = 20_000.0  # a few windows; frees memory, decides nothing
+CLAIM_INTERVAL_MS: Final = 300.0  # a third of a lease, so that two lost claims end no lease
+IDLE_CLAIM_INTERVAL_MS: Final = 900.0  # if the claim is only a heartbeat; more than one is sent per lease duration
+MIN_CLAIM_GAP_MS: Final = 20.0  # one claim answers the votes of several coordinators that arrive together
+CLAIM_TIMEOUT_MS: Final = 700.0  # as long as an acquisition attempt (lease_acquisition.ACQUIRE_TIMEOUT_MS)
+MAX_CLAIMS_IN_FLIGHT: Final = 3  # to one coordinator: as many as are sent in CLAIM_TIMEOUT_MS if none gets a response
+MAX_RELEASE_CLAIMS: Final = 2  # at shutdown; the response to the first may contain a newer membership or incarnation
+RESERVE_CLEANUP_INTERVAL_MS: Final = 20_000.0  # a few windows; frees memory only, no decision depends on it
 
 
 class QuotaPlane:
-    """A gateway's side: holds buckets, counts for other gateways, and has the counter of its own requests."""
+    """Holds buckets, counts for other gateways, and provides the counter for this gateway's own requests."""
 
     def __init__(
         self,
@@ -66,7 +67,7 @@
         self._claims_in_flight: dict[str, int] = {}  # by coordinator
 
     def set_config(self, config: ClusterConfig) -> None:
-        """Set the cluster configuration; one that is older than the last is ignored."""
+        """Set the cluster configuration; one that is older than the current one is ignored."""
         if config.serial < self._config_serial:
             return
         self._config_serial = config.serial
@@ -74,7 +75,7 @@
         self._reserve.set_max_gateways(config.max_gateways)
 
     def set_gateways(self, gateways: Sequence[Gateway]) -> None:
-        """Set the live processes; those with a frontend are the gateways."""
+        """Set the live processes; those with a frontend are gateways."""
         serving = [gateway for gateway in gateways if gateway.serves_clients]
         now = self._clock()
         self._reserve.observe_gateways(now, len(serving), is_quorum=False)
@@ -83,21 +84,21 @@
         self._claim_at_once.set()
 
     def set_holders(self, holders: Mapping[int, str]) -> None:
-        """Set the internal address of each bucket's holder, as the coordinators report it."""
+        """Set the internal address of each bucket's holder, as reported by the coordinators."""
         self.counter.set_holders(holders)
         self._lease_client.set_holders(self._clock(), holders)
 
     def set_membership(self, membership: LeaseMembership) -> None:
-        """Set the coordinators whose votes on leases count."""
+        """Set the coordinators whose votes on leases are counted."""
         if self._lease_client.set_membership(self._clock(), membership):
             self._claim_at_once.set()
 
     async def start(self) -> None:
-        """Start to claim leases."""
+        """Start claiming leases."""
         self._claim_loop = asyncio.create_task(self._run_claim_loop())
 
     async def release_all(self) -> None:
-        """Stop counting and release all buckets; `counter` goes on asking other gateways."""
+        """Stop counting and release all buckets; `counter` continues to call other gateways."""
         self._lease_client.release_all(self._clock())
         if self._claim_loop is not None:
             self._claim_loop.cancel()
@@ -117,14 +118,14 @@
         return Envelope(count_response=self._count_for_peer(envelope.count_request))
 
     def count(self, tenant: str, limit: RateLimit) -> CountResult | None:
-        """Count one unit of a request of this gateway, see counter_client.LocalCounter."""
+        """Count one unit for a request at this gateway; see counter_client.LocalCounter."""
         now = self._clock()
         if not self._lease_client.is_holder(now, bucket_of(tenant)):
             return None
         return self._tenant_counter.add(now, tenant, 1, self._tenant_counter.configured_limit(tenant) or limit)
 
     def refund(self, tenant: str, slot: int) -> None:
-        """Return a unit of a request of this gateway that never ran, see counter_client.LocalCounter."""
+        """Refund the unit of a request at this gateway that never ran; see counter_client.LocalCounter."""
         now = self._clock()
         if self._lease_client.is_holder(now, bucket_of(tenant)):
             self._tenant_counter.refund(now, tenant, 1, slot)
@@ -159,7 +160,7 @@
         return self._lease_client.next_claim(self._clock(), self._tenant_counter)
 
     async def _run_claim_loop(self) -> None:
-        """Send claims at intervals, and at once where a response or an update asks for it."""
+        """Send claims at intervals, and immediately when a response or an update requires it."""
         reserve_cleanup_at = self._clock() + RESERVE_CLEANUP_INTERVAL_MS
         while True:
             self._claim_at_once.clear()
@@ -181,7 +182,7 @@
                     await self._claim_at_once.wait()
 
     async def _send_claim(self, voter: str, claim: LeaseClaim) -> None:
-        """Send one claim to one coordinator; where it does not respond the next claim follows anyway."""
+        """Send one claim to one coordinator; if it does not respond, the next claim follows anyway."""
         request = lease_messages.encode_claim(claim, self._lease_client.coordinator_incarnation(voter))
         self._claims_in_flight[voter] = self._claims_in_flight.get(voter, 0) + 1
         try:
--- a/hallhitch/planes/quota/sliding_window.py
+++ b/hallhitch/planes/quota/sliding_window.py
@@ -1,10 +1,10 @@
-"""A sliding-window count in slots. Owns the counted units of one tenant.
+"""A sliding-window counter of one tenant's units, divided into time slots.
 
-Invariant: the count over a length is at least what was counted within that length, and at most what was counted
-within the length and two slots. A slot that lies in the window in part counts in full.
+Invariant: the count over a window length is at least the number of units added within that length, and at most the
+number added within that length plus two slots. A slot that is partly inside the window counts in full.
 
-Callers call `advance` once for each request, then any of the methods that say they need it. Times are ms of one
-process's steady clock, and never go back.
+Callers call `advance` once for each request, before any method that requires it. Times are ms of one process's steady
+clock and never decrease.
 """
 
 from __future__ import annotations
@@ -12,8 +12,9 @@
 import math
 from typing import Final
 
-SLOT_MS: Final = 50.0  # a hundredth of the usual window of 5 s; the window counts up to two slots more than its length
-SLOT_NUMBERS: Final = 1 << 14  # slot numbers wrap around at this: far more than any window has slots
+SLOT_MS: Final = 50.0  # a hundredth of the usual window of 5 s; a window counts up to two slots more than its length
+# Slot numbers wrap around at this value, which is far above the number of slots of any window.
+SLOT_NUMBER_MODULUS: Final = 1 << 14
 
 
 class SlidingWindow:
@@ -30,7 +31,7 @@
         self.short_total = 0
 
     def advance(self, now: float) -> None:
-        """Remove units that have left the windows."""
+        """Advance the windows to `now` and drop the units that have left them."""
         head = int(now // SLOT_MS)
         if head - self._head >= self._slots:
             self._ring = [0] * self._slots
@@ -47,20 +48,20 @@
             ring[index] = 0
 
     def set_short_length(self, now: float, short_length_ms: float) -> None:
-        """Change the length of the shorter window; what was counted stays."""
+        """Change the length of the shorter window; counted units are kept."""
         self.advance(now)
         self._short_slots = self._slots_of(short_length_ms)
         self.short_total = sum(self._ring[self._index(age)] for age in range(self._short_slots))
 
     def add(self, units: int) -> int:
-        """Count units now; return the number of their slot, for `refund`; needs `advance` before."""
+        """Count units now; return the number of their slot, for `refund`. Requires `advance` first."""
         self._ring[self._head % self._slots] += units
         self.total += units
         self.short_total += units
-        return self._head % SLOT_NUMBERS
+        return self._head % SLOT_NUMBER_MODULUS
 
     def add_at(self, counted_at: float, units: int) -> None:
-        """Count units at a past time if it still lies in the window; needs `advance` before."""
+        """Count units at a past time, unless that is before the window. Requires `advance` first."""
         age = max(0, self._head - int(counted_at // SLOT_MS))
         if age >= self._slots:
             return
@@ -70,10 +71,10 @@
             self.short_total += units
 
     def units_by_cell(self, now: float, cells: int, cell_ms: float) -> list[int]:
-        """Return the units in each of `cells` spans of `cell_ms`, newest first.
+        """Return the units in each of `cells` time spans of `cell_ms`, newest first.
 
-        Units are reported in the span that holds the end of their slot, so never as older than they are; the last
-        span also holds everything older.
+        Units are reported in the span that contains the end of their slot, and so never as older than they are. The
+        last span also contains everything older.
         """
         self.advance(now)
         units_by_cell = [0] * cells
@@ -86,9 +87,9 @@
         return units_by_cell
 
     def refund(self, now: float, slot_number: int, units: int) -> bool:
-        """Take units out of the slot they were counted in; False where it has expired or holds fewer."""
+        """Remove units from the slot that counted them; return False if it has expired or contains fewer units."""
         self.advance(now)
-        age = (self._head - slot_number) % SLOT_NUMBERS
+        age = (self._head - slot_number) % SLOT_NUMBER_MODULUS
         index = self._index(age)
         if age >= self._slots or self._ring[index] < units:
             return False
@@ -99,18 +100,18 @@
         return True
 
     def fits(self, units: int, limit: float, short_limit: float) -> bool:
-        """Return whether both windows have capacity for more units; needs `advance` before."""
+        """Return whether both windows have capacity for more units. Requires `advance` first."""
         return self.total + units <= limit and self.short_total + units <= short_limit
 
     def ms_until_capacity(self, now: float, units: int, limit: float, short_limit: float) -> float:
-        """Return the time until both windows have capacity, if nothing more is counted; needs `advance` before."""
+        """Return the time until both windows have capacity if nothing more is counted. Requires `advance` first."""
         return max(
             self._ms_until_expired(now, self.total + units - limit, self._slots),
             self._ms_until_expired(now, self.short_total + units - short_limit, self._short_slots),
         )
 
     def _ms_until_expired(self, now: float, units: float, slots: int) -> float:
-        """Return the time until so many units have left the last `slots` slots."""
+        """Return the time until at least `units` units have left the window of the last `slots` slots."""
         if units <= 0:
             return 0.0
         for age in range(slots - 1, -1, -1):
@@ -123,5 +124,5 @@
         return min(math.ceil(short_length_ms / SLOT_MS) + 1, self._slots)
 
     def _index(self, age: int) -> int:
-        """Return the ring's index of the slot that began `age` slots before the current one."""
+        """Return the ring index of the slot that began `age` slots before the current one."""
         return (self._head - age) % self._slots
--- a/tests/system/quota/test_counter_client.py
+++ b/tests/system/quota/test_counter_client.py
@@ -54,7 +54,7 @@
     counter = CounterClient("me", network, HoldsNoBucket(), reserve, loop.now)
     counter.set_holders(dict.fromkeys(range(BUCKET_COUNT), "holder"))
     limits = QUOTA.reserve_limits(LIMIT, gateways * 1.25 + 1)
-    return Caller(counter, network, int(limits.even.units) + int(limits.at_once_units))
+    return Caller(counter, network, int(limits.steady.units) + int(limits.burst_units))
 
 
 def test_holder_admits_and_gets_the_refund() -> None:
--- a/tests/system/quota/test_local_reserve.py
+++ b/tests/system/quota/test_local_reserve.py
@@ -19,9 +19,9 @@
 @pytest.mark.parametrize("gateways", [1, 3, 9, 100])
 def test_holder_and_all_reserves_stay_within_the_rule(gateways: int) -> None:
     limits = QUOTA.reserve_limits(LIMIT, gateways)
-    windows = 5000 / limits.even.window_ms
+    windows = 5000 / limits.steady.window_ms
     assert windows % 1 == 0  # a window that does not divide the rule's would let one more fit in
-    reserve_units = limits.even.units * windows + limits.at_once_units
+    reserve_units = limits.steady.units * windows + limits.burst_units
     assert QUOTA.holder_limit(LIMIT) + gateways * reserve_units <= QUOTA.total_limit(LIMIT)
 
 
@@ -33,19 +33,19 @@
     assert reserve.take(6000.0, "t", LIMIT) is None  # no quorum has reported how many there are
     reserve.observe_gateways(6001.0, 3, is_quorum=True)
     limits = QUOTA.reserve_limits(LIMIT, 9 * 1.25 + 1)  # nine were seen within the last minute
-    assert take_many(reserve, 6002.0) == int(limits.even.units) + int(limits.at_once_units)
+    assert take_many(reserve, 6002.0) == int(limits.steady.units) + int(limits.burst_units)
 
 
 def test_configured_number_of_gateways_opens_the_reserve_after_its_own_short_window() -> None:
-    even = QUOTA.reserve_limits(LIMIT, 10).even
+    steady = QUOTA.reserve_limits(LIMIT, 10).steady
     reserve = LocalReserve(QUOTA, 0.0)
     reserve.set_max_gateways(10)
     reserve.observe_gateways(100.0, 2, is_quorum=False)
-    assert even.window_ms < 1000.0
-    assert reserve.take(even.window_ms, "t", LIMIT) is None  # its last incarnation may have used it
-    began = even.window_ms + 100
-    assert take_many(reserve, began) == int(even.units)
-    assert reserve.take(began + even.window_ms - 60, "t", LIMIT) is None
-    assert reserve.take(began + even.window_ms + 110, "t", LIMIT) is not None
+    assert steady.window_ms < 1000.0
+    assert reserve.take(steady.window_ms, "t", LIMIT) is None  # its last incarnation may have used it
+    began = steady.window_ms + 100
+    assert take_many(reserve, began) == int(steady.units)
+    assert reserve.take(began + steady.window_ms - 60, "t", LIMIT) is None
+    assert reserve.take(began + steady.window_ms + 110, "t", LIMIT) is not None
     reserve.observe_gateways(2300.0, 11, is_quorum=False)  # more than configured, and no quorum has reported
     assert reserve.take(4000.0, "t", LIMIT) is None
