--- a/tests/system/quota/fault_schedule.py
+++ b/tests/system/quota/fault_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults, each drawn from one seed, for a simulated cluster under load well over every limit."""
+"""Random fault schedules, each determined by one seed, for a simulated cluster under load far above every limit."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 RUN_MS: Final = 20_000.0
 
 
-def inject_faults(cluster: SimulatedCluster) -> None:  # noqa: C901  one case after the other
-    """Inject one fault now, and another after a while, and so on."""
+def inject_faults(cluster: SimulatedCluster) -> None:  # noqa: C901  one branch for each fault
+    """Inject one random fault now and schedule the next one after a random delay."""
     rng = cluster.rng
     draw = rng.random()
     if draw < 0.25:
@@ -45,7 +45,7 @@
 
 
 def run_with_faults(seed: int) -> SimulatedCluster:
-    """Run one schedule of faults; with every other seed a tenth of the requests is cancelled and refunded."""
+    """Run one fault schedule; with every other seed a tenth of the requests is cancelled and refunded."""
     cluster = SimulatedCluster(seed, gateways=2 + seed % 7, coordinators=(3, 5, 3, 4, 1)[seed % 5])
     for tenant, limit in TENANT_LIMITS.items():
         cluster.traffic.add(tenant, limit, 300 / limit.rate_per_s, cancel_ratio=0.1 if seed % 2 else 0.0)
@@ -55,7 +55,7 @@
 
 
 def run_with_membership_changes(seed: int, is_joint: bool = True) -> SimulatedCluster:
-    """Run one schedule of faults with a change of members every two seconds."""
+    """Run one fault schedule with a change of members every two seconds on average."""
     cluster = SimulatedCluster(seed, gateways=2 + seed % 5, coordinators=(4, 5, 6)[seed % 3], is_joint=is_joint)
     for tenant, limit in TENANT_LIMITS.items():
         cluster.traffic.add(tenant, limit, 300 / limit.rate_per_s)
@@ -71,7 +71,7 @@
 
 
 def tenants_over_limit(cluster: SimulatedCluster) -> list[str]:
-    """Return the tenants of which more was admitted than the rule allows."""
+    """Return the tenants for which more requests were admitted than the rule allows."""
     return [
         tenant
         for tenant, limit in TENANT_LIMITS.items()
--- a/tests/system/quota/lease_participants.py
+++ b/tests/system/quota/lease_participants.py
@@ -1,4 +1,4 @@
-"""Lease tables of coordinators, and gateways that claim one bucket from whichever of them they reach."""
+"""Lease tables of coordinators, and gateways that send claims to the tables that a test selects."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 MEMBERS: Final = LeaseMembership(1, ("a", "b", "c"))
 BUCKET: Final = 5
 START: Final = 100_000.0  # long after the tables' grace period
-ROUNDS: Final = (0, 10, 20, 30)  # claims that learn the incarnations, get votes, confirm them, and one more
+ROUNDS: Final = (0, 10, 20, 30)  # claims that learn the incarnations, get votes and confirm them, and one more
 
 
 def make_table(started_at: float, incarnation: int, membership: LeaseMembership = MEMBERS) -> LeaseTable:
@@ -36,7 +36,7 @@
 
 
 class FixedUsage:
-    """The same usage in every bucket, all of them in use."""
+    """Reports the same usage for every bucket, and every bucket as in use."""
 
     def __init__(self, usage: UsageReport) -> None:
         self._usage = usage
@@ -49,7 +49,7 @@
 
 
 class ClaimingGateway:
-    """A lease client that claims from the tables it is given; `lease_starts` of it."""
+    """A lease client that sends its claims to the given tables; `lease_starts` records the leases that it acquired."""
 
     def __init__(self, name: str, now: float) -> None:
         self.lease_starts: list[LeaseStart] = []
@@ -58,7 +58,7 @@
         self.lease_client.set_gateways(now - VIEW_SETTLING_MS, [name])
 
     def claim(self, now: float, tables: dict[str, LeaseTable], usage: UsageReport = NO_USAGE) -> None:
-        """Send one claim to the tables, and process their votes at once."""
+        """Send one claim to the tables and process their votes immediately."""
         claim = self.lease_client.next_claim(now, FixedUsage(usage))
         for name, table in tables.items():
             coordinator_incarnation = self.lease_client.coordinator_incarnation(name)
@@ -77,5 +77,5 @@
             self.claim(now + delay_ms, tables, usage)
 
     def is_holder(self, now: float) -> bool:
-        """Whether it holds BUCKET."""
+        """Return whether the gateway holds BUCKET."""
         return self.lease_client.is_holder(now, BUCKET)
--- a/tests/system/quota/simulated_cluster.py
+++ b/tests/system/quota/simulated_cluster.py
@@ -1,7 +1,7 @@
-"""Gateways and coordinators in simulated time, under a seeded schedule of faults, against the quota rule.
+"""Gateways and coordinators in simulated time, with seeded random faults.
 
-Only the decisions run here, with the messages between them; every process has a steady clock of its own. A seed
-replays alike: the order of draws from `rng` is part of the schedules that the tests name by seed.
+Only the decision logic runs, with simulated messages between the processes; every process has its own steady clock.
+A seed always gives the same run. So the order of draws from `rng` must not change: the tests name schedules by seed.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 )
 from tests.system.quota.simulated_traffic import SimulatedTraffic
 
-LISTED_AFTER_DEATH_MS: Final = 3000.0  # a dead gateway stays in the others' views for so long
+LISTED_AFTER_DEATH_MS: Final = 3000.0  # how long a dead gateway stays in the views of the others
 
 
 class SimulatedCluster:
-    """One run. Without faults (`is_fault_free`) the network loses and delays nothing either."""
+    """One simulation run. If `is_fault_free`, the network loses no messages and adds no long delays either."""
 
     def __init__(
         self, seed: int, gateways: int, coordinators: int, is_fault_free: bool = False, is_joint: bool = True
@@ -64,17 +64,17 @@
         return SteadyClock(self.env, self.rng.uniform(0, 1e7), speed)
 
     def schedule(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Run an action after a delay."""
+        """Run an action after a delay in simulated time."""
         self.env.timeout(delay_ms).callbacks.append(lambda _: action())
 
     def run_for(self, duration_ms: float) -> None:
-        """Let simulated time pass."""
+        """Advance the simulated time."""
         self.env.run(until=self.env.now + duration_ms)
 
     # --- processes
 
     def start(self, process: SimulatedProcess) -> None:
-        """Start a process empty, as a new incarnation."""
+        """Start a process without state, as a new incarnation."""
         if isinstance(process, SimulatedCoordinator):
             self._start_coordinator(process)
         elif isinstance(process, SimulatedGateway):
@@ -91,7 +91,7 @@
         gateway.counter = TenantCounter(QUOTA, gateway.incarnation)
         gateway.reserve = LocalReserve(QUOTA, gateway.clock())
         gateway.reserve.set_max_gateways(self._max_gateways)
-        if self.is_fault_free or self.seed % 3:  # else nothing may be configured yet
+        if self.is_fault_free or self.seed % 3:  # otherwise the number may not be configured yet
             gateway.reserve.set_max_gateways(math.ceil(len(self.gateways) * 1.1))
         gateway.lease_client = LeaseClient(
             gateway.name, gateway.incarnation, QUOTA.window_ms, gateway.counter.on_lease_acquired
@@ -104,7 +104,7 @@
         return self._last_incarnation
 
     def kill(self, process: SimulatedProcess, down_ms: float) -> None:
-        """End a process, and start it again after a while."""
+        """Kill a process and restart it after a delay."""
         if process.incarnation:
             process.incarnation = 0
             process.frozen_until = 0.0
@@ -112,7 +112,7 @@
             self.schedule(down_ms, lambda: self.start(process))
 
     def run_in(self, process: SimulatedProcess, incarnation: int, action: Callable[[], None]) -> None:
-        """Run an action in one incarnation of a process; while that is frozen the action waits."""
+        """Run an action in one incarnation of a process; while the process is frozen, the action waits."""
         if process.incarnation != incarnation:
             return
         if self.env.now < process.frozen_until:
@@ -128,7 +128,10 @@
         on_receive: Callable[[], None],
         may_duplicate: bool = True,
     ) -> None:
-        """Send a message, which may be lost, delayed or duplicated, to whatever incarnation is there on arrival."""
+        """Send a message, which may be lost, delayed or duplicated.
+
+        It is delivered to the incarnation of the target that runs when it arrives.
+        """
         if source.partition != target.partition:
             return
         copies = 1
@@ -148,7 +151,7 @@
             )
 
     def shut_down(self, gateway: SimulatedGateway) -> None:
-        """End a gateway gracefully: it releases its buckets, and is gone a little later."""
+        """Shut a gateway down gracefully: it releases its buckets and ends one second later."""
         incarnation = gateway.incarnation
         if incarnation:
             gateway.lease_client.release_all(gateway.clock())
@@ -156,7 +159,7 @@
             self.schedule(1000, lambda: self.kill(gateway, 300.0) if gateway.incarnation == incarnation else None)
 
     def change_members(self) -> None:
-        """Exchange, add or remove a member; at times another change follows at once, or a voter dies meanwhile."""
+        """Replace, add or remove a member; sometimes change the members twice, or kill a voter during the change."""
         for _ in range(self.rng.choice((1, 1, 2))):
             members = [*self.membership.latest_members]
             spares = [coordinator.name for coordinator in self.coordinators if coordinator.name not in members]
@@ -173,7 +176,7 @@
     # --- leases
 
     def _update_view(self, gateway: SimulatedGateway) -> None:
-        """Update a gateway's view of gateways and holders from one coordinator, which may be wrong."""
+        """Update a gateway's view of the gateways, and of the holders from one coordinator; the view may be wrong."""
         now = gateway.clock()
         listed = [
             peer for peer in self.gateways if peer.incarnation or self.env.now < peer.died_at + LISTED_AFTER_DEATH_MS
@@ -215,7 +218,7 @@
         votes = coordinator.table.vote(coordinator.clock(), claim)
 
         def on_votes() -> None:
-            # Votes reach the incarnation that sent the claim: connections of an earlier one died with it.
+            # Votes only reach the incarnation that sent the claim, because its connections end with it.
             if gateway.incarnation != incarnation:
                 return
             if gateway.lease_client.on_votes(gateway.clock(), coordinator.name, claim.sequence, votes):
@@ -228,8 +231,8 @@
         self.send(coordinator, gateway, on_votes)
 
     def holder_of(self, tenant: str) -> SimulatedGateway | None:
-        """Return the holder of the tenant's bucket by its own clock; two would be an error of the leases."""
+        """Return the holder of the tenant's bucket by its own clock; fail if there are two."""
         bucket = bucket_of(tenant)
         holders = [gateway for gateway in self.gateways if gateway.incarnation and gateway.is_holder(bucket)]
-        assert len(holders) < 2, f"two hold {tenant} at {self.env.now}"
+        assert len(holders) < 2, f"two holders of the bucket of {tenant} at simulated ms {self.env.now}"
         return holders[0] if holders else None
--- a/tests/system/quota/simulated_membership.py
+++ b/tests/system/quota/simulated_membership.py
@@ -1,7 +1,7 @@
-"""Changes of the coordinators' membership in simulated time: joint state, settled state, end of the previous set.
+"""Changes of the coordinators' membership in simulated time: joint state, settled state, removal of the previous set.
 
-Each state reaches the coordinators separately, late, and at times not at all, until quorums have accepted it. What a
-coordinator has accepted outlives its process.
+Each state reaches each coordinator separately, with a delay and sometimes not at all, and is resent until quorums have
+accepted it. The state that a coordinator has accepted survives a restart of its process.
 """
 
 from __future__ import annotations
@@ -17,12 +17,15 @@
     from tests.system.quota.simulated_cluster import SimulatedCluster
     from tests.system.quota.simulated_process import SimulatedCoordinator
 
-RESEND_INTERVAL_MS: Final = 250.0  # until a state is sent again to those that have not accepted it
+RESEND_INTERVAL_MS: Final = 250.0  # after which a state that is not committed yet is sent again
 
 
 @dataclass
 class SimulatedMembership:
-    """The memberships of one run. `is_joint` False skips what makes a change safe: the tests must notice."""
+    """The memberships of one run.
+
+    `is_joint` False skips the joint state, which makes a change safe, so that tests can show that they detect this.
+    """
 
     cluster: SimulatedCluster
     committed: LeaseMembership
@@ -38,11 +41,11 @@
 
     @property
     def latest_members(self) -> tuple[str, ...]:
-        """The members once all pending changes are complete."""
+        """The members after all pending changes."""
         return self.pending_changes[-1] if self.pending_changes else self.committed.members
 
     def change(self, members: tuple[str, ...]) -> None:
-        """Change to these members, after the changes that are pending."""
+        """Change to these members after the pending changes."""
         self.pending_changes.append(members)
         self._begin_next()
 
@@ -95,5 +98,5 @@
                 coordinator.table.set_membership(coordinator.clock(), state)
 
         delay_ms = self.cluster.rng.uniform(1, 60 if self.cluster.is_fault_free else 600)
-        # It reaches whatever incarnation is there on arrival.
+        # It is delivered to the incarnation that runs when it arrives.
         self.cluster.schedule(delay_ms, lambda: self.cluster.run_in(coordinator, coordinator.incarnation or -1, accept))
--- a/tests/system/quota/simulated_process.py
+++ b/tests/system/quota/simulated_process.py
@@ -1,4 +1,4 @@
-"""Processes of a simulated cluster: each has its own steady clock and can be killed, frozen and cut off."""
+"""Processes of a simulated cluster; each has its own steady clock and can be killed, frozen and partitioned."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from hallhitch.planes.quota.local_reserve import LocalReserve
 from hallhitch.planes.quota.tenant_counter import TenantCounter
 
-QUOTA: Final = QuotaRule(5000.0, 0.1, 20.0)  # of all runs
+QUOTA: Final = QuotaRule(5000.0, 0.1, 20.0)  # for all runs
 
 
 @dataclass
 class SteadyClock:
-    """A process's own steady clock (ms), with an offset and a speed of its own."""
+    """The steady clock of one process (ms), which differs from simulated time by an offset and a speed."""
 
     env: simpy.Environment
     offset: float
@@ -30,7 +30,10 @@
 
 @dataclass
 class SimulatedProcess:
-    """What faults act on. `incarnation` is 0 while it is down; processes with one `partition` reach each other."""
+    """The state that faults change.
+
+    `incarnation` is 0 while the process is down. Processes with the same `partition` can reach each other.
+    """
 
     name: str
     clock: SteadyClock
@@ -42,23 +45,23 @@
 
 @dataclass
 class SimulatedCoordinator(SimulatedProcess):
-    """A coordinator; its table is a new one with each start."""
+    """A coordinator; each start creates a new table."""
 
     table: LeaseTable = field(init=False)
 
 
 @dataclass
 class SimulatedGateway(SimulatedProcess):
-    """A gateway; its parts are new ones with each start."""
+    """A gateway; each start creates its components anew."""
 
     lease_client: LeaseClient = field(init=False)
     counter: TenantCounter = field(init=False)
     reserve: LocalReserve = field(init=False)
 
     def is_holder(self, bucket: int) -> bool:
-        """Whether it counts the bucket's tenants now, by its own clock."""
+        """Return whether the gateway holds the bucket now, by its own clock."""
         return self.lease_client.is_holder(self.clock(), bucket)
 
     def held_buckets(self) -> list[int]:
-        """Return the buckets that it holds now, by its own clock."""
+        """Return the buckets that the gateway holds now, by its own clock."""
         return self.lease_client.held_buckets(self.clock())
--- a/tests/system/quota/simulated_traffic.py
+++ b/tests/system/quota/simulated_traffic.py
@@ -1,4 +1,4 @@
-"""Requests of tenants to a simulated cluster, and the record of what became of them."""
+"""Requests of tenants to a simulated cluster, and a record of their outcomes."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def max_in_window(times: list[float], window_ms: float) -> int:
-    """Return the most of sorted moments that lie within any span of a length."""
+    """Return the largest number of the sorted times that are within any window of length `window_ms`."""
     return max((bisect_right(times, start + window_ms) - index for index, start in enumerate(times)), default=0)
 
 
 @dataclass
 class AdmissionRecord:
-    """What became of the requests: sorted moments by tenant."""
+    """The outcomes of the requests: sorted times by tenant."""
 
     admitted: dict[str, list[float]] = field(default_factory=dict)
     admitted_by_holders: dict[str, list[float]] = field(default_factory=dict)
@@ -29,17 +29,20 @@
     admitted_by_reserves: int = 0
 
     def max_admitted(self, tenant: str) -> int:
-        """Return the most that was admitted in any sliding window."""
+        """Return the largest number of requests admitted in any sliding window."""
         return max_in_window(self.admitted.get(tenant, []), QUOTA.window_ms)
 
     def max_admitted_by_holders(self, tenant: str) -> int:
-        """Return the most that holders admitted in any sliding window, which is a little short: clocks differ."""
+        """Return the largest number of requests admitted by holders in any sliding window.
+
+        The window is slightly shorter than the rule's, because the holders' clocks differ.
+        """
         return max_in_window(self.admitted_by_holders.get(tenant, []), QUOTA.window_ms * 0.99)
 
 
 @dataclass(frozen=True)
 class Load:
-    """Requests of one tenant at random moments; `cancel_ratio` of those that a holder admits never run."""
+    """Requests of one tenant at random times; the share `cancel_ratio` of those admitted by a holder never runs."""
 
     tenant: str
     limit: RateLimit
@@ -55,14 +58,14 @@
 
 
 class SimulatedTraffic:
-    """The requests to one cluster."""
+    """The requests sent to one cluster."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self._cluster = cluster
         self.record = AdmissionRecord()
 
     def add(self, tenant: str, limit: RateLimit, interval_ms: float, cancel_ratio: float = 0.0) -> None:
-        """Send requests of a tenant to random gateways from now on, `interval_ms` apart on average."""
+        """Send requests of a tenant to random gateways from now on, one every `interval_ms` on average."""
         load = Load(tenant, limit, interval_ms, cancel_ratio)
 
         def send_request() -> None:
@@ -73,7 +76,7 @@
         send_request()
 
     def _handle(self, request: _Request) -> None:
-        """Handle a request at its gateway by the tenant's holder, or by the reserve if that does not respond."""
+        """Have the tenant's holder count a request, or the gateway's reserve if the holder does not respond."""
         gateway = request.gateway
         if not gateway.incarnation or self._cluster.env.now < gateway.frozen_until:
             return
@@ -91,14 +94,14 @@
         return self._cluster.is_fault_free or self._cluster.rng.random() >= 0.03
 
     def _count(self, request: _Request, holder: SimulatedGateway) -> None:
-        """Count a request at a holder, and handle it by the result."""
+        """Count a request at a holder and record its outcome."""
         cluster, load, gateway = self._cluster, request.load, request.gateway
         if not holder.is_holder(bucket_of(load.tenant)):
             return
         result = holder.counter.add(holder.clock(), load.tenant, 1, load.limit)
         if result.is_over_limit and cluster.is_fault_free and not result.is_over_share:
             self._reject(load.tenant)
-        elif result.is_over_limit:  # under faults callers use their reserves even where the holder says not to
+        elif result.is_over_limit:  # with faults, callers use their reserves even if the holder forbids it
             is_still_waiting = gateway.incarnation == request.incarnation and cluster.env.now >= gateway.frozen_until
             if is_still_waiting:
                 self._take_from_reserve(request)
@@ -122,7 +125,7 @@
             self._reject(load.tenant)
 
     def _admit(self, tenant: str) -> None:
-        """Record that a request goes to a backend now: it was sent before and arrives later."""
+        """Record that a request is admitted and sent to a backend now."""
         insort(self.record.admitted.setdefault(tenant, []), float(self._cluster.env.now))
 
     def _reject(self, tenant: str) -> None:
--- a/tests/system/quota/test_bucket_placement.py
+++ b/tests/system/quota/test_bucket_placement.py
@@ -1,4 +1,4 @@
-"""When a gateway acquires a bucket and when it hands one over, by the rendezvous ranking."""
+"""When a gateway acquires a bucket and when it hands a bucket over, depending on the rendezvous ranking."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class BusyBuckets:
-    """Usage in these buckets alone."""
+    """Reports only the given buckets as in use."""
 
     def __init__(self, *buckets: int) -> None:
         self._buckets = buckets
@@ -41,19 +41,19 @@
 
 
 def make_placement(own_address: str = "x") -> BucketPlacement:
-    """Return the view of a gateway that learnt of all gateways at START."""
+    """Return the view of a gateway that learned of all gateways at START."""
     placement = BucketPlacement(own_address)
     placement.set_gateways(START, GATEWAYS)
     return placement
 
 
 def bucket_with_rank(own_address: str, rank: int) -> int:
-    """Return a bucket in whose ranking a gateway has this index."""
+    """Return a bucket in whose ranking the gateway has the index `rank`."""
     return next(bucket for bucket, ranking in enumerate(rank_gateways(GATEWAYS)) if ranking[rank] == own_address)
 
 
 def held_since(acquired_at: float, buckets: range) -> HeldLeases:
-    """Return leases on these buckets that run for long."""
+    """Return leases on these buckets that expire long after the test."""
     held, membership = HeldLeases(), LeaseMembership(1, ("a",))
     for bucket in buckets:
         held.add(bucket, HeldLease(1, {"a": acquired_at + 1e6}, acquired_at), membership)
@@ -74,12 +74,12 @@
 @pytest.mark.parametrize("rank", [0, 1, 2])
 def test_free_bucket_is_acquired_in_the_order_of_its_ranking(rank: int) -> None:
     placement, bucket = make_placement(), bucket_with_rank("x", rank)
-    turn = SETTLED + rank * ACQUIRE_STAGGER_MS
-    assert placement.is_own_turn(turn, bucket)
-    assert rank == 0 or not placement.is_own_turn(turn - 1, bucket)
+    acquire_at = SETTLED + rank * ACQUIRE_STAGGER_MS
+    assert placement.is_own_turn(acquire_at, bucket)
+    assert rank == 0 or not placement.is_own_turn(acquire_at - 1, bucket)
 
 
-def test_bucket_held_elsewhere_is_not_acquired_and_its_last_holder_is_not_waited_for() -> None:
+def test_bucket_held_elsewhere_is_not_acquired_and_its_last_holder_causes_no_delay() -> None:
     placement, bucket = make_placement(), bucket_with_rank("x", 1)
     first = rank_gateways(GATEWAYS)[bucket][0]
     placement.set_holders(SETTLED, {bucket: first})
@@ -96,13 +96,13 @@
 
 def test_unused_buckets_of_other_gateways_are_handed_over_after_a_while() -> None:
     placement = make_placement()
-    belong_elsewhere = [bucket for bucket, ranking in enumerate(rank_gateways(GATEWAYS)) if ranking[0] != "x"]
-    busy = belong_elsewhere[0]
+    preferred_elsewhere = [bucket for bucket, ranking in enumerate(rank_gateways(GATEWAYS)) if ranking[0] != "x"]
+    busy = preferred_elsewhere[0]
     held = held_since(START, range(128))
     due = START + REBALANCE_AFTER_MS
     assert buckets_to_hand_over(due - 1, held, placement, BusyBuckets(busy), WINDOW_MS) == []
     handed_over = buckets_to_hand_over(due, held, placement, BusyBuckets(busy), WINDOW_MS)
-    assert handed_over == belong_elsewhere[1 : 1 + MAX_HANDED_OVER_PER_CLAIM]
+    assert handed_over == preferred_elsewhere[1 : 1 + MAX_HANDED_OVER_PER_CLAIM]
 
 
 def test_bucket_whose_last_lease_ended_within_the_window_is_not_handed_over() -> None:
--- a/tests/system/quota/test_counter_client.py
+++ b/tests/system/quota/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The decision on one request: by the holder, by the local reserve, and what a refund does."""
+"""Decisions on single requests by the holder and by the local reserve, and refunds."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 
 @dataclass
 class Caller:
-    """A counter client whose reserve is open and has so many units."""
+    """A counter client whose reserve has `reserve_units` units available."""
 
     counter: CounterClient
     network: VirtualNetwork
     reserve_units: int
 
     def holder_replies(self, response: CountResponse) -> None:
-        """Have the holder reply this to every call."""
+        """Make the holder reply to every call with `response`."""
         self.network.handlers["holder"] = lambda _: Envelope(count_response=response)
 
     async def admit(self, requests: int) -> list[bool]:
-        """Return the decisions on so many requests, one after another."""
+        """Send requests one after another; return whether each was admitted."""
         return [(await self.counter.admit(TENANT, 1000.0)).is_admitted for _ in range(requests)]
 
 
@@ -85,12 +85,12 @@
         await asyncio.sleep(6)
         caller.holder_replies(CountResponse(is_lease_holder=True, is_over_limit=True, retry_after_ms=20))
         rejected = await caller.counter.admit(TENANT, 1000.0)
-        assert not rejected.is_admitted and rejected.retry_after_ms == 250  # the least delay
+        assert not rejected.is_admitted and rejected.retry_after_ms == 250  # MIN_RETRY_AFTER_MS
 
     run(main)
 
 
-def test_tenant_without_limit_is_admitted_uncounted() -> None:
+def test_tenant_without_limit_is_admitted_without_counting() -> None:
     async def main(loop: VirtualLoop) -> None:
         caller = make_caller(loop)
         assert (await caller.counter.admit(UNLIMITED_TENANT, 1000.0)).is_admitted
@@ -99,7 +99,7 @@
     run(main)
 
 
-def test_holder_that_does_not_know_the_tenant_gets_its_limit() -> None:
+def test_holder_that_does_not_know_the_tenant_is_sent_its_limit() -> None:
     async def main(loop: VirtualLoop) -> None:
         caller = make_caller(loop)
         caller.network.handlers["holder"] = lambda envelope: Envelope(
@@ -113,11 +113,11 @@
     run(main)
 
 
-def test_silent_holder_costs_one_time_out_and_then_only_the_reserve_is_used() -> None:
+def test_unresponsive_holder_causes_one_time_out_and_then_only_the_reserve_is_used() -> None:
     async def main(loop: VirtualLoop) -> None:
         caller = make_caller(loop)
         counter, network, units = caller.counter, caller.network, caller.reserve_units
-        network.silent.add("holder")
+        network.unresponsive.add("holder")
         began = loop.now()
         decisions = [await counter.admit(TENANT, 1000.0) for _ in range(units + 3)]
         assert [decision.is_admitted for decision in decisions] == [True] * units + [False] * 3
@@ -127,17 +127,17 @@
         assert (await counter.admit(TENANT, 1000.0)).is_admitted
 
         await asyncio.sleep(HOLDER_BACKOFF_MS / 1000 + 0.01)
-        network.silent.clear()
+        network.unresponsive.clear()
         caller.holder_replies(CountResponse(is_lease_holder=True))
         both = await asyncio.gather(counter.admit(TENANT, 1000.0), counter.admit(TENANT, 1000.0))
-        # One call tries the holder, the other request has only the reserve, which is used up.
+        # One request makes the trial call to the holder; the other can only use the reserve, which is used up.
         assert sorted(decision.is_admitted for decision in both) == [False, True] and len(network.calls) == 2
         assert (await counter.admit(TENANT, 1000.0)).is_admitted and len(network.calls) == 3
 
     run(main)
 
 
-def test_gateway_that_holds_no_bucket_is_not_asked_again_at_once() -> None:
+def test_gateway_that_does_not_hold_the_bucket_is_not_called_again_at_once() -> None:
     async def main(loop: VirtualLoop) -> None:
         caller = make_caller(loop)
         counter, network = caller.counter, caller.network
--- a/tests/system/quota/test_fault_free_cluster.py
+++ b/tests/system/quota/test_fault_free_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster without faults rejects nothing that is inside a limit, and recovers soon from a holder's death."""
+"""A cluster without faults rejects no request within a limit, and recovers quickly from the death of a holder."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.system.quota.simulated_cluster import SimulatedCluster
 from tests.system.quota.simulated_process import QUOTA
 
-# Large, small, a burst of a fifth of a second, a burst of two seconds.
+# The bursts of "dense" and "bursting" are a fifth of a second and two seconds of their rates.
 TENANT_LIMITS = {
     "large": RateLimit(155.0, 155.0),
     "small": RateLimit(10.0, 10.0),
@@ -19,7 +19,7 @@
 
 @pytest.fixture(scope="module")
 def cluster() -> SimulatedCluster:
-    """Nine gateways and three coordinators ten seconds after their start, then usual load for fifteen."""
+    """Nine gateways and three coordinators after ten seconds without load and fifteen seconds with usual load."""
     cluster = SimulatedCluster(7, gateways=9, coordinators=3, is_fault_free=True)
     cluster.run_for(10_000)
     for tenant, limit in TENANT_LIMITS.items():
@@ -32,20 +32,20 @@
     assert cluster.traffic.record.rejected == {}
 
 
-def test_every_bucket_has_one_holder_and_all_are_spread(cluster: SimulatedCluster) -> None:
+def test_every_bucket_has_one_holder_and_buckets_are_spread_over_the_gateways(cluster: SimulatedCluster) -> None:
     held = [gateway.held_buckets() for gateway in cluster.gateways]
     assert sorted(bucket for buckets in held for bucket in buckets) == list(range(128))
     assert max(map(len, held)) < 32
 
 
 def test_few_requests_are_rejected_after_a_holders_death(cluster: SimulatedCluster) -> None:
-    began, admitted_before = cluster.env.now, len(cluster.traffic.record.admitted["large"])
+    killed_at, admitted_before = cluster.env.now, len(cluster.traffic.record.admitted["large"])
     holder = cluster.holder_of("large")
     assert holder is not None
     cluster.kill(holder, 400.0)
     cluster.run_for(8000)
-    rejected = [moment - began for moment in cluster.traffic.record.rejected.get("large", [])]
-    assert sum(moment > 2500 for moment in rejected) <= 5
+    rejected = [rejected_at - killed_at for rejected_at in cluster.traffic.record.rejected.get("large", [])]
+    assert sum(elapsed_ms > 2500 for elapsed_ms in rejected) <= 5
     assert len(rejected) < 0.1 * (len(cluster.traffic.record.admitted["large"]) - admitted_before)
     for tenant, limit in TENANT_LIMITS.items():
         assert cluster.traffic.record.max_admitted(tenant) <= QUOTA.total_limit(limit)
--- a/tests/system/quota/test_lease_acquisition.py
+++ b/tests/system/quota/test_lease_acquisition.py
@@ -1,4 +1,4 @@
-"""Acquisition of a lease where coordinators restart, claims are late and votes are split."""
+"""Acquisition of a lease when coordinators restart, claims are late and votes are split."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     assert gateway_x.is_holder(START + 900) and not gateway_x.is_holder(START + 980)
 
 
-def test_forgotten_vote_makes_no_second_holder() -> None:
+def test_vote_forgotten_in_a_restart_does_not_lead_to_two_holders() -> None:
     tables = make_tables(MEMBERS.members)
     gateway_y, gateway_x, now = ClaimingGateway("y", START), ClaimingGateway("x", START), START
     gateway_y.claim_rounds(now, select(tables, "ac"))
     gateway_x.claim(now + 600, tables)
-    gateway_x.claim(now + 610, select(tables, "b"))  # b votes for x, as nobody has claimed from it before
-    tables["b"] = make_table(now + 620, 9)  # and forgets that
+    gateway_x.claim(now + 610, select(tables, "b"))  # b votes for x, as it has received no claim before
+    tables["b"] = make_table(now + 620, 9)  # b restarts and forgets that vote
     gateway_y.claim_rounds(now, select(tables, "bc"), rounds=(650, 660, 700))
     gateway_x.claim(now + 1040, select(tables, "a"))  # y's vote there has expired
     assert gateway_y.is_holder(now + 1041) and not gateway_x.is_holder(now + 1041)
@@ -59,7 +59,7 @@
     assert predecessor.usage == usage and predecessor.received_at == START + 100
 
 
-def test_reports_count_only_if_all_voters_report_of_the_same_holder() -> None:
+def test_reports_are_used_only_if_all_voters_report_the_same_holder() -> None:
     older, newer = (PredecessorReport("x", 1, sequence, NO_USAGE, False, 0.0) for sequence in (4, 5))
     assert newest_common_report([older, newer]) is newer
     assert newest_common_report([older, None]) is None
--- a/tests/system/quota/test_lease_messages.py
+++ b/tests/system/quota/test_lease_messages.py
@@ -1,4 +1,4 @@
-"""Claims and votes are the same after a way over the wire."""
+"""Encoding and decoding of claims and votes restores them unchanged."""
 
 from __future__ import annotations
 
--- a/tests/system/quota/test_lease_table.py
+++ b/tests/system/quota/test_lease_table.py
@@ -1,4 +1,4 @@
-"""The votes of one coordinator: grace period, stale claims, and members that change."""
+"""The votes of one coordinator: grace period, stale claims, and changes of members."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 JOINT = LeaseMembership(2, ("a", "b", "d"), ("a", "b", "c"))
 AFTER = LeaseMembership(4, ("a", "b", "d"))
 
-# Claims of two gateways, to which the tests give a sequence number and buckets.
+# Base claims of two gateways; the tests add a sequence number and buckets.
 CLAIM_X = LeaseClaim("x", 1, 1, MEMBERS.version, coordinator_incarnation=INCARNATION)
 CLAIM_Y = LeaseClaim("y", 2, 1, MEMBERS.version, coordinator_incarnation=INCARNATION)
 
@@ -27,10 +27,10 @@
     assert table.vote(grace_end + 5, replace(CLAIM_Y, acquire=(BUCKET,))).rejected == {BUCKET}
     votes = table.vote(grace_end + 25, replace(CLAIM_Y, sequence=2, acquire=(BUCKET,)))
     assert not votes.rejected and votes.idle_ms == (5,)
-    assert BUCKET not in votes.predecessors  # what x reported in the grace period may be older than another's
+    assert BUCKET not in votes.predecessors  # another holder's report may be newer than that of x in the grace period
 
 
-def test_overtaken_claims_and_claims_to_another_incarnation_are_not_accepted() -> None:
+def test_claims_out_of_order_and_claims_to_another_incarnation_are_not_accepted() -> None:
     table = make_table(0.0, INCARNATION)
     assert table.vote(START, replace(CLAIM_X, sequence=5, acquire=(BUCKET,))).is_accepted
     assert not table.vote(START, replace(CLAIM_X, sequence=4, release=(BUCKET,))).is_accepted
@@ -43,11 +43,11 @@
     table.set_membership(START, JOINT)
     votes = table.vote(START + 1, replace(CLAIM_X, acquire=(BUCKET,)))
     assert not votes.is_accepted and votes.membership == JOINT
-    table.set_membership(START, BEFORE)  # an older one is ignored
+    table.set_membership(START, BEFORE)  # an older membership is ignored
     assert not table.vote(START + 2, replace(CLAIM_X, sequence=2, acquire=(BUCKET,))).is_accepted
 
 
-def test_voter_behind_the_claims_membership_reports_nothing_of_earlier_holders() -> None:
+def test_voter_with_an_older_membership_than_the_claim_reports_no_earlier_holder() -> None:
     table = make_table(0.0, INCARNATION, BEFORE)
     claim = replace(CLAIM_Y, membership_version=AFTER.version, acquire=(BUCKET,))
     votes = table.vote(START, claim)
--- a/tests/system/quota/test_membership_change.py
+++ b/tests/system/quota/test_membership_change.py
@@ -1,4 +1,4 @@
-"""Leases while the members change: no two holders, no usage report lost, no lease ended by one member's exchange."""
+"""Leases during a change of members: no two holders, no lost usage report, no lease ended by replacing one member."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 JOINT = LeaseMembership(2, ("a", "b", "d"), ("a", "b", "c"))
 SETTLED = LeaseMembership(3, JOINT.members, JOINT.previous_members)
 AFTER = LeaseMembership(4, ("a", "b", "d"))
-NOT_JOINT = LeaseMembership(2, ("a", "b", "d"))  # unsafe: the new members count alone as soon as they are known
+NOT_JOINT = LeaseMembership(2, ("a", "b", "d"))  # unsafe: the new members alone count as soon as they are known
 
 
 @pytest.mark.parametrize(("membership", "holders"), [(NOT_JOINT, ["x", "y"]), (JOINT, ["x"])])
 def test_only_a_joint_membership_prevents_two_holders(membership: LeaseMembership, holders: list[str]) -> None:
-    """x knows of no change and reaches b and c; y knows of it and reaches a and d, which have accepted it."""
+    """x does not know of the change and reaches b and c; y knows of it and reaches a and d, which have accepted it."""
     tables = make_tables("abcd", BEFORE)
     gateway_x, gateway_y = ClaimingGateway("x", START), ClaimingGateway("y", START)
     gateway_x.claim_rounds(START, select(tables, "bc"))
@@ -60,7 +60,7 @@
     assert gateway_x.lease_client.voters == AFTER.members and len(gateway_x.lease_starts) == 128
 
 
-def test_running_lease_goes_on_though_none_of_its_voters_stays() -> None:
+def test_lease_stays_valid_if_none_of_its_voters_remains_a_member() -> None:
     tables, gateway_x = make_tables("abcd", BEFORE), ClaimingGateway("x", START)
     gateway_x.claim_rounds(START, select(tables, "abc"))
     gateway_x.lease_client.set_membership(START + 100, LeaseMembership(2, ("d", "e", "f"), BEFORE.members))
@@ -68,7 +68,9 @@
 
 
 @pytest.mark.parametrize("memberships", [(JOINT, SETTLED, AFTER), (AFTER,)])
-def test_holder_that_shared_no_voter_bounds_what_is_known(memberships: tuple[LeaseMembership, ...]) -> None:
+def test_exclusive_since_is_not_before_the_drop_of_a_quorum_set_without_common_voter(
+    memberships: tuple[LeaseMembership, ...],
+) -> None:
     tables = make_tables("abcd", BEFORE)
     gateway_x, gateway_y = ClaimingGateway("x", START), ClaimingGateway("y", START)
     gateway_x.claim_rounds(START, select(tables, "bc"))
@@ -91,7 +93,9 @@
     for name in "ad":
         tables[name].set_membership(START + 40, SETTLED)
     gateway_y.lease_client.set_membership(START + 40, SETTLED)
-    gateway_y.claim_rounds(START + LEASE_DURATION_MS, select(tables, "ad"), rounds=ROUNDS[:2])  # half of what is needed
+    gateway_y.claim_rounds(
+        START + LEASE_DURATION_MS, select(tables, "ad"), rounds=ROUNDS[:2]
+    )  # only one of two rounds of votes
     dropped_at = START + LEASE_DURATION_MS + CLOCK_MARGIN_MS
     for name in "ad":
         tables[name].set_membership(dropped_at, AFTER)
@@ -100,7 +104,7 @@
     assert gateway_y.is_holder(dropped_at + 50) and gateway_y.lease_starts[BUCKET].exclusive_since == dropped_at
 
 
-def test_exchange_of_one_member_ends_no_lease_and_rejects_no_request() -> None:
+def test_replacing_one_member_ends_no_lease_and_rejects_no_request() -> None:
     cluster = SimulatedCluster(7, gateways=9, coordinators=4, is_fault_free=True)
     cluster.run_for(10_000)
     for tenant, rate in (("large", 155.0), ("small", 10.0)):
@@ -108,7 +112,7 @@
     cluster.run_for(6000)
     began = cluster.env.now
     cluster.membership.change(tuple(coordinator.name for coordinator in cluster.coordinators[1:]))
-    while cluster.env.now < began + 2500:  # after that a bucket is handed over, with or without a change
+    while cluster.env.now < began + 2500:  # later a bucket is handed over, with or without a change of members
         cluster.run_for(5)
         assert sum(len(gateway.held_buckets()) for gateway in cluster.gateways) == 128
     assert cluster.membership.completed_changes == 1 and cluster.traffic.record.rejected == {}
@@ -122,11 +126,11 @@
         assert cluster.membership.completed_changes, f"seed {seed}"
 
 
-def test_schedules_detect_members_that_count_alone_at_once() -> None:
+def test_schedules_detect_a_change_without_joint_membership() -> None:
     detected = 0
-    for seed in (18, 51):  # the two of the first sixty seeds that show it
+    for seed in (18, 51):  # the only two of the first sixty seeds that detect it
         try:
             detected += bool(tenants_over_limit(run_with_membership_changes(seed, is_joint=False)))
         except AssertionError as error:
-            detected += "two hold" in str(error)
+            detected += "two holders of the bucket" in str(error)
     assert detected
--- a/tests/system/quota/test_plane.py
+++ b/tests/system/quota/test_plane.py
@@ -1,4 +1,4 @@
-"""Quota planes of four gateways and three coordinators, over messages, in virtual time."""
+"""Quota planes of four gateways and three coordinators that exchange messages in virtual time."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class PlaneCluster:
-    """The planes, which get the gateways and holders from one coordinator every 100 ms."""
+    """Quota planes that receive the gateways and holders from one coordinator every 100 ms."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -62,14 +62,14 @@
             self.network.handlers[node.internal_address] = plane.handle
 
     async def start(self) -> None:
-        """Start the planes, and wait until the leases are spread."""
+        """Start the planes and wait until the leases are spread over them."""
         self.updates = asyncio.create_task(self._send_updates())
         for plane in self.planes:
             await plane.start()
         await asyncio.sleep(9)
 
     async def count_admitted(self, requests: int, interval_s: float) -> int:
-        """Return how many requests are admitted at the gateways but for the first, in turn."""
+        """Send requests in turn to all gateways except the first; return how many were admitted."""
         admitted = 0
         for number in range(requests):
             decision = await self.planes[1 + number % 3].counter.admit(TENANT, 500.0)
@@ -122,7 +122,7 @@
         cluster = PlaneCluster(loop)
         await cluster.start()
         holder = cluster.holder_index()
-        cluster.planes.append(cluster.planes.pop(holder))  # the last one: requests still come to it
+        cluster.planes.append(cluster.planes.pop(holder))  # as the last plane, to which requests are still sent
         cluster.nodes.append(cluster.nodes.pop(holder))
         assert await cluster.count_admitted(60, 0.03) == 60
         await cluster.planes[-1].release_all()
@@ -136,11 +136,11 @@
     async def main(loop: VirtualLoop) -> None:
         cluster = PlaneCluster(loop)
         await cluster.start()
-        cluster.network.silent.update(list(cluster.coordinators)[:2])
+        cluster.network.unresponsive.update(list(cluster.coordinators)[:2])
         await asyncio.sleep(2)
         assert not any(cluster.held_buckets())
         assert 0 < await cluster.count_admitted(120, 0.0) < 70
-        cluster.network.silent.clear()
+        cluster.network.unresponsive.clear()
         await asyncio.sleep(4)
         assert sum(map(len, cluster.held_buckets())) == BUCKET_COUNT
         assert await cluster.count_admitted(30, 0.05) == 30
--- a/tests/system/quota/test_quota_bound.py
+++ b/tests/system/quota/test_quota_bound.py
@@ -1,4 +1,4 @@
-"""Whatever the faults, no sliding window of a tenant exceeds the rule, and no bucket has two holders."""
+"""Under random faults, no sliding window of a tenant exceeds the rule, and no bucket has two holders."""
 
 from __future__ import annotations
 
@@ -14,5 +14,5 @@
         record = run_with_faults(seed).traffic.record
         for tenant, limit in TENANT_LIMITS.items():
             assert record.max_admitted(tenant) <= QUOTA.total_limit(limit), f"seed {seed}, {tenant}"
-            held = record.max_admitted_by_holders(tenant)
-            assert held <= QUOTA.holder_limit(limit), f"seed {seed}, {tenant}: its holders"
+            by_holders = record.max_admitted_by_holders(tenant)
+            assert by_holders <= QUOTA.holder_limit(limit), f"seed {seed}, {tenant}: admitted by holders"
--- a/tests/system/quota/test_sliding_window.py
+++ b/tests/system/quota/test_sliding_window.py
@@ -1,4 +1,4 @@
-"""The sliding count is never below what was counted within a span, whatever comes in between."""
+"""A sliding window never counts fewer units than were added within its length, for any sequence of operations."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @dataclass
 class Addition:
-    """Units that were added, fewer after a refund."""
+    """Units that were added at one time; 0 after a refund."""
 
     added_at: float
     units: int
     slot: int
 
 
-# Pause before an addition, its units, and whether an earlier addition is refunded after it.
+# Each step: the pause before an addition (ms), its units, and whether an earlier addition is refunded afterwards.
 STEPS = st.lists(st.tuples(st.floats(0, 1500), st.integers(0, 3), st.booleans()), max_size=60)
 
 
@@ -48,7 +48,7 @@
             assert sum(units_by_cell[:cell]) >= recent or sum(units_by_cell[: cell + 1]) >= recent
 
 
-def test_capacity_is_back_after_the_returned_time() -> None:
+def test_window_has_capacity_after_the_returned_time() -> None:
     window = SlidingWindow(1000.0, 5000.0, 500.0)
     window.add(4)
     window.advance(1900.0)
