--- a/hallhitch/planes/distribution/__init__.py
+++ b/hallhitch/planes/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution of soft state: each process pulls what it lacks from its peers, as snapshots and deltas."""
+"""Distribution of soft state: each process pulls the state that it lacks from its peers, as snapshots and deltas."""
--- a/hallhitch/planes/distribution/config_compiler.py
+++ b/hallhitch/planes/distribution/config_compiler.py
@@ -1,7 +1,7 @@
-"""Compiles a cluster configuration from its stored bytes for look-ups by each request.
+"""Compiles a stored cluster configuration into the lookup tables that each request uses.
 
-Runs once for each change. The configuration was validated before it was committed (planes/control),
-by this release or by a newer one: a value that this release does not know counts as absent, and nothing is rejected.
+Compilation runs once for each change. The configuration was validated before it was committed (planes/control), by this
+release or by a newer one. So nothing is rejected here: a value that this release does not know is treated as absent.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 )
 
 EMPTY_CONFIG: Final = ClusterConfig(serial=0, version=-1, routes={}, services={}, tenants={}, tenants_by_api_key={})
-DEFAULT_TIMEOUT_MS: Final = 30_000.0  # of a route without `timeout`
+DEFAULT_TIMEOUT_MS: Final = 30_000.0  # for a route without `timeout`
 DEFAULT_TARGET_SHARE: Final = 1 / 4  # of the timeout, for a route without `targetLatency`
 DEFAULT_HEALTH_PATH: Final = "/health"
 
@@ -31,18 +31,18 @@
 def compile_config(
     serial: int, version: int, content: bytes, evacuated_zones: Iterable[str], max_gateways: int = 0
 ) -> ClusterConfig:
-    """Compile a configuration from `content`, the zlib of its JSON; empty if only zones were evacuated so far."""
-    table = json.loads(zlib.decompress(content)) if content else {}
-    tenants = {name: _compile_tenant(name, entry) for name, entry in (table.get("tenants") or {}).items()}
-    routes = _compile_routes(table.get("routes") or {})
+    """Compile a configuration from `content`, its zlib-compressed JSON; empty if only zones were evacuated so far."""
+    document = json.loads(zlib.decompress(content)) if content else {}
+    tenants = {name: _compile_tenant(name, entry) for name, entry in (document.get("tenants") or {}).items()}
+    routes = _compile_routes(document.get("routes") or {})
     return ClusterConfig(
         serial=serial,
         version=version,
         routes=routes,
-        services={name: _compile_service(name, entry) for name, entry in (table.get("services") or {}).items()},
+        services={name: _compile_service(name, entry) for name, entry in (document.get("services") or {}).items()},
         tenants=tenants,
         tenants_by_api_key={api_key: tenant for tenant in tenants.values() for api_key in tenant.api_keys},
-        limits=_compile_limits(table.get("limits") or {}),
+        limits=_compile_limits(document.get("limits") or {}),
         evacuated_zones=frozenset(evacuated_zones),
         max_gateways=max_gateways,
         home_regions=_find_home_regions(routes),
@@ -50,7 +50,7 @@
 
 
 def _find_home_regions(routes: Mapping[str, Iterable[Route]]) -> dict[str, frozenset[str]]:
-    """Return by host the regions that may serve each of its routes, of the hosts that have a restricted one."""
+    """Return, for each host that has a route restricted to regions, the regions that may serve all of its routes."""
     home_regions: dict[str, frozenset[str]] = {}
     for host, host_routes in routes.items():
         restricted = [route.allowed_regions for route in host_routes if route.allowed_regions]
@@ -60,7 +60,7 @@
 
 
 def _compile_routes(entries: Mapping[str, Mapping[str, Any]]) -> dict[str, tuple[Route, ...]]:
-    """Return the routes by host in lower case, the longest prefix first."""
+    """Return the routes by host (in lower case), longest prefix first."""
     by_host: dict[str, list[Route]] = {}
     for name, entry in entries.items():
         route = _compile_route(name, entry)
--- a/hallhitch/planes/distribution/coordinator_sync.py
+++ b/hallhitch/planes/distribution/coordinator_sync.py
@@ -1,4 +1,4 @@
-"""Keeps a coordinator's soft state in step: heartbeats of gateways, pulls from the other coordinators.
+"""Synchronizes a coordinator's soft state by the heartbeats of gateways and by pulls from the other coordinators.
 
 The live gateways are those that pull from this coordinator, merged with those that pull from its live peers.
 """
@@ -14,12 +14,13 @@
 from hallhitch.planes.distribution.ports import SyncContext
 from hallhitch.planes.distribution.state_messages import decode_gateway
 
-WARMUP_MS: Final = 600.0  # after its start, in which a coordinator knows too few gateways to share them
-LIVE_PEER_MS: Final = 1800.0  # a coordinator that replied within it is live; as long as a gateway's heartbeat time-out
+WARMUP_MS: Final = 600.0  # after its start, while a coordinator knows too few gateways to share them
+# A coordinator that replied within this time is live; the same as a gateway's heartbeat time-out.
+LIVE_PEER_MS: Final = 1800.0
 
 
 class CoordinatorSync:
-    """Owns the hub's gateways and coordinators, and the pulls from peers."""
+    """Maintains the gateways and coordinators in the hub, and pulls from the other coordinators."""
 
     def __init__(self, context: SyncContext) -> None:
         self._hub, self._own_entry, self._clock = context.hub, context.own_entry, context.clock
@@ -29,7 +30,7 @@
         self._hub.shares_gateways = False
 
     def add_peers(self, addresses: Iterable[str]) -> None:
-        """Start to pull from these coordinators, except from this one and those that are known already."""
+        """Start pulling from these coordinators, except this one and those that are already known."""
         self._peers.add_peers(addresses)
 
     def live_peers(self) -> list[str]:
@@ -41,7 +42,7 @@
         return sum(gateway.serves_clients for gateway in self._hub.gateways.values())
 
     def respond(self, request: StateRequest) -> Awaitable[Envelope]:
-        """Record the requester, a gateway or a coordinator, and reply with what it lacks."""
+        """Record the requester, a gateway or a coordinator, and reply with the state that it lacks."""
         requester = decode_gateway(request.requester)
         if requester.serves_clients:
             self._registry.record_heartbeat(self._clock(), requester)
@@ -51,14 +52,14 @@
         return self._hub.respond(request)
 
     def remove_expired_gateways(self) -> None:
-        """Remove the gateways without a recent heartbeat; share them from the end of the warm-up on."""
+        """Remove the gateways without a recent heartbeat; start sharing the others once the warm-up is over."""
         now_ms = self._clock()
         self._hub.shares_gateways = now_ms - self._started_at > WARMUP_MS
         self._registry.remove_expired(now_ms)
         self._merge_gateways()
 
     def set_live_coordinators(self, live_peers: Iterable[str], kept: Collection[str]) -> None:
-        """Share these coordinators and this one; remove the unresponsive ones that are no members or seeds (`kept`)."""
+        """Share these coordinators and this one; remove unresponsive ones except members and seeds (`kept`)."""
         self._hub.coordinators = (self._own_entry().address, *live_peers)
         self._peers.remove_unresponsive(kept)
 
--- a/hallhitch/planes/distribution/gateway_sync.py
+++ b/hallhitch/planes/distribution/gateway_sync.py
@@ -1,13 +1,13 @@
-"""Keeps a gateway's soft state in step with the cluster: which peers it pulls from, and when.
+"""Synchronizes a gateway's soft state with the cluster: selects the peers to pull from, and when to pull.
 
-A gateway long-polls one coordinator: the first in its rendezvous order whose serving lease is valid. Where no
-coordinator replies, it pulls from a few other gateways.
+A gateway long-polls one coordinator: the first in its rendezvous order with a valid serving lease. If no coordinator
+replies, it pulls from a few other gateways.
 
 Invariants:
-- At most one request to a peer is under way. If its reply is late, the next coordinator is tried beside it, and the
-  late reply is still applied: nothing is fetched twice because a link is slow.
-- A first configuration comes from a coordinator with a valid serving lease, or is the newest that several gateways
-  use. From then on the serial only grows, whichever peer replies.
+- At most one request to a peer is in flight. If its reply is late, the next coordinator is tried in parallel, and the
+  late reply is still applied. So a slow link does not cause state to be fetched twice.
+- The first configuration comes from a coordinator with a valid serving lease, or is the newest of those that several
+  gateways use. After that the serial only increases, whichever peer replies.
 """
 
 from __future__ import annotations
@@ -25,16 +25,17 @@
 from hallhitch.planes.distribution.ports import SyncContext
 from hallhitch.planes.values import LeaseMembership
 
-STARTUP_WAIT_MS: Final = 800.0  # for the replies of the seeds, after the start of the process
-RETRY_PAUSE_MS: Final = 100.0  # after no peer replied
-COORDINATOR_PROBE_MS: Final = 350.0  # in which a coordinator that is back replies to a gateway that pulls from gateways
-PROBED_COORDINATORS: Final = 3  # at a time
-PEER_GATEWAYS: Final = 3  # that one pulls from where no coordinator replies
-COORDINATOR_RECHECK_MS: Final = 3000.0  # after it, a gateway that pulls from gateways tries all coordinators again
-BOOTSTRAP_PULLS: Final = 2  # from a gateway, by a process without state: the configuration, then everything else
+STARTUP_WAIT_MS: Final = 800.0  # after the start of the process, for the replies of the seeds
+RETRY_PAUSE_MS: Final = 100.0  # after no peer has replied
+# While a gateway pulls from other gateways: time-out of a probe that checks whether a coordinator replies again.
+COORDINATOR_PROBE_MS: Final = 350.0
+MAX_PROBED_COORDINATORS: Final = 3  # at a time
+MAX_PEER_GATEWAYS: Final = 3  # from which a gateway pulls if no coordinator replies
+COORDINATOR_RECHECK_MS: Final = 3000.0  # after which a gateway that pulls from gateways tries all coordinators again
+BOOTSTRAP_PULLS: Final = 2  # from gateways, by a process without state: first the configuration, then everything else
 MAX_PARALLEL_REQUESTS: Final = 3
-REPLY_TIMEOUT_RATIO: Final = 0.2  # of configApply: if a reply takes longer, the next coordinator is tried beside it
-OVERDUE_RATIO: Final = 0.6  # of configApply: a request under way for longer does not count as a parallel one
+REPLY_TIMEOUT_RATIO: Final = 0.2  # of configApply; if a reply takes longer, the next coordinator is tried in parallel
+OVERDUE_RATIO: Final = 0.6  # of configApply; a request in flight for longer does not count as a parallel one
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +54,7 @@
 class GatewaySync:
     """Pulls the soft state of the cluster into the hub of one gateway.
 
-    `start` creates the task that does; it and the requests under way end with `stop`.
+    `start` creates the task that pulls; `stop` cancels it and the requests in flight.
     """
 
     def __init__(self, context: SyncContext, seeds: Sequence[str]) -> None:
@@ -64,11 +65,11 @@
         self._task: asyncio.Task[None] | None = None
         self._replicas: dict[str, PeerReplica] = {}
         self._pending: dict[str, _PendingRequest] = {}  # by address
-        self._awaited_address = ""  # of the peer whose reply `_run` waits for
-        self.is_startup_complete = False  # whether a majority of the seeds has replied, or STARTUP_WAIT_MS are over
+        self._awaited_address = ""  # address of the peer whose reply `_run` waits for
+        self.is_startup_complete = False  # True once a majority of the seeds has replied or STARTUP_WAIT_MS have passed
 
     def start(self) -> None:
-        """Start to pull."""
+        """Start pulling."""
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
@@ -83,12 +84,12 @@
         self._seeds = tuple(seeds)
 
     def coordinators(self) -> list[str]:
-        """Return the addresses of all known coordinators, the preferred one first."""
+        """Return the addresses of all known coordinators, in order of preference."""
         known = {*self._seeds, *self._hub.coordinators, *self._hub.members}
         return rendezvous_order(self._own_entry().name, known)
 
     def publish_self(self) -> None:
-        """Send this gateway's own entry, which has changed, now instead of with the next request."""
+        """Send this gateway's changed entry now instead of with the next request, by cancelling the awaited request."""
         if self._awaited_address in self._pending:
             self._pending[self._awaited_address].task.cancel()
 
@@ -100,20 +101,20 @@
             try:
                 if not await self._follow_coordinators(self.coordinators()):
                     await self._pull_from_gateways()
-            except Exception as error:  # noqa: BLE001  # whatever failed in one pull, the next is made
+            except Exception as error:  # noqa: BLE001  # a failed pull must not stop the loop
                 self._log.exception("state pull failed", error)
             await asyncio.sleep(RETRY_PAUSE_MS / 1000)
 
-    # Which peers are pulled from.
+    # Selection of peers.
 
     async def _pull_from_seeds(self) -> None:
-        """Pull from the seeds, for the newest configuration, until a majority has replied or the time is over."""
+        """Pull the newest configuration from the seeds, until a majority has replied or STARTUP_WAIT_MS are over."""
         deadline = self._clock() + STARTUP_WAIT_MS
-        requests = {self._request(self._replica(address), 0.0, with_view=False) for address in self._seeds}
+        requests = {self._request(self._replica(address), 0.0, updates_view=False) for address in self._seeds}
         await self._wait_for_replies(requests, len(requests) // 2 + 1, deadline)
 
     async def _follow_coordinators(self, addresses: Sequence[str]) -> bool:
-        """Pull from the first coordinator with a serving lease as long as it is valid; False if none replied at all."""
+        """Pull from the first coordinator with a serving lease while that is valid; return False if none replied."""
         without_lease: list[PeerReplica] = []
         for address in addresses:
             replica = self._replica(address)
@@ -133,13 +134,14 @@
         """Pull once from the coordinator whose lease expired last; return whether it replied."""
         has_reply = await self._pull(max(replicas, key=lambda replica: replica.quorum_contact_at), HOLD_MS)
         if not self._hub.config.serial or not len(self._hub.backends):
-            # Such a coordinator gives no first configuration; the gateways that it knows may have the one in force.
+            # A coordinator without a lease gives no first configuration, but the gateways that it knows may have the
+            # current one.
             for _ in range(BOOTSTRAP_PULLS):
                 await self._pull_newest(self._peer_gateways(), 0.0)
         return has_reply
 
     async def _pull_from_gateways(self) -> None:
-        """Pull from gateways until a coordinator replies, or it is time to go through all of them again."""
+        """Pull from gateways until a coordinator replies or it is time to try all coordinators again."""
         gateways = self._peer_gateways()
         deadline, hold_ms = self._clock() + COORDINATOR_RECHECK_MS, 0.0
         while gateways and self._clock() < deadline:
@@ -149,12 +151,12 @@
 
     async def _has_coordinator_reply(self) -> bool:
         """Return whether one of the preferred coordinators replies in time."""
-        addresses = self.coordinators()[:PROBED_COORDINATORS]
-        requests = {self._request(self._replica(address), 0.0, with_view=True) for address in addresses}
+        addresses = self.coordinators()[:MAX_PROBED_COORDINATORS]
+        requests = {self._request(self._replica(address), 0.0, updates_view=True) for address in addresses}
         return await self._wait_for_replies(requests, 1, self._clock() + COORDINATOR_PROBE_MS)
 
     async def _wait_for_replies(self, requests: set[asyncio.Task[bool]], needed: int, deadline: float) -> bool:
-        """Wait until as many requests as needed have had a reply; return whether they had by the deadline."""
+        """Wait until `needed` requests have received a reply; return whether that happened before the deadline."""
         pending, replies = set(requests), 0
         while pending and replies < needed:
             remaining_ms = deadline - self._clock()
@@ -167,14 +169,14 @@
         return replies >= needed
 
     def _peer_gateways(self) -> list[PeerReplica]:
-        """Return the gateways that this one pulls from, the preferred first."""
+        """Return the gateways that this one pulls from, in order of preference."""
         name = self._own_entry().name
         addresses = {
             gateway.name: gateway.address
             for gateway in self._hub.gateways.values()
             if gateway.serves_clients and gateway.name != name
         }
-        preferred = rendezvous_order(name, addresses)[:PEER_GATEWAYS]
+        preferred = rendezvous_order(name, addresses)[:MAX_PEER_GATEWAYS]
         return [self._replica(addresses[peer], is_coordinator=False) for peer in preferred]
 
     def _replica(self, address: str, *, is_coordinator: bool = True) -> PeerReplica:
@@ -185,7 +187,7 @@
         return replica
 
     def _parallel_requests(self) -> int:
-        """Return how many requests are under way whose replies may still come soon."""
+        """Return how many requests are in flight and not overdue."""
         overdue_since = self._clock() - HOLD_MS - OVERDUE_RATIO * self._bounds.config_apply_ms
         return sum(pending.sent_at > overdue_since for pending in self._pending.values())
 
@@ -195,23 +197,23 @@
     # Requests and replies.
 
     async def _pull(self, replica: PeerReplica, hold_ms: float) -> bool:
-        """Wait for the request to this peer that is under way, or for a new one; return whether it had a timely reply.
+        """Wait for the request to this peer in flight, or for a new one; return whether it had a timely reply.
 
-        A request that `publish_self` cancelled counts as replied to.
+        A request that `publish_self` cancelled counts as having had a reply.
         """
         self._awaited_address = replica.address
-        request = self._request(replica, hold_ms, with_view=True)
+        request = self._request(replica, hold_ms, updates_view=True)
         await asyncio.wait({request}, timeout=(hold_ms + self._reply_timeout_ms(replica)) / 1000)
         if not request.done():
             return False
         return request.cancelled() or request.result()
 
-    def _request(self, replica: PeerReplica, hold_ms: float, *, with_view: bool) -> asyncio.Task[bool]:
-        """Return the request to this peer that is under way; send one if there is none."""
+    def _request(self, replica: PeerReplica, hold_ms: float, *, updates_view: bool) -> asyncio.Task[bool]:
+        """Return the request to this peer that is in flight; send one if there is none."""
         pending = self._pending.get(replica.address)
         if pending is not None:
             return pending.task
-        task = asyncio.ensure_future(self._exchange(replica, hold_ms, with_view=with_view))
+        task = asyncio.ensure_future(self._send_request(replica, hold_ms, updates_view=updates_view))
         self._pending[replica.address] = _PendingRequest(self._clock(), task)
         task.add_done_callback(lambda done: self._on_request_done(replica.address, done))
         return task
@@ -221,19 +223,19 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             self._log.exception("state pull failed", error, peer=address)
 
-    async def _exchange(self, replica: PeerReplica, hold_ms: float, *, with_view: bool) -> bool:
-        """Send a request and apply its reply, however late that is; return whether there was one."""
+    async def _send_request(self, replica: PeerReplica, hold_ms: float, *, updates_view: bool) -> bool:
+        """Send a request and apply its reply, however late it arrives; return whether there was a reply."""
         requested_at = self._clock()
         update = await self._fetch(replica, hold_ms, self._bounds.config_apply_ms)
         if update is None:
             return False
-        self._apply(replica, update, requested_at, with_view=with_view)
+        self._apply(replica, update, requested_at, updates_view=updates_view)
         return True
 
     async def _pull_newest(self, replicas: Iterable[PeerReplica], hold_ms: float) -> bool:
-        """Pull from several gateways and apply the newest configuration first, so that no older one comes into force.
+        """Pull from several gateways and apply the newest configuration first, so that no older one takes effect.
 
-        Returns whether any of them replied.
+        Return whether any of them replied.
         """
         requests = [
             (replica, self._clock(), self._fetch(replica, hold_ms, self._reply_timeout_ms(replica)))
@@ -247,11 +249,11 @@
         ]
         replies.sort(key=lambda reply: reply.update.config.serial, reverse=True)
         for reply in replies:
-            self._apply(reply.replica, reply.update, reply.requested_at, with_view=False)
+            self._apply(reply.replica, reply.update, reply.requested_at, updates_view=False)
         return bool(replies)
 
     async def _fetch(self, replica: PeerReplica, hold_ms: float, timeout_ms: float) -> StateUpdate | None:
-        """Return a peer's reply; None if there was none within the time-out beyond the hold."""
+        """Return a peer's reply; None if none arrived within the hold time plus the time-out."""
         request = replica.build_request(self._own_entry(), self._hub, hold_ms, direct_only=False)
         try:
             reply = await self._links.call(replica.address, Envelope(state_request=request), hold_ms + timeout_ms)
@@ -259,8 +261,11 @@
             return None
         return reply.state_update if reply.HasField("state_update") else None
 
-    def _apply(self, replica: PeerReplica, update: StateUpdate, requested_at: float, *, with_view: bool) -> None:
-        """Apply a reply; coordinators and members come from peers with a valid lease, and from others at first."""
+    def _apply(self, replica: PeerReplica, update: StateUpdate, requested_at: float, *, updates_view: bool) -> None:
+        """Apply a reply.
+
+        Coordinators and members are set only by peers with a valid lease, or by any peer while they are unknown.
+        """
         hub = self._hub
         replica.record_reply(update, requested_at, self._bounds.serving_lease_ms)
         has_lease = not replica.is_lease_expired
@@ -269,9 +274,9 @@
         if has_lease or not hub.members:
             hub.members = tuple(update.members) or hub.members
         hub.update_lease_membership(LeaseMembership.from_message(update.lease_membership))
-        replica.apply(update, hub, requested_at, with_view=with_view)
+        replica.apply(update, hub, requested_at, updates_view=updates_view)
 
 
 def _has_reply(request: asyncio.Task[bool]) -> bool:
-    """Return whether a request that is done had a reply."""
+    """Return whether a completed request had a reply."""
     return not request.cancelled() and request.result()
--- a/hallhitch/planes/distribution/peer_order.py
+++ b/hallhitch/planes/distribution/peer_order.py
@@ -1,6 +1,6 @@
-"""The order in which a process prefers its peers: rendezvous hashing (Thaler and Ravishankar 1996).
+"""Orders the peers of a process by preference, by rendezvous hashing (Thaler and Ravishankar 1996).
 
-Each name has an order of its own, so that the load spreads over the peers; a peer that goes does not move the others.
+Each name has its own order, so that the load is spread over the peers. Removing a peer does not reorder the others.
 """
 
 from __future__ import annotations
@@ -10,5 +10,5 @@
 
 
 def rendezvous_order(name: str, peers: Iterable[str]) -> list[str]:
-    """Return the peers in the order in which `name` prefers them."""
+    """Return the peers in the order of preference of the process `name`."""
     return sorted(peers, key=lambda peer: hashlib.blake2b(f"{name} {peer}".encode(), digest_size=8).digest())
--- a/hallhitch/planes/distribution/peer_replica.py
+++ b/hallhitch/planes/distribution/peer_replica.py
@@ -1,9 +1,9 @@
-"""What a process knows of one peer that it pulls from: its state, its quorum contact, its round-trip time.
+"""What a process knows about one peer that it pulls from: its state, its quorum contact and its round-trip time.
 
-A peer reports points in time as ages: of its endpoint list, and of its contact with a majority. An age is subtracted
-from the earliest time at which the reply can have been written, which is the time of the request plus the time for
-which the peer reports to have held the reply back. So a reply that was delayed on its way, or that a suspended process
-sends when it resumes, never looks fresh.
+A peer reports points in time as ages: the age of its endpoint list, and of its last contact with a majority. An age is
+subtracted from the earliest time at which the reply can have been written: the time of the request plus the time for
+which the peer reports to have held the reply back. So a reply that was delayed in transit, or that a suspended process
+sends after it resumes, never appears fresh.
 """
 
 from __future__ import annotations
@@ -26,13 +26,15 @@
 from hallhitch.planes.distribution.versioned_map import Version, VersionedReplica
 from hallhitch.planes.values import Gateway
 
-HOLD_MS: Final = 500.0  # for which a peer may hold a reply back; also the interval of a process's heartbeats
-FIRST_REPLY_TIMEOUT_MS: Final = 700.0  # beyond the hold, before the round trip is known: enough between regions
-MIN_REPLY_TIMEOUT_MS: Final = 400.0  # beyond the hold, once it is known: a round trip between regions, a busy machine
+HOLD_MS: Final = 500.0  # how long a peer may hold a reply back; also the heartbeat interval of a process
+# Time-outs beyond the hold time. The first one applies while the round-trip time is unknown, and is sufficient between
+# regions. The minimum applies once it is known, and allows for a round trip between regions and a busy machine.
+FIRST_REPLY_TIMEOUT_MS: Final = 700.0
+MIN_REPLY_TIMEOUT_MS: Final = 400.0
 
 
 class PeerReplica:
-    """The state of one peer. It is kept when a request is given up, as versions make a late reply harmless."""
+    """The state of one peer. It is kept after a request times out, as versions make a late reply harmless."""
 
     def __init__(self, address: str, clock: Callable[[], float] = now, *, is_coordinator: bool = True) -> None:
         self._clock = clock
@@ -41,9 +43,9 @@
         self.created_at = clock()
         self.replied_at = NEVER
         self.incarnation = 0
-        self.quorum_contact_at = NEVER  # when a majority last confirmed this peer, at the latest
-        self.is_lease_expired = True  # whether its serving lease had expired when it replied last
-        self.serving_lease_ms = 0.0  # how long after a contact with a majority a coordinator may answer for the cluster
+        self.quorum_contact_at = NEVER  # a majority has confirmed this peer at this time or later
+        self.is_lease_expired = True  # whether the peer's serving lease had expired at its last reply
+        self.serving_lease_ms = 0.0  # how long after contact with a majority a coordinator may answer for the cluster
         self.round_trip = RoundTripEstimate()
         self.backends: VersionedReplica[ListedBackend] = VersionedReplica()
         self.gateways: VersionedReplica[Gateway] = VersionedReplica()
@@ -51,7 +53,7 @@
         self._holders_version = Version()
 
     def build_request(self, own: Gateway, hub: StateHub, max_wait_ms: float, *, direct_only: bool) -> StateRequest:
-        """Build the request for what this process lacks of the peer's state."""
+        """Build the request for the part of the peer's state that this process lacks."""
         request = StateRequest(requester=encode_gateway(own), max_wait_ms=max_wait_ms, direct_only=direct_only)
         request.known_versions["config"].number = hub.config.serial
         for name, version in (
@@ -63,13 +65,13 @@
         return request
 
     def reply_timeout_ms(self, max_ms: float) -> float:
-        """Return how long to wait for a reply beyond the hold, by the round trips so far."""
+        """Return how long to wait for a reply beyond the hold time, based on the round trips so far."""
         if not self.round_trip.has_samples:
             return min(FIRST_REPLY_TIMEOUT_MS, max_ms)
         return min(max(MIN_REPLY_TIMEOUT_MS, self.round_trip.upper_bound_ms()), max_ms)
 
     def record_reply(self, update: StateUpdate, requested_at: float, serving_lease_ms: float) -> None:
-        """Learn the round trip from a reply, and how old the peer's contact with a majority is."""
+        """Update the round-trip time and the age of the peer's contact with a majority from a reply."""
         received_at = self._clock()
         written_at = _earliest_written_at(update, requested_at, received_at)
         self.replied_at, self.incarnation = received_at, update.incarnation
@@ -79,33 +81,33 @@
         if update.quorum_contact_age_ms >= 0:
             self.quorum_contact_at = max(self.quorum_contact_at, written_at - update.quorum_contact_age_ms)
 
-    def apply(self, update: StateUpdate, hub: StateHub, requested_at: float, *, with_view: bool) -> None:
-        """Apply a reply, however late it is; gateways and holders reach the hub only with `with_view`."""
+    def apply(self, update: StateUpdate, hub: StateHub, requested_at: float, *, updates_view: bool) -> None:
+        """Apply a reply, however late it arrives; gateways and holders are set in the hub only if `updates_view`."""
         received_at = self._clock()
         written_at = _earliest_written_at(update, requested_at, received_at)
         self._apply_config(update, hub)
         if update.HasField("backends"):
             self.backends.apply(decode_backend_delta(update.backends, received_at))
-        if update.endpoint_list_age_ms and self._has_dated_list(update):
+        if update.endpoint_list_age_ms and self._has_list_of_reported_age(update):
             hub.update_backends(written_at - update.endpoint_list_age_ms, self.backends.items.values())
         if update.HasField("gateways"):
             self.gateways.apply(decode_gateway_delta(update.gateways))
         if update.HasField("holders"):
             self._holders_version = decode_version(update.holders.version)
             self.holders = dict(update.holders.holders)
-        if with_view:
+        if updates_view:
             self._apply_view(update, hub)
 
-    def _has_dated_list(self, update: StateUpdate) -> bool:
-        """Return whether this replica holds the endpoint list whose age the reply tells, and not an older one."""
+    def _has_list_of_reported_age(self, update: StateUpdate) -> bool:
+        """Return whether this replica contains the endpoint list whose age the reply states, not an older list."""
         if not self.backends.is_complete or self.backends.version.epoch != update.incarnation:
             return False
         if update.HasField("endpoint_list_version"):
             return self.backends.version == decode_version(update.endpoint_list_version)
-        return not update.HasField("config")  # a peer of an earlier release left the list out beside a configuration
+        return not update.HasField("config")  # peers of an earlier release send no list along with a configuration
 
     def _apply_config(self, update: StateUpdate, hub: StateHub) -> None:
-        """Apply the configuration; a first one only from a coordinator with a lease, or from a gateway that uses it."""
+        """Apply the configuration; the first one only from a coordinator with a lease or a gateway that uses it."""
         if not update.HasField("config"):
             return
         is_first = not hub.config.serial
@@ -118,17 +120,17 @@
         )
 
     def _apply_view(self, update: StateUpdate, hub: StateHub) -> None:
-        """Apply gateways and holders; a peer without a lease may add the gateways that it knows, and removes none."""
+        """Apply gateways and holders; a peer without a lease may add the gateways that it knows but removes none."""
         is_fresh = not self.is_lease_expired and self.quorum_contact_at >= hub.view_contact_at
         if not is_fresh and self._clock() - hub.view_contact_at <= self.serving_lease_ms:
-            return  # the current view is from a peer with a newer quorum contact
+            return  # the current view comes from a peer with a newer quorum contact
         is_new_source = hub.view_source != self.address
         has_holders = self._holders_version.epoch == update.incarnation
         has_new_holders = has_holders and (is_new_source or update.HasField("holders"))
         if has_new_holders and (is_fresh or not hub.holders):
             hub.set_holders(self.holders)
         if not self.gateways.is_complete or self.gateways.version.epoch != update.incarnation:
-            return  # part of them is missing, or they are those of the peer's last incarnation
+            return  # some of them are missing, or they are from the peer's previous incarnation
         if is_new_source or update.HasField("gateways"):
             kept = {} if is_fresh else {gateway.address: gateway for gateway in hub.gateways.values()}
             hub.set_gateways({**kept, **self.gateways.items})
--- a/hallhitch/planes/distribution/ports.py
+++ b/hallhitch/planes/distribution/ports.py
@@ -1,4 +1,4 @@
-"""What distribution needs of the process that it runs in."""
+"""The interface through which distribution uses the process that it runs in."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class PeerCaller(Protocol):
-    """Calls to other processes, as `messages.peer_links.PeerLinks` makes them."""
+    """Makes calls to other processes; see messages.peer_links.PeerLinks."""
 
     async def call(self, address: str, envelope: Envelope, timeout_ms: float, /) -> Envelope:
         """Call a peer and return its reply.
 
         Raises:
-            PeerCallError: there was no reply in time, or the call was not sent.
+            PeerCallError: no reply arrived in time, or the call was not sent.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class SyncContext:
-    """What pulls from peers use: links, the state that replies are applied to, and the entry that requests carry.
+    """What pulls from peers need: the links, and the hub to which replies are applied.
 
-    `own_entry` returns this process as its peers shall know it now.
+    `own_entry` returns the current entry of this process, which each request carries.
     """
 
     links: PeerCaller
--- a/hallhitch/planes/distribution/state_hub.py
+++ b/hallhitch/planes/distribution/state_hub.py
@@ -1,15 +1,15 @@
-"""The soft state of one process, and its replies to the peers that pull it.
+"""The soft state of one process, and its replies to the peers that pull the state.
 
-Soft state is the configuration, the endpoint list, the live gateways and the holders of quota leases. All but the
-configuration, which has a serial, are numbered anew by each process (see `versioned_map`).
+Soft state consists of the configuration, the endpoint list, the live gateways and the holders of quota leases. The
+configuration has a serial. To the other parts each process assigns version numbers of its own (see `versioned_map`).
 
 Invariants:
-- The configuration is replaced only by one of a higher serial, the endpoint list only by one that was read later, the
-  lease membership only by a higher version.
+- The configuration is replaced only by one with a higher serial, the endpoint list only by one that was read later, and
+  the lease membership only by one with a higher version.
 - A backend that was listed as draining stays draining, whichever coordinator reads the list next.
-- Every reply holds a part of all that the peer lacks, so that no part keeps another back, however often it changes.
-  Beside a configuration the lists come in short chunks, so that they do not delay it; a peer that has no configuration
-  yet gets that first, and alone.
+- Every reply contains a portion of each part of the state that the peer lacks, so that frequent changes of one part
+  never delay another. In a reply with a configuration the lists are sent in short chunks, so that they do not delay the
+  configuration. A peer that has no configuration yet receives the configuration first, without anything else.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 from hallhitch.planes.distribution.versioned_map import CHUNK_ENTRIES, Version, VersionedMap
 from hallhitch.planes.values import Gateway, LeaseMembership
 
-MAX_DRAINED_BACKENDS: Final = 4096  # remembered after they left the list: a page that lags may still show them
-NO_QUORUM_CONTACT: Final = -1.0  # on the wire, in place of the contact's age where there was none
-CHUNK_ENTRIES_BESIDE_CONFIG: Final = 100  # of each list: some 7 kB, 30 ms on a link of 2 Mbit/s
-MAX_HOLD_MS: Final = 1000.0  # bound on how long a peer may have its reply held back
+MAX_DRAINED_BACKENDS: Final = 4096  # remembered after they left the list, as a page that lags may still list them
+NO_QUORUM_CONTACT: Final = -1.0  # on the wire: the age of the contact if there was none
+CHUNK_ENTRIES_WITH_CONFIG: Final = 100  # of each list; about 7 kB, which take 30 ms on a link of 2 Mbit/s
+MAX_HOLD_MS: Final = 1000.0  # the longest time for which a peer may request that its reply be held back
 NEVER: Final = float("-inf")
 MIN_LIST_AGE_MS: Final = 0.1  # on the wire 0 means that no list is known
 
@@ -49,29 +49,29 @@
         self.config = ConfigSnapshot(config_version=-1)
         self.backends: VersionedMap[ListedBackend] = VersionedMap(incarnation)
         self.list_read_at = NEVER  # when the endpoint list was read, by this process's clock
-        self._drained: dict[str, None] = {}  # backends that were listed as draining, the latest last
-        self.gateways: VersionedMap[Gateway] = VersionedMap(incarnation)  # all live ones that are known, by address
+        self._drained: dict[str, None] = {}  # backends that were listed as draining, most recent last
+        self.gateways: VersionedMap[Gateway] = VersionedMap(incarnation)  # all known live gateways, by address
         self.direct_gateways: VersionedMap[Gateway] = VersionedMap(incarnation)  # those that pull from this process
-        self.shares_gateways = True  # not while a coordinator has just started and knows few of them
-        self.holders: Mapping[int, str] = {}  # bucket of tenants -> internal address
+        self.shares_gateways = True  # False while a coordinator has just started and knows few gateways
+        self.holders: Mapping[int, str] = {}  # tenant bucket -> internal address
         self._holders_number = 0
-        self.view_contact_at = NEVER  # when a majority had confirmed the source of `gateways` and `holders`
-        self.view_source = ""  # its address
+        self.view_contact_at = NEVER  # when a majority last confirmed the peer that `gateways` and `holders` came from
+        self.view_source = ""  # address of that peer
         self.coordinators: tuple[str, ...] = ()
         self.members: tuple[str, ...] = ()
         self.lease_membership = LeaseMembership()
         self.quorum_contact_age_ms: Callable[[], float] = lambda: NO_QUORUM_CONTACT
-        self.can_bootstrap_peers: Callable[[], bool] = lambda: True  # whether a first configuration may come from here
+        self.can_bootstrap_peers: Callable[[], bool] = lambda: True  # whether to send a first configuration
         self.on_change: list[Callable[[], None]] = []
-        self.reply_counts: Counter[str] = Counter()  # by what they held
+        self.reply_counts: Counter[str] = Counter()  # by content
         self._waiters: set[asyncio.Future[None]] = set()
 
     def metrics(self) -> list[Metric]:
-        """Return how new the state is, and what the replies to peers held."""
+        """Return the metrics of the versions and the age of the state, and of the replies to peers."""
         draining = sum(backend.is_draining for backend in self.backends.values())
         backends = {"draining": float(draining), "ready": float(len(self.backends) - draining)}
         replies = {content: float(count) for content, count in self.reply_counts.items()}
-        list_age_ms = self._clock() - self.list_read_at if self._knows_backends else -1.0
+        list_age_ms = self._clock() - self.list_read_at if self._has_endpoint_list else -1.0
         return [
             gauge("config_serial", "Serial of the configuration in force.", self.config.serial),
             gauge("endpoint_list_age_ms", "Since the endpoint list in force was read; -1: none is known.", list_age_ms),
@@ -83,7 +83,7 @@
     # Updates of the state.
 
     def notify(self) -> None:
-        """Wake the replies that are held back, and call the listeners."""
+        """Wake the replies that are held back and call the listeners."""
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
@@ -94,7 +94,7 @@
     def update_config(
         self, serial: int, version: int, content: bytes, evacuated_zones: Iterable[str], max_gateways: int = 0
     ) -> bool:
-        """Replace the configuration by a newer one; return whether it was newer."""
+        """Replace the configuration if the given one is newer; return whether it was."""
         if serial <= self.config.serial:
             return False
         self.config = ConfigSnapshot(
@@ -108,23 +108,23 @@
         return True
 
     def update_lease_membership(self, membership: LeaseMembership) -> None:
-        """Replace the lease membership by a newer one; an older one is ignored."""
+        """Replace the lease membership if the given one is newer."""
         if membership.version > self.lease_membership.version:
             self.lease_membership = membership
 
     def update_backends(self, read_at: float, backends: Iterable[ListedBackend]) -> bool:
-        """Replace the endpoint list by one that was read later; return whether it was."""
+        """Replace the endpoint list if the given one was read later; return whether it was."""
         if read_at <= self.list_read_at:
             return False
         self.list_read_at = read_at
         known = {backend.instance: backend for backend in self.backends.values()}
         reconciled = reconcile_list(known, backends, self._drained)
-        self._remember_drained(reconciled.values())
+        self._record_draining(reconciled.values())
         if self.backends.replace(reconciled):
             self.notify()
         return True
 
-    def _remember_drained(self, backends: Iterable[ListedBackend]) -> None:
+    def _record_draining(self, backends: Iterable[ListedBackend]) -> None:
         for backend in backends:
             if backend.is_draining:
                 self._drained.pop(backend.instance, None)
@@ -138,7 +138,7 @@
             self.notify()
 
     def set_holders(self, holders: Mapping[int, str]) -> None:
-        """Set the holder of each bucket of tenants."""
+        """Set the holder of each tenant bucket."""
         if holders != self.holders:
             self.holders = dict(holders)
             self._holders_number += 1
@@ -147,7 +147,10 @@
     # Replies to peers.
 
     async def respond(self, request: StateRequest) -> Envelope:
-        """Reply with what the peer lacks; if that is nothing, hold the reply back until it is, or the wait is over."""
+        """Reply with the state that the peer lacks.
+
+        If it lacks nothing, hold the reply back until the state changes or the requested wait is over.
+        """
         received_at = self._clock()
         deadline = received_at + min(request.max_wait_ms, MAX_HOLD_MS)
         while (update := self.build_update(request)) is None:
@@ -172,13 +175,13 @@
             self._waiters.discard(waiter)
 
     def build_update(self, request: StateRequest) -> StateUpdate | None:
-        """Return what the peer lacks; None if it is up to date."""
+        """Return the state that the peer lacks; None if it is up to date."""
         update = StateUpdate()
         has_config = self._add_config(update, request)
         is_first_config = has_config and not request.known_versions["config"].number
         if is_first_config:
             return self.add_status(update)
-        chunk_entries = CHUNK_ENTRIES_BESIDE_CONFIG if has_config else CHUNK_ENTRIES
+        chunk_entries = CHUNK_ENTRIES_WITH_CONFIG if has_config else CHUNK_ENTRIES
         parts = (
             has_config,
             self._add_backends(update, request, chunk_entries),
@@ -188,10 +191,10 @@
         return self.add_status(update) if any(parts) else None
 
     def add_status(self, update: StateUpdate) -> StateUpdate:
-        """Add what every reply carries, and return it."""
+        """Add the fields that every reply contains, and return the update."""
         update.incarnation = self.incarnation
         update.quorum_contact_age_ms = self.quorum_contact_age_ms()
-        if self._knows_backends:
+        if self._has_endpoint_list:
             update.endpoint_list_age_ms = max(MIN_LIST_AGE_MS, self._clock() - self.list_read_at)
             update.endpoint_list_version.CopyFrom(encode_version(self.backends.version))
         update.coordinators.extend(self.coordinators)
@@ -201,7 +204,7 @@
         return update
 
     @property
-    def _knows_backends(self) -> bool:
+    def _has_endpoint_list(self) -> bool:
         return self.list_read_at > NEVER
 
     def _add_config(self, update: StateUpdate, request: StateRequest) -> bool:
@@ -214,7 +217,7 @@
         return True
 
     def _add_backends(self, update: StateUpdate, request: StateRequest, max_entries: int) -> bool:
-        if not self._knows_backends:
+        if not self._has_endpoint_list:
             return False
         delta = self.backends.delta_since(decode_version(request.known_versions["backends"]), max_entries)
         if delta is None:
@@ -241,6 +244,6 @@
 
 
 def _content_of(update: StateUpdate) -> str:
-    """Return the names of the parts that a reply holds, for its count."""
+    """Return the names of the parts of the state in a reply, as the label under which it is counted."""
     parts = [name for name in ("config", "backends", "gateways", "holders") if update.HasField(name)]
     return "+".join(parts) or "status"
--- a/hallhitch/planes/distribution/state_messages.py
+++ b/hallhitch/planes/distribution/state_messages.py
@@ -1,6 +1,6 @@
-"""Conversion between the values of distributed state and their protobuf messages.
+"""Converts the values of distributed state to and from protobuf messages.
 
-Clocks differ between processes: points in time travel as durations and are converted back by the receiver's clock.
+Clocks differ between processes, so points in time are sent as durations and converted back by the receiver's clock.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 def encode_backend(backend: ListedBackend, now: float) -> BackendMessage:
-    """Encode a backend, with what remains of its slow start at `now` (steady ms)."""
+    """Encode a backend, including the remaining time of its slow start at `now` (steady ms)."""
     return BackendMessage(
         instance=backend.instance,
         service=backend.service,
@@ -69,7 +69,8 @@
 def decode_backend(message: BackendMessage, received_at: float) -> ListedBackend:
     """Decode a backend that was received at `received_at` (steady ms).
 
-    Its slow start is counted from there, hence too long by the time on the way: too short would overload the backend.
+    The remaining slow start is counted from that time, so it is too long by the transit time. If it were too short, the
+    backend would be overloaded.
     """
     remaining_ms = message.warmup_remaining_ms
     return ListedBackend(
--- a/hallhitch/planes/distribution/versioned_map.py
+++ b/hallhitch/planes/distribution/versioned_map.py
@@ -1,11 +1,11 @@
-"""A map that numbers its changes, and replicas of it that follow by snapshots and deltas. No I/O and no clock.
+"""A map that numbers its changes, and replicas that follow it by snapshots and deltas. Uses no I/O and no clock.
 
 Invariants:
-- A version is an epoch and a number. The epoch is the incarnation of the process that owns the map, so numbers of an
-  earlier incarnation are never compared with those of a later one.
+- A version consists of an epoch and a number. The epoch is the incarnation of the process that owns the map, so numbers
+  of different incarnations are never compared.
 - Each change of the map increments the number.
 - A replica that has another epoch, or a number older than the removals that the map remembers, gets a snapshot.
-- A replica with `is_complete` equals the map as it was at the replica's version.
+- A replica with `is_complete` set equals the map as it was at the replica's version.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from typing import Final, Generic, TypeVar
 
 ValueT = TypeVar("ValueT")
-CHUNK_ENTRIES: Final = 500  # in one reply: some 35 kB, which a link of 2 Mbit/s carries in an eighth of a second
+CHUNK_ENTRIES: Final = 500  # in one reply; about 35 kB, which take an eighth of a second on a link of 2 Mbit/s
 MAX_REMOVED_KEYS: Final = 2048  # remembered for replicas that follow by deltas
 
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """A version of a map; the default is older than any."""
+    """A version of a map; the default is older than any other."""
 
     epoch: int = 0
     number: int = 0
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Delta(Generic[ValueT]):
-    """What a replica lacks: the full map (`is_snapshot`), or what changed since the version that the replica has.
+    """The data that a replica lacks: the full map (`is_snapshot`), or the changes since the replica's version.
 
-    With `has_more_chunks` it is only a part of that, and leads to `version`, which is not yet the newest.
+    With `has_more_chunks` it is only the first part of that: it leads to `version`, which is not the newest version yet.
     """
 
     version: Version
@@ -43,7 +43,7 @@
 
 
 class VersionedMap(Generic[ValueT]):
-    """A map that returns what changed since an earlier version."""
+    """A map that can return the changes since an earlier version."""
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
@@ -98,7 +98,7 @@
         return True
 
     def replace(self, items: Mapping[str, ValueT]) -> bool:
-        """Set the full content of the map; return whether that changed it."""
+        """Replace the full content of the map; return whether that changed it."""
         changed = False
         for key in [key for key in self._items if key not in items]:
             changed |= self.remove(key)
@@ -107,14 +107,14 @@
         return changed
 
     def delta_since(self, version: Version, chunk_entries: int = CHUNK_ENTRIES) -> Delta[ValueT] | None:
-        """Return what a replica of this version lacks, at most one chunk of it; None if it is up to date."""
+        """Return the data that a replica of this version lacks, at most one chunk; None if it is up to date."""
         if version.epoch == self.epoch and version.number >= self.number:
             return None
         is_snapshot = version.epoch != self.epoch or version.number < self._oldest_base
         chunk_size = chunk_entries
         if is_snapshot:
             changes = sorted((number, key) for key, (number, _) in self._items.items())
-            # The first chunk of a snapshot reaches the oldest base: from below that, no delta can follow.
+            # The first chunk of a snapshot must reach the oldest base: below that base no delta can follow.
             chunk_size = max(chunk_size, bisect_left(changes, (self._oldest_base, "")))
         else:
             changes = self._changes_since(version.number)
@@ -137,7 +137,7 @@
 
 
 class VersionedReplica(Generic[ValueT]):
-    """A copy of another process's map, as of the last delta that was received."""
+    """A copy of another process's map, as of the last received delta."""
 
     def __init__(self) -> None:
         self.version = Version()
@@ -145,7 +145,7 @@
         self.is_complete = False  # whether `items` is the full map at `version`, and no chunk is missing
 
     def apply(self, delta: Delta[ValueT]) -> bool:
-        """Apply a delta; return False if it does not follow from `version`, so that a snapshot has to be requested."""
+        """Apply a delta; return False if it does not follow `version`, so that a snapshot must be requested."""
         is_same_epoch = delta.version.epoch == self.version.epoch
         is_outdated = is_same_epoch and delta.version.number <= self.version.number
         if is_outdated and not delta.is_snapshot:
@@ -164,6 +164,6 @@
         return True
 
     def reset(self) -> None:
-        """Forget the version, so that the next request asks for a snapshot."""
+        """Reset the version, so that the next request asks for a snapshot."""
         self.version = Version()
         self.is_complete = False
