--- a/tests/system/distribution/simulated_core.py
+++ b/tests/system/distribution/simulated_core.py
@@ -1,4 +1,4 @@
-"""Three coordinator programs as in service, but for links, disks and clock."""
+"""Three complete coordinator programs with simulated links, disks and clock."""
 
 from __future__ import annotations
 
@@ -22,36 +22,36 @@
 
 
 class ProgramLink:
-    """The calls of one program to the others, and theirs to it."""
+    """Delivers the calls of one program to the others, and theirs to it."""
 
-    def __init__(self, core: SimulatedCore, address: str, handler: CallHandler) -> None:
-        self._core = core
+    def __init__(self, coordinators: SimulatedCoordinators, address: str, handler: CallHandler) -> None:
+        self._coordinators = coordinators
         self._address = address
         self.handler = handler
 
     async def serve(self, address: str) -> None:
-        """Become reachable."""
-        self._core.links[address] = self
+        """Make the program reachable."""
+        self._coordinators.links[address] = self
 
     async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         """Call another program."""
         try:
             async with asyncio.timeout(timeout_ms / 1000):
-                await self._core.peers.transmit(self._address, address)
-                if address not in self._core.links:
-                    raise RequestTimeout("connect", address, "nobody there")
-                reply = self._core.links[address].handler(Envelope.FromString(envelope.SerializeToString()))
+                await self._coordinators.peers.transmit(self._address, address)
+                if address not in self._coordinators.links:
+                    raise RequestTimeout("connect", address, "no program at this address")
+                reply = self._coordinators.links[address].handler(Envelope.FromString(envelope.SerializeToString()))
                 reply = await reply if isinstance(reply, Awaitable) else reply
-                await self._core.peers.transmit(address, self._address)
+                await self._coordinators.peers.transmit(address, self._address)
                 return Envelope.FromString(reply.SerializeToString())
         except TimeoutError:
-            raise RequestTimeout("call", address, "silence") from None
+            raise RequestTimeout("call", address, "no reply") from None
 
     def close(self) -> None:
-        """Do nothing."""
+        """Do nothing, as there are no connections."""
 
 
-class SimulatedCore:
+class SimulatedCoordinators:
     """The coordinators of one cluster."""
 
     def __init__(self, peers: SimulatedPeers) -> None:
@@ -60,17 +60,17 @@
         self.programs = {address: self._build_program(address) for address in SEEDS}
 
     def _build_program(self, address: str) -> CoordinatorProgram:
-        async def run(call: object) -> None:
+        async def run_delayed(operation: object) -> None:
             await asyncio.sleep(DISK_DELAY_S)
-            assert callable(call)
-            call()
+            assert callable(operation)
+            operation()
 
         runtime = Runtime(
             clock=self.peers.clock,
             random=random.Random(address),
             connect=lambda cluster, own, incarnation, handler: ProgramLink(self, own, handler),
             storage=InMemoryStorage(),
-            run_blocking=run,
+            run_blocking=run_delayed,
         )
         return CoordinatorProgram(replace(coordinator_settings(address, True, SEEDS, 1), listen_addresses={}), runtime)
 
@@ -80,7 +80,7 @@
             await program.start()
 
     async def pull(self, address: str, gateway_name: str, serial: int) -> StateUpdate:
-        """Return the reply to a gateway that has the configuration of this serial (0 = none)."""
+        """Return the reply to a gateway that has the configuration with this serial (0 = none)."""
         request = StateRequest(requester=encode_gateway(make_gateway(gateway_name)), max_wait_ms=0.0)
         request.known_versions["config"].number = serial
         reply = self.links[address].handler(Envelope(state_request=request))
--- a/tests/system/distribution/simulated_peers.py
+++ b/tests/system/distribution/simulated_peers.py
@@ -1,4 +1,4 @@
-"""State hubs at addresses and the links between them, in virtual time: delayed, cut in one direction, counted."""
+"""State hubs and the links between them in virtual time; links can be delayed or cut in one direction."""
 
 from __future__ import annotations
 
@@ -47,7 +47,9 @@
         self.loop = loop
         self.rng = random.Random(seed)
         self.hubs: dict[str, StateHub] = {}  # by address
-        self.confirmed_at: dict[str, float] = {}  # by a majority, of a coordinator; absent = at all times
+        self.confirmed_at: dict[
+            str, float
+        ] = {}  # last contact of a coordinator with a majority; absent = permanent contact
         self.cut_links: set[tuple[str, str]] = set()  # (from, to)
         self.delay_ms: Callable[[], float] = lambda: 1.0  # of one message
         self.request_count: Counter[str] = Counter()  # by recipient
@@ -59,7 +61,7 @@
         return self.loop.time() * 1000
 
     def add_coordinator(self, address: str, serial: int = 0) -> StateHub:
-        """Add a coordinator, in quorum contact unless `confirmed_at` says otherwise."""
+        """Add a coordinator, which has quorum contact unless `confirmed_at` says otherwise."""
         hub = self.hubs[address] = StateHub(len(self.hubs) + 1, self.clock)
         hub.quorum_contact_age_ms = lambda: self.clock() - self.confirmed_at.get(address, self.clock())
         hub.can_bootstrap_peers = lambda: hub.quorum_contact_age_ms() <= BOUNDS.serving_lease_ms
@@ -67,20 +69,20 @@
         return hub
 
     def add_gateway(self, name: str, seeds: list[str]) -> GatewaySync:
-        """Add a gateway, not started."""
+        """Add a gateway without starting it."""
         hub = self.hubs[f"{name}:1"] = StateHub(len(self.hubs) + 1, self.clock)
         link = SimulatedLink(self, f"{name}:1")
         return GatewaySync(SyncContext(link, hub, lambda: make_gateway(name), self.clock, BOUNDS), seeds)
 
     async def transmit(self, sender: str, recipient: str) -> None:
-        """Wait for one message's delay; for ever over a cut link."""
+        """Wait for the delay of one message; forever if the link is cut."""
         await asyncio.sleep(self.delay_ms() / 1000)
         if (sender, recipient) in self.cut_links:
             await asyncio.shield(self._never)
 
 
 class SimulatedLink:
-    """The calls of one process to the others."""
+    """Delivers the calls of one process to the others."""
 
     def __init__(self, peers: SimulatedPeers, address: str) -> None:
         self._peers = peers
@@ -94,12 +96,12 @@
             async with asyncio.timeout(timeout_ms / 1000):
                 await peers.transmit(self._address, address)
                 if address not in peers.hubs:
-                    raise RequestTimeout("connect", address, "nobody there")
+                    raise RequestTimeout("connect", address, "no process at this address")
                 reply = await peers.hubs[address].respond(request)
                 peers.snapshot_count[address, self._address] += reply.state_update.backends.is_snapshot
                 await peers.transmit(address, self._address)
         except TimeoutError:
-            raise RequestTimeout("call", address, "silence") from None
+            raise RequestTimeout("call", address, "no reply") from None
         return Envelope.FromString(reply.SerializeToString())
 
 
--- a/tests/system/distribution/test_config_compiler.py
+++ b/tests/system/distribution/test_config_compiler.py
@@ -1,4 +1,4 @@
-"""Look-ups in a compiled configuration."""
+"""Lookups in a compiled configuration."""
 
 import json
 import zlib
@@ -8,7 +8,7 @@
 from hallhitch.planes.distribution.config_compiler import compile_config
 from hallhitch.planes.values import ClusterConfig, RequestKind
 
-TABLE = {
+CONFIG_DOCUMENT = {
     "configVersion": 3,
     "services": {"s": {"coldStart": "3s", "coldPerS": 10.0, "new": 1}, "t": {}},
     "routes": {
@@ -31,12 +31,12 @@
 }
 
 
-def compile_table(table: object) -> ClusterConfig:
-    return compile_config(1, 3, zlib.compress(json.dumps(table).encode()), ["z"])
+def compile_document(document: object) -> ClusterConfig:
+    return compile_config(1, 3, zlib.compress(json.dumps(document).encode()), ["z"])
 
 
-def test_longest_prefix_of_the_host_is_the_route() -> None:
-    config = compile_table(TABLE)
+def test_route_with_the_longest_matching_prefix_is_found() -> None:
+    config = compile_document(CONFIG_DOCUMENT)
     route = config.find_route("h.example", "/a/b/c")
     assert route is not None and route.name == "q"
     assert route.weighted_services == (("s", 9.0), ("t", 1.0)) and route.is_idempotent
@@ -59,11 +59,11 @@
 )
 def test_request_kind_of_a_newer_release_counts_as_idempotent(written: str, kind: RequestKind) -> None:
     route = {"host": "h", "routeKind": written, "targetService": "s"}
-    compiled = compile_table({"routes": {"r": route}}).find_route("h", "/")
+    compiled = compile_document({"routes": {"r": route}}).find_route("h", "/")
     assert compiled is not None and compiled.kind is kind
 
 
-def test_home_regions_of_a_host_are_those_that_may_serve_each_of_its_routes() -> None:
+def test_home_regions_of_a_host_are_those_that_may_serve_all_of_its_routes() -> None:
     def route(host: str, *regions: str) -> dict[str, object]:
         return {"host": host, "targetService": "s", "pathPrefix": f"/{'-'.join(regions)}/", "allowedRegions": regions}
 
--- a/tests/system/distribution/test_coordinator_program.py
+++ b/tests/system/distribution/test_coordinator_program.py
@@ -1,4 +1,4 @@
-"""A coordinator program without quorum contact: its directory, its first configurations, its contact's age."""
+"""A coordinator program without quorum contact: its directory, first configurations and the age of its contact."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from hallhitch.planes.control import state_transitions
 from hallhitch.programs.coordinator import CoordinatorProgram
-from tests.system.distribution.simulated_core import SEEDS, SimulatedCore
+from tests.system.distribution.simulated_core import SEEDS, SimulatedCoordinators
 from tests.system.distribution.simulated_peers import SimulatedPeers, run_in_virtual_time
 
 
@@ -18,16 +18,16 @@
 
 def test_coordinator_without_quorum_contact_uses_only_its_direct_gateways() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
-        core = SimulatedCore(peers)
-        await core.start()
+        coordinators = SimulatedCoordinators(peers)
+        await coordinators.start()
         await asyncio.sleep(1)
-        first, second, _ = (core.programs[address] for address in SEEDS)
+        first, second, _ = (coordinators.programs[address] for address in SEEDS)
         await second._control.propose(state_transitions.replace_config(1, b"x"), 800)
         for _ in range(12):
-            await core.pull(SEEDS[0], "near", 0)
-            await core.pull(SEEDS[1], "far", 0)
+            await coordinators.pull(SEEDS[0], "near", 0)
+            await coordinators.pull(SEEDS[1], "far", 0)
             await asyncio.sleep(0.3)
-        update = await core.pull(SEEDS[0], "new", 0)
+        update = await coordinators.pull(SEEDS[0], "new", 0)
         serial = update.config.serial
         assert serial == first._control.committed_state.serial
         assert 0 <= update.quorum_contact_age_ms <= first._control.lease.length_ms
@@ -35,20 +35,20 @@
 
         others = SEEDS[1:]
         peers.cut_links = {(peer, SEEDS[0]) for peer in others} | {(SEEDS[0], peer) for peer in others}
-        peers.loop.suspend(20)  # suspended: none of its tasks has run since
+        peers.loop.suspend(20)  # no task of any program runs in this time
         assert "near:80" in resolve(first) and "far:80" not in resolve(first)
-        assert (await core.pull(SEEDS[0], "newer", 0)).config.serial == 0  # no first configuration
-        update = await core.pull(SEEDS[0], "near", 0)
+        assert (await coordinators.pull(SEEDS[0], "newer", 0)).config.serial == 0  # it sends no first configuration
+        update = await coordinators.pull(SEEDS[0], "near", 0)
         serial = update.config.serial
         assert update.quorum_contact_age_ms > first._control.lease.length_ms
-        assert (await core.pull(SEEDS[0], "near", 1)).config.serial >= serial
+        assert (await coordinators.pull(SEEDS[0], "near", 1)).config.serial >= serial
         await asyncio.sleep(1)
-        assert (await core.pull(SEEDS[1], "newer", 0)).config.serial > 0
+        assert (await coordinators.pull(SEEDS[1], "newer", 0)).config.serial > 0
 
         peers.cut_links = set()
         await asyncio.sleep(1)
-        assert (await core.pull(SEEDS[0], "newer", 0)).config.serial > 0
-        for program in core.programs.values():
+        assert (await coordinators.pull(SEEDS[0], "newer", 0)).config.serial > 0
+        for program in coordinators.programs.values():
             await program.shut_down()
 
     run_in_virtual_time(scenario)
--- a/tests/system/distribution/test_gateway_program.py
+++ b/tests/system/distribution/test_gateway_program.py
@@ -1,4 +1,4 @@
-"""The wiring of the gateway program: what it needs to be ready, and what it tells its peers and clients."""
+"""The gateway program: conditions of its readiness, and what it reports to peers and clients."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hallhitch.lab.simulation.node_settings import coordinator_settings
 from hallhitch.programs.gateway import GatewayProgram
 from hallhitch.programs.runtime import Runtime
-from tests.system.distribution.simulated_core import ProgramLink, SimulatedCore
+from tests.system.distribution.simulated_core import ProgramLink, SimulatedCoordinators
 from tests.system.distribution.simulated_peers import (
     SimulatedPeers,
     make_backend,
@@ -23,12 +23,12 @@
 
 
 def build_gateway(peers: SimulatedPeers) -> GatewayProgram:
-    """Return a gateway program that is not started, as no client connects to it."""
-    core = SimulatedCore(peers)
+    """Return a gateway program without starting it, because no client connects to it."""
+    coordinators = SimulatedCoordinators(peers)
     runtime = Runtime(
         clock=peers.clock,
         random=random.Random(1),
-        connect=lambda cluster, own, incarnation, handler: ProgramLink(core, own, handler),
+        connect=lambda cluster, own, incarnation, handler: ProgramLink(coordinators, own, handler),
     )
     node = replace(
         coordinator_settings(ADDRESS, True, (), 1),
@@ -44,7 +44,7 @@
     return program._handle_readiness("GET", "/hallhitch/readiness?verbose=1", b"").status
 
 
-def test_gateway_is_ready_with_configuration_endpoint_list_and_replies_of_the_seeds() -> None:
+def test_gateway_is_ready_once_it_has_configuration_endpoint_list_and_replies_of_the_seeds() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         program = build_gateway(peers)
         hub = program._hub
--- a/tests/system/distribution/test_gateway_sync.py
+++ b/tests/system/distribution/test_gateway_sync.py
@@ -1,4 +1,4 @@
-"""Which peers a gateway follows, and how soon it is up to date: partitions, suspended peers, slow links, its start."""
+"""Which peers a gateway pulls from, and how soon it is up to date despite partitions, suspensions and slow links."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 COORDINATORS = ["c1:1", "c2:1", "c3:1"]
 
 
-def test_first_configuration_is_the_newest_of_several_gateways_if_the_coordinator_is_cut_off() -> None:
+def test_first_configuration_is_the_newest_of_several_gateways_if_no_coordinator_has_a_lease() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         peers.add_coordinator("c1:1", serial=3)
         peers.confirmed_at["c1:1"] = float("-inf")
@@ -56,7 +56,7 @@
     run_in_virtual_time(scenario)
 
 
-def test_gateway_leaves_a_coordinator_that_lost_contact_and_keeps_the_view_it_had() -> None:
+def test_gateway_leaves_a_coordinator_that_lost_quorum_contact_and_keeps_its_view() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         gateways = {f"g{n}:1": make_gateway(f"g{n}") for n in range(3)}
         for address in COORDINATORS:
@@ -79,7 +79,7 @@
         await asyncio.sleep(1)
         assert sync._hub.config.serial == 2 and len(sync._hub.gateways) == 3 and sync._hub.holders == {1: "g1:1"}
         await asyncio.sleep(10)
-        assert peers.request_count[first] == requests  # it comes back only if no other coordinator replies
+        assert peers.request_count[first] == requests  # the gateway returns only if no other coordinator replies
 
         for address in COORDINATORS:
             if address != first:
@@ -91,16 +91,16 @@
     run_in_virtual_time(scenario)
 
 
-def test_configuration_applies_in_time_over_partitions_in_one_direction() -> None:
+def test_configuration_is_applied_in_time_despite_partitions_in_one_direction() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         for address in COORDINATORS:
             peers.add_coordinator(address, serial=1).coordinators = tuple(COORDINATORS)
         sync = peers.add_gateway("me", COORDINATORS[:1])
         sync.start()
         await asyncio.sleep(2)
-        only_the_seed_sees = {(COORDINATORS[0], "me:1")}
-        only_the_gateway_sees = {("me:1", COORDINATORS[0]), (COORDINATORS[1], "me:1")}
-        for cut_links, serial in ((only_the_seed_sees, 2), (only_the_gateway_sees, 3)):
+        seed_replies_lost = {(COORDINATORS[0], "me:1")}
+        seed_requests_and_second_replies_lost = {("me:1", COORDINATORS[0]), (COORDINATORS[1], "me:1")}
+        for cut_links, serial in ((seed_replies_lost, 2), (seed_requests_and_second_replies_lost, 3)):
             peers.cut_links = cut_links
             for hub in map(peers.hubs.__getitem__, COORDINATORS):
                 hub.update_config(serial, serial, b"", [])
@@ -110,7 +110,7 @@
     run_in_virtual_time(scenario)
 
 
-def test_reply_that_was_twenty_seconds_on_its_way_is_as_old_as_that() -> None:
+def test_reply_delayed_for_twenty_seconds_is_dated_by_its_request() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         suspended, fresh = peers.add_coordinator("c1:1", 1), peers.add_coordinator("c2:1", 1)
         hub = StateHub(9, peers.clock)
@@ -134,7 +134,7 @@
         ):
             await asyncio.sleep(0.1)
             replica.record_reply(update, sent_at, BOUNDS.serving_lease_ms)
-            replica.apply(update, hub, sent_at, with_view=True)
+            replica.apply(update, hub, sent_at, updates_view=True)
         assert [(backend.instance, backend.is_draining) for backend in hub.backends.values()] == [("i-1", True)]
         assert late_replica.quorum_contact_at <= requested_at < fresh_replica.quorum_contact_at
 
@@ -142,8 +142,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_slow_link_applies_each_configuration_in_time_and_fetches_the_list_once(seed: int) -> None:
-    """Messages take 0.5 to 1.5 s each way: up to three times as long as a reply is waited for at first."""
+def test_configurations_are_applied_in_time_and_the_list_is_fetched_once_over_slow_links(seed: int) -> None:
+    """Messages take 0.5 to 1.5 s each way; a round trip is up to three times the first time-out of a reply."""
 
     async def scenario(peers: SimulatedPeers) -> None:
         for address in COORDINATORS:
@@ -169,7 +169,7 @@
     run_in_virtual_time(scenario, seed)
 
 
-def test_long_endpoint_list_is_applied_only_once_all_chunks_arrived() -> None:
+def test_long_endpoint_list_is_applied_only_after_all_chunks_have_arrived() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         count = 3 * CHUNK_ENTRIES + 7
         hub = peers.add_coordinator("c1:1", serial=1)
--- a/tests/system/distribution/test_peer_sync.py
+++ b/tests/system/distribution/test_peer_sync.py
@@ -1,4 +1,4 @@
-"""Which coordinators a coordinator pulls from."""
+"""The coordinators that a coordinator pulls from."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_unresponsive_coordinator_that_is_no_member_is_removed() -> None:
+def test_unresponsive_coordinator_that_is_not_a_member_is_removed() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         hub, responsive = peers.add_coordinator("c1:1", 1), peers.add_coordinator("c2:1", 1)
         responsive.coordinators = ("c2:1",)
@@ -28,7 +28,7 @@
         requests = peers.request_count["gone:1"]
         await asyncio.sleep(5)
         assert peers.request_count["gone:1"] == requests
-        sync.add_peers(["gone:1"])  # it pulls again
+        sync.add_peers(["gone:1"])  # it has recovered and pulls again
         assert "gone:1" in sync.replicas
 
     run_in_virtual_time(scenario)
--- a/tests/system/distribution/test_state_hub.py
+++ b/tests/system/distribution/test_state_hub.py
@@ -1,4 +1,4 @@
-"""The state of a process is replaced only by newer state, whichever peer it comes from."""
+"""The state of a process is replaced only by newer state, whichever peer sends it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class DirectLinks:
-    """Hubs at addresses that reply at once."""
+    """Links to hubs that reply without delay."""
 
     def __init__(self, hubs: dict[str, StateHub]) -> None:
         self.hubs = hubs
@@ -31,7 +31,7 @@
         """Pull state from the hub at an address."""
         hub = self.hubs.get(address)
         if hub is None:
-            raise RequestTimeout("call", address, "nobody there")
+            raise RequestTimeout("call", address, "no hub at this address")
         request = StateRequest.FromString(envelope.state_request.SerializeToString())
         return Envelope(state_update=hub.build_update(request) or hub.add_status(StateUpdate()))
 
@@ -44,11 +44,11 @@
     )
     requested_at = now()
     replica.record_reply(update, requested_at, 2000.0)
-    replica.apply(update, hub, requested_at, with_view=True)
+    replica.apply(update, hub, requested_at, updates_view=True)
 
 
 def make_coordinator_hub(incarnation: int) -> StateHub:
-    """Return the hub of a coordinator in contact with a majority."""
+    """Return the hub of a coordinator that has contact with a majority."""
     hub = StateHub(incarnation)
     hub.quorum_contact_age_ms = lambda: 0.0
     return hub
@@ -61,7 +61,7 @@
         hub, replicas = StateHub(9), [PeerReplica(str(n)) for n in range(3)]
         known_serial = 0
         for serial in range(1, 30):
-            for source in sources:  # each learns of a change, or is cut off and does not
+            for source in sources:  # each source may be partitioned and miss the change
                 if rng.random() < 0.5:
                     source.update_config(serial, serial * 3, b"", [])
             n = rng.randrange(3)
@@ -80,7 +80,7 @@
     assert [(backend.instance, backend.is_draining) for backend in hub.backends.values()] == [("a", True)]
 
 
-def test_backend_seen_draining_stays_draining_though_the_next_list_lags() -> None:
+def test_backend_listed_as_draining_stays_draining_if_a_later_list_lags() -> None:
     hub = StateHub(1)
     hub.update_backends(1.0, [make_backend("i-1", is_draining=True)])
     hub.update_backends(2.0, [])
@@ -89,7 +89,7 @@
     assert draining == {"i-1": True, "i-2": False}
 
 
-def test_configuration_comes_from_a_gateway_if_no_coordinator_has_a_majority() -> None:
+def test_configuration_comes_from_a_gateway_if_no_coordinator_has_quorum_contact() -> None:
     without_lease, gateway_hub, hub = StateHub(1), StateHub(2), StateHub(3)
     without_lease.update_config(6, 20, b"", [])
     without_lease.can_bootstrap_peers = lambda: False
@@ -102,18 +102,19 @@
     assert hub.config.serial == 7 and list(hub.config.evacuated_zones) == ["z"] and len(hub.backends) == 1
 
 
-def test_every_reply_carries_the_lease_membership_and_an_older_one_is_ignored() -> None:
+def test_every_reply_contains_the_lease_membership_and_an_older_one_is_ignored() -> None:
     coordinator, hub = StateHub(1), StateHub(2)
     newest = LeaseMembership(3, ("a", "d"), ("a", "b"))
     coordinator.update_lease_membership(newest)
     update = coordinator.add_status(StateUpdate())
     hub.update_lease_membership(LeaseMembership.from_message(update.lease_membership))
     hub.update_lease_membership(LeaseMembership(2, ("a", "b")))
-    hub.update_lease_membership(LeaseMembership.from_message(StateUpdate().lease_membership))  # of a peer without one
+    # A reply from a peer without a membership.
+    hub.update_lease_membership(LeaseMembership.from_message(StateUpdate().lease_membership))
     assert hub.lease_membership == newest
 
 
-def test_every_reply_carries_the_age_of_the_quorum_contact_and_the_time_it_was_held_back() -> None:
+def test_every_reply_contains_the_age_of_the_quorum_contact_and_the_time_it_was_held_back() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         hub, peers.confirmed_at["c1:1"] = peers.add_coordinator("c1:1", 1), 0.0
         await asyncio.sleep(1)
@@ -127,7 +128,7 @@
     run_in_virtual_time(scenario)
 
 
-def test_a_coordinator_that_was_restarted_does_not_bring_back_the_view_of_its_last_life() -> None:
+def test_restarted_coordinator_does_not_restore_the_view_of_its_previous_incarnation() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         hub, replicas = StateHub(9, peers.clock), {name: PeerReplica(name, peers.clock) for name in ("c1:1", "c2:1")}
 
@@ -136,7 +137,7 @@
             source = peers.hubs[name]
             update = source.build_update(request) or source.add_status(StateUpdate())
             replicas[name].record_reply(update, peers.clock(), 2000.0)
-            replicas[name].apply(update, hub, peers.clock(), with_view=True)
+            replicas[name].apply(update, hub, peers.clock(), updates_view=True)
 
         for name in replicas:
             source = peers.add_coordinator(name, serial=0)
@@ -150,11 +151,11 @@
         assert hub.gateways.keys() == ["g2:1"] and hub.holders == {1: "g2:1"}
         restarted = peers.add_coordinator("c1:1", serial=0)
         restarted.incarnation = restarted.gateways.epoch = 77
-        restarted.shares_gateways = False  # it knows few of them yet
+        restarted.shares_gateways = False  # it knows only a few gateways yet
         await asyncio.sleep(5)
-        dated_at = hub.view_contact_at
+        contact_at = hub.view_contact_at
         pull_from("c1:1")
         assert hub.gateways.keys() == ["g2:1"] and hub.holders == {1: "g2:1"} and hub.view_source == "c2:1"
-        assert hub.view_contact_at == dated_at
+        assert hub.view_contact_at == contact_at
 
     run_in_virtual_time(scenario)
--- a/tests/system/distribution/test_update_starvation.py
+++ b/tests/system/distribution/test_update_starvation.py
@@ -1,4 +1,4 @@
-"""Frequent changes of one part of the state do not keep another part from the gateways."""
+"""Frequent changes of one part of the state do not delay the distribution of another part."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from hallhitch.messages.system_pb2 import StateRequest, StateUpdate
 from hallhitch.planes.distribution.peer_replica import PeerReplica
-from hallhitch.planes.distribution.state_hub import CHUNK_ENTRIES_BESIDE_CONFIG, StateHub
+from hallhitch.planes.distribution.state_hub import CHUNK_ENTRIES_WITH_CONFIG, StateHub
 from hallhitch.planes.distribution.versioned_map import CHUNK_ENTRIES
 from tests.system.distribution.simulated_peers import (
     SimulatedPeers,
@@ -20,27 +20,27 @@
 COORDINATOR = "c1:1"
 CHANGE_INTERVAL_S = 0.1
 CHANGE_COUNT = 100
-ROUND_TRIP_LIMIT = 4  # round trips in which a change of the list reaches a gateway
+ROUND_TRIP_LIMIT = 4  # round trips within which a change of the list must reach a gateway
 
 
 def pull(source: StateHub, replica: PeerReplica, hub: StateHub, at: float) -> None:
-    """Pull once from a peer, in no time."""
+    """Pull once from a peer, without delay."""
     request = replica.build_request(make_gateway("me"), hub, 0.0, direct_only=False)
     update = source.build_update(StateRequest.FromString(request.SerializeToString()))
     assert update is not None
     replica.record_reply(update, at, 2000.0)
-    replica.apply(update, hub, at, with_view=True)
+    replica.apply(update, hub, at, updates_view=True)
 
 
 async def change_config(peers: SimulatedPeers) -> None:
-    """Change the configuration again and again."""
+    """Change the configuration CHANGE_COUNT times."""
     for serial in range(2, CHANGE_COUNT + 2):
         peers.hubs[COORDINATOR].update_config(serial, serial, b"", [])
         await asyncio.sleep(CHANGE_INTERVAL_S)
 
 
 @pytest.mark.parametrize("one_way_ms", [35.0, 55.0, 150.0])
-def test_a_draining_backend_is_known_in_time_while_the_configuration_keeps_changing(one_way_ms: float) -> None:
+def test_draining_backend_is_known_in_time_while_the_configuration_keeps_changing(one_way_ms: float) -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         hub = peers.add_coordinator(COORDINATOR, serial=1)
         hub.update_backends(peers.clock(), [make_backend("i-1"), make_backend("i-2")])
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("changed_count", [1, 3 * CHUNK_ENTRIES])
-def test_a_reply_does_not_date_a_list_of_which_it_lacks_the_newest_changes(changed_count: int) -> None:
+def test_list_age_in_a_reply_is_not_applied_to_a_list_without_the_newest_changes(changed_count: int) -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         source, hub = peers.add_coordinator(COORDINATOR, serial=1), StateHub(9, peers.clock)
         replica = PeerReplica(COORDINATOR, peers.clock)
@@ -85,7 +85,7 @@
     run_in_virtual_time(scenario)
 
 
-def test_no_part_of_the_state_is_kept_back_by_a_configuration_that_keeps_changing() -> None:
+def test_configuration_that_keeps_changing_delays_no_other_part_of_the_state() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         hub = peers.add_coordinator(COORDINATOR, serial=1)
         hub.update_backends(peers.clock(), [make_backend("i-1")])
@@ -106,7 +106,7 @@
     run_in_virtual_time(scenario)
 
 
-def test_a_first_configuration_comes_alone_and_a_later_one_beside_short_chunks_of_the_lists() -> None:
+def test_first_configuration_is_sent_alone_and_a_later_one_with_short_chunks_of_the_lists() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         source, hub = peers.add_coordinator(COORDINATOR, serial=1), StateHub(9, peers.clock)
         source.update_backends(0.0, [make_backend(f"i-{n}") for n in range(3 * CHUNK_ENTRIES)])
@@ -122,28 +122,28 @@
         assert first is not None and later is not None and lists_only is not None
         assert first.HasField("config") and not first.HasField("backends") and not first.HasField("gateways")
         assert later.config.serial == 2 and not lists_only.HasField("config")
-        assert len(later.backends.entries) == len(later.gateways.entries) == CHUNK_ENTRIES_BESIDE_CONFIG
+        assert len(later.backends.entries) == len(later.gateways.entries) == CHUNK_ENTRIES_WITH_CONFIG
         assert len(lists_only.backends.entries) == len(lists_only.gateways.entries) == CHUNK_ENTRIES
 
     run_in_virtual_time(scenario)
 
 
-def test_a_reply_of_an_earlier_release_dates_no_list_beside_a_configuration() -> None:
+def test_list_age_from_an_earlier_release_is_ignored_in_a_reply_with_a_configuration() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         source, hub = peers.add_coordinator(COORDINATOR, serial=1), StateHub(9, peers.clock)
         replica = PeerReplica(COORDINATOR, peers.clock)
         await asyncio.sleep(1)
         source.update_backends(peers.clock(), [make_backend("i-1")])
-        for _ in range(2):  # the configuration, then the list
+        for _ in range(2):  # first the configuration, then the list
             pull(source, replica, hub, peers.clock())
         read_at = hub.list_read_at
         await asyncio.sleep(1)
         update = StateUpdate(incarnation=source.incarnation, endpoint_list_age_ms=1.0)
         update.config.serial = 2
-        replica.apply(update, hub, peers.clock(), with_view=True)
+        replica.apply(update, hub, peers.clock(), updates_view=True)
         assert hub.list_read_at == read_at and hub.config.serial == 2
         update.ClearField("config")
-        replica.apply(update, hub, peers.clock(), with_view=True)
+        replica.apply(update, hub, peers.clock(), updates_view=True)
         assert hub.list_read_at == peers.clock() - 1.0
 
     run_in_virtual_time(scenario)
--- a/tests/system/distribution/test_versioned_map.py
+++ b/tests/system/distribution/test_versioned_map.py
@@ -1,4 +1,4 @@
-"""Replicas of a versioned map equal the map, whichever of its deltas they missed."""
+"""Replicas of a versioned map equal the map, whichever deltas they missed."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 def test_replica_equals_the_map_after_missed_deltas_and_restarts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(versioned_map, "MAX_REMOVED_KEYS", 4)  # so that replicas fall too far behind, too
+    monkeypatch.setattr(versioned_map, "MAX_REMOVED_KEYS", 4)  # so that some replicas fall too far behind for a delta
     snapshots = 0
     for seed in range(300):
         rng = random.Random(seed)
@@ -23,7 +23,7 @@
         replicas: list[VersionedReplica[int]] = [VersionedReplica() for _ in range(3)]
         for step in range(60):
             key = f"k{rng.randrange(12)}"
-            if rng.random() < 0.1:  # the process restarts and numbers anew
+            if rng.random() < 0.1:  # the process restarts, and its numbers start again
                 source = VersionedMap(source.epoch + 1)
             if rng.random() < 0.6:
                 source.put(key, step)
@@ -39,7 +39,7 @@
     assert snapshots > 300
 
 
-def test_replacing_by_equal_values_changes_nothing() -> None:
+def test_replacement_with_equal_values_changes_nothing() -> None:
     source: VersionedMap[int] = VersionedMap(7)
     assert source.replace({"a": 1, "b": 2})
     number = source.number
