--- a/hallhitch/planes/distribution/versioned_map.py
+++ b/hallhitch/planes/distribution/versioned_map.py
@@ -32,7 +32,7 @@
 class Delta(Generic[ValueT]):
     """The data that a replica lacks: the full map (`is_snapshot`), or the changes since the replica's version.
 
-    With `has_more_chunks` it is only the first part of that: it leads to `version`, which is not the newest version yet.
+    With `has_more_chunks` it is only the first part of that and leads to `version`, which is not the newest one yet.
     """
 
     version: Version
--- a/hallhitch/planes/quota/bucket_placement.py
+++ b/hallhitch/planes/quota/bucket_placement.py
@@ -55,7 +55,7 @@
         self._gateways: frozenset[str] = frozenset()
         self._settled_at = math.inf
         self._ranking: list[list[str]] = [[] for _ in range(BUCKET_COUNT)]
-        self._first_since = [0.0] * BUCKET_COUNT  # when the first gateway of the ranking became the first
+        self._preferred_since = [0.0] * BUCKET_COUNT  # when the first gateway of the ranking became the first
         self._free_since = [0.0] * BUCKET_COUNT
         self._last_holder = [""] * BUCKET_COUNT
         self._retry_at = [0.0] * BUCKET_COUNT
@@ -70,7 +70,7 @@
         self._gateways = names
         for bucket, ranking in enumerate(rank_gateways(names)):
             if ranking[:1] != self._ranking[bucket][:1]:
-                self._first_since[bucket] = now
+                self._preferred_since[bucket] = now
             self._ranking[bucket] = ranking
 
     def set_holders(self, now: float, holders: Mapping[int, str]) -> None:
@@ -113,11 +113,11 @@
         return REJECTED_RETRY_MS + RETRY_STAGGER_MS * ranking.index(self._own_address)
 
     def preferred_elsewhere_since(self, bucket: int) -> float:
-        """Return when another gateway became the first for a bucket; infinity if none is."""
+        """Return when another gateway became the first for a bucket; infinity if no other gateway is first."""
         ranking = self._ranking[bucket]
         if not ranking or ranking[0] == self._own_address:
             return math.inf
-        return self._first_since[bucket]
+        return self._preferred_since[bucket]
 
     def _rank(self, bucket: int) -> int:
         """Return how many gateways should try to acquire the bucket before this one.
--- a/hallhitch/planes/quota/lease.py
+++ b/hallhitch/planes/quota/lease.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PredecessorReport:
-    """The newest usage report that a process has received from a bucket's last holder.
+    """The newest usage report of a bucket's last holder that a process has received.
 
     `is_final`: the holder counted nothing after this report. Otherwise the holder stopped counting at most
     LEASE_DURATION_MS after its newest claim that any coordinator of a quorum has received.
--- a/hallhitch/planes/quota/lease_acquisition.py
+++ b/hallhitch/planes/quota/lease_acquisition.py
@@ -90,7 +90,7 @@
 def newest_common_report(reports: Iterable[PredecessorReport | None]) -> PredecessorReport | None:
     """Return the newest report of a bucket's last holder; None unless all voters report the same holder.
 
-    Either an earlier holder shared a voter with this gateway, or a quorum set was dropped after that holder; voters do
+    For every earlier holder, either it shared a voter with this gateway or a quorum set was dropped after it. Voters do
     not report holders that they voted for before a quorum set was dropped (LeaseTable.set_membership). So if all
     voters report the same holder, no other gateway held the bucket after it, and it stopped counting at most a lease
     duration after its newest claim that any voter has received.
--- a/hallhitch/planes/quota/tenant_counter.py
+++ b/hallhitch/planes/quota/tenant_counter.py
@@ -55,17 +55,16 @@
     """The counts of one tenant against one limit.
 
     `holder_window`: the units that this holder has admitted. `tenant_window`: those and the units left to reserves.
-    `holder_units`, `holder_short_units`, `tenant_units` and `tenant_short_units` are the limits of these windows.
     """
 
     limit: RateLimit
     max_gateways: int
     holder_window: SlidingWindow
-    holder_units: int
-    holder_short_units: int
+    max_holder_units: int
+    max_holder_short_units: int
     tenant_window: SlidingWindow
-    tenant_units: int
-    tenant_short_units: int
+    max_tenant_units: int
+    max_tenant_short_units: int
 
 
 @dataclass(slots=True)
@@ -157,15 +156,15 @@
         holder_window, tenant_window = windows.holder_window, windows.tenant_window
         holder_window.advance(now)
         tenant_window.advance(now)
-        if not tenant_window.fits(units, windows.tenant_units, windows.tenant_short_units):
+        if not tenant_window.fits(units, windows.max_tenant_units, windows.max_tenant_short_units):
             retry_after_ms = tenant_window.ms_until_capacity(
-                now, units, windows.tenant_units, windows.tenant_short_units
+                now, units, windows.max_tenant_units, windows.max_tenant_short_units
             )
             return CountResult(is_over_limit=True, total=tenant_window.total, retry_after_ms=retry_after_ms)
         tenant_window.add(units)
-        if not holder_window.fits(units, windows.holder_units, windows.holder_short_units):
+        if not holder_window.fits(units, windows.max_holder_units, windows.max_holder_short_units):
             retry_after_ms = holder_window.ms_until_capacity(
-                now, units, windows.holder_units, windows.holder_short_units
+                now, units, windows.max_holder_units, windows.max_holder_short_units
             )
             return CountResult(
                 is_over_limit=True, total=tenant_window.total, retry_after_ms=retry_after_ms, is_over_share=True
@@ -204,7 +203,7 @@
 
         Existing counts are kept; otherwise the windows start with the counts of earlier holders.
         """
-        holder_units = math.floor(self._quota.holder_limit(limit, self._max_gateways))
+        max_holder_units = math.floor(self._quota.holder_limit(limit, self._max_gateways))
         holder_short = self._quota.holder_short_window(limit, self._max_gateways)
         tenant_limits = self._quota.tenant_limits(limit, self._max_gateways)
         windows = bucket.tenants.get(tenant)
@@ -219,11 +218,11 @@
             limit=limit,
             max_gateways=self._max_gateways,
             holder_window=holder_window,
-            holder_units=holder_units,
-            holder_short_units=math.floor(holder_short.units),
+            max_holder_units=max_holder_units,
+            max_holder_short_units=math.floor(holder_short.units),
             tenant_window=tenant_window,
-            tenant_units=math.floor(tenant_limits.full_units),
-            tenant_short_units=math.floor(tenant_limits.short.units),
+            max_tenant_units=math.floor(tenant_limits.full_units),
+            max_tenant_short_units=math.floor(tenant_limits.short.units),
         )
         if windows is None:
             self._add_predecessor_units(now, bucket, tenant, new_windows, holder_short.window_ms)
@@ -241,11 +240,11 @@
             unreported_ms = 0.0
         else:
             unreported_ms = LEASE_DURATION_MS - CLOCK_MARGIN_MS / 2
-        window, capacity = windows.holder_window, windows.holder_units
+        window, capacity = windows.holder_window, windows.max_holder_units
         counted_at = bucket.exclusive_since
         while capacity > 0 and bucket.exclusive_since - counted_at < unreported_ms:
-            window.add_at(counted_at, min(windows.holder_short_units, capacity))
-            capacity -= windows.holder_short_units
+            window.add_at(counted_at, min(windows.max_holder_short_units, capacity))
+            capacity -= windows.max_holder_short_units
             counted_at -= short_length_ms
         if predecessor is None or reported_units is None:
             return
--- a/tests/system/distribution/test_gateway_sync.py
+++ b/tests/system/distribution/test_gateway_sync.py
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_configurations_are_applied_in_time_and_the_list_is_fetched_once_over_slow_links(seed: int) -> None:
-    """Messages take 0.5 to 1.5 s each way; a round trip is up to three times the first time-out of a reply."""
+    """Messages take 0.5 to 1.5 s each way; a reply takes up to three times as long as it is waited for at first."""
 
     async def scenario(peers: SimulatedPeers) -> None:
         for address in COORDINATORS:
