--- a/hallhitch/messages/call_sequence.py
+++ b/hallhitch/messages/call_sequence.py
@@ -1,8 +1,8 @@
-"""Suppression of duplicate and reordered calls by the numbers that a sender gives to them. No I/O.
+"""Detection of duplicate and reordered calls by their sequence numbers. No I/O.
 
 Invariant (AT MOST ONCE): of the calls of one sender, each number is accepted at most once. A sender numbers its calls
-in growing order, and a number is accepted only if it is above all that were accepted before in the same queue of the
-sender's connection (short frames, long frames).
+in increasing order, and a number is accepted only if it is above all numbers accepted before from the same queue of the
+sender's connection (short frames or long frames).
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 from typing import Final
 
-# How long the numbers of a sender without calls are kept: no kernel delivers a frame later than this after its
-# connection was given up.
+# How long the numbers of a sender that makes no calls are kept. No kernel delivers a frame later than this after the
+# connection was abandoned.
 SEQUENCE_RETENTION_MS: Final = 60_000.0
 
 
 class CallSequence:
-    """The highest call numbers that were accepted of one sender."""
+    """The highest call numbers accepted from one sender."""
 
     __slots__ = ("_last_long", "_last_short", "last_used_ms")
 
@@ -26,7 +26,7 @@
         self.last_used_ms = 0.0
 
     def accept(self, call_id: int, is_chunked: bool) -> bool:
-        """Record a call's number; return False if it is a duplicate or late."""
+        """Record the number of a call; return False if the call is a duplicate or arrives out of order."""
         if call_id <= (self._last_long if is_chunked else self._last_short):
             return False
         if is_chunked:
@@ -37,9 +37,9 @@
 
 
 class SenderSequences:
-    """The call sequence of each sender across its connections, so that a replay on another connection is detected.
+    """The call sequence of each sender across its connections, which detects a replay on another connection.
 
-    Bounded by the senders that called within SEQUENCE_RETENTION_MS: older ones are dropped when a new one is added.
+    Bounded by the number of senders that called within SEQUENCE_RETENTION_MS; adding a sender drops older ones.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -47,7 +47,7 @@
         self._sequences: dict[int, CallSequence] = {}
 
     def sequence_of(self, incarnation: int) -> CallSequence:
-        """Return the sequence of a sender; one without an incarnation (0) gets a new one for each connection."""
+        """Return the sequence of a sender; a sender without an incarnation (0) gets a new one for each connection."""
         sequence = self._sequences.get(incarnation)
         if sequence is None:
             sequence = CallSequence()
--- a/hallhitch/messages/connection.py
+++ b/hallhitch/messages/connection.py
@@ -1,6 +1,6 @@
-"""One TCP connection between two processes of the system: envelopes in, envelopes out, and what closes it.
+"""One TCP connection between two processes of the system: decodes and encodes envelopes, and closes on errors.
 
-Owns the options of the socket and the queue in front of the transport. Subclasses handle the envelopes.
+It sets the socket options and owns the send queue. Subclasses handle the envelopes.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.logs import ComponentLogger, RateLimitedLog
 
-# Time without an acknowledgement by the peer's kernel after which a connection is closed (TCP_USER_TIMEOUT): above the
-# 1.5 s and more that a segment takes over a full link, each way.
+# Time without an acknowledgement from the peer's kernel after which a connection is closed (TCP_USER_TIMEOUT). It
+# exceeds the 1.5 s and more that a segment takes each way over a congested link.
 ACKNOWLEDGEMENT_TIMEOUT_MS: Final = 2500
 
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """What a process sent, received and dropped over all its connections."""
+    """Totals of what a process sent, received and rejected on all its connections."""
 
     bytes_sent: int = 0
     bytes_received: int = 0
@@ -37,7 +37,7 @@
 
 
 class ConnectionContext:
-    """What all connections of one process share: cluster, identity, clock (steady ms), counters and log."""
+    """Shared by all connections of one process: cluster, identity, clock (monotonic ms), counters and log."""
 
     def __init__(self, cluster: int, own: Identity, clock: Callable[[], float]) -> None:
         self.cluster = cluster
@@ -47,7 +47,7 @@
         self._rejection_log = RateLimitedLog(ComponentLogger("link"))
 
     def count_rejection(self, reason: Rejection, peer: object) -> None:
-        """Count what was dropped and log it at most once a second; late replies are ordinary and not logged."""
+        """Count a rejection and log it at most once a second; late replies are expected and not logged."""
         self.traffic.rejected[reason] += 1
         if reason is not Rejection.UNMATCHED_REPLY:
             self._rejection_log.warning(self.clock(), "message dropped", reason=reason.value, peer=peer)
@@ -56,7 +56,7 @@
 class Connection(asyncio.Protocol):
     """A connection that encodes and decodes envelopes.
 
-    An envelope of another cluster and bytes that cannot be decoded close it.
+    It closes when it receives an envelope of another cluster or bytes that cannot be decoded.
     """
 
     def __init__(self, context: ConnectionContext) -> None:
@@ -67,17 +67,17 @@
         self._queue = FrameQueue()
         self._is_paused = False
 
-    # Callbacks of the event loop.
+    # Event loop callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the options of the socket."""
-        self.transport = cast(asyncio.Transport, transport)  # the transports of uvloop don't derive from asyncio's
+        """Set the socket options."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transports do not derive from asyncio's
         self.transport.set_write_buffer_limits(high=MAX_CHUNK_BYTES)
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGEMENT_TIMEOUT_MS)
-            # A short frame cannot overtake what the kernel has buffered.
+            # A short frame cannot overtake bytes in the kernel's send buffer, so the buffer is kept small.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, MAX_CHUNK_BYTES)
 
     def data_received(self, data: bytes) -> None:
@@ -95,26 +95,26 @@
         return None
 
     def pause_writing(self) -> None:
-        """Stop writing: the transport's buffer is full."""
+        """Stop writing, because the transport's buffer is full."""
         self._is_paused = True
 
     def resume_writing(self) -> None:
-        """Write on: the transport's buffer has room."""
+        """Resume writing, because the transport's buffer has room again."""
         self._is_paused = False
         self._flush()
 
-    # For subclasses.
+    # Methods for subclasses.
 
     def on_envelope(self, envelope: Envelope, is_chunked: bool) -> None:
         """Handle an envelope of this cluster."""
         raise NotImplementedError
 
     def is_open(self) -> bool:
-        """Return whether the connection is open, as far as this side knows."""
+        """Return whether the connection is open as far as this side knows."""
         return self.transport is not None and not self.transport.is_closing()
 
     def send(self, envelope: Envelope) -> OutgoingFrame:
-        """Write an envelope, or queue it until the transport has room; what is queued at the end is not sent."""
+        """Write an envelope, or queue it until the transport has room; closing drops what is still queued."""
         envelope.cluster = self.context.cluster
         frame = OutgoingFrame(envelope.SerializeToString())
         if self.is_open():
@@ -123,20 +123,20 @@
         return frame
 
     def withdraw(self, frame: OutgoingFrame) -> None:
-        """Remove a frame from the queue, unless a part of it was handed over."""
+        """Remove a frame from the queue unless a part of it was passed to the transport."""
         self._queue.discard(frame)
 
     def reject(self, reason: Rejection) -> None:
-        """Count and log an envelope that is dropped."""
+        """Count and log a dropped envelope."""
         self.context.count_rejection(reason, self.transport.get_extra_info("peername") if self.transport else "")
 
     def close_rejecting(self, reason: Rejection) -> None:
-        """Drop an envelope and close the connection, as the peer is not the one that is meant."""
+        """Drop an envelope and close the connection: its peer is the wrong process or sends invalid data."""
         self.reject(reason)
         self.abort()
 
     def abort(self) -> None:
-        """Close the connection at once; what is queued is not sent."""
+        """Close the connection immediately; queued frames are not sent."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/hallhitch/messages/errors.py
+++ b/hallhitch/messages/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the framing and the reasons for which received bytes or envelopes are dropped."""
+"""Framing errors, and the reasons for rejecting received bytes or envelopes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Rejection(Enum):
-    """Why received bytes or an envelope are not processed; the value is the `reason` of the log line."""
+    """Why received bytes or an envelope are rejected; the value is the `reason` field of the log line."""
 
     FRAME_TOO_LARGE = "frame too large"
     MALFORMED_ENVELOPE = "malformed envelope"
@@ -25,8 +25,8 @@
 
 
 class FrameError(MessageError):
-    """A byte stream that cannot be decoded any further; its connection has to be closed."""
+    """The byte stream cannot be decoded any further; its connection has to be closed."""
 
     def __init__(self, reason: Rejection) -> None:
-        super().__init__(f"cannot decode the stream: {reason.value}")
+        super().__init__(f"cannot decode the byte stream: {reason.value}")
         self.reason = reason
--- a/hallhitch/messages/frames.py
+++ b/hallhitch/messages/frames.py
@@ -1,14 +1,14 @@
 """Framing of envelopes in a byte stream. No I/O and no clock.
 
-A frame holds one serialized envelope and is written as one chunk, or as several where it is long. A chunk is a header
-of four bytes (big-endian) and its content. The two highest bits of the header tell a complete frame (00), a chunk of a
-long frame (10) and its final chunk (11); the others hold the size of the content.
+A frame holds one serialized envelope. It is written as one chunk, or as several if it is long. A chunk consists of a
+header of four bytes (big-endian) and its content. The two highest bits of the header distinguish a complete frame (00),
+a chunk of a long frame (10) and its final chunk (11); the other bits hold the size of the content.
 
 Invariants:
 - The content of a chunk has at most MAX_CHUNK_BYTES; a frame has at most MAX_FRAME_BYTES.
-- At most one long frame is in transit in each direction; short frames go between its chunks, so that a long frame
-  delays a short one by one chunk at most.
-- Short frames keep their order among themselves, and so do long ones.
+- At most one long frame is in transit in each direction. Short frames are sent between its chunks, so that a long
+  frame delays a short one by one chunk at most.
+- Short frames keep their relative order, and so do long frames.
 """
 
 from __future__ import annotations
@@ -19,8 +19,10 @@
 
 from hallhitch.messages.errors import FrameError, Rejection
 
-MAX_FRAME_BYTES: Final = 64 * 1024 * 1024  # twice the longest request body that the operator's API accepts
-MAX_CHUNK_BYTES: Final = 16 * 1024  # some 60 ms on the slowest links (2 Mbit/s): the delay of a short frame behind it
+MAX_FRAME_BYTES: Final = 64 * 1024 * 1024  # twice the largest request body that the operator's API accepts
+MAX_CHUNK_BYTES: Final = (
+    16 * 1024
+)  # takes about 60 ms on the slowest links (2 Mbit/s), which delays a short frame behind it
 HEADER_BYTES: Final = 4
 _CHUNKED_FLAG: Final = 1 << 31
 _FINAL_CHUNK_FLAG: Final = 1 << 30
@@ -29,21 +31,21 @@
 
 @dataclass(slots=True)
 class ReceivedFrame:
-    """The bytes of one envelope; `is_chunked` where they came in several chunks."""
+    """The bytes of one envelope; `is_chunked` if they arrived in several chunks."""
 
     data: bytes
     is_chunked: bool
 
 
 class FrameReader:
-    """Decodes a byte stream into frames. A size is checked before any of its content is buffered."""
+    """Decodes a byte stream into frames; checks each size before it buffers any content."""
 
     def __init__(self) -> None:
         self._incomplete_chunk = b""
         self._long_frame = bytearray()
 
     def feed(self, data: bytes) -> list[ReceivedFrame]:
-        """Return the frames that `data` completes.
+        """Append received bytes and return the frames that they complete.
 
         Raises:
             FrameError: a chunk or a frame is too large, or a header is invalid.
@@ -68,7 +70,7 @@
         return frames
 
     def _add_chunk(self, header: int, content: bytes) -> ReceivedFrame | None:
-        """Return the frame that this chunk completes, None while chunks are missing."""
+        """Return the frame that this chunk completes, or None while chunks are missing."""
         if not header & _CHUNKED_FLAG:
             return ReceivedFrame(content, False)
         if len(self._long_frame) + len(content) > MAX_FRAME_BYTES:
@@ -82,7 +84,7 @@
 
 
 class OutgoingFrame:
-    """One envelope to be written; `is_handed_over` once any part of it was given to the transport."""
+    """One envelope to be written; `is_handed_over` once any part of it was passed to the transport."""
 
     __slots__ = ("data", "is_handed_over")
 
@@ -93,30 +95,30 @@
 
 @dataclass(slots=True)
 class Chunk:
-    """Header and content that are written at once; `is_final` completes the frame."""
+    """Header and content, written together; `is_final` marks the last chunk of a frame."""
 
     data: bytes
     is_final: bool
 
 
 class FrameQueue:
-    """Frames that wait to be written, short and long ones in queues of their own that take turns by bytes."""
+    """Frames that wait to be written: one queue for short frames and one for long ones, which alternate by bytes."""
 
     def __init__(self) -> None:
         self._short_frames: deque[OutgoingFrame] = deque()
         self._long_frames: deque[OutgoingFrame] = deque()
-        self._long_frame_offset = 0  # bytes of the first long frame that were handed over
-        self._short_bytes_since_chunk = 0  # bytes of short frames handed over since the last chunk of a long one
+        self._long_frame_offset = 0  # bytes of the first long frame already passed to the transport
+        self._short_bytes_since_chunk = 0  # bytes of short frames since the last chunk of a long one
 
     def put(self, frame: OutgoingFrame) -> None:
-        """Append a frame to the queue of its length."""
+        """Append a frame to the queue for short or for long frames."""
         if len(frame.data) > MAX_CHUNK_BYTES:
             self._long_frames.append(frame)
         else:
             self._short_frames.append(frame)
 
     def discard(self, frame: OutgoingFrame) -> bool:
-        """Remove a frame of which nothing was handed over; return whether it was removed."""
+        """Remove a frame of which no part was passed to the transport; return whether it was removed."""
         if frame.is_handed_over:
             return False
         queue = self._long_frames if len(frame.data) > MAX_CHUNK_BYTES else self._short_frames
@@ -126,7 +128,7 @@
         return True
 
     def next(self) -> Chunk | None:
-        """Return the next chunk to write, None if the queue is empty."""
+        """Return the next chunk to write, or None if the queue is empty."""
         if self._short_frames and (not self._long_frames or self._short_bytes_since_chunk < MAX_CHUNK_BYTES):
             return self._next_short(self._short_frames.popleft())
         if self._long_frames:
--- a/hallhitch/messages/inbound_link.py
+++ b/hallhitch/messages/inbound_link.py
@@ -1,6 +1,6 @@
-"""Connections that peers opened to this process: each call is handled at most once and replied to.
+"""Connections that peers opened to this process: handles each call at most once and replies to it.
 
-A handler that fails replies with an error envelope; the connection stays open.
+If a handler fails, the reply is an error envelope and the connection stays open.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class CallServer:
-    """Handles the calls of all inbound connections of one process; owns their asynchronous handlers."""
+    """Handles the calls on all inbound connections of one process; owns the tasks of its asynchronous handlers."""
 
     def __init__(self, context: ConnectionContext, handler: CallHandler | None) -> None:
         self.context = context
@@ -31,16 +31,16 @@
         self._failure_log = RateLimitedLog(ComponentLogger("link"))
 
     def handle(self, call: Envelope) -> Envelope | Awaitable[Envelope]:
-        """Return the reply to a call, or what resolves to it; an exception of the handler becomes an error reply."""
+        """Return the reply to a call, or an awaitable of it; an exception in the handler becomes an error reply."""
         if self._handler is None:
             return Envelope(error="nobody answers here")
         try:
             return self._handler(call)
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+        except Exception as error:  # noqa: BLE001  top-level handler: logs the error, and the process continues
             return self._error_reply(error)
 
     def reply_later(self, link: InboundLink, call: Envelope, pending_reply: Awaitable[Envelope]) -> None:
-        """Send the reply to a call once it is there."""
+        """Send the reply to a call when it is ready."""
         task = asyncio.ensure_future(self._reply_when_done(link, call, pending_reply))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -48,7 +48,7 @@
     async def _reply_when_done(self, link: InboundLink, call: Envelope, pending_reply: Awaitable[Envelope]) -> None:
         try:
             reply = await pending_reply
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+        except Exception as error:  # noqa: BLE001  top-level handler: logs the error, and the process continues
             reply = self._error_reply(error)
         link.send_reply(call, reply)
 
@@ -63,7 +63,7 @@
 
 
 class InboundLink(Connection):
-    """A connection that a peer opened; all its calls come from one incarnation of the peer."""
+    """A connection that a peer opened; all calls on it come from one incarnation of the peer."""
 
     def __init__(self, server: CallServer) -> None:
         super().__init__(server.context)
@@ -81,7 +81,7 @@
         self._server.links.discard(self)
 
     def on_envelope(self, envelope: Envelope, is_chunked: bool) -> None:
-        """Check a call's recipient, sender and number, then handle it."""
+        """Check the recipient, the sender and the number of a call, then handle it."""
         reason = check_call(envelope, self.context.own)
         if reason is None and self._sender.mismatch("", envelope.sender_incarnation) is not None:
             reason = Rejection.WRONG_SENDER
--- a/hallhitch/messages/outbound_link.py
+++ b/hallhitch/messages/outbound_link.py
@@ -16,14 +16,14 @@
 from hallhitch.messages.system_pb2 import Envelope
 from hallhitch.node.errors import RequestNotSent, RequestTimeout
 
-# Time of pending calls without a received byte after which the next call opens a new connection. As long as the
-# kernel waits for an acknowledgement: a slow path (1.5 s and more each way over a full link) keeps its calls in
-# transit, and a dead one is detected as early as by the kernel.
+# With calls pending, time without a received byte after which the next timeout closes the connection. Equal to the
+# kernel's wait for an acknowledgement: a slow path (1.5 s and more each way over a congested link) keeps its calls in
+# transit, and a dead path is detected as early as by the kernel.
 UNRESPONSIVE_AFTER_MS: Final = float(ACKNOWLEDGEMENT_TIMEOUT_MS)
 
 
 class PendingCall:
-    """One call that waits for its reply on one connection."""
+    """One call on one connection that waits for its reply."""
 
     __slots__ = ("frame", "reply")
 
@@ -32,28 +32,28 @@
         self.frame: OutgoingFrame | None = None
 
     def has_reply(self) -> bool:
-        """Return whether the reply has come, be it at the moment of the time-out."""
+        """Return whether the reply has arrived, even if only at the moment of the timeout."""
         return self.reply.done() and not self.reply.cancelled() and self.reply.exception() is None
 
     def failure(self, address: str, reason: str) -> RequestNotSent | RequestTimeout:
-        """Return the error of this call if no reply comes, by whether any part of it was handed over."""
+        """Return the error of this call without a reply; the type tells whether any part of it may have been sent."""
         if self.frame is not None and self.frame.is_handed_over:
             return RequestTimeout("call", address, reason)
         return RequestNotSent("call", address, reason)
 
 
 class OutboundLink(Connection):
-    """A connection to a peer with its pending calls."""
+    """A connection to a peer, and the calls pending on it."""
 
     def __init__(self, context: ConnectionContext, address: str, on_closed: Callable[[OutboundLink], None]) -> None:
         super().__init__(context)
         self.peer = Identity(address)
         self._pending: dict[int, PendingCall] = {}
         self._on_closed = on_closed
-        self._unanswered_since_ms: float | None = None  # when the first call since the last reply was written
+        self._unanswered_since_ms: float | None = None  # when the first call after the last reply was written
 
     def on_envelope(self, envelope: Envelope, is_chunked: bool) -> None:
-        """Resolve the call that this reply belongs to."""
+        """Complete the pending call that this reply belongs to."""
         reason = check_reply(envelope, self.context.own, self.peer)
         if reason is not None:
             return self.close_rejecting(reason)
@@ -69,13 +69,13 @@
         return None
 
     def begin_call(self, call_id: int, envelope: Envelope) -> PendingCall:
-        """Write a call; its future gets the reply, or an error when the connection closes.
+        """Write a call and return it; its future receives the reply, or an error when the connection closes.
 
         Raises:
             RequestNotSent: the connection is closed.
         """
         if not self.is_open():
-            raise RequestNotSent("call", self.peer.address, "the connection has ended")
+            raise RequestNotSent("call", self.peer.address, "the connection is closed")
         call = self._pending[call_id] = PendingCall()
         envelope.call_id = call_id
         address_call(envelope, self.context.own, self.peer)
@@ -85,7 +85,7 @@
         return call
 
     def end_call(self, call_id: int, call: PendingCall) -> None:
-        """Forget a call whose caller waits no longer, and withdraw it if it is still queued."""
+        """Remove a call whose caller no longer waits, and do not send it if it is still queued."""
         if self._pending.pop(call_id, None) is not None and call.frame is not None:
             self.withdraw(call.frame)
 
@@ -101,5 +101,5 @@
         self._on_closed(self)
         for call in self._pending.values():
             if not call.reply.done():
-                call.reply.set_exception(call.failure(self.peer.address, "the connection ended"))
+                call.reply.set_exception(call.failure(self.peer.address, "the connection was closed"))
         self._pending.clear()
--- a/hallhitch/messages/peer_links.py
+++ b/hallhitch/messages/peer_links.py
@@ -1,9 +1,9 @@
-"""Calls between the processes of the system over TCP: one connection to each peer, kept open, replies in any order.
+"""Calls between the processes of the system over TCP: one persistent connection to each peer, replies in any order.
 
 Invariants:
-- Nothing is sent twice: a call that fails raises what is known of it (RequestNotSent, RequestTimeout,
-  RequestRejected), and `calls.CALL_KINDS` says whether its caller may retry it.
-- At most one connection to a peer is open or being opened, as the numbers of one incarnation's calls have to reach a
+- Nothing is sent twice. The error of a failed call tells what is known about it (RequestNotSent, RequestTimeout,
+  RequestRejected), and `calls.CALL_KINDS` tells whether its caller may retry it.
+- At most one connection to a peer is open or being opened, because the call numbers of one incarnation have to reach a
   peer in order (`call_sequence`).
 """
 
@@ -25,7 +25,7 @@
 
 
 class PeerLinks:
-    """All connections between this process and the other processes of the system; one object per incarnation."""
+    """All connections between this process and the other processes of the system; one instance per incarnation."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
 
     @property
     def inbound(self) -> set[InboundLink]:
-        """The open connections of peers."""
+        """The open connections that peers made to this process."""
         return self._call_server.links
 
     async def serve(self, address: str) -> None:
-        """Listen at this process's internal address."""
+        """Listen on the internal address of this process."""
         host, port = split_address(address)
         self._server = await asyncio.get_running_loop().create_server(
             lambda: InboundLink(self._call_server), host, port, reuse_address=True, backlog=LISTEN_BACKLOG
@@ -63,11 +63,11 @@
             link.abort()
 
     async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
-        """Call a peer and return its reply; the time-out includes connecting.
+        """Call a peer and return its reply; the timeout includes the time to connect.
 
         Raises:
-            RequestNotSent: no part of the call was handed to a connection.
-            RequestTimeout: a part of it was, and no reply came; the peer may have handled it.
+            RequestNotSent: no part of the call was passed to a connection.
+            RequestTimeout: a part of it was, and no reply arrived; the peer may have handled it.
             RequestRejected: the peer replied with an error.
         """
         call: PendingCall | None = None
@@ -92,8 +92,8 @@
         return reply
 
     def _timed_out(self, address: str, call: PendingCall | None, timeout_ms: float) -> RequestNotSent | RequestTimeout:
-        """Return the error of a call that timed out; close its connection only if that is unresponsive as a whole."""
-        reason = f"no answer in {timeout_ms:.0f} ms"
+        """Return the error of a call that timed out; close the connection only if no call on it is answered."""
+        reason = f"no reply within {timeout_ms:.0f} ms"
         error = call.failure(address, reason) if call is not None else RequestNotSent("connect", address, reason)
         link = self._outbound.get(address)
         if link is not None and link.is_unresponsive():
@@ -101,7 +101,7 @@
         return error
 
     async def _link_to(self, address: str) -> OutboundLink:
-        """Return the open connection to a peer, or connect; concurrent callers share the attempt."""
+        """Return the open connection to a peer, or open one; concurrent callers share the attempt."""
         link = self._outbound.get(address)
         if link is not None and link.is_open():
             return link
@@ -114,7 +114,7 @@
     def _on_connect_done(self, address: str, task: asyncio.Task[OutboundLink]) -> None:
         self._connecting.pop(address, None)
         if not task.cancelled():
-            task.exception()  # mark as retrieved: those that wait for the connection have got it
+            task.exception()  # mark as retrieved; the waiting callers have received it
 
     async def _connect(self, address: str) -> OutboundLink:
         host, port = split_address(address)
--- a/tests/system/messages/loopback.py
+++ b/tests/system/messages/loopback.py
@@ -1,4 +1,4 @@
-"""Processes of a test cluster on the loopback interface: raw frames, scripted servers, handlers that count calls."""
+"""Helpers for tests over loopback: start processes, exchange raw frames, script servers, count handled calls."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 CLUSTER = "x"
 CALLER_INCARNATION, SERVER_INCARNATION = 11, 22
 CALLER_ADDRESS, SERVER_ADDRESS = "10.0.0.1:7000", "10.0.0.2:7000"
-LONG_TIMEOUT_MS = 10_000  # a reply or an error comes long before
-SHORT_TIMEOUT_MS = 5  # no reply comes at all
+LONG_TIMEOUT_MS = 10_000  # long enough for any reply or error to arrive
+SHORT_TIMEOUT_MS = 5  # for calls that get no reply
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class CountingHandler:
-    """A handler that counts the calls of each tenant."""
+    """A handler that counts the calls for each tenant."""
 
     def __init__(self) -> None:
         self.handled: Counter[str] = Counter()
@@ -37,14 +37,14 @@
 
 
 async def start(links: PeerLinks) -> str:
-    """Let a process listen at a free port; return its address."""
+    """Make a process listen on a free port; return its address."""
     await links.serve("127.0.0.1:0")
     assert links._server is not None
     return f"127.0.0.1:{links._server.sockets[0].getsockname()[1]}"
 
 
 async def start_scripted(serve: Serve, limit: int = 2**16) -> tuple[asyncio.Server, str]:
-    """Start a server that reads and writes raw frames; return it and its address."""
+    """Start a server that exchanges raw frames; return the server and its address."""
     server = await asyncio.start_server(serve, "127.0.0.1", 0, limit=limit)
     return server, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
@@ -56,7 +56,7 @@
 
 
 def encode_frame(**fields: object) -> bytes:
-    """Return a frame with a call of the test caller, in which `fields` are set."""
+    """Return an encoded call of the test caller, with the given envelope fields set."""
     envelope = Envelope(
         cluster=cluster_id(CLUSTER),
         sender_incarnation=CALLER_INCARNATION,
@@ -75,6 +75,6 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Let the event loop run until the condition holds."""
+    """Run the event loop until the condition holds."""
     while not condition():
         await asyncio.sleep(0)
--- a/tests/system/messages/test_frames.py
+++ b/tests/system/messages/test_frames.py
@@ -1,11 +1,11 @@
-"""Framing: decoding of a stream however it is split, and the order of short and long frames."""
+"""Framing: decoding of arbitrarily split streams, and the order of short and long frames."""
 
 from hallhitch.messages.frames import HEADER_BYTES, MAX_CHUNK_BYTES, FrameQueue, FrameReader, OutgoingFrame
 
 LONG = bytes(20 * MAX_CHUNK_BYTES)
 
 
-def test_frames_are_decoded_as_they_were_encoded_however_the_stream_is_split() -> None:
+def test_frames_are_decoded_unchanged_from_an_arbitrarily_split_stream() -> None:
     queue, reader, stream, received = FrameQueue(), FrameReader(), b"", []
     for data in (LONG, b"a", b"b", LONG + b"end"):
         queue.put(OutgoingFrame(data))
@@ -22,7 +22,7 @@
     ]
 
 
-def test_short_frames_and_chunks_of_long_ones_take_turns_by_bytes() -> None:
+def test_short_frames_and_chunks_of_long_frames_alternate_by_bytes() -> None:
     queue = FrameQueue()
     queue.put(OutgoingFrame(LONG))
     for _ in range(40):
--- a/tests/system/messages/test_inbound_link.py
+++ b/tests/system/messages/test_inbound_link.py
@@ -1,4 +1,4 @@
-"""Calls of peers: which are dropped, which close the connection, and that each is handled at most once."""
+"""Calls from peers: which are rejected, which close the connection, and that each is handled at most once."""
 
 from collections import Counter
 
@@ -45,7 +45,7 @@
     run_test(test())
 
 
-# Invariants RECIPIENT and AT MOST ONCE: fields of the frames, handled calls, reason of a rejection, is it closed.
+# Invariants RECIPIENT and AT MOST ONCE: fields of the frames, handled calls, rejection, whether the connection closes.
 FRAMES = [
     ([{}], 1, None, False),
     ([{"recipient_incarnation": SERVER_INCARNATION}], 1, None, False),
@@ -54,8 +54,8 @@
     ([{"cluster": 5}], 0, Rejection.WRONG_CLUSTER, True),
     ([{"is_reply": True}], 0, Rejection.UNEXPECTED_REPLY, True),
     ([{}, {"call_id": 2, "sender_incarnation": CALLER_INCARNATION + 1}], 1, Rejection.WRONG_SENDER, True),
-    ([{}, {}], 1, Rejection.DUPLICATE_CALL, False),  # duplicated
-    ([{"call_id": 2}, {"call_id": 1}], 1, Rejection.DUPLICATE_CALL, False),  # reordered
+    ([{}, {}], 1, Rejection.DUPLICATE_CALL, False),  # the same call twice
+    ([{"call_id": 2}, {"call_id": 1}], 1, Rejection.DUPLICATE_CALL, False),  # calls in the wrong order
 ]
 
 
--- a/tests/system/messages/test_outbound_link.py
+++ b/tests/system/messages/test_outbound_link.py
@@ -1,4 +1,4 @@
-"""Replies and closed connections as the caller sees them: which reply is accepted, what a failed call raises."""
+"""Outbound calls: which replies are accepted, and which errors a failed call raises."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
     wait_until,
 )
 
-# Invariant REPLIER: fields of the reply to call 1, and why it is rejected.
+# Invariant REPLIER: fields of the reply to call 1, and why the caller rejects it (None: accepted).
 REPLIES = [
     ({}, None),
     ({"recipient_incarnation": CALLER_INCARNATION, "sender_incarnation": SERVER_INCARNATION}, None),
@@ -59,7 +59,7 @@
             await caller.call(address, count_call(), LONG_TIMEOUT_MS)
         with pytest.raises(RequestTimeout):
             await caller.call(address, count_call(), LONG_TIMEOUT_MS)
-        # Where the first reply is accepted, the second comes from another incarnation on the same connection.
+        # If the first reply is accepted, the second reply comes from another incarnation on the same connection.
         assert caller.traffic.rejected == {reason or Rejection.WRONG_SENDER: 1} and not caller._outbound
         first = calls[0]
         assert (first.recipient, first.recipient_incarnation, first.sender_incarnation) == (
@@ -74,7 +74,7 @@
     run_test(test())
 
 
-def test_a_late_or_duplicate_reply_resolves_no_call(run_test: RunTest) -> None:
+def test_a_late_or_duplicate_reply_completes_no_call(run_test: RunTest) -> None:
     async def test() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_frame(reader)
@@ -104,7 +104,7 @@
 def test_a_timed_out_call_closes_the_connection_only_if_it_is_unresponsive(
     run_test: RunTest, is_unresponsive: bool
 ) -> None:
-    """A short time-out of one call fails no other call."""
+    """A short timeout of one call must not fail the other calls on the connection."""
 
     async def test() -> None:
         clock_ms = [0.0]
@@ -112,7 +112,7 @@
         server = PeerLinks(CLUSTER, lambda envelope: reply)
         address = await start(server)
         caller = PeerLinks(CLUSTER, clock=lambda: clock_ms[0])
-        patient_call = asyncio.ensure_future(
+        pending_call = asyncio.ensure_future(
             caller.call(address, Envelope(state_request=StateRequest()), LONG_TIMEOUT_MS)
         )
         await wait_until(lambda: server.traffic.frames_received == 1)
@@ -120,11 +120,11 @@
         with pytest.raises(RequestTimeout):
             await caller.call(address, count_call(), SHORT_TIMEOUT_MS)
         if is_unresponsive:
-            with pytest.raises(RequestTimeout, match="the connection ended"):
-                await patient_call
+            with pytest.raises(RequestTimeout, match="the connection was closed"):
+                await pending_call
         else:
             reply.set_result(Envelope(state_update=StateUpdate(endpoint_list_age_ms=1.0)))
-            assert (await patient_call).state_update.endpoint_list_age_ms == 1.0
+            assert (await pending_call).state_update.endpoint_list_age_ms == 1.0
         caller.close()
         server.close()
 
@@ -132,8 +132,8 @@
 
 
 @pytest.mark.parametrize("is_closed", [False, True])
-def test_a_partly_written_call_times_out_and_a_queued_one_is_not_sent(run_test: RunTest, is_closed: bool) -> None:
-    """Towards a peer that reads nothing: the first call is partly written, the next one is queued and never sent."""
+def test_a_partly_written_call_times_out_and_a_queued_call_is_not_sent(run_test: RunTest, is_closed: bool) -> None:
+    """The peer does not read: the first call is partly written, and the second is queued and never sent."""
 
     async def test() -> None:
         connected: asyncio.Future[asyncio.StreamWriter] = asyncio.get_running_loop().create_future()
@@ -167,8 +167,8 @@
 
 
 @pytest.mark.parametrize("kind", list(CALL_KINDS))
-def test_a_link_retries_no_call(run_test: RunTest, kind: str) -> None:
-    """After a reset of the connection the call raises, and is not sent again on this connection or another."""
+def test_a_link_never_retries_a_call(run_test: RunTest, kind: str) -> None:
+    """After a connection reset, the call raises an error and is not sent again on any connection."""
 
     async def test() -> None:
         received: list[str | None] = []
--- a/tests/system/messages/test_peer_links.py
+++ b/tests/system/messages/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Calls between two processes: replies in any order, errors, and short calls that overtake long ones."""
+"""Calls between two processes: replies in any order, errors, and short calls that overtake long calls."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
         def handle(envelope: Envelope) -> asyncio.Future[Envelope]:
             future: asyncio.Future[Envelope] = asyncio.get_running_loop().create_future()
             pending.append(future)
-            if len(pending) == 3:  # the last call is replied to first
+            if len(pending) == 3:  # reply in reverse order
                 for number, reply in reversed(list(enumerate(pending))):
                     reply.set_result(Envelope(count_response=CountResponse(is_lease_holder=True, total=number)))
             return future
@@ -34,17 +34,20 @@
         )
         assert [reply.count_response.total for reply in replies] == [0, 1, 2]
         assert len(server.inbound) == 1
-        ours, theirs = caller.traffic, server.traffic
-        assert (ours.bytes_sent, ours.bytes_received) == (theirs.bytes_received, theirs.bytes_sent)
-        assert ours.bytes_sent > 0 < ours.bytes_received
-        assert ours.frames_sent == ours.frames_received == 3 == theirs.frames_received
+        caller_traffic, server_traffic = caller.traffic, server.traffic
+        assert (caller_traffic.bytes_sent, caller_traffic.bytes_received) == (
+            server_traffic.bytes_received,
+            server_traffic.bytes_sent,
+        )
+        assert caller_traffic.bytes_sent > 0 < caller_traffic.bytes_received
+        assert caller_traffic.frames_sent == caller_traffic.frames_received == 3 == server_traffic.frames_received
         caller.close()
         server.close()
 
     run_test(test())
 
 
-def test_a_failed_call_raises_what_is_known_of_it(run_test: RunTest) -> None:
+def test_the_error_of_a_failed_call_tells_whether_it_was_sent(run_test: RunTest) -> None:
     async def test() -> None:
         def handle(envelope: Envelope) -> Envelope:
             if envelope.HasField("state_request"):
@@ -57,16 +60,16 @@
             with pytest.raises(RequestRejected):
                 await caller.call(address, call, LONG_TIMEOUT_MS)
         server.close()
-        with pytest.raises(RequestTimeout):  # written before the end of the connection is seen
+        with pytest.raises(RequestTimeout):  # written before the caller notices that the connection is closed
             await caller.call(address, count_call(), LONG_TIMEOUT_MS)
-        with pytest.raises(RequestNotSent):  # nothing listens any more
+        with pytest.raises(RequestNotSent):  # no process listens at the address any more
             await caller.call(address, count_call(), LONG_TIMEOUT_MS)
         caller.close()
 
     run_test(test())
 
 
-def test_an_exception_of_the_handler_is_logged_with_the_error_that_the_caller_gets(
+def test_a_handler_exception_is_logged_with_the_error_that_the_caller_receives(
     run_test: RunTest, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
