--- a/hallhitch/node/__init__.py
+++ b/hallhitch/node/__init__.py
@@ -1,1 +1,1 @@
-"""Foundations of every process of the system: settings, steady clock, logs, errors, a small HTTP server."""
+"""Foundations shared by all processes of the system: settings, monotonic clock, logs, errors, HTTP server, metrics."""
--- a/hallhitch/node/clock.py
+++ b/hallhitch/node/clock.py
@@ -1,4 +1,4 @@
-"""The clock of all decisions: monotonic, in milliseconds. Wall-clock time is used by no decision, as it may jump."""
+"""The clock for all decisions: monotonic, in milliseconds. Wall-clock time may jump, so no decision uses it."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now() -> float:
-    """Return monotonic milliseconds since an arbitrary moment before the process started."""
+    """Return the monotonic milliseconds since an arbitrary moment before the process started."""
     return time.monotonic() * 1000.0
--- a/hallhitch/node/durations.py
+++ b/hallhitch/node/durations.py
@@ -1,4 +1,4 @@
-"""Durations as the settings files, the configuration and the cloud API write them: `1500ms`, `2.5s`."""
+"""Parsing of durations in the settings files, the configuration and the cloud API, such as `1500ms` or `2.5s`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from hallhitch.node.errors import DurationError
 
-_DURATION: Final = re.compile(r"(\d+(?:\.\d+)?)(ms|s)")
+_DURATION_PATTERN: Final = re.compile(r"(\d+(?:\.\d+)?)(ms|s)")
 _MS_PER_S: Final = 1000.0
 
 
@@ -15,12 +15,12 @@
     """Return a duration in milliseconds.
 
     Raises:
-        DurationError: `text` is no duration.
+        DurationError: `text` is not a duration.
 
     >>> parse_duration_ms("1500ms"), parse_duration_ms("2.5s")
     (1500.0, 2500.0)
     """
-    match = _DURATION.fullmatch(text) if isinstance(text, str) else None
+    match = _DURATION_PATTERN.fullmatch(text) if isinstance(text, str) else None
     if match is None:
         raise DurationError(text)
     return float(match[1]) * (_MS_PER_S if match[2] == "s" else 1.0)
--- a/hallhitch/node/errors.py
+++ b/hallhitch/node/errors.py
@@ -1,4 +1,4 @@
-"""Errors that cross the boundaries of the packages: calls to peers, settings, durations."""
+"""Errors that are shared between packages: calls to peers, settings, durations."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PeerCallError(NodeError):
-    """A step that failed, the peer that took part in it ("" if none), and the reason."""
+    """A step that failed, with the peer that it involved ("" if none) and the reason."""
 
     def __init__(self, step: str, peer: str, reason: str) -> None:
         super().__init__(f"{step}: {reason}" + (f" (peer {peer})" if peer else ""))
@@ -18,11 +18,11 @@
 
 
 class RequestNotSent(PeerCallError):  # noqa: N818  named for the event, as callers read it
-    """No part of the call was handed to a connection: the peer did not handle it, and it may be sent again."""
+    """No part of the call was passed to a connection, so the peer did not handle it and it may be sent again."""
 
 
 class RequestTimeout(PeerCallError):  # noqa: N818  named for the event, as callers read it
-    """A part of the call was handed to a connection and no reply came: the peer may have handled it."""
+    """A part of the call was passed to a connection and no reply arrived; the peer may have handled it."""
 
 
 class RequestRejected(PeerCallError):  # noqa: N818  named for the event, as callers read it
@@ -30,7 +30,7 @@
 
 
 class SettingsError(NodeError):
-    """Settings that cannot be used; the message is one line that names the file and the field."""
+    """The settings are invalid; the message is one line that names the file and the field."""
 
     def __init__(self, reason: str, *, path: str = "", field: str = "") -> None:
         super().__init__(": ".join(part for part in (path, field, reason) if part))
@@ -40,7 +40,7 @@
 
 
 class DurationError(NodeError, ValueError):
-    """A value that is no duration such as 1500ms or 2.5s."""
+    """The value is not a duration such as 1500ms or 2.5s. The message is also part of replies of the operator's API."""
 
     def __init__(self, value: object) -> None:
         super().__init__(f"{value!r} is no time such as 1500ms or 2.5s")
--- a/hallhitch/node/http_server.py
+++ b/hallhitch/node/http_server.py
@@ -1,8 +1,8 @@
-"""A small HTTP/1.1 server for rare calls: the operator's API, the directory, readiness. Not for client traffic.
+"""A small HTTP/1.1 server for low request rates: operator API, directory, readiness, metrics. Not for client traffic.
 
 Invariants:
 - The calls of one connection are handled one at a time, in order.
-- A call whose connection is lost is cancelled: its caller has moved on, and may have called another process.
+- A call is cancelled when its connection is lost, because its caller may already have called another process.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 MAX_HEAD_BYTES: Final = 64 * 1024
 DEFAULT_MAX_BODY_BYTES: Final = 1024 * 1024
 LISTEN_BACKLOG: Final = 512  # connections
-CLOSE_TIMEOUT_S: Final = 1.0  # callers move on after a second
+CLOSE_TIMEOUT_S: Final = 1.0  # callers give up after one second
 REASON_PHRASES: Final = {
     200: "OK",
     307: "Temporary Redirect",
@@ -39,7 +39,7 @@
 
 
 class HttpReply(NamedTuple):
-    """Status, headers and body of a reply; length and connection headers are added when it is written."""
+    """Status, headers and body of a reply; Content-Length and Connection are added when it is written."""
 
     status: int
     headers: Mapping[str, str]
@@ -58,23 +58,23 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of a caller."""
+    """One connection from a caller."""
 
     def __init__(self, server: HttpServer) -> None:
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
         self._body = bytearray()
-        self._received_bytes = 0  # of the request that is being read
+        self._received_bytes = 0  # of the request being read
         self._requests: deque[_Request] = deque()
         self._is_busy = False
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Future[None] | None = None
 
-    # Callbacks of the event loop.
+    # Event loop callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # the transports of uvloop don't derive from asyncio's
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not derive from asyncio's
         self._server.connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -94,7 +94,7 @@
             status = 413 if self._received_bytes > max_body_bytes else 400
             self._write(HttpReply(status, {}, b'{"errorMessage":"the call cannot be read"}'), False)
 
-    # Callbacks of the parser.
+    # Parser callbacks.
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -130,7 +130,7 @@
     async def _reply_when_done(self, pending_reply: Awaitable[HttpReply], is_keep_alive: bool) -> None:
         try:
             reply = await pending_reply
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+        except Exception as error:  # noqa: BLE001  top-level handler: logs the error, and the process continues
             reply = self._server.error_reply(error)
         self._is_busy = False
         self._write(reply, is_keep_alive)
@@ -146,7 +146,7 @@
 
 
 class HttpServer:
-    """One listening address with its handler; owns its connections and the calls in progress."""
+    """Serves one address with one handler; owns its connections and the calls in progress."""
 
     def __init__(self, name: str, handler: HttpHandler, max_body_bytes: int = DEFAULT_MAX_BODY_BYTES) -> None:
         self.max_body_bytes = max_body_bytes
@@ -158,16 +158,16 @@
         self._server: asyncio.Server | None = None
 
     async def serve(self, address: HostPort) -> None:
-        """Listen at the address."""
+        """Listen on the address."""
         self._server = await asyncio.get_running_loop().create_server(
             lambda: _Connection(self), *address, reuse_address=True, backlog=LISTEN_BACKLOG
         )
 
     def handle(self, request: _Request) -> HttpReply | Awaitable[HttpReply]:
-        """Return the handler's reply, or what resolves to it; an exception becomes a reply of status 500."""
+        """Return the handler's reply, or an awaitable of it; an exception becomes a reply with status 500."""
         try:
             return self._handler(request.method, request.target, request.body)
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+        except Exception as error:  # noqa: BLE001  top-level handler: logs the error, and the process continues
             return self.error_reply(error)
 
     def start_task(self, work: Awaitable[None]) -> asyncio.Future[None]:
@@ -183,7 +183,7 @@
         return HttpReply(500, {}, b'{"errorMessage":"internal error"}')
 
     async def close(self) -> None:
-        """Stop listening and wait for the calls in progress, CLOSE_TIMEOUT_S at most."""
+        """Stop listening, and wait for the calls in progress for at most CLOSE_TIMEOUT_S."""
         self.is_closing = True
         if self._server is not None:
             self._server.close()
--- a/hallhitch/node/logs.py
+++ b/hallhitch/node/logs.py
@@ -1,8 +1,8 @@
-"""Logging of the system's programs: one line an event on standard error, `LEVEL component: event field=value ...`.
+"""Logging for the system's programs: one line per event on standard error, `LEVEL component: event field=value ...`.
 
-An event is a fixed phrase that an operator can search for; whatever varies goes into fields. Levels: INFO asks nothing
-of a person, WARNING may need a look if it lasts, ERROR is a fault of the program or of its configuration. No line is
-written for a single request. docs/operate/system.md lists every event.
+The event is a fixed phrase that operators can search for; everything variable goes into fields. INFO requires no
+action, WARNING may need attention if it persists, ERROR reports a fault of the program or of its configuration. No
+line is written per request. docs/operate/system.md lists all events.
 """
 
 from __future__ import annotations
@@ -14,11 +14,13 @@
 
 import picologging
 
-DEFAULT_LOG_INTERVAL_MS: Final = 1000.0  # between two lines of a rate-limited log: readable, and no flood on a disk
+DEFAULT_LOG_INTERVAL_MS: Final = (
+    1000.0  # between two lines of a rate-limited log, to keep it readable and the disk from filling
+)
 
 
 def configure(level: int = picologging.INFO) -> None:
-    """Set up logging; called once, at the start of a program."""
+    """Set up logging; call it once at the start of a program."""
     handler = picologging.StreamHandler(sys.stderr)
     handler.setFormatter(picologging.Formatter("%(levelname)s %(message)s"))
     root = picologging.getLogger()
@@ -27,7 +29,7 @@
 
 
 def format_fields(fields: Mapping[str, object]) -> str:
-    """Return ` name=value` for each field; a value with spaces or quotes is quoted.
+    """Return ` name=value` for each field; empty values and those with spaces, quotes or newlines are quoted.
 
     >>> format_fields({"members": ("a", "b"), "reason": "no answer"})
     ' members=a,b reason="no answer"'
@@ -46,22 +48,22 @@
 
 
 class ComponentLogger:
-    """The log of one component, which each of its lines names."""
+    """A logger that prefixes each line with the name of its component."""
 
     def __init__(self, component: str) -> None:
         self._component = component
         self._log = picologging.getLogger()
 
     def info(self, event: str, **fields: object) -> None:
-        """Log an event that asks nothing of a person."""
+        """Log an event that requires no action."""
         self._log.info("%s: %s%s", self._component, event, format_fields(fields))
 
     def warning(self, event: str, **fields: object) -> None:
-        """Log an event that may need a look if it lasts."""
+        """Log an event that may need attention if it persists."""
         self._log.warning("%s: %s%s", self._component, event, format_fields(fields))
 
     def error(self, event: str, **fields: object) -> None:
-        """Log a fault that somebody has to mend."""
+        """Log a fault that an operator or developer has to fix."""
         self._log.error("%s: %s%s", self._component, event, format_fields(fields))
 
     def exception(self, event: str, error: BaseException, /, **fields: object) -> None:
@@ -71,7 +73,7 @@
 
 
 class RateLimitedLog:
-    """Counts events that may come in floods, and logs at most one line an interval."""
+    """Counts events that may occur in large numbers, and logs at most one line per interval."""
 
     def __init__(self, logger: ComponentLogger, interval_ms: float = DEFAULT_LOG_INTERVAL_MS) -> None:
         self._logger = logger
@@ -80,14 +82,14 @@
         self.count = 0
 
     def warning(self, now: float, event: str, **fields: object) -> None:
-        """Count the event and log it, with the count so far, unless a line was logged within the interval."""
+        """Count the event, and log it with the count so far unless a line was logged within the interval."""
         self.count += 1
         if now - self._logged_at >= self._interval_ms:
             self._logged_at = now
             self._logger.warning(event, **fields, count=self.count)
 
     def exception(self, now: float, event: str, error: BaseException, /, **fields: object) -> None:
-        """Count an unexpected exception and log it with its traceback, unless a line was logged within the interval."""
+        """Count an unexpected exception, and log it with its traceback unless a line was logged within the interval."""
         self.count += 1
         if now - self._logged_at >= self._interval_ms:
             self._logged_at = now
--- a/hallhitch/node/metrics.py
+++ b/hallhitch/node/metrics.py
@@ -1,7 +1,7 @@
-"""The figures of one process, in the text format of Prometheus, at an address of their own.
+"""Metrics of one process in the Prometheus text format, served on a separate address.
 
-A metric is read when it is asked for: nothing is sampled in between. The address is an aid: where it cannot be listened
-at, the process runs on without it.
+Metrics are read at each scrape and not sampled in between. The address is optional: if the process cannot listen on it,
+it runs without metrics.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class MetricKind(Enum):
-    """How a metric is to be read; the values are Prometheus' names."""
+    """The type of a metric; the values are the names that Prometheus uses."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """One metric: a value for each value of its label, or a single one under the label value ""."""
+    """One metric: a sample for each value of its label, or a single sample under "" if it has no label."""
 
     name: str
     kind: MetricKind
@@ -39,12 +39,12 @@
 
 
 def gauge(name: str, description: str, value: float) -> Metric:
-    """Return a gauge without a label."""
+    """Create a gauge without a label."""
     return Metric(name, MetricKind.GAUGE, description, {"": value})
 
 
 def render_metrics(metrics: Iterable[Metric]) -> bytes:
-    """Return the text of these metrics; label values are names of this program, which need no escape."""
+    """Return the metrics as text; label values are names defined by this program and need no escaping."""
     lines = []
     for metric in metrics:
         name = PREFIX + metric.name
@@ -57,7 +57,7 @@
 
 
 class MetricsServer:
-    """Serves the figures of a process at METRICS_PATH."""
+    """Serves the metrics of a process at METRICS_PATH."""
 
     def __init__(self, read_metrics: Callable[[], Iterable[Metric]]) -> None:
         self._read_metrics = read_metrics
@@ -65,7 +65,7 @@
         self._log = ComponentLogger("metrics")
 
     async def serve(self, address: HostPort) -> None:
-        """Listen at the address, unless its port is 0 or taken."""
+        """Listen on the address, unless its port is 0 or in use."""
         if not address[1]:
             return
         try:
--- a/hallhitch/node/round_trip.py
+++ b/hallhitch/node/round_trip.py
@@ -1,6 +1,6 @@
-"""Estimate of the time in which a peer replies, from its earlier replies: Jacobson's algorithm as in RFC 6298.
+"""Estimate of a peer's round-trip time from its earlier replies: Jacobson's algorithm as in RFC 6298.
 
-Plain values and no clock: the caller measures. Times in ms.
+No I/O and no clock: the caller measures. Times are in ms.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 MEAN_GAIN: Final = 1 / 8  # alpha of RFC 6298, 2.3
 DEVIATION_GAIN: Final = 1 / 4  # beta of RFC 6298, 2.3
-DEVIATIONS_IN_BOUND: Final = 4  # K of RFC 6298, 2.3: nearly all replies come within mean + K * deviation
+DEVIATION_FACTOR: Final = 4  # K of RFC 6298, 2.3: nearly all replies arrive within mean + K * deviation
 
 
 @dataclass(slots=True)
@@ -22,11 +22,11 @@
 
     @property
     def has_samples(self) -> bool:
-        """Whether anything was measured."""
+        """Whether any round trip was measured."""
         return self.mean_ms > 0
 
     def observe(self, sample_ms: float) -> None:
-        """Add the time that a reply took, or after which it was given up."""
+        """Add the time that a reply took, or the time after which the caller stopped waiting for it."""
         if not self.has_samples:
             self.mean_ms = sample_ms
             self.deviation_ms = sample_ms / 2
@@ -35,5 +35,5 @@
         self.mean_ms += (sample_ms - self.mean_ms) * MEAN_GAIN
 
     def upper_bound_ms(self) -> float:
-        """Return the time within which the next reply comes, but for rare ones."""
-        return self.mean_ms + DEVIATIONS_IN_BOUND * self.deviation_ms
+        """Return the time within which the next reply arrives in nearly all cases."""
+        return self.mean_ms + DEVIATION_FACTOR * self.deviation_ms
--- a/hallhitch/node/settings.py
+++ b/hallhitch/node/settings.py
@@ -1,9 +1,9 @@
 """The settings of a process as typed values; `settings_file` reads them from a file.
 
-Read and checked, but used by no decision of the programs:
+These are read and validated, but do not affect the programs:
 
 - `NodeSettings.role`, `serves`, `cloud_api_rate_per_s`.
-- `RuleBounds.ack_timeout_ms` (the simulation's rules are checked by it), `evacuation_ms`, `seed_lag_ms`.
+- `RuleBounds.ack_timeout_ms` (the simulation checks its rules by it), `evacuation_ms`, `seed_lag_ms`.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Final
 
-# Of `config_apply_ms`: the rest is for the way of an update from the coordinator to the last gateway.
+# Share of `config_apply_ms`; the rest is for the propagation of an update from the coordinator to the last gateway.
 SERVING_LEASE_OF_CONFIG_APPLY_RATIO: Final = 0.4
-# Of `contact_window_ms`, at most: a machine that is in contact again has not to wait for the end of a lease.
+# Largest share of `contact_window_ms`, so that a machine that regains contact need not wait for a lease to end.
 SERVING_LEASE_OF_CONTACT_WINDOW_RATIO: Final = 0.8
 
 HostPort = tuple[str, int]
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleBounds:
-    """The bounds that the operators set for the system's behaviour."""
+    """The bounds that operators set for the behaviour of the system."""
 
     drain_timeout_ms: float = 5000.0
     grace_period_ms: float = 6000.0
@@ -45,7 +45,7 @@
 
     @property
     def serving_lease_ms(self) -> float:
-        """How long a majority's confirmation lets a coordinator answer for the core; see planes.control."""
+        """How long a coordinator may answer for the core after a majority confirmed it; see planes.control."""
         return min(
             SERVING_LEASE_OF_CONFIG_APPLY_RATIO * self.config_apply_ms,
             SERVING_LEASE_OF_CONTACT_WINDOW_RATIO * self.contact_window_ms,
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Identity, place, resources and bounds of one process."""
+    """Identity, location, resources and bounds of one process."""
 
     name: str
     role: str
@@ -77,19 +77,19 @@
     cloud_api_rate_per_s: float
     endpoint_list_lag_ms: float
     cluster_name: str
-    metrics_port: int = 0  # 0: the process tells no metrics
+    metrics_port: int = 0  # 0: the process serves no metrics
 
     @property
     def internal_address(self) -> str:
-        """The address at which the system's other processes reach this one."""
+        """The address at which the other processes of the system reach this one."""
         return f"{self.ip_address}:{self.internal_port_range[0]}"
 
     @property
     def metrics_address(self) -> HostPort:
-        """The address at which this process tells its metrics."""
+        """The address at which this process serves its metrics."""
         return self.ip_address, self.metrics_port
 
     @property
     def seed_addresses(self) -> tuple[str, ...]:
-        """The internal addresses of the seed nodes: the internal port is the same on all machines."""
+        """The internal addresses of the seed nodes; the internal port is the same on all machines."""
         return tuple(f"{host}:{self.internal_port_range[0]}" for host, _ in self.seed_nodes)
--- a/hallhitch/node/settings_file.py
+++ b/hallhitch/node/settings_file.py
@@ -1,6 +1,6 @@
-"""Reading of the settings file (TOML). Field names are the operators'; unknown fields are ignored.
+"""Reader of the settings file (TOML). The operators define its field names; unknown fields are ignored.
 
-Invariant: whatever cannot be used raises a SettingsError of one line that names the file and the field.
+Invariant: an invalid file raises a SettingsError of one line that names the file and the field.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from hallhitch.node.settings import HostPort, NodeSettings, RuleBounds
 
 MAX_PORT: Final = 65535
-# For files that leave them out.
+# Defaults for fields that the file omits.
 DEFAULT_MEMORY_MB: Final = 256
 DEFAULT_MAX_OPEN_FILES: Final = 1024
 DEFAULT_CLOUD_API_RATE_PER_S: Final = 1.0
 DEFAULT_ENDPOINT_LIST_LAG_MS: Final = 1000.0
-DEFAULT_METRICS_PORT: Final = 9464  # registered for exporters of Prometheus metrics; deploy/system.toml names it
+DEFAULT_METRICS_PORT: Final = 9464  # registered for Prometheus exporters; deploy/system.toml has the same port
 
 
 def read_settings(path: str) -> NodeSettings:
-    """Return the settings in a file.
+    """Read and validate a settings file.
 
     Raises:
-        SettingsError: the file cannot be read, or a field is missing or cannot be used.
+        SettingsError: the file cannot be read, or a field is missing or invalid.
     """
     top = _TableReader(path, _load(path))
     region_by_zone = top.table("zones").fields
@@ -68,7 +68,7 @@
     except OSError as error:
         raise SettingsError(f"cannot be read: {error.strerror}", path=path) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise SettingsError(f"is no TOML: {error}", path=path) from None
+        raise SettingsError(f"is not valid TOML: {error}", path=path) from None
 
 
 class _TableReader:
@@ -97,7 +97,7 @@
     def number(self, name: str, default: float) -> float:
         value = float(self._get(name, (int, float), default))
         if value < 0:
-            raise self.error(name, f"{value!r} is below 0")
+            raise self.error(name, f"{value!r} is negative")
         return value
 
     def duration_ms(self, name: str, default_ms: float) -> float:
@@ -114,38 +114,38 @@
     def parse_address(self, name: str, value: object) -> HostPort:
         host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
         if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-            raise self.error(name, f"{value!r} is no address such as 10.0.0.1:80")
+            raise self.error(name, f"{value!r} is not an address such as 10.0.0.1:80")
         return host, int(port)
 
-    def _get(self, name: str, kind: type | tuple[type, ...], default: object) -> Any:
-        """Return a field of this type; without a default (None) it is required."""
+    def _get(self, name: str, expected_type: type | tuple[type, ...], default: object) -> Any:
+        """Return a field of the expected type; the field is required if the default is None."""
         if name not in self.fields and default is None:
             raise self.error(name, "is missing")
         value = self.fields.get(name, default)
-        # In Python a bool is an int: True is no number and no text here.
-        is_unexpected_bool = isinstance(value, bool) and kind is not bool
-        if not isinstance(value, kind) or is_unexpected_bool:
-            raise self.error(name, f"{value!r} cannot be used")
+        # bool is a subclass of int in Python, but a truth value is not accepted as a number here.
+        is_unexpected_bool = isinstance(value, bool) and expected_type is not bool
+        if not isinstance(value, expected_type) or is_unexpected_bool:
+            raise self.error(name, f"{value!r} has the wrong type")
         return value
 
 
 def _check_zones(top: _TableReader, region_by_zone: Mapping[str, Any]) -> None:
     if not all(isinstance(region, str) for region in region_by_zone.values()):
-        raise top.error("zones", "a zone without the name of a region")
+        raise top.error("zones", "each zone needs the name of its region")
 
 
 def _read_port_range(top: _TableReader) -> tuple[int, int]:
     ports = top.array("internalPortRange")
     is_pair = len(ports) == 2 and all(isinstance(port, int) and 0 < port <= MAX_PORT for port in ports)
     if not is_pair or ports[0] > ports[1]:
-        raise top.error("internalPortRange", f"{ports!r} is no pair of ports")
+        raise top.error("internalPortRange", f"{ports!r} is not a range of ports [lowest, highest]")
     return ports[0], ports[1]
 
 
 def _read_metrics_port(top: _TableReader) -> int:
     port = top.number("metricsPort", DEFAULT_METRICS_PORT)
     if not port.is_integer() or port > MAX_PORT:
-        raise top.error("metricsPort", f"{port:g} is no port")
+        raise top.error("metricsPort", f"{port:g} is not a port number")
     return int(port)
 
 
--- a/tests/system/compatibility/test_earlier_release.py
+++ b/tests/system/compatibility/test_earlier_release.py
@@ -1,8 +1,8 @@
-"""Frames and a data directory written by commit 13b2e67, before names changed, are read and written alike.
+"""Compatibility with commit 13b2e67, from before names changed: frames and a data directory that it wrote.
 
-`frames.bin` holds one envelope for each kind of body, every field filled, and one that is long enough to be cut in
-pieces. `data_folder` is what a replica of cluster `cluster-a` at 10.0.0.1:7000 kept. What is written byte for byte as
-that commit wrote it can be read by that commit.
+`frames.bin` holds one envelope of each kind of body with all fields set, and one that is long enough to be written in
+several chunks. `data_folder` is the data directory of the replica of cluster `cluster-a` at 10.0.0.1:7000. The tests
+read both and write them again: if the bytes are the same, that commit can read what this one writes.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     return (HERE / "frames.bin").read_bytes()
 
 
-def test_earlier_frames_have_no_unknown_field() -> None:
+def test_earlier_frames_have_no_unknown_fields() -> None:
     envelopes = [Envelope.FromString(received.data) for received in FrameReader().feed(_earlier_frames())]
     numbers = {field.name: field.number for field in Envelope.DESCRIPTOR.oneofs_by_name["body"].fields}
     bodies = sorted(numbers[str(envelope.WhichOneof("body"))] for envelope in envelopes)
@@ -36,7 +36,7 @@
         assert envelope.SerializeToString(deterministic=True) == received.data
 
 
-def test_frames_are_written_as_before() -> None:
+def test_frames_are_written_with_the_same_bytes() -> None:
     queue = FrameQueue()
     for received in FrameReader().feed(_earlier_frames()):
         envelope = Envelope.FromString(received.data)
@@ -67,7 +67,7 @@
     ]
 
 
-def test_data_directory_is_written_as_before(tmp_path: Path) -> None:
+def test_data_directory_is_written_with_the_same_bytes(tmp_path: Path) -> None:
     directory = shutil.copytree(HERE / "data_folder", tmp_path / "earlier")
     loaded = StateStore(DirectoryStorage(directory), ADDRESS, CLUSTER).load()
     assert loaded.state is not None
--- a/tests/system/node/test_http_server.py
+++ b/tests/system/node/test_http_server.py
@@ -1,4 +1,4 @@
-"""The small HTTP server: order of replies, errors, limits, lost callers."""
+"""The HTTP server: order of replies, handler errors, size limits, disconnected callers."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
     await server.close()
 
 
-def test_pipelined_calls_are_replied_to_in_order(run_test: RunTest) -> None:
+def test_replies_to_pipelined_calls_are_sent_in_order(run_test: RunTest) -> None:
     async def test() -> None:
         async def reply_later() -> HttpReply:
             await asyncio.sleep(0)
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("is_late", [False, True])
-def test_an_exception_of_the_handler_is_logged_and_replied_to_with_500(
+def test_a_handler_exception_is_logged_and_the_reply_is_status_500(
     run_test: RunTest, monkeypatch: pytest.MonkeyPatch, is_late: bool
 ) -> None:
     async def test() -> None:
@@ -84,9 +84,7 @@
         ),
     ],
 )
-def test_an_unreadable_call_and_one_that_is_too_long_close_the_connection(
-    run_test: RunTest, data: bytes, status: bytes
-) -> None:
+def test_a_malformed_or_too_large_call_closes_the_connection(run_test: RunTest, data: bytes, status: bytes) -> None:
     async def test() -> None:
         server, reader, writer = await start(lambda method, target, body: HttpReply(200, {}, b""))
         writer.write(data)
--- a/tests/system/node/test_metrics.py
+++ b/tests/system/node/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in Prometheus' text format, at an address that the process can do without."""
+"""Metrics in the Prometheus text format, and an address that the process does not depend on."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 
-def test_metrics_are_rendered_with_their_types_and_labels() -> None:
+def test_metrics_are_rendered_with_types_and_labels() -> None:
     assert render_metrics(METRICS) == TEXT
     assert render_metrics([]) == b""
 
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(("path", "status"), [("/metrics", b"200"), ("/metrics?x=1", b"200"), ("/", b"404")])
-def test_metrics_are_read_when_they_are_asked_for(path: str, status: bytes) -> None:
+def test_metrics_are_read_at_each_request(path: str, status: bytes) -> None:
     async def scenario() -> None:
         values = [1.0]
         server = MetricsServer(lambda: [gauge("value", "A value.", values[0])])
@@ -54,14 +54,14 @@
     asyncio.run(scenario())
 
 
-def test_a_port_that_is_taken_or_none_does_not_stop_the_process() -> None:
+def test_a_port_in_use_or_port_0_does_not_stop_the_process() -> None:
     async def scenario() -> None:
-        holder = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
-        taken = int(holder.sockets[0].getsockname()[1])
-        for port in (taken, 0):
+        occupying_server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
+        occupied_port = int(occupying_server.sockets[0].getsockname()[1])
+        for port in (occupied_port, 0):
             server = MetricsServer(list)
             await server.serve(("127.0.0.1", port))
             await server.close()
-        holder.close()
+        occupying_server.close()
 
     asyncio.run(scenario())
--- a/tests/system/node/test_periodic.py
+++ b/tests/system/node/test_periodic.py
@@ -1,4 +1,4 @@
-"""Periodic work: its interval, and rounds that fail."""
+"""Periodic work: its interval, and that it continues after a failed round."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.system.distribution.simulated_peers import SimulatedPeers, run_in_virtual_time
 
 
-def test_work_goes_on_after_a_round_that_fails() -> None:
+def test_work_continues_after_a_failed_round() -> None:
     async def scenario(peers: SimulatedPeers) -> None:
         rounds: list[float] = []
 
--- a/tests/system/node/test_settings.py
+++ b/tests/system/node/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: a field that is missing or cannot be used is named in one line; unknown fields are ignored."""
+"""The settings file: one line names a missing or invalid field; unknown fields are ignored."""
 
 from pathlib import Path
 
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "named"),
+    ("old", "new", "expected_text"),
     [
         ('nodeName = "edge-1"', "", "nodeName"),
         ('nodeName = "edge-1"', "nodeName = 7", "nodeName"),
@@ -72,25 +72,27 @@
         ("[zones]", "[zones", "TOML"),
     ],
 )
-def test_an_unusable_field_is_named_with_its_file_in_one_line(
-    settings_path: Path, old: str, new: str, named: str
+def test_the_error_names_the_file_and_the_invalid_field_in_one_line(
+    settings_path: Path, old: str, new: str, expected_text: str
 ) -> None:
     settings_path.write_text(VALID.replace(old, new))
     with pytest.raises(SettingsError) as error:
         read_settings(str(settings_path))
-    assert str(settings_path) in str(error.value) and named in str(error.value) and "\n" not in str(error.value)
+    assert str(settings_path) in str(error.value) and expected_text in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
     ("old", "new", "field", "reason"),
     [
         ('nodeName = "edge-1"', "", "nodeName", "is missing"),
-        ("memoryMb = 300", "memoryMb = true", "limits.memoryMb", "True cannot be used"),
+        ("memoryMb = 300", "memoryMb = true", "limits.memoryMb", "True has the wrong type"),
         ('"2.5s"', '"2.5 s"', "bounds.drainTimeout", "'2.5 s' is no time such as 1500ms or 2.5s"),
-        ('z1 = "a"', "z1 = 1", "zones", "a zone without the name of a region"),
+        ('z1 = "a"', "z1 = 1", "zones", "each zone needs the name of its region"),
     ],
 )
-def test_the_error_has_file_field_and_reason(settings_path: Path, old: str, new: str, field: str, reason: str) -> None:
+def test_the_error_holds_file_field_and_reason(
+    settings_path: Path, old: str, new: str, field: str, reason: str
+) -> None:
     settings_path.write_text(VALID.replace(old, new))
     with pytest.raises(SettingsError) as raised:
         read_settings(str(settings_path))
