--- a/hallhitch/programs/__init__.py
+++ b/hallhitch/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs of the system: they read the settings, build the planes, run them and shut them down in order."""
+"""The programs of the system: each reads its settings, then builds, runs and shuts down its planes."""
--- a/hallhitch/programs/coordinator.py
+++ b/hallhitch/programs/coordinator.py
@@ -1,6 +1,6 @@
 """The coordinator: replicates the cluster state, reads the endpoint list, distributes state, votes on quota leases.
 
-Run it with `python -O -m hallhitch.programs.coordinator`. This module only wires the planes together.
+Run it with `python -O -m hallhitch.programs.coordinator`. This module only connects the planes with one another.
 """
 
 from __future__ import annotations
@@ -34,17 +34,17 @@
 from hallhitch.programs.running import main
 from hallhitch.programs.runtime import Runtime
 
-MAINTENANCE_INTERVAL_MS: Final = 100.0  # between looks at which gateways and coordinators are live
-LIST_CHECK_INTERVAL_MS: Final = 50.0  # between looks whether the endpoint list has to be read
-MAX_GATEWAYS_ANNOTATION: Final = "gateways"  # of the cluster state, as stored
-MAX_GATEWAYS_INTERVAL_MS: Final = 1000.0  # between attempts to record it, and the time-out of one
-HANDOVER_RATIO: Final = 0.5  # of gracePeriod, to hand the membership over; the rest is for calls under way
-MAX_BODY_BYTES: Final = 32 * 1024 * 1024  # of an operator's call: the largest configuration that is accepted
-RNG_SEED_BITS: Final = 64  # so that no two processes draw the same sequence
+MAINTENANCE_INTERVAL_MS: Final = 100.0  # between updates of the live gateways and coordinators
+ENDPOINT_LIST_CHECK_INTERVAL_MS: Final = 50.0  # between checks whether the endpoint list has to be read
+MAX_GATEWAYS_ANNOTATION: Final = "gateways"  # key in the annotations of the stored cluster state
+RECORD_MAX_GATEWAYS_INTERVAL_MS: Final = 1000.0  # between attempts to record the number, and timeout of each
+HANDOVER_RATIO: Final = 0.5  # share of gracePeriod for handing the membership over; the rest is for pending calls
+MAX_OPERATOR_BODY_BYTES: Final = 32 * 1024 * 1024  # size of the largest configuration that is accepted
+RNG_SEED_BITS: Final = 64  # enough that no two processes draw the same random sequence
 
 
 class CoordinatorProgram:
-    """All parts of one coordinator."""
+    """One coordinator process: its planes, servers and periodic tasks."""
 
     def __init__(self, node: NodeSettings, runtime: Runtime | None = None) -> None:
         runtime = runtime or Runtime()
@@ -71,7 +71,7 @@
         self._hub.can_bootstrap_peers = lambda: self._control.has_quorum_contact
         self._leases = LeaseCoordinator(self._clock, runtime.random.getrandbits(INCARNATION_BITS))
         self._operator_api = OperatorApi(node, self._control, self._clock)
-        self._operator_server = HttpServer("operator", self._operator_api.handle, MAX_BODY_BYTES)
+        self._operator_server = HttpServer("operator", self._operator_api.handle, MAX_OPERATOR_BODY_BYTES)
         self._metrics_server = MetricsServer(self._hub.metrics)
         self._directory = Directory(node.region_by_zone, node.bounds.max_ttl_ms)
         self._directory_server = HttpServer("directory", self._handle_resolve)
@@ -88,7 +88,7 @@
     # Start and shutdown.
 
     async def start(self) -> None:
-        """Load the cluster state first, then serve."""
+        """Load the cluster state, then start the servers and the periodic tasks."""
         await self._links.serve(self._node.internal_address)
         await self._control.start()
         self._sync.add_peers(self._node.seed_addresses)
@@ -100,19 +100,19 @@
             asyncio.ensure_future(run_periodically("coordinator", interval_ms, step, self._clock))
             for interval_ms, step in (
                 (MAINTENANCE_INTERVAL_MS, self._maintain),
-                (LIST_CHECK_INTERVAL_MS, self._read_endpoint_list),
-                (MAX_GATEWAYS_INTERVAL_MS, self._record_max_gateways),
+                (ENDPOINT_LIST_CHECK_INTERVAL_MS, self._read_endpoint_list),
+                (RECORD_MAX_GATEWAYS_INTERVAL_MS, self._record_max_gateways),
             )
         ]
 
     def apply_settings(self, node: NodeSettings) -> None:
-        """Apply the settings that may change at run time: seeds, and those of the control plane."""
+        """Apply the settings that may change at run time: the seed nodes and those of the control plane."""
         self._control.apply_settings(node)
         self._operator_api.apply_settings(node)
         self._sync.add_peers(node.seed_addresses)
 
     async def shut_down(self) -> None:
-        """Hand the membership over while calls are still answered, then let those under way end, then stop."""
+        """Hand the membership over while calls are still answered, wait for the pending calls, then stop."""
         await self._control.leave(HANDOVER_RATIO * self._node.bounds.grace_period_ms)
         for server in (self._operator_server, self._directory_server, self._metrics_server):
             await server.close()
@@ -152,11 +152,11 @@
         return reply
 
     def _handle_resolve(self, method: str, target: str, body: bytes) -> HttpReply:
-        """Resolve to all live gateways; without quorum contact only to those that pull from this process."""
+        """Resolve to all live gateways; without quorum contact, only to those that pull state from this process."""
         gateways = self._hub.gateways if self._control.has_quorum_contact else self._hub.direct_gateways
         return self._directory.handle(method, target, gateways.values())
 
-    # Events of the planes.
+    # Callbacks of the planes.
 
     def _on_commit(self, state: ClusterState) -> None:
         self._hub.members = tuple(state.members)
@@ -171,7 +171,7 @@
     # Periodic work.
 
     async def _maintain(self) -> None:
-        """Keep track of live gateways and coordinators, of quorum contact and of lease holders."""
+        """Update the live gateways and coordinators, quorum contact and the lease holders."""
         now_ms = self._clock()
         self._sync.remove_expired_gateways()
         live_peers = self._sync.live_peers()
@@ -179,16 +179,16 @@
         self._sync.set_live_coordinators(live_peers, {*self._control.members, *self._node.seed_addresses})
         if self._had_quorum_contact != self._control.has_quorum_contact:
             self._had_quorum_contact = not self._had_quorum_contact
-            self._hub.notify()  # replies held back may be due, and peers learn at once that contact is lost
+            self._hub.notify()  # delayed replies may be due now, and peers learn immediately that contact was lost
         self._hub.set_holders(self._leases.holders(now_ms))
 
     async def _read_endpoint_list(self) -> None:
-        """Read the endpoint list if that is due."""
+        """Read the endpoint list if a reading is due."""
         if self._list_reader is not None and self._is_read_due():
             await self._list_reader.read()
 
     def _is_read_due(self) -> bool:
-        """Return whether this coordinator has to read the list, once a majority has confirmed it."""
+        """Return whether this coordinator has to read the list; it does not before a majority has confirmed it."""
         is_confirmed = self._control.lease.confirmed_at_ms > NEVER
         list_age_ms = self._clock() - self._hub.list_read_at
         return is_confirmed and is_read_due(list_age_ms, self._reader_rank(), self._reading_interval_ms)
@@ -197,18 +197,18 @@
         return reader_rank(self._node.internal_address, self._sync.live_peers())
 
     async def _record_max_gateways(self) -> None:
-        """Record in the cluster state how many gateways there may be, when more are seen; the first reader does."""
+        """Raise the recorded maximum number of gateways if more are seen; only the reader of rank 0 does so."""
         recorded = _recorded_max_gateways(self._control.committed_state)
         max_gateways = max_gateways_to_record(self._sync.gateway_count(), recorded)
         if max_gateways is None or self._reader_rank() != 0 or not self._control.has_quorum_contact:
             return
         change = state_transitions.annotate(MAX_GATEWAYS_ANNOTATION, str(max_gateways))
         with contextlib.suppress(PeerCallError, TimeoutError):
-            await self._control.propose(change, MAX_GATEWAYS_INTERVAL_MS)
+            await self._control.propose(change, RECORD_MAX_GATEWAYS_INTERVAL_MS)
 
 
 def _recorded_max_gateways(state: ClusterState) -> int:
-    """Return the upper bound on gateways that is recorded in the cluster state; 0 = none is."""
+    """Return the maximum number of gateways that the cluster state records, or 0 if it records none."""
     return int(state.annotations.get(MAX_GATEWAYS_ANNOTATION, "0"))
 
 
--- a/hallhitch/programs/gateway.py
+++ b/hallhitch/programs/gateway.py
@@ -1,6 +1,6 @@
-"""The gateway: serves clients, and pulls the state that it needs for that.
+"""The gateway: serves clients, and pulls the state that it needs to do so.
 
-Run it with `python -O -m hallhitch.programs.gateway`. This module only wires the planes together.
+Run it with `python -O -m hallhitch.programs.gateway`. This module only connects the planes with one another.
 """
 
 from __future__ import annotations
@@ -30,12 +30,14 @@
 from hallhitch.programs.runtime import Runtime
 
 READINESS_PATH: Final = "/hallhitch/readiness"
-LISTEN_RATIO: Final = 0.5  # of gracePeriod: a leaving gateway still accepts connections, as clients hold old addresses
-FINISH_RATIO: Final = 0.9  # of gracePeriod: by then a leaving gateway has ended
+# Share of gracePeriod after which a leaving gateway closes its listener: clients still use addresses that they resolved
+# before.
+LISTENER_CLOSE_RATIO: Final = 0.5
+DRAIN_DEADLINE_RATIO: Final = 0.9  # share of gracePeriod after which a leaving gateway stops waiting for requests
 
 
 class GatewayProgram:
-    """All parts of one gateway."""
+    """One gateway process: its planes and servers."""
 
     def __init__(self, node: NodeSettings, runtime: Runtime | None = None) -> None:
         runtime = runtime or Runtime()
@@ -57,12 +59,12 @@
         )
         self._directory_server = HttpServer("directory", self._handle_resolve)
         self._config = EMPTY_CONFIG
-        self._backends_version = self._gateways_version = Version()  # of the maps that the planes were given
+        self._backends_version = self._gateways_version = Version()  # of the maps last applied to the planes
 
     # Start and shutdown.
 
     async def start(self) -> None:
-        """Listen first, then pull state, and be ready once it is complete."""
+        """Start the servers, then pull state; the gateway becomes ready once the required state is complete."""
         await self._links.serve(self._node.internal_address)
         for name, server in (("readiness", self._readiness_server), ("directoryApi", self._directory_server)):
             if name in self._node.listen_addresses:
@@ -74,19 +76,19 @@
         self._sync.start()
 
     def apply_settings(self, node: NodeSettings) -> None:
-        """Apply the settings that may change at run time: the seeds."""
+        """Apply the settings that may change at run time: the seed nodes."""
         self._sync.set_seeds(node.seed_addresses)
 
     async def shut_down(self) -> None:
-        """Leave the directory, give up quota leases, close the listener, and end once the requests have."""
+        """Leave the directory, release the quota leases, close the listener, and wait for the pending requests."""
         started_at, grace_period_ms = now(), self._node.bounds.grace_period_ms
         self._is_leaving = True
         self._sync.publish_self()
         self._data.start_draining()
         await self._quota.release_all()
-        await asyncio.sleep(grace_period_ms * LISTEN_RATIO / 1000)
+        await asyncio.sleep(grace_period_ms * LISTENER_CLOSE_RATIO / 1000)
         self._data.close_listener()
-        await self._data.wait_drained(started_at + grace_period_ms * FINISH_RATIO)
+        await self._data.wait_drained(started_at + grace_period_ms * DRAIN_DEADLINE_RATIO)
         await self._metrics_server.close()
         self._sync.stop()
         self._links.close()
@@ -123,7 +125,7 @@
     def _handle_resolve(self, method: str, target: str, body: bytes) -> HttpReply:
         return self._directory.handle(method, target, self._hub.gateways.values())
 
-    # State for the planes.
+    # Distribution of received state to the planes.
 
     def _on_state_change(self) -> None:
         self._apply_config()
--- a/hallhitch/programs/running.py
+++ b/hallhitch/programs/running.py
@@ -1,7 +1,7 @@
-"""Runs a program: reads the settings file, starts the event loop, handles signals, shuts down in order.
+"""Entry point of the programs: reads the settings file, runs the event loop, handles signals and shuts down.
 
-SIGTERM and SIGINT shut the program down, SIGHUP reads the settings file again. If the settings file cannot be used, the
-exit code is 2 and one line on standard error gives the reason.
+SIGTERM and SIGINT shut the program down gracefully; SIGHUP reloads the settings file. If the settings file is invalid
+at the start, the exit code is 2 and one line on standard error gives the reason.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 
 class Program(Protocol):
-    """A program as it is run."""
+    """What `main` requires of a program."""
 
     async def start(self) -> None:
-        """Start to serve."""
+        """Start serving."""
 
     def apply_settings(self, node: NodeSettings) -> None:
-        """Apply a settings file that has changed."""
+        """Apply the settings of a reloaded file."""
 
     async def shut_down(self) -> None:
-        """Shut down in order, within the grace period."""
+        """Shut down gracefully within the grace period."""
 
 
 def main(build: Callable[[NodeSettings], Program]) -> None:
@@ -52,25 +52,27 @@
 def _settings_path() -> str:
     path = os.environ.get(SETTINGS_FILE_VARIABLE, "")
     if not path:
-        raise SettingsError(f"{SETTINGS_FILE_VARIABLE} is not set: it names the settings file")
+        raise SettingsError(
+            f"{SETTINGS_FILE_VARIABLE} is not set; this environment variable has to name the settings file"
+        )
     return path
 
 
 async def _run(program: Program, path: str) -> None:
-    log, loop, is_ending = logs.ComponentLogger("node"), asyncio.get_running_loop(), asyncio.Event()
+    log, loop, shutdown_requested = logs.ComponentLogger("node"), asyncio.get_running_loop(), asyncio.Event()
 
     def on_hangup() -> None:
         try:
             program.apply_settings(read_settings(path))
             log.info("settings reloaded")
         except SettingsError as error:
-            log.error("settings rejected", error=error)  # noqa: TRY400  # the operator's file is at fault: no traceback
+            log.error("settings rejected", error=error)  # noqa: TRY400  # an error in the operator's file needs no traceback
 
-    loop.add_signal_handler(signal.SIGTERM, is_ending.set)
-    loop.add_signal_handler(signal.SIGINT, is_ending.set)
+    loop.add_signal_handler(signal.SIGTERM, shutdown_requested.set)
+    loop.add_signal_handler(signal.SIGINT, shutdown_requested.set)
     loop.add_signal_handler(signal.SIGHUP, on_hangup)
     await program.start()
-    await is_ending.wait()
+    await shutdown_requested.wait()
     log.info("shutting down")
     await program.shut_down()
     log.info("stopped")
--- a/hallhitch/programs/runtime.py
+++ b/hallhitch/programs/runtime.py
@@ -1,6 +1,6 @@
-"""What a program uses of its environment: clock, random numbers, links, disk.
+"""The environment of a program: clock, random numbers, links to peers, storage.
 
-A simulation passes its own `Runtime`; the programs themselves are the same in simulation and in production.
+A simulation passes its own `Runtime`, so that the same programs run in simulation and in production.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from hallhitch.planes.control.storage import Storage
 from hallhitch.planes.control.storage_thread import BlockingRunner
 
-INCARNATION_BITS: Final = 62  # fits a uint64 of a message, so large that two never meet; 0 is left for "unknown"
+INCARNATION_BITS: Final = 62  # fits a uint64 field and makes collisions negligible; 0 is reserved for "unknown"
 
 
 class Transport(Protocol):
-    """Calls between the processes of the system, as `messages.peer_links.PeerLinks` makes them."""
+    """Calls between the processes of the system; `messages.peer_links.PeerLinks` implements it over TCP."""
 
     async def serve(self, address: str) -> None:
-        """Accept calls at the internal address."""
+        """Accept calls on the internal address."""
 
     async def call(self, address: str, envelope: Envelope, timeout_ms: float) -> Envelope:
         """Call a peer and return its reply.
 
         Raises:
-            PeerCallError: there was no reply in time, or the call was not sent.
+            PeerCallError: the call was not sent, was rejected, or got no reply in time.
         """
 
     def close(self) -> None:
@@ -41,18 +41,19 @@
 
 
 def connect(cluster: str, address: str, incarnation: int, handler: CallHandler) -> Transport:
-    """Create the links of a process, over TCP."""
+    """Create the links of a process over TCP."""
     return PeerLinks(cluster, handler, address, incarnation)
 
 
 @dataclass(frozen=True, slots=True)
 class Runtime:
-    """The environment of one process; the defaults are those in production.
+    """The environment of one process; the defaults are for production.
 
-    `storage` replaces the data directory of the settings, `run_blocking` the thread that waits for it; None keeps them.
+    `storage` replaces the data directory from the settings, and `run_blocking` the thread that accesses it; None keeps
+    the default.
     """
 
-    clock: Callable[[], float] = now  # steady ms
+    clock: Callable[[], float] = now  # monotonic, in ms
     random: random.Random = field(default_factory=random.SystemRandom)
     connect: Connect = connect
     storage: Storage | None = None
