--- a/hallhitch/messages/calls.py
+++ b/hallhitch/messages/calls.py
@@ -16,9 +16,8 @@
     """Whether a call may be sent again after `RequestTimeout`."""
 
     IDEMPOTENT = "idempotent"  # sending the same content twice has the effect of sending it once
-    NOT_IDEMPOTENT = (
-        "not idempotent"  # a repetition might count, grant or accept twice: only a call with a new number may follow
-    )
+    # A repetition might count, grant or accept twice: only a call with a new number may follow.
+    NOT_IDEMPOTENT = "not idempotent"
 
 
 @dataclass(frozen=True, slots=True)
--- a/hallhitch/messages/frames.py
+++ b/hallhitch/messages/frames.py
@@ -20,9 +20,8 @@
 from hallhitch.messages.errors import FrameError, Rejection
 
 MAX_FRAME_BYTES: Final = 64 * 1024 * 1024  # twice the largest request body that the operator's API accepts
-MAX_CHUNK_BYTES: Final = (
-    16 * 1024
-)  # takes about 60 ms on the slowest links (2 Mbit/s), which delays a short frame behind it
+# A chunk takes about 60 ms on the slowest links (2 Mbit/s), which is how long a short frame behind it waits.
+MAX_CHUNK_BYTES: Final = 16 * 1024
 HEADER_BYTES: Final = 4
 _CHUNKED_FLAG: Final = 1 << 31
 _FINAL_CHUNK_FLAG: Final = 1 << 30
--- a/hallhitch/node/logs.py
+++ b/hallhitch/node/logs.py
@@ -14,9 +14,8 @@
 
 import picologging
 
-DEFAULT_LOG_INTERVAL_MS: Final = (
-    1000.0  # between two lines of a rate-limited log, to keep it readable and the disk from filling
-)
+# Between two lines of a rate-limited log: keeps the log readable and its disk from filling up.
+DEFAULT_LOG_INTERVAL_MS: Final = 1000.0
 
 
 def configure(level: int = picologging.INFO) -> None:
