--- a/hallhitch/net/client_connection.py
+++ b/hallhitch/net/client_connection.py
@@ -1,9 +1,10 @@
-"""One client's connection, whatever it speaks: reading within bounds, writing in order, and how it ends.
+"""One client connection, independent of its protocol: bounded reading, ordered writing, and closing.
 
 Invariants:
-- While so much is owed that `is_full` holds, nothing more is read.
+- Nothing is read while `is_full` holds.
 - Messages are written in the order in which they were posted.
-- A connection whose long answer broke off ends with a reset, so that nobody takes its end for the answer's.
+- If a streamed response breaks off, the connection ends with a TCP reset, so that the client does not take the end of
+  the connection for the end of the response.
 """
 
 from __future__ import annotations
@@ -20,21 +21,22 @@
 from hallhitch.net.sockets import is_open_and_silent, shut_down
 
 BUFFER_BYTES: Final = 8192
-# Parsed at once, but of a body: of dozens of requests in one read most stay unparsed until their turn.
-SLICE_BYTES: Final = 1024
-BODY_BUFFER_BYTES: Final = 32_768  # read at once of a long body
-REQUEST_TIMEOUT_MS: Final = 2500.0  # for a whole request: from connecting, from an error, or from its first byte
-WRITE_TIMEOUT_MS: Final = 10_000.0  # for a client to read an answer, or the next piece of a long one
-LINGER_MS: Final = 500.0  # to read on after an answer that ends a connection, so that the answer arrives
-MAX_LINGER_BYTES: Final = 65_536  # read and dropped in that time; then nothing more is read
-# The same, where a long request was still being received.
+# Bytes parsed at a time, except within a body. When one read brings dozens of requests, most of them stay unparsed
+# until the requests before them have been handled.
+PARSE_SLICE_BYTES: Final = 1024
+BODY_BUFFER_BYTES: Final = 32_768  # size of one read of a long body
+REQUEST_TIMEOUT_MS: Final = 2500.0  # for a whole request, from the connect, from an error, or from its first byte
+WRITE_TIMEOUT_MS: Final = 10_000.0  # for a client to read a response, or the next piece of a streamed one
+LINGER_MS: Final = 500.0  # to continue reading after the last response: an early close could destroy it
+MAX_LINGER_BYTES: Final = 65_536  # read and dropped in that time; after that reading stops
+# The same two limits, for a connection that was still receiving a long request.
 UPLOAD_LINGER_MS: Final = 2000.0
 MAX_UPLOAD_LINGER_BYTES: Final = 1 << 26
-CLOSE_WITH_RESET: Final = struct.pack("ii", 1, 0)  # the value of SO_LINGER
+CLOSE_WITH_RESET: Final = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0
 
 
 class StreamedMessage:
-    """A message whose long body is still being received; in chunks where its head gives no length."""
+    """A message to write whose body is still being received; `is_chunked` if its head declares no length."""
 
     def __init__(self, head: bytes, flow: Flow, is_chunked: bool) -> None:
         self.head = head
@@ -43,7 +45,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """Whoever holds the connections and their tasks."""
+    """The owner of the connections and of their tasks."""
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
         """Forget a connection that has ended."""
@@ -53,42 +55,42 @@
 
 
 class ClientConnection(Actor[bytes | StreamedMessage]):
-    """One client's connection; its mailbox holds what is to be written, in order."""
+    """One client connection; its mailbox holds the messages to write, in order."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, deadlines: Deadlines, scheduler: Scheduler) -> None:
         super().__init__("client", scheduler)
         self._owner = owner
         self._sock = sock
         self._deadlines = deadlines
-        self.is_ending = False  # nothing more is read; it ends once no answer is owed
+        self.is_ending = False  # received bytes are dropped; the connection ends once no response is owed
         self.is_ended = False
-        self.is_broken_off = False  # a long answer broke off, and the connection ends with a reset
+        self.is_broken_off = False  # a streamed response broke off; the connection ends with a reset
         self.had_accepted_request = False
-        self.waiting_since = 0.0  # since when it may have waited to be accepted, until it is first read
-        self.received_at = deadlines.clock()  # when a byte last came, or the connection
-        self.partial_since = 0.0  # when what is partly received began to come; 0 if nothing is
-        self.is_resumed = False  # what is partly received came in more than one piece
+        self.waiting_since = 0.0  # from when it may have waited in the listen backlog; 0 after the first read
+        self.received_at = deadlines.clock()  # when a byte last came, at first the time of the connect
+        self.partial_since = 0.0  # when the first byte of the partial request came; 0 if there is none
+        self.is_resumed = False  # the partial request came in more than one read
         self._deadline: Deadline | None = None
-        self._writer: asyncio.Task[None] | None = None
-        self._posted = 0  # messages posted and not yet written
-        self._unsent: list[bytes | StreamedMessage] = []
-        self._reading_paused: asyncio.Future[None] | None = None
+        self._writer_task: asyncio.Task[None] | None = None
+        self._unwritten_count = 0  # messages that were posted and are not yet written
+        self._unsent_messages: list[bytes | StreamedMessage] = []
+        self._resume_future: asyncio.Future[None] | None = None
 
-    # For subclasses.
+    # Hooks for subclasses.
 
     @property
     def owes_answer(self) -> bool:
-        """Whether an answer is owed."""
+        """Whether the client is owed a response."""
         raise NotImplementedError
 
     @property
     def is_partial(self) -> bool:
-        """Whether something is partly received."""
+        """Whether a request is partly received."""
         raise NotImplementedError
 
     @property
     def is_full(self) -> bool:
-        """Whether so much is owed that no more is read."""
+        """Whether reading has to wait, as too much is pending."""
         return False
 
     @property
@@ -102,11 +104,11 @@
         return False
 
     def is_late(self, now: float) -> bool:
-        """Return whether what is partly received has taken too long."""
+        """Return whether the partial request has exceeded its time-out."""
         return bool(self.partial_since) and now - self.partial_since > REQUEST_TIMEOUT_MS
 
     def on_overdue(self) -> None:
-        """Answer that what is partly received has taken too long, and end the connection."""
+        """Answer that the partial request timed out, and end the connection."""
         raise NotImplementedError
 
     def on_data(self, data: memoryview) -> None:
@@ -114,28 +116,28 @@
         raise NotImplementedError
 
     def on_written(self, count: int) -> None:
-        """Handle that so many messages were written completely."""
+        """Handle that `count` messages were written completely."""
 
     def on_closed(self) -> None:
-        """Handle that the client has gone and no answer is owed any more."""
+        """Handle that the client disconnected: no response is owed any more."""
         raise NotImplementedError
 
     # State.
 
     @property
     def is_idle(self) -> bool:
-        """Whether no answer is owed and nothing is partly received."""
+        """Whether no response is owed and no request is partly received."""
         return not self.owes_answer and not self.is_partial
 
     @property
     def is_silent(self) -> bool:
-        """Whether nothing unread has come, not even the end."""
+        """Whether the socket is open and has nothing to read, not even its end."""
         return is_open_and_silent(self._sock)
 
     # Reading.
 
     async def run(self) -> None:
-        """Read until the client leaves or the connection is ended here."""
+        """Read until the client disconnects or this side closes the connection."""
         loop, buffer = asyncio.get_running_loop(), bytearray(BUFFER_BYTES)
         view = memoryview(buffer)
         dropped = 0
@@ -150,7 +152,7 @@
                 self.is_resumed = bool(self.partial_since) and self.is_partial
                 handled = 0
                 while handled < size and not self.is_ending:
-                    end = size if self.has_unread_upload else min(size, handled + SLICE_BYTES)
+                    end = size if self.has_unread_upload else min(size, handled + PARSE_SLICE_BYTES)
                     self.on_data(view[handled:end])
                     handled = end
                     while handled < size and self.is_full:
@@ -162,7 +164,7 @@
                     await self._pause_reading(loop)
         except (OSError, asyncio.CancelledError):
             pass
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+        except Exception as error:  # noqa: BLE001  top level of the task: logged, and the process continues
             self.record_failure(error)
         finally:
             self._clean_up()
@@ -171,37 +173,37 @@
         return not self.has_unread_upload or dropped > MAX_UPLOAD_LINGER_BYTES
 
     async def _pause_reading(self, loop: asyncio.AbstractEventLoop) -> None:
-        self._reading_paused = loop.create_future()
-        await self._reading_paused
+        self._resume_future = loop.create_future()
+        await self._resume_future
 
     def resume_reading(self) -> None:
-        """Read on, if there is room again."""
-        if self._reading_paused is not None and not self.is_full and not self._reading_paused.done():
-            self._reading_paused.set_result(None)
+        """Continue reading, unless `is_full` still holds."""
+        if self._resume_future is not None and not self.is_full and not self._resume_future.done():
+            self._resume_future.set_result(None)
 
     # Writing.
 
     def post(self, message: bytes | StreamedMessage) -> bool:
-        """Append a message to those that are to be written."""
+        """Queue a message to be written; return whether the mailbox accepted it."""
         is_taken = super().post(message)
-        self._posted += is_taken
+        self._unwritten_count += is_taken
         return is_taken
 
     def write_now(self, message: bytes) -> None:
-        """Write a few bytes ahead of any answer, where none is owed; they are lost if the socket's buffer is full."""
-        if self._writer is None and not self._posted:
+        """Write a few bytes at once if no message is pending; they are lost if the send buffer is full."""
+        if self._writer_task is None and not self._unwritten_count:
             with contextlib.suppress(OSError):
                 self._sock.send(message)
 
     def handle(self, message: bytes | StreamedMessage) -> None:
-        """Write a message, behind those that wait."""
+        """Write a message after those that are still unsent."""
         if self.is_ended:
             if isinstance(message, StreamedMessage):
                 message.flow.abandon()
             return None
-        self._unsent.append(message)
-        if self._writer is None and isinstance(message, bytes):
-            # Most answers are sent at once; a task and a deadline are for clients that don't read theirs.
+        self._unsent_messages.append(message)
+        if self._writer_task is None and isinstance(message, bytes):
+            # Most responses fit into the send buffer; only a client that reads too slowly needs a task and a deadline.
             try:
                 sent = self._sock.send(message)
             except BlockingIOError:
@@ -209,34 +211,34 @@
             except OSError:
                 return self.close()
             if sent == len(message):
-                self._unsent.clear()
-                self._posted -= 1
+                self._unsent_messages.clear()
+                self._unwritten_count -= 1
                 self.on_written(1)
                 return self._end_if_done()
-            self._unsent = [message[sent:]]
-        if self._writer is None:
-            self._writer = asyncio.get_running_loop().create_task(self._write())
+            self._unsent_messages = [message[sent:]]
+        if self._writer_task is None:
+            self._writer_task = asyncio.get_running_loop().create_task(self._write())
             return None
         return None
 
     async def _write(self) -> None:
         try:
-            while self._unsent:
-                messages = self._unsent
+            while self._unsent_messages:
+                messages = self._unsent_messages
                 streamed = (index for index, message in enumerate(messages) if isinstance(message, StreamedMessage))
                 plain = next(streamed, len(messages))
-                self._unsent = messages[plain or 1 :]
+                self._unsent_messages = messages[plain or 1 :]
                 if plain:
                     await self._send_all(b"".join(part for part in messages[:plain] if isinstance(part, bytes)))
                 elif isinstance(message := messages[0], StreamedMessage):
                     await self._stream(message)
-                self._posted -= plain or 1
+                self._unwritten_count -= plain or 1
                 self.on_written(plain or 1)
         except OSError:
             return self.close()
         except Broken:
             return self._reset()
-        self._writer = None
+        self._writer_task = None
         self._end_if_done()
         return None
 
@@ -248,7 +250,7 @@
             message.flow.abandon()
 
     async def _send_all(self, data: bytes) -> None:
-        """Write all of it, within the time-out."""
+        """Write all of `data` within WRITE_TIMEOUT_MS, or close the connection."""
         self._deadline = self._deadlines.call_after(WRITE_TIMEOUT_MS, self.close)
         try:
             await asyncio.get_running_loop().sock_sendall(self._sock, data)
@@ -258,19 +260,19 @@
     # Ending.
 
     def close(self) -> None:
-        """End the connection; the reader then cleans up."""
+        """Shut the connection down; `run` then cleans up."""
         shut_down(self._sock)
-        if self._reading_paused is not None:
-            self._reading_paused.cancel()
+        if self._resume_future is not None:
+            self._resume_future.cancel()
 
     def close_if_silent(self) -> None:
-        """End an idle connection, unless something unread has come on it."""
+        """Close an idle connection, unless there is something to read on it."""
         if self.is_silent:
             self.close()
 
     def _end_if_done(self) -> None:
-        """End the writing side of a connection that is ending, once all is written."""
-        if self.is_ending and not self._posted and not self.owes_answer:
+        """Shut down the write side of a connection that is ending, once everything is written."""
+        if self.is_ending and not self._unwritten_count and not self.owes_answer:
             linger_ms = UPLOAD_LINGER_MS if self.has_unread_upload else LINGER_MS
             self._deadline = self._deadlines.call_after(linger_ms, self.close)
             try:
@@ -286,10 +288,10 @@
     def _clean_up(self) -> None:
         self.is_ended = True
         self._deadlines.cancel(self._deadline)
-        if self._writer is not None:
-            self._writer.cancel()
+        if self._writer_task is not None:
+            self._writer_task.cancel()
         self.on_closed()
-        for message in self._unsent:
+        for message in self._unsent_messages:
             if isinstance(message, StreamedMessage):
                 message.flow.abandon()
         if not self.is_broken_off:
--- a/hallhitch/net/http.py
+++ b/hallhitch/net/http.py
@@ -1,8 +1,8 @@
-"""The HTTP/1.1 codec: bounded parsing with httptools, and the encoding of answers' heads.
+"""The HTTP/1.1 codec: bounded parsing with httptools, and the encoding of response heads.
 
 Invariants:
-- No more of a message than its bounds allow is buffered, whatever the peer sends.
-- A trailer changes nothing of what the head said.
+- A reader never buffers more of a message than its limits allow, whatever the peer sends.
+- Trailer fields never override header fields.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 from hallhitch.net.flow import Flow
 
-MAX_BODY_BYTES: Final = 64 * 1024  # of a body that is buffered
-MAX_LONG_BODY_BYTES: Final = 34 * 1024 * 1024  # of a body that is passed on in pieces
+MAX_BODY_BYTES: Final = 64 * 1024  # limit for a body that is buffered whole
+MAX_LONG_BODY_BYTES: Final = 34 * 1024 * 1024  # limit for a body that is streamed
 MAX_HEAD_BYTES: Final = 16 * 1024
-MAX_LENGTH_DIGITS: Final = 18  # of Content-Length; more are taken for too long
-FIELD_OVERHEAD_BYTES: Final = 4  # of a header field beside name and value: colon, space, line end
-MAX_CHUNK_OVERHEAD_RATIO: Final = 8  # bytes read for each of the body: chunks of one byte are six
+MAX_LENGTH_DIGITS: Final = 18  # of Content-Length; a longer number counts as too large a body
+FIELD_OVERHEAD_BYTES: Final = 4  # colon, space and line end of a header field, beside its name and value
+MAX_CHUNK_OVERHEAD_RATIO: Final = 8  # bytes read per byte of body; a chunk of one byte takes six
 
 
 class Malformed(Exception):  # noqa: N818  named for the event, as callers read it
-    """Bytes that are not acceptable; `status` is the answer to a client that sent them."""
+    """Raised for bytes that are not valid or exceed a limit; `status` is the response to a client that sent them."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -33,32 +33,33 @@
 
 @dataclass(slots=True)
 class Message:
-    """One request or answer."""
+    """One HTTP request or response."""
 
     method: bytes = b""
     target: bytes = b""
     status: int = 0
-    headers: dict[bytes, bytes] = field(default_factory=dict)  # by name in lower case; the last one of each
-    twice: list[bytes] = field(default_factory=list)  # names that came more than once
-    fields: list[tuple[bytes, bytes]] | None = None  # all as they came, where a reader keeps them
+    headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name; the last value of each
+    twice: list[bytes] = field(default_factory=list)  # names of the header fields that came more than once
+    fields: list[tuple[bytes, bytes]] | None = None  # all fields as received, if the reader records them
     body: bytes = b""
-    flow: Flow | None = None  # the body, where it is passed on in pieces
-    length: int | None = None  # of the body by its head; None if it gives none
+    flow: Flow | None = None  # the body, if it is streamed
+    length: int | None = None  # of the body as declared in the head; None if undeclared
     version: str = "1.1"
     keep: bool = True
 
 
 def refused(size: int) -> bool:
-    """Return False: there is no room to buffer a long body."""
+    """Return False: no buffer is available for a long body."""
     return False
 
 
 class _Reader:
-    """What readers of requests and of answers have in common."""
+    """The common part of the request reader and the response reader: httptools callbacks and limits."""
 
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser
-    # Whether a body that is declared long is passed on from its first byte, as its receiver waits for that.
-    _passes_early = False
+    # Whether a body whose declared length is above the buffer limit is streamed from its first byte, because its
+    # receiver waits for that byte.
+    _streams_early = False
 
     def __init__(
         self,
@@ -69,43 +70,46 @@
         body_most: int = MAX_BODY_BYTES,
         long_most: int = MAX_LONG_BODY_BYTES,
     ) -> None:
-        """Refuse bodies above `body_most`; if `long`, pass them on in pieces once `hold` reserves no more room.
+        """Reject bodies above `body_most`, or if `long`, stream them as soon as `hold` cannot reserve more buffer.
 
-        A message that is passed on is returned when that begins; its flow has the rest.
+        `long_most` limits a streamed body. A streamed message is returned when streaming begins, and its flow delivers
+        the body.
         """
-        self._head_most, self._body_most = head_most, body_most
-        self._long_most, self._hold = long_most if long else body_most, hold
+        self._max_head_bytes, self._max_buffered_bytes = head_most, body_most
+        self._max_body_bytes, self._reserve_buffer = long_most if long else body_most, hold
         self._message = Message()
-        self._parts: list[bytes] = []
+        self._body_parts: list[bytes] = []
         self._size = 0
-        self._head = self._fields = 0  # bytes read within the head; bytes of its complete fields
-        self._raw = 0  # bytes read since the last complete message
+        self._head_bytes = self._field_bytes = 0  # bytes read while in the head; bytes of complete header fields
+        self._bytes_since_message = 0  # bytes read since the last complete message, framing included
         self._in_head = True
-        self._early = False  # whether this body is passed on from its first byte
+        self._early = False  # whether the current body is streamed from its first byte
         self._done: list[Message] = []
-        self._refused = 0  # the status of what was refused within a read
-        self.partial = False  # whether a message is partly received
+        self._refusal_status = 0  # the status for a message that exceeded a limit within a parser callback
+        self.partial = False  # whether a message has begun and is not complete
 
     def feed(self, data: bytes | memoryview) -> list[Message]:
-        """Parse received bytes and return the messages that are complete, or begin to be passed on.
+        """Parse received bytes and return the messages that have become complete, or whose streaming has begun.
 
         Raises:
-            Malformed: the bytes are not acceptable; a body in passing is broken off.
+            Malformed: the bytes are not valid or exceed a limit; a body that is being streamed is marked as broken.
         """
-        self._head += len(data) if self._in_head else 0
-        self._raw += len(data)
+        self._head_bytes += len(data) if self._in_head else 0
+        self._bytes_since_message += len(data)
         status = 0
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             status = 400
         except httptools.HttpParserError:
-            status = self._refused or (431 if self._head > self._head_most else 400)
-        if self._raw > self._head_most and not status:
-            if self._in_head and self._head > self._head_most:
+            status = self._refusal_status or (431 if self._head_bytes > self._max_head_bytes else 400)
+        if self._bytes_since_message > self._max_head_bytes and not status:
+            if self._in_head and self._head_bytes > self._max_head_bytes:
                 status = 431
-            # Endless chunk extensions or trailers belong to no field and no body.
-            elif self._raw > self._head_most + MAX_CHUNK_OVERHEAD_RATIO * max(self._body_most, self._size):
+            # Endless chunk extensions or trailers count neither as header fields nor as body.
+            elif self._bytes_since_message > self._max_head_bytes + MAX_CHUNK_OVERHEAD_RATIO * max(
+                self._max_buffered_bytes, self._size
+            ):
                 status = 413
         if status:
             self.fail()
@@ -113,55 +117,58 @@
         return self.completed()
 
     def fail(self) -> None:
-        """Break off a body in passing: nothing more comes."""
+        """Mark a body that is being streamed as broken: no more of it will be received."""
         if self._message.flow is not None:
             self._message.flow.fail()
 
     def close(self) -> None:
-        """Release the parser and what was read: parser and reader hold each other."""
+        """Release the parser and what was read.
+
+        Parser and reader reference each other; without this call they would stay until a garbage collection.
+        """
         self.fail()
         del self.parser
-        self._message, self._parts, self._done, self._hold = Message(), [], [], refused
+        self._message, self._body_parts, self._done, self._reserve_buffer = Message(), [], [], refused
 
     def completed(self) -> list[Message]:
-        """Return the messages that are complete and were not returned yet, also those before an error."""
-        done, self._done = self._done, []
-        return done
+        """Return the complete messages that were not returned yet, including those before an error."""
+        messages, self._done = self._done, []
+        return messages
 
     @property
     def begun(self) -> Message | None:
-        """The message whose body is being received, if any."""
+        """The message whose body is being received, None if there is none."""
         return self._message if self.partial and not self._in_head else None
 
     @property
     def size(self) -> int:
-        """The bytes of that body so far."""
+        """The bytes of the current body that were received so far."""
         return self._size
 
     def pass_on(self) -> None:
-        """Pass the body that is being received on in pieces from here on."""
+        """Stream the body that is being received from here on."""
         message = self._message
         if message.flow is None:
             message.flow = Flow()
-            for part in self._parts:
+            for part in self._body_parts:
                 message.flow.put(part)
-            self._parts = []
+            self._body_parts = []
             message.keep = self.parser.should_keep_alive()
-            self._finish(message)
+            self._set_start_line(message)
             self._done.append(message)
 
-    # Callbacks of the parser.
+    # Callbacks of the httptools parser.
 
     def on_message_begin(self) -> None:
-        self._message, self._parts, self._size = Message(), [], 0
+        self._message, self._body_parts, self._size = Message(), [], 0
         self.partial = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._fields += len(name) + len(value) + FIELD_OVERHEAD_BYTES
-        if self._fields > self._head_most:
-            self._refuse(431)
+        self._field_bytes += len(name) + len(value) + FIELD_OVERHEAD_BYTES
+        if self._field_bytes > self._max_head_bytes:
+            self._reject(431)
         if not self._in_head:
-            return  # a trailer
+            return  # a trailer field
         name, value = name.lower(), value.strip(b" \t")
         if name in self._message.headers:
             self._message.twice.append(name)
@@ -171,27 +178,27 @@
         self._in_head = False
         length = self._message.headers.get(b"content-length")
         if length is not None and length.isdigit():
-            self._message.length = int(length) if len(length) <= MAX_LENGTH_DIGITS else self._long_most + 1
-            if self._message.length > self._body_most:
-                if self._message.length > self._long_most:
-                    self._refuse(413)
-                self._early = self._passes_early
+            self._message.length = int(length) if len(length) <= MAX_LENGTH_DIGITS else self._max_body_bytes + 1
+            if self._message.length > self._max_buffered_bytes:
+                if self._message.length > self._max_body_bytes:
+                    self._reject(413)
+                self._early = self._streams_early
 
     def on_body(self, body: bytes) -> None:
         self._size += len(body)
-        if self._size > self._long_most:
-            self._refuse(413)
+        if self._size > self._max_body_bytes:
+            self._reject(413)
         if self._message.flow is not None:
             return self._message.flow.put(body)
-        self._parts.append(body)
-        if (self._size > self._body_most or self._early) and self._passes(len(body)):
+        self._body_parts.append(body)
+        if (self._size > self._max_buffered_bytes or self._early) and self._passes(len(body)):
             self.pass_on()
             return None
         return None
 
     def _passes(self, more: int) -> bool:
-        """Return whether a body that has grown by so much is passed on from here on."""
-        return not self._hold(more)
+        """Return whether a body that has grown by `more` bytes is streamed from here on."""
+        return not self._reserve_buffer(more)
 
     def on_message_complete(self) -> None:
         message = self._message
@@ -199,24 +206,24 @@
         if message.flow is not None:
             message.flow.end()
         else:
-            message.body = b"".join(self._parts)
-            self._finish(message)
+            message.body = b"".join(self._body_parts)
+            self._set_start_line(message)
             self._done.append(message)
-        self._parts, self._early = [], False
+        self._body_parts, self._early = [], False
         self.partial, self._in_head = False, True
-        self._head = self._fields = self._raw = 0
+        self._head_bytes = self._field_bytes = self._bytes_since_message = 0
 
-    def _finish(self, message: Message) -> None:
-        """Set the fields of the first line."""
+    def _set_start_line(self, message: Message) -> None:
+        """Set the fields of the message that come from its start line."""
         raise NotImplementedError
 
-    def _refuse(self, status: int) -> None:
-        self._refused = status
+    def _reject(self, status: int) -> None:
+        self._refusal_status = status
         raise Malformed(status)
 
 
 class RequestReader(_Reader):
-    """Reads the requests of one connection."""
+    """Reads the requests of one client connection."""
 
     def __init__(
         self,
@@ -228,15 +235,15 @@
         long_most: int = MAX_LONG_BODY_BYTES,
     ) -> None:
         super().__init__(long, hold, head_most=head_most, body_most=body_most, long_most=long_most)
-        self.expects = False  # whether the client waits for 100 Continue
+        self.expects = False  # whether the client waits for 100 Continue before it sends the body
         self.parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target (httptools)."""
+        """Append a part of the request target (httptools)."""
         self._message.target += url
 
     def on_headers_complete(self) -> None:
-        """End the head (httptools)."""
+        """Finish the head, and note an Expect header (httptools)."""
         super().on_headers_complete()
         head = self._message.headers
         if b"expect" in head:
@@ -245,20 +252,20 @@
             )
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body (httptools)."""
+        """Append a part of the body (httptools)."""
         self.expects = False
         super().on_body(body)
 
-    def _finish(self, message: Message) -> None:
+    def _set_start_line(self, message: Message) -> None:
         message.method = self.parser.get_method()
-        if not message.keep or b"connection" in message.headers:  # else it is 1.1, without asking
+        if not message.keep or b"connection" in message.headers:  # otherwise the version can only be 1.1
             message.version = self.parser.get_http_version()
 
 
 class AnswerReader(_Reader):
-    """Reads the answers of one connection."""
+    """Reads the responses of one server connection."""
 
-    _passes_early = True
+    _streams_early = True
 
     def __init__(
         self,
@@ -272,7 +279,7 @@
         self.parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
 
     def end(self) -> list[Message]:
-        """Return what the end of the connection completes: a body with neither a length nor chunks."""
+        """Return the message that the end of the connection completes: one with neither a length nor chunks."""
         message = self.begun
         if message is None or message.length is not None or b"transfer-encoding" in message.headers:
             return []
@@ -283,22 +290,22 @@
     def _passes(self, more: int) -> bool:
         return True
 
-    def _finish(self, message: Message) -> None:
+    def _set_start_line(self, message: Message) -> None:
         message.status = self.parser.get_status_code()
 
 
 def origin_of(target: bytes) -> bytes:
-    """Return the origin form of a request's target, which the absolute form has behind its host."""
+    """Return the origin form of a request target; from an absolute form it removes scheme and host."""
     if not target.startswith(b"/"):
-        scheme, mark, rest = target.partition(b"://")
-        if mark and scheme.lower() in (b"http", b"https"):
+        scheme, separator, rest = target.partition(b"://")
+        if separator and scheme.lower() in (b"http", b"https"):
             rest = rest[len(rest.partition(b"/")[0].partition(b"?")[0]) :]
             return rest if rest.startswith(b"/") else b"/" + rest
     return target
 
 
 def path_of(target: bytes) -> bytes:
-    """Return the path of a request's target, in the origin form or the absolute one."""
+    """Return the path of a request target in origin form or absolute form."""
     return origin_of(target).partition(b"?")[0]
 
 
@@ -320,16 +327,19 @@
 
 
 def head(status: int, length: int | None, *, headers: bytes = b"", close: bool = False, version: str = "1.1") -> bytes:
-    """Return an answer's head; a body without a length comes in chunks, to HTTP/1.0 until the connection ends."""
-    ending = b"Connection: close\r\n" if close else b"Connection: keep-alive\r\n" if version == "1.0" else b""
-    size = (
+    """Return the head of a response.
+
+    With no `length` the body has to be chunked, or for HTTP/1.0 has to end with the connection.
+    """
+    connection = b"Connection: close\r\n" if close else b"Connection: keep-alive\r\n" if version == "1.0" else b""
+    framing = (
         b"Content-Length: %d\r\n" % length
         if length is not None
         else (b"" if version == "1.0" else b"Transfer-Encoding: chunked\r\n")
     )
-    return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, REASON_PHRASES[status], size, headers, ending)
+    return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, REASON_PHRASES[status], framing, headers, connection)
 
 
 def answer(status: int, body: bytes = b"", *, headers: bytes = b"", close: bool = False, version: str = "1.1") -> bytes:
-    """Return a complete answer."""
+    """Return a complete response with its body."""
     return head(status, len(body), headers=headers, close=close, version=version) + body
--- a/hallhitch/net/ingress.py
+++ b/hallhitch/net/ingress.py
@@ -1,8 +1,8 @@
-"""The ingress: clients' HTTP connections, from the first byte of a request to the last of its answer.
+"""The ingress: HTTP client connections, from the first byte of a request to the last byte of its response.
 
 Invariants:
-- At most one exchange is open for a connection; requests behind it wait, in order, MAX_QUEUED_REQUESTS at most.
-- Nothing is counted, learned or forwarded of a request that is not acceptable.
+- A connection has at most one open exchange; up to MAX_QUEUED_REQUESTS further requests wait in order.
+- A request that is not acceptable is not counted or forwarded, and the core learns nothing from it.
 """
 
 from __future__ import annotations
@@ -36,23 +36,24 @@
     parse_whole_number,
 )
 
-MAX_QUEUED_REQUESTS: Final = 8  # read ahead on one connection; more are left unread
+MAX_QUEUED_REQUESTS: Final = 8  # requests read ahead on one connection; more are left unread
 REJECTED_STATUSES: Final = (429, 503)
-# The platform kills a process so long after SIGTERM: after the longest deadline, which counts as the first of these at
-# least, and the second, of which some is kept back for the process itself.
+# After SIGTERM the platform waits for the longest deadline (MIN_KILL_DEADLINE_MS at least) and 700 ms more, and then
+# kills the process. 300 ms of these are reserved for the process itself.
 MIN_KILL_DEADLINE_MS: Final = 3000.0
 KILL_GRACE_MS: Final = 700.0 - 300.0
-MIN_BODY_BYTES_PER_MS: Final = 16.0  # at which a buffered body has to come, after the time for a head
-MAX_BUFFERED_BODY_BYTES: Final = 1 << 20  # of a long body that is buffered, where there is room
+MIN_BODY_BYTES_PER_MS: Final = 16.0  # minimum average rate of a buffered body, apart from REQUEST_TIMEOUT_MS
+MAX_BUFFERED_BODY_BYTES: Final = 1 << 20  # of one long body, while the memory for all lasts
 SPARE_RETRY_AFTER_MS: Final = 1000.0
 CONTINUE: Final = b"HTTP/1.1 100 Continue\r\n\r\n"
-# Before more is read after an error; doubled for each further one, so often at most. Floods must cost little.
+# Delay before more is read after an unacceptable request, so that a flood of them costs little. It doubles with each
+# further one, MAX_ERROR_DELAY_DOUBLINGS times at most.
 ERROR_DELAY_MS: Final = 100.0
 MAX_ERROR_DELAY_DOUBLINGS: Final = 4
 
 
 def always_healthy() -> bool:
-    """Return True."""
+    """Report a healthy gateway."""
     return True
 
 
@@ -61,34 +62,34 @@
 
 
 class HttpClientConnection(ClientConnection):
-    """One HTTP client's connection, and the answer port of the exchange that is open on it."""
+    """One HTTP client connection; it also receives the outcome of the exchange that is open on it."""
 
     def __init__(self, ingress: Ingress, sock: socket.socket, spare: bool) -> None:
         super().__init__(ingress, sock, ingress.deadlines, ingress.scheduler)
         self._ingress = ingress
         self._is_spare = spare
         self._reader = RequestReader(long=True, hold=self._reserve_buffer)
-        self._held_bytes = 0  # of buffered long bodies, out of the ingress's bound
-        self._queue: deque[tuple[Message, RequestLimits]] = deque()
-        self._current: Message | None = None  # the request that is owed an answer
-        self._class_name = ""  # of the current request, "" if it names no known one
-        self._outcome = ""  # of the current request, once its answer is being written
+        self._held_bytes = 0  # reserved from the ingress's limit for buffered long bodies
+        self._queued_requests: deque[tuple[Message, RequestLimits]] = deque()
+        self._current_request: Message | None = None  # the request that is being answered
+        self._class_name = ""  # of the current request, "" if it names no known class
+        self._outcome = ""  # of the current request, once its response is being written
         self._exchange_id = 0  # of the current request; 0 if no exchange is open
         self._request_id = b""
-        self._receiving: Message | None = None  # the request whose body is being received
+        self._receiving_request: Message | None = None  # the request whose body is being received
         self._body_began_at = 0.0
-        self._forwarded_body: Flow | None = None  # of the current request, while it is forwarded as it comes
-        self._progress_at = 0.0  # when a byte last came, or when the client was last not waited for
-        self.waited_ms = 0.0  # for which what was read last had waited to be read
-        self._is_pipelining = False  # the client sends requests before it has its answer
+        self._forwarded_body: Flow | None = None  # of the current request, while it is forwarded as it is received
+        self._progressed_at = 0.0  # when a byte last came, or the client was last not allowed to send
+        self.waited_ms = 0.0  # how long the latest bytes had waited in the socket or backlog before they were read
+        self._is_pipelining = False  # the client has sent a request before it got the response to the previous one
         self._error_count = 0
-        self._is_slowed_down = False  # left unread for a while after an error
-        self._final_status = 0  # of the answer that ends the connection, as nothing more can be read
+        self._is_throttled = False  # not read for a while, as a request was not acceptable
+        self._final_status = 0  # status of the error response that ends the connection; 0 if there is none
 
     @property
     def owes_answer(self) -> bool:
-        """Whether an answer is owed."""
-        return self._current is not None or bool(self._queue)
+        """Whether the client is owed a response."""
+        return self._current_request is not None or bool(self._queued_requests)
 
     @property
     def is_partial(self) -> bool:
@@ -97,41 +98,41 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether so much waits that no more is read, or errors have slowed the client down."""
+        """Whether reading has to wait: too much is pending, or the client is throttled after errors."""
         if self.is_ending:
             return False
-        body = self._receiving.flow if self._receiving is not None else None
+        body = self._receiving_request.flow if self._receiving_request is not None else None
         is_server_slow = body is not None and body.waits
-        if len(self._queue) >= MAX_QUEUED_REQUESTS or self._is_slowed_down or is_server_slow:
+        if len(self._queued_requests) >= MAX_QUEUED_REQUESTS or self._is_throttled or is_server_slow:
             return True
-        # Where connections are to end, a client that pipelines is read no more: otherwise one that never stops would
-        # never leave.
-        return self._is_pipelining and self.owes_answer and self._receiving is None and self._ingress.is_leaving
+        # While connections are being ended, a pipelining client is not read until it has its responses: a connection
+        # ends only when no request is queued, so that one that never stops sending would never end.
+        return self._is_pipelining and self.owes_answer and self._receiving_request is None and self._ingress.is_leaving
 
     @property
     def is_receiving_body(self) -> bool:
         """Whether a long body is being received."""
-        return self._receiving is not None and self._reader.size > BUFFER_BYTES
+        return self._receiving_request is not None and self._reader.size > BUFFER_BYTES
 
     @property
     def has_unread_upload(self) -> bool:
         """Whether the connection ends while a long body is still being received."""
-        return self._receiving is not None and not self._final_status
+        return self._receiving_request is not None and not self._final_status
 
     def is_late(self, now: float) -> bool:
-        """Return whether what is partly received has taken too long: a head by its time, a body by its progress."""
+        """Return whether the partial request is late: a head by its total time, a body by its progress and rate."""
         if self.is_full:
-            self._progress_at = now  # the client is not waited for
-        if self._receiving is None:
+            self._progressed_at = now  # the client cannot send, so its time does not run
+        if self._receiving_request is None:
             return super().is_late(now)
-        if now - self._progress_at > REQUEST_TIMEOUT_MS:
+        if now - self._progressed_at > REQUEST_TIMEOUT_MS:
             return True
         if self._forwarded_body is not None:
             return False
         return now - self._body_began_at > REQUEST_TIMEOUT_MS + self._reader.size / MIN_BODY_BYTES_PER_MS
 
     def _reserve_buffer(self, size: int) -> bool:
-        """Reserve room for more bytes of a buffered body; return False if the body has to be forwarded instead."""
+        """Reserve memory for `size` more bytes of a body to buffer; return False if it has to be forwarded instead."""
         exceeds_total = self._ingress.held_bytes + size > self._ingress.max_held_bytes
         if self._reader.size > MAX_BUFFERED_BODY_BYTES or exceeds_total:
             return False
@@ -144,13 +145,12 @@
         self._held_bytes = 0
 
     def on_overdue(self) -> None:
-        """Answer that the request took too long, and end the connection."""
+        """Answer that the request timed out, and end the connection."""
         if not self._final_status:
             self._final_status = 408
             self._reader.fail()
-            if (
-                self._forwarded_body is not None and self._exchange_id
-            ):  # of the current request, which is never complete
+            # The body that is late is the one that the current request forwards, so that it will never be complete.
+            if self._forwarded_body is not None and self._exchange_id:
                 self._ingress.core.on_client_gone(self._exchange_id)
                 return self._answer(408, close=True)
             self._start_next()
@@ -158,38 +158,38 @@
         return None
 
     def on_data(self, data: memoryview) -> None:
-        """Read requests; what cannot be read is answered with its status and ends the connection."""
+        """Parse requests; malformed bytes are answered with an error status, which ends the connection."""
         if self._final_status:
             return
-        limits, self._progress_at = self._ingress.limits, self.received_at
-        self.waited_ms = self._progress_at - self.waiting_since if self.waiting_since else self._ingress.loop_lag_ms()
+        limits, self._progressed_at = self._ingress.limits, self.received_at
+        self.waited_ms = self._progressed_at - self.waiting_since if self.waiting_since else self._ingress.loop_lag_ms()
         self.waiting_since = 0.0
         try:
-            self._queue.extend((request, limits) for request in self._reader.feed(data))
+            self._queued_requests.extend((request, limits) for request in self._reader.feed(data))
         except Malformed as error:
             COUNTS["malformed"] += 1
-            self._final_status = error.status  # sent in its turn, behind the answers to complete requests
-            self._queue.extend((request, limits) for request in self._reader.completed())
-        before, self._receiving = self._receiving, self._reader.begun
-        if self._receiving is not None and self._receiving is not before:
-            self._body_began_at = self._progress_at
+            self._final_status = error.status  # sent after the responses to the complete requests before it
+            self._queued_requests.extend((request, limits) for request in self._reader.completed())
+        previous, self._receiving_request = self._receiving_request, self._reader.begun
+        if self._receiving_request is not None and self._receiving_request is not previous:
+            self._body_began_at = self._progressed_at
         if self._forwarded_body is not None and self._forwarded_body.ended:
             self._on_body_complete()
         if self._reader.expects and not self.owes_answer and not self._final_status:
             self._reader.expects = False
             self.write_now(CONTINUE)
         self._start_next()
-        self._is_pipelining = self._is_pipelining or (self._current is not None and bool(self._queue))
+        self._is_pipelining = self._is_pipelining or (self._current_request is not None and bool(self._queued_requests))
 
     def _on_body_complete(self) -> None:
-        """Start the time of the current request, which was forwarded while it was received."""
+        """Start the deadline of the current request, which was forwarded while it was received and is now complete."""
         self._forwarded_body = None
         self._ingress.uploading.discard(self)
         if self._exchange_id:
             self._ingress.core.on_request_complete(self._exchange_id)
 
     def on_closed(self) -> None:
-        """Close the open exchange, as the client has gone."""
+        """Close the open exchange, as the client has disconnected."""
         self._ingress.open_ids.discard(self._request_id)
         self._reader.close()
         self._release_buffer()
@@ -199,17 +199,17 @@
             self._ingress.core.on_client_gone(self._exchange_id)
         self._end_request()
 
-    def _start_next(self) -> None:  # noqa: PLR0911  a reply for each case
+    def _start_next(self) -> None:  # noqa: PLR0911  one return for each case
         """Start the next request, if none is in progress."""
-        if self._current is not None or self._is_slowed_down:
+        if self._current_request is not None or self._is_throttled:
             return None
-        if not self._queue:
+        if not self._queued_requests:
             if self._final_status:
                 self.is_ending = True
                 self.post(answer(self._final_status, close=True))
             return None
-        request, limits = self._queue.popleft()
-        self._current = request
+        request, limits = self._queued_requests.popleft()
+        self._current_request = request
         self._ingress.on_active(self)
         path = path_of(request.target)
         if path == b"/_health":
@@ -224,7 +224,7 @@
         try:
             self._exchange_id = self._ingress.begin(request, path, self, limits, named_class)
         except UnacceptableRequest as error:
-            self._slow_down()
+            self._throttle()
             return self._answer(error.status, error.text.encode())
         self.had_accepted_request = True
         self._request_id = request.headers[b"req-id"]
@@ -238,35 +238,35 @@
             return None
         return None
 
-    def _slow_down(self) -> None:
-        """Leave the client unread for a while, as its request was not acceptable."""
+    def _throttle(self) -> None:
+        """Stop reading from the client for a while, as its request was not acceptable."""
         COUNTS["unacceptable"] += 1
-        self._is_slowed_down = True
+        self._is_throttled = True
         doublings = min(self._error_count, MAX_ERROR_DELAY_DOUBLINGS)
-        self._ingress.deadlines.call_after(ERROR_DELAY_MS * 2**doublings, self._end_slow_down)
+        self._ingress.deadlines.call_after(ERROR_DELAY_MS * 2**doublings, self._end_throttling)
         self._error_count += 1
 
-    def _end_slow_down(self) -> None:
-        self._is_slowed_down = False
+    def _end_throttling(self) -> None:
+        self._is_throttled = False
         if not self.is_ended:
             self._start_next()
             self.resume_reading()
 
-    # The one final answer.
+    # The final response, one for each request.
 
     def on_served(self, payload: object) -> None:
-        """Answer with what a server returned; a long answer is passed on while it comes."""
+        """Answer with a server's response; a long body is streamed."""
         assert isinstance(payload, Message)
         content_type = payload.headers.get(b"content-type")
         headers = b"Content-Type: %s\r\n" % content_type if content_type else b""
         self._answer(200, payload.body, headers, streamed=payload)
 
     def on_rejected(self, advice: float, status: int = 429) -> None:
-        """Reject the request; the client may retry after `advice` ms."""
+        """Reject the request and advise the client to retry after `advice` ms."""
         self._answer(status, headers=b"Retry-After: %.3f\r\n" % max(0.001, advice / 1000))
 
     def on_failed(self) -> None:
-        """Answer that no result is known."""
+        """Answer with 502, as no result is known."""
         self._answer(502)
 
     def _answer(
@@ -277,13 +277,13 @@
         close: bool = False,
         streamed: Message | None = None,
     ) -> None:
-        """Write the answer to the current request; a `streamed` message's body is passed on while it comes."""
-        request, flow = self._current, streamed.flow if streamed is not None else None
+        """Write the response to the current request; the body of a `streamed` message is written as it is received."""
+        request, flow = self._current_request, streamed.flow if streamed is not None else None
         if self.is_ended or not invariant(request is not None, "an answer for an open request") or request is None:
             if flow is not None:
                 flow.abandon()
             return
-        is_incomplete = request.flow is not None and not request.flow.ended  # the rest is not waited for
+        is_incomplete = request.flow is not None and not request.flow.ended  # the gateway does not wait for the rest
         close = close or self.is_ending or self._is_spare or not request.keep or is_incomplete
         if request.flow is not None:
             request.flow.abandon()
@@ -291,7 +291,7 @@
             self._forwarded_body = None
             self._ingress.uploading.discard(self)
         self._release_buffer()
-        close = close or (self._ingress.is_leaving and not self._queue and not self._final_status)
+        close = close or (self._ingress.is_leaving and not self._queued_requests and not self._final_status)
         self.is_ending, self._exchange_id = close, 0
         self._outcome = "served" if status == 200 else "refused" if status in REJECTED_STATUSES else "failed"
         self._ingress.open_ids.discard(self._request_id)
@@ -301,7 +301,7 @@
             self.post(answer_head if request.method == b"HEAD" else answer_head + body)
             return
         is_chunked = streamed.length is None and request.version != "1.0"
-        # A body without a length that is not chunked ends with the connection.
+        # The end of the connection marks the end of a body that has no length and is not chunked.
         self.is_ending = close = close or (streamed.length is None and not is_chunked)
         answer_head = head(status, streamed.length, headers=headers, close=close, version=request.version)
         if not self.post(StreamedMessage(answer_head, flow, is_chunked)):
@@ -309,7 +309,7 @@
             self.close()
 
     def _end_request(self) -> None:
-        """Report the end of the current request, unless its client left before it had an answer."""
+        """Report the end of the current request, unless its client disconnected before it was answered."""
         if self._class_name:
             self._ingress.in_flight -= 1
             if self._outcome:
@@ -317,11 +317,11 @@
         self._class_name = self._outcome = ""
 
     def on_written(self, count: int) -> None:
-        """Start the next request, as the answer was written."""
+        """Finish the current request, as its response was written, and start the next one."""
         self._end_request()
-        self._current = None
+        self._current_request = None
         if self.is_ending:
-            self._queue.clear()
+            self._queued_requests.clear()
         else:
             self._ingress.on_idle(self)
             self._start_next()
@@ -329,9 +329,9 @@
 
 
 class Ingress(Acceptor):
-    """Turns clients' HTTP requests into exchanges."""
+    """Accepts HTTP clients and opens an exchange of the core for each acceptable request."""
 
-    def __init__(  # noqa: PLR0913  fields of one record
+    def __init__(  # noqa: PLR0913  the parts that a gateway wires together
         self,
         core: Core,
         settings: api.Settings,
@@ -344,20 +344,20 @@
         is_healthy: Callable[[], bool] = always_healthy,
         on_request_ended: Callable[[str, str], None] = ignore_request_ended,
     ) -> None:
-        """`is_healthy` answers health checks; `on_request_ended` gets each request's class and outcome."""
+        """`is_healthy` decides health checks; `on_request_ended` gets the class and the outcome of each request."""
         super().__init__(deadlines, scheduler, max_clients, spare, is_shared)
         self.core = core
         self.limits = RequestLimits(settings)
         self.is_healthy = is_healthy
         self.on_request_ended = on_request_ended
-        self._last_answer_at = math.inf  # before the platform kills the process
-        self.held_bytes = 0  # of long bodies that are buffered
+        self._last_response_at = math.inf  # latest time for a response, before the platform kills the process
+        self.held_bytes = 0  # memory reserved for buffered long bodies
         self.max_held_bytes = max_held_bytes
-        self.in_flight = 0  # requests of known classes whose answer is not written yet
-        self.open_ids: set[bytes] = set()  # Req-Ids of the exchanges that are open
+        self.in_flight = 0  # requests of known classes whose response is not written yet
+        self.open_ids: set[bytes] = set()  # Req-Id values of the open exchanges
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Check requests that are read from now on by other settings."""
+        """Use new settings for the requests that are read from now on."""
         self.limits = RequestLimits(settings)
 
     def make_connection(self, sock: socket.socket, spare: bool) -> ClientConnection:
@@ -365,21 +365,21 @@
         return HttpClientConnection(self, sock, spare)
 
     def stop(self) -> None:
-        """Begin to stop."""
+        """Begin to stop; no new request gets a deadline after the time at which the platform kills the process."""
         longest_ms = max(kind.deadline for kind in self.limits.settings.classes)
         kill_at = self.deadlines.clock() + max(MIN_KILL_DEADLINE_MS, longest_ms) + KILL_GRACE_MS
-        self._last_answer_at = min(self._last_answer_at, kill_at)
+        self._last_response_at = min(self._last_response_at, kill_at)
         super().stop()
 
     def loop_lag_ms(self) -> float:
-        """Return the time since this turn of the loop began: what is read in it had come by then."""
+        """Return the time since this iteration of the event loop began; what is read in it had arrived by then."""
         return max(0.0, (time.monotonic() - self.scheduler.time()) * 1000)
 
     def _remaining_ms(self) -> float:
-        """Return the time that is left for any request before the platform kills a stopping process."""
-        return max(1.0, self._last_answer_at - self.deadlines.clock())
+        """Return the time that remains for any request before the platform kills a stopping process."""
+        return max(1.0, self._last_response_at - self.deadlines.clock())
 
-    def begin(  # noqa: C901  one case after the other
+    def begin(  # noqa: C901  a sequence of checks
         self,
         request: Message,
         path: bytes,
@@ -426,7 +426,7 @@
             headers.get(b"x-metering", b""), limits.settings.max_units, limits.settings.gateways
         )
         self.open_ids.add(request_id)
-        # No request waits for longer than the settings allow its class.
+        # The client's deadline is capped by the deadline of its class and by the time until the process is killed.
         return self.core.open_exchange(
             parts[-1].decode(),
             plan_index,
