--- a/hallhitch/net/upstream/__init__.py
+++ b/hallhitch/net/upstream/__init__.py
@@ -1,5 +1,6 @@
-"""Attempts carried to servers over pooled connections.
+"""Sends attempts to servers over pooled connections.
 
-`client` is the port of the core and owns all attempts in flight, `server` runs them on one server's connections,
-`receive` reads answers, `request_head` writes requests, `idle_times` learns how long connections may stand idle.
+`client` is the port for the core and owns all attempts in flight, `server` runs them on the connections of one server,
+`receive` reads responses, `request_head` encodes request heads, and `idle_times` learns how long connections may be
+idle. `context` holds what these modules share.
 """
--- a/hallhitch/net/upstream/client.py
+++ b/hallhitch/net/upstream/client.py
@@ -1,4 +1,4 @@
-"""The port through which the core sends and cancels attempts: all servers, and the bound of their connections."""
+"""The port through which the core starts and cancels attempts; it owns all servers and limits their connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from hallhitch.net.upstream.idle_times import IdleTimeStatistics
 from hallhitch.net.upstream.server import UpstreamServer
 
-# Of the servers' keep-alive: a connection that stands idle for longer is closed here before the server closes it.
+# Share of the servers' keep-alive time after which an idle connection is closed here, before the server closes it.
 MAX_IDLE_RATIO: Final = 0.4
 PRUNE_INTERVAL_MS: Final = 1000.0
 
@@ -30,9 +30,9 @@
 
 
 class UpstreamClient:
-    """Attempts in flight and the servers that carry them."""
+    """Owns the attempts in flight and the connections to all servers."""
 
-    def __init__(  # noqa: PLR0913  fields of one record
+    def __init__(  # noqa: PLR0913  the parts that a gateway wires together
         self,
         routes: Routes,
         reports: AttemptReports,
@@ -52,24 +52,24 @@
 
     @property
     def idle_times(self) -> IdleTimeStatistics:
-        """What was learned of idle connections."""
+        """The statistics of how long idle connections stay usable."""
         return self._context.idle_times
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Use other time-outs from now on."""
+        """Use new time-outs from now on."""
         self._context.connect_timeout_ms = settings.connect_timeout
         self._max_idle_ms = settings.keepalive * MAX_IDLE_RATIO
 
     def on_sibling_changed(self, is_running: bool, is_serving: bool) -> None:
-        """Keep to half of the connections while another process of this gateway runs, as it does too."""
+        """Halve the limit while another process of this gateway is running, which does the same."""
         self._has_sibling = is_running
 
     def start(self, attempt: Attempt) -> None:
-        """Start an attempt."""
+        """Start an attempt; its end is reported in any case."""
         context, name = self._context, attempt.server
         running = UpstreamAttempt(attempt)
         context.in_flight[attempt.exchange_id, attempt.number] = running
-        running.deadline = context.deadlines.call_at(attempt.ends_at, lambda: self._stop(running, "timeout"))
+        running.deadline = context.deadlines.call_at(attempt.ends_at, lambda: self._end_attempt(running, "timeout"))
         server = self._servers.get(name)
         if server is None:
             server = self._servers[name] = UpstreamServer(context, name, self._scheduler)
@@ -77,12 +77,12 @@
             context.end(running, "unreachable")
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt: its connection is closed before anything else is written."""
+        """Cancel an attempt and shut its connection down, before anything more is written on it."""
         running = self._context.in_flight.get((attempt.exchange_id, attempt.number))
         if running is not None:
-            self._stop(running, "cancelled")
+            self._end_attempt(running, "cancelled")
 
-    def _stop(self, running: UpstreamAttempt, outcome: str) -> None:
+    def _end_attempt(self, running: UpstreamAttempt, outcome: str) -> None:
         if running.connection is not None:
             shut_down(running.connection.sock)
         self._context.end(running, outcome)
@@ -90,11 +90,11 @@
             running.task.cancel()
 
     def _has_room(self) -> bool:
-        """Return whether one more connection may be opened; close the longest idle one if need be."""
+        """Return whether one more connection may be opened; at the limit, close the one that was idle for longest."""
         context = self._context
-        held = context.connecting + len(context.in_flight) + context.streaming
-        held += sum(len(server.idle) for server in self._servers.values())
-        if held < (self._max_connections // 2 if self._has_sibling else self._max_connections):
+        descriptors = context.connecting + len(context.in_flight) + context.streaming
+        descriptors += sum(len(server.idle) for server in self._servers.values())
+        if descriptors < (self._max_connections // 2 if self._has_sibling else self._max_connections):
             return True
         with_idle = (server for server in self._servers.values() if server.idle)
         longest_idle = min(with_idle, key=lambda server: server.idle[0].idle_since, default=None)
@@ -105,14 +105,14 @@
         return True
 
     def _prune(self) -> None:
-        """Close connections that stood idle for too long, and all idle ones to servers that accept nothing new."""
+        """Close connections that were idle for too long, and all idle ones to servers that accept no new work."""
         context = self._context
-        oldest = context.deadlines.clock() - min(self._max_idle_ms, context.idle_times.max_idle_ms())
+        idle_since_limit = context.deadlines.clock() - min(self._max_idle_ms, context.idle_times.max_idle_ms())
         for name, server in list(self._servers.items()):
             is_up = context.routes.is_up(name)
             location = context.routes.location_of(name)
             while server.idle and (
-                not is_up or server.idle[0].idle_since < oldest or server.idle[0].location != location
+                not is_up or server.idle[0].idle_since < idle_since_limit or server.idle[0].location != location
             ):
                 close_connection(server.idle.popleft())
             if location is None and not any(running.attempt.server == name for running in context.in_flight.values()):
--- a/hallhitch/net/upstream/receive.py
+++ b/hallhitch/net/upstream/receive.py
@@ -1,4 +1,4 @@
-"""Receiving of answers: complete ones, long ones that are passed on while they come, and what they mean."""
+"""Receiving responses of servers, buffered or streamed, and the outcomes that they stand for."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 from hallhitch.net.upstream.context import UpstreamAttempt, UpstreamConnection, UpstreamContext
 
 BUFFER_BYTES: Final = 16_384
-STREAM_BUFFER_BYTES: Final = 32_768  # read at once of a long answer
-STREAM_AFTER_MS: Final = 100.0  # after which a body of unknown length is passed on while it comes
-STREAM_STALL_TIMEOUT_MS: Final = 10_000.0  # without a byte, after which a long answer is given up
+STREAM_BUFFER_BYTES: Final = 32_768  # size of one read of a long response
+STREAM_AFTER_MS: Final = 100.0  # after which a body of unknown length is streamed
+STREAM_STALL_TIMEOUT_MS: Final = 10_000.0  # after the last byte, for a streamed response to be given up
 
-Result = tuple[str, Message | None]  # outcome and answer
+Result = tuple[str, Message | None]  # outcome, and response if there is one
 
 
-async def receive_answer(context: UpstreamContext, running: UpstreamAttempt, connection: UpstreamConnection) -> Result:
-    """Return the outcome with the answer, or with its head if its long body was passed on while it came.
+async def receive_response(
+    context: UpstreamContext, running: UpstreamAttempt, connection: UpstreamConnection
+) -> Result:
+    """Return the outcome and the response; a long response has been streamed by then.
 
     Raises:
         OSError: the connection broke.
-        Malformed: the answer cannot be read.
+        Malformed: the response cannot be read.
     """
     loop, buffer, reader = asyncio.get_running_loop(), bytearray(BUFFER_BYTES), connection.reader
     view = memoryview(buffer)
@@ -32,38 +34,39 @@
         while True:
             size = await loop.sock_recv_into(connection.sock, buffer)
             if not size:
-                return _result_at_end(running, reader)
-            answer = read_answer(reader, view[:size])
-            if answer is None and reader.begun is not None and reader.size and reader.begun.length is None:
-                # Its length shows at its end alone: a body that takes its time is not held back.
+                return _result_at_end_of_connection(running, reader)
+            response = read_response(reader, view[:size])
+            if response is None and reader.begun is not None and reader.size and reader.begun.length is None:
+                # The length is unknown until the body ends, so that a slow body is streamed instead of held back.
                 body_began_at = body_began_at or context.deadlines.clock()
                 if context.deadlines.clock() - body_began_at > STREAM_AFTER_MS:
                     reader.pass_on()
-                    answer = read_answer(reader, view[:0])
-            if answer is not None and answer.flow is not None:
-                if outcome_of(answer) != "ok":
-                    return outcome_of(answer), None  # no client gets an error's body: the rest is not read
-                if answer.flow.broken:
+                    response = read_response(reader, view[:0])
+            if response is not None and response.flow is not None:
+                if outcome_of(response) != "ok":
+                    return outcome_of(response), None  # no client gets the body of an error
+                if response.flow.broken:
                     raise Malformed(400)
                 context.deadlines.cancel(stall_deadline)
-                await _stream_answer(context, running, connection, answer, answer.flow)
-                return "ok", answer
-            if answer is not None:
-                return outcome_of(answer), answer
-            # An answer that has begun goes on coming or never ends; a slow network alone is no reason to give up yet.
+                await _stream_response(context, running, connection, response, response.flow)
+                return "ok", response
+            if response is not None:
+                return outcome_of(response), response
+            # A response that has begun may never be completed. Each read grants it another connect time-out, so that a
+            # slow network alone does not fail the attempt.
             context.deadlines.cancel(stall_deadline)
             stall_deadline = context.deadlines.call_after(context.connect_timeout_ms, lambda: _on_stalled(running))
     finally:
         context.deadlines.cancel(stall_deadline)
 
 
-def _result_at_end(running: UpstreamAttempt, reader: AnswerReader) -> Result:
-    """Return the result of an attempt whose connection was closed by the server."""
+def _result_at_end_of_connection(running: UpstreamAttempt, reader: AnswerReader) -> Result:
+    """Return the result of an attempt whose connection has ended."""
     if running.is_stalled:
         raise Malformed(400)
-    answer = next((message for message in reader.end() if message.status >= 200), None)
-    if answer is not None:
-        return outcome_of(answer), answer
+    response = next((message for message in reader.end() if message.status >= 200), None)
+    if response is not None:
+        return outcome_of(response), response
     return "reset" if running.is_written else "unreachable", None
 
 
@@ -73,14 +76,14 @@
         shut_down(running.connection.sock)
 
 
-async def _stream_answer(
+async def _stream_response(
     context: UpstreamContext,
     running: UpstreamAttempt,
     connection: UpstreamConnection,
-    answer: Message,
+    response: Message,
     flow: Flow,
 ) -> None:
-    """Pass a long answer on: the attempt has ended well, the rest comes as fast as the client takes it."""
+    """Stream a long response: report the attempt as successful, then read as fast as the client takes the body."""
     loop, buffer, taken = asyncio.get_running_loop(), bytearray(STREAM_BUFFER_BYTES), asyncio.Event()
     view = memoryview(buffer)
 
@@ -93,7 +96,7 @@
     running.is_streamed = True
     context.streaming += 1
     try:
-        if not context.end(running, "ok", answer):
+        if not context.end(running, "ok", response):
             flow.abandon()
         while not flow.ended and not flow.broken and not flow.abandoned:
             while flow.waits:
@@ -108,40 +111,40 @@
                 connection.reader.end()
                 break
             if connection.reader.feed(view[:size]) or (flow.ended and connection.reader.partial):
-                answer.keep = False  # there is more than belongs to the answer
+                response.keep = False  # excess bytes came after the response
     except (OSError, Malformed):
-        answer.keep = False
+        response.keep = False
     finally:
         context.streaming -= 1
         flow.fail()
-        answer.keep = answer.keep and flow.ended and not flow.abandoned
+        response.keep = response.keep and flow.ended and not flow.abandoned
 
 
-def read_answer(reader: AnswerReader, data: memoryview) -> Message | None:
-    """Return the final answer once it is complete; bytes behind it only end the connection.
+def read_response(reader: AnswerReader, data: memoryview) -> Message | None:
+    """Return the final response once it is complete or streamed; after excess bytes its connection is not reused.
 
     Raises:
-        Malformed: there is no final answer before what cannot be read.
+        Malformed: the bytes cannot be parsed, and no final response precedes them.
     """
-    has_excess = False
+    has_excess_bytes = False
     try:
-        answers = reader.feed(data)
+        responses = reader.feed(data)
     except Malformed:
-        answers, has_excess = reader.completed(), True
-        if all(answer.status < 200 for answer in answers):
+        responses, has_excess_bytes = reader.completed(), True
+        if all(response.status < 200 for response in responses):
             raise
-    final = [answer for answer in answers if answer.status >= 200]
+    final = [response for response in responses if response.status >= 200]
     if not final:
         return None
-    final[0].keep = final[0].keep and len(final) == 1 and not has_excess and not reader.partial
+    final[0].keep = final[0].keep and len(final) == 1 and not has_excess_bytes and not reader.partial
     return final[0]
 
 
-def outcome_of(answer: Message) -> str:
-    """Return the outcome that an answer's status stands for."""
-    if answer.status == 200:
+def outcome_of(response: Message) -> str:
+    """Return the outcome that a response's status stands for."""
+    if response.status == 200:
         return "ok"
-    is_declined = answer.headers.get(b"srv-declined") == b"1" and b"srv-declined" not in answer.twice
-    if answer.status in (503, 504) and is_declined:
+    is_declined = response.headers.get(b"srv-declined") == b"1" and b"srv-declined" not in response.twice
+    if response.status in (503, 504) and is_declined:
         return "full"
     return "error"
--- a/hallhitch/net/upstream/request_head.py
+++ b/hallhitch/net/upstream/request_head.py
@@ -1,4 +1,4 @@
-"""The head of a request as it goes to a server."""
+"""Encoding of the head of a request to a server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def encode_head(request: Message, remaining_ms: float) -> bytes:
-    """Return the head of a request whose deadline is `remaining_ms` from now."""
+    """Return the head of a request whose deadline is `remaining_ms` from now, with FORWARDED_HEADERS only."""
     lines = [b"%s %s HTTP/1.1\r\nHost: service.internal" % (request.method, origin_of(request.target))]
     for name in FORWARDED_HEADERS:
         if name in request.headers:
