--- a/hallhitch/net/counter.py
+++ b/hallhitch/net/counter.py
@@ -1,10 +1,11 @@
-"""The client of the quota counter: pipelined calls over a few connections, each answered within its time-out.
+"""The client of the quota counter: pipelined calls over a few connections, each with a time-out.
 
 Invariants:
 - The calls of one name use one connection, and their replies are reported in the order of the calls.
-- Each call is reported exactly once: as its reply, as `timeout` if it was written, else as `unreachable`.
-- After a move to another address no call is written there before the calls that were written at the old one have
-  been reported.
+- Each call is reported exactly once: with its reply, or without one as `timeout` if it was written and as
+  `unreachable` if not.
+- After a move to another address, no call is written to the new address before all calls that were written to the old
+  one have been reported.
 """
 
 from __future__ import annotations
@@ -24,12 +25,14 @@
 from hallhitch.net.sockets import connect, shut_down
 
 CONNECTION_COUNT: Final = 2
-MAX_IDLE_MS: Final = 3000.0  # for a connection to be used again; the counter closes idle ones at 10 s or less
-# Without a byte while calls wait for replies, after which the connection is replaced. Not Final: a test sets it.
+MAX_IDLE_MS: Final = 3000.0  # for a connection to be reused; the counter closes idle ones after 10 s or less
+# Silence while calls wait for replies, after which the connection is replaced. Not Final, because a test sets it.
 UNRESPONSIVE_TIMEOUT_MS = 300.0
-UNRESPONSIVE_BESIDE_ACTIVE_RATIO: Final = 0.8  # of the time-out: the same, while another connection gets replies
-PARTIAL_REPLY_TIMEOUT_MS: Final = 25.0  # for a reply that has begun: it is written at once, or malformed
-MAX_PIPELINED_CALLS: Final = 256  # written on one connection and without a reply, timed-out ones included
+UNRESPONSIVE_BESIDE_ACTIVE_RATIO: Final = (
+    0.8  # the same as a ratio of the call time-out, while another connection gets replies
+)
+PARTIAL_REPLY_TIMEOUT_MS: Final = 25.0  # to complete a reply that has begun; the counter writes each reply at once
+MAX_PIPELINED_CALLS: Final = 256  # calls without a reply on one connection, those that timed out included
 READ_BUFFER_BYTES: Final = 8192
 
 ReplyCallback = Callable[[int, str, float, float], None]  # name, outcome, total, duration in ms
@@ -37,7 +40,7 @@
 
 @dataclass(slots=True, eq=False)
 class CounterCall:
-    """One call; `is_reported` once the core has its outcome."""
+    """One call; `is_reported` is set once the core has its outcome."""
 
     name: int
     units: float
@@ -50,7 +53,7 @@
 
 
 class CounterConnection(Actor[CounterCall]):
-    """One connection to the counter and its calls, the oldest first."""
+    """One connection to the counter, with its calls in the order in which they were written."""
 
     def __init__(self, client: CounterClient, number: int, scheduler: Scheduler) -> None:
         super().__init__(f"counter {number}", scheduler)
@@ -58,27 +61,33 @@
         self._deadlines = client.deadlines
         self._address = client.address
         self._codec = client.make_codec()
-        self._calls: deque[CounterCall] = deque()  # without a reply, those reported as timed out included
+        self._calls: deque[CounterCall] = deque()  # calls without a reply, including those reported as timed out
         self._sock: socket.socket | None = None
-        self._active_at = 0.0  # when a byte last came, or the oldest call was written
+        self._active_at = 0.0  # when a byte last came, or a call was written after all others were answered
         self.replied_at = 0.0  # when a reply last came
-        self._partial_deadline: Deadline | None = None  # for a reply that has begun
+        self._partial_deadline: Deadline | None = None  # set while a reply is partly received
         self._task: asyncio.Task[None] | None = None
-        self._predecessor: CounterConnection | None = None  # at the old address; its calls end before any here
-        self._successor: CounterConnection | None = None  # at the new address; it gets the calls that come here
+        self._predecessor: CounterConnection | None = (
+            None  # the connection to the old address, whose written calls have to end first
+        )
+        self._successor: CounterConnection | None = (
+            None  # the connection to the new address, which gets all further calls
+        )
 
     def submit(self, call: CounterCall) -> None:
-        """Submit a call; it is reported within the time-out whatever happens."""
+        """Submit a call; it is reported within the time-out in any case."""
         call.deadline = self._deadlines.call_after(self._client.timeout_ms, lambda: call.connection._on_timeout(call))
         if not self.post(call):
             self._report(call, "unreachable")
 
     def hand_over(self, successor: CounterConnection) -> None:
-        """Move the calls that are not written yet to a connection at another address."""
+        """Move the calls that are not written yet to a connection to another address."""
         successor._predecessor, self._predecessor, self._successor = self._predecessor, None, successor
         calls, self._calls = self._calls, deque(call for call in self._calls if call.is_written)
         if successor._predecessor is not None:
-            successor._predecessor._successor = successor  # this connection has written nothing
+            successor._predecessor._successor = (
+                successor  # this connection still waits for its own predecessor and has written nothing
+            )
         elif any(not call.is_reported for call in self._calls):
             successor._predecessor = self
         if successor._predecessor is not self:
@@ -88,7 +97,7 @@
                 successor.handle(call)
 
     def handle(self, message: CounterCall) -> None:
-        """Write a call, or connect for it."""
+        """Write a call, or connect first; after a move, hand it to the successor."""
         if self._successor is not None:
             return self._successor.handle(message)
         if message.is_reported:
@@ -98,7 +107,7 @@
         if self._sock is not None and not self._calls and now - self._active_at > MAX_IDLE_MS:
             self._disconnect()
         if len(self._calls) >= MAX_PIPELINED_CALLS:
-            self._on_lost()  # a new connection, so that all replies come in the order of the calls
+            self._on_connection_lost()  # start over on a new connection
         if not self._calls:
             self._active_at = now
         self._calls.append(message)
@@ -109,13 +118,13 @@
         return None
 
     def on_message_failed(self, message: CounterCall) -> None:
-        """End the connection: a call that could not be written has not reached the counter."""
-        self._on_lost()
+        """Close the connection: a call whose handling failed has not reached the counter."""
+        self._on_connection_lost()
 
     def _start(self) -> None:
-        """Connect, if there are calls and none of the predecessor go before them."""
+        """Connect if there are calls and the predecessor, if any, has no open calls."""
         if self._task is None and self._calls and self._predecessor is None:
-            self._task = asyncio.get_running_loop().create_task(self._serve())
+            self._task = asyncio.get_running_loop().create_task(self._run_connection())
 
     def _write(self, calls: list[CounterCall]) -> None:
         assert self._sock is not None
@@ -126,11 +135,11 @@
             sent = 0
         for call in calls:
             call.is_written = sent == len(data) or (len(calls) > 1 and sent > 0)
-        if sent != len(data):  # a full buffer means that the counter reads no more
-            self._on_lost()
+        if sent != len(data):  # a full send buffer means that the counter has stopped reading
+            self._on_connection_lost()
 
-    async def _serve(self) -> None:  # noqa: C901, PLR0912  one case after the other
-        """Connect, write the calls that wait, and read replies until the connection ends or is replaced."""
+    async def _run_connection(self) -> None:  # noqa: C901, PLR0912  a sequence of cases
+        """Connect, write the waiting calls, and read replies until the connection ends or is replaced."""
         loop, buffer = asyncio.get_running_loop(), bytearray(READ_BUFFER_BYTES)
         view, task = memoryview(buffer), asyncio.current_task()
         try:
@@ -147,7 +156,7 @@
                     self._active_at = self._deadlines.clock()
                     for outcome, total in self._codec.feed(view[:size]):
                         if not self._calls:
-                            raise Malformed(400)  # a reply that belongs to no call
+                            raise Malformed(400)  # a reply without a call
                         self.replied_at = self._active_at
                         self._report(self._calls.popleft(), outcome, total)
                     if self._task is not task:
@@ -166,14 +175,14 @@
             pass
         except Malformed:
             COUNTS["counter_spoilt"] += 1
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+        except Exception as error:  # noqa: BLE001  top level of the task: logged, and the process continues
             if not isinstance(error, OSError):
                 self.record_failure(error)
         if self._task is task:
-            self._on_lost()
+            self._on_connection_lost()
 
     def _disconnect(self) -> None:
-        """Close the connection; the next call opens another."""
+        """Close the connection; the next call opens a new one."""
         if self._sock is not None:
             shut_down(self._sock)
         self._deadlines.cancel(self._partial_deadline)
@@ -181,23 +190,23 @@
         if task is not None:
             task.cancel()
 
-    def _on_lost(self) -> None:
-        """Close the connection and report all its calls, in order."""
+    def _on_connection_lost(self) -> None:
+        """Close the connection and report all its calls as ended, in order."""
         self._disconnect()
         calls, self._calls = self._calls, deque()
         for call in calls:
             self._report(call, "timeout" if call.is_written else "unreachable")
 
     def _on_partial_reply(self) -> None:
-        """End the connection: a reply that is not completed would swallow all replies behind it."""
+        """Close the connection: until a partial reply is complete, all replies after it are blocked."""
         COUNTS["counter_spoilt"] += 1
-        self._on_lost()
+        self._on_connection_lost()
 
     def _on_timeout(self, call: CounterCall) -> None:
         if call.is_reported:
             return
         self._report(call, "timeout" if call.is_written else "unreachable")
-        # Silent while another connection gets replies: this one is dead. Where none does, the counter may be slow.
+        # If another connection got replies meanwhile, this one is dead. If none did, the counter may just be slow.
         silent_ms = self._deadlines.clock() - self._active_at
         silent_since = max(call.began_at, self._active_at)
         is_only_silent_one = self._client.last_reply_at() > silent_since
@@ -208,7 +217,7 @@
         )
         if self._sock is not None and silent_ms > limit_ms:
             COUNTS["counter_replaced"] += 1
-            self._on_lost()
+            self._on_connection_lost()
 
     def _report(self, call: CounterCall, outcome: str, total: float = 0.0) -> None:
         if call.is_reported:
@@ -227,7 +236,7 @@
 
 
 class CounterClient:
-    """The core's port to the counter."""
+    """The port through which the core calls the counter."""
 
     def __init__(
         self,
@@ -247,20 +256,20 @@
         self._connections = self._make_connections()
 
     def add(self, name: int, units: float, lifetime: float) -> None:
-        """Add units to a name; the total comes back through `on_reply`."""
+        """Add units to the total of a name; `on_reply` is called with the new total."""
         connection = self._connections[name % CONNECTION_COUNT]
         connection.submit(CounterCall(name, units, lifetime, self.deadlines.clock(), connection))
 
     def last_reply_at(self) -> float:
-        """Return when a reply last came on any connection."""
+        """Return the time of the latest reply on any connection."""
         return max(connection.replied_at for connection in self._connections)
 
     def set_timeout(self, timeout_ms: float) -> None:
-        """Change the time-out of the calls that follow."""
+        """Change the time-out of future calls."""
         self.timeout_ms = timeout_ms
 
     def move(self, address: tuple[str, int], make_codec: Callable[[], CounterCodec]) -> None:
-        """Call the counter at another address from now on."""
+        """Send further calls to another address; calls that are already written still end at the old one."""
         self.address, self.make_codec = address, make_codec
         previous, self._connections = self._connections, self._make_connections()
         for old, new in zip(previous, self._connections, strict=True):
--- a/hallhitch/net/counter_codec.py
+++ b/hallhitch/net/counter_codec.py
@@ -1,4 +1,4 @@
-"""Calls of the quota counter over HTTP, and what every form of the counter has in common."""
+"""The codec interface of the quota counter, and its implementation over HTTP."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class CounterCodec(Protocol):
-    """Encodes calls and decodes their replies on one connection."""
+    """Encodes the calls and decodes the replies of one connection."""
 
     @property
     def partial(self) -> bool:
         """Whether a reply has begun and is not complete."""
 
     def call(self, name: int, units: float, lifetime: float) -> bytes:
-        """Return a call as bytes."""
+        """Encode a call that adds units to a name, which expires after `lifetime` ms."""
 
     def feed(self, data: memoryview) -> Iterator[tuple[str, float]]:
-        """Yield outcome and total of each reply that is complete."""
+        """Yield the outcome and the total of each complete reply."""
 
 
 def parse_total(text: bytes) -> float:
-    """Return a total.
+    """Parse a total.
 
     Raises:
-        Malformed: it is no number; what only Python takes for one (nan, inf, 1_0) is none.
+        Malformed: the text is not a finite decimal number; forms that only Python accepts (nan, inf, 1_0) are rejected.
     """
     if not _NUMBER.fullmatch(text) or not math.isfinite(total := float(text)):
         raise Malformed(400)
@@ -39,7 +39,7 @@
 
 
 class HttpCounterCodec:
-    """The HTTP form of the platform's counter."""
+    """Codec of the platform's counter over HTTP."""
 
     def __init__(self, host: str) -> None:
         self._host = host.encode()
@@ -51,7 +51,7 @@
         return self._reader.partial
 
     def call(self, name: int, units: float, lifetime: float) -> bytes:
-        """Return a call as bytes."""
+        """Encode a call that adds units to a name, which expires after `lifetime` ms."""
         return b"POST /tally/%d?n=%s&keep_ms=%d HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\n\r\n" % (
             name,
             f"{units:.7g}".encode(),
@@ -60,10 +60,10 @@
         )
 
     def feed(self, data: memoryview) -> Iterator[tuple[str, float]]:
-        """Yield outcome and total of each reply that is complete, up to the first that cannot be read.
+        """Yield the outcome and the total of each complete reply, up to the first malformed one.
 
         Raises:
-            Malformed: a reply cannot be read.
+            Malformed: a reply cannot be parsed.
         """
         malformed = None
         try:
--- a/hallhitch/net/descriptor_budget.py
+++ b/hallhitch/net/descriptor_budget.py
@@ -1,8 +1,8 @@
-"""How a process divides its file descriptors, by numbers alone.
+"""The division of a process's file descriptors among their uses; it only computes numbers.
 
 Invariants:
-- Operators, the counter and connections to servers never lose their descriptors to clients.
-- All shares together are no more than the process may open.
+- Clients never use up the descriptors of operators, of the counter or of connections to servers.
+- The sum of all shares never exceeds the number of descriptors that the process may open.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 from dataclasses import dataclass
 from typing import Final
 
-MIN_DESCRIPTORS: Final = 128  # of a process: with fewer, a share would be empty
+MIN_DESCRIPTORS: Final = 128  # of a process; with fewer, a share would be empty
 OWN_DESCRIPTORS: Final = 32  # for the counter, discovery, listeners and the process itself
 OPERATOR_DESCRIPTORS: Final = 24
-SPARE_DESCRIPTORS: Final = 32  # for connections past the clients' share, which are only answered with a rejection
-SMALL_PROCESS_PARTS: Final = 8  # each of the three above is at most one of so many parts of all descriptors
-UPSTREAM_PARTS: Final = 4  # connections to servers get one of so many parts
+SPARE_DESCRIPTORS: Final = 32  # for connections above the clients' share, whose requests are only rejected
+SMALL_PROCESS_PARTS: Final = 8  # each of the three shares above is at most this fraction (1/8) of all
+UPSTREAM_PARTS: Final = 4  # connections to servers get this fraction (1/4)
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """Descriptors by their use."""
+    """The number of descriptors for each use."""
 
     upstream: int
     clients: int
@@ -29,7 +29,7 @@
 
 
 def divide_descriptors(descriptors: int, has_operators: bool) -> DescriptorBudget:
-    """Divide the descriptors of a process; `has_operators` says whether it has an address for operators."""
+    """Divide the descriptors of a process; `has_operators` says whether it serves an operator address."""
     part = descriptors // SMALL_PROCESS_PARTS
     own = min(OWN_DESCRIPTORS, part)
     spare = min(SPARE_DESCRIPTORS, part)
--- a/hallhitch/net/timeouts.py
+++ b/hallhitch/net/timeouts.py
@@ -1,4 +1,4 @@
-"""Time-outs by the one heap of deadlines: cheaper than a timer of the loop for each."""
+"""Time-outs that use the shared heap of deadlines, which is cheaper than one event-loop timer for each."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DeadlineTimeout:
-    """Cancel what runs inside the context after a delay in ms, and raise TimeoutError."""
+    """Context manager that cancels its body after a delay in ms and raises TimeoutError."""
 
     def __init__(self, deadlines: Deadlines, delay_ms: float) -> None:
         self._deadlines = deadlines
@@ -32,7 +32,7 @@
 
 
 async def sleep_ms(deadlines: Deadlines, delay_ms: float) -> None:
-    """Wait for a delay in ms."""
+    """Sleep for a delay in ms."""
     with contextlib.suppress(TimeoutError):
         async with DeadlineTimeout(deadlines, delay_ms):
             await asyncio.get_running_loop().create_future()
