--- a/hallhitch/net/config.py
+++ b/hallhitch/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a gateway at its start and at each reload: the environment and the JSON file that it names."""
+"""Reading a gateway's configuration, at its start and at each reload: the environment and the JSON file it names."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hallhitch.net.descriptor_budget import MIN_DESCRIPTORS
 from hallhitch.net.route_updates import RouteUpdate, parse_update
 
-OPTIONAL_KEYS: Final = ("aim-stretch",)  # that may be absent anywhere
+OPTIONAL_KEYS: Final = ("aim-stretch",)  # keys that a reloaded file may lack anywhere
 DEFAULT_DESCRIPTORS: Final = 1024.0
 DEFAULT_MEMORY_MB: Final = 64.0
 BYTES_PER_MB: Final = 1 << 20
@@ -22,27 +22,27 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """A gateway's configuration, read and checked."""
+    """The validated configuration of a gateway."""
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
-    sockets: int  # descriptors that the process may open
-    memory: int  # bytes
+    sockets: int  # file descriptors that the process may open
+    memory: int  # limit in bytes, given in MB in the file
     settings: api.Settings
     zones: list[str]
-    known: RouteUpdate | None
-    ops: tuple[str, int] | None  # the operators' address
-    inherited: int | None  # the descriptor of the clients' listener, where the platform holds it
-    file: dict[str, Any]  # the content of the file
+    known: RouteUpdate | None  # the server list to use until discovery answers; it may be old
+    ops: tuple[str, int] | None  # the address for operators; None if there is none
+    inherited: int | None  # descriptor of the clients' listening socket, if the platform passes one
+    file: dict[str, Any]  # the content of the file, which the next reload is compared with
 
 
 def find_missing_field(old: Any, new: Any, name: str = "") -> str:
-    """Return the first field of `old` that `new` lacks or holds as another kind of value, "" if there is none.
+    """Return the path of the first field of `old` that `new` lacks or holds with another JSON type, "" if none.
 
-    Each record of a list must hold what all records of the old list did.
+    Each record of a list must have the fields that all records of the old list had.
     """
     if json_kind(old) != json_kind(new):
         return name or "the file"
@@ -66,20 +66,21 @@
 
 
 def json_kind(value: Any) -> type:
-    """Return the type of a JSON value, float for all numbers."""
+    """Return the Python type of a JSON value, float for all numbers."""
     return float if type(value) is int else type(value)
 
 
 def read_config(environ: Mapping[str, str] = os.environ, previous: GatewayConfig | None = None) -> GatewayConfig:
-    """Read the configuration.
+    """Read and validate the configuration.
 
-    The environment holds what was true at the start: with a `previous` configuration the file's discovery goes before
-    the environment's, and a file that lacks any field of the previous one is rejected as truncated.
+    The environment describes the state at the start of the process. So when `previous` is given, at a reload, the
+    file's discovery address has precedence over the environment's, and a file that lacks any field of the previous one
+    is rejected as truncated.
 
     Raises:
-        WireError: a field is missing or wrong; the message names it.
+        WireError: a field is missing or invalid; the message names it.
     """
-    top = _load(environ)
+    top = _load_file(environ)
     if previous is not None and (field := find_missing_field(previous.file, top)):
         raise WireError(f"field '{field}' is missing or of the wrong type")
 
@@ -98,7 +99,7 @@
     operators = address("ops", "EDGE_OPS") if has_operators else None
     descriptor = environ.get("EDGE_FD") or None
     if descriptor is not None and not descriptor.isdigit():
-        raise WireError("EDGE_FD is no descriptor")
+        raise WireError("EDGE_FD is not a file descriptor number")
     return GatewayConfig(
         name=environ.get("EDGE_NAME") or require(top, "name", str),
         listen=address("listen", "EDGE_LISTEN"),
@@ -116,7 +117,7 @@
     )
 
 
-def _load(environ: Mapping[str, str]) -> Any:
+def _load_file(environ: Mapping[str, str]) -> Any:
     path = environ.get("EDGE_CONFIG")
     if not path:
         raise WireError("EDGE_CONFIG is not set")
@@ -128,7 +129,7 @@
 
 
 def _read_settings(top: Any) -> tuple[api.Settings, list[str]]:
-    """Return the settings of the decision module and the names of the zones."""
+    """Return the settings of the decision module, and the names of the zones."""
     info = require(top, "settings", dict)
     try:
         settings = parse_settings(info)
@@ -144,11 +145,11 @@
     try:
         return int(require(top, "seed", str), 16)
     except ValueError as error:
-        raise WireError("field 'seed' is no hexadecimal number") from error
+        raise WireError("field 'seed' is not a hexadecimal number") from error
 
 
 def _read_sockets(top: Any) -> int:
     sockets = int(optional_number(optional_section(top, "limits"), "sockets", DEFAULT_DESCRIPTORS))
     if sockets < MIN_DESCRIPTORS:
-        raise WireError(f"field 'sockets' is too small: {MIN_DESCRIPTORS} is the least")
+        raise WireError(f"field 'sockets' is too small: {MIN_DESCRIPTORS} is the minimum")
     return sockets
--- a/hallhitch/net/counter.py
+++ b/hallhitch/net/counter.py
@@ -31,7 +31,7 @@
 UNRESPONSIVE_BESIDE_ACTIVE_RATIO: Final = (
     0.8  # the same as a ratio of the call time-out, while another connection gets replies
 )
-PARTIAL_REPLY_TIMEOUT_MS: Final = 25.0  # to complete a reply that has begun; the counter writes each reply at once
+PARTIAL_REPLY_TIMEOUT_MS: Final = 25.0  # for the rest of a reply that has begun: the counter writes each whole
 MAX_PIPELINED_CALLS: Final = 256  # calls without a reply on one connection, those that timed out included
 READ_BUFFER_BYTES: Final = 8192
 
@@ -107,7 +107,7 @@
         if self._sock is not None and not self._calls and now - self._active_at > MAX_IDLE_MS:
             self._disconnect()
         if len(self._calls) >= MAX_PIPELINED_CALLS:
-            self._on_connection_lost()  # start over on a new connection
+            self._on_connection_lost()  # a new connection, which keeps replies in the order of the calls
         if not self._calls:
             self._active_at = now
         self._calls.append(message)
--- a/hallhitch/net/route_updates.py
+++ b/hallhitch/net/route_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the server list as discovery and the configuration write them."""
+"""Parsing of server-list updates, from discovery and from the configuration."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteUpdate:
-    """A list of servers, or changes of it, and the address of each server."""
+    """A list of servers or changes to it, with the address of each server."""
 
     sequence: int
     server_list: api.ServerList
@@ -22,10 +22,10 @@
 
 
 def parse_update(document: Any, zones: list[str], is_saved: bool = False) -> RouteUpdate:
-    """Return the update in a document; `is_saved` marks a list that may be old.
+    """Parse an update; `is_saved` marks a list from the configuration, which may be old.
 
     Raises:
-        WireError: a field is missing or cannot be used.
+        WireError: a field is missing or invalid.
     """
     entries, addresses = [], {}
     for entry in require(document, "hosts", list):
--- a/hallhitch/net/routes.py
+++ b/hallhitch/net/routes.py
@@ -1,4 +1,4 @@
-"""The route table: discovery's list of servers, watched all the time, for the decision module and the transports."""
+"""The route table: the list of servers, kept current by watching discovery, for the decision module and upstreams."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 from hallhitch.net.timeouts import DeadlineTimeout, sleep_ms
 from hallhitch.net.watch_backoff import WatchBackoff
 
-WATCH_HOLD_MS: Final = 1000.0  # that discovery holds a watch: a dead connection is detected after it
-FIRST_WATCH_HOLD_MS: Final = 1.0  # what is known at the start may be old: discovery is to answer at once
-WATCH_GRACE_MS: Final = 5000.0  # past the hold, for a crowded discovery that answers its watches in turn
+WATCH_HOLD_MS: Final = 1000.0  # how long discovery holds a watch open; bounds the detection of a dead connection
+FIRST_WATCH_HOLD_MS: Final = 1.0  # at the start the list may be old, so that discovery is to answer at once
+WATCH_GRACE_MS: Final = 5000.0  # on top of the hold, for a busy discovery that answers its watches in turn
 CONNECT_TIMEOUT_MS: Final = 500.0
 READ_BUFFER_BYTES: Final = 65_536
-WHOLE_LIST: Final = -1  # in place of a sequence number
+WHOLE_LIST: Final = -1  # sequence number that requests the whole list
 log = structlog.get_logger()
 
 
 class RouteTable(Actor[RouteUpdate]):
-    """The list as last received; `on_update` gets every update of it."""
+    """The server list as last received; `on_update` is called with every update."""
 
     def __init__(
         self,
@@ -48,8 +48,8 @@
         self._on_update = on_update
         self._backoff = backoff
         self._sequence = 0
-        self._watch: asyncio.Task[None] | None = None
-        self._was_updated = asyncio.Event()
+        self._watch_task: asyncio.Task[None] | None = None
+        self._first_response = asyncio.Event()
         self.entries: dict[str, api.ServerEntry] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
 
@@ -71,66 +71,66 @@
         return entry is not None and entry.state == "up"
 
     def location_of(self, server: str) -> tuple[tuple[str, int], float] | None:
-        """Return a server's address and when it started, None if it is not listed."""
+        """Return the address of a server and when it started, or None if it is not listed."""
         entry = self.entries.get(server)
         return None if entry is None else (self._addresses[server], entry.started)
 
     def watch(self, address: tuple[str, int]) -> None:
-        """Follow discovery at this address from now on, and nowhere else."""
-        is_moved = self._watch is not None
+        """Watch discovery at this address from now on; an earlier watch is cancelled."""
+        has_moved = self._watch_task is not None
         self.close()
-        # Sequence numbers are each discovery's own: at another address the whole list comes first.
-        self._watch = asyncio.get_running_loop().create_task(self._follow(address, is_moved))
+        # Each discovery numbers its updates itself, so that a watch of another one has to start with the whole list.
+        self._watch_task = asyncio.get_running_loop().create_task(self._watch_until_cancelled(address, has_moved))
 
     async def wait_until_updated(self, timeout_ms: float) -> None:
-        """Wait until discovery has answered for the first time, `timeout_ms` at most."""
+        """Wait for the first answer of discovery, `timeout_ms` at most."""
         with contextlib.suppress(TimeoutError):
             async with DeadlineTimeout(self._deadlines, timeout_ms):
-                await self._was_updated.wait()
+                await self._first_response.wait()
 
     def set_zones(self, zones: list[str]) -> None:
-        """Read updates by these zones from now on."""
+        """Use these zone names to read further updates."""
         self._zones = zones
 
     def close(self) -> None:
-        """Stop following discovery."""
-        if self._watch is not None:
-            self._watch.cancel()
-
-    async def _follow(self, address: tuple[str, int], is_moved: bool) -> None:
-        """Watch for updates until cancelled; after a move, for the whole list first."""
-        sequence = WHOLE_LIST if is_moved else self._sequence
-        await sleep_ms(self._deadlines, self._backoff.first_delay_ms(is_moved))
+        """Stop watching discovery."""
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+
+    async def _watch_until_cancelled(self, address: tuple[str, int], has_moved: bool) -> None:
+        """Watch for updates until cancelled; after a move, request the whole list first."""
+        sequence = WHOLE_LIST if has_moved else self._sequence
+        await sleep_ms(self._deadlines, self._backoff.first_delay_ms(has_moved))
         while True:
             try:
                 sock = await connect(address, self._deadlines, CONNECT_TIMEOUT_MS)
-            except OSError:  # also a time-out: discovery has done no work for it
+            except OSError:  # includes time-outs: discovery was not reached and did no work
                 await sleep_ms(self._deadlines, self._backoff.retry_delay_ms(is_reached=False))
                 continue
             reader = AnswerReader()
             try:
                 while True:
-                    hold_ms = WATCH_HOLD_MS if self._was_updated.is_set() else FIRST_WATCH_HOLD_MS
-                    sequence = await self._ask(sock, reader, address, sequence, hold_ms)
+                    hold_ms = WATCH_HOLD_MS if self._first_response.is_set() else FIRST_WATCH_HOLD_MS
+                    sequence = await self._request_updates(sock, reader, address, sequence, hold_ms)
                     self._backoff.reset()
-                    self._was_updated.set()
-            except Exception as error:  # noqa: BLE001  outermost edge of the task: whatever discovery sends, it goes on
+                    self._first_response.set()
+            except Exception as error:  # noqa: BLE001  top level of the task: it survives whatever discovery sends
                 COUNTS["watch_failed"] += 1
-                log.warning("watch failed", error=f"{type(error).__name__}: {error}")
+                log.warning("discovery watch failed", error=f"{type(error).__name__}: {error}")
             finally:
                 shut_down(sock)
                 sock.close()
                 reader.close()
             await sleep_ms(self._deadlines, self._backoff.retry_delay_ms(is_reached=True))
 
-    async def _ask(
+    async def _request_updates(
         self, sock: socket.socket, reader: AnswerReader, address: tuple[str, int], sequence: int, hold_ms: float
     ) -> int:
-        """Ask for what is newer than `sequence`; return the sequence number of the answer.
+        """Request and apply the updates after `sequence`; return the sequence number of the response.
 
         Raises:
-            OSError: the connection broke, or was closed by discovery.
-            WireError: the answer cannot be used.
+            OSError: the connection broke, or discovery closed it.
+            WireError: the response is not valid.
         """
         loop = asyncio.get_running_loop()
         query = f"?from={sequence}&hold_ms={hold_ms:.0f}" if sequence >= 0 else ""
@@ -141,16 +141,16 @@
             while True:
                 size = await loop.sock_recv_into(sock, buffer)
                 if not size:
-                    raise ConnectionError("discovery closed the watch")
-                for answer in reader.feed(memoryview(buffer)[:size]):
-                    return self._apply(answer)
-
-    def _apply(self, answer: Message) -> int:
-        if answer.status != 200:
-            raise WireError(f"discovery answered {answer.status}")
-        update = parse_update(json.loads(answer.body), self._zones)
+                    raise ConnectionError("discovery closed the connection during a watch")
+                for response in reader.feed(memoryview(buffer)[:size]):
+                    return self._apply_response(response)
+
+    def _apply_response(self, response: Message) -> int:
+        if response.status != 200:
+            raise WireError(f"discovery responded with status {response.status}")
+        update = parse_update(json.loads(response.body), self._zones)
         if update.server_list.entries or update.server_list.mode == "full":
             self.post(update)
-        if not answer.keep:
-            raise ConnectionError("discovery ended the connection")
+        if not response.keep:
+            raise ConnectionError("discovery closed the connection after its response")
         return update.sequence
--- a/hallhitch/net/sockets.py
+++ b/hallhitch/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets as every part of the program opens, accepts and closes them."""
+"""Opening, accepting and closing of sockets, for all parts of the gateway."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from hallhitch.net.timeouts import DeadlineTimeout
 
 LISTEN_BACKLOG: Final = 1024
-MAX_ACCEPTS_PER_TURN: Final = 64  # of the loop, so that the connections already accepted are served meanwhile
-ACCEPT_RETRY_MS: Final = 10.0  # where the machine has no descriptor left
-CLIENT_GONE_ERRNOS: Final = (errno.ECONNABORTED, errno.EPROTO)  # a client left before it was accepted
+MAX_ACCEPTS_PER_TURN: Final = 64  # per iteration of the event loop, so that accepted connections are served meanwhile
+ACCEPT_RETRY_MS: Final = 10.0  # after accept failed, for example because no descriptor is left
+CLIENT_GONE_ERRNOS: Final = (errno.ECONNABORTED, errno.EPROTO)  # the client disconnected before it was accepted
 log = structlog.get_logger()
 
 
 def configure_socket(sock: socket.socket) -> socket.socket:
-    """Set the options of a connection and return it."""
+    """Make a connection non-blocking without Nagle's algorithm, and return it."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def open_listener(address: tuple[str, int]) -> socket.socket:
-    """Return a listening socket on this address only."""
+    """Return a non-blocking socket that listens on this address."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -41,15 +41,15 @@
 
 
 def inherit_listener(descriptor: int) -> socket.socket:
-    """Return a listening socket that the platform holds and other processes share.
+    """Return the listening socket that the platform passed on; other processes may share it.
 
     Raises:
-        OSError: the descriptor is no listening socket.
+        OSError: the descriptor is not a listening socket.
     """
     sock = socket.socket(fileno=descriptor)
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        sock.detach()  # it belongs to somebody else, who closes it
-        raise OSError(f"descriptor {descriptor} is no listening socket")
+        sock.detach()  # another part owns the descriptor and closes it
+        raise OSError(f"descriptor {descriptor} is not a listening socket")
     sock.setblocking(False)
     return sock
 
@@ -58,7 +58,7 @@
     """Open a connection.
 
     Raises:
-        OSError: the address cannot be reached; TimeoutError, which is one, after `timeout_ms`.
+        OSError: the address cannot be reached; TimeoutError, a subclass, if `timeout_ms` passed.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = configure_socket(socket.socket(family, socket.SOCK_STREAM))
@@ -72,13 +72,13 @@
 
 
 def shut_down(sock: socket.socket) -> None:
-    """End a connection at once, also where a read of it is pending in the loop."""
+    """Shut a connection down in both directions; a read that is pending in the event loop ends as well."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
 
 
 def is_open_and_silent(sock: socket.socket) -> bool:
-    """Return whether an idle connection is still open and nothing has come on it."""
+    """Return whether an idle connection is still open and has nothing to read."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -89,21 +89,22 @@
 
 
 class Listener:
-    """Accepts connections of a listening socket, of which other processes may accept as well.
+    """Accepts connections from a listening socket, which other processes may share.
 
-    It is a callback of the loop, not a task: a connection that a cancelled task had just accepted would be lost.
+    It uses an event-loop callback instead of a task, because a cancelled task would lose a connection that it had just
+    accepted.
     """
 
     def __init__(
         self, admit: Callable[[socket.socket], None], deadlines: Deadlines, loop: asyncio.AbstractEventLoop
     ) -> None:
-        self._admit = admit
+        self._on_accepted = admit
         self._deadlines = deadlines
         self._loop = loop
         self._is_open = False
         self._is_resting = False
         self._is_paused = False
-        # Since when a connection that is just being accepted may have waited; 0 once the first ones are accepted.
+        # The earliest time from which a connection accepted now may have waited; 0 once the backlog was accepted.
         self.opened_at = 0.0
 
     @property
@@ -112,14 +113,14 @@
         return self._is_open
 
     def open(self, listener: socket.socket) -> None:
-        """Accept connections of this socket from now on."""
+        """Accept connections from this socket from now on."""
         self._is_open = True
         self._listener = listener
         self.opened_at = self._deadlines.clock()
         self._loop.add_reader(self._listener, self._on_ready)
 
     def set_resting(self, is_resting: bool) -> None:
-        """Leave connections to another process that accepts them too, or accept them again."""
+        """Stop accepting, so that connections wait or another process accepts them, or accept again."""
         if self._is_open and is_resting != self._is_resting:
             self._is_resting = is_resting
             if is_resting:
@@ -128,16 +129,16 @@
                 self._loop.add_reader(self._listener, self._on_ready)
 
     def pause(self, delay_ms: float) -> None:
-        """Accept nothing for a while: connections wait in the backlog."""
+        """Accept nothing for `delay_ms`: connections wait in the backlog."""
         if self._is_open and not self._is_paused:
             self._is_paused = True
             self._loop.remove_reader(self._listener)
             self._deadlines.call_after(delay_ms, self._resume)
 
     def close(self, accept_waiting: bool = False) -> None:
-        """Stop listening; `accept_waiting` accepts what waits in the backlog first.
+        """Stop listening; if `accept_waiting`, accept the connections in the backlog first.
 
-        The socket is closed and not shut down, which would end it for every process that holds it.
+        The socket is closed, not shut down, as a shutdown would affect every process that shares it.
         """
         if not self._is_open:
             return
@@ -154,7 +155,7 @@
         self.opened_at = 0.0
 
     def _accept(self) -> bool:
-        """Accept a connection; return whether another one may be waiting."""
+        """Accept one connection; return whether another one may be waiting."""
         try:
             sock = self._listener.accept()[0]
         except BlockingIOError:
@@ -166,7 +167,7 @@
             log.warning("accept failed", error=str(error))
             self.pause(ACCEPT_RETRY_MS)
             return False
-        self._admit(sock)
+        self._on_accepted(sock)
         return True
 
     def _resume(self) -> None:
