--- a/tests/net/test_config.py
+++ b/tests/net/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file: what is accepted, and what is rejected."""
+"""Validation of the configuration file, at the start and at a reload."""
 
 from __future__ import annotations
 
@@ -19,79 +19,80 @@
 from tests.stand_ins import Backend, Program
 
 
-def paths(value: Any, at: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """Where every key of a file is."""
-    for key, below in value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ():
+def key_paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+    """Yield the path of every key in a JSON document."""
+    for key, child in value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ():
         if isinstance(value, dict):
-            yield (*at, key)
-        yield from paths(below, (*at, key))
+            yield (*path, key)
+        yield from key_paths(child, (*path, key))
 
 
-def changed(file: dict[str, Any], at: tuple[Any, ...], value: Any, gone: bool = False) -> str:
-    """A file with one value changed, or gone."""
+def with_change(file: dict[str, Any], path: tuple[Any, ...], value: Any, is_removed: bool = False) -> str:
+    """Return a JSON document as text, with the value at a path changed or removed."""
     new = copy.deepcopy(file)
-    place = new
-    for key in at[:-1]:
-        place = place[key]
-    if gone:
-        del place[at[-1]]
+    parent = new
+    for key in path[:-1]:
+        parent = parent[key]
+    if is_removed:
+        del parent[path[-1]]
     else:
-        place[at[-1]] = value
+        parent[path[-1]] = value
     return json.dumps(new)
 
 
-class Reread(unittest.TestCase):
-    """A file read again."""
+class ConfigReload(unittest.TestCase):
+    """Files that are read at a reload."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         node = Backend("b0")
         node.address = "127.0.0.1:9"
-        self.good = Program(folder.name, "127.0.0.1:1", "127.0.0.1:2", [node]).config
+        self.valid_file = Program(folder.name, "127.0.0.1:1", "127.0.0.1:2", [node]).config
         self.path = Path(folder.name) / "config.json"
-        self.first = self.read(json.dumps(self.good), None)
+        self.first_config = self.read(json.dumps(self.valid_file), None)
 
     def read(self, text: str, previous: config.GatewayConfig | None) -> config.GatewayConfig:
-        """Read a file of this text."""
+        """Read a configuration file with this text."""
         self.path.write_text(text)
         return config.read_config({"EDGE_CONFIG": str(self.path)}, previous)
 
     def test_a_file_truncated_at_any_byte_is_rejected(self) -> None:
-        """Guards against half a file taken for a whole one."""
-        text = json.dumps(self.good)
+        """Guards against a reload of a truncated file."""
+        text = json.dumps(self.valid_file)
         for end in range(len(text)):
             with self.assertRaises(WireError, msg=text[:end][-20:]):
-                self.read(text[:end], self.first)
+                self.read(text[:end], self.first_config)
 
-    def test_a_file_without_any_of_its_keys_is_rejected_and_the_key_named(self) -> None:
-        """Guards against defaults in place of what a file has lost, in one record of a list too."""
-        found = [at for at in paths(self.good) if at[-1] != "window"]  # which one class alone has
-        self.assertGreater(len(found), 50)
-        for at in found:
-            with self.assertRaisesRegex(WireError, str(at[-1]), msg=at):
-                self.read(changed(self.good, at, None, gone=True), self.first)
+    def test_a_file_that_lacks_any_key_is_rejected_with_its_name(self) -> None:
+        """Guards against defaults for keys that the file has lost, also in single records of a list."""
+        # Only one class has a window.
+        required = [path for path in key_paths(self.valid_file) if path[-1] != "window"]
+        self.assertGreater(len(required), 50)
+        for path in required:
+            with self.assertRaisesRegex(WireError, str(path[-1]), msg=path):
+                self.read(with_change(self.valid_file, path, None, is_removed=True), self.first_config)
 
     def test_deadlines_and_attempts_are_numbers_above_0(self) -> None:
-        """Guards against settings by which every request would be late, or waited for without end."""
-        for at in (("settings", "classes", 1, "deadline"), ("settings", "limits", "send-cap")):
-            wrongs: list[Any] = [0, -1, -0.5, float("nan"), float("inf"), "4000", True, None, [], {}]
-            for wrong in wrongs:
-                with self.assertRaises(WireError, msg=(at, wrong)):
-                    self.read(changed(self.good, at, wrong), self.first)
-            self.assertEqual(self.read(changed(self.good, at, 4000), self.first).sockets, 1024)
+        """Guards against settings that make every request late, or let it wait forever."""
+        for path in (("settings", "classes", 1, "deadline"), ("settings", "limits", "send-cap")):
+            invalid_values: list[Any] = [0, -1, -0.5, float("nan"), float("inf"), "4000", True, None, [], {}]
+            for invalid in invalid_values:
+                with self.assertRaises(WireError, msg=(path, invalid)):
+                    self.read(with_change(self.valid_file, path, invalid), self.first_config)
+            self.assertEqual(self.read(with_change(self.valid_file, path, 4000), self.first_config).sockets, 1024)
 
     @settings(max_examples=60, deadline=None)
     @given(
         st.lists(
             st.one_of(
                 st.tuples(
-                    st.just("good"), st.lists(st.sampled_from("abcd"), min_size=1, unique=True), st.integers(1, 9)
+                    st.just("valid"), st.lists(st.sampled_from("abcd"), min_size=1, unique=True), st.integers(1, 9)
                 ),
-                st.tuples(st.just("cut"), st.integers(0, 5000), st.none()),
-                st.tuples(st.just("gone"), st.integers(0, 5000), st.none()),
+                st.tuples(st.just("truncated"), st.integers(0, 5000), st.none()),
+                st.tuples(st.just("key removed"), st.integers(0, 5000), st.none()),
                 st.tuples(
-                    st.just("wrong"),
+                    st.just("invalid value"),
                     st.sampled_from(("deadline", "aim", "send-cap")),
                     st.sampled_from((0, -1, None, "", True, math.nan, math.inf)),
                 ),
@@ -99,38 +100,36 @@
             max_size=8,
         )
     )
-    def test_after_any_files_the_configuration_is_that_of_the_last_valid_one(
-        self, files: list[tuple[str, Any, Any]]
-    ) -> None:
-        """Guards against anything that a file turned down, or one before the last, leaves behind."""
-        told, last = self.first, json.dumps(self.good)
-        for what, which, how in files:
-            if what == "good":
+    def test_the_configuration_is_always_that_of_the_last_valid_file(self, steps: list[tuple[str, Any, Any]]) -> None:
+        """Guards against state left by a rejected file, or by a file before the last valid one."""
+        current, last = self.first_config, json.dumps(self.valid_file)
+        for kind, choice, value in steps:
+            if kind == "valid":
                 new = json.loads(last)
-                kind = new["settings"]["classes"][0]
-                new["settings"]["classes"] = [kind | {"name": name, "window": 1500.0} for name in which]
-                new["settings"]["limits"]["send-cap"] = how
+                first_class = new["settings"]["classes"][0]
+                new["settings"]["classes"] = [first_class | {"name": name, "window": 1500.0} for name in choice]
+                new["settings"]["limits"]["send-cap"] = value
                 last = json.dumps(new)
-                told = self.read(last, told)
+                current = self.read(last, current)
                 continue
             new = json.loads(last)
-            if what == "gone":
-                at = [at for at in paths(new) if at[-1] != "window"][which % 50]
-                text = changed(new, at, None, gone=True)
-            elif what == "wrong":
-                place = ("limits", which) if which == "send-cap" else ("classes", 0, which)
-                text = changed(new, ("settings", *place), how)
+            if kind == "key removed":
+                path = [path for path in key_paths(new) if path[-1] != "window"][choice % 50]
+                text = with_change(new, path, None, is_removed=True)
+            elif kind == "invalid value":
+                setting = ("limits", choice) if choice == "send-cap" else ("classes", 0, choice)
+                text = with_change(new, ("settings", *setting), value)
             else:
-                text = last[: which % len(last)]
+                text = last[: choice % len(last)]
             with self.assertRaises(WireError):
-                self.read(text, told)
-        self.assertEqual(told, self.read(last, None))
+                self.read(text, current)
+        self.assertEqual(current, self.read(last, None))
 
-    def test_classes_and_plans_may_come_and_go(self) -> None:
-        """Guards against good files turned down for what they no longer need."""
-        new = copy.deepcopy(self.good)
+    def test_classes_and_plans_may_be_added_and_removed(self) -> None:
+        """Guards against a valid file that is rejected because it has no entry that an earlier file had."""
+        new = copy.deepcopy(self.valid_file)
         new["settings"]["classes"][0] |= {"name": "inspect-ii", "aim-stretch": 2.0, "new": None}
         del new["settings"]["tiers-of-service"][0]
         self.assertEqual(
-            [c.name for c in self.read(json.dumps(new), self.first).settings.classes], ["inspect-ii", "reject"]
+            [c.name for c in self.read(json.dumps(new), self.first_config).settings.classes], ["inspect-ii", "reject"]
         )
--- a/tests/net/test_watch_backoff.py
+++ b/tests/net/test_watch_backoff.py
@@ -1,4 +1,4 @@
-"""Forty gateways and a discovery that has to be asked, without sockets: who gets a watch, and when."""
+"""Watch delays of many gateways at a polled discovery, in a model without sockets."""
 
 from __future__ import annotations
 
@@ -10,60 +10,65 @@
 
 from hallhitch.net.watch_backoff import MAX_MOVE_DELAY_MS, MAX_RETRY_DELAY_MS, WATCH_COST_MS, WatchBackoff
 
-PATIENCE = 2000.0  # ms that a call waits at discovery before it fails
-LONG = 600_000.0  # ms that are played
+CALL_TIMEOUT_MS = 2000.0  # ms after which a call that waits at discovery times out
+DURATION_MS = 600_000.0  # ms of modelled time
 
 
-def watched(
+def watch_start_times(
     gateways: int,
-    work: float,
-    first: Callable[[int], float],
-    again: Callable[[int], float],
+    work_ms: float,
+    first_delay: Callable[[int], float],
+    retry_delay: Callable[[int], float],
 ) -> list[float]:
-    """When each gateway's watch began, in ms: calls wait in one line, and those given up are worked on all the same."""
-    began, free = [float("inf")] * gateways, 0.0
-    calls = [(first(n), n) for n in range(gateways)]
+    """Return when each gateway's watch began, in ms, or infinity.
+
+    Calls wait in one queue, and discovery works on a call even if its caller has timed out.
+    """
+    began, idle_at = [float("inf")] * gateways, 0.0
+    calls = [(first_delay(n), n) for n in range(gateways)]
     heapq.heapify(calls)
-    while calls and calls[0][0] < LONG:
+    while calls and calls[0][0] < DURATION_MS:
         now, n = heapq.heappop(calls)
-        done = max(now, free) + work
-        if done - now > 2 * PATIENCE:  # the line is full: turned away at once
-            heapq.heappush(calls, (now + again(n), n))
+        done_at = max(now, idle_at) + work_ms
+        if done_at - now > 2 * CALL_TIMEOUT_MS:  # the queue is full: rejected at once
+            heapq.heappush(calls, (now + retry_delay(n), n))
             continue
-        free = done
-        if done - now <= PATIENCE:
-            began[n] = done
+        idle_at = done_at
+        if done_at - now <= CALL_TIMEOUT_MS:
+            began[n] = done_at
         else:
-            heapq.heappush(calls, (now + PATIENCE + again(n), n))
+            heapq.heappush(calls, (now + CALL_TIMEOUT_MS + retry_delay(n), n))
     return began
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 400])
 def test_every_gateway_gets_its_watch_at_a_polled_discovery(gateways: int) -> None:
-    """Guards against a line at discovery that fails every call in it (day herd: none in 20 s)."""
+    """Guards against a queue at discovery in which every call times out (scenario day herd: no watch in 20 s)."""
     backoffs = [WatchBackoff(gateways, True, seed) for seed in range(gateways)]
-    began = watched(
+    began = watch_start_times(
         gateways, WATCH_COST_MS, lambda n: backoffs[n].first_delay_ms(False), lambda n: backoffs[n].retry_delay_ms(True)
     )
-    assert max(began) < 4 * gateways * WATCH_COST_MS + PATIENCE
-    if gateways == 40:  # the same line, with gateways that begin together and come again at once
-        chance = random.Random(5)
-        stormed = watched(gateways, WATCH_COST_MS, lambda n: 0.0, lambda n: 100.0 * chance.random())
-        assert sum(t < LONG for t in stormed) < gateways / 2
+    assert max(began) < 4 * gateways * WATCH_COST_MS + CALL_TIMEOUT_MS
+    if gateways == 40:  # the same queue, with gateways that start at once and retry without a back-off
+        rng = random.Random(5)
+        began_without_backoff = watch_start_times(
+            gateways, WATCH_COST_MS, lambda n: 0.0, lambda n: 100.0 * rng.random()
+        )
+        assert sum(t < DURATION_MS for t in began_without_backoff) < gateways / 2
 
 
 def test_delays_grow_are_random_and_bounded() -> None:
-    """Guards against gateways that come again together, and against one that hardly comes again at all."""
+    """Guards against gateways that retry at the same time, and against one that hardly ever retries."""
     backoff = WatchBackoff(40, True, 1)
-    waits = [backoff.retry_delay_ms(True) for _ in range(2000)]
-    assert waits[0] >= 20 * WATCH_COST_MS and max(waits) <= 80 * WATCH_COST_MS and len(set(waits)) == len(waits)
+    delays = [backoff.retry_delay_ms(True) for _ in range(2000)]
+    assert delays[0] >= 20 * WATCH_COST_MS and max(delays) <= 80 * WATCH_COST_MS and len(set(delays)) == len(delays)
     backoff.reset()
     assert backoff.retry_delay_ms(True) <= 40 * WATCH_COST_MS
     assert max(WatchBackoff(40, True, n).first_delay_ms(True) for n in range(99)) <= MAX_MOVE_DELAY_MS
 
 
 def test_watches_that_cost_discovery_nothing_start_at_once() -> None:
-    """Guards against a list that is late for no reason: changes that come by themselves, refused connections."""
+    """Guards against a list that is late without need: if changes are pushed, or connections are refused."""
     pushed = WatchBackoff(40, False, 1)
     assert pushed.first_delay_ms(False) == pushed.first_delay_ms(True) == 0.0
     assert pushed.retry_delay_ms(True) <= 100.0
--- a/tests/net/upstream/test_idle_times.py
+++ b/tests/net/upstream/test_idle_times.py
@@ -1,4 +1,4 @@
-"""Statistics of idle connections."""
+"""Statistics of how long idle connections stay usable."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class IdleTimes(unittest.TestCase):
-    """The longest idle time of a connection that is still used."""
+    """The longest idle time after which a connection is still used."""
 
     def test_idle_times_at_which_connections_break_are_avoided_for_a_while(self) -> None:
-        """Guards against requests written to connections that servers have dropped without a word."""
+        """Guards against requests written to connections that servers have dropped without notice."""
         now = 0.0
         statistics = IdleTimeStatistics(lambda: now)
         for n in range(200):
@@ -21,24 +21,24 @@
             statistics.observe(300.0, n % 2 == 0)
         self.assertEqual(statistics.max_idle_ms(), 256.0)
         now = 10 * HALF_LIFE_MS
-        self.assertEqual(statistics.max_idle_ms(), math.inf, "it must be tried again some day")
+        self.assertEqual(statistics.max_idle_ms(), math.inf, "longer idle times are tried again after a while")
 
-    def test_two_breaks_in_a_row_are_enough_and_a_longer_time_that_works_overrides_them(self) -> None:
-        """Guards against a dozen requests lost before the drop is learned, and idle times shunned that are in order."""
+    def test_two_failures_in_a_row_are_enough_unless_a_longer_idle_time_works(self) -> None:
+        """Guards against a dozen requests lost before the drop is learned, and against avoiding usable connections."""
         statistics = IdleTimeStatistics(lambda: 0.0)
         for _ in range(50):
             statistics.observe(300.0, False)
         statistics.observe(300.0, True)
-        self.assertEqual(statistics.max_idle_ms(), math.inf, "one is no rule")
+        self.assertEqual(statistics.max_idle_ms(), math.inf, "one failure is not enough")
         statistics.observe(300.0, True)
         self.assertEqual(statistics.max_idle_ms(), 256.0)
         for _ in range(5):
             statistics.observe(900.0, False)
-        statistics.observe(900.0, True)  # has it told anew
+        statistics.observe(900.0, True)  # makes the longest idle time be computed again
         self.assertEqual(statistics.max_idle_ms(), math.inf)
 
-    def test_breaks_that_are_as_frequent_on_new_connections_change_nothing(self) -> None:
-        """Guards against a connection for each request where new ones break as often."""
+    def test_failures_as_frequent_on_new_connections_change_nothing(self) -> None:
+        """Guards against a new connection for each request although new ones break as often as idle ones."""
         statistics = IdleTimeStatistics(lambda: 0.0)
         for n in range(200):
             for idle in (None, 5.0, 300.0):
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,6 +1,6 @@
-"""The one helper of the socket tests: the real program as a process, and stand-ins for all it talks to.
+"""Fixtures for the tests over sockets: the real program as a process, and fakes of all services that it talks to.
 
-Nothing here sleeps: tests wait for what they expect to happen, and a guard ends a test that waits in vain.
+Nothing here sleeps: tests wait for the expected event, and a time-out ends a test whose event never comes.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 T = TypeVar("T")
 ROOT = Path(__file__).parent.parent
-GUARD = 20.0  # seconds: not a measure of anything, only the end of a wait in vain
+GUARD = 20.0  # seconds to wait for an expected event; only a failing test waits that long
 CLASSES = [
     {"name": "inspect", "aim": 1200.0, "deadline": 4000.0, "repeat": "pure", "group": "all", "worth": 1.0},
     {
@@ -42,24 +42,24 @@
 ]
 CUSTOMER = "00000000b4d65521"
 PORTS = (12_000, 32_000)
-_ports = count(os.getpid() * 199)  # each process of a test run begins elsewhere
+_port_numbers = count(os.getpid() * 199)  # each process of a test run starts at another port
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
 
 
-async def soon(what: Awaitable[T]) -> T:
-    """Wait for what must happen."""
-    return await asyncio.wait_for(what, GUARD)
+async def soon(awaitable: Awaitable[T]) -> T:
+    """Await an expected event, GUARD seconds at most."""
+    return await asyncio.wait_for(awaitable, GUARD)
 
 
 async def read_head(reader: Reader) -> tuple[str, dict[str, str]]:
-    """A message's first line, and its headers in lower case."""
+    """Read the head of a message; return its first line, and its headers by lower-case name."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     return head[0], {n.strip().lower(): v.strip() for n, _, v in (line.partition(":") for line in head[1:] if line)}
 
 
 async def read_body(reader: Reader, headers: dict[str, str]) -> bytes:
-    """A message's body, in chunks or as long as its head says."""
+    """Read and return the body of a message, chunked or of the declared length."""
     if headers.get("transfer-encoding") != "chunked":
         return await reader.readexactly(int(headers.get("content-length", "0")))
     body = b""
@@ -70,26 +70,26 @@
 
 
 async def read_http(reader: Reader) -> tuple[str, dict[str, str], bytes]:
-    """One message: first line, headers in lower case, body."""
+    """Read one message; return its first line, headers by lower-case name, and body."""
     first, headers = await read_head(reader)
     return first, headers, await read_body(reader, headers)
 
 
 def http(status: int, body: bytes = b"", **headers: str) -> bytes:
-    """One answer."""
+    """Encode a response; an underscore in a header name stands for a hyphen."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 class StandIn:
-    """A server of the tests' own: counts connections, hands what comes to `serve`."""
+    """Base of the fake servers: it counts connections and passes each one to `serve`."""
 
     def __init__(self) -> None:
         self.connections = 0
-        self.writers: dict[Writer, None] = {}  # those open, oldest first
-        self.came: asyncio.Queue[Any] = asyncio.Queue()
-        self.ended: asyncio.Queue[int] = asyncio.Queue()  # numbers of connections that have ended
+        self.writers: dict[Writer, None] = {}  # of the open connections, oldest first
+        self.came: asyncio.Queue[Any] = asyncio.Queue()  # what was received, in the form that each subclass stores
+        self.ended: asyncio.Queue[int] = asyncio.Queue()  # numbers of the connections that have ended
         self.address = ""
 
     async def start(self) -> None:
@@ -98,7 +98,7 @@
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     async def stop(self) -> None:
-        """Refuse connections from now on and reset those that are open."""
+        """Refuse new connections and reset the open ones."""
         self._server.close()
         for writer in list(self.writers):
             writer.transport.abort()
@@ -119,15 +119,19 @@
 
 
 class Backend(StandIn):
-    """A check node; `reply` makes its answers: bytes, None to say nothing, or b"" to break the connection."""
+    """A backend server; `reply` gets the number of the request and returns the response.
+
+    The response is given as bytes, None to send nothing, or b"" to reset the connection.
+    """
 
     def __init__(self, name: str, reply: Callable[[int], bytes | None] | None = None) -> None:
         super().__init__()
         self.name, self.reply = name, reply or (lambda n: http(200, b"scored"))
+        # `born` is the start time in ms, `taken` the number of requests received.
         self.health, self.block, self.born, self.taken = "active", 0, 0, 0
 
     async def serve(self, number: int, reader: Reader, writer: Writer) -> None:
-        """Answer requests as `reply` says."""
+        """Answer each request with the result of `reply`."""
         while True:
             first, headers, body = await read_http(reader)
             self.taken += 1
@@ -138,7 +142,7 @@
             writer.write(answer or b"")
 
     def entry(self) -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Return its entry in the list of discovery."""
         return {
             "host": self.name,
             "dial": self.address,
@@ -152,22 +156,23 @@
 
 
 class Discovery(StandIn):
-    """Answers each watch with what `tell` was given, and holds it until then."""
+    """The discovery service: it holds each watch until `tell` gives it an update to answer with."""
 
     def __init__(self) -> None:
         super().__init__()
         self.news: asyncio.Queue[bytes] = asyncio.Queue()
 
     def tell(self, seq: int, whole: bool, *backends: Backend) -> None:
-        """Something to tell."""
+        """Queue an update for the next watch: a whole list or changes."""
         body = json.dumps({"seq": seq, "whole": whole, "hosts": [b.entry() for b in backends]}).encode()
         self.news.put_nowait(http(200, body))
 
     async def serve(self, number: int, reader: Reader, writer: Writer) -> None:
-        """Hold watches."""
+        """Answer watches with the queued updates."""
         while True:
             first = (await read_http(reader))[0]
-            if "hold_ms=1 " in first and self.news.empty():  # nothing newer, and no time to wait for it
+            # This watch has to be answered at once, also without an update.
+            if "hold_ms=1 " in first and self.news.empty():
                 seq = int(first.partition("from=")[2].partition("&")[0])
                 writer.write(http(200, json.dumps({"seq": seq, "whole": False, "hosts": []}).encode()))
                 continue
@@ -176,7 +181,7 @@
 
 
 class Counter(StandIn):
-    """The quota counter over HTTP; it says nothing while `open` is unset, then answers all in order."""
+    """The quota counter over HTTP; while `open` is unset it holds its replies, then it sends them in order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -184,17 +189,17 @@
         self.open = asyncio.Event()
         self.open.set()
         self.refusing = False
-        self._later: set[asyncio.Task[None]] = set()
+        self._held_replies: set[asyncio.Task[None]] = set()
 
     def add(self, name: str, amount: float) -> float:
-        """Add and read."""
+        """Add to a total and return it."""
         self.totals[name] = self.totals.get(name, 0.0) + amount
         return self.totals[name]
 
     def say(self, writer: Writer, data: bytes) -> None:
-        """Answer, while `open` is set or once it is; what was said first goes first."""
+        """Send a reply, at once or when `open` is set; replies keep their order."""
 
-        if self.open.is_set() and not self._later:
+        if self.open.is_set() and not self._held_replies:
             return writer.write(data)
 
         async def write() -> None:
@@ -202,12 +207,12 @@
             writer.write(data)
 
         task = asyncio.create_task(write())
-        self._later.add(task)
-        task.add_done_callback(self._later.discard)
+        self._held_replies.add(task)
+        task.add_done_callback(self._held_replies.discard)
         return None
 
     async def serve(self, number: int, reader: Reader, writer: Writer) -> None:
-        """Answer calls in order."""
+        """Answer the calls of a connection in order."""
         while True:
             first, _, _ = await read_http(reader)
             self.came.put_nowait(first)
@@ -217,10 +222,10 @@
 
 
 class RespCounter(Counter):
-    """The quota counter over RESP: it knows MULTI, SET NX PX, INCRBYFLOAT and EXEC."""
+    """The quota counter over RESP; it supports MULTI, SET NX PX, INCRBYFLOAT and EXEC."""
 
     async def serve(self, number: int, reader: Reader, writer: Writer) -> None:
-        """Answer transactions in order."""
+        """Answer the transactions of a connection in order."""
         queued: list[list[bytes]] = []
         while True:
             command = await read_command(reader)
@@ -235,7 +240,7 @@
                 self.say(writer, self.execute(queued))
 
     def execute(self, queued: list[list[bytes]]) -> bytes:
-        """Carry a transaction out."""
+        """Execute a transaction and return its reply."""
         if self.refusing:
             return b"-EXECABORT Transaction discarded because of previous errors.\r\n"
         (verb, name, zero, px, _, nx), (incr, same, amount) = queued
@@ -246,7 +251,7 @@
 
 
 async def read_command(reader: Reader) -> list[bytes]:
-    """One command: an array of bulk strings."""
+    """Read one command, an array of bulk strings."""
     words = []
     for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
         size = int((await reader.readuntil(b"\r\n"))[1:])
@@ -255,12 +260,12 @@
 
 
 def command(*words: str) -> bytes:
-    """A command's bytes."""
+    """Encode a RESP command."""
     return f"*{len(words)}\r\n".encode() + b"".join(b"$%d\r\n%s\r\n" % (len(w), w.encode()) for w in words)
 
 
 async def read_reply(reader: Reader) -> Any:
-    """One RESP2 reply."""
+    """Read one RESP2 reply."""
     line = (await reader.readuntil(b"\r\n"))[:-2]
     kind, rest = line[:1], line[1:]
     if kind == b"*":
@@ -271,7 +276,7 @@
 
 
 class Program:
-    """The real program, started as the platform starts it."""
+    """The real program in a process of its own, started as the platform starts it."""
 
     process: asyncio.subprocess.Process
 
@@ -315,13 +320,14 @@
             "settings": settings,
             "known": {"seq": 1, "whole": True, "hosts": [b.entry() for b in known]},
         }
-        self.environ: dict[str, str] = {}  # beside what every start sets
-        self.inherits: tuple[int, ...] = ()  # descriptors passed on
+        self.environ: dict[str, str] = {}  # environment variables in addition to those that `start` sets
+        self.inherits: tuple[int, ...] = ()  # descriptors that the process inherits
 
     async def start(self, *arguments: str, fault: str = "", optimised: bool = False, module: str = "hallhitch") -> None:
-        """Start it; `fault` is a line of code that plants a fault in the module first; `optimised` is as in service.
+        """Start the program with these arguments.
 
-        `module` may be one that wraps the gateway to measure it.
+        `fault` is code that runs first and injects a fault; `optimised` passes -O, as in production; `module` may name
+        a module that wraps the gateway to measure it.
         """
         call = ["-c", f"{fault}\nfrom hallhitch.__main__ import main\nraise SystemExit(main())"]
         path = Path(self._folder) / "config.json"
@@ -339,45 +345,45 @@
         )
 
     async def logged(self, text: str) -> str:
-        """Wait for a line of its log."""
+        """Wait for a log line that contains a text and return it."""
         assert self.process.stderr is not None
         while text.encode() not in (line := await soon(self.process.stderr.readline())):
-            assert line, f"the program ended before it said {text}"
+            assert line, f"the program ended before it logged {text}"
         return line.decode()
 
     async def reload(self, text: str, said: str) -> None:
-        """Replace its configuration file and have it read again."""
+        """Replace the configuration file, trigger a reload, and wait for a log line that contains `said`."""
         self.replace(text)
         await self.logged(said)
 
     def replace(self, text: str) -> None:
-        """Put another configuration file in place of its own, whole, and tell it so."""
-        beside = Path(self._folder) / "config.new"
-        beside.write_text(text)
-        beside.replace(Path(self._folder) / "config.json")
+        """Replace the configuration file atomically and trigger a reload."""
+        new_path = Path(self._folder) / "config.new"
+        new_path.write_text(text)
+        new_path.replace(Path(self._folder) / "config.json")
         self.process.send_signal(signal.SIGHUP)
 
     async def connect(self, address: str = "") -> tuple[Reader, Writer]:
-        """A connection to it."""
+        """Open a connection to the program, by default to its client listener."""
         host, port = (address or self.listen).split(":")
         return await asyncio.open_connection(host, int(port))
 
     async def call(self, path: str, method: str = "GET", address: str = "") -> tuple[int, str]:
-        """A call of its second address: status and body."""
+        """Call the operator address; return status and body."""
         reader, writer = await self.connect(address or self.config["ops"])
         writer.write(f"{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
         first, _, body = await soon(read_http(reader))
-        assert await soon(reader.read()) == b"", "one call a connection"
+        assert await soon(reader.read()) == b"", "a connection serves one call"
         writer.close()
         return int(first.split()[1]), body.decode()
 
     async def figures(self) -> dict[str, int]:
-        """What its second address reports, by name with labels."""
+        """Return the metrics of the operator address, by name with labels."""
         lines = (await self.call("/api/telemetry"))[1].splitlines()
         return {n: int(v) for n, _, v in (line.rpartition(" ") for line in lines if not line.startswith("#"))}
 
     async def stop(self) -> tuple[int | None, str]:
-        """End it as a planned restart does; its exit code and the rest of its log."""
+        """Stop the program with SIGTERM, as a planned restart does; return its exit code and the rest of its log."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         _, errors = await soon(self.process.communicate())
@@ -385,27 +391,27 @@
 
 
 def free_port() -> int:
-    """A port of loopback that nobody listens on, below those that the machine gives to outgoing connections."""
+    """Return an unused loopback port, below the range that the system uses for outgoing connections."""
     while True:
-        port = PORTS[0] + next(_ports) % (PORTS[1] - PORTS[0])
+        port = PORTS[0] + next(_port_numbers) % (PORTS[1] - PORTS[0])
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind(("127.0.0.1", port))
             return port
 
 
 class GatewayCase(unittest.IsolatedAsyncioTestCase):
-    """Starts the program with stand-ins round it, and ends it as a planned restart does."""
+    """Starts the program with fakes of its services, and stops it as a planned restart does."""
 
     counter_kind: type[Counter] = Counter
-    give_up = 5000.0  # ms: where a test is not about the counter's time-out, a busy machine must not meet it
+    give_up = 5000.0  # ms, the counter's time-out: long, so that tests about other things pass on a busy machine
     backends = 1
-    resp = ""  # lines of the file for --resp
+    resp = ""  # content of the file for --resp, without its listen address; "" for no such file
     sockets = 1024
-    fault = ""  # a line of code that plants a fault in the module
-    ops = False  # whether it has a second address
+    fault = ""  # code that injects a fault into the program
+    ops = False  # whether the program gets an operator address
 
     async def asyncSetUp(self) -> None:
-        # unittest turns the loop's debugging on, which makes a counter of it that is slower than 50 ms.
+        # unittest turns on the loop's debug mode, in which the fake counter may need more than 50 ms.
         asyncio.get_running_loop().set_debug(False)
         self.counter, self.discovery = self.counter_kind(), Discovery()
         self.nodes = self.nodes_of()
@@ -430,11 +436,11 @@
         await self.program.logged('"serving"')
 
     def nodes_of(self) -> list[Backend]:
-        """The check nodes that it knows from its start on."""
+        """Return the backends that are in the configuration at the start."""
         return [Backend(f"b{n}") for n in range(self.backends)]
 
     def prepare_program(self, program: Program) -> None:
-        """Set what a test case needs in a program before its start."""
+        """Prepare the program before its start; for subclasses."""
 
     async def asyncTearDown(self) -> None:
         code, errors = await self.program.stop()
@@ -445,7 +451,7 @@
         self.assertNotIn("broken:", errors)
 
     def request(self, kind: str = "inspect", deadline: int = 4000, customer: str = CUSTOMER, **headers: str) -> bytes:
-        """A client's request."""
+        """Encode a client request of a class."""
         method, body = ("GET", b"") if kind == "inspect" else ("POST", b"part")
         fields = {
             "Host": "service.internal",
@@ -461,7 +467,7 @@
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     async def ask(self, data: bytes) -> tuple[str, dict[str, str], bytes]:
-        """Send on a connection of its own; the answer."""
+        """Send bytes on a new connection and return the response."""
         reader, writer = await self.program.connect()
         writer.write(data)
         answer = await soon(read_http(reader))
@@ -470,7 +476,7 @@
 
 
 def assert_refused(case: unittest.TestCase, config: str, field: str, *arguments: str) -> None:
-    """Check that the program does not start, and names the field in one line."""
+    """Assert that the program refuses to start and prints one line that names the field."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(config)
@@ -489,6 +495,9 @@
 
 
 def assert_one_customer(case: unittest.TestCase, names: list[Any]) -> None:
-    """Check calls made in turn for two spellings: one name until its window ends, none come back to."""
+    """Assert that calls with two spellings of a customer use one counter name per window.
+
+    A name may change when its window ends, and is not used again after that.
+    """
     runs = [name for name, _ in groupby(names)]
     case.assertTrue(len(names) > 1 and len(runs) == len(set(runs)), names)
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -1,4 +1,4 @@
-"""What a connection leaves when it has ended: nothing that waits for the collector, whose pauses stop everybody."""
+"""A closed connection leaves no reference cycles: collecting them would pause the whole process."""
 
 from __future__ import annotations
 
@@ -6,55 +6,60 @@
 
 from tests.stand_ins import GatewayCase, http, read_http, soon
 
-# The collector finds only what cannot be freed without it, and tells how much that was.
-TELLS = """
+# With automatic collection off, SIGUSR1 collects and prints the number of unreachable objects found, which are only
+# those in reference cycles.
+COLLECT_ON_SIGNAL = """
 import gc, signal, sys
 gc.disable()
 signal.signal(signal.SIGUSR1, lambda *_: print("collected", gc.collect(), file=sys.stderr, flush=True))
 """
-MANY = 40
+CONNECTIONS = 40
 
 
-class Garbage(GatewayCase):
-    """A gateway that collects when it is told to."""
+class GarbageCollection(GatewayCase):
+    """A gateway that collects garbage on SIGUSR1 only."""
 
-    fault = TELLS
+    fault = COLLECT_ON_SIGNAL
     ops = True
 
-    async def collected(self) -> int:
-        """What the collector found; it stands still until what ended before has been cleaned up."""
+    async def collect_garbage(self) -> int:
+        """Collect garbage and return the number of objects found.
+
+        A health check before it waits until the connections that ended earlier are cleaned up, and one after it until
+        the collection is done.
+        """
         await self.ask(b"GET /_health HTTP/1.1\r\n\r\n")
         self.program.process.send_signal(signal.SIGUSR1)
         await self.ask(b"GET /_health HTTP/1.1\r\n\r\n")
         return int((await self.program.logged("collected")).split()[1])
 
-    async def test_connections_of_every_end_leave_nothing(self) -> None:
-        """Guards against cycles that hold what was read until a collection, of 0.7 s after a flood of bad requests."""
-        rude = self.request("unknown") * 20
+    async def test_connections_leave_no_cycles_however_they_end(self) -> None:
+        """Guards against cycles that hold received data: after a flood of bad requests a collection took 0.7 s."""
+        bad = self.request("unknown") * 20
         good = self.request(customer="0000000000000002")
         cases = {
             "good": good,
-            "rude": rude,
+            "unacceptable requests": bad,
             "unreadable": b"NONSENSE\r\n\r\n",
-            "half": good[:40],
-            "none": b"",
-            "left": good,
+            "half a request": good[:40],
+            "no request": b"",
+            "client leaves": good,
             "reset by its server": good,
-            "called": b"",
+            "operator call": b"",
         }
         for name, data in cases.items():
             with self.subTest(name):
-                self.nodes[0].reply = {"left": lambda n: None, "reset by its server": lambda n: b""}.get(
+                self.nodes[0].reply = {"client leaves": lambda n: None, "reset by its server": lambda n: b""}.get(
                     name, lambda n: http(200, b"scored", Connection="close")
                 )
-                await self.collected()
-                for _ in range(MANY):
-                    if name == "called":
+                await self.collect_garbage()
+                for _ in range(CONNECTIONS):
+                    if name == "operator call":
                         await self.program.call("/api/ready")
                         continue
                     reader, writer = await self.program.connect()
                     writer.write(data)
-                    if name not in ("half", "none", "left"):
+                    if name not in ("half a request", "no request", "client leaves"):
                         await soon(read_http(reader))
                     writer.close()
-                self.assertLess(await self.collected(), MANY)
+                self.assertLess(await self.collect_garbage(), CONNECTIONS)
