--- a/hallhitch/net/acceptor.py
+++ b/hallhitch/net/acceptor.py
@@ -115,13 +115,13 @@
         connection.waiting_since = self._listener.opened_at
         self._connections[connection] = asyncio.get_running_loop().create_task(connection.run())
         self._never_served[connection] = self.deadlines.clock()
-        self._update_resting()
+        self._update_suspension()
 
     def on_sibling_changed(self, is_running: bool, is_serving: bool) -> None:
         """Halve the limit while another process of this gateway is running, which does the same."""
         self._has_sibling = is_running
         self._is_sibling_serving = is_serving
-        self._update_resting()
+        self._update_suspension()
 
     @property
     def _kept(self) -> int:
@@ -135,7 +135,7 @@
         is_new = connection in self._never_served
         is_about_to_send = is_new and self.deadlines.clock() - connection.received_at < FIRST_REQUEST_GRACE_MS
         if not connection.is_silent or is_about_to_send:
-            # A request has come or is about to come; it is read first, and the new connection exceeds the limit.
+            # A request has arrived or is about to; it is read first, and the new connection exceeds the limit.
             self._listener.pause(FIRST_REQUEST_GRACE_MS)
             return
         COUNTS["new_shed" if is_new else "idle_shed"] += 1
@@ -158,12 +158,12 @@
         )
         return longest_idle if longest_silent is None else longest_silent
 
-    def _update_resting(self) -> None:
+    def _update_suspension(self) -> None:
         # While a sibling is serving, this process accepts no more than its half: the sibling accepts the others.
         # Without one, clients past the spare connections wait in the backlog until a connection ends, because a close
         # without a response would tell them nothing.
         limit = self.max_clients + (0 if self._is_sibling_serving else self._spare)
-        self._listener.set_resting(len(self._connections) >= limit)
+        self._listener.set_suspended(len(self._connections) >= limit)
 
     # Called by connections.
 
@@ -183,7 +183,7 @@
         self._connections.pop(connection, None)
         self._shed.discard(connection)
         self.uploading.discard(connection)
-        self._update_resting()
+        self._update_suspension()
         self.on_active(connection)
         if self.is_closing and not self._listener.is_listening:
             self._check_all_closed()
--- a/hallhitch/net/client_connection.py
+++ b/hallhitch/net/client_connection.py
@@ -25,7 +25,7 @@
 # until the requests before them have been handled.
 PARSE_SLICE_BYTES: Final = 1024
 BODY_BUFFER_BYTES: Final = 32_768  # size of one read of a long body
-REQUEST_TIMEOUT_MS: Final = 2500.0  # for a whole request, from the connect, from an error, or from its first byte
+REQUEST_TIMEOUT_MS: Final = 2500.0  # for a whole request: from the connect, from an error, or from its first byte
 WRITE_TIMEOUT_MS: Final = 10_000.0  # for a client to read a response, or the next piece of a streamed one
 LINGER_MS: Final = 500.0  # to continue reading after the last response: an early close could destroy it
 MAX_LINGER_BYTES: Final = 65_536  # read and dropped in that time; after that reading stops
@@ -67,9 +67,9 @@
         self.is_broken_off = False  # a streamed response broke off; the connection ends with a reset
         self.had_accepted_request = False
         self.waiting_since = 0.0  # from when it may have waited in the listen backlog; 0 after the first read
-        self.received_at = deadlines.clock()  # when a byte last came, at first the time of the connect
-        self.partial_since = 0.0  # when the first byte of the partial request came; 0 if there is none
-        self.is_resumed = False  # the partial request came in more than one read
+        self.received_at = deadlines.clock()  # when a byte was last received, initially the time of the connect
+        self.partial_since = 0.0  # when the first byte of the partial request was received; 0 if there is none
+        self.is_resumed = False  # the partial request was received in more than one read
         self._deadline: Deadline | None = None
         self._writer_task: asyncio.Task[None] | None = None
         self._unwritten_count = 0  # messages that were posted and are not yet written
--- a/hallhitch/net/counter.py
+++ b/hallhitch/net/counter.py
@@ -63,8 +63,8 @@
         self._codec = client.make_codec()
         self._calls: deque[CounterCall] = deque()  # calls without a reply, including those reported as timed out
         self._sock: socket.socket | None = None
-        self._active_at = 0.0  # when a byte last came, or a call was written after all others were answered
-        self.replied_at = 0.0  # when a reply last came
+        self._active_at = 0.0  # when a byte was last received, or a call was written with no other call open
+        self.replied_at = 0.0  # when a reply was last received
         self._partial_deadline: Deadline | None = None  # set while a reply is partly received
         self._task: asyncio.Task[None] | None = None
         self._predecessor: CounterConnection | None = (
--- a/hallhitch/net/http.py
+++ b/hallhitch/net/http.py
@@ -39,7 +39,7 @@
     target: bytes = b""
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name; the last value of each
-    twice: list[bytes] = field(default_factory=list)  # names of the header fields that came more than once
+    twice: list[bytes] = field(default_factory=list)  # names of header fields that occurred more than once
     fields: list[tuple[bytes, bytes]] | None = None  # all fields as received, if the reader records them
     body: bytes = b""
     flow: Flow | None = None  # the body, if it is streamed
--- a/hallhitch/net/ingress.py
+++ b/hallhitch/net/ingress.py
@@ -79,7 +79,7 @@
         self._receiving_request: Message | None = None  # the request whose body is being received
         self._body_began_at = 0.0
         self._forwarded_body: Flow | None = None  # of the current request, while it is forwarded as it is received
-        self._progressed_at = 0.0  # when a byte last came, or the client was last not allowed to send
+        self._progressed_at = 0.0  # when a byte was last received, or the client was last not allowed to send
         self.waited_ms = 0.0  # how long the latest bytes had waited in the socket or backlog before they were read
         self._is_pipelining = False  # the client has sent a request before it got the response to the previous one
         self._error_count = 0
@@ -152,7 +152,7 @@
             # The body that is late is the one that the current request forwards, so that it will never be complete.
             if self._forwarded_body is not None and self._exchange_id:
                 self._ingress.core.on_client_gone(self._exchange_id)
-                return self._answer(408, close=True)
+                return self._respond(408, close=True)
             self._start_next()
             return None
         return None
@@ -214,7 +214,7 @@
         path = path_of(request.target)
         if path == b"/_health":
             is_healthy = self._ingress.is_healthy()
-            return self._answer(200 if is_healthy else 503, b"ok" if is_healthy else b"draining")
+            return self._respond(200 if is_healthy else 503, b"ok" if is_healthy else b"draining")
         named_class = limits.class_of(path)
         if named_class is not None:
             self._class_name = named_class[1].name
@@ -225,7 +225,7 @@
             self._exchange_id = self._ingress.begin(request, path, self, limits, named_class)
         except UnacceptableRequest as error:
             self._throttle()
-            return self._answer(error.status, error.text.encode())
+            return self._respond(error.status, error.text.encode())
         self.had_accepted_request = True
         self._request_id = request.headers[b"req-id"]
         if request.flow is not None:
@@ -259,17 +259,17 @@
         assert isinstance(payload, Message)
         content_type = payload.headers.get(b"content-type")
         headers = b"Content-Type: %s\r\n" % content_type if content_type else b""
-        self._answer(200, payload.body, headers, streamed=payload)
+        self._respond(200, payload.body, headers, streamed=payload)
 
     def on_rejected(self, advice: float, status: int = 429) -> None:
         """Reject the request and advise the client to retry after `advice` ms."""
-        self._answer(status, headers=b"Retry-After: %.3f\r\n" % max(0.001, advice / 1000))
+        self._respond(status, headers=b"Retry-After: %.3f\r\n" % max(0.001, advice / 1000))
 
     def on_failed(self) -> None:
         """Answer with 502, as no result is known."""
-        self._answer(502)
+        self._respond(502)
 
-    def _answer(
+    def _respond(
         self,
         status: int,
         body: bytes = b"",
@@ -297,14 +297,14 @@
         self._ingress.open_ids.discard(self._request_id)
         self._request_id = b""
         if flow is None or streamed is None:
-            answer_head = head(status, len(body), headers=headers, close=close, version=request.version)
-            self.post(answer_head if request.method == b"HEAD" else answer_head + body)
+            response_head = head(status, len(body), headers=headers, close=close, version=request.version)
+            self.post(response_head if request.method == b"HEAD" else response_head + body)
             return
         is_chunked = streamed.length is None and request.version != "1.0"
         # The end of the connection marks the end of a body that has no length and is not chunked.
         self.is_ending = close = close or (streamed.length is None and not is_chunked)
-        answer_head = head(status, streamed.length, headers=headers, close=close, version=request.version)
-        if not self.post(StreamedMessage(answer_head, flow, is_chunked)):
+        response_head = head(status, streamed.length, headers=headers, close=close, version=request.version)
+        if not self.post(StreamedMessage(response_head, flow, is_chunked)):
             flow.abandon()
             self.close()
 
--- a/hallhitch/net/sockets.py
+++ b/hallhitch/net/sockets.py
@@ -102,7 +102,7 @@
         self._deadlines = deadlines
         self._loop = loop
         self._is_open = False
-        self._is_resting = False
+        self._is_suspended = False
         self._is_paused = False
         # The earliest time from which a connection accepted now may have waited; 0 once the backlog was accepted.
         self.opened_at = 0.0
@@ -119,11 +119,11 @@
         self.opened_at = self._deadlines.clock()
         self._loop.add_reader(self._listener, self._on_ready)
 
-    def set_resting(self, is_resting: bool) -> None:
+    def set_suspended(self, is_suspended: bool) -> None:
         """Stop accepting, so that connections wait or another process accepts them, or accept again."""
-        if self._is_open and is_resting != self._is_resting:
-            self._is_resting = is_resting
-            if is_resting:
+        if self._is_open and is_suspended != self._is_suspended:
+            self._is_suspended = is_suspended
+            if is_suspended:
                 self._loop.remove_reader(self._listener)
             elif not self._is_paused:
                 self._loop.add_reader(self._listener, self._on_ready)
@@ -150,7 +150,7 @@
 
     def _on_ready(self) -> None:
         for _ in range(MAX_ACCEPTS_PER_TURN):
-            if self._is_resting or self._is_paused or not self._accept():
+            if self._is_suspended or self._is_paused or not self._accept():
                 break
         self.opened_at = 0.0
 
@@ -172,5 +172,5 @@
 
     def _resume(self) -> None:
         self._is_paused = False
-        if self._is_open and not self._is_resting:
+        if self._is_open and not self._is_suspended:
             self._loop.add_reader(self._listener, self._on_ready)
