--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -17,7 +17,7 @@
 
 import uvloop
 
-from hallhitch.net.http import AnswerReader, Message, RequestReader, answer
+from hallhitch.net.http import Message, RequestReader, ResponseReader, encode_response
 from hallhitch.net.sockets import configure_socket, open_listener
 
 BUFFER_BYTES: Final = 16_384
@@ -50,7 +50,7 @@
         connection = configure_socket(socket.socket())
         await loop.sock_connect(connection, pool.address)
     await loop.sock_sendall(connection, encode_request(request))
-    reader = AnswerReader()
+    reader = ResponseReader()
     buffer = bytearray(BUFFER_BYTES)
     while True:
         size = await loop.sock_recv_into(connection, buffer)
@@ -68,7 +68,7 @@
     while size := await loop.sock_recv_into(connection, buffer):
         for request in reader.feed(memoryview(buffer)[:size]):
             reply = await forward(request, next(pools))
-            await loop.sock_sendall(connection, answer(reply.status, reply.body))
+            await loop.sock_sendall(connection, encode_response(reply.status, reply.body))
     connection.close()
 
 
--- a/hallhitch/net/client_connection.py
+++ b/hallhitch/net/client_connection.py
@@ -79,7 +79,7 @@
     # Hooks for subclasses.
 
     @property
-    def owes_answer(self) -> bool:
+    def owes_response(self) -> bool:
         """Whether the client is owed a response."""
         raise NotImplementedError
 
@@ -127,7 +127,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no response is owed and no request is partly received."""
-        return not self.owes_answer and not self.is_partial
+        return not self.owes_response and not self.is_partial
 
     @property
     def is_silent(self) -> bool:
@@ -244,7 +244,7 @@
 
     async def _stream(self, message: StreamedMessage) -> None:
         try:
-            async for data in message.flow.written(message.head, message.is_chunked):
+            async for data in message.flow.encode_message(message.head, message.is_chunked):
                 await self._send_all(data)
         finally:
             message.flow.abandon()
@@ -272,7 +272,7 @@
 
     def _end_if_done(self) -> None:
         """Shut down the write side of a connection that is ending, once everything is written."""
-        if self.is_ending and not self._unwritten_count and not self.owes_answer:
+        if self.is_ending and not self._unwritten_count and not self.owes_response:
             linger_ms = UPLOAD_LINGER_MS if self.has_unread_upload else LINGER_MS
             self._deadline = self._deadlines.call_after(linger_ms, self.close)
             try:
--- a/hallhitch/net/counter_codec.py
+++ b/hallhitch/net/counter_codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Final, Protocol
 
-from hallhitch.net.http import AnswerReader, Malformed, Message
+from hallhitch.net.http import Malformed, Message, ResponseReader
 
 _NUMBER: Final = re.compile(rb"\s*[+-]?(\d+\.?\d*|\.\d+)([eE][+-]?\d{1,3})?\s*")
 _NOT_ADDED_STATUSES: Final = (503, 400, 404)
@@ -43,7 +43,7 @@
 
     def __init__(self, host: str) -> None:
         self._host = host.encode()
-        self._reader = AnswerReader()
+        self._reader = ResponseReader()
 
     @property
     def partial(self) -> bool:
@@ -69,7 +69,7 @@
         try:
             replies = self._reader.feed(data)
         except Malformed as error:
-            replies, malformed = self._reader.completed(), error
+            replies, malformed = self._reader.take_completed(), error
         yield from map(_outcome_and_total, replies)
         if malformed is not None:
             raise malformed
--- a/hallhitch/net/flow.py
+++ b/hallhitch/net/flow.py
@@ -24,10 +24,11 @@
         self.broken = False  # the body ended early and will never be complete
         self.abandoned = False  # the writer takes no more pieces
         self._changed_future: asyncio.Future[None] | None = None
-        self.taken: Callable[[], None] = lambda: None  # called after pieces were taken, or when the flow is abandoned
+        # Called after pieces were taken, and when the flow is abandoned.
+        self.on_taken: Callable[[], None] = lambda: None
 
     @property
-    def waits(self) -> bool:
+    def has_pieces(self) -> bool:
         """Whether there are pieces that the writer has not taken yet."""
         return bool(self._pieces) and not self.abandoned
 
@@ -54,7 +55,7 @@
         self.abandoned = True
         self._pieces.clear()
         self._wake()
-        self.taken()
+        self.on_taken()
 
     async def take(self) -> bytes:
         """Wait for the next pieces and return them joined, or b"" at the end of the body.
@@ -69,10 +70,10 @@
             await self._changed_future
         pieces, self._pieces = self._pieces, deque()
         if pieces:
-            self.taken()
+            self.on_taken()
         return pieces[0] if len(pieces) == 1 else b"".join(pieces)
 
-    async def written(self, head: bytes, chunked: bool) -> AsyncIterator[bytes]:
+    async def encode_message(self, head: bytes, chunked: bool) -> AsyncIterator[bytes]:
         """Yield the encoded message: the head with the first piece, the other pieces, and the last chunk if `chunked`.
 
         Raises:
--- a/hallhitch/net/http.py
+++ b/hallhitch/net/http.py
@@ -39,16 +39,16 @@
     target: bytes = b""
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name; the last value of each
-    twice: list[bytes] = field(default_factory=list)  # names of header fields that occurred more than once
+    repeated_names: list[bytes] = field(default_factory=list)  # names of header fields that occurred more than once
     fields: list[tuple[bytes, bytes]] | None = None  # all fields as received, if the reader records them
     body: bytes = b""
     flow: Flow | None = None  # the body, if it is streamed
     length: int | None = None  # of the body as declared in the head; None if undeclared
     version: str = "1.1"
-    keep: bool = True
+    keep_alive: bool = True
 
 
-def refused(size: int) -> bool:
+def never_reserve(size: int) -> bool:
     """Return False: no buffer is available for a long body."""
     return False
 
@@ -63,28 +63,31 @@
 
     def __init__(
         self,
-        long: bool = False,
-        hold: Callable[[int], bool] = refused,
+        can_stream: bool = False,
+        reserve_buffer: Callable[[int], bool] = never_reserve,
         *,
-        head_most: int = MAX_HEAD_BYTES,
-        body_most: int = MAX_BODY_BYTES,
-        long_most: int = MAX_LONG_BODY_BYTES,
+        max_head_bytes: int = MAX_HEAD_BYTES,
+        max_buffered_body_bytes: int = MAX_BODY_BYTES,
+        max_body_bytes: int = MAX_LONG_BODY_BYTES,
     ) -> None:
-        """Reject bodies above `body_most`, or if `long`, stream them as soon as `hold` cannot reserve more buffer.
+        """Limit what is buffered: a body above `max_buffered_body_bytes` is rejected unless `can_stream`.
 
-        `long_most` limits a streamed body. A streamed message is returned when streaming begins, and its flow delivers
-        the body.
+        If `can_stream`, such a body is streamed as soon as `reserve_buffer` returns False, up to `max_body_bytes`. A
+        streamed message is returned when streaming begins, and its flow delivers the body.
         """
-        self._max_head_bytes, self._max_buffered_bytes = head_most, body_most
-        self._max_body_bytes, self._reserve_buffer = long_most if long else body_most, hold
+        self._max_head_bytes, self._max_buffered_bytes = max_head_bytes, max_buffered_body_bytes
+        self._max_body_bytes, self._reserve_buffer = (
+            max_body_bytes if can_stream else max_buffered_body_bytes,
+            reserve_buffer,
+        )
         self._message = Message()
         self._body_parts: list[bytes] = []
-        self._size = 0
+        self._body_size = 0
         self._head_bytes = self._field_bytes = 0  # bytes read while in the head; bytes of complete header fields
         self._bytes_since_message = 0  # bytes read since the last complete message, framing included
         self._in_head = True
-        self._early = False  # whether the current body is streamed from its first byte
-        self._done: list[Message] = []
+        self._is_streamed_early = False  # whether the current body is streamed from its first byte
+        self._completed: list[Message] = []
         self._refusal_status = 0  # the status for a message that exceeded a limit within a parser callback
         self.partial = False  # whether a message has begun and is not complete
 
@@ -108,13 +111,13 @@
                 status = 431
             # Endless chunk extensions or trailers count neither as header fields nor as body.
             elif self._bytes_since_message > self._max_head_bytes + MAX_CHUNK_OVERHEAD_RATIO * max(
-                self._max_buffered_bytes, self._size
+                self._max_buffered_bytes, self._body_size
             ):
                 status = 413
         if status:
             self.fail()
             raise Malformed(status)
-        return self.completed()
+        return self.take_completed()
 
     def fail(self) -> None:
         """Mark a body that is being streamed as broken: no more of it will be received."""
@@ -128,24 +131,24 @@
         """
         self.fail()
         del self.parser
-        self._message, self._body_parts, self._done, self._reserve_buffer = Message(), [], [], refused
+        self._message, self._body_parts, self._completed, self._reserve_buffer = Message(), [], [], never_reserve
 
-    def completed(self) -> list[Message]:
+    def take_completed(self) -> list[Message]:
         """Return the complete messages that were not returned yet, including those before an error."""
-        messages, self._done = self._done, []
+        messages, self._completed = self._completed, []
         return messages
 
     @property
-    def begun(self) -> Message | None:
+    def message_in_progress(self) -> Message | None:
         """The message whose body is being received, None if there is none."""
         return self._message if self.partial and not self._in_head else None
 
     @property
-    def size(self) -> int:
+    def received_body_bytes(self) -> int:
         """The bytes of the current body that were received so far."""
-        return self._size
+        return self._body_size
 
-    def pass_on(self) -> None:
+    def start_streaming(self) -> None:
         """Stream the body that is being received from here on."""
         message = self._message
         if message.flow is None:
@@ -153,14 +156,14 @@
             for part in self._body_parts:
                 message.flow.put(part)
             self._body_parts = []
-            message.keep = self.parser.should_keep_alive()
+            message.keep_alive = self.parser.should_keep_alive()
             self._set_start_line(message)
-            self._done.append(message)
+            self._completed.append(message)
 
     # Callbacks of the httptools parser.
 
     def on_message_begin(self) -> None:
-        self._message, self._body_parts, self._size = Message(), [], 0
+        self._message, self._body_parts, self._body_size = Message(), [], 0
         self.partial = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -171,7 +174,7 @@
             return  # a trailer field
         name, value = name.lower(), value.strip(b" \t")
         if name in self._message.headers:
-            self._message.twice.append(name)
+            self._message.repeated_names.append(name)
         self._message.headers[name] = value
 
     def on_headers_complete(self) -> None:
@@ -182,34 +185,34 @@
             if self._message.length > self._max_buffered_bytes:
                 if self._message.length > self._max_body_bytes:
                     self._reject(413)
-                self._early = self._streams_early
+                self._is_streamed_early = self._streams_early
 
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
-        if self._size > self._max_body_bytes:
+        self._body_size += len(body)
+        if self._body_size > self._max_body_bytes:
             self._reject(413)
         if self._message.flow is not None:
             return self._message.flow.put(body)
         self._body_parts.append(body)
-        if (self._size > self._max_buffered_bytes or self._early) and self._passes(len(body)):
-            self.pass_on()
+        if (self._body_size > self._max_buffered_bytes or self._is_streamed_early) and self._should_stream(len(body)):
+            self.start_streaming()
             return None
         return None
 
-    def _passes(self, more: int) -> bool:
+    def _should_stream(self, more: int) -> bool:
         """Return whether a body that has grown by `more` bytes is streamed from here on."""
         return not self._reserve_buffer(more)
 
     def on_message_complete(self) -> None:
         message = self._message
-        message.keep = self.parser.should_keep_alive()
+        message.keep_alive = self.parser.should_keep_alive()
         if message.flow is not None:
             message.flow.end()
         else:
             message.body = b"".join(self._body_parts)
             self._set_start_line(message)
-            self._done.append(message)
-        self._body_parts, self._early = [], False
+            self._completed.append(message)
+        self._body_parts, self._is_streamed_early = [], False
         self.partial, self._in_head = False, True
         self._head_bytes = self._field_bytes = self._bytes_since_message = 0
 
@@ -227,15 +230,21 @@
 
     def __init__(
         self,
-        long: bool = False,
-        hold: Callable[[int], bool] = refused,
+        can_stream: bool = False,
+        reserve_buffer: Callable[[int], bool] = never_reserve,
         *,
-        head_most: int = MAX_HEAD_BYTES,
-        body_most: int = MAX_BODY_BYTES,
-        long_most: int = MAX_LONG_BODY_BYTES,
+        max_head_bytes: int = MAX_HEAD_BYTES,
+        max_buffered_body_bytes: int = MAX_BODY_BYTES,
+        max_body_bytes: int = MAX_LONG_BODY_BYTES,
     ) -> None:
-        super().__init__(long, hold, head_most=head_most, body_most=body_most, long_most=long_most)
-        self.expects = False  # whether the client waits for 100 Continue before it sends the body
+        super().__init__(
+            can_stream,
+            reserve_buffer,
+            max_head_bytes=max_head_bytes,
+            max_buffered_body_bytes=max_buffered_body_bytes,
+            max_body_bytes=max_body_bytes,
+        )
+        self.expects_continue = False  # whether the client waits for 100 Continue before it sends the body
         self.parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
@@ -247,47 +256,52 @@
         super().on_headers_complete()
         head = self._message.headers
         if b"expect" in head:
-            self.expects = head[b"expect"].lower() == b"100-continue" and (
+            self.expects_continue = head[b"expect"].lower() == b"100-continue" and (
                 bool(self._message.length) or b"transfer-encoding" in head
             )
 
     def on_body(self, body: bytes) -> None:
         """Append a part of the body (httptools)."""
-        self.expects = False
+        self.expects_continue = False
         super().on_body(body)
 
     def _set_start_line(self, message: Message) -> None:
         message.method = self.parser.get_method()
-        if not message.keep or b"connection" in message.headers:  # otherwise the version can only be 1.1
+        if not message.keep_alive or b"connection" in message.headers:  # otherwise the version can only be 1.1
             message.version = self.parser.get_http_version()
 
 
-class AnswerReader(_Reader):
+class ResponseReader(_Reader):
     """Reads the responses of one server connection."""
 
     _streams_early = True
 
     def __init__(
         self,
-        long: bool = False,
+        can_stream: bool = False,
         *,
-        head_most: int = MAX_HEAD_BYTES,
-        body_most: int = MAX_BODY_BYTES,
-        long_most: int = MAX_LONG_BODY_BYTES,
+        max_head_bytes: int = MAX_HEAD_BYTES,
+        max_buffered_body_bytes: int = MAX_BODY_BYTES,
+        max_body_bytes: int = MAX_LONG_BODY_BYTES,
     ) -> None:
-        super().__init__(long, head_most=head_most, body_most=body_most, long_most=long_most)
+        super().__init__(
+            can_stream,
+            max_head_bytes=max_head_bytes,
+            max_buffered_body_bytes=max_buffered_body_bytes,
+            max_body_bytes=max_body_bytes,
+        )
         self.parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
 
     def end(self) -> list[Message]:
         """Return the message that the end of the connection completes: one with neither a length nor chunks."""
-        message = self.begun
+        message = self.message_in_progress
         if message is None or message.length is not None or b"transfer-encoding" in message.headers:
             return []
         self.on_message_complete()
-        message.keep = False
-        return self.completed()
+        message.keep_alive = False
+        return self.take_completed()
 
-    def _passes(self, more: int) -> bool:
+    def _should_stream(self, more: int) -> bool:
         return True
 
     def _set_start_line(self, message: Message) -> None:
@@ -326,7 +340,9 @@
 }
 
 
-def head(status: int, length: int | None, *, headers: bytes = b"", close: bool = False, version: str = "1.1") -> bytes:
+def encode_response_head(
+    status: int, length: int | None, *, headers: bytes = b"", close: bool = False, version: str = "1.1"
+) -> bytes:
     """Return the head of a response.
 
     With no `length` the body has to be chunked, or for HTTP/1.0 has to end with the connection.
@@ -340,6 +356,8 @@
     return b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, REASON_PHRASES[status], framing, headers, connection)
 
 
-def answer(status: int, body: bytes = b"", *, headers: bytes = b"", close: bool = False, version: str = "1.1") -> bytes:
+def encode_response(
+    status: int, body: bytes = b"", *, headers: bytes = b"", close: bool = False, version: str = "1.1"
+) -> bytes:
     """Return a complete response with its body."""
-    return head(status, len(body), headers=headers, close=close, version=version) + body
+    return encode_response_head(status, len(body), headers=headers, close=close, version=version) + body
--- a/hallhitch/net/ingress.py
+++ b/hallhitch/net/ingress.py
@@ -22,7 +22,7 @@
 from hallhitch.net.acceptor import Acceptor
 from hallhitch.net.client_connection import BUFFER_BYTES, REQUEST_TIMEOUT_MS, ClientConnection, StreamedMessage
 from hallhitch.net.flow import Flow
-from hallhitch.net.http import Malformed, Message, RequestReader, answer, head, path_of
+from hallhitch.net.http import Malformed, Message, RequestReader, encode_response, encode_response_head, path_of
 from hallhitch.net.request_limits import (
     CUSTOMER,
     CUSTOMER_END,
@@ -68,7 +68,7 @@
         super().__init__(ingress, sock, ingress.deadlines, ingress.scheduler)
         self._ingress = ingress
         self._is_spare = spare
-        self._reader = RequestReader(long=True, hold=self._reserve_buffer)
+        self._reader = RequestReader(can_stream=True, reserve_buffer=self._reserve_buffer)
         self._held_bytes = 0  # reserved from the ingress's limit for buffered long bodies
         self._queued_requests: deque[tuple[Message, RequestLimits]] = deque()
         self._current_request: Message | None = None  # the request that is being answered
@@ -87,7 +87,7 @@
         self._final_status = 0  # status of the error response that ends the connection; 0 if there is none
 
     @property
-    def owes_answer(self) -> bool:
+    def owes_response(self) -> bool:
         """Whether the client is owed a response."""
         return self._current_request is not None or bool(self._queued_requests)
 
@@ -102,17 +102,19 @@
         if self.is_ending:
             return False
         body = self._receiving_request.flow if self._receiving_request is not None else None
-        is_server_slow = body is not None and body.waits
+        is_server_slow = body is not None and body.has_pieces
         if len(self._queued_requests) >= MAX_QUEUED_REQUESTS or self._is_throttled or is_server_slow:
             return True
         # While connections are being ended, a pipelining client is not read until it has its responses: a connection
         # ends only when no request is queued, so that one that never stops sending would never end.
-        return self._is_pipelining and self.owes_answer and self._receiving_request is None and self._ingress.is_leaving
+        return (
+            self._is_pipelining and self.owes_response and self._receiving_request is None and self._ingress.is_leaving
+        )
 
     @property
     def is_receiving_body(self) -> bool:
         """Whether a long body is being received."""
-        return self._receiving_request is not None and self._reader.size > BUFFER_BYTES
+        return self._receiving_request is not None and self._reader.received_body_bytes > BUFFER_BYTES
 
     @property
     def has_unread_upload(self) -> bool:
@@ -129,12 +131,12 @@
             return True
         if self._forwarded_body is not None:
             return False
-        return now - self._body_began_at > REQUEST_TIMEOUT_MS + self._reader.size / MIN_BODY_BYTES_PER_MS
+        return now - self._body_began_at > REQUEST_TIMEOUT_MS + self._reader.received_body_bytes / MIN_BODY_BYTES_PER_MS
 
     def _reserve_buffer(self, size: int) -> bool:
         """Reserve memory for `size` more bytes of a body to buffer; return False if it has to be forwarded instead."""
         exceeds_total = self._ingress.held_bytes + size > self._ingress.max_held_bytes
-        if self._reader.size > MAX_BUFFERED_BODY_BYTES or exceeds_total:
+        if self._reader.received_body_bytes > MAX_BUFFERED_BODY_BYTES or exceeds_total:
             return False
         self._held_bytes += size
         self._ingress.held_bytes += size
@@ -169,14 +171,14 @@
         except Malformed as error:
             COUNTS["malformed"] += 1
             self._final_status = error.status  # sent after the responses to the complete requests before it
-            self._queued_requests.extend((request, limits) for request in self._reader.completed())
-        previous, self._receiving_request = self._receiving_request, self._reader.begun
+            self._queued_requests.extend((request, limits) for request in self._reader.take_completed())
+        previous, self._receiving_request = self._receiving_request, self._reader.message_in_progress
         if self._receiving_request is not None and self._receiving_request is not previous:
             self._body_began_at = self._progressed_at
         if self._forwarded_body is not None and self._forwarded_body.ended:
             self._on_body_complete()
-        if self._reader.expects and not self.owes_answer and not self._final_status:
-            self._reader.expects = False
+        if self._reader.expects_continue and not self.owes_response and not self._final_status:
+            self._reader.expects_continue = False
             self.write_now(CONTINUE)
         self._start_next()
         self._is_pipelining = self._is_pipelining or (self._current_request is not None and bool(self._queued_requests))
@@ -206,7 +208,7 @@
         if not self._queued_requests:
             if self._final_status:
                 self.is_ending = True
-                self.post(answer(self._final_status, close=True))
+                self.post(encode_response(self._final_status, close=True))
             return None
         request, limits = self._queued_requests.popleft()
         self._current_request = request
@@ -229,7 +231,7 @@
         self.had_accepted_request = True
         self._request_id = request.headers[b"req-id"]
         if request.flow is not None:
-            request.flow.taken = self.resume_reading
+            request.flow.on_taken = self.resume_reading
             if request.flow.ended:
                 self._ingress.core.on_request_complete(self._exchange_id)
                 return None
@@ -284,7 +286,7 @@
                 flow.abandon()
             return
         is_incomplete = request.flow is not None and not request.flow.ended  # the gateway does not wait for the rest
-        close = close or self.is_ending or self._is_spare or not request.keep or is_incomplete
+        close = close or self.is_ending or self._is_spare or not request.keep_alive or is_incomplete
         if request.flow is not None:
             request.flow.abandon()
         if self._forwarded_body is not None:
@@ -297,13 +299,17 @@
         self._ingress.open_ids.discard(self._request_id)
         self._request_id = b""
         if flow is None or streamed is None:
-            response_head = head(status, len(body), headers=headers, close=close, version=request.version)
+            response_head = encode_response_head(
+                status, len(body), headers=headers, close=close, version=request.version
+            )
             self.post(response_head if request.method == b"HEAD" else response_head + body)
             return
         is_chunked = streamed.length is None and request.version != "1.0"
         # The end of the connection marks the end of a body that has no length and is not chunked.
         self.is_ending = close = close or (streamed.length is None and not is_chunked)
-        response_head = head(status, streamed.length, headers=headers, close=close, version=request.version)
+        response_head = encode_response_head(
+            status, streamed.length, headers=headers, close=close, version=request.version
+        )
         if not self.post(StreamedMessage(response_head, flow, is_chunked)):
             flow.abandon()
             self.close()
@@ -393,7 +399,7 @@
             UnacceptableRequest: the request is not acceptable.
         """
         headers = request.headers
-        if not SINGLE_HEADERS.isdisjoint(request.twice):
+        if not SINGLE_HEADERS.isdisjoint(request.repeated_names):
             raise UnacceptableRequest(400, "a header came twice")
         if headers.get(b"expect", b"100-continue").lower() != b"100-continue":
             raise UnacceptableRequest(417, "the expectation is not supported")
--- a/hallhitch/net/routes.py
+++ b/hallhitch/net/routes.py
@@ -16,7 +16,7 @@
 from hallhitch.core.invariants import COUNTS
 from hallhitch.decision import api
 from hallhitch.decision.settings import WireError
-from hallhitch.net.http import AnswerReader, Message
+from hallhitch.net.http import Message, ResponseReader
 from hallhitch.net.route_updates import RouteUpdate, parse_update
 from hallhitch.net.sockets import connect, shut_down
 from hallhitch.net.timeouts import DeadlineTimeout, sleep_ms
@@ -107,7 +107,7 @@
             except OSError:  # includes time-outs: discovery was not reached and did no work
                 await sleep_ms(self._deadlines, self._backoff.retry_delay_ms(is_reached=False))
                 continue
-            reader = AnswerReader()
+            reader = ResponseReader()
             try:
                 while True:
                     hold_ms = WATCH_HOLD_MS if self._first_response.is_set() else FIRST_WATCH_HOLD_MS
@@ -124,7 +124,7 @@
             await sleep_ms(self._deadlines, self._backoff.retry_delay_ms(is_reached=True))
 
     async def _request_updates(
-        self, sock: socket.socket, reader: AnswerReader, address: tuple[str, int], sequence: int, hold_ms: float
+        self, sock: socket.socket, reader: ResponseReader, address: tuple[str, int], sequence: int, hold_ms: float
     ) -> int:
         """Request and apply the updates after `sequence`; return the sequence number of the response.
 
@@ -151,6 +151,6 @@
         update = parse_update(json.loads(response.body), self._zones)
         if update.server_list.entries or update.server_list.mode == "full":
             self.post(update)
-        if not response.keep:
+        if not response.keep_alive:
             raise ConnectionError("discovery closed the connection after its response")
         return update.sequence
--- a/hallhitch/net/upstream/context.py
+++ b/hallhitch/net/upstream/context.py
@@ -10,7 +10,7 @@
 
 from hallhitch.core.deadlines import Deadline, Deadlines
 from hallhitch.core.ports import Attempt
-from hallhitch.net.http import AnswerReader, Message
+from hallhitch.net.http import Message, ResponseReader
 from hallhitch.net.sockets import shut_down
 from hallhitch.net.upstream.idle_times import IdleTimeStatistics
 
@@ -43,7 +43,7 @@
 
     sock: socket.socket
     location: Location
-    reader: AnswerReader = field(default_factory=lambda: AnswerReader(long=True))
+    reader: ResponseReader = field(default_factory=lambda: ResponseReader(can_stream=True))
     idle_since: float = 0.0  # 0 for a new connection
 
 
--- a/hallhitch/net/upstream/receive.py
+++ b/hallhitch/net/upstream/receive.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from hallhitch.net.flow import Flow
-from hallhitch.net.http import AnswerReader, Malformed, Message
+from hallhitch.net.http import Malformed, Message, ResponseReader
 from hallhitch.net.sockets import shut_down
 from hallhitch.net.upstream.context import UpstreamAttempt, UpstreamConnection, UpstreamContext
 
@@ -36,11 +36,16 @@
             if not size:
                 return _result_at_end_of_connection(running, reader)
             response = read_response(reader, view[:size])
-            if response is None and reader.begun is not None and reader.size and reader.begun.length is None:
+            if (
+                response is None
+                and reader.message_in_progress is not None
+                and reader.received_body_bytes
+                and reader.message_in_progress.length is None
+            ):
                 # The length is unknown until the body ends, so that a slow body is streamed instead of held back.
                 body_began_at = body_began_at or context.deadlines.clock()
                 if context.deadlines.clock() - body_began_at > STREAM_AFTER_MS:
-                    reader.pass_on()
+                    reader.start_streaming()
                     response = read_response(reader, view[:0])
             if response is not None and response.flow is not None:
                 if outcome_of(response) != "ok":
@@ -60,7 +65,7 @@
         context.deadlines.cancel(stall_deadline)
 
 
-def _result_at_end_of_connection(running: UpstreamAttempt, reader: AnswerReader) -> Result:
+def _result_at_end_of_connection(running: UpstreamAttempt, reader: ResponseReader) -> Result:
     """Return the result of an attempt whose connection has ended."""
     if running.is_stalled:
         raise Malformed(400)
@@ -87,19 +92,19 @@
     loop, buffer, taken = asyncio.get_running_loop(), bytearray(STREAM_BUFFER_BYTES), asyncio.Event()
     view = memoryview(buffer)
 
-    def on_taken() -> None:
+    def on_pieces_taken() -> None:
         taken.set()
         if flow.abandoned and not flow.ended:
             shut_down(connection.sock)
 
-    flow.taken = on_taken
+    flow.on_taken = on_pieces_taken
     running.is_streamed = True
     context.streaming += 1
     try:
         if not context.end(running, "ok", response):
             flow.abandon()
         while not flow.ended and not flow.broken and not flow.abandoned:
-            while flow.waits:
+            while flow.has_pieces:
                 taken.clear()
                 await taken.wait()
             deadline = context.deadlines.call_after(STREAM_STALL_TIMEOUT_MS, lambda: shut_down(connection.sock))
@@ -111,16 +116,16 @@
                 connection.reader.end()
                 break
             if connection.reader.feed(view[:size]) or (flow.ended and connection.reader.partial):
-                response.keep = False  # excess bytes came after the response
+                response.keep_alive = False  # excess bytes came after the response
     except (OSError, Malformed):
-        response.keep = False
+        response.keep_alive = False
     finally:
         context.streaming -= 1
         flow.fail()
-        response.keep = response.keep and flow.ended and not flow.abandoned
+        response.keep_alive = response.keep_alive and flow.ended and not flow.abandoned
 
 
-def read_response(reader: AnswerReader, data: memoryview) -> Message | None:
+def read_response(reader: ResponseReader, data: memoryview) -> Message | None:
     """Return the final response once it is complete or streamed; after excess bytes its connection is not reused.
 
     Raises:
@@ -130,13 +135,13 @@
     try:
         responses = reader.feed(data)
     except Malformed:
-        responses, has_excess_bytes = reader.completed(), True
+        responses, has_excess_bytes = reader.take_completed(), True
         if all(response.status < 200 for response in responses):
             raise
     final = [response for response in responses if response.status >= 200]
     if not final:
         return None
-    final[0].keep = final[0].keep and len(final) == 1 and not has_excess_bytes and not reader.partial
+    final[0].keep_alive = final[0].keep_alive and len(final) == 1 and not has_excess_bytes and not reader.partial
     return final[0]
 
 
@@ -144,7 +149,7 @@
     """Return the outcome that a response's status stands for."""
     if response.status == 200:
         return "ok"
-    is_declined = response.headers.get(b"srv-declined") == b"1" and b"srv-declined" not in response.twice
+    is_declined = response.headers.get(b"srv-declined") == b"1" and b"srv-declined" not in response.repeated_names
     if response.status in (503, 504) and is_declined:
         return "full"
     return "error"
--- a/hallhitch/net/upstream/server.py
+++ b/hallhitch/net/upstream/server.py
@@ -57,7 +57,7 @@
         if running.is_written and outcome != "cancelled":
             self._context.idle_times.observe(running.idle_ms, outcome == "reset")
         connection, running.connection = running.connection, None
-        is_reusable = response is not None and response.keep and (running.is_streamed or not running.is_over)
+        is_reusable = response is not None and response.keep_alive and (running.is_streamed or not running.is_over)
         if connection is not None and not (is_reusable and self._return_to_pool(connection)):
             close_connection(connection)
         self._context.end(running, outcome, response)
@@ -85,7 +85,7 @@
             if upload_task is not None:
                 upload_task.cancel()
         if response is not None and not running.is_written:
-            response.keep = False
+            response.keep_alive = False
         return outcome, response
 
     def _on_written(self, running: UpstreamAttempt) -> None:
@@ -100,7 +100,7 @@
         assert flow is not None
         self._context.reports.on_streaming_started(running.attempt)
         try:
-            async for data in flow.written(encode_head(request, remaining_ms), chunked=request.length is None):
+            async for data in flow.encode_message(encode_head(request, remaining_ms), chunked=request.length is None):
                 await loop.sock_sendall(connection.sock, data)
         except (OSError, Broken):
             return shut_down(connection.sock)
--- a/hallhitch/ops/operator_server.py
+++ b/hallhitch/ops/operator_server.py
@@ -18,7 +18,7 @@
 
 from hallhitch.core.deadlines import Deadlines
 from hallhitch.core.invariants import COUNTS
-from hallhitch.net.http import Malformed, Message, RequestReader, answer, path_of
+from hallhitch.net.http import Malformed, Message, RequestReader, encode_response, path_of
 from hallhitch.net.sockets import Listener, configure_socket, shut_down
 from hallhitch.net.timeouts import DeadlineTimeout
 
@@ -137,4 +137,4 @@
 def encode_reply(reply: OperatorReply) -> bytes:
     """Return an answer as bytes; the connection closes after it."""
     headers = f"Content-Type: {reply.content_type}\r\n".encode()
-    return answer(reply.status, reply.body.encode(), headers=headers, close=True)
+    return encode_response(reply.status, reply.body.encode(), headers=headers, close=True)
--- a/hallhitch/planes/data/backend_connection.py
+++ b/hallhitch/planes/data/backend_connection.py
@@ -156,7 +156,7 @@
         try:
             responses = self._reader.feed(data)
         except Malformed:
-            responses, has_excess_bytes = self._reader.completed(), True
+            responses, has_excess_bytes = self._reader.take_completed(), True
         if self.body_flow is not None:
             return self._advance_stream(attempt, self.body_flow, has_excess_bytes or bool(responses))
         for number, response in enumerate(responses, 1):
@@ -213,7 +213,7 @@
             return False
         outcome = classify_response(response, response_id, request_id, self._is_unused)
         if response.flow is None:
-            self._complete(attempt, outcome, response, response.keep and not has_excess_bytes)
+            self._complete(attempt, outcome, response, response.keep_alive and not has_excess_bytes)
         elif outcome is Outcome.INVALID_RESPONSE or response.flow.broken:
             self._close_invalid()
         else:
@@ -225,8 +225,8 @@
         """Start to stream a response whose body is still arriving."""
         self.body_flow, self._head_outcome = flow, outcome
         attempt.latency_ms = self._clock() - (attempt.written_at or 0.0)
-        self._must_not_be_reused = self._must_not_be_reused or not response.keep
-        flow.taken = self._resume_reading
+        self._must_not_be_reused = self._must_not_be_reused or not response.keep_alive
+        flow.on_taken = self._resume_reading
         if outcome is Outcome.OK:
             attempt.owner.on_streaming_response(response, flow)
         else:
@@ -239,7 +239,7 @@
             self._complete(attempt, self._head_outcome, None, not has_excess_bytes)
         elif flow.broken or has_excess_bytes:
             self._close_invalid()
-        elif flow.waits:
+        elif flow.has_pieces:
             self._transport.pause_reading()
 
     def _resume_reading(self) -> None:
@@ -322,7 +322,7 @@
     async def _stream_request(self, head: bytes, body: Flow, chunked: bool) -> None:
         """Forward a long request as it arrives; if it is truncated, close the connection: the backend then drops it."""
         try:
-            async for data in body.written(head, chunked=chunked):
+            async for data in body.encode_message(head, chunked=chunked):
                 self._transport.write(data)
                 while self._write_resumed is not None:
                     await self._write_resumed
--- a/hallhitch/planes/data/client_connection.py
+++ b/hallhitch/planes/data/client_connection.py
@@ -132,13 +132,13 @@
         try:
             requests = self._reader.feed(data)
         except Malformed as error:
-            requests, self._rejection_status = self._reader.completed(), error.status
+            requests, self._rejection_status = self._reader.take_completed(), error.status
         for request in requests:
             self._queue.append((request, self._message_began_at))
             self._message_began_at = now
             if request.flow is not None:
                 self._body_flow = request.flow
-                request.flow.taken = self._resume_reading
+                request.flow.on_taken = self._resume_reading
         self._limit_reading()
         if not self.is_busy:
             self._start_next_or_wait(now)
@@ -209,7 +209,7 @@
     @property
     def is_reading_head(self) -> bool:
         """Whether a request's head was received only in part."""
-        return self._reader.partial and self._reader.begun is None
+        return self._reader.partial and self._reader.message_in_progress is None
 
     # Request handling.
 
@@ -228,8 +228,8 @@
             self.close()
         elif self._reader.partial:
             timers.reading_since[self] = reading_since if self.is_reading_head else now
-            if self._reader.expects:
-                self._reader.expects = False
+            if self._reader.expects_continue:
+                self._reader.expects_continue = False
                 self._transport.write(CONTINUE_HEAD)
         else:
             timers.idle_since[self] = now
@@ -271,7 +271,7 @@
         """Return whether this reply is the last one on the connection."""
         has_unread_body = request.flow is not None and not request.flow.ended
         is_draining = self._context.is_draining and not self._queue
-        return reply.must_close or not request.keep or self.is_disconnected or has_unread_body or is_draining
+        return reply.must_close or not request.keep_alive or self.is_disconnected or has_unread_body or is_draining
 
     # Replies.
 
@@ -309,7 +309,7 @@
     async def _stream_body(self, flow: Flow, chunked: bool) -> None:
         """Forward a body as fast as the client reads it; if it is truncated, abort so that it never looks complete."""
         try:
-            async for data in flow.written(b"", chunked):
+            async for data in flow.encode_message(b"", chunked):
                 if self._is_finished or self._transport.is_closing():
                     return flow.abandon()
                 self._transport.write(data)
@@ -343,7 +343,7 @@
         if self._body_flow is not None:
             if self._body_flow.ended or self._body_flow.broken:
                 self._body_flow = None
-            elif self._body_flow.waits:
+            elif self._body_flow.has_pieces:
                 self._pause_reading()
         if len(self._queue) > MAX_QUEUED_REQUESTS:
             self._pause_reading()
--- a/hallhitch/planes/data/http_messages.py
+++ b/hallhitch/planes/data/http_messages.py
@@ -106,7 +106,7 @@
 def is_malformed(request: Message) -> bool:
     """Return whether recipients could interpret the request differently, or it lacks Host or a known version."""
     headers = request.headers
-    if any(name in SINGLETON_REQUEST_FIELDS for name in request.twice):
+    if any(name in SINGLETON_REQUEST_FIELDS for name in request.repeated_names):
         return True
     if b"transfer-encoding" in headers and (
         b"content-length" in headers or headers[b"transfer-encoding"].lower() != b"chunked"
@@ -169,7 +169,7 @@
 ) -> Reply:
     """Return a reply that this gateway generates; `request` is None if none could be read."""
     lines = b""
-    if request is not None and REQUEST_ID in request.headers and REQUEST_ID not in request.twice:
+    if request is not None and REQUEST_ID in request.headers and REQUEST_ID not in request.repeated_names:
         lines = b"Hallhitch-Request-Id: " + request.headers[REQUEST_ID] + b"\r\n"
     if retry_after_ms is not None:
         lines += b"Retry-After: %.3f\r\n" % (max(MIN_RETRY_AFTER_MS, retry_after_ms) / 1000.0)
--- a/hallhitch/planes/data/http_readers.py
+++ b/hallhitch/planes/data/http_readers.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from hallhitch.net.http import AnswerReader, RequestReader
+from hallhitch.net.http import RequestReader, ResponseReader
 from hallhitch.planes.values import RequestLimits
 
 # A response that is truncated while it is buffered can still be retried; one that is streamed to the client cannot.
@@ -55,9 +55,9 @@
         super().__init__(
             True,
             reserve,
-            head_most=limits.max_head_bytes,
-            body_most=min(UNRESERVED_BODY_MAX_BYTES, limits.max_body_bytes),
-            long_most=limits.max_body_bytes,
+            max_head_bytes=limits.max_head_bytes,
+            max_buffered_body_bytes=min(UNRESERVED_BODY_MAX_BYTES, limits.max_body_bytes),
+            max_body_bytes=limits.max_body_bytes,
         )
 
     def on_message_begin(self) -> None:
@@ -72,7 +72,7 @@
             self._message.fields.append((name, value))
 
 
-class BackendReader(AnswerReader):
+class BackendReader(ResponseReader):
     """Reads responses, with all their header fields, from a backend connection.
 
     A response longer than BUFFERED_RESPONSE_MAX_BYTES is streamed; so is one longer than UNRESERVED_BODY_MAX_BYTES if
@@ -82,9 +82,9 @@
     def __init__(self, body_memory: BodyMemory) -> None:
         super().__init__(
             True,
-            head_most=RESPONSE_HEAD_MAX_BYTES,
-            body_most=UNRESERVED_BODY_MAX_BYTES,
-            long_most=RESPONSE_BODY_MAX_BYTES,
+            max_head_bytes=RESPONSE_HEAD_MAX_BYTES,
+            max_buffered_body_bytes=UNRESERVED_BODY_MAX_BYTES,
+            max_body_bytes=RESPONSE_BODY_MAX_BYTES,
         )
         self._body_memory = body_memory
         self._reserved_bytes = 0
@@ -105,15 +105,19 @@
         """Handle the end of the head (httptools)."""
         super().on_headers_complete()
         length = self._message.length
-        self._early = length is not None and length > BUFFERED_RESPONSE_MAX_BYTES
+        self._is_streamed_early = length is not None and length > BUFFERED_RESPONSE_MAX_BYTES
         if self.is_head_request and self.parser.get_status_code() >= 200:
             # The parser does not know that the request was HEAD and would wait for a body. Completing the message here
             # leaves its state inconsistent, so the connection must not be reused.
             self.on_message_complete()
-            self._done[-1].keep = False
-
-    def _passes(self, more: int) -> bool:
-        if self._early or self._size > BUFFERED_RESPONSE_MAX_BYTES or not self._body_memory.reserve(more):
+            self._completed[-1].keep_alive = False
+
+    def _should_stream(self, more: int) -> bool:
+        if (
+            self._is_streamed_early
+            or self._body_size > BUFFERED_RESPONSE_MAX_BYTES
+            or not self._body_memory.reserve(more)
+        ):
             return True
         self._reserved_bytes += more
         return False
--- a/hallhitch/planes/data/response_classification.py
+++ b/hallhitch/planes/data/response_classification.py
@@ -28,7 +28,7 @@
     headers, status = response.headers, response.status
     lacks_id = response_id is None and request_id is not None
     if (
-        REQUEST_ID in response.twice
+        REQUEST_ID in response.repeated_names
         or (lacks_id and not is_first_on_connection)
         or headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked"
     ):
@@ -48,5 +48,5 @@
     """Return whether a 2xx response has exactly one seal, no content coding and a delimited body."""
     headers = response.headers
     is_framed = response.length is not None or b"transfer-encoding" in headers or response.status == 204
-    is_sealed_once = RESPONSE_SEAL in headers and RESPONSE_SEAL not in response.twice
+    is_sealed_once = RESPONSE_SEAL in headers and RESPONSE_SEAL not in response.repeated_names
     return is_framed and is_sealed_once and b"content-encoding" not in headers and NOT_EXECUTED not in headers
--- a/hallhitch/planes/discovery/platform_client.py
+++ b/hallhitch/planes/discovery/platform_client.py
@@ -7,7 +7,7 @@
 from typing import Final
 from urllib.parse import quote
 
-from hallhitch.net.http import AnswerReader, Malformed, Message
+from hallhitch.net.http import Malformed, Message, ResponseReader
 from hallhitch.node.clock import now
 from hallhitch.planes.discovery.endpoint_list import ListedBackend, parse_page
 from hallhitch.planes.discovery.errors import EndpointListError
@@ -29,7 +29,7 @@
 class _Connection:
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    parser: AnswerReader
+    parser: ResponseReader
 
 
 class PlatformClient:
@@ -91,13 +91,13 @@
         host, port = self._address
         if self._connection is None:
             reader, writer = await asyncio.open_connection(host, port)
-            self._connection = _Connection(reader, writer, AnswerReader(long=True))
+            self._connection = _Connection(reader, writer, ResponseReader(can_stream=True))
         connection = self._connection
         self.request_count += 1
         connection.writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode("latin-1"))
         response = await _read_response(connection)
         body = await _read_body(connection, response)
-        if not response.keep:
+        if not response.keep_alive:
             self.close()
         if response.status != 200:
             raise OSError(f"the platform responded with status {response.status}")
@@ -122,7 +122,7 @@
         return bytes(response.body)
     body = bytearray()
     while True:
-        while flow.waits:
+        while flow.has_pieces:
             body += await flow.take()
         if flow.ended:
             return bytes(body)
--- a/hallhitch/resp/session.py
+++ b/hallhitch/resp/session.py
@@ -92,7 +92,7 @@
     # The connection, as its acceptor sees it.
 
     @property
-    def owes_answer(self) -> bool:
+    def owes_response(self) -> bool:
         """Whether a reply is owed."""
         return bool(self._slots) or self._writing > 0
 
@@ -122,7 +122,7 @@
         """Account for replies that were written, and go on with what waited for them."""
         self._writing -= count
         self._execute_pending()
-        if not self.owes_answer:
+        if not self.owes_response:
             self._acceptor.on_idle(self)
         self.resume_reading()
 
--- a/tests/membership/test_hot_restart.py
+++ b/tests/membership/test_hot_restart.py
@@ -40,7 +40,9 @@
         return await soon(look())
 
     async def test_successor_is_no_conflict_and_returns_to_the_configured_address(self) -> None:
-        new = Program(self.shared_folder, self.discovery.address, self.counter.address, self.nodes, self.give_up)
+        new = Program(
+            self.shared_folder, self.discovery.address, self.counter.address, self.nodes, self.counter_timeout_ms
+        )
         new.config["ops"] = f"127.0.0.1:{free_port()}"
         self.prepare_program(new)
         await new.start(*self.peers(new))
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from hallhitch.net.flow import Flow
-from hallhitch.net.http import MAX_BODY_BYTES, AnswerReader, Malformed, Message, RequestReader, origin_of, path_of
+from hallhitch.net.http import MAX_BODY_BYTES, Malformed, Message, RequestReader, ResponseReader, origin_of, path_of
 
 LONG_BODY = bytes(range(256)) * 300  # longer than MAX_BODY_BYTES, so that it is streamed
 CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n"
@@ -55,7 +55,7 @@
     return b"".join(flow._pieces)
 
 
-def read_messages(reader: RequestReader | AnswerReader, data: bytes, cuts: list[int]) -> list[Message]:
+def read_messages(reader: RequestReader | ResponseReader, data: bytes, cuts: list[int]) -> list[Message]:
     """Feed data to a reader, split at the cuts, and return the messages."""
     split_points = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
     return [m for a, b in itertools.pairwise(split_points) for m in reader.feed(data[a:b])]
@@ -69,7 +69,9 @@
     def test_requests_are_read_however_they_are_split(self, cuts: list[int], is_buffered: bool) -> None:
         """Guards against a parse that depends on the split of the bytes, and a trailer field used as a header."""
         for data, body in REQUESTS.items():
-            reader = RequestReader(long=True, hold=(lambda size: True) if is_buffered else (lambda size: False))
+            reader = RequestReader(
+                can_stream=True, reserve_buffer=(lambda size: True) if is_buffered else (lambda size: False)
+            )
             (message,) = read_messages(reader, data, cuts)
             self.assertEqual((path_of(message.target), message.headers[b"a"], body_of(message)), (b"/a", b"b", body))
             self.assertNotIn(b"req-id", message.headers)
@@ -81,7 +83,7 @@
     def test_responses_are_read_however_they_are_split(self, cuts: list[int]) -> None:
         """Guards against responses of any framing that are lost, or altered by the split of their bytes."""
         for data, body in RESPONSES.items():
-            reader = AnswerReader(long=True)
+            reader = ResponseReader(can_stream=True)
             messages = read_messages(reader, data, cuts) + reader.end()
             message = next(m for m in messages if m.status >= 200)
             self.assertEqual((message.status, message.headers[b"a"], body_of(message)), (200, b"b", body))
@@ -90,15 +92,15 @@
     def test_a_response_without_a_body_is_complete_at_its_head(self, cuts: list[int], bodiless: bytes) -> None:
         """Guards against a wait for a body that never comes, and against the next response read as that body."""
         first, second = read_messages(
-            AnswerReader(long=True), bodiless + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", cuts
+            ResponseReader(can_stream=True), bodiless + b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", cuts
         )
-        self.assertEqual((first.headers[b"a"], first.body, first.keep), (b"b", b"", True))
+        self.assertEqual((first.headers[b"a"], first.body, first.keep_alive), (b"b", b"", True))
         self.assertEqual((second.status, second.body), (200, b"abc"))
 
     def test_requests_are_read_byte_by_byte(self) -> None:
         """Guards against framings that are only read if they arrive in larger pieces."""
         for data, body in REQUESTS.items():
-            reader = RequestReader(long=True)
+            reader = RequestReader(can_stream=True)
             (message,) = [m for n in range(len(data)) for m in reader.feed(data[n : n + 1])]
             self.assertEqual(body_of(message), body)
 
@@ -109,15 +111,15 @@
             b"HTTP/1.1 200 OK\r\n",
             b"HTTP/1.1 200 OK\r\n" + CHUNKED + b"5\r\nabc",
         ):
-            reader = AnswerReader(long=True)
+            reader = ResponseReader(can_stream=True)
             self.assertEqual((reader.feed(data), reader.end()), ([], []))
 
     def test_a_body_that_is_too_long_is_rejected_at_its_head_or_at_the_limit(self) -> None:
         """Guards against endless bodies, and against streaming a body that is declared as 3 GB."""
         for declared in (b"3221225472", b"9" * 30):
             with self.assertRaises(Malformed):
-                AnswerReader(long=True).feed(b"HTTP/1.1 200 OK\r\nContent-Length: %s\r\n\r\nab" % declared)
-        reader, flow = AnswerReader(long=True), Flow()
+                ResponseReader(can_stream=True).feed(b"HTTP/1.1 200 OK\r\nContent-Length: %s\r\n\r\nab" % declared)
+        reader, flow = ResponseReader(can_stream=True), Flow()
         reader.feed(b"HTTP/1.1 200 OK\r\n" + CHUNKED)
         piece = b"10000\r\n" + bytes(65536) + b"\r\n"
         with self.assertRaises(Malformed):
--- a/tests/ops/hot_restart/replacement_case.py
+++ b/tests/ops/hot_restart/replacement_case.py
@@ -34,7 +34,9 @@
         """Start the successor and wait until it is ready; it logs `log_event` first."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        program = Program(folder.name, self.discovery.address, self.counter.address, self.nodes, self.give_up)
+        program = Program(
+            folder.name, self.discovery.address, self.counter.address, self.nodes, self.counter_timeout_ms
+        )
         program.config["ops"] = f"127.0.0.1:{free_port()}"
         self.prepare_program(program)
         await program.start()
--- a/tests/resp/test_limit_server.py
+++ b/tests/resp/test_limit_server.py
@@ -130,7 +130,7 @@
 class CounterFaultsTest(RespCase):
     """Each command gets exactly one reply, whatever the counter does."""
 
-    give_up = 50.0
+    counter_timeout_ms = 50.0
 
     async def test_stalled_counter_delays_no_command_beyond_its_time_out(self) -> None:
         self.counter.open.clear()
@@ -195,7 +195,7 @@
 class GracefulShutdownTest(RespCase):
     """SIGTERM while the counter stalls."""
 
-    give_up = 50.0
+    counter_timeout_ms = 50.0
 
     async def test_commands_in_flight_are_answered_before_the_process_ends(self) -> None:
         self.counter.open.clear()
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -286,12 +286,12 @@
         discovery: str,
         counter: str,
         known: list[Backend],
-        give_up: float = 50.0,
+        counter_timeout_ms: float = 50.0,
         sockets: int = 1024,
     ) -> None:
         port = free_port()
         self.listen, self._folder = f"127.0.0.1:{port}", folder
-        family = {"shared-counter": True, "counter-timeout": give_up, "units-top": 1}
+        family = {"shared-counter": True, "counter-timeout": counter_timeout_ms, "units-top": 1}
         limits = {
             "connect-timeout": 250.0,
             "keepalive": 30000.0,
@@ -403,7 +403,7 @@
     """Starts the program with fakes of its services, and stops it as a planned restart does."""
 
     counter_kind: type[Counter] = Counter
-    give_up = 5000.0  # ms, the counter's time-out: long, so that tests about other things pass on a busy machine
+    counter_timeout_ms = 5000.0  # long, so that tests about other things pass on a busy machine
     backends = 1
     resp = ""  # content of the file for --resp, without its listen address; "" for no such file
     sockets = 1024
@@ -420,7 +420,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.program = Program(
-            folder.name, self.discovery.address, self.counter.address, self.nodes, self.give_up, self.sockets
+            folder.name, self.discovery.address, self.counter.address, self.nodes, self.counter_timeout_ms, self.sockets
         )
         arguments = []
         if self.ops:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -191,7 +191,7 @@
 class CounterFaultsTest(GatewayCase):
     """Requests pass while the counter does not respond."""
 
-    give_up = 50.0
+    counter_timeout_ms = 50.0
 
     async def test_stalled_counter_does_not_block_requests_and_late_replies_stay_in_order(self) -> None:
         """Guards against waiting for the counter, and against late totals attributed to later calls."""
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -286,7 +286,7 @@
 class SilentCounterConnectionTest(GatewayCase):
     """One of the two connections to the counter gets no more replies."""
 
-    give_up = 50.0
+    counter_timeout_ms = 50.0
     fault = "import hallhitch.net.counter as c; c.UNRESPONSIVE_TIMEOUT_MS = 1e9"
 
     async def test_silent_connection_is_replaced_while_the_other_works(self) -> None:
