--- a/hallhitch/ops/hot_restart/sibling_monitor.py
+++ b/hallhitch/ops/hot_restart/sibling_monitor.py
@@ -1,7 +1,7 @@
-"""This process beside another one of the same gateway: limits are shared, and learned state is kept for a successor.
+"""Periodic detection of a sibling process, and periodic writes of the learned state for a successor.
 
-Owns when the other process is looked for and when the state is written. Decides nothing about traffic: whoever shares
-a limit is told whether another process runs and whether it accepts clients.
+Components whose limits are divided between the two processes are passed as listeners: they are told whether a sibling
+is running and whether it accepts clients. This module itself makes no routing decisions.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from hallhitch.ops.hot_restart import state_transfer
 from hallhitch.ops.hot_restart.sibling_locks import LockByte, SiblingLocks
 
-CHECK_INTERVAL_MS: Final = 250.0  # between checks for another process: a few system calls each
-WRITE_INTERVAL_MS: Final = 1000.0  # between writes of the learned state: its age at a takeover, at most
+CHECK_INTERVAL_MS: Final = 250.0  # between checks for a sibling; each check takes a few system calls
+WRITE_INTERVAL_MS: Final = 1000.0  # between writes of the learned state; the maximum age of the state at a takeover
 log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class SiblingStatus:
-    """Whether another process of this gateway runs, and whether it accepts clients."""
+    """Whether another process of this gateway is running, and whether it accepts clients."""
 
     is_running: bool = False
     is_serving: bool = False
 
 
-SiblingListener = Callable[[bool, bool], None]  # is another process running, is it serving
+SiblingListener = Callable[[bool, bool], None]  # called with `is_running` and `is_serving` of SiblingStatus
 
 
 class SiblingMonitor:
-    """Looks for another process and writes the learned state; without a folder it does neither."""
+    """Detects a sibling process and writes the learned state; without a shared folder it does neither."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         module: state_transfer.LearningModule,
         idle_times: state_transfer.IdleTimes,
     ) -> None:
-        """`folder` is shared by all processes of this gateway and removed with the last of them."""
+        """`folder` is shared by all processes of this gateway and is removed after the last of them has ended."""
         self._folder = folder
         self._deadlines = deadlines
         self._module = module
@@ -51,10 +51,10 @@
         self._status = SiblingStatus()
         self._listeners: Sequence[SiblingListener] = ()
         self._is_stopping = False
-        self._was_written = True  # whether the last write succeeded
+        self._last_write_succeeded = True
 
     def restore_state(self) -> None:
-        """Apply the state that another running process has written, if there is one."""
+        """Apply the learned state that a running sibling has written, if there is one."""
         if self._folder is None or not self._locks.has_sibling(LockByte.RUNNING):
             return
         state = state_transfer.read_state(self._folder, self._deadlines.clock())
@@ -63,7 +63,10 @@
             log.info("state restored", classes=list(state.classes), customers=len(state.customers))
 
     def start_serving(self, listeners: Sequence[SiblingListener]) -> None:
-        """Announce that this process accepts clients; notify the listeners of another one, now and on changes."""
+        """Announce that this process accepts clients, and start the periodic checks and writes.
+
+        `listeners` are called whenever the status of the sibling changes.
+        """
         self._listeners = listeners
         self._locks.announce_serving()
         if self._folder is not None:
@@ -71,7 +74,7 @@
             self._write_periodically(self._folder)
 
     def check(self) -> None:
-        """Look for another process now; called also before a request is rejected for a limit."""
+        """Check for a sibling now. Also called before a client is rejected because a limit is reached."""
         is_running = self._locks.has_sibling(LockByte.RUNNING)
         status = SiblingStatus(is_running, is_running and self._locks.has_sibling(LockByte.SERVING))
         if status != self._status:
@@ -81,11 +84,11 @@
                 listener(status.is_running, status.is_serving)
 
     def stop_writing(self) -> None:
-        """Write no more state: this process is stopping."""
+        """Stop writing learned state because this process is shutting down."""
         self._is_stopping = True
 
     def close(self) -> None:
-        """Release the locks, so that the other process regards itself as alone."""
+        """Release the locks, so that the sibling no longer detects this process."""
         self._locks.close()
 
     def _check_periodically(self) -> None:
@@ -95,8 +98,8 @@
     def _write_periodically(self, folder: str) -> None:
         if self._is_stopping:
             return
-        is_written = state_transfer.write_state(folder, self._module, self._idle_times, self._deadlines.clock())
-        if self._was_written and not is_written:
+        succeeded = state_transfer.write_state(folder, self._module, self._idle_times, self._deadlines.clock())
+        if self._last_write_succeeded and not succeeded:
             log.warning("state not written", folder=folder)
-        self._was_written = is_written
+        self._last_write_succeeded = succeeded
         self._deadlines.call_after(WRITE_INTERVAL_MS, lambda: self._write_periodically(folder))
--- a/hallhitch/ops/hot_restart/state_transfer.py
+++ b/hallhitch/ops/hot_restart/state_transfer.py
@@ -1,14 +1,14 @@
-"""What a process learned from traffic, in a file for its successor: small, versioned, and validated when it is read.
+"""Transfer of the state that a process has learned from traffic to its successor, through a small versioned file.
 
-The file holds the response times of the classes, the estimated capacity, how long idle connections last, and the quota
-windows of customers that were read last. Requests that the first process admits afterwards reach its successor as the
-use of others.
+The file holds the response times of the request classes, the estimated capacity, how long idle connections last, and
+the quota windows of the customers whose totals were read most recently. Requests that the old process admits after the
+last write reach its successor through the shared counter, as usage by other processes.
 
 Invariants:
-- A file that is missing, older than MAX_AGE_MS, of another version or damaged is ignored.
-- A write replaces the file atomically or leaves it as it is.
+- A file that is missing, damaged, older than MAX_AGE_MS or of another version is ignored.
+- A write either replaces the file atomically or leaves it unchanged.
 
-Times are Unix time in ms. The names in the file and its layout are those of VERSION.
+Times are Unix times in ms. VERSION identifies the keys and the layout of the file: change it together with them.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 FILE_NAME: Final = "hallhitch.learned"
 VERSION: Final = 2
-MAX_CUSTOMERS: Final = 1000  # those read last
-MAX_FILE_BYTES: Final = 1 << 19  # a larger file was not written by this program
-MAX_IDLE_ORDER: Final = 64  # power of two of an idle time in ms: beyond any clock
-MAX_AGE_MS: Final = 10_000.0  # older state says nothing of the present
+MAX_CUSTOMERS: Final = 1000  # those whose totals were read most recently
+MAX_FILE_BYTES: Final = 1 << 19  # a larger file cannot have been written by this program
+MAX_IDLE_ORDER: Final = 64  # bit length of an idle time in ms; 2**64 ms exceeds any clock
+MAX_AGE_MS: Final = 10_000.0  # older state does not describe the current traffic
 
 
 class CustomerRow(NamedTuple):
-    """What is known of one customer and of its quota window: a row of the file, in the order of its fields."""
+    """The state of one customer and of its quota window; stored as an array in the order of these fields."""
 
     name: str
     plan: str
@@ -51,10 +51,10 @@
     last_total: float
 
     def is_valid(self, now: float) -> bool:
-        """Return whether a row that was read is plausible.
+        """Return whether the values that were read for this row are plausible.
 
         Raises:
-            ValueError: a field is no finite number.
+            ValueError: A numeric field is not a finite number.
         """
         return (
             isinstance(self.name, str)
@@ -68,13 +68,13 @@
         )
 
 
-IdleTimeRow = tuple[int, float, float]  # order of an idle time, share of connections that broke, when that held
-ClassRow = tuple[float, float, float]  # service time in ms, when it was learned, ratio of errors
+IdleTimeRow = tuple[int, float, float]  # order of the idle time, ratio of broken attempts, time at which it was learned
+ClassRow = tuple[float, float, float]  # service time in ms, time at which it was learned, error ratio
 
 
 @dataclass(frozen=True, slots=True)
 class TransferredState:
-    """The content of a file that was read and validated."""
+    """The validated content of a state file."""
 
     concurrency_limit: float
     call_ratio: float
@@ -84,7 +84,7 @@
 
 
 class LearningModule(Protocol):
-    """The state of the decision module that is transferred."""
+    """The part of the decision module whose state is transferred."""
 
     service_ms: dict[str, float]
     learned_at: dict[str, float]
@@ -96,24 +96,24 @@
     windows: dict[int, QuotaWindow]
 
     def bind_plan(self, c: Customer, plan: api.Plan) -> None:
-        """Give a customer the limits of its plan."""
+        """Apply the limits of a plan to a customer."""
 
     def is_stale(self, c: Customer) -> bool:
-        """Return whether nothing is known of a customer any more."""
+        """Return whether the state of a customer is outdated."""
 
 
 class IdleTimes(Protocol):
-    """The statistics of idle connections that are transferred."""
+    """The statistics of idle connections, which are transferred as rows."""
 
     def export_rows(self) -> list[IdleTimeRow]:
         """Return the rows to transfer."""
 
     def import_rows(self, rows: Iterable[IdleTimeRow]) -> None:
-        """Add transferred rows."""
+        """Replace the statistics by the rows that another process exported."""
 
 
 def write_state(folder: str, module: LearningModule, idle_times: IdleTimes, now: float) -> bool:
-    """Write what was learned until `now`; return whether that succeeded."""
+    """Write the state learned until `now` to the folder; return whether the write succeeded."""
     text = json.dumps(
         {
             "version": VERSION,
@@ -136,24 +136,24 @@
         return True  # noqa: TRY300  the common case reads first
     except OSError:
         with contextlib.suppress(OSError):
-            temporary_path.unlink()  # a partial file would take space on a full disk
+            temporary_path.unlink()  # a partial file would occupy space on a full disk
         return False
 
 
 def read_state(folder: str, now: float) -> TransferredState | None:
-    """Return the state in a folder, None if there is none that is valid at `now`."""
+    """Return the state stored in a folder, or None if there is none that is valid at `now`."""
     try:
         with open(Path(folder) / FILE_NAME, encoding="utf-8") as file:
             text = file.read(MAX_FILE_BYTES + 1)
         if len(text) > MAX_FILE_BYTES:
             return None
-        return _parse(json.loads(text), now)
+        return _parse_document(json.loads(text), now)
     except (OSError, ValueError, KeyError, TypeError, AttributeError):
         return None
 
 
 def apply_state(state: TransferredState, module: LearningModule, idle_times: IdleTimes) -> None:
-    """Apply transferred state for the classes and plans of the present settings."""
+    """Apply transferred state; classes and plans that the current settings do not define are skipped."""
     idle_times.import_rows(state.idle_times)
     module.concurrency_limit = state.concurrency_limit
     module.call_ratio = state.call_ratio
@@ -170,9 +170,9 @@
 
 
 def customer_rows(module: LearningModule) -> list[CustomerRow]:
-    """Return the rows of the MAX_CUSTOMERS customers that were read last and of which something is known."""
-    known = [c for c in module.customers.values() if c.window in module.windows and not module.is_stale(c)]
-    known.sort(key=lambda c: -c.total_read_at)
+    """Return the rows of the MAX_CUSTOMERS customers read most recently; those without current state are omitted."""
+    current = [c for c in module.customers.values() if c.window in module.windows and not module.is_stale(c)]
+    current.sort(key=lambda c: -c.total_read_at)
     return [
         CustomerRow(
             name=customer.name,
@@ -189,31 +189,34 @@
             started_at=module.windows[customer.window].started_at,
             last_total=module.windows[customer.window].last_total,
         )
-        for customer in known[:MAX_CUSTOMERS]
+        for customer in current[:MAX_CUSTOMERS]
     ]
 
 
 def parse_number(value: Any) -> float:
-    """Return a finite number.
+    """Return a JSON value as a float.
 
     Raises:
-        ValueError: it is none.
+        ValueError: The value is not a finite number.
     """
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ValueError(value)
     return float(value)
 
 
-def _parse(document: Any, now: float) -> TransferredState | None:
-    """Return the state in a document, None if a value is not plausible; malformed values raise."""
+def _parse_document(document: Any, now: float) -> TransferredState | None:
+    """Return the state that a JSON document holds, or None if the version differs or a value is implausible.
+
+    A malformed value raises one of the exceptions that `read_state` catches.
+    """
     if not isinstance(document, dict) or document.get("version") != VERSION:
         return None
     is_valid = (
         0 <= now - parse_number(document["at"]) <= MAX_AGE_MS
         and parse_number(document["depth"]) >= 0
         and 0 < parse_number(document["asks"]) <= 1
-        and all(_is_valid_class(row, now) for row in document["classes"].values())
-        and all(_is_valid_idle_time(row, now) for row in document["idle"])
+        and all(_is_valid_class_row(row, now) for row in document["classes"].values())
+        and all(_is_valid_idle_time_row(row, now) for row in document["idle"])
     )
     if not is_valid:
         return None
@@ -225,18 +228,18 @@
     )
 
 
-def _is_valid_class(row: Any, now: float) -> bool:
+def _is_valid_class_row(row: Any, now: float) -> bool:
     service_ms, learned_at, error_ratio = row
     return parse_number(service_ms) > 0 and parse_number(learned_at) <= now and 0 <= parse_number(error_ratio) <= 1
 
 
-def _is_valid_idle_time(row: Any, now: float) -> bool:
-    order, broken_share, observed_at = row
+def _is_valid_idle_time_row(row: Any, now: float) -> bool:
+    order, broken_ratio, learned_at = row
     return (
         type(order) is int
         and 0 <= order <= MAX_IDLE_ORDER
-        and 0 <= parse_number(broken_share) <= 1
-        and parse_number(observed_at) <= now
+        and 0 <= parse_number(broken_ratio) <= 1
+        and parse_number(learned_at) <= now
     )
 
 
--- a/tests/ops/hot_restart/replacement_case.py
+++ b/tests/ops/hot_restart/replacement_case.py
@@ -1,4 +1,4 @@
-"""A gateway's process and its successor on one listener that neither owns: the real program, twice."""
+"""A test case with two processes of one gateway, the real program, on a listener that both inherit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReplacementCase(GatewayCase):
-    """The platform holds the listener; each process inherits it and shares a folder with the others."""
+    """The test owns the listener, as the platform does; the processes inherit it and share a folder."""
 
     ops = True
 
@@ -25,13 +25,13 @@
         await super().asyncSetUp()
 
     def prepare_program(self, program: Program) -> None:
-        """Let a program accept clients from the inherited listener."""
+        """Make a program accept clients from the inherited listener."""
         program.listen = f"127.0.0.1:{self.listener.getsockname()[1]}"
         program.inherits = (self.listener.fileno(),)
         program.environ |= {"EDGE_FD": str(self.listener.fileno()), "TMPDIR": self.shared_folder}
 
     async def start_successor(self, log_event: str = "") -> Program:
-        """Start the successor and wait until it is ready; it logs `log_event` first."""
+        """Start the successor, wait until it has logged `log_event`, if one is given, and until it is ready."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         program = Program(
@@ -47,52 +47,52 @@
         return program
 
     async def start_load(self, clients: int, keep_alive: bool, statuses: list[str]) -> Callable[[], Awaitable[object]]:
-        """Start clients that send requests without a pause; return what stops them.
+        """Start clients that send requests without pause; return a function that stops them.
 
-        They keep their connections or open one for each request, and append each status to `statuses`, "retried" for a
-        connection that was closed before the request was read.
+        The clients keep their connections or open one for each request. They append the status of each response to
+        `statuses`, and "retried" for each connection that was closed before the request was read.
         """
         is_running, customers = True, itertools.count()
 
         async def run_client() -> None:
             streams = None
             while is_running:
-                request, answer = self.request(customer=f"{next(customers):016x}"), None
-                while answer is None:
+                request, response = self.request(customer=f"{next(customers):016x}"), None
+                while response is None:
                     if streams is None:
                         streams = await self.program.connect()
                     streams[1].write(request)
                     try:
-                        answer = await soon(read_http(streams[0]))
+                        response = await soon(read_http(streams[0]))
                     except (ConnectionError, asyncio.IncompleteReadError):
-                        # Closed before the request was read: clients retry then, and are to be served once.
+                        # Closed before the request was read: the client retries, and the request must be served once.
                         statuses.append("retried")
                         streams = None
-                statuses.append(answer[0].split()[1])
-                if streams is not None and (not keep_alive or answer[1].get("connection") == "close"):
+                statuses.append(response[0].split()[1])
+                if streams is not None and (not keep_alive or response[1].get("connection") == "close"):
                     streams[1].close()
                     streams = None
 
         tasks = [asyncio.create_task(run_client()) for _ in range(clients)]
 
-        def stop() -> Awaitable[object]:
+        def stop_clients() -> Awaitable[object]:
             nonlocal is_running
             is_running = False
             return asyncio.gather(*tasks)
 
-        return stop
+        return stop_clients
 
     async def replace_under_load(self, clients: int, keep_alive: bool) -> list[str]:
-        """Replace the process under load; return the statuses. Every request that was served was forwarded once."""
+        """Replace the process under load and return the statuses; check that each served request was forwarded once."""
         statuses: list[str] = []
-        stop = await self.start_load(clients, keep_alive, statuses)
+        stop_clients = await self.start_load(clients, keep_alive, statuses)
         successor, predecessor = await self.start_successor(), self.program
         predecessor.process.terminate()
         self.assertEqual(await soon(predecessor.process.wait()), 0)
         forwarded, completed = self.nodes[0].taken, len(statuses)
         while len(statuses) < completed + 20:
             await soon(self.nodes[0].came.get())
-        await stop()
+        await stop_clients()
         self.assertGreater(self.nodes[0].taken, forwarded)
         self.assertEqual(statuses.count("200"), self.nodes[0].taken)
         self.program = successor
--- a/tests/ops/hot_restart/test_sibling_locks.py
+++ b/tests/ops/hot_restart/test_sibling_locks.py
@@ -21,27 +21,27 @@
 """
 
 
-def held_bytes(locks: SiblingLocks) -> tuple[bool, bool]:
-    """Whether a sibling runs, and whether it serves."""
+def sibling_state(locks: SiblingLocks) -> tuple[bool, bool]:
+    """Return whether a sibling is running, and whether it accepts clients."""
     return locks.has_sibling(LockByte.RUNNING), locks.has_sibling(LockByte.SERVING)
 
 
 class SiblingDetection(unittest.TestCase):
-    """Two processes with one folder."""
+    """Two processes that share a folder."""
 
     def test_a_sibling_is_detected_until_it_ends_even_if_killed(self) -> None:
-        """Guards against a dead process that halves the living one's budget for good."""
+        """Guards against a dead process that keeps the connection limit of the running one halved."""
         with tempfile.TemporaryDirectory() as folder:
             locks = SiblingLocks(folder)
             self.addCleanup(locks.close)
             self.assertFalse(locks.has_sibling(LockByte.RUNNING))
-            for _ in range(2):  # one after the other
+            for _ in range(2):  # two siblings, one after the other
                 process = subprocess.Popen(
                     [sys.executable, "-c", HOLD_LOCKS, folder], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
                 )
                 assert process.stdout is not None and process.stdin is not None
                 self.assertEqual(process.stdout.readline(), "running\n")
-                self.assertEqual(held_bytes(locks), (True, False))
+                self.assertEqual(sibling_state(locks), (True, False))
                 process.stdin.write("\n")
                 process.stdin.flush()
                 self.assertEqual(process.stdout.readline(), "serving\n")
@@ -50,12 +50,12 @@
                 process.wait()
                 process.stdout.close()
                 process.stdin.close()
-                self.assertEqual(held_bytes(locks), (False, False))
+                self.assertEqual(sibling_state(locks), (False, False))
 
-    def test_a_process_without_a_usable_folder_is_alone(self) -> None:
-        """Guards against a start that fails for want of a place to look."""
+    def test_a_process_without_a_usable_folder_detects_no_sibling(self) -> None:
+        """Guards against a process that fails to start because the lock file is unavailable."""
         for folder in (None, "/nowhere/at/all", "/proc/self/mem"):
-            alone = SiblingLocks(folder)
-            alone.announce_serving()
-            self.assertFalse(alone.has_sibling(LockByte.RUNNING))
-            alone.close()
+            locks = SiblingLocks(folder)
+            locks.announce_serving()
+            self.assertFalse(locks.has_sibling(LockByte.RUNNING))
+            locks.close()
--- a/tests/ops/hot_restart/test_state_transfer.py
+++ b/tests/ops/hot_restart/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""Learned state in a file: what is restored, and that old or damaged files are ignored."""
+"""The state file: which learned state is restored, and that old or damaged files are ignored."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from hallhitch.ops.hot_restart import state_transfer
 
 
-def learner(**changes: object) -> SimpleNamespace:
-    """What a module has learned."""
-    base: dict[str, object] = {
+def make_learned_module(**changes: object) -> SimpleNamespace:
+    """Return a stand-in for a decision module that has learned something; `changes` replace attributes."""
+    defaults: dict[str, object] = {
         "service_ms": {"a": 40.0},
         "learned_at": {"a": 900.0},
         "class_error_ratio": {"a": 0.1},
@@ -27,23 +27,23 @@
         "customers": {},
         "windows": {},
     }
-    return SimpleNamespace(**({"config": SimpleNamespace(plans=())} | base | changes))
+    return SimpleNamespace(**({"config": SimpleNamespace(plans=())} | defaults | changes))
 
 
-def idle(clock: float = 0.0) -> IdleTimeStatistics:
-    """Statistics of idle connections."""
+def make_idle_times(clock: float = 0.0) -> IdleTimeStatistics:
+    """Return empty statistics of idle connections."""
     return IdleTimeStatistics(lambda: clock)
 
 
-def gateway_of(plans: tuple[api.Plan, ...]) -> Gateway:
-    """A module that knows a few servers."""
+def make_gateway(plans: tuple[api.Plan, ...]) -> Gateway:
+    """Return a decision module that knows eight servers."""
     gateway = Gateway(api.Settings(2, (api.RequestClass("a", 500.0, 900.0, effect=api.SAFE),), plans), 3)
     gateway.handle(1000.0, [api.ServerList("full", tuple(api.ServerEntry(f"s{n}", "up") for n in range(8)))])
     return gateway
 
 
 class StateTransfer(unittest.TestCase):
-    """The file."""
+    """Writing, reading and applying a state file."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -51,40 +51,42 @@
         self.folder, self.path = folder.name, Path(folder.name) / state_transfer.FILE_NAME
 
     def test_estimates_are_restored_for_known_classes_only(self) -> None:
-        """Guards against times learned of a class that is gone, or forgotten of one that stays."""
-        state_transfer.write_state(self.folder, learner(), idle(), 1000.0)
+        """Guards against estimates that are restored for a removed class, or lost for one that remains."""
+        state_transfer.write_state(self.folder, make_learned_module(), make_idle_times(), 1000.0)
         state = state_transfer.read_state(self.folder, 1500.0)
         assert state is not None
-        new = learner(
+        new = make_learned_module(
             service_ms={"a": 300.0, "b": 300.0},
             learned_at={},
             class_error_ratio={},
             concurrency_limit=0.0,
             call_ratio=1.0,
         )
-        state_transfer.apply_state(state, new, idle())
+        state_transfer.apply_state(state, new, make_idle_times())
         self.assertEqual((new.service_ms, new.learned_at), ({"a": 40.0, "b": 300.0}, {"a": 900.0}))
         self.assertEqual((new.concurrency_limit, new.call_ratio), (6.0, 0.8))
         state_transfer.apply_state(
-            state, gone := learner(service_ms={"b": 300.0}, learned_at={}, class_error_ratio={}), idle()
+            state,
+            gone := make_learned_module(service_ms={"b": 300.0}, learned_at={}, class_error_ratio={}),
+            make_idle_times(),
         )
         self.assertEqual(gone.learned_at, {})
 
     def test_idle_times_at_which_connections_break_are_restored(self) -> None:
-        """Guards against requests lost on dropped connections with each replacement, until that is learned anew."""
-        old, new = idle(1000.0), idle(1500.0)
+        """Guards against requests that are lost after each replacement because dropped idle connections are reused."""
+        old, new = make_idle_times(1000.0), make_idle_times(1500.0)
         for _ in range(2):
             old.observe(300.0, True)
-        state_transfer.write_state(self.folder, learner(), old, 1000.0)
+        state_transfer.write_state(self.folder, make_learned_module(), old, 1000.0)
         state = state_transfer.read_state(self.folder, 1500.0)
         assert state is not None
-        state_transfer.apply_state(state, learner(), new)
+        state_transfer.apply_state(state, make_learned_module(), new)
         self.assertEqual((old.max_idle_ms(), new.max_idle_ms()), (256.0, 256.0))
 
     def test_a_customers_quota_window_is_restored_and_not_restarted(self) -> None:
-        """Guards against a burst for every customer with each replacement, and against units counted twice."""
+        """Guards against a new burst for every customer at each replacement, and against units counted twice."""
         plans = (api.Plan("p", rate=2.0, burst=4.0), api.Plan("gone", rate=2.0, burst=4.0))
-        old, total = gateway_of(plans), 0.0
+        old, total = make_gateway(plans), 0.0
         for n in range(3):
             (call,) = old.handle(1000.0, [api.Request(n + 1, "k", 0, 0, 1.0, 800.0, 2.0)])[-1:]
             assert isinstance(call, api.Count)
@@ -93,16 +95,16 @@
         (call,) = old.handle(1001.0, [api.Request(9, "other", 1, 0, 1.0, 800.0, 2.0)])[-1:]
         assert isinstance(call, api.Count)
         old.handle(1002.0, [api.CounterAnswer(call.name, "ok", 1.0, 1.0)])
-        state_transfer.write_state(self.folder, old, idle(), 1002.0)
+        state_transfer.write_state(self.folder, old, make_idle_times(), 1002.0)
         state = state_transfer.read_state(self.folder, 1010.0)
         assert state is not None
-        new = gateway_of(plans[:1])
-        state_transfer.apply_state(state, new, idle())
+        new = make_gateway(plans[:1])
+        state_transfer.apply_state(state, new, make_idle_times())
         self.assertEqual(list(new.customers), ["k"])
         self.assertLess(abs(new.customers["k"].tokens - old.customers["k"].tokens), 0.1)
         sent, remaining = [], int(old.customers["k"].tokens)
-        self.assertLessEqual(remaining, 2, "some of the burst is gone")
-        for n in range(3):  # what is left of the burst, and no more
+        self.assertLessEqual(remaining, 2, "part of the burst must be used up")
+        for n in range(3):  # only the rest of the burst is granted
             actions = new.handle(1010.0, [api.Request(n + 1, "k", 0, 0, 1.0, 800.0, 2.0)])
             call = next(a for a in actions if isinstance(a, api.Count))
             total += call.units
@@ -111,13 +113,13 @@
         self.assertEqual(sent, [n < remaining for n in range(3)])
 
     def test_old_missing_and_implausible_state_is_ignored(self) -> None:
-        """Guards against what held minutes ago, or in another machine's clock, taken for now."""
+        """Guards against old state, or state stamped by another clock, that is taken for current."""
         self.assertIsNone(state_transfer.read_state(self.folder, 0.0))
-        state_transfer.write_state(self.folder, learner(), idle(), 1000.0)
+        state_transfer.write_state(self.folder, make_learned_module(), make_idle_times(), 1000.0)
         for now in (999.0, 1000.0 + state_transfer.MAX_AGE_MS + 1):
             self.assertIsNone(state_transfer.read_state(self.folder, now))
-        state_transfer.write_state(f"{self.folder}/missing", learner(), idle(), 1000.0)
-        wrongs: list[dict[str, object]] = [
+        state_transfer.write_state(f"{self.folder}/missing", make_learned_module(), make_idle_times(), 1000.0)
+        invalid_values: list[dict[str, object]] = [
             {"service_ms": {"a": 0.0}},
             {"service_ms": {"a": float("nan")}},
             {"concurrency_limit": -1.0},
@@ -126,27 +128,29 @@
             {"class_error_ratio": {"a": 7.0}},
             {"learned_at": {"a": 5000.0}},
         ]
-        for wrong in wrongs:
-            state_transfer.write_state(self.folder, learner(**wrong), idle(), 1000.0)
-            self.assertIsNone(state_transfer.read_state(self.folder, 1000.0), wrong)
+        for invalid in invalid_values:
+            state_transfer.write_state(self.folder, make_learned_module(**invalid), make_idle_times(), 1000.0)
+            self.assertIsNone(state_transfer.read_state(self.folder, 1000.0), invalid)
         for row in ((0.5, 0.1, 0.0), (True, 0.1, 0.0), (65, 0.1, 0.0), (3, 1.5, 0.0), (3, 0.1, 5000.0), (3, 0.1)):
             state_transfer.write_state(
-                self.folder, learner(), SimpleNamespace(export_rows=lambda row=row: [row]), 1000.0
+                self.folder, make_learned_module(), SimpleNamespace(export_rows=lambda row=row: [row]), 1000.0
             )
             self.assertIsNone(state_transfer.read_state(self.folder, 1000.0), row)
 
     @settings(max_examples=200, deadline=None)
     @given(st.integers(0, 400), st.binary(max_size=4))
-    def test_a_damaged_file_is_ignored_or_harmless(self, at: int, put: bytes) -> None:
-        """Guards against a start that fails, or goes on from nonsense, for a damaged file."""
-        state_transfer.write_state(self.folder, learner(), idle(), 1000.0)
+    def test_a_damaged_file_is_ignored_or_harmless(self, offset: int, replacement: bytes) -> None:
+        """Guards against a damaged file that makes the start fail or yields invalid state."""
+        state_transfer.write_state(self.folder, make_learned_module(), make_idle_times(), 1000.0)
         text = self.path.read_bytes()
-        self.path.write_bytes(text[:at] + put + text[at + len(put) :] if put else text[:at])
+        self.path.write_bytes(
+            text[:offset] + replacement + text[offset + len(replacement) :] if replacement else text[:offset]
+        )
         state = state_transfer.read_state(self.folder, 1000.0)
         if state is not None:
-            state_transfer.apply_state(state, new := learner(), idle())
+            state_transfer.apply_state(state, new := make_learned_module(), make_idle_times())
             json.dumps(
                 [new.service_ms, new.learned_at, new.class_error_ratio, new.concurrency_limit, new.call_ratio],
                 allow_nan=False,
             )
-            self.assertTrue(all(work > 0 for work in new.service_ms.values()))
+            self.assertTrue(all(service_ms > 0 for service_ms in new.service_ms.values()))
