--- a/hallhitch/ops/__init__.py
+++ b/hallhitch/ops/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' side of one gateway: its HTTP address, metrics, lifecycle and hot restart.
+"""The operator interface of one gateway: its HTTP endpoint, metrics, lifecycle and hot restart.
 
-Decides nothing about traffic and does not depend on the hosted service.
+This package makes no routing decisions and does not depend on the hosted service.
 """
--- a/hallhitch/ops/lifecycle.py
+++ b/hallhitch/ops/lifecycle.py
@@ -1,4 +1,4 @@
-"""The states of a gateway and the commands that change them: one table, no I/O."""
+"""The lifecycle of a gateway as a state machine: its states, the commands and one transition table, without I/O."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 
 class GatewayState(Enum):
-    """The state of a gateway; the value is what its operators read."""
+    """The lifecycle state of a gateway; the value is reported to operators."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # clients are sent to other gateways, the process keeps running
-    STOPPING = "ending"  # after SIGTERM: open requests are finished, then the process exits
-    STOPPING_DRAINED = "leaving"  # SIGTERM while draining: the same, and health checks still fail
+    DRAINING = "draining"  # clients are sent to other gateways; the process keeps running
+    STOPPING = "ending"  # after SIGTERM: the process finishes open requests and exits
+    STOPPING_DRAINED = "leaving"  # SIGTERM and drained: the same, but health checks fail
 
 
 class Command(Enum):
-    """What operators or the platform order."""
+    """A command from an operator or from the platform (SIGTERM); the value is logged."""
 
     EVACUATE = "evacuate"
     REJOIN = "rejoin"
     TERMINATE = "term"
 
 
-# Every state with every command. A termination is not reversible; a command that changes nothing is no error.
+# Defines every command in every state. Termination is irreversible. A command may leave the state unchanged.
 TRANSITIONS: Final = {
     (GatewayState.SERVING, Command.EVACUATE): GatewayState.DRAINING,
     (GatewayState.SERVING, Command.REJOIN): GatewayState.SERVING,
@@ -38,14 +38,14 @@
     (GatewayState.STOPPING_DRAINED, Command.REJOIN): GatewayState.STOPPING,
     (GatewayState.STOPPING_DRAINED, Command.TERMINATE): GatewayState.STOPPING_DRAINED,
 }
-# Health checks fail only where operators have ordered it. A process that merely stops is replaced at the same address,
-# and its failure would be taken for that of the gateway.
+# Health checks fail only after an operator has ordered a drain. A process that merely stops is replaced by another one
+# at the same address: failing its health checks would mark the whole gateway as failed.
 UNHEALTHY_STATES: Final = frozenset((GatewayState.DRAINING, GatewayState.STOPPING_DRAINED))
 STOPPING_STATES: Final = frozenset((GatewayState.STOPPING, GatewayState.STOPPING_DRAINED))
 
 
 class Lifecycle:
-    """The state of one gateway; it starts as SERVING."""
+    """Holds the lifecycle state of one gateway, initially SERVING."""
 
     def __init__(self) -> None:
         self.state = GatewayState.SERVING
@@ -58,10 +58,10 @@
 
     @property
     def is_healthy(self) -> bool:
-        """Whether clients' health checks succeed."""
+        """Whether health checks at the clients' address succeed."""
         return self.state not in UNHEALTHY_STATES
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the process is to exit."""
+        """Whether the process is shutting down."""
         return self.state in STOPPING_STATES
--- a/hallhitch/ops/metrics.py
+++ b/hallhitch/ops/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one gateway in the text format of Prometheus: counters kept here, gauges read from their owners."""
+"""The metrics of one gateway in the Prometheus text format: counters are kept here, gauges are read on demand."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 
 
 class GatewayMetrics:
-    """Counters since the start of the process, and the gauges' owners."""
+    """The counters since the start of the process, and the functions that read the gauges."""
 
     def __init__(self, class_names: Iterable[str]) -> None:
-        self._class_names: dict[str, None] = {}  # an ordered set
+        self._class_names: dict[str, None] = {}  # used as an ordered set
         self.requests: Counter[tuple[str, str]] = Counter()  # by class and outcome
         self.attempts = 0
         self.reloads_ok = 0
         self.reloads_failed = 0
-        self.gauges: dict[str, Callable[[], int]] = {}  # by name, called at each rendering
-        self.render_extra: Callable[[], str] = str  # lines of optional parts
+        self.gauges: dict[str, Callable[[], int]] = {}  # by name; called whenever the metrics are rendered
+        self.render_extra: Callable[[], str] = str  # returns the lines of optional components
         self.add_classes(class_names)
 
     def add_classes(self, class_names: Iterable[str]) -> None:
-        """Report these classes from now on, also at 0; a class that is removed keeps its lines."""
+        """Report these classes from now on, even at 0; classes that the settings no longer define stay reported."""
         self._class_names |= dict.fromkeys(class_names)
 
     def record_request(self, class_name: str, outcome: str) -> None:
-        """Count a request whose final answer was sent or broke off; `outcome` is one of OUTCOMES."""
+        """Count a request whose response was sent or was broken off; `outcome` is one of OUTCOMES."""
         self.requests[class_name, outcome] += 1
 
     def record_attempt(self) -> None:
-        """Count an attempt that was written completely."""
+        """Count an attempt that was written completely to a backend."""
         self.attempts += 1
 
     def render(self) -> str:
@@ -60,10 +60,10 @@
 
 
 def escape_label(value: str) -> str:
-    """Return a label's value as the text format writes it."""
+    """Escape a label value for the text format."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
 
 
 def _header(name: str) -> tuple[str, str]:
-    kind, text = TYPE_AND_HELP[name]
-    return f"# HELP {PREFIX}_{name} {text}", f"# TYPE {PREFIX}_{name} {kind}"
+    metric_type, help_text = TYPE_AND_HELP[name]
+    return f"# HELP {PREFIX}_{name} {help_text}", f"# TYPE {PREFIX}_{name} {metric_type}"
--- a/tests/ops/test_operator_server.py
+++ b/tests/ops/test_operator_server.py
@@ -1,4 +1,4 @@
-"""The operators' address of the real program: its calls, its metrics, and draining."""
+"""The operators' endpoint of the real program: its requests, its metrics, and draining."""
 
 from __future__ import annotations
 
@@ -13,18 +13,21 @@
 HEALTH = b"GET /_health HTTP/1.1\r\n\r\n"
 
 
-def request_counts(figures: dict[str, int], klass: str) -> tuple[int, ...]:
-    """Served, refused and failed of a class."""
-    return tuple(figures[f'svc_requests{{class="{klass}",outcome="{o}"}}'] for o in ("served", "refused", "failed"))
+def request_counts(metrics: dict[str, int], class_name: str) -> tuple[int, ...]:
+    """Return the numbers of served, refused and failed requests of a class."""
+    return tuple(
+        metrics[f'svc_requests{{class="{class_name}",outcome="{outcome}"}}']
+        for outcome in ("served", "refused", "failed")
+    )
 
 
-class OperatorAddress(GatewayCase):
-    """A gateway with an operators' address."""
+class OperatorEndpoint(GatewayCase):
+    """A gateway with an operators' endpoint."""
 
     ops = True
 
     async def client(self) -> tuple[Reader, Writer]:
-        """A client with one request answered and its connection kept."""
+        """Return the connection of a client that has received one response and may send further requests."""
         reader, writer = await self.program.connect()
         self.addCleanup(writer.close)
         writer.write(self.request())
@@ -33,7 +36,7 @@
         return reader, writer
 
     async def test_only_known_calls_are_answered(self) -> None:
-        """Guards against a call by another method or name that acts, and against one that hangs unanswered."""
+        """Guards against requests that act despite a wrong method or path, and requests that are not answered."""
         cases = [
             ("GET", "/api/ready", 200),
             ("PUT", "/api/ready", 405),
@@ -51,63 +54,70 @@
         self.assertIn(" 200 ", (await self.ask(HEALTH))[0])
 
     async def test_silent_callers_make_room_for_others(self) -> None:
-        """Guards against descriptors, or the second address itself, taken by callers who only connect."""
+        """Guards against callers that connect without sending a request and so block the endpoint."""
         silent = [await self.program.connect(self.program.config["ops"]) for _ in range(2 * OPERATOR_DESCRIPTORS)]
         silent[-1][1].write(b"PUT /api/evac")
         self.assertEqual((await self.program.call("/api/ready"))[0], 200)
-        self.assertEqual(await soon(silent[0][0].read()), b"", "the oldest made room")
+        self.assertEqual(await soon(silent[0][0].read()), b"", "the oldest connection must be closed")
         for _, writer in silent:
             writer.close()
 
     async def test_metrics_match_what_clients_and_servers_saw(self) -> None:
-        """Guards against requests counted twice, never, or for a class that nobody has."""
+        """Guards against requests that are counted twice, not at all, or for a class that is not configured."""
         answers = [http(500), http(200), http(200, b"spoilt", Content_Length="x"), http(503, Srv_Declined="1")]
         self.nodes[0].reply = lambda n: answers[n] if n < len(answers) else http(200)
-        seen = []
+        statuses = []
         for n in range(8):
-            seen.append((await self.ask(self.request("reject" if n % 2 else "inspect", 1500)))[0].split()[1])
+            statuses.append((await self.ask(self.request("reject" if n % 2 else "inspect", 1500)))[0].split()[1])
         await self.ask(self.request("unknown"))
-        seen.append((await self.ask(self.request(Req_Deadline_Ms="soon")))[0].split()[1])
+        statuses.append((await self.ask(self.request(Req_Deadline_Ms="soon")))[0].split()[1])
         self.nodes[0].reply = lambda n: None
         while not self.nodes[0].came.empty():
             self.nodes[0].came.get_nowait()
-        reached = asyncio.create_task(self.nodes[0].came.get())
-        while not reached.done():  # the server is set aside for a while, for what it did
+        forwarded = asyncio.create_task(self.nodes[0].came.get())
+        while not forwarded.done():  # after its failures the server is excluded for a while
             reader, writer = await self.program.connect()
             writer.write(self.request())
-            answered = asyncio.create_task(read_http(reader))
-            await soon(asyncio.wait([reached, answered], return_when=asyncio.FIRST_COMPLETED))
-            if answered.done():
-                seen.append(answered.result()[0].split()[1])
+            response_task = asyncio.create_task(read_http(reader))
+            await soon(asyncio.wait([forwarded, response_task], return_when=asyncio.FIRST_COMPLETED))
+            if response_task.done():
+                statuses.append(response_task.result()[0].split()[1])
                 writer.close()
-        answered.cancel()
-        figures = await self.program.figures()
-        pairs = zip(request_counts(figures, "inspect"), request_counts(figures, "reject"), strict=True)
-        answers_told = [sum(pair) for pair in pairs]
-        self.assertEqual(answers_told, [seen.count("200"), seen.count("429"), seen.count("502") + seen.count("400")])
-        self.assertEqual((figures["svc_in_flight"], figures["svc_attempts"]), (1, self.nodes[0].taken))
-        self.assertEqual((figures["svc_backends_known"], figures["svc_reloads_ok"]), (1, 0))
-        self.assertNotIn("unknown", str(figures))
+        response_task.cancel()
+        metrics = await self.program.figures()
+        pairs = zip(request_counts(metrics, "inspect"), request_counts(metrics, "reject"), strict=True)
+        reported_counts = [sum(pair) for pair in pairs]
+        self.assertEqual(
+            reported_counts,
+            [statuses.count("200"), statuses.count("429"), statuses.count("502") + statuses.count("400")],
+        )
+        self.assertEqual((metrics["svc_in_flight"], metrics["svc_attempts"]), (1, self.nodes[0].taken))
+        self.assertEqual((metrics["svc_backends_known"], metrics["svc_reloads_ok"]), (1, 0))
+        self.assertNotIn("unknown", str(metrics))
         writer.close()
         await soon(self.nodes[0].ended.get())
-        self.assertEqual((await self.program.figures())["svc_in_flight"], 0, "a client that left is nobody's")
+        self.assertEqual(
+            (await self.program.figures())["svc_in_flight"],
+            0,
+            "a request whose client has disconnected must not be counted",
+        )
 
     async def test_draining_closes_connections_until_a_rejoin(self) -> None:
-        """Guards against clients that stay: idle, in the middle of a request, new, or asking without end."""
+        """Guards against connections that survive a drain: idle, busy, with a partial request, or new."""
         idle, busy = await self.client(), await self.client()
         self.nodes[0].reply = lambda n: None
         busy[1].write(self.request())
         await soon(self.nodes[0].came.get())
-        half = await self.partial_client()
+        partial = await self.partial_client()
         for _ in range(2):
             self.assertEqual(await self.program.call("/api/evacuate", "PUT"), (200, "draining\n"))
         self.assertIn(" 503 ", (await self.ask(HEALTH))[0])
-        self.assertEqual(await soon(idle[0].read()), b"", "an idle connection ends")
+        self.assertEqual(await soon(idle[0].read()), b"", "an idle connection must be closed")
         self.nodes[0].reply = lambda n: http(200, b"still served")
         self.assertIn(" 200 ", (await self.ask(self.request(customer="0000000000000002")))[0])
-        half[1].write(self.request()[10:])
+        partial[1].write(self.request()[10:])
         next(iter(self.nodes[0].writers)).write(http(200))
-        for reader in (busy[0], half[0]):
+        for reader in (busy[0], partial[0]):
             line, headers, _ = await soon(read_http(reader))
             self.assertEqual((line.split()[1], headers["connection"]), ("200", "close"))
             self.assertEqual(await soon(reader.read()), b"")
@@ -116,17 +126,17 @@
         await self.client()
 
     async def test_a_rejoin_during_a_drain_keeps_the_open_connections(self) -> None:
-        """Guards against a drain that goes on ending connections after it was taken back."""
-        kept = [await self.client() for _ in range(10)]
+        """Guards against a drain that keeps closing connections after a rejoin has canceled it."""
+        connections = [await self.client() for _ in range(10)]
         await self.program.call("/api/evacuate", "PUT")
         self.assertEqual((await self.program.call("/api/rejoin", "PUT"))[1], "serving\n")
-        for reader, writer in kept:
+        for reader, writer in connections:
             writer.write(self.request(customer="0000000000000002"))
             line, headers, _ = await soon(read_http(reader))
             self.assertEqual(headers.get("connection"), None, line)
 
     async def test_a_drain_ends_connections_that_pipeline_without_end(self) -> None:
-        """Guards against a drain that one pipelining client, or one that comes again at once, holds up for ever."""
+        """Guards against a drain that never ends because a client pipelines requests or reconnects at once."""
         reader, writer = await self.program.connect()
         self.addCleanup(writer.close)
         await self.program.call("/api/evacuate", "PUT")
@@ -138,20 +148,20 @@
             statuses.append(line.split()[1])
             if headers.get("connection") == "close":
                 break
-        self.assertLess(len(statuses), 400, "what was not read yet is left")
+        self.assertLess(len(statuses), 400, "requests that were not read yet must stay unanswered")
         for _ in range(5):
             _, headers, _ = await self.ask(self.request(customer="0000000000000003"))
             self.assertEqual(headers["connection"], "close")
 
     async def partial_client(self) -> tuple[Reader, Writer]:
-        """A client in the middle of sending a request."""
+        """Return the connection of a client that has sent a part of a request."""
         reader, writer = await self.program.connect()
         self.addCleanup(writer.close)
         writer.write(self.request()[:10])
         return reader, writer
 
     async def test_a_drain_survives_a_reload_and_ends_with_the_process(self) -> None:
-        """Guards against a signal that brings clients back, and against a drained process that never ends."""
+        """Guards against a reload that cancels a drain, and against a drained process that does not exit."""
         await self.program.call("/api/evacuate", "PUT")
         text = json.dumps(self.program.config)
         await self.program.reload(text, "configuration reloaded")
@@ -160,31 +170,31 @@
         self.assertEqual(await soon(self.program.process.wait()), 0)
 
     async def test_calls_are_answered_under_overload(self) -> None:
-        """Guards against a second address that waits for the traffic's end."""
+        """Guards against an operators' endpoint that is not served until client traffic has ended."""
         self.nodes[0].reply = lambda n: None
-        flood = [await self.program.connect() for _ in range(100)]
-        for n, (_, writer) in enumerate(flood):
+        connections = [await self.program.connect() for _ in range(100)]
+        for n, (_, writer) in enumerate(connections):
             writer.write(self.request(Req_Id=f"{n:016x}", X_Contract="small-shop", customer=f"{n:016x}"))
         statuses = await asyncio.gather(*(self.program.call("/api/ready") for _ in range(10)))
         self.assertEqual({status for status, _ in statuses}, {200})
-        for _, writer in flood:
+        for _, writer in connections:
             writer.close()
 
 
-class NoOperatorAddress(GatewayCase):
-    """A gateway without an operators' address."""
+class NoOperatorEndpoint(GatewayCase):
+    """A gateway without an operators' endpoint."""
 
     async def test_clients_cannot_order_a_drain(self) -> None:
-        """Guards against operators' calls at the clients' address."""
+        """Guards against operators' requests that are accepted at the clients' address."""
         self.assertIn(" 404 ", (await self.ask(b"PUT /api/evacuate HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))[0])
         self.assertIn(" 200 ", (await self.ask(HEALTH))[0])
 
 
 class MetricsText(unittest.TestCase):
-    """The text format."""
+    """The Prometheus text format."""
 
-    def test_labels_are_escaped_and_classes_that_vanish_keep_their_counts(self) -> None:
-        """Guards against a class name that breaks every line behind it."""
+    def test_labels_are_escaped_and_removed_classes_keep_their_counts(self) -> None:
+        """Guards against a class name that makes the following lines unreadable."""
         metrics = GatewayMetrics(['a"b\\c\nd'])
         metrics.record_request('a"b\\c\nd', "served")
         metrics.add_classes(["new"])
