--- a/hallhitch/resp/__init__.py
+++ b/hallhitch/resp/__init__.py
@@ -1,1 +1,1 @@
-"""RESP2: a server that answers commands for limits, and the client's codec of a counter that speaks RESP."""
+"""RESP2: a server that decides on limits, and the client-side codec for a quota counter that speaks RESP."""
--- a/hallhitch/resp/commands.py
+++ b/hallhitch/resp/commands.py
@@ -1,8 +1,8 @@
-"""Commands of the limit server: parsing and validation, without I/O.
+"""Parsing and validation of the limit server's commands, without I/O.
 
     TAKE customer class plan units deadline-ms
 
-takes units of a customer's quota. PING, ECHO, HELLO, CLIENT and QUIT are as in other RESP servers.
+takes units from a customer's quota. PING, ECHO, HELLO, CLIENT and QUIT work as in other RESP servers.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from hallhitch.decision import api
 from hallhitch.resp import codec
 
-MAX_UNITS: Final = 1e9  # the most that one call of a counter may add
+MAX_UNITS: Final = 1e9  # the maximum that one call may add to a counter
 MAX_DEADLINE_MS: Final = 600_000
-MAX_DEADLINE_DIGITS: Final = 6  # of MAX_DEADLINE_MS
+MAX_DEADLINE_DIGITS: Final = 6  # the number of digits of MAX_DEADLINE_MS
 CUSTOMER_PATTERN: Final = re.compile(r"[\w.:/@-]{1,64}", re.ASCII)
 CLIENT_NAME_PATTERN: Final = re.compile(rb"[!-~]{0,64}")
 PROTOCOL_VERSION: Final = 2
 
 
 class CommandError(Exception):
-    """A command cannot be executed; the text is sent to the client."""
+    """A command cannot be executed; the message is sent to the client."""
 
 
 @dataclass(frozen=True, slots=True)
 class TakeCommand:
-    """A validated TAKE."""
+    """The validated arguments of TAKE."""
 
     customer: str
     class_index: int
@@ -38,36 +38,36 @@
     deadline_ms: float
 
 
-def parse_words(command: list[object]) -> list[bytes]:
-    """Return the words of a command.
+def parse_elements(command: list[object]) -> list[bytes]:
+    """Return the name and the arguments of a command.
 
     Raises:
-        CommandError: An element is no bulk string.
+        CommandError: An element is not a bulk string.
     """
-    words = [word for word in command if isinstance(word, bytes)]
-    if len(words) < len(command):
+    elements = [element for element in command if isinstance(element, bytes)]
+    if len(elements) < len(command):
         raise CommandError("an argument is no bulk string")
-    return words
+    return elements
 
 
-def check_argument_count(arguments: list[bytes], least: int, most: int, command: str) -> None:
-    """Check how many arguments a command has.
+def check_argument_count(arguments: list[bytes], minimum: int, maximum: int, command: str) -> None:
+    """Check the number of a command's arguments.
 
     Raises:
-        CommandError: There are fewer or more.
+        CommandError: The number is less than `minimum` or greater than `maximum`.
     """
-    if not least <= len(arguments) <= most:
+    if not minimum <= len(arguments) <= maximum:
         raise CommandError(f"wrong number of arguments for '{command}' command")
 
 
 def parse_take(arguments: list[bytes], settings: api.Settings) -> TakeCommand:
-    """Validate the arguments of TAKE by the gateway's settings.
+    """Validate the arguments of TAKE against the settings of the gateway.
 
     Raises:
-        CommandError: An argument is malformed or out of range, or names no class or plan.
+        CommandError: An argument is malformed, is out of range, or names an unknown class or plan.
     """
     check_argument_count(arguments, 5, 5, "take")
-    customer, class_name, plan_name, units, deadline = (a.decode(errors="replace") for a in arguments)
+    customer, class_name, plan_name, units, deadline = (argument.decode(errors="replace") for argument in arguments)
     if not CUSTOMER_PATTERN.fullmatch(customer):
         raise CommandError("customer is not 1 to 64 letters, digits or any of . _ : / @ -")
     class_names = [request_class.name for request_class in settings.classes]
@@ -86,10 +86,10 @@
 
 
 def parse_client_name(name: bytes) -> bytes:
-    """Validate a connection's name.
+    """Validate the name that a client gives its connection.
 
     Raises:
-        CommandError: It is too long, or not printable.
+        CommandError: The name is too long or contains a character that is not allowed.
     """
     if not CLIENT_NAME_PATTERN.fullmatch(name):
         raise CommandError("client names are at most 64 printable characters without spaces")
@@ -97,7 +97,7 @@
 
 
 def encode_hello(connection_id: int) -> bytes:
-    """Encode the reply to HELLO."""
+    """Encode the reply to HELLO for the connection with this id."""
     fields = {
         b"server": codec.encode_bulk_string(b"hallhitch"),
         b"version": codec.encode_bulk_string(__version__.encode()),
--- a/hallhitch/resp/counter_codec.py
+++ b/hallhitch/resp/counter_codec.py
@@ -1,4 +1,4 @@
-"""Codec of a counter that speaks RESP2: each call is one transaction, as the HTTP counter's is one request."""
+"""Client-side codec for a quota counter that speaks RESP2; each call is one MULTI/EXEC transaction."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from hallhitch.net.counter_codec import parse_total
 from hallhitch.net.http import Malformed
 
-REPLIES_PER_CALL: Final = 4  # to MULTI; to SET and INCRBYFLOAT, as queued; to EXEC
-MAX_LIFETIME_MS: Final = 60_000  # bounds how long a counter that nobody adds to any more is kept
+REPLIES_PER_CALL: Final = 4  # one each to MULTI, SET, INCRBYFLOAT (both "QUEUED") and EXEC
+MAX_LIFETIME_MS: Final = 60_000  # limits how long the server keeps a counter that is no longer used
 
 
 class RespCounterCodec:
-    """Encodes calls and decodes totals; the call that creates a counter sets when it expires."""
+    """Encodes calls and decodes totals; the call that creates a counter also sets its expiry."""
 
     def __init__(self) -> None:
         self._reader = hiredis.Reader()
@@ -23,13 +23,13 @@
 
     @property
     def partial(self) -> bool:
-        """Whether an answer has begun and not ended."""
+        """Whether the replies to a call have been received in part."""
         return bool(self._replies) or self._reader.has_data()
 
     def call(self, name: int, units: float, lifetime: float) -> bytes:
-        """Encode one call; `lifetime` is in ms."""
+        """Encode a call that adds units to a counter; a new counter expires after `lifetime` ms."""
         lifetime_ms = min(MAX_LIFETIME_MS, max(1, round(lifetime)))
-        # The type stub of this function allows commands of one word only.
+        # The type stub of hiredis.pack_command accepts only commands with a single element.
         pack: Callable[[tuple[object, ...]], bytes] = cast(Any, hiredis.pack_command)
         return b"".join(
             (
@@ -41,10 +41,10 @@
         )
 
     def feed(self, data: memoryview) -> Iterator[tuple[str, float]]:
-        """Yield outcome and total of the calls that this data completes.
+        """Yield the outcome and the total of each call whose replies this data completes.
 
         Raises:
-            Malformed: The data is no answer to a call.
+            Malformed: The data is not a valid reply to a call.
         """
         self._reader.feed(bytes(data))
         try:
@@ -52,18 +52,18 @@
                 self._replies.append(reply)
                 if len(self._replies) == REPLIES_PER_CALL:
                     self._replies.clear()
-                    yield call_outcome(reply)
+                    yield parse_exec_reply(reply)
         except hiredis.ProtocolError:
             raise Malformed(400) from None
 
 
-def call_outcome(exec_reply: object) -> tuple[str, float]:
-    """Return the outcome and total that the reply to EXEC carries.
+def parse_exec_reply(exec_reply: object) -> tuple[str, float]:
+    """Return the outcome and the total from the reply to EXEC.
 
-    A transaction that was not executed has added nothing: the counter is full.
+    A transaction that the server did not execute has added nothing; its outcome is "full".
 
     Raises:
-        Malformed: The reply is of another form, and the units may have been added.
+        Malformed: The reply has another form, so the units may have been added.
     """
     if exec_reply is None or isinstance(exec_reply, hiredis.ReplyError):
         return "full", 0.0
--- a/hallhitch/resp/server.py
+++ b/hallhitch/resp/server.py
@@ -1,13 +1,14 @@
-"""The limit server: RESP2 commands for limits, decided by the same core as HTTP traffic.
+"""The limit server: it answers RESP2 commands for limits, which the same core decides as HTTP traffic.
 
     TAKE customer class plan units deadline-ms
 
-takes units of a customer's quota. The reply is an array of two integers: 1 and 0 when they are granted, 0 and the
-milliseconds after which to retry when they are rejected. `-FAILED` means that nothing was decided within the deadline,
-`-ERR` that the command is wrong; the connection goes on in both cases.
+takes units from a customer's quota. The reply is an array of two integers: 1 and 0 if the units are granted, or 0 and
+the time in ms after which to retry if they are rejected. `-FAILED` means that no decision was made within the deadline,
+`-ERR` that the command is invalid; the connection stays open in both cases.
 
-PING, ECHO, HELLO, CLIENT and QUIT are as in other RESP servers. Commands may be pipelined: they run concurrently, and
-their replies keep their order. Broken framing is answered with an error, and the connection ends.
+PING, ECHO, HELLO, CLIENT and QUIT work as in other RESP servers. Commands may be pipelined: they run concurrently, and
+their replies are sent in the order of the commands. After a framing error the server sends an error and closes the
+connection.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 from hallhitch.decision import api
 from hallhitch.net.acceptor import Acceptor
 from hallhitch.net.client_connection import ClientConnection
-from hallhitch.resp.session import LimitDecider, Session
+from hallhitch.resp.session import Session, SessionContext
 
 
 class LimitServer(Acceptor):
-    """Accepts RESP clients; idle connections stay open as long as there is room."""
+    """Accepts RESP clients; an idle connection is closed only if another client needs its place."""
 
     max_idle_ms = math.inf
 
@@ -39,12 +40,12 @@
         spare: int,
     ) -> None:
         super().__init__(deadlines, scheduler, max_clients, spare)
-        self._decider = LimitDecider(core, settings)
+        self._context = SessionContext(core, settings)
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Use other settings for commands from now on."""
-        self._decider.settings = settings
+        """Use these settings for all commands that are executed from now on."""
+        self._context.settings = settings
 
     def make_connection(self, sock: socket.socket, spare: bool) -> ClientConnection:
-        """Return a new connection's actor."""
-        return Session(self, sock, spare, self._decider)
+        """Return the session of a new connection."""
+        return Session(self, sock, spare, self._context)
--- a/hallhitch/resp/settings.py
+++ b/hallhitch/resp/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that turns the RESP server on (`--resp FILE`); `deploy/resp.toml` is an example."""
+"""The settings file that enables the RESP server (`--resp FILE`); `deploy/resp.toml` is an example."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RespSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the server listens, the RESP counter if there is one, and how many clients it accepts."""
+    """The listening address, the address of the RESP counter, if there is one, and the maximum number of clients."""
 
     listen: str
     counter: str | None = None
@@ -28,6 +28,6 @@
     """Read and check the file.
 
     Raises:
-        SettingsError: The file cannot be used; the text names the field.
+        SettingsError: The file is invalid; the message names the field.
     """
     return read_file(path, RespSettings)
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -1,4 +1,4 @@
-"""The RESP2 codec and the parsing of commands, without a connection."""
+"""The RESP2 codecs and the parsing of commands, without a connection."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return reader.feed(memoryview(data))
 
 
-def test_command_is_read_from_single_bytes() -> None:
+def test_command_is_parsed_when_it_arrives_byte_by_byte() -> None:
     reader = CommandReader()
     commands = []
     for index in range(len(PING)):
@@ -37,7 +37,7 @@
     assert reader.framing_error == "too many arguments"
 
 
-def test_most_arguments_are_read() -> None:
+def test_maximum_number_of_arguments_is_accepted() -> None:
     reader = CommandReader()
     command = b"*%d\r\n" % MAX_ARGUMENTS + b"$1\r\nx\r\n" * MAX_ARGUMENTS
     assert feed(reader, command) == [[b"x"] * MAX_ARGUMENTS]
@@ -73,7 +73,7 @@
         ([b"a", b"read", b"basic", b"1", b"600001"], "deadline is out of range"),
     ],
 )
-def test_wrong_take_is_rejected(arguments: list[bytes], problem: str) -> None:
+def test_invalid_take_is_rejected(arguments: list[bytes], problem: str) -> None:
     with pytest.raises(CommandError, match=problem):
         parse_take(arguments, SETTINGS)
 
--- a/tests/resp/test_limit_server.py
+++ b/tests/resp/test_limit_server.py
@@ -1,4 +1,4 @@
-"""The limit server of the real program, with a counter that speaks RESP and with the platform's counter."""
+"""The limit server of the real program, with a RESP counter and with the HTTP counter of the platform."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     soon,
 )
 
-PLATFORM_CUSTOMER = "00000000b4d65521"  # as the customer of the HTTP requests is written
+PLATFORM_CUSTOMER = "00000000b4d65521"  # the customer in the HTTP requests of the test case
 
 
 def take_command(
@@ -26,7 +26,7 @@
 
 
 class RespCase(GatewayCase):
-    """The program with its limit server, and a counter that speaks RESP."""
+    """The program with its limit server and a RESP counter."""
 
     counter_kind = RespCounter
     resp = 'counter = "{counter}"\n'
@@ -37,7 +37,7 @@
         self.addCleanup(self.writer.close)
 
     async def call(self, data: bytes, replies: int = 1) -> list[object]:
-        """Send commands at once and read the replies."""
+        """Send commands in one write and read the replies."""
         self.writer.write(data)
         return [await soon(read_reply(self.reader)) for _ in range(replies)]
 
@@ -46,10 +46,10 @@
     """Commands and their replies."""
 
     async def test_units_are_granted_up_to_the_quota_then_rejected_with_a_retry_time(self) -> None:
-        """Pipelined commands are not shed as if grants took time."""
+        """Guards against pipelined commands that are rejected as overload although grants take no time."""
         replies = await self.call(take_command("s", plan="small-shop") * 30 + take_command("p") * 18, 48)
         rejected = [reply for reply in replies[:30] if isinstance(reply, list) and reply[0] == 0]
-        self.assertTrue(15 <= len(rejected) <= 29, replies)  # a window may end meanwhile
+        self.assertTrue(15 <= len(rejected) <= 29, replies)  # a quota window may end in the meantime
         self.assertTrue(all(0 < retry_after_ms <= 1000 for _, retry_after_ms in rejected), rejected)
         self.assertGreaterEqual(replies[30:].count([1, 0]), 10)
 
@@ -78,8 +78,8 @@
         )
         self.assertEqual(await soon(self.reader.read()), b"")
 
-    async def test_wrong_command_is_an_error_and_the_connection_goes_on(self) -> None:
-        wrong_commands = [
+    async def test_invalid_command_is_an_error_and_the_connection_stays_open(self) -> None:
+        invalid_commands = [
             command("TAKE", "x"),
             take_command(class_name="x"),
             take_command(plan="x"),
@@ -92,7 +92,7 @@
             command("NO"),
             b"*2\r\n$4\r\nPING\r\n:5\r\n",
         ]
-        replies = await self.call(b"".join(wrong_commands) + command("PING"), len(wrong_commands) + 1)
+        replies = await self.call(b"".join(invalid_commands) + command("PING"), len(invalid_commands) + 1)
         self.assertTrue(all(str(reply).startswith("-ERR") for reply in replies[:-1]), replies)
         self.assertEqual((replies[-1], self.counter.totals), ("+PONG", {}))
 
@@ -117,7 +117,7 @@
         pairs = (take_command(f"c{n}", deadline_ms="9000") + command("PING", str(n)) for n in range(6))
         self.writer.write(b"".join(pairs))
         for _ in range(4 * 6):
-            await soon(self.counter.came.get())  # all calls are sent though none was answered
+            await soon(self.counter.came.get())  # all counter calls are sent before the first reply
         self.counter.open.set()
         replies = [await soon(read_reply(self.reader)) for _ in range(12)]
         self.assertEqual(replies[1::2], [str(n).encode() for n in range(6)])
@@ -128,19 +128,19 @@
 
 
 class CounterFaultsTest(RespCase):
-    """Each command gets exactly one reply, whatever the counter does."""
+    """Each command gets exactly one reply, also if the counter fails."""
 
     counter_timeout_ms = 50.0
 
-    async def test_stalled_counter_delays_no_command_beyond_its_time_out(self) -> None:
+    async def test_stalled_counter_delays_no_command_beyond_its_timeout(self) -> None:
         self.counter.open.clear()
-        for front in ("http", "resp"):
-            if front == "http":
+        for protocol in ("http", "resp"):
+            if protocol == "http":
                 self.assertIn(" 200 ", (await self.ask(self.request("reject", 1500)))[0])
             else:
                 self.assertEqual(await self.call(take_command(PLATFORM_CUSTOMER)), [[1, 0]])
         self.counter.open.set()
-        self.assertEqual(await self.call(command("PING")), ["+PONG"])  # no second reply came between
+        self.assertEqual(await self.call(command("PING")), ["+PONG"])  # no second reply was sent in between
         self.assertEqual(await self.call(take_command(PLATFORM_CUSTOMER)), [[1, 0]])
         self.assertEqual(self.nodes[0].taken, 1)
 
@@ -151,7 +151,7 @@
         self.counter.open.set()
         self.assertEqual((pong, await self.call(take_command(units="2"))), ("+PONG", [[1, 0]]))
 
-    async def test_reply_of_a_disconnected_client_goes_to_nobody(self) -> None:
+    async def test_reply_for_a_disconnected_client_is_dropped(self) -> None:
         self.counter.open.clear()
         _, writer = await self.program.connect(self.resp_address)
         writer.write(take_command("gone"))
@@ -161,7 +161,7 @@
         self.counter.open.set()
         self.assertEqual(await self.call(take_command("stays") + command("PING"), 2), [[1, 0], "+PONG"])
 
-    async def test_commands_are_granted_while_the_counter_refuses_is_emptied_or_is_gone(self) -> None:
+    async def test_commands_are_granted_while_the_counter_rejects_calls_is_emptied_or_is_stopped(self) -> None:
         self.assertEqual(await self.call(take_command()), [[1, 0]])
         self.counter.refusing = True
         self.assertEqual(await self.call(take_command()), [[1, 0]])
@@ -183,7 +183,7 @@
 
     resp = 'counter = "{counter}"\nconnections = 1\n'
 
-    async def test_longest_idle_connection_makes_room(self) -> None:
+    async def test_longest_idle_connection_is_closed_for_a_new_one(self) -> None:
         self.assertEqual(await self.call(command("PING")), ["+PONG"])
         reader, writer = await self.program.connect(self.resp_address)
         writer.write(command("PING"))
@@ -208,7 +208,7 @@
 
 
 class PlatformCounterTest(GatewayCase):
-    """Settings that name no RESP counter."""
+    """Settings without a RESP counter."""
 
     resp = "connections = 4\n"
 
--- a/tests/resp/test_session.py
+++ b/tests/resp/test_session.py
@@ -22,7 +22,7 @@
 
 
 class ScriptedCore:
-    """Records the exchanges that sessions open; the test decides their answers."""
+    """A stand-in for the core: records the exchanges that sessions open; the test completes them."""
 
     def __init__(self) -> None:
         self.opened: list[tuple[tuple[object, ...], dict[str, object]]] = []
@@ -42,7 +42,7 @@
 async def open_session(
     core: ScriptedCore, is_spare: bool = False
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    """Run a session; yield the client's end of its connection."""
+    """Run a session and yield the streams of its client."""
     loop = asyncio.get_running_loop()
     server = LimitServer(cast(Core, core), SETTINGS, Deadlines(Clock(), loop), loop, max_clients=1, spare=1)
     server_end, client_end = socket.socketpair()
@@ -67,9 +67,9 @@
 
 
 class SessionTest(unittest.IsolatedAsyncioTestCase):
-    """One connection and the exchanges that its commands begin."""
+    """One session, its replies and the exchanges that its commands begin."""
 
-    async def test_take_begins_an_exchange_and_its_answers_are_replies_in_order(self) -> None:
+    async def test_take_begins_an_exchange_and_replies_are_sent_in_order(self) -> None:
         core = ScriptedCore()
         async with open_session(core) as (reader, writer):
             writer.write(TAKE + TAKE + TAKE + command("PING"))
@@ -105,12 +105,12 @@
                 port.on_served(None)
             await wait_until(lambda: len(core.ports) == MAX_PIPELINE_DEPTH + 5)
 
-    async def test_broken_framing_is_reported_behind_earlier_replies_and_ends_the_connection(self) -> None:
+    async def test_framing_error_is_reported_after_earlier_replies_and_closes_the_connection(self) -> None:
         async with open_session(ScriptedCore()) as (reader, writer):
             writer.write(command("PING") + b"*999\r\n")
             assert await asyncio.wait_for(reader.read(), 5.0) == b"+PONG\r\n-ERR Protocol error: too many arguments\r\n"
 
-    async def test_spare_connection_gets_an_error_only(self) -> None:
+    async def test_spare_connection_is_answered_with_an_error_and_closed(self) -> None:
         async with open_session(ScriptedCore(), is_spare=True) as (reader, writer):
             writer.write(command("PING"))
             assert await asyncio.wait_for(reader.read(), 5.0) == b"-ERR max number of clients reached\r\n"
--- a/tests/resp/test_settings.py
+++ b/tests/resp/test_settings.py
@@ -13,7 +13,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Files that are accepted, and those that the program rejects by the field's name."""
+    """Which files are accepted, and that the program names the field of a rejected one."""
 
     def test_example_file_is_valid(self) -> None:
         settings = read_settings(str(ROOT / "deploy" / "resp.toml"))
