--- a/hallhitch/tls/authority.py
+++ b/hallhitch/tls/authority.py
@@ -1,4 +1,4 @@
-"""A local certificate authority for trials and tests. Its key lies unprotected in a file: it is not for service."""
+"""A local certificate authority for trials and tests. Its private key is stored unencrypted: not for production."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from hallhitch.tls.certificate_files import read_certificate
 from hallhitch.tls.errors import CertificateError
 
-AUTHORITY_NAME: Final = "ca"  # clients trust `ca.crt`
+AUTHORITY_NAME: Final = "ca"  # file name without suffix; clients trust `ca.crt`
 AUTHORITY_VALIDITY: Final = timedelta(days=365 * 10)  # outlasts any trial
-DEFAULT_VALIDITY_DAYS: Final = 90  # as public authorities issue them
-CLOCK_SKEW: Final = timedelta(minutes=5)  # by which a client's clock may be behind
-MAX_COMMON_NAME_LENGTH: Final = 64  # X.520, ub-common-name
+DEFAULT_VALIDITY_DAYS: Final = 90  # as usual for public certificate authorities
+CLOCK_SKEW: Final = timedelta(minutes=5)  # the clock of a client may be behind by this much
+MAX_COMMON_NAME_LENGTH: Final = 64  # upper bound of X.520 (ub-common-name)
 
 
 def create_authority(directory: Path) -> Path:
-    """Create `ca.crt` and `ca.key`; return the certificate's path.
+    """Create `ca.crt` and `ca.key`; return the path of the certificate.
 
     Raises:
-        CertificateError: There is an authority already.
+        CertificateError: The directory already holds an authority.
     """
     certificate_path, key_path = _authority_paths(directory)
     if certificate_path.exists():
-        raise CertificateError(certificate_path, "there is an authority already")
+        raise CertificateError(certificate_path, "a certificate authority exists already")
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "hallhitch local authority")])
     now = datetime.now(UTC)
@@ -61,10 +61,10 @@
     client: bool = False,
     days: float = DEFAULT_VALIDITY_DAYS,
 ) -> Path:
-    """Issue `FILE_NAME.crt` and `.key` for host names and addresses; return the certificate's path.
+    """Issue `FILE_NAME.crt` and `FILE_NAME.key` for host names and IP addresses; return the path of the certificate.
 
-    `client` makes a certificate by which a caller authenticates. Both files are replaced by renaming, the key first:
-    whoever reads them in between finds a mismatch and waits.
+    With `client`, the certificate is for client authentication instead of a server. Both files are replaced by
+    renaming, the key first: a reader that loads them in between finds that they do not match and retries.
 
     Raises:
         CertificateError: The directory holds no usable authority.
@@ -107,7 +107,7 @@
     except (OSError, ValueError) as error:
         raise CertificateError(path, str(error)) from error
     if not isinstance(key, ec.EllipticCurvePrivateKey):
-        raise CertificateError(path, "not an elliptic-curve key")
+        raise CertificateError(path, "the private key is not an elliptic-curve key")
     return key
 
 
@@ -142,11 +142,11 @@
 
 
 def _replace_file(path: Path, data: bytes, mode: int) -> None:
-    """Replace a file atomically and durably."""
-    temporary = path.with_name(f".{path.name}.{os.getpid()}")
-    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
+    """Replace a file atomically, after its content has been synced to disk."""
+    temporary_path = path.with_name(f".{path.name}.{os.getpid()}")
+    descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
     with os.fdopen(descriptor, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.rename(temporary, path)
+    os.rename(temporary_path, path)
--- a/hallhitch/tls/certificate_files.py
+++ b/hallhitch/tls/certificate_files.py
@@ -1,4 +1,4 @@
-"""Certificates as files: reading them, the names they are valid for, fingerprints, and detection of replacement."""
+"""Certificate files: reading, subject names, fingerprints, and the detection of replaced files."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class FileVersion(NamedTuple):
-    """What changes when a file is replaced; zeros for a file that cannot be read."""
+    """Identifies the content of a file: changes when the file is replaced; zeros if the file cannot be read."""
 
     modified_ns: int
     size_bytes: int
 
 
 def file_version(path: Path) -> FileVersion:
-    """Return a file's version."""
+    """Return the current version of a file."""
     try:
         stat = path.stat()
     except OSError:
@@ -36,11 +36,11 @@
     try:
         return x509.load_pem_x509_certificates(path.read_bytes())[0]
     except (OSError, ValueError, IndexError) as error:
-        raise CertificateError(path, f"no certificate: {error}") from error
+        raise CertificateError(path, f"cannot read a certificate: {error}") from error
 
 
 def subject_names(certificate: x509.Certificate) -> tuple[str, ...]:
-    """Return the host names and addresses that a certificate is valid for."""
+    """Return the host names and IP addresses in a certificate's subject alternative names."""
     try:
         names = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     except x509.ExtensionNotFound:
@@ -52,7 +52,7 @@
 
 
 def is_authority(path: Path) -> bool:
-    """Return whether a file holds an authority's certificate."""
+    """Return whether a file holds the certificate of a certificate authority."""
     try:
         return read_certificate(path).extensions.get_extension_for_class(x509.BasicConstraints).value.ca
     except (CertificateError, x509.ExtensionNotFound):
@@ -60,7 +60,7 @@
 
 
 def certificate_fingerprint(der: bytes) -> str:
-    """Return the SHA-256 of a DER certificate in hexadecimal digits, by which credentials name a certificate."""
+    """Return the SHA-256 digest of a DER certificate in hexadecimal; credentials refer to certificates by it."""
     digest = hashes.Hash(hashes.SHA256())
     digest.update(der)
     return digest.finalize().hex()
--- a/hallhitch/tls/errors.py
+++ b/hallhitch/tls/errors.py
@@ -1,4 +1,4 @@
-"""Errors of certificates and keys."""
+"""The error that reports an unusable certificate or key."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CertificateError(Exception):
-    """A certificate, its key or their directory cannot be used."""
+    """A certificate, its private key or the certificate directory cannot be used."""
 
     def __init__(self, path: Path, problem: str) -> None:
         super().__init__(f"{path}: {problem}")
--- a/hallhitch/tls/inspection.py
+++ b/hallhitch/tls/inspection.py
@@ -12,10 +12,10 @@
 
 
 def describe_certificate(path: Path) -> dict[str, object]:
-    """Return what a certificate holds, and whether its key belongs to it, as the JSON object that is printed.
+    """Return the contents of a certificate, and whether its key matches, as the JSON object that is printed.
 
     Raises:
-        CertificateError: The file holds no certificate.
+        CertificateError: The file contains no readable certificate.
     """
     certificate = read_certificate(path)
     description: dict[str, object] = {
--- a/tests/tls/test_certificate_store.py
+++ b/tests/tls/test_certificate_store.py
@@ -1,4 +1,4 @@
-"""Certificate pairs of a directory: which serve for a host name, which are rejected, and what a reload keeps."""
+"""The certificate store: which pair it selects for a host name, which pairs it rejects, and what a reload keeps."""
 
 from __future__ import annotations
 
@@ -55,35 +55,35 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "problem"),
+    ("corrupt", "problem"),
     [
-        (use_key_of_another, "not the key of"),
+        (use_key_of_another, "not the private key of"),
         (use_expired_certificate, "expired"),
-        (use_unreadable_certificate, "no certificate"),
-        (remove_key, "no private key"),
+        (use_unreadable_certificate, "cannot read a certificate"),
+        (remove_key, "cannot read the private key"),
         (use_certificate_without_names, "no host name"),
     ],
 )
-def test_unusable_pair_is_reported_and_the_previous_one_serves(
-    certificate_directory: Path, spoil: Callable[[Path], None], problem: str
+def test_unusable_pair_is_reported_and_the_previous_one_stays_in_use(
+    certificate_directory: Path, corrupt: Callable[[Path], None], problem: str
 ) -> None:
     store = CertificateStore(certificate_directory)
-    serving = store.pair_for("acme.example.org")
+    previous_pair = store.pair_for("acme.example.org")
     key, certificate = certificate_directory / "acme.key", certificate_directory / "acme.crt"
     key_bytes, certificate_bytes = key.read_bytes(), certificate.read_bytes()
 
-    spoil(certificate_directory)
+    corrupt(certificate_directory)
     errors = store.reload()
     assert len(errors) == 1
     assert "acme" in str(errors[0])
     assert problem in str(errors[0])
-    assert store.pair_for("acme.example.org") is serving
+    assert store.pair_for("acme.example.org") is previous_pair
 
     key.write_bytes(key_bytes)
     certificate.write_bytes(certificate_bytes)
     os.utime(certificate, ns=(1, 1))
     assert store.reload() == []
-    assert store.pair_for("acme.example.org") is not serving
+    assert store.pair_for("acme.example.org") is not previous_pair
 
 
 def test_certificate_that_is_not_valid_yet_is_rejected(certificate_directory: Path) -> None:
@@ -93,7 +93,7 @@
 
 
 def test_directory_without_pairs_is_rejected(tmp_path: Path) -> None:
-    with pytest.raises(CertificateError, match="holds no pair"):
+    with pytest.raises(CertificateError, match="contains no pair"):
         CertificateStore(tmp_path)
 
 
@@ -107,9 +107,9 @@
 def test_inspection_reports_whether_the_key_belongs_to_the_certificate(certificate_directory: Path) -> None:
     assert describe_certificate(certificate_directory / "acme.crt")["pair"] == "good"
     use_key_of_another(certificate_directory)
-    assert "not the key" in str(describe_certificate(certificate_directory / "acme.crt")["pair"])
+    assert "not the private key" in str(describe_certificate(certificate_directory / "acme.crt")["pair"])
 
 
 def test_second_authority_in_a_directory_is_refused(certificate_directory: Path) -> None:
-    with pytest.raises(CertificateError, match="there is an authority already"):
+    with pytest.raises(CertificateError, match="a certificate authority exists already"):
         create_authority(certificate_directory)
--- a/tests/tls/test_tls_in_service.py
+++ b/tests/tls/test_tls_in_service.py
@@ -1,4 +1,4 @@
-"""Certificates of a running control plane: replacement in service, and clients that are turned away."""
+"""TLS of a running control plane: replacement of certificates, and clients that are rejected."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         return ssl.create_default_context(cafile=str(self.plane.folder / "tls" / "ca.crt"))
 
     async def presented_certificate(self, server_name: str | None = None) -> dict[str, object]:
-        """Return the certificate that a new connection is presented with."""
+        """Return the certificate that the server presents to a new connection."""
         host, port = self.address()
         _, writer = await asyncio.open_connection(
             host, port, ssl=self.client_context(), server_hostname=server_name or host
@@ -34,27 +34,27 @@
         return dict(certificate)
 
     async def logged(self, text: str) -> None:
-        """Wait for a log line, one that was written before included."""
+        """Wait for a log line that contains the text; lines that were logged earlier count."""
         while not any(text in line for line in self.plane.log_lines):
             await asyncio.sleep(0.01)
 
     async def test_certificates_are_replaced_without_dropping_connections(self) -> None:
         directory = self.plane.folder / "tls"
         self.assertEqual((await self.root.get("/v1/status")).status_code, 200)  # a connection that stays open
-        before = await self.presented_certificate()
+        previous = await self.presented_certificate()
         issue_certificate(directory, "default", ["127.0.0.1", "localhost"])
         issue_certificate(directory, "late", ["late.example.org"])
-        for file in ("default.crt", "late.crt"):  # each may be loaded before the other is written
+        for file in ("default.crt", "late.crt"):  # a reload may load one before the other is written
             await soon(self.logged(f'"file": "{file}", "replaced": {str(file == "default.crt").lower()}'))
         replaced = await self.presented_certificate()
-        self.assertNotEqual(replaced, before)
+        self.assertNotEqual(replaced, previous)
         self.assertEqual((await self.root.get("/v1/status")).status_code, 200)
         late = await self.presented_certificate("late.example.org")
         self.assertEqual(late["subjectAltName"], (("DNS", "late.example.org"),))
-        (directory / "default.crt").write_text("spoilt")
+        (directory / "default.crt").write_text("invalid")
         self.plane.process.send_signal(1)  # SIGHUP
         await soon(self.logged("certificate rejected"))
-        self.assertEqual(await self.presented_certificate(), replaced, "the previous certificate serves on")
+        self.assertEqual(await self.presented_certificate(), replaced, "the previous certificate must stay in use")
 
     async def test_tls_before_1_2_is_refused(self) -> None:
         context = self.client_context()
@@ -64,7 +64,7 @@
         with self.assertRaises((ssl.SSLError, ConnectionError)):
             await asyncio.open_connection(*self.address(), ssl=context)
 
-    async def test_plain_text_is_not_answered(self) -> None:
+    async def test_unencrypted_request_is_not_answered(self) -> None:
         reader, writer = await asyncio.open_connection(*self.address())
         writer.write(b"GET /openapi.json HTTP/1.1\r\nHost: x\r\n\r\n")
         with contextlib.suppress(ConnectionError):
