--- a/hallhitch/membership/__init__.py
+++ b/hallhitch/membership/__init__.py
@@ -1,8 +1,8 @@
-"""Membership of the gateways: who is alive, failed or gone, and what follows for server placement and budgets.
+"""Group membership of the gateways: which are alive, failed or gone, and how many share servers and budgets.
 
-Used by `hallhitch --peers` alone; the system's own programs have their membership in `planes/`. It knows nothing of
-quotas, tenants or requests, and judges no server.
+The package is used only by `hallhitch --peers`; the programs of the whole system have their own membership in
+`planes/`. It has no knowledge of quotas, tenants or requests, and does not check the health of servers.
 
-`swim` is the protocol's state machine, `damped_view` derives counts from its view, `protocol` joins the two. None of
-them does I/O or reads a clock: `service` and `udp_transport` do.
+`swim` is the protocol's state machine, `damped_view` derives gateway counts from its view, and `protocol` combines the
+two. None of them does I/O or reads a clock; `service` and `udp_transport` do.
 """
--- a/hallhitch/membership/protocol.py
+++ b/hallhitch/membership/protocol.py
@@ -1,4 +1,4 @@
-"""The protocol with its damped view, as one step to be finished after every call of the state machine."""
+"""Combines the state machine with its damped view: one call collects the results of a step of both."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StepResult(NamedTuple):
-    """What follows from a step; `counts` is None where they have not changed."""
+    """Results of a step; `counts` is None unless new counts are to be published."""
 
     outgoing: list[OutgoingDatagram]
     changes: list[MemberChange]
@@ -19,7 +19,7 @@
 
 
 class MembershipProtocol:
-    """One process's state machine and damped view.
+    """The state machine and the damped view of one process.
 
     The owner calls `finish_step` after every call of `swim`, and `swim.tick` at the time that `next_wake` returns.
     """
@@ -29,7 +29,7 @@
         self.damped_view = damped_view
 
     def finish_step(self, now: float) -> StepResult:
-        """Take what is to be sent and what has changed, and derive the counts if they are due."""
+        """Take the outgoing messages and the changes, and evaluate the damped view if it is due."""
         outgoing = self.swim.take_outgoing()
         changes = self.swim.take_changes()
         if changes:
--- a/hallhitch/membership/rendezvous.py
+++ b/hallhitch/membership/rendezvous.py
@@ -1,7 +1,7 @@
 """Rank of one gateway in each server's order of the gateways, by rendezvous hashing of names, updated incrementally.
 
-A server's order depends on names alone. Views that differ by a few members give ranks that differ by a few, and a
-gateway that joins or leaves changes only the ranks behind its own. A change costs one hash a server.
+A server's order depends only on the names. Views that differ by a few members give ranks that differ by a few, and a
+gateway that joins or leaves changes only the ranks behind its own. A change costs one hash per cached server.
 
 Source: Thaler, Ravishankar: Using name-based mappings to increase hit rates (1998).
 """
@@ -13,23 +13,23 @@
 
 import xxhash
 
-MAX_CACHED_RANKS: Final = 8_192  # servers; beyond that the cache is cleared and ranks are computed anew
+MAX_CACHED_RANKS: Final = 8_192  # one per server; when the cache is full, it is cleared and ranks are recomputed
 
 
 class CachedRank(NamedTuple):
-    """This gateway's weight for a server, and how many gateways precede it."""
+    """This gateway's weight for a server, and the number of gateways that precede it."""
 
     weight: int
     rank: int
 
 
 def weight(server: str, gateway: str) -> int:
-    """Return 64 bits, evenly distributed over servers and gateways."""
+    """Return a 64-bit hash of a server and a gateway; a server ranks the gateways by descending weight."""
     return xxhash.xxh3_64_intdigest(f"{server}\0{gateway}".encode())
 
 
 class RendezvousRanking:
-    """The ranks of one gateway among those counted."""
+    """The ranks of one gateway among all that count for placement."""
 
     def __init__(self, local_name: str) -> None:
         self._local_name = local_name
@@ -37,22 +37,22 @@
         self._ranks: dict[str, CachedRank] = {}  # by server
 
     def rename(self, local_name: str) -> None:
-        """Rank this gateway under another name."""
+        """Change the name under which this gateway is ranked."""
         if local_name != self._local_name:
             self.gateways = (self.gateways - {self._local_name}) | {local_name}
             self._local_name = local_name
             self._ranks.clear()
 
     def set_gateways(self, names: Iterable[str]) -> None:
-        """Count these gateways from now on, and always this one."""
+        """Replace the ranked gateways; this gateway is always one of them."""
         names = frozenset(names) | {self._local_name}
-        joined, departed = names - self.gateways, self.gateways - names
+        joined, left = names - self.gateways, self.gateways - names
         self.gateways = names
-        if len(joined) + len(departed) > len(names):
+        if len(joined) + len(left) > len(names):
             self._ranks.clear()
         for server, cached in self._ranks.items():
             change = self._count_preceding(server, cached.weight, joined)
-            change -= self._count_preceding(server, cached.weight, departed)
+            change -= self._count_preceding(server, cached.weight, left)
             self._ranks[server] = CachedRank(cached.weight, cached.rank + change)
 
     def rank(self, server: str) -> int:
