--- a/hallhitch/membership/local_health.py
+++ b/hallhitch/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Local health: how far this process distrusts its own observations, and stretches its intervals for it.
+"""Local health: how unreliable this process's own observations are. A worse score lengthens its probe intervals.
 
 Source: Lifeguard (2018), "Local Health Aware Probe".
 """
@@ -14,7 +14,7 @@
         self.score = 0
 
     def adjust(self, delta: int) -> None:
-        """Add to the score; a positive delta means worse health."""
+        """Add to the score, within its bounds; a positive delta means worse health."""
         self.score = max(0, min(self._max_score, self.score + delta))
 
     def set_worst(self) -> None:
@@ -23,5 +23,5 @@
 
     @property
     def stretch(self) -> int:
-        """Factor by which probe intervals and time-outs are stretched."""
+        """Factor by which probe intervals and reply time-outs are multiplied."""
         return 1 + self.score
--- a/hallhitch/membership/outbox.py
+++ b/hallhitch/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Outgoing messages of the state machine: builds them, with updates attached, and keeps them until they are taken."""
+"""Outgoing messages of the state machine, built with updates attached and queued until the owner takes them."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class OutgoingDatagram(NamedTuple):
-    """A message and the address that it is sent to."""
+    """A message and its destination address."""
 
     address: str
     message: Datagram
 
 
 class MessageHeader(NamedTuple):
-    """The leading fields of a message, in the order of the wire."""
+    """The leading fields of a message, in wire order."""
 
     protocol_version: int
     cluster: str
@@ -28,7 +28,7 @@
 
 
 class Outbox:
-    """Builds and collects messages."""
+    """Builds messages and queues them for sending."""
 
     def __init__(self, view: MemberView, cluster: str) -> None:
         self._view = view
@@ -37,34 +37,34 @@
         self._outgoing: list[OutgoingDatagram] = []
 
     def take(self) -> list[OutgoingDatagram]:
-        """Return the messages to send and forget them."""
+        """Remove all queued messages and return them."""
         outgoing, self._outgoing = self._outgoing, []
         return outgoing
 
     def next_sequence(self) -> int:
-        """Draw the number of a probe."""
+        """Return the sequence number of the next probe."""
         self._last_sequence += 1
         return self._last_sequence
 
     def ping(self, target: MemberRecord, sequence: int) -> None:
-        """Send a probe."""
+        """Queue a direct probe."""
         header = self._header(self._view.table.by_key.get(target.key))
         self._add(target.address, Ping(*header, sequence, target.instance))
 
     def ping_request(self, helper: Member, target: MemberRecord, sequence: int) -> None:
-        """Ask a member to probe another."""
+        """Queue a request to a helper to ping the target."""
         self._add(helper.record.address, PingRequest(*self._header(helper), sequence, target))
 
     def ack(self, address: str, sequence: int, target_instance: int, recipient: Member | None) -> None:
-        """Answer a probe, for this process or for a member that was pinged on request."""
+        """Queue the reply to a probe, for this process or for a member that was pinged on request."""
         self._add(address, Ack(*self._header(recipient), sequence, target_instance))
 
     def nack(self, address: str, sequence: int) -> None:
-        """Answer a request to ping a member that did not answer."""
+        """Queue the reply to a ping request whose target did not answer."""
         self._add(address, Nack(*self._header(None), sequence))
 
     def sync(self, address: str, records: list[MemberRecord], after: str, until: str, page_number: int) -> None:
-        """Send a page of the view."""
+        """Queue a page of the view."""
         view = self._view
         page = Sync(
             PROTOCOL_VERSION, self._cluster, view.local, view.table.digest, tuple(records), after, until, page_number
@@ -72,12 +72,12 @@
         self._add(address, page)
 
     def _header(self, recipient: Member | None) -> MessageHeader:
-        """Return the leading fields. An accused recipient gets its accusation first, so that it can refute."""
+        """Return the leading fields. An accused recipient is sent its record first, so that it can refute it."""
         view = self._view
         updates = view.updates.take(view.present_count)
         if recipient is not None and recipient.record.state is not MemberState.ALIVE:
-            accusation = recipient.record
-            updates = [accusation, *(record for record in updates if record.key != accusation.key)]
+            held_record = recipient.record
+            updates = [held_record, *(record for record in updates if record.key != held_record.key)]
         return MessageHeader(PROTOCOL_VERSION, self._cluster, view.local, view.table.digest, tuple(updates))
 
     def _add(self, address: str, message: Datagram) -> None:
--- a/hallhitch/membership/ping_relay.py
+++ b/hallhitch/membership/ping_relay.py
@@ -1,4 +1,4 @@
-"""Pings on behalf of other members (the helper's side of an indirect probe). Times in ms."""
+"""Pings on behalf of other members: the helper's side of an indirect probe. Times are in ms."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from hallhitch.membership.outbox import Outbox
 from hallhitch.membership.protocol_settings import ProtocolSettings
 
-MAX_RELAYED_PINGS: Final = 256  # in flight; bounds the memory that requests can take
-# Part of the reply time-out after which the requester gets a nack: early enough to reach it before its probe ends.
+MAX_RELAYED_PINGS: Final = 256  # in flight; bounds the memory that requests can occupy
+# Fraction of the reply time-out after which a nack is sent: early enough to arrive before the requester's probe ends.
 NACK_TIMEOUT_RATIO: Final = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedPing:
-    """A ping in flight for another member."""
+    """A ping in flight on behalf of another member."""
 
     requester_address: str
     requester_sequence: int
@@ -27,7 +27,7 @@
 
 
 class PingRelay:
-    """Pings members on request and reports their answers."""
+    """Pings members on request and reports their replies to the requesters."""
 
     def __init__(self, view: MemberView, outbox: Outbox, settings: ProtocolSettings) -> None:
         self._view = view
@@ -40,7 +40,7 @@
         return len(self._in_flight)
 
     def on_request(self, request: PingRequest, now: float) -> None:
-        """Ping the target of a request."""
+        """Ping the target of a request, or drop the request if too many are in flight or its address is not allowed."""
         target = request.target
         if len(self._in_flight) >= MAX_RELAYED_PINGS or not self._view.is_allowed(target.address):
             self._view.counters.records_dropped += 1
@@ -51,7 +51,7 @@
         self._outbox.ping(target, sequence)
 
     def on_ack(self, ack: Ack) -> None:
-        """Report the answer of a target to its requester."""
+        """Forward a target's ack to the requester."""
         relayed = self._in_flight.get(ack.sequence)
         if relayed is None or relayed.target_instance != ack.target_instance:
             return
@@ -59,7 +59,7 @@
         self._outbox.ack(relayed.requester_address, relayed.requester_sequence, relayed.target_instance, None)
 
     def expire(self, now: float) -> None:
-        """Report targets that did not answer in time."""
+        """Send a nack for each target that did not reply in time."""
         for sequence, relayed in list(self._in_flight.items()):
             if relayed.nack_at <= now:
                 del self._in_flight[sequence]
@@ -67,6 +67,6 @@
         self.wake_at = min((relayed.nack_at for relayed in self._in_flight.values()), default=math.inf)
 
     def clear(self) -> None:
-        """Abandon all pings in flight."""
+        """Discard all pings in flight."""
         self._in_flight.clear()
         self.wake_at = math.inf
--- a/hallhitch/membership/probe_ring.py
+++ b/hallhitch/membership/probe_ring.py
@@ -1,4 +1,4 @@
-"""Order in which members are probed: each once a round, every round in a random order of its own.
+"""Order in which members are probed: each once per round, and every round in a new random order.
 
 Source: SWIM, section 4.3 (round-robin probe target selection).
 """
@@ -12,7 +12,7 @@
 
 
 class ProbeRing:
-    """The present members but this process, in probing order."""
+    """The present members without this process, in probing order."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -38,7 +38,7 @@
         self._position -= index < self._position
 
     def next(self) -> MemberKey:
-        """Return the member to probe next. The ring must not be empty."""
+        """Return the next member to probe. The ring must not be empty."""
         if self._position >= len(self._keys):
             self._rng.shuffle(self._keys)
             self._position = 0
--- a/hallhitch/membership/prober.py
+++ b/hallhitch/membership/prober.py
@@ -1,7 +1,8 @@
-"""Probes: one member a probe interval, first directly, then through other members.
+"""Probes: one member per probe interval, first directly, then through other members.
 
-At most one probe is in flight. Source: SWIM, section 3.1; Lifeguard (2018) for nacks and stretched intervals.
-Times in ms.
+At most one probe is in flight. Times are in ms.
+
+Sources: SWIM, section 3.1; Lifeguard (2018) for nacks and intervals that depend on local health.
 """
 
 from __future__ import annotations
@@ -18,7 +19,8 @@
 from hallhitch.membership.protocol_settings import ProtocolSettings
 from hallhitch.membership.records import MemberKey, MemberState
 
-# Members reported as failed that are pinged beside the probe in an interval; a healed split reports many at once.
+# Members reported as failed that are pinged per interval, in addition to the probe. After a partition heals, many are
+# reported at once.
 MAX_VERIFICATIONS: Final = 8
 
 
@@ -28,24 +30,24 @@
 
     key: MemberKey
     sequence: int
-    indirect_at: float  # when other members are asked
+    indirect_at: float  # when indirect probes are requested
     ends_at: float
-    helpers: int = 0  # members that were asked
-    nacks: int = 0
+    helpers: int = 0  # members that were asked to ping the target
+    nacks: int = 0  # helpers that replied without an ack of the target
 
     @property
     def wake_at(self) -> float:
-        """When there is something to do for it."""
+        """When the probe has its next deadline."""
         return self.ends_at if self.helpers else self.indirect_at
 
     @property
     def missed_replies(self) -> int:
-        """How many replies of helpers are missing; 1 for a probe without helpers."""
+        """Number of helpers that sent no nack; 1 for a probe without helpers."""
         return max(0, self.helpers - self.nacks) if self.helpers else 1
 
 
 class Prober:
-    """Probes the members of a view in turn."""
+    """Probes the members of a view one after another."""
 
     def __init__(self, view: MemberView, outbox: Outbox, settings: ProtocolSettings, rng: random.Random) -> None:
         self._view = view
@@ -56,23 +58,23 @@
         self._next_probe_at = math.inf
 
     def start(self, now: float) -> None:
-        """Schedule the first probe at random within one interval."""
+        """Schedule the first probe at a random time within one interval."""
         self._next_probe_at = now + self._rng.random() * self._settings.probe_interval_ms
 
     @property
     def wake_at(self) -> float:
-        """When to call `tick` next."""
+        """When `tick` must be called next."""
         return self._next_probe_at if self._probe is None else self._probe.wake_at
 
     def tick(self, now: float) -> None:
-        """Continue the probe in flight, and begin the next one if it is due."""
+        """Advance the probe in flight, and start the next one if it is due."""
         if self._probe is not None:
             self._continue(self._probe, now)
         if self._probe is None and now >= self._next_probe_at:
             self._begin(now)
 
     def on_ack(self, ack: Ack, now: float) -> bool:
-        """End the probe in flight if this is its answer; return whether it is."""
+        """End the probe in flight if the ack belongs to it; return whether it does."""
         probe = self._probe
         if probe is None or probe.sequence != ack.sequence or probe.key.instance != ack.target_instance:
             return False
@@ -84,18 +86,18 @@
         return True
 
     def on_nack(self, nack: Nack) -> None:
-        """Count a helper that answered for a silent target."""
+        """Count the reply of a helper whose target did not respond."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
             self._probe.nacks += 1
 
     def postpone(self, delay_ms: float) -> None:
-        """Extend the probe in flight by a time in which this process stood still."""
+        """Extend the deadlines of the probe in flight by a period in which this process was stalled."""
         if self._probe is not None:
             self._probe.indirect_at += delay_ms
             self._probe.ends_at += delay_ms
 
     def restart(self, now: float) -> None:
-        """Abandon the probe in flight and begin the next one after an interval."""
+        """Discard the probe in flight and start the next one after a probe interval."""
         self._probe = None
         self._next_probe_at = now + self._settings.probe_interval_ms
 
@@ -112,7 +114,7 @@
         self._outbox.ping(self._view.table.by_key[key].record, sequence)
 
     def _verify_reported_failures(self) -> None:
-        """Ping members that others reported as failed, so that they can refute."""
+        """Ping members that others reported as failed, so that they can refute the report."""
         unverified = self._view.unverified
         for key in unverified[:MAX_VERIFICATIONS]:
             member = self._view.table.by_key.get(key)
@@ -131,7 +133,7 @@
 
     def _fail(self, probe: Probe, member: Member, now: float) -> None:
         self._probe, self._next_probe_at = None, now
-        # Helpers that do not answer at all suggest that this process receives nothing.
+        # If the helpers do not reply either, this process may be the one that receives nothing.
         self._view.health.adjust(probe.missed_replies)
         self._view.accuse(member, now)
 
@@ -144,5 +146,5 @@
             probe.indirect_at = probe.ends_at
         for key in chosen:
             self._outbox.ping_request(table.by_key[key], member.record, probe.sequence)
-        # The first ping may have been lost, so the target is pinged once more directly.
+        # The first ping may have been lost, so the target is pinged directly once more.
         self._outbox.ping(member.record, probe.sequence)
--- a/hallhitch/membership/swim.py
+++ b/hallhitch/membership/swim.py
@@ -1,8 +1,7 @@
-"""Group membership by SWIM with Lifeguard's refinements, as a state machine without I/O.
+"""Group membership by SWIM with the Lifeguard extensions, as a state machine without I/O.
 
-Time, randomness and messages come in as arguments. The owner calls `tick` at the time that `next_wake` returns, or
-earlier, and takes what is to be sent and what has changed after every call. All times are ms of a clock that never
-steps.
+Time, randomness and messages are passed in as arguments. The owner calls `tick` at the time that `next_wake` returns,
+or earlier, and takes the outgoing messages and the changes after every call. All times are in ms of a monotonic clock.
 
 Sources: Das, Gupta, Motivala: SWIM (DSN 2002); Dadgar, Phillips, Currey: Lifeguard (DSN-W 2018).
 """
@@ -26,12 +25,12 @@
 from hallhitch.membership.records import MemberKey, MemberRecord, MemberState
 from hallhitch.membership.view_exchange import ViewExchange
 
-MAX_LEAVE_MESSAGES: Final = 8  # members that are notified of a departure directly; the others hear of it from them
-LATE_WAKE_RATIO: Final = 0.25  # part of the reply time-out by which a timer may be late without consequence
+MAX_LEAVE_MESSAGES: Final = 8  # members notified of a departure directly; the others learn of it through updates
+LATE_WAKE_RATIO: Final = 0.25  # fraction of the reply time-out by which a timer may be late without effect
 
 
 class Swim:
-    """The protocol's state machine in one process."""
+    """The state machine of the protocol in one process."""
 
     def __init__(
         self,
@@ -43,7 +42,7 @@
         is_allowed: Callable[[str], bool] = lambda address: True,
     ) -> None:
         self.view = MemberView(local, settings, rng, is_allowed)
-        self.agreed_at = -math.inf  # when a message last carried the same view
+        self.agreed_at = -math.inf  # when a message with the digest of the same view was last received
         self._settings = settings
         self._rng = rng
         self._outbox = Outbox(self.view, cluster)
@@ -53,24 +52,24 @@
         self._announced_wake_at = math.inf
         self._last_run_at = -math.inf
 
-    # Driven by its owner.
+    # Called by the owner.
 
     def start(self, now: float) -> None:
-        """Begin to probe, and contact the seeds at once."""
+        """Start probing, and contact the seeds immediately."""
         self._prober.start(now)
         self._exchange.start(now)
         self.view.updates.add(self.local)
         self.tick(now)
 
     def restore(self, records: Iterable[MemberRecord], now: float) -> None:
-        """Hold members that were known before, without passing them on as updates."""
+        """Add members that were known before, without queueing updates about them."""
         for record in records:
             if record.key != self.local.key:
                 self.view.merge(record, now)
                 self.view.updates.discard(record.key)
 
     def next_wake(self) -> float:
-        """Return when to call `tick` next. A call much later than that counts as a stall of this process."""
+        """Return when `tick` must be called next. A call much later than that is treated as a stall of this process."""
         self._announced_wake_at = min(
             self._prober.wake_at,
             self._exchange.wake_at,
@@ -80,7 +79,7 @@
         return self._announced_wake_at
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
         self._detect_stall(now)
         if now >= self._relay.wake_at:
             self._relay.expire(now)
@@ -111,74 +110,74 @@
         self._compare_views(message, member, now)
 
     def take_outgoing(self) -> list[OutgoingDatagram]:
-        """Return the messages to send and forget them."""
+        """Remove all queued messages and return them."""
         return self._outbox.take()
 
     def take_changes(self) -> list[MemberChange]:
-        """Return the changes of the view since the last call and forget them."""
+        """Return the changes of the view since the last call."""
         changes, self.view.changes = self.view.changes, []
         return changes
 
     # The local process.
 
     def leave(self, now: float) -> None:
-        """Announce a planned departure, so that nobody takes it for a failure."""
+        """Announce a planned departure, so that no member takes it for a failure."""
         self.view.announce(replace(self.local, state=MemberState.LEFT))
         present = list(self.view.ring)
         for key in self._rng.sample(present, min(len(present), MAX_LEAVE_MESSAGES)):
             self._outbox.ping(self.members[key].record, self._outbox.next_sequence())
 
     def rejoin(self, now: float) -> None:
-        """Be present again after `leave`."""
+        """Announce that this process is present again after `leave`."""
         if self.local.state is MemberState.LEFT:
             self.view.announce(replace(self.local, state=MemberState.ALIVE, incarnation=self.local.incarnation + 1))
 
     def change_address(self, address: str, now: float) -> None:
-        """Announce another address of the local process."""
+        """Announce a new address of the local process."""
         self.view.announce(replace(self.local, address=address, incarnation=self.local.incarnation + 1))
 
-    # What it knows.
+    # State.
 
     @property
     def local(self) -> MemberRecord:
-        """The local process's record."""
+        """The record of the local process."""
         return self.view.local
 
     @property
     def members(self) -> dict[MemberKey, Member]:
-        """All known members but the local process."""
+        """All known members except the local process."""
         return self.view.table.by_key
 
     @property
     def conflicts(self) -> dict[str, tuple[int, ...]]:
-        """Names that several running gateways use, with their instances."""
+        """Names that several present gateways use, with their instances."""
         return self.view.table.conflicts
 
     @property
     def counters(self) -> ProtocolCounters:
-        """Events since the start."""
+        """Numbers of events since the start."""
         return self.view.counters
 
     @property
     def health_score(self) -> int:
-        """Local health: 0 is healthy."""
+        """The local health score; 0 is healthy."""
         return self.view.health.score
 
     @property
     def present_count(self) -> int:
-        """Number of present members, the local process included."""
+        """Number of present members, including the local process."""
         return self.view.present_count
 
     @property
     def pending_updates(self) -> int:
-        """Number of records that are still passed on."""
+        """Number of records that are still queued for other members."""
         return len(self.view.updates)
 
     def records(self) -> list[MemberRecord]:
-        """Return all records, the local process's first."""
+        """Return all records, that of the local process first."""
         return self.view.table.records()
 
-    # Inside.
+    # Message handling and stall detection.
 
     def _dispatch(self, message: Datagram, member: Member, now: float) -> None:
         match message:
@@ -201,7 +200,7 @@
             self._exchange.on_different_view(message.sender, member, now)
 
     def _detect_stall(self, now: float) -> None:
-        """Notice that this process ran late: what it did not receive meanwhile is no fault of other members."""
+        """Detect that this process ran late: other members are not to blame for what it did not receive meanwhile."""
         late_ms = now - max(self._announced_wake_at, self._last_run_at)
         self._last_run_at = now
         if late_ms <= self._settings.reply_timeout_ms * LATE_WAKE_RATIO:
@@ -215,5 +214,5 @@
         self.view.health.set_worst()
         self._prober.restart(now)
         self._relay.clear()
-        self._exchange.expire()
+        self._exchange.allow_next_exchange()
         self.view.suspicions.restart(now)
--- a/hallhitch/membership/view_exchange.py
+++ b/hallhitch/membership/view_exchange.py
@@ -1,8 +1,8 @@
-"""Anti-entropy: exchanges of views page by page, and attempts to reach failed members and seeds.
+"""Anti-entropy: view exchanges page by page, and attempts to reach failed members and seeds.
 
-Two processes compare their present members in order of name and instance. The process that begins an exchange sends
-pages of even number; the other answers each with its own records of the same range, corrections first. An exchange has
-a bounded number of pages, and the next one continues where the last one ended. Times in ms.
+Two processes compare their present members in the order of name and instance. The process that starts an exchange sends
+pages with even numbers; the other replies to each with its own records of the same range, corrections first. An
+exchange has a limited number of pages, and the next exchange continues where the last one ended. Times are in ms.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from hallhitch.membership.protocol_settings import ProtocolSettings
 from hallhitch.membership.records import MemberKey, MemberRecord, MemberState
 
-MAX_PAGES: Final = 8  # pages of one exchange from the process that began it: a burst of 8 datagrams
-MAX_PAGES_AT_START: Final = 256  # of a process that has just started and knows no member
-START_INTERVALS: Final = 10  # probe intervals after the start in which MAX_PAGES_AT_START holds
-# Reconnect intervals vary by +/- a quarter, so that processes started together do not stay in step.
+MAX_PAGES: Final = 8  # sent in one exchange by the process that started it: a burst of 8 datagrams
+MAX_PAGES_AT_START: Final = 256  # the same for a process that has just started and knows no member
+START_INTERVALS: Final = 10  # probe intervals after the start in which MAX_PAGES_AT_START applies
+# Reconnect intervals vary by 25 % in both directions, so that processes started together do not stay synchronized.
 MIN_INTERVAL_RATIO: Final = 0.75
 INTERVAL_JITTER_RATIO: Final = 0.5
-SEED_PROBABILITY: Final = 0.2  # of an attempt to reach a seed while failed members are to be tried too
+SEED_PROBABILITY: Final = 0.2  # of contacting a seed in a reconnect attempt while there are also failed members
 
 
 class Page(NamedTuple):
-    """Records of one page, and the cursor where its range ends (empty: the end of the view)."""
+    """The records of one page, and the cursor at which its range ends (empty: the end of the view)."""
 
     records: list[MemberRecord]
     until: str
 
 
 def select_page(table: MemberTable, after: str, until: str, corrections: list[MemberRecord]) -> Page:
-    """Choose the corrections and the records past a cursor that fit one datagram."""
+    """Select as many corrections, and then records after the cursor `after`, as fit into one datagram."""
     budget_bytes = UPDATE_BUDGET_BYTES
     chosen: list[MemberRecord] = []
     chosen_keys: set[MemberKey] = set()
@@ -62,7 +62,7 @@
 
 
 class ViewExchange:
-    """Begins and answers exchanges of views."""
+    """Starts view exchanges and replies to those of other members."""
 
     def __init__(
         self,
@@ -80,14 +80,14 @@
         self._cursor = ""
         self._started_at = math.inf
         self._last_begun_at = -math.inf
-        self.wake_at = math.inf  # when to call `reconnect` next
+        self.wake_at = math.inf  # when `reconnect` must be called next
 
     def start(self, now: float) -> None:
-        """Schedule the first attempt to reach the seeds for now."""
+        """Schedule the first attempt to reach the seeds immediately."""
         self._started_at = self.wake_at = now
 
     def reconnect(self, now: float) -> None:
-        """Try a failed member, or a seed where no member runs, so that the sides of a healed partition meet."""
+        """Contact a failed member or a seed without a known member, so that the sides of a healed partition merge."""
         jitter = MIN_INTERVAL_RATIO + INTERVAL_JITTER_RATIO * self._rng.random()
         self.wake_at = now + self._settings.reconnect_interval_ms * jitter
         self._view.forget_absent(now)
@@ -99,7 +99,7 @@
             if member.record.state is MemberState.FAILED and member.record.address not in live_addresses
         ]
         seeds = [seed for seed in self._seeds if seed not in live_addresses]
-        if not len(self._view.ring):  # alone: all seeds, as any of them may answer
+        if not len(self._view.ring):  # no other member is known: contact all seeds, as any of them may reply
             for seed in seeds:
                 self.begin(seed, None, now)
         elif seeds and (not failed or self._rng.random() < SEED_PROBABILITY):
@@ -109,19 +109,19 @@
             self.begin(member.record.address, member, now)
 
     def begin(self, address: str, recipient: Member | None, now: float) -> None:
-        """Begin an exchange where the last one ended."""
+        """Start an exchange at the cursor where the last one ended."""
         self._last_begun_at = now
         self._view.counters.exchanges += 1
         self._send_page(address, recipient, self._cursor, "", 0, [])
 
     def on_different_view(self, sender: MemberRecord, member: Member, now: float) -> None:
-        """Begin an exchange with the sender of another view, if the last one is long enough ago."""
+        """Start an exchange with a sender whose view differs, unless the last one was started too recently."""
         is_due = now - self._last_begun_at >= self._settings.exchange_interval_ms
         if is_due and member.record.state.is_present:
             self.begin(sender.address, member, now)
 
     def on_page(self, page: Sync, member: Member, now: float) -> None:
-        """Answer a page whose records were merged, or go on with the next one."""
+        """Reply to a page whose records have been merged, or send the next page of an exchange of this process."""
         address = page.sender.address
         next_number = page.page_number + 1
         if page.page_number % 2 == 0:
@@ -134,12 +134,12 @@
         if has_more and page.page_number < 2 * max_pages:
             self._send_page(address, member, page.until, "", next_number, [])
 
-    def expire(self) -> None:
-        """Allow the next exchange at once: the view is outdated after a stall."""
+    def allow_next_exchange(self) -> None:
+        """Allow the next exchange immediately, because the view is outdated after a stall."""
         self._last_begun_at = -math.inf
 
     def _corrections(self, page: Sync) -> list[MemberRecord]:
-        """Return the records of this view that take precedence over those of the page."""
+        """Return the records of this view that take precedence over records of the page."""
         held = ((received, self._view.table.find_record(received.key)) for received in page.updates)
         return [record for received, record in held if record is not None and record.precedence > received.precedence]
 
