--- a/hallhitch/membership/errors.py
+++ b/hallhitch/membership/errors.py
@@ -6,11 +6,11 @@
 
 
 class MembershipError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of the errors of this package."""
 
 
 class RejectReason(StrEnum):
-    """Why a datagram was rejected; the value is the `reason` label of the metric that counts it."""
+    """Why a datagram was rejected; the value is also the `reason` label of the metric that counts dropped datagrams."""
 
     SIZE = "size"
     FORMAT = "form"
@@ -18,7 +18,7 @@
 
 
 class DatagramError(MembershipError):
-    """A received datagram is no message of this cluster and protocol version."""
+    """A received datagram is not a valid message of this cluster and protocol version."""
 
     def __init__(self, reason: RejectReason) -> None:
         super().__init__(f"datagram rejected: {reason.value}")
@@ -26,15 +26,17 @@
 
 
 class MemberNameError(MembershipError):
-    """A gateway's name cannot be sent as a member's name."""
+    """A gateway's configured name is not a valid member name."""
 
     def __init__(self, name: str, max_length: int) -> None:
-        super().__init__(f"'{name}' is no member's name: 1 to {max_length} letters, digits or any of . _ : / @ -")
+        super().__init__(
+            f"invalid member name '{name}': must be 1 to {max_length} ASCII letters, digits or . _ : / @ -"
+        )
         self.name = name
 
 
 class NotStartedError(MembershipError):
-    """The service has no view before it is started."""
+    """The service has no view, because it is not started or has been closed."""
 
     def __init__(self) -> None:
         super().__init__("membership is not started")
--- a/hallhitch/membership/event_log.py
+++ b/hallhitch/membership/event_log.py
@@ -1,4 +1,4 @@
-"""Log lines of membership: one a kind of change and step, however many members it concerns."""
+"""Log lines of membership: per step at most one line for each kind of change, regardless of the number of members."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from hallhitch.membership.partition import ViewStatus
 from hallhitch.membership.records import MemberRecord, MemberState
 
-MAX_LOGGED_NAMES: Final = 8  # names in one log line; `count` is of all
+MAX_LOGGED_NAMES: Final = 8  # in one log line; its `count` field gives the total
 log = structlog.get_logger()
 
 
 class MemberEvent(StrEnum):
-    """A notable change of a member's state, by its log event."""
+    """A change of a member's state that is logged; the value is the log event."""
 
     JOINED = "members joined"
     FAILED = "members failed"
@@ -25,7 +25,7 @@
 
 
 def classify(change: MemberChange) -> MemberEvent | None:
-    """Return the event to log for a change, if it is notable."""
+    """Return the event to log for a change, or None if it is not logged."""
     match change.record.state:
         case MemberState.ALIVE if change.previous_state is None or not change.previous_state.is_present:
             return MemberEvent.JOINED
@@ -38,22 +38,22 @@
 
 
 class MembershipLog:
-    """Writes the log lines and remembers which name conflicts were logged."""
+    """Writes the log lines, and keeps the name conflicts that have been logged."""
 
     def __init__(self) -> None:
         self._conflicts: set[str] = set()
         self._present_at_partition = 0
 
     def started(self, local: MemberRecord, seeds: tuple[str, ...]) -> None:
-        """Log that this gateway takes part."""
+        """Log that this gateway has joined the group."""
         log.info("membership started", address=local.address, instance=f"{local.instance:x}", seeds=list(seeds))
 
     def counts_changed(self, counts: GatewayCounts) -> None:
-        """Log new counts for placement and budgets."""
+        """Log the new gateway counts for placement and budgets."""
         log.info("gateway counts changed", placement_count=counts.placement_count, budget_count=counts.budget_count)
 
     def members_changed(self, changes: list[MemberChange], present_count: int) -> None:
-        """Log the notable changes of one step, a line for each kind."""
+        """Log the changes of one step, one line for each event."""
         names_by_event: dict[MemberEvent, list[str]] = {}
         for change in changes:
             event = classify(change)
@@ -73,15 +73,15 @@
         self._conflicts = names
 
     def status_changed(
-        self, before: ViewStatus | None, status: ViewStatus, missing_count: int, present_count: int
+        self, previous: ViewStatus | None, status: ViewStatus, missing_count: int, present_count: int
     ) -> None:
-        """Log that a partition is suspected, has healed, or that its missing members expired."""
+        """Log that a partition is suspected or has healed, or that its missing members no longer count."""
         if status is not ViewStatus.COMPLETE:
             self._present_at_partition = present_count
             log.warning(
                 "membership partition suspected", view=status.value, missing=missing_count, present=present_count
             )
-        elif before is not None:
+        elif previous is not None:
             has_healed = present_count > self._present_at_partition
             event = "membership partition healed" if has_healed else "missing members expired"
             log.info(event, present=present_count)
--- a/hallhitch/membership/member_table.py
+++ b/hallhitch/membership/member_table.py
@@ -1,9 +1,9 @@
-"""Table of the members that one process knows, with the indexes that the protocol reads.
+"""Table of the members that one process knows, with the indexes that the protocol needs.
 
 Invariants:
-- `digest` is the sum of `record_digest` over all present members, the local process included, modulo 2^63.
-- At most `max_members` other members are held, at most MAX_RECORDS_PER_NAME of one name.
-- `cursors` lists present members and the local process in ascending order.
+- `digest` is the sum of `record_digest` over all present members, including the local process, modulo 2^63.
+- The table contains at most `max_members` other members, and at most MAX_RECORDS_PER_NAME of one name.
+- `cursors` lists the present members and the local process in ascending order.
 """
 
 from __future__ import annotations
@@ -16,32 +16,32 @@
 from hallhitch.membership.records import MemberKey, MemberRecord, MemberState, gateway_ids, record_digest
 
 DIGEST_MODULUS: Final = 1 << 63
-MAX_RECORDS_PER_NAME: Final = 8  # instances of one name: a few restarts within `forget_after_ms`
+MAX_RECORDS_PER_NAME: Final = 8  # allows for a few restarts within `forget_after_ms`
 
 
 @dataclass(slots=True)
 class Member:
-    """A member as this process holds it."""
+    """What this process knows of a member."""
 
     record: MemberRecord
     digest: int
-    state_since: float  # ms
-    last_heard_at: float = -math.inf  # when it last sent a message itself
+    state_since: float  # when its present state began, in ms
+    last_heard_at: float = -math.inf  # ms; when a message or a relayed ack from it was last received
 
 
 def cursor_of(record: MemberRecord) -> str:
-    """Return a member's position in the order in which views are exchanged."""
+    """Return the sort key of a member in view exchanges."""
     return f"{record.name} {record.instance:019d}"
 
 
 class MemberTable:
-    """All known members by key; the local process apart, as `local`."""
+    """All known members by key; the record of the local process is kept separately as `local`."""
 
     def __init__(self, local: MemberRecord, max_members: int) -> None:
         self.local = local
         self.by_key: dict[MemberKey, Member] = {}
         self.digest = record_digest(local)
-        self.conflicts: dict[str, tuple[int, ...]] = {}  # instances by name, where several gateways use one name
+        self.conflicts: dict[str, tuple[int, ...]] = {}  # instances of each name that several gateways use
         self.cursors: list[str] = []
         self._max_members = max_members
         self._key_by_cursor: dict[str, MemberKey] = {}
@@ -56,7 +56,7 @@
         self.local = record
 
     def records(self) -> list[MemberRecord]:
-        """Return all records, the local process's first."""
+        """Return all records, that of the local process first."""
         return [self.local, *(member.record for member in self.by_key.values())]
 
     def record_at(self, cursor: str) -> MemberRecord:
@@ -72,23 +72,23 @@
         return None if member is None else member.record
 
     def keys_of(self, name: str) -> list[MemberKey]:
-        """Return the members of a name."""
+        """Return the keys of all members with this name."""
         return list(self._keys_by_name.get(name, ()))
 
     def can_add(self, name: str) -> bool:
-        """Return whether another member of this name fits."""
+        """Return whether another member with this name can be added."""
         is_name_full = len(self._keys_by_name.get(name, ())) >= MAX_RECORDS_PER_NAME
         return not is_name_full and len(self.by_key) < self._max_members
 
     def oldest_absent(self, name: str) -> MemberKey | None:
-        """Return the member to evict for one of this name: the one that failed or left first, if any did."""
+        """Return the member to evict in favour of a new one with this name: the first that failed or left, if any."""
         same_name = self._keys_by_name.get(name, set())
         candidates = same_name if len(same_name) >= MAX_RECORDS_PER_NAME else self.by_key
         absent = [key for key in candidates if not self.by_key[key].record.state.is_present]
         return min(absent, key=lambda key: self.by_key[key].state_since, default=None)
 
     def add(self, record: MemberRecord, now: float) -> Member:
-        """Add a member that is not known yet; `store` must follow with the same record."""
+        """Add an unknown member; the caller must then call `store` with the same record."""
         member = self.by_key[record.key] = Member(record, 0, now)
         self._keys_by_name.setdefault(record.name, set()).add(record.key)
         return member
@@ -102,7 +102,7 @@
             del self._keys_by_name[key.name]
 
     def store(self, member: Member, record: MemberRecord, was_present: bool) -> None:
-        """Replace a member's record and keep the digest and the cursors."""
+        """Replace a member's record and update the digest and the cursors."""
         if was_present:
             self.digest = (self.digest - member.digest) % DIGEST_MODULUS
         member.record, member.digest = record, record_digest(record)
@@ -117,7 +117,7 @@
             del self._key_by_cursor[cursor]
 
     def update_conflict(self, name: str) -> bool:
-        """Determine whether several gateways use a name; return whether that conflict is new."""
+        """Update whether several gateways use this name; return whether the conflict is new."""
         present = [
             record for key in self._keys_by_name.get(name, ()) if (record := self.by_key[key].record).state.is_present
         ]
@@ -131,7 +131,7 @@
         return is_new
 
     def alive_keys(self, keys: list[MemberKey]) -> list[MemberKey]:
-        """Return those of the members that are held alive."""
+        """Return those of the given keys whose members are in state ALIVE."""
         return [key for key in keys if self.by_key[key].record.state is MemberState.ALIVE]
 
     def _add_cursor(self, record: MemberRecord) -> None:
--- a/hallhitch/membership/member_view.py
+++ b/hallhitch/membership/member_view.py
@@ -1,8 +1,8 @@
-"""One process's view: merges records by precedence, times suspicions and refutes accusations of this process.
+"""One process's view: merges records by precedence, expires suspicions and refutes accusations of this process.
 
-It owns the member table, the probe ring, the suspicions, the queue of updates and the local health. It sends nothing.
-A state once merged is undone by the member's greater incarnation alone, with the exception that `records` states.
-Times in ms of a clock that never steps.
+The view owns the member table, the probe ring, the suspicions, the update queue and the local health. It sends nothing.
+A merged state is replaced only by a state of greater precedence; the one exception is described in `records`. Times are
+in ms of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True)
 class MemberChange:
-    """A member's new state; `previous_state` is None for one not known before."""
+    """A change of a member's state; `previous_state` is None for a new member."""
 
     record: MemberRecord
     previous_state: MemberState | None
 
 
 class MemberView:
-    """The members as one process holds them, itself included."""
+    """The members that one process knows, including itself."""
 
     def __init__(
         self,
@@ -47,37 +47,37 @@
         self.updates = UpdateQueue()
         self.health = LocalHealth(settings.max_health_score)
         self.counters = ProtocolCounters()
-        self.changes: list[MemberChange] = []  # until the caller takes them
+        self.changes: list[MemberChange] = []  # not yet taken by the owner
         self.unverified: list[MemberKey] = []  # members reported as failed, to be pinged directly
         self.is_allowed = is_allowed
         self._settings = settings
 
     @property
     def local(self) -> MemberRecord:
-        """The local process's record."""
+        """The record of the local process."""
         return self.table.local
 
     @property
     def present_count(self) -> int:
-        """Number of present members, this process included."""
+        """Number of present members, including this process."""
         return len(self.ring) + 1
 
     # The local process.
 
     def announce(self, record: MemberRecord) -> None:
-        """Replace the local process's record and send it to the others."""
+        """Replace the record of the local process and queue it for the other members."""
         self.table.set_local(record)
         self.updates.add(record)
 
     def refute(self, record: MemberRecord) -> None:
-        """Answer a record about this very process that takes precedence over its own."""
+        """Announce a record that takes precedence over a received record about this process, if its own does not."""
         local = self.local
         if record.precedence <= local.precedence or record.incarnation >= MAX_INCARNATION:
             return
         if local.state is MemberState.LEFT:
             self.announce(replace(local, incarnation=record.incarnation))
             return
-        # The accused may really be slow: its health gets worse, so it accuses others later.
+        # This process may really be slow: a worse health score makes it wait longer before it accuses others.
         self.counters.refutations += 1
         self.health.adjust(1)
         self.announce(replace(local, incarnation=record.incarnation + 1))
@@ -85,7 +85,7 @@
     # Other members.
 
     def merge(self, record: MemberRecord, now: float) -> None:
-        """Take a received record into the view."""
+        """Merge a received record into the view."""
         if record.key == self.local.key:
             self.refute(record)
             return
@@ -101,13 +101,13 @@
                 self.updates.add(replace(member.record, accuser=record.accuser))
         elif record.precedence > member.record.precedence:
             if record.state is MemberState.FAILED and member.record.state.is_present:
-                # It may be unreachable for the reporter alone: it is pinged, and has its time to refute.
+                # The member may be unreachable only for the reporter: it is pinged, and gets the time to refute.
                 record = replace(record, state=MemberState.SUSPECT)
                 self.unverified.append(record.key)
             self.set_record(member, record, now)
 
     def set_record(self, member: Member, record: MemberRecord, now: float, is_known: bool = True) -> None:
-        """Hold a record of a member from now on, and pass it on."""
+        """Replace a member's record, record the change and queue the record for the other members."""
         previous_state = member.record.state if is_known else None
         was_present = is_known and member.record.state.is_present
         self.table.store(member, record, was_present)
@@ -129,7 +129,7 @@
             self.counters.conflicts += 1
 
     def accuse(self, member: Member, now: float) -> None:
-        """Suspect a member that answered neither a direct nor an indirect probe."""
+        """Suspect a member that replied to neither a direct nor an indirect probe."""
         accusation = replace(member.record, state=MemberState.SUSPECT, accuser=self.local.instance)
         if member.record.state is MemberState.ALIVE:
             self.counters.accusations += 1
@@ -138,12 +138,12 @@
             self.updates.add(accusation)
 
     def expire_suspicions(self, now: float) -> None:
-        """Declare suspected members failed whose time to refute is over."""
+        """Declare the members failed whose suspicion has expired."""
         for key in self.suspicions.expired(now):
             member, suspicion = self.table.by_key[key], self.suspicions.get(key)
             if suspicion is None:
                 continue
-            # A member that sends messages is running, whether or not it receives any.
+            # A member that still sends messages is running, even if it receives none.
             suspicion.started_at = max(suspicion.started_at, member.last_heard_at)
             if suspicion.expires_at <= now:
                 self.counters.failures += 1
@@ -151,7 +151,7 @@
         self.suspicions.reschedule()
 
     def replace_predecessors(self, sender: MemberRecord, now: float) -> None:
-        """Declare other instances failed that had the sender's name and address before it."""
+        """Declare earlier instances with the sender's name and address failed: one address belongs to one process."""
         if not self.table.by_key[sender.key].record.state.is_present:
             return
         for key in self.table.keys_of(sender.name):
@@ -161,7 +161,7 @@
                 self.set_record(self.table.by_key[key], failed, now)
 
     def forget_absent(self, now: float) -> None:
-        """Remove members that failed or left long ago."""
+        """Remove the members that failed or left more than `forget_after_ms` ago."""
         expired = [
             key
             for key, member in self.table.by_key.items()
@@ -171,7 +171,7 @@
             self._remove(key)
 
     def _is_accusation_of_suspect(self, member: Member, record: MemberRecord) -> bool:
-        """Whether a record accuses a member of the incarnation that is suspected already."""
+        """Return whether a record accuses a member of an incarnation that is already suspected."""
         is_accusation = record.state in (MemberState.SUSPECT, MemberState.FAILED)
         is_suspected = self.suspicions.get(record.key) is not None
         return is_accusation and is_suspected and record.incarnation == member.record.incarnation
@@ -183,7 +183,7 @@
         self.set_record(self.table.add(record, now), record, now, is_known=False)
 
     def _ensure_capacity(self, name: str) -> bool:
-        """Evict a member that failed or left where another of this name would not fit."""
+        """Evict an absent member if there is no room for another with this name; return whether there is room."""
         if self.table.can_add(name):
             return True
         evicted = self.table.oldest_absent(name)
@@ -197,7 +197,7 @@
         self.updates.discard(key)
 
     def _open_suspicion(self, record: MemberRecord, now: float) -> None:
-        """Start a member's suspicion, or start it anew for a newer incarnation."""
+        """Start the suspicion of a member, or restart it for a newer incarnation."""
         settings = self._settings
         size_factor = max(1.0, math.log10(self.present_count))
         min_timeout_ms = settings.suspicion_multiplier * size_factor * settings.probe_interval_ms
--- a/hallhitch/membership/messages.py
+++ b/hallhitch/membership/messages.py
@@ -1,7 +1,7 @@
-"""The datagrams: msgspec's MessagePack, at most 1,400 bytes each.
+"""Messages of the protocol, each encoded by msgspec as one MessagePack datagram of at most 1,400 bytes.
 
 Every message starts with the protocol version and the cluster's name, and carries member updates (`updates`). Fields
-are positional on the wire; tags and the order of fields are fixed by PROTOCOL_VERSION.
+are positional on the wire; a change of a tag or of the order of fields needs a new PROTOCOL_VERSION.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from hallhitch.membership.errors import DatagramError, RejectReason
 from hallhitch.membership.records import MemberRecord, RandomId
 
-PROTOCOL_VERSION: Final = 1  # messages of another version are rejected
+PROTOCOL_VERSION: Final = 1  # messages of any other version are rejected
 MAX_DATAGRAM_BYTES: Final = 1_400  # below a path MTU of 1,500 bytes with IPv6 and UDP headers
-# What remains of a datagram for updates beside three records and the other fields, all of them at full length.
+# What a datagram has left for updates after three records and all other fields at their maximum lengths.
 UPDATE_BUDGET_BYTES: Final = 780
-MAX_UPDATES: Final = 64  # records in one message: more than fit UPDATE_BUDGET_BYTES
+MAX_UPDATES: Final = 64  # records in one message; UPDATE_BUDGET_BYTES has room for fewer
 
 ClusterName = Annotated[str, Meta(min_length=1, max_length=40, pattern=r"^[A-Za-z0-9._-]+$")]
 ViewDigest = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
@@ -27,12 +27,12 @@
 
 
 class Message(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Fields of every message."""
+    """Fields that every message has."""
 
     protocol_version: int
     cluster: ClusterName
     sender: MemberRecord
-    view_digest: ViewDigest  # of the sender's view
+    view_digest: ViewDigest  # digest of the sender's view
     updates: Updates
 
 
@@ -44,14 +44,14 @@
 
 
 class Ack(Message, tag="ack", frozen=True):
-    """Reply that `target_instance` runs: the sender itself, or a member that it pinged on request."""
+    """Reply that `target_instance` is running: either the sender itself, or a member that it pinged on request."""
 
     sequence: RandomId
     target_instance: RandomId
 
 
 class Nack(Message, tag="nack", frozen=True):
-    """Reply to a PingRequest that the sender runs and has no answer from the target."""
+    """Reply to a PingRequest: the sender is running, but has received no reply from the target."""
 
     sequence: RandomId
 
@@ -64,10 +64,10 @@
 
 
 class Sync(Message, tag="sync", frozen=True):
-    """One page of a view exchange: the sender's present members past `after` up to `until` (empty: to the end).
+    """One page of a view exchange: the sender's present members after cursor `after`, up to and including `until`.
 
-    `page_number` counts the messages of one exchange. A page of even number asks for the same range of the
-    receiver's view.
+    An empty `until` means the end of the view. `page_number` counts the messages of one exchange from 0. A page with an
+    even number requests the same range of the receiver's view.
     """
 
     after: Cursor
@@ -105,5 +105,5 @@
 
 
 def encoded_size(record: MemberRecord) -> int:
-    """Return the bytes that a record takes in a datagram."""
+    """Return the number of bytes that a record occupies in a datagram."""
     return len(_encoder.encode(record))
--- a/hallhitch/membership/records.py
+++ b/hallhitch/membership/records.py
@@ -1,15 +1,18 @@
-r"""Member records and their precedence: which of two records of one member holds. No I/O, no clock.
+r"""Member records and their precedence: which of two records of the same member is valid. No I/O, no clock.
 
-| received \\ held | alive | suspect | failed | left |
+The table tells when a received record replaces the one in the view:
+
+| received \\ in the view | alive | suspect | failed | left |
 | --- | --- | --- | --- | --- |
 | alive | newer | newer | newer | newer |
 | suspect | same or newer | newer | newer | newer |
 | failed | same or newer: suspected first | same or newer | newer | newer |
 | left | same or newer | same or newer | same or newer | newer |
 
-"newer" means a greater incarnation, which only the member itself raises. Records of one member are totally ordered by
-(incarnation, state), so processes that received the same records hold the same view. The one exception is a failure
-reported of a member that is held alive: the receiver suspects it first, so that the member can always refute.
+"newer" means a greater incarnation, which only the member itself can raise. Records of one member are totally ordered
+by (incarnation, state), so processes that received the same records have the same view. The one exception is a failure
+reported for a member that is present in the receiver's view: the receiver suspects it first, so that the member can
+always refute the report.
 
 Source: Das, Gupta, Motivala: SWIM (DSN 2002), section 4.2, with the state LEFT added.
 """
@@ -23,9 +26,9 @@
 import xxhash
 from msgspec import Meta, Struct
 
-# Lengths in characters. Three records of these lengths beside UPDATE_BUDGET_BYTES of updates fit one datagram.
+# Lengths in characters. Three records of these lengths and UPDATE_BUDGET_BYTES of updates fit into one datagram.
 MAX_NAME_LENGTH: Final = 40
-MAX_LABEL_LENGTH: Final = 24  # of a zone or version
+MAX_LABEL_LENGTH: Final = 24  # of a zone or a version
 MAX_ADDRESS_LENGTH: Final = 48
 MAX_INCARNATION: Final = 1 << 48
 DIGEST_MASK: Final = (1 << 63) - 1  # a digest is a non-negative 64-bit integer on the wire
@@ -37,12 +40,12 @@
 
 
 class MemberState(IntEnum):
-    """A member's state; at one incarnation the greater value takes precedence."""
+    """A member's state; within one incarnation, the greater value takes precedence."""
 
     ALIVE = 0
-    SUSPECT = 1  # did not answer; present until its time to refute is over
+    SUSPECT = 1  # did not reply to a probe; counts as present until its suspicion expires
     FAILED = 2
-    LEFT = 3  # announced its own departure
+    LEFT = 3  # the member itself announced its departure
 
     @property
     def is_present(self) -> bool:
@@ -51,7 +54,7 @@
 
 
 class MemberKey(NamedTuple):
-    """A member's identity: two processes of one name are two members."""
+    """A member's identity: two processes with the same name are two members."""
 
     name: str
     instance: int
@@ -61,14 +64,14 @@
     """The state of one member as sent between processes."""
 
     name: MemberName
-    instance: RandomId  # drawn at each start
+    instance: RandomId  # random, new at each start of the process
     incarnation: Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
     state: MemberState
-    address: Address  # of its UDP socket
-    gateway_id: RandomId  # equal for the processes of one gateway: an old one and its replacement
+    address: Address  # of the member's UDP socket
+    gateway_id: RandomId  # the same for all processes of one gateway, such as a process and its successor
     zone: Label = ""
     version: Label = ""
-    accuser: RandomId = 0  # instance that suspects it or declared it failed
+    accuser: RandomId = 0  # instance of the member that suspects it or declared it failed
 
     @property
     def key(self) -> MemberKey:
@@ -77,14 +80,15 @@
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Order of records of one member; the greatest holds."""
+        """Sort key among the records of one member; the greatest is valid."""
         return self.incarnation, self.state
 
 
 def record_digest(record: MemberRecord) -> int:
-    """Return 63 bits of a present member, to be summed over a view.
+    """Return the 63-bit hash of a present member's record; a view's digest is the sum of these.
 
-    Views with equal sums are equal but for chance. Suspicions are left out, as they end soon either way.
+    Views with equal digests are equal except for hash collisions. The hash does not cover suspicions, because these end
+    soon in either case.
     """
     return DIGEST_MASK & xxhash.xxh3_64_intdigest(
         f"{record.name}\0{record.instance}\0{record.incarnation}\0{record.address}".encode()
@@ -92,9 +96,10 @@
 
 
 def gateway_ids(records: Iterable[MemberRecord]) -> dict[MemberKey, int]:
-    """Map each present process to its gateway's id, the least one that processes of that gateway carry.
+    """Map each present process to the id of its gateway.
 
-    Processes of one name at one address are one gateway too: only the last of them can still run.
+    Processes with the same name and address belong to one gateway as well, because only the last of them can still be
+    running; their id is the lowest of their ids.
     """
     present = [record for record in records if record.state.is_present]
     id_by_location: dict[tuple[str, str], int] = {}
--- a/hallhitch/membership/reporting.py
+++ b/hallhitch/membership/reporting.py
@@ -1,4 +1,4 @@
-"""The view as JSON (`GET /api/members`) and as metrics in the Prometheus text format."""
+"""Reports of the view: as JSON for `GET /api/members`, and as metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewReport:
-    """What a report is made of."""
+    """The data of a report."""
 
     swim: Swim
     cluster: str
@@ -28,7 +28,7 @@
 
 
 class Metric(NamedTuple):
-    """One metric without labels."""
+    """A metric without labels."""
 
     name: str
     kind: str
--- a/hallhitch/membership/service.py
+++ b/hallhitch/membership/service.py
@@ -1,6 +1,6 @@
-"""Membership in one gateway: state machine, transport and damped view on the gateway's clock and event loop.
+"""Membership service of one gateway: runs state machine, transport and damped view on its clock and event loop.
 
-It owns the timers. `on_counts` is called with the gateway counts whenever they change.
+The service owns the timers, and calls `on_counts` with the gateway counts whenever they change.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 from hallhitch.membership.swim import Swim
 from hallhitch.membership.udp_transport import TransportSettings, UdpTransport
 
-BIND_RETRY_MS: Final = 1_000.0  # between attempts to bind an address that the predecessor still holds
-TIMER_TOLERANCE_MS: Final = 1.0  # a timer that is early by less is kept
+BIND_RETRY_MS: Final = 1_000.0  # between attempts to bind the address while the predecessor still uses it
+TIMER_TOLERANCE_MS: Final = 1.0  # a scheduled timer that is early by no more than this is kept
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayIdentity:
-    """Who this gateway is; `gateway_id` is shared with its predecessor and successor, None for a single process."""
+    """The gateway's identity. Successive processes share `gateway_id`; it is None if there is only one process."""
 
     name: str
     version: str
@@ -47,7 +47,7 @@
 
 
 class MembershipService:
-    """This gateway's part in the group."""
+    """Runs the membership protocol for this gateway."""
 
     def __init__(  # noqa: PLR0913  fields of one record
         self,
@@ -59,10 +59,19 @@
         rng: random.Random,
         on_counts: Callable[[GatewayCounts], object],
     ) -> None:
-        """`configured_count` is the number of gateways by the settings, which holds until another one is seen.
+        """Create the service; `start` opens its socket.
+
+        Args:
+            settings: The settings file.
+            identity: Name, version and id of this gateway.
+            configured_count: Number of gateways in the settings, in effect until another gateway is seen.
+            deadlines: Clock and timers of the gateway.
+            loop: Event loop of the gateway.
+            rng: Source of randomness.
+            on_counts: Callback that receives the gateway counts.
 
         Raises:
-            MemberNameError: The gateway's name cannot be sent as a member's name.
+            MemberNameError: The gateway's name is not a valid member name.
         """
         self._settings = settings
         self._name = validate_member_name(identity.name)
@@ -88,15 +97,15 @@
         self._partition = PartitionDetector()
         self._log = MembershipLog()
         self._counts = GatewayCounts(configured_count, configured_count, lambda server: 0)
-        self._has_counts = False  # whether placement and budgets follow the view already
+        self._has_counts = False  # whether counts have been published yet
 
     # Called by the gateway.
 
     def start(self) -> None:
-        """Take part in the group.
+        """Open the socket and join the group.
 
         Raises:
-            OSError: The address cannot be bound, and no other process of this gateway can be the reason.
+            OSError: The address cannot be bound, and the reason is not another process of this gateway.
         """
         address = self._open_transport()
         local = MemberRecord(
@@ -120,24 +129,24 @@
         self._finish_step()
 
     def leave(self) -> None:
-        """Announce that this gateway shuts down or sends its clients away."""
+        """Announce that this gateway is shutting down or draining."""
         if self._protocol is not None and self._protocol.swim.local.state is not MemberState.LEFT:
             self._protocol.swim.leave(self._deadlines.clock())
             self._finish_step()
 
     def rejoin(self) -> None:
-        """Announce that this gateway takes clients again."""
+        """Announce that this gateway accepts clients again."""
         if self._protocol is not None:
             self._protocol.swim.rejoin(self._deadlines.clock())
             self._finish_step()
 
     def republish(self) -> None:
-        """Call `on_counts` with the current counts again, after a reload has overwritten them."""
+        """Call `on_counts` with the current counts again, because a settings reload has overwritten them."""
         if self._has_counts:
             self._on_counts(self._counts)
 
     def close(self) -> None:
-        """Release the socket and the timer."""
+        """Close the socket and cancel the timer."""
         self._transport.close()
         self._deadlines.cancel(self._timer)
         self._protocol = None
@@ -146,7 +155,7 @@
         """Return the view as JSON.
 
         Raises:
-            NotStartedError: The service is not started, or closed.
+            NotStartedError: The service is not started or has been closed.
         """
         if self._protocol is None:
             raise NotStartedError
@@ -159,7 +168,7 @@
     # Addresses.
 
     def _open_transport(self) -> str:
-        """Bind the configured address, or another port while a process of the same gateway holds it."""
+        """Bind the configured address, or another port while a process of the same gateway uses that address."""
         host, port = parse_numeric_address(self._settings.listen)
         try:
             return self._transport.open((host, port))
@@ -191,7 +200,7 @@
         return bound_address
 
     def _seeds(self) -> tuple[str, ...]:
-        """Return the seeds, and this gateway's own address, where another process of it may listen."""
+        """Return the seeds and this gateway's configured address, where another of its processes may be listening."""
         own_address = self._settings.advertise or self._settings.listen
         addresses = (*self._settings.seeds, own_address)
         return tuple(dict.fromkeys(format_address(parse_numeric_address(address)) for address in addresses))
@@ -209,7 +218,7 @@
             self._finish_step()
 
     def _finish_step(self) -> None:
-        """Send, log, publish and schedule what follows from a step."""
+        """Send the messages of a step, log its changes, publish its counts and schedule the next tick."""
         protocol = self._protocol
         if protocol is None:
             return
@@ -233,12 +242,12 @@
         self._on_counts(counts)
 
     def _update_status(self, protocol: MembershipProtocol) -> None:
-        before, status = self._partition.status, self._status(protocol)
-        if status is before:
+        previous, status = self._partition.status, self._status(protocol)
+        if status is previous:
             return
         self._partition.status = status
         missing_count = protocol.damped_view.missing_count
-        self._log.status_changed(before, status, missing_count, protocol.swim.present_count)
+        self._log.status_changed(previous, status, missing_count, protocol.swim.present_count)
 
     def _schedule(self, wake_at: float) -> None:
         is_timer_kept = self._timer_at <= wake_at <= self._timer_at + TIMER_TOLERANCE_MS
--- a/hallhitch/membership/udp_transport.py
+++ b/hallhitch/membership/udp_transport.py
@@ -1,6 +1,6 @@
-"""Membership datagrams on one UDP socket: read in bounded batches, rate-limited, checked and counted.
+"""Membership datagrams on one UDP socket: read in bounded batches, rate-limited, validated and counted.
 
-A datagram that the socket cannot send at once is dropped and counted, as the network may drop any datagram.
+A datagram that the socket cannot send immediately is dropped and counted; the protocol tolerates lost datagrams.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 from hallhitch.membership.errors import DatagramError, RejectReason
 from hallhitch.membership.messages import MAX_DATAGRAM_BYTES, Datagram, decode, encode
 
-MAX_DATAGRAMS_PER_READ: Final = 64  # then the event loop serves requests before the socket is read on
+MAX_DATAGRAMS_PER_READ: Final = 64  # per batch; the event loop runs other work between batches
 log = structlog.get_logger()
 
 
 class DropReason(StrEnum):
-    """Why a datagram was dropped; the value is the metric's label."""
+    """Why a datagram was dropped; the value is the `reason` label of the metric."""
 
-    NETWORK = "network"  # from outside the allowed networks
-    RATE = "flood"
+    NETWORK = "network"  # the source is in none of the allowed networks
+    RATE = "flood"  # above the maximum rate
     SIZE = RejectReason.SIZE.value
     FORMAT = RejectReason.FORMAT.value
     CLUSTER = RejectReason.CLUSTER.value
-    UNSENT = "unsent"
+    UNSENT = "unsent"  # too long, not accepted by the socket, or the socket is closed
 
 
 @dataclass(frozen=True, slots=True)
 class TransportSettings:
-    """What the transport accepts."""
+    """Which datagrams the transport accepts."""
 
     cluster: str
     is_allowed: Callable[[str], bool]  # whether an address is in the allowed networks
@@ -46,7 +46,7 @@
 
 
 class UdpTransport:
-    """Sends and receives messages; `on_message` gets each, `on_batch_end` is called after each batch."""
+    """Sends and receives messages. `on_message` is called with each message, and `on_batch_end` after each batch."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self.dropped: Counter[DropReason] = Counter()
 
     def open(self, address: tuple[str, int]) -> str:
-        """Listen at an address, in place of any earlier one; return it as text with its actual port.
+        """Listen on an address instead of any earlier one; return it as text with the actual port.
 
         Raises:
             OSError: The address cannot be bound.
@@ -88,14 +88,14 @@
         return format_address(new_socket.getsockname())
 
     def close(self) -> None:
-        """Stop sending and receiving."""
+        """Close the socket."""
         if self._socket is not None:
             self._loop.remove_reader(self._socket)
             self._socket.close()
             self._socket = None
 
     def send(self, address: str, message: Datagram) -> None:
-        """Send a message, or drop it."""
+        """Send a message, or drop it if that fails."""
         data = encode(message)
         if self._socket is None or len(data) > MAX_DATAGRAM_BYTES:
             self.dropped[DropReason.UNSENT] += 1
@@ -116,7 +116,7 @@
                 size, source = self._socket.recvfrom_into(self._buffer)
             except BlockingIOError:
                 break
-            except OSError:  # a port that an earlier datagram was sent to is closed
+            except OSError:  # the destination port of an earlier datagram is closed
                 continue
             self._receive(size, format_address(source))
         self._on_batch_end()
@@ -143,6 +143,6 @@
         self.bytes_received += size
         try:
             self._on_message(message)
-        except Exception as error:  # noqa: BLE001  the gateway goes on serving, whatever a datagram contains
+        except Exception as error:  # noqa: BLE001  a datagram must never stop the gateway
             COUNTS["actor_failed"] += 1
             log.error("actor failed", actor="members", exc_info=error)  # noqa: TRY400  expected: no traceback
