--- a/tests/membership/small_world.py
+++ b/tests/membership/small_world.py
@@ -1,6 +1,6 @@
-"""A world of a few state machines, the messages between them, and the events that may happen next.
+"""Model of a few state machines, the messages in flight between them, and the events that may happen next.
 
-Randomness always chooses the first, so that worlds differ by the order of events alone.
+Random choices always return the first candidate, so that worlds differ only by the order of events.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 from hallhitch.membership.view_exchange import ViewExchange
 
 T = TypeVar("T")
-QUIESCENCE_MS = 60_000.0  # until everything that was under way has ended
-DELIVERABLE = 3  # of the messages under way, those that may arrive next
+QUIESCENCE_MS = 60_000.0  # long enough for all probes, suspicions and exchanges in progress to end
+DELIVERABLE_MESSAGES = 3  # the oldest messages in flight, any of which may arrive next
 
-MUTABLE = (
+MUTABLE_TYPES = (
     Swim,
     MemberView,
     MemberTable,
@@ -51,7 +51,7 @@
 
 
 class FirstChoice(random.Random):
-    """Randomness that always chooses the first, and leaves orders as they are."""
+    """Deterministic generator: choices and samples take the first candidates, and shuffling keeps the order."""
 
     def random(self) -> float:
         return 0.5
@@ -60,7 +60,7 @@
         return b
 
     def shuffle(self, x: object) -> None:
-        """Leave the order."""
+        """Keep the order."""
 
     def sample(self, population: list[MemberKey], k: int) -> list[MemberKey]:  # type: ignore[override]
         return list(population)[:k]
@@ -70,7 +70,7 @@
 
 
 def clone(value: T, copies: dict[int, object]) -> T:
-    """Copy a state machine with all that changes in it; records and messages never change, so they are shared."""
+    """Copy a state machine with its mutable parts; records and messages are immutable, so they are shared."""
     if id(value) in copies:
         return copies[id(value)]  # type: ignore[return-value]
     duplicate: object
@@ -81,7 +81,7 @@
             duplicate = [clone(item, copies) for item in value]
         case set():
             duplicate = set(value)
-        case _ if isinstance(value, MUTABLE):
+        case _ if isinstance(value, MUTABLE_TYPES):
             duplicate = copies[id(value)] = copy.copy(value)
             names = getattr(value, "__slots__", None) or vars(value)
             for name in names:
@@ -97,14 +97,14 @@
 
 @dataclass(frozen=True)
 class WorldSize:
-    """Number of members, and how many events deep all interleavings are walked."""
+    """Number of members, and the number of events up to which all interleavings are explored."""
 
     members: int
     depth: int
 
 
 class SmallWorld:
-    """A few members that know each other; one message may be lost and the last member may crash once."""
+    """A few members that know each other. One message may be lost, and the last member may crash once."""
 
     def __init__(self, member_count: int) -> None:
         self.member_count = member_count
@@ -112,7 +112,7 @@
         self.losses_left = self.crashes_left = 1
         self.members: dict[int, Swim | None] = {}
         self.in_flight: list[OutgoingDatagram] = []
-        self.greatest: dict[tuple[int, MemberKey], tuple[int, int]] = {}  # precedence that each held of each
+        self.greatest: dict[tuple[int, MemberKey], tuple[int, int]] = {}  # greatest precedence by (holder, member)
         self.starts = 0
         for number in range(member_count):
             self.start(number)
@@ -139,16 +139,16 @@
         self.finish_step(number)
 
     def finish_step(self, number: int) -> None:
-        """Collect what a member sends, and check that it took no state back and bounds its updates."""
+        """Collect the messages of a member, and check that no state was reverted and that its updates are bounded."""
         member = self.member(number)
         self.in_flight += member.take_outgoing()
         member.take_changes()
         for key, held in member.members.items():
             before, precedence = self.greatest.get((number, key)), held.record.precedence
             if before is not None and precedence < before:
-                raise AssertionError(f"m{number} took back {key}: {before} to {precedence}")
+                raise AssertionError(f"m{number} reverted {key} from {before} to {precedence}")
             self.greatest[number, key] = precedence
-        assert member.pending_updates <= len(member.members) + 1, "updates without bound"
+        assert member.pending_updates <= len(member.members) + 1, "number of queued updates is not bounded"
 
     def deliver(self, index: int) -> None:
         to, message = self.in_flight.pop(index)
@@ -159,7 +159,7 @@
             self.finish_step(number)
 
     def tick(self) -> None:
-        """Advance time to the member that wakes first."""
+        """Advance time to the earliest wake-up, and call that member's `tick`."""
         wake_at, number = min((m.next_wake(), number) for number, m in self.members.items() if m is not None)
         self.now = max(self.now, wake_at)
         self.member(number).tick(self.now)
@@ -176,7 +176,7 @@
         self.greatest = {pair: precedence for pair, precedence in self.greatest.items() if pair[0] != crashed}
 
     def next_events(self) -> Iterator[Callable[[SmallWorld], None]]:
-        for index in range(min(DELIVERABLE, len(self.in_flight))):
+        for index in range(min(DELIVERABLE_MESSAGES, len(self.in_flight))):
             yield lambda world, index=index: world.deliver(index)  # type: ignore[misc]
         if not self.in_flight:
             yield SmallWorld.tick
@@ -188,7 +188,7 @@
             yield lambda world: world.start(world.member_count - 1)
 
     def clone(self) -> SmallWorld:
-        """Return the same world, apart from this one."""
+        """Return an independent copy of this world."""
         duplicate = copy.copy(self)
         duplicate.in_flight, duplicate.greatest = list(self.in_flight), dict(self.greatest)
         duplicate.members = {
@@ -197,7 +197,7 @@
         return duplicate
 
     def fingerprint(self) -> tuple[object, ...]:
-        """Return what makes two worlds the same, but for randomness."""
+        """Return a value that is equal for equivalent worlds."""
         return (
             round(self.now),
             self.losses_left,
@@ -207,7 +207,7 @@
         )
 
     def run_until_quiet(self) -> None:
-        """Lose nothing more, let everything end, and check that all running members agree."""
+        """Deliver all messages until nothing is in progress, and check that all running members have the same view."""
         ends_at = self.now + QUIESCENCE_MS
         while self.now < ends_at:
             while self.in_flight:
@@ -216,8 +216,8 @@
         running = {member.local.key: member.local.precedence for member in self.running()}
         for member in self.running():
             present = {r.key: r.precedence for r in member.records() if r.state.is_present}
-            assert present == running, f"{member.local.name} holds {present}, running are {running}"
-            assert member.pending_updates == 0, "updates that are never over"
+            assert present == running, f"{member.local.name} sees {present}, but the running members are {running}"
+            assert member.pending_updates == 0, "updates are still queued after the quiescence period"
 
 
 def _fingerprint(member: Swim) -> tuple[object, ...]:
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -22,7 +22,7 @@
 each_seed = pytest.mark.parametrize("seed", [1, 2, 3])
 
 
-# Processes that crash, stall, leave and return.
+# Processes that crash, stall, leave or return.
 
 
 @each_seed
@@ -51,7 +51,7 @@
 
 
 @each_seed
-def test_stalled_process_accuses_nobody_when_it_resumes(seed: int) -> None:
+def test_stalled_process_accuses_no_member_when_it_resumes(seed: int) -> None:
     cluster = agreed_cluster(seed)
     inject(cluster, "stop", 40.0, whom=("g4",))
     advance(cluster, 39_000)
@@ -67,7 +67,7 @@
 
 
 @each_seed
-def test_slow_process_fails_nobody(seed: int) -> None:
+def test_slow_process_causes_no_failure(seed: int) -> None:
     delay_ms = {4: 0.0}
     cluster = Cluster(COUNT, seed, options=ClusterOptions(process_delay_ms=lambda number: delay_ms.get(number, 0.0)))
     cluster.start_settled()
@@ -81,7 +81,7 @@
 
 
 @each_seed
-def test_departure_is_no_failure(seed: int) -> None:
+def test_departure_is_not_a_failure(seed: int) -> None:
     cluster = agreed_cluster(seed)
     cluster.terminate(4)
     advance(cluster, 20_000)
@@ -109,7 +109,7 @@
     advance(cluster, 1_500)
     assert_agreed_within(cluster, 10_000)
     assert {peer.swim.present_count for peer in cluster.running()} == {7}
-    cluster.start(0)  # a seed returns
+    cluster.start(0)  # restart a seed
     assert_agreed_within(cluster, 15_000)
 
 
@@ -142,7 +142,7 @@
     assert all(peer.swim.conflicts == {} for peer in cluster.running())
 
 
-def test_replacement_process_is_no_conflict_and_counts_as_one_gateway() -> None:
+def test_replacement_process_is_not_a_conflict_and_counts_as_one_gateway() -> None:
     cluster = Cluster(4, 1)
     for number in range(4):
         cluster.start(number, gateway_id=7 if number == 3 else None)
@@ -163,7 +163,7 @@
 
 
 @each_seed
-def test_one_link_cut_in_one_direction_fails_nobody(seed: int) -> None:
+def test_one_link_cut_in_one_direction_causes_no_failure(seed: int) -> None:
     cluster = agreed_cluster(seed)
     inject(cluster, "cut", 40.0, whom=("g2",), to=("g5",), one_way=True)
     advance(cluster, 45_000)
@@ -183,7 +183,7 @@
 
 @pytest.mark.parametrize("parts", [(0.5, 0.5), (0.8, 0.2), (0.34, 0.33, 0.33)])
 @pytest.mark.parametrize("seconds", [3.0, 30.0])
-def test_partitions_heal_into_one_view(parts: tuple[float, ...], seconds: float) -> None:
+def test_views_converge_after_a_partition(parts: tuple[float, ...], seconds: float) -> None:
     cluster = agreed_cluster(2)
     inject(cluster, "split", seconds, parts=parts)
     advance(cluster, seconds * 1000 + 10)
@@ -192,7 +192,7 @@
     assert cluster.is_agreed()
 
 
-def test_flapping_links_end_in_one_view() -> None:
+def test_views_converge_after_flapping_links() -> None:
     cluster = agreed_cluster(3)
     flapping = FleetFault("cut", 4.0, 1.0, ("g1-g3",), ("g4-g8",), every_s=2.0, until_s=34.0)
     cluster.schedule(FaultTimeline(60.0, (flapping,)))
@@ -213,7 +213,7 @@
 
 
 @each_seed
-def test_datagrams_lost_duplicated_and_delayed_fail_nobody(seed: int) -> None:
+def test_datagrams_lost_duplicated_and_delayed_cause_no_failure(seed: int) -> None:
     cluster = agreed_cluster(seed)
     inject(cluster, "drop", 60.0, share=0.3)
     inject(cluster, "duplicate", 60.0, share=0.3)
@@ -223,8 +223,8 @@
     assert_agreed_within(cluster, 10_000)
 
 
-def test_fifty_members_fail_nobody_while_a_third_of_the_datagrams_is_lost() -> None:
-    """Accusations come no faster than refutations spread: a probe is sent a second time."""
+def test_fifty_members_declare_no_failure_while_a_third_of_the_datagrams_is_lost() -> None:
+    """Accusations must not arise faster than refutations spread; therefore each probe is sent a second time."""
     cluster = agreed_cluster(1, count=50)
     inject(cluster, "drop", 20.0, share=0.3)
     advance(cluster, 20_000)
@@ -232,17 +232,17 @@
     assert_agreed_within(cluster, 15_000)
 
 
-def test_datagrams_delivered_late_in_a_burst_restore_no_old_state() -> None:
+def test_datagrams_delivered_late_in_a_burst_do_not_restore_old_states() -> None:
     cluster = agreed_cluster(4)
     inject(cluster, "stall", 15.0, whom=("g4",))
     advance(cluster, 15_010)
     assert_agreed_within(cluster, 25_000)
 
 
-# Bounds.
+# Limits.
 
 
-def test_updates_end_and_a_quiet_cluster_sends_few_datagrams() -> None:
+def test_updates_end_and_an_idle_cluster_sends_few_datagrams() -> None:
     cluster = agreed_cluster(1)
     cluster.kill(4)
     advance(cluster, 30_000)
--- a/tests/membership/test_hot_restart.py
+++ b/tests/membership/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""A gateway process and its successor as members."""
+"""Membership of a gateway process and its successor during a hot restart."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class HotRestartTest(ReplacementCase):
-    """Predecessor and successor run at the same time under one name, by design."""
+    """Predecessor and successor run at the same time under one name, as intended."""
 
     def peers(self, program: Program) -> list[str]:
         path = Path(self.shared_folder) / "peers.toml"
@@ -39,7 +39,7 @@
 
         return await soon(look())
 
-    async def test_successor_is_no_conflict_and_returns_to_the_configured_address(self) -> None:
+    async def test_successor_is_not_a_conflict_and_returns_to_the_configured_address(self) -> None:
         new = Program(
             self.shared_folder, self.discovery.address, self.counter.address, self.nodes, self.counter_timeout_ms
         )
@@ -48,7 +48,7 @@
         await new.start(*self.peers(new))
         await new.logged('"serving"')
         both = await self.wait(self.program, lambda found: len(found["members"]) == 2)
-        # One gateway that has seen no other: the configured count holds on.
+        # Both are one gateway, and no other has been seen: the configured count stays in effect.
         self.assertEqual((both["conflicts"], both["places"], both["budgets"]), ({}, 2, 2))
         self.assertEqual(len({member["address"] for member in both["members"]}), 2)
         old, self.program = self.program, new
--- a/tests/membership/test_interleavings.py
+++ b/tests/membership/test_interleavings.py
@@ -1,6 +1,6 @@
-"""The state machines of a few members under all interleavings to a stated depth.
+"""The state machines of a few members under all interleavings of events up to a given depth.
 
-Each property is seen to fail on a state machine with a fault put into it.
+Further tests inject a fault into the state machine and check that the violated property is detected.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from hallhitch.membership.view_exchange import ViewExchange
 from tests.membership.small_world import SmallWorld, WorldSize
 
-QUIESCENCE_SAMPLE = 97  # each so many-th world is also run until it is quiet
+QUIESCENCE_SAMPLE_INTERVAL = 97  # one of this many worlds is also run until nothing is in progress
 
 
-def walk(size: WorldSize) -> int:
-    """Visit each world that interleavings up to the depth lead to once; return how many there are."""
+def explore(size: WorldSize) -> int:
+    """Visit each world that is reachable within the depth once; return the number of worlds."""
     visited: set[tuple[object, ...]] = set()
     pending = [(SmallWorld(size.members), 0)]
     while pending:
@@ -31,7 +31,7 @@
         if fingerprint in visited:
             continue
         visited.add(fingerprint)
-        if len(visited) % QUIESCENCE_SAMPLE == 1:
+        if len(visited) % QUIESCENCE_SAMPLE_INTERVAL == 1:
             world.clone().run_until_quiet()
         if depth < size.depth:
             for event in world.next_events():
@@ -42,7 +42,7 @@
 
 
 def world_with_false_accusation() -> SmallWorld:
-    """Member 0 has received an accusation of member 1, which runs."""
+    """Return a world in which member 0 has received an accusation of member 1, which is running."""
     world = SmallWorld(3)
     accusation = MemberRecord("m1", 102, 0, MemberState.SUSPECT, member_address(1), 2, accuser=7)
     world.member(0).view.merge(accusation, world.now)
@@ -51,7 +51,7 @@
 
 
 def world_after_partition() -> SmallWorld:
-    """All members hold all others failed, and no message is in flight."""
+    """Return a world in which each member has all others as failed, and no message is in flight."""
     world = SmallWorld(3)
     for number in world.members:
         view = world.member(number).view
@@ -66,8 +66,8 @@
 correct_merge = MemberView.merge
 
 
-def merge_whatever_comes_last(self: MemberView, record: MemberRecord, now: float) -> None:
-    """Fault: a record holds without regard to precedence."""
+def merge_without_precedence(self: MemberView, record: MemberRecord, now: float) -> None:
+    """Fault: each received record replaces the known one, regardless of precedence."""
     member = self.table.by_key.get(record.key)
     if member is not None and record.key != self.local.key and record.precedence != member.record.precedence:
         self.set_record(member, record, now)
@@ -76,17 +76,17 @@
 
 
 def do_nothing(*arguments: object) -> None:
-    """Fault: a step is left out."""
+    """Fault: a step is skipped."""
 
 
-@pytest.mark.parametrize(("size", "least"), [(WorldSize(3, depth=7), 5_000), (WorldSize(4, depth=5), 1_000)])
-def test_all_interleavings_keep_states_and_end_in_one_view(size: WorldSize, least: int) -> None:
-    """No order of events brings a dead instance back, keeps a refuted accusation, or leaves two views apart."""
-    assert walk(size) > least
+@pytest.mark.parametrize(("size", "minimum"), [(WorldSize(3, depth=7), 5_000), (WorldSize(4, depth=5), 1_000)])
+def test_all_interleavings_keep_states_and_converge_to_one_view(size: WorldSize, minimum: int) -> None:
+    """No order of events revives a dead instance, keeps a refuted accusation or leaves members with different views."""
+    assert explore(size) > minimum
 
 
 @pytest.mark.parametrize("make_world", [world_with_false_accusation, world_after_partition])
-def test_correct_state_machine_comes_to_one_view(make_world: Callable[[], SmallWorld]) -> None:
+def test_correct_state_machine_converges_to_one_view(make_world: Callable[[], SmallWorld]) -> None:
     make_world().run_until_quiet()
 
 
@@ -94,7 +94,7 @@
     ("make_world", "owner", "method", "fault"),
     [
         pytest.param(
-            world_with_false_accusation, MemberView, "merge", merge_whatever_comes_last, id="merges-whatever-comes-last"
+            world_with_false_accusation, MemberView, "merge", merge_without_precedence, id="merges-without-precedence"
         ),
         pytest.param(world_with_false_accusation, MemberView, "refute", do_nothing, id="never-refutes"),
         pytest.param(world_after_partition, ViewExchange, "begin", do_nothing, id="never-exchanges-views"),
--- a/tests/membership/test_members_command.py
+++ b/tests/membership/test_members_command.py
@@ -1,4 +1,4 @@
-"""`hallhitch members` against real gateway processes."""
+"""The command `hallhitch members` with real gateway processes."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class MembersCommandTest(FleetCase):
-    """What the command prints."""
+    """Output of the command."""
 
-    def command(self, *words: str) -> subprocess.Popen[str]:
+    def command(self, *arguments: str) -> subprocess.Popen[str]:
         return subprocess.Popen(
-            [sys.executable, "-m", "hallhitch", *words],
+            [sys.executable, "-m", "hallhitch", *arguments],
             cwd=ROOT,
             text=True,
             stdout=subprocess.PIPE,
@@ -28,23 +28,24 @@
         async with make_fleet(3) as fleet:
             await fleet.wait_until_agreed()
             address = f"{gateway_host(1)}:{fleet.ops_port}"
-            out, _ = await asyncio.to_thread(self.command("members", address).communicate)
-            self.assertIn("3 alive", out)
+            output, _ = await asyncio.to_thread(self.command("members", address).communicate)
+            self.assertIn("3 alive", output)
             self.assertEqual(
-                [line.split()[:2] for line in out.splitlines()[2:]], [["n0", "alive"], ["n1", "alive"], ["n2", "alive"]]
+                [line.split()[:2] for line in output.splitlines()[2:]],
+                [["n0", "alive"], ["n1", "alive"], ["n2", "alive"]],
             )
-            out, _ = await asyncio.to_thread(self.command("members", address, "--json").communicate)
-            self.assertEqual(len(json.loads(out)["members"]), 3)
+            output, _ = await asyncio.to_thread(self.command("members", address, "--json").communicate)
+            self.assertEqual(len(json.loads(output)["members"]), 3)
             watched = self.command("members", address, "--watch", "--every", "0.1")
             assert watched.stdout is not None
             await asyncio.to_thread(watched.stdout.readline)
             await fleet.end_process(2, is_graceful=True, restart_after_s=None)
             while "1 left" not in (line := await asyncio.to_thread(watched.stdout.readline)):
-                self.assertTrue(line, "ended before it saw the change")
+                self.assertTrue(line, "the command ended before it showed the departure")
             watched.kill()
             watched.communicate()
         async with make_fleet(1, has_membership=False) as fleet:
-            done = self.command("members", f"{gateway_host(0)}:{fleet.ops_port}")
-            _, said = await asyncio.to_thread(done.communicate)
-            self.assertEqual((done.returncode, len(said.splitlines())), (1, 1))
-            self.assertIn("without --peers", said)
+            completed = self.command("members", f"{gateway_host(0)}:{fleet.ops_port}")
+            _, error_output = await asyncio.to_thread(completed.communicate)
+            self.assertEqual((completed.returncode, len(error_output.splitlines())), (1, 1))
+            self.assertIn("without --peers", error_output)
--- a/tests/membership/test_process_faults.py
+++ b/tests/membership/test_process_faults.py
@@ -1,4 +1,4 @@
-"""Real gateway processes that crash, stall, shut down and return."""
+"""Faults of real gateway processes: crashes, stalls, restarts and overload."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         async with make_fleet(4) as fleet:
             await fleet.wait_until_agreed()
             old = next(m for m in (await fleet.fetch(0))["members"] if m["name"] == "n3")["instance"]
-            await fleet.end_process(3, is_graceful=False, restart_after_s=0.2)  # within the suspicion
+            await fleet.end_process(3, is_graceful=False, restart_after_s=0.2)  # before the suspicion expires
             await fleet.wait_until_agreed()
             for view in (await fleet.fetch_views()).values():
                 self.assertEqual(view["conflicts"], {})
@@ -30,9 +30,9 @@
             await fleet.wait_until(all_views_hold("n3", "failed"))
             await fleet.wait_until(lambda views: all(v["places"] == 3 for v in views.values()))
             self.assertEqual({name for n in range(3) for name in self.reported_failures(fleet, n)}, {"n3"})
-            self.assert_sound(fleet)
+            self.assert_no_violations(fleet)
 
-    async def test_stalled_process_accuses_nobody_when_it_resumes(self) -> None:
+    async def test_stalled_process_accuses_no_member_when_it_resumes(self) -> None:
         async with make_fleet(4) as fleet:
             await fleet.wait_until_agreed()
             fleet.suspend(3)
@@ -40,28 +40,28 @@
             fleet.resume(3)
             await fleet.wait_until_agreed()
             self.assertEqual(self.reported_failures(fleet, 3), [])
-            figures = await fleet.fetch(3, "/api/telemetry")
-            self.assertIn("svc_members_stalls 1\n", figures)
+            metrics = await fleet.fetch(3, "/api/telemetry")
+            self.assertIn("svc_members_stalls 1\n", metrics)
             self.assertGreater(
                 next(m for m in (await fleet.fetch(0))["members"] if m["name"] == "n3")["incarnation"], 0
             )
 
-    async def test_shutdown_and_drain_are_no_failures(self) -> None:
+    async def test_shutdown_and_drain_are_not_failures(self) -> None:
         async with make_fleet(4) as fleet:
             await fleet.wait_until_agreed()
             await fleet.end_process(3, is_graceful=True, restart_after_s=None)
             await fleet.wait_until(all_views_hold("n3", "left"))
-            await self.put(fleet, 2, "evacuate")
+            await self.send_command(fleet, 2, "evacuate")
             await fleet.wait_until(
                 lambda views: all(member_states(v)["n2"] == "left" for n, v in views.items() if n != 2)
             )
             await fleet.wait_until(lambda views: views[0]["places"] == 2 and views[1]["places"] == 2)
-            await self.put(fleet, 2, "rejoin")
+            await self.send_command(fleet, 2, "rejoin")
             await fleet.wait_until_agreed()
             self.assertEqual([self.reported_failures(fleet, n) for n in range(4)], [[]] * 4)
 
-    async def put(self, fleet: GatewayFleet, number: int, call: str) -> None:
-        """Send a command to a gateway's operator address."""
+    async def send_command(self, fleet: GatewayFleet, number: int, call: str) -> None:
+        """Send a command to the operator address of a gateway."""
         reader, writer = await asyncio.open_connection(gateway_host(number), fleet.ops_port)
         writer.write(f"PUT /api/{call} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
         self.assertIn(b" 200 ", await soon(reader.read()))
@@ -72,7 +72,7 @@
             await fleet.wait_until_agreed()
             await asyncio.gather(*(fleet.end_process(n, is_graceful=False, restart_after_s=None) for n in (0, 1)))
             await asyncio.gather(*(fleet.end_process(n, is_graceful=False, restart_after_s=0.5) for n in (2, 3, 4)))
-            await fleet.wait_until_agreed()  # by the remaining seed
+            await fleet.wait_until_agreed()  # through the remaining seed
             await asyncio.gather(*(fleet.end_process(n, is_graceful=False, restart_after_s=None) for n in (2, 3, 4)))
             await asyncio.gather(*(fleet.start_gateway(n) for n in (3, 4)))
             await fleet.wait_until(lambda views: all(v["view"] == "alone" for v in views.values()))
@@ -80,23 +80,23 @@
             await fleet.wait_until_agreed()
 
     async def test_stepping_wall_clock_has_no_effect(self) -> None:
-        class Stepping(GatewayFleet):
+        class SteppingClockFleet(GatewayFleet):
             module = "tests.membership.stepping_gateway"
 
-        async with make_fleet(3, kind=Stepping) as fleet:
+        async with make_fleet(3, kind=SteppingClockFleet) as fleet:
             await fleet.wait_until_agreed()
             await fleet.wait_until(lambda views: all(v["places"] == 3 for v in views.values()))
             await fleet.end_process(2, is_graceful=False, restart_after_s=None)
             await fleet.wait_until(all_views_hold("n2", "failed"))
             self.assertEqual({name for n in range(2) for name in self.reported_failures(fleet, n)}, {"n2"})
 
-    async def test_overloaded_gateway_fails_nobody(self) -> None:
+    async def test_overloaded_gateway_declares_no_failure(self) -> None:
         async with make_fleet(4, seconds=6.0) as fleet:
             await fleet.wait_until_agreed()
             load = asyncio.create_task(fleet.drive())
             process = fleet.processes[3]
             assert process is not None
-            while not load.done():  # runs a third of the time
+            while not load.done():  # the process runs for a third of the time
                 process.send_signal(signal.SIGSTOP)
                 await asyncio.sleep(0.1)
                 process.send_signal(signal.SIGCONT)
--- a/tests/membership/test_random_faults.py
+++ b/tests/membership/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Random sequences of crashes, stalls, departures and network faults over modelled members."""
+"""Random sequences of crashes, stalls, departures and network faults in a simulated cluster."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FaultyCluster(RuleBasedStateMachine):
-    """Anything may happen to four members; once the faults are over they come to one view."""
+    """Four members under any sequence of faults; when the faults are over, they must agree on one view."""
 
     @initialize(seed=st.integers(0, 50))
     def begin(self, seed: int) -> None:
@@ -32,12 +32,12 @@
         self.greatest: dict[tuple[int, int, MemberKey], tuple[int, int]] = {}
 
     def advance(self, duration_ms: float) -> None:
-        """Advance time and check that no state was taken back and that updates are bounded."""
+        """Advance time, and check that no state was reverted and that queued updates are bounded."""
         self.cluster.time.run(self.cluster.time.now + duration_ms)
         for peer in self.cluster.running():
             for key, member in peer.swim.members.items():
                 holder = peer.number, peer.swim.local.instance, key
-                assert member.record.precedence >= self.greatest.get(holder, (0, 0)), "a state was taken back"
+                assert member.record.precedence >= self.greatest.get(holder, (0, 0)), "a member's state was reverted"
                 self.greatest[holder] = member.record.precedence
             assert peer.swim.pending_updates <= len(peer.swim.members) + 1
 
@@ -79,16 +79,16 @@
     @precondition(lambda self: hasattr(self, "cluster"))
     @rule()
     def heal(self) -> None:
-        """All faults are over: one view, and then no change any more."""
+        """Wait until all faults are over; check that the members agree on one view and that it no longer changes."""
         self.advance(LONGEST_FAULT_MS)
         elapsed_ms = self.cluster.run_until(self.cluster.is_agreed, AGREEMENT_TIMEOUT_MS)
-        assert elapsed_ms < AGREEMENT_TIMEOUT_MS, "no one view"
+        assert elapsed_ms < AGREEMENT_TIMEOUT_MS, "the members have not agreed on one view"
         changes = len(self.cluster.view_changes)
         self.advance(5_000.0)
-        assert len(self.cluster.view_changes) == changes, "views change without a fault"
+        assert len(self.cluster.view_changes) == changes, "a view changed without a fault"
 
 
-def test_any_sequence_of_faults_ends_in_one_view() -> None:
+def test_views_converge_after_any_sequence_of_faults() -> None:
     run_state_machine_as_test(
         FaultyCluster,
         settings=settings(
