--- a/tests/membership/test_damped_view.py
+++ b/tests/membership/test_damped_view.py
@@ -1,4 +1,4 @@
-"""Counts for placement and budgets that follow from a view, damped, over schedules of joins and failures."""
+"""Damped counts for placement and budgets over schedules of joins, failures and departures."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Schedule:
-    """A damped view evaluated over time, with the counts that it returned."""
+    """A damped view that is evaluated over time, with the counts that it returned."""
 
     def __init__(self, local_name: str = "g0", configured_count: int = 10) -> None:
         self.local = record(local_name)
@@ -68,14 +68,14 @@
 
 
 def test_next_evaluation_is_never_due_at_once() -> None:
-    """Sums of times round: what is not yet ready must not be due in 0 ms, or the gateway spins."""
-    draw = random.Random(1)
+    """Sums of times are rounded; an evaluation must never be scheduled for the current time, or the gateway spins."""
+    rng = random.Random(1)
     for _ in range(100):
         now = 1e6
         view = DampedView(record("g0"), 2, DampingSettings(), now)
         records = [record("g0"), record("g1", instance=2)]
         view.evaluate(records, now)
-        now = 2**20 - draw.uniform(0, 2_000)  # a sum past that power of two rounds
+        now = 2**20 - rng.uniform(0, 2_000)  # sums beyond this power of two are rounded more coarsely
         records.append(record("g2", instance=3))
         while "g2" not in view.ranking.gateways:
             view.evaluate(records, now)
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("local_name", ["g0", "g5"])
 def test_returning_members_are_readmitted_in_steps(local_name: str) -> None:
-    """A healed partition causes no wave of connections."""
+    """A healed partition must not cause a burst of new connections."""
     others = set(names(0, 60)) - {local_name}
     schedule = Schedule(local_name, configured_count=60).set_state(MemberState.ALIVE, *others).advance(70)
     schedule.set_state(MemberState.FAILED, *names(30, 60)).advance(20)
--- a/tests/membership/test_decision_counts.py
+++ b/tests/membership/test_decision_counts.py
@@ -1,4 +1,4 @@
-"""What the decision module makes of the gateway counts."""
+"""Effects of the gateway counts on the decision module."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def decision_module() -> Gateway:
-    """Return a module configured as number 0 of the gateways, with a full list of servers."""
+    """Return a decision module with index 0 of all gateways and with the complete list of servers."""
     configuration = api.Settings(
         GATEWAYS,
         (api.RequestClass("read", 800.0, 2000.0, effect=api.SAFE),),
@@ -49,8 +49,8 @@
     module.now = 21_000.0
     pause_before, rank = module.warming_pause(cold), cold.rank
     module.handle(21_000.0, [api.Peers(20, 40, lambda server: rank)])
-    # Half of the gateways are visible, and each uses as many servers as before: twice as many gateways a server in
-    # all, while the traffic is counted by half.
+    # Half of the gateways are visible. Each visible gateway uses as many servers as before, so counting the invisible
+    # ones there are twice as many gateways per server, and only half of the traffic is counted.
     assert module.warming_pause(cold) / pause_before == pytest.approx(4.0, abs=0.2)
 
 
--- a/tests/membership/test_gateway_id.py
+++ b/tests/membership/test_gateway_id.py
@@ -1,4 +1,4 @@
-"""The id that successive processes of one gateway share through their directory."""
+"""The id that successive processes of one gateway share through a file in their common directory."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams: what fits, what is accepted, and what a hostile stream of them can do to a view."""
+"""Datagrams: their maximum size, which are accepted, and the effect of forged ones on a view."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def longest_record(number: int, state: MemberState = MemberState.ALIVE) -> MemberRecord:
-    """Return a record as long as one may be."""
+    """Return a record whose fields have their maximum lengths."""
     return MemberRecord(
         f"{number:040d}",
         (1 << 63) - 1 - number,
@@ -83,7 +83,7 @@
 
 @given(st.binary(max_size=1_500))
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_noise_is_rejected(data: bytes) -> None:
+def test_random_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(DatagramError):
         decode(data, CLUSTER)
 
--- a/tests/membership/test_partition.py
+++ b/tests/membership/test_partition.py
@@ -1,4 +1,4 @@
-"""Status of the view by the counts of missing and present gateways."""
+"""Status of the view as determined by the counts of missing and present gateways."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
         (0, 1, True, ViewStatus.COMPLETE),  # the others have left
         (3, 1, True, ViewStatus.ALONE),
         (0, 4, True, ViewStatus.COMPLETE),
-        (1, 3, True, ViewStatus.COMPLETE),  # a quarter is no partition yet
+        (1, 3, True, ViewStatus.COMPLETE),  # a quarter is not yet a partition
         (2, 4, True, ViewStatus.PARTIAL),
     ],
 )
--- a/tests/membership/test_rendezvous.py
+++ b/tests/membership/test_rendezvous.py
@@ -45,16 +45,16 @@
     assert set(counts.values()) == {gateways_per_server(count)}
 
 
-def test_a_departure_moves_only_the_servers_of_the_departed() -> None:
+def test_departure_moves_only_the_servers_of_the_departed_gateway() -> None:
     before = {name: servers_of(name, names(0, 60)) for name in names(0, 60)}
     after = {name: servers_of(name, names(0, 59)) for name in names(0, 59)}
     moved = sum(len(after[name] ^ before[name]) for name in names(0, 59))
-    assert moved == len(before["g59"])  # each of its servers gets one other gateway, and nothing else changes
+    assert moved == len(before["g59"])  # each of its servers gets one other gateway; nothing else changes
 
 
 @given(st.lists(st.sets(st.integers(0, 30), max_size=12), min_size=1, max_size=8))
 @settings(max_examples=60, deadline=None, derandomize=True)
-def test_incremental_ranks_equal_ranks_computed_anew(views: list[set[int]]) -> None:
+def test_incremental_ranks_equal_recomputed_ranks(views: list[set[int]]) -> None:
     ranking = RendezvousRanking("me")
     for view in views:
         gateways = [f"g{number}" for number in view]
@@ -65,21 +65,23 @@
 
 
 def budget_shares(views: dict[str, list[str]], budget_count: int) -> dict[str, float]:
-    """Return the sum of what all gateways take of each server, as `warming_pause` of the decision module has it."""
+    """Return the sum of all gateways' shares of each server, computed like `warming_pause` of the decision module."""
     shares = dict.fromkeys(SERVERS, 0.0)
     for name, view in views.items():
         ranking = ranking_of(name, view)
-        keepers = min(SUBSET_SIZE, len(view))
+        serving_count = min(SUBSET_SIZE, len(view))
         for server in SERVERS:
             rank = ranking.rank(server)
-            if rank < keepers:
-                shares[server] += (2 * (keepers - rank) - 1) / keepers / (keepers * budget_count / len(view))
+            if rank < serving_count:
+                shares[server] += (
+                    (2 * (serving_count - rank) - 1) / serving_count / (serving_count * budget_count / len(view))
+                )
     return shares
 
 
-def test_budget_shares_add_up_to_one_in_the_mean_with_arbitrary_views() -> None:
-    draw, gateways = random.Random(7), names(0, 60)
-    views = {name: sorted({name, *draw.sample(gateways, draw.randint(1, 59))}) for name in gateways}
+def test_budget_shares_add_up_to_one_on_average_with_arbitrary_views() -> None:
+    rng, gateways = random.Random(7), names(0, 60)
+    views = {name: sorted({name, *rng.sample(gateways, rng.randint(1, 59))}) for name in gateways}
     shares = budget_shares(views, len(gateways))
     assert sum(shares.values()) / len(shares) <= 1.05
 
--- a/tests/membership/test_reporting.py
+++ b/tests/membership/test_reporting.py
@@ -1,4 +1,4 @@
-"""The JSON of `GET /api/members` and the metrics, whose names operators and programs rely on."""
+"""The JSON of `GET /api/members` and the metrics; operators and programs rely on their names."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of membership, and a gateway that is started without it."""
+"""The settings file of membership, and a gateway without one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.stand_ins import ROOT, assert_refused
 
 VALID = 'listen = "127.0.0.1:1"\ncluster = "c"\n'
-EDGE_CONFIG = {
+GATEWAY_CONFIG = {
     "name": "n0",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:1",
@@ -27,7 +27,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Files that the program rejects in one line, and what it imports without one."""
+    """Invalid files are rejected with a message of one line; without a file, membership is not imported."""
 
     def test_rejected_file_names_the_field(self) -> None:
         directory = ROOT / "found"
@@ -47,12 +47,12 @@
             path.write_text(text)
             try:
                 with self.subTest(text=text):
-                    assert_refused(self, json.dumps(EDGE_CONFIG), field, "--peers", str(path))
+                    assert_refused(self, json.dumps(GATEWAY_CONFIG), field, "--peers", str(path))
             finally:
                 path.unlink()
 
-    def test_gateway_without_peers_file_imports_nothing_of_membership(self) -> None:
-        """The platform allows no traffic between instances."""
+    def test_gateway_without_peers_file_does_not_import_membership(self) -> None:
+        """The platform forbids traffic between instances, so the platform's gateway must not load membership."""
         completed = subprocess.run(
             [sys.executable, "-c", "import sys, hallhitch.gateway\nprint(*sys.modules)"],
             cwd=ROOT,
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspected member has to refute."""
+"""Time-outs of suspicions: how long a suspected member has to refute."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def suspicion(accusers: int, other_accusers: int = 10) -> Suspicion:
-    """Return a suspicion that began at 0 and lasts 100 to 600 ms."""
+    """Return a suspicion that began at 0 ms and lasts for 100 to 600 ms."""
     made = Suspicion(0.0, 100.0, 600.0, other_accusers)
     for accuser in range(accusers):
         made.accuse(accuser)
