--- a/hallhitch/membership/local_health.py
+++ b/hallhitch/membership/local_health.py
@@ -22,6 +22,6 @@
         self.score = self._max_score
 
     @property
-    def stretch(self) -> int:
+    def interval_multiplier(self) -> int:
         """Factor by which probe intervals and reply time-outs are multiplied."""
         return 1 + self.score
--- a/hallhitch/membership/prober.py
+++ b/hallhitch/membership/prober.py
@@ -102,15 +102,15 @@
         self._next_probe_at = now + self._settings.probe_interval_ms
 
     def _begin(self, now: float) -> None:
-        settings, stretch = self._settings, self._view.health.stretch
-        self._next_probe_at = now + settings.probe_interval_ms * stretch
+        settings, multiplier = self._settings, self._view.health.interval_multiplier
+        self._next_probe_at = now + settings.probe_interval_ms * multiplier
         self._verify_reported_failures()
         if not len(self._view.ring):
             return
         key = self._view.ring.next()
         sequence = self._outbox.next_sequence()
-        indirect_at = now + settings.reply_timeout_ms * stretch
-        self._probe = Probe(key, sequence, indirect_at, now + settings.probe_interval_ms * stretch)
+        indirect_at = now + settings.reply_timeout_ms * multiplier
+        self._probe = Probe(key, sequence, indirect_at, now + settings.probe_interval_ms * multiplier)
         self._outbox.ping(self._view.table.by_key[key].record, sequence)
 
     def _verify_reported_failures(self) -> None:
--- a/hallhitch/membership/view_exchange.py
+++ b/hallhitch/membership/view_exchange.py
@@ -140,8 +140,8 @@
 
     def _corrections(self, page: Sync) -> list[MemberRecord]:
         """Return the records of this view that take precedence over records of the page."""
-        held = ((received, self._view.table.find_record(received.key)) for received in page.updates)
-        return [record for received, record in held if record is not None and record.precedence > received.precedence]
+        known = ((received, self._view.table.find_record(received.key)) for received in page.updates)
+        return [record for received, record in known if record is not None and record.precedence > received.precedence]
 
     def _send_page(
         self,
--- a/tests/membership/small_world.py
+++ b/tests/membership/small_world.py
@@ -50,7 +50,7 @@
 )
 
 
-class FirstChoice(random.Random):
+class DeterministicRandom(random.Random):
     """Deterministic generator: choices and samples take the first candidates, and shuffling keeps the order."""
 
     def random(self) -> float:
@@ -134,7 +134,7 @@
             f"m{number}", 100 * number + self.starts, 0, MemberState.ALIVE, member_address(number), self.starts
         )
         seeds = tuple(member_address(n) for n in range(self.member_count))
-        member = self.members[number] = Swim(local, "c", ProtocolSettings(), FirstChoice(), seeds)
+        member = self.members[number] = Swim(local, "c", ProtocolSettings(), DeterministicRandom(), seeds)
         member.start(self.now)
         self.finish_step(number)
 
@@ -143,8 +143,8 @@
         member = self.member(number)
         self.in_flight += member.take_outgoing()
         member.take_changes()
-        for key, held in member.members.items():
-            before, precedence = self.greatest.get((number, key)), held.record.precedence
+        for key, known_member in member.members.items():
+            before, precedence = self.greatest.get((number, key)), known_member.record.precedence
             if before is not None and precedence < before:
                 raise AssertionError(f"m{number} reverted {key} from {before} to {precedence}")
             self.greatest[number, key] = precedence
@@ -221,5 +221,5 @@
 
 
 def _fingerprint(member: Swim) -> tuple[object, ...]:
-    held = tuple(sorted((key, other.record.precedence) for key, other in member.members.items()))
-    return member.local, held, member.pending_updates, member.health_score
+    known = tuple(sorted((key, other.record.precedence) for key, other in member.members.items()))
+    return member.local, known, member.pending_updates, member.health_score
--- a/tests/membership/test_foreign_members.py
+++ b/tests/membership/test_foreign_members.py
@@ -67,9 +67,11 @@
                     if line.startswith("svc_members_datagrams_dropped{")
                 }
 
-            while not (found := drop_counts(await fleet.fetch(0, "/api/telemetry")))["cluster"] or not found["form"]:
+            while (
+                not (dropped := drop_counts(await fleet.fetch(0, "/api/telemetry")))["cluster"] or not dropped["form"]
+            ):
                 pass
-            self.assertGreaterEqual(found["size"], 1)
+            self.assertGreaterEqual(dropped["size"], 1)
             self.assertEqual({n: member_states(v) for n, v in (await fleet.fetch_views()).items()}, before)
             await fleet.wait_until_agreed()
             self.assert_no_violations(fleet)
--- a/tests/membership/test_process_faults.py
+++ b/tests/membership/test_process_faults.py
@@ -18,14 +18,14 @@
     async def test_crash_is_detected_and_a_restart_is_another_instance(self) -> None:
         async with make_fleet(4) as fleet:
             await fleet.wait_until_agreed()
-            old = next(m for m in (await fleet.fetch(0))["members"] if m["name"] == "n3")["instance"]
+            old_instance = next(m for m in (await fleet.fetch(0))["members"] if m["name"] == "n3")["instance"]
             await fleet.end_process(3, is_graceful=False, restart_after_s=0.2)  # before the suspicion expires
             await fleet.wait_until_agreed()
             for view in (await fleet.fetch_views()).values():
                 self.assertEqual(view["conflicts"], {})
-                held = {m["instance"]: m["state"] for m in view["members"] if m["name"] == "n3"}
-                self.assertNotEqual(held.pop(old, "failed"), "alive")
-                self.assertEqual(list(held.values()), ["alive"])
+                states_by_instance = {m["instance"]: m["state"] for m in view["members"] if m["name"] == "n3"}
+                self.assertNotEqual(states_by_instance.pop(old_instance, "failed"), "alive")
+                self.assertEqual(list(states_by_instance.values()), ["alive"])
             await fleet.end_process(3, is_graceful=False, restart_after_s=None)
             await fleet.wait_until(all_views_hold("n3", "failed"))
             await fleet.wait_until(lambda views: all(v["places"] == 3 for v in views.values()))
@@ -60,10 +60,10 @@
             await fleet.wait_until_agreed()
             self.assertEqual([self.reported_failures(fleet, n) for n in range(4)], [[]] * 4)
 
-    async def send_command(self, fleet: GatewayFleet, number: int, call: str) -> None:
+    async def send_command(self, fleet: GatewayFleet, number: int, command: str) -> None:
         """Send a command to the operator address of a gateway."""
         reader, writer = await asyncio.open_connection(gateway_host(number), fleet.ops_port)
-        writer.write(f"PUT /api/{call} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
+        writer.write(f"PUT /api/{command} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
         self.assertIn(b" 200 ", await soon(reader.read()))
         writer.close()
 
--- a/tests/membership/test_reporting.py
+++ b/tests/membership/test_reporting.py
@@ -16,7 +16,7 @@
 NOW = 5_000.0
 
 
-def report() -> ViewReport:
+def make_report() -> ViewReport:
     local = MemberRecord("g0", 16, 2, MemberState.ALIVE, "127.0.0.1:1", 16, "z1", "1.0")
     swim = Swim(local, "c", ProtocolSettings(), random.Random(1))
     swim.restore([MemberRecord("g1", 17, 0, MemberState.SUSPECT, "127.0.0.1:2", 17)], 1_000.0)
@@ -26,7 +26,7 @@
 
 
 def test_view_is_described_as_json() -> None:
-    assert describe_view(report()) == {
+    assert describe_view(make_report()) == {
         "name": "g0",
         "instance": "10",
         "cluster": "c",
@@ -68,7 +68,7 @@
     try:
         settings = TransportSettings("c", lambda address: True, 1)
         transport = UdpTransport(settings, lambda: NOW, loop, lambda message: None, lambda: None)
-        text = render_metrics(report(), transport)
+        text = render_metrics(make_report(), transport)
     finally:
         loop.close()
     samples = [line for line in text.splitlines() if not line.startswith("#")]
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -10,39 +10,39 @@
 KEY = MemberKey("g1", 1)
 
 
-def suspicion(accusers: int, other_accusers: int = 10) -> Suspicion:
+def make_suspicion(accusers: int, other_accusers: int = 10) -> Suspicion:
     """Return a suspicion that began at 0 ms and lasts for 100 to 600 ms."""
-    made = Suspicion(0.0, 100.0, 600.0, other_accusers)
+    suspicion = Suspicion(0.0, 100.0, 600.0, other_accusers)
     for accuser in range(accusers):
-        made.accuse(accuser)
-    return made
+        suspicion.accuse(accuser)
+    return suspicion
 
 
 @pytest.mark.parametrize(("accusers", "expires_at"), [(1, 600.0), (2, 350.0), (4, 100.0), (6, 100.0)])
 def test_time_out_shrinks_with_independent_accusers(accusers: int, expires_at: float) -> None:
-    assert suspicion(accusers).expires_at == pytest.approx(expires_at)
+    assert make_suspicion(accusers).expires_at == pytest.approx(expires_at)
 
 
 def test_time_out_is_minimal_where_too_few_members_could_confirm() -> None:
-    assert suspicion(1, other_accusers=2).expires_at == 100.0
+    assert make_suspicion(1, other_accusers=2).expires_at == 100.0
 
 
 def test_each_accuser_counts_once() -> None:
-    made = suspicion(1)
-    assert not made.accuse(0)
-    assert made.expires_at == 600.0
+    suspicion = make_suspicion(1)
+    assert not suspicion.accuse(0)
+    assert suspicion.expires_at == 600.0
 
 
 def test_reported_failure_counts_as_two_accusers() -> None:
-    made = suspicion(1)
-    assert made.accuse(7, REPORTED_FAILURE_WEIGHT)
-    assert made.expires_at == pytest.approx(suspicion(3).expires_at)
+    suspicion = make_suspicion(1)
+    assert suspicion.accuse(7, REPORTED_FAILURE_WEIGHT)
+    assert suspicion.expires_at == pytest.approx(make_suspicion(3).expires_at)
 
 
 def test_table_wakes_at_the_first_expiry_and_is_postponed_by_a_stall() -> None:
     table = SuspicionTable()
-    table.open(KEY, suspicion(1))
-    table.open(MemberKey("g2", 2), suspicion(4))
+    table.open(KEY, make_suspicion(1))
+    table.open(MemberKey("g2", 2), make_suspicion(4))
     assert table.wake_at == pytest.approx(100.0)
     assert table.expired(100.0) == [MemberKey("g2", 2)]
     table.postpone(50.0)
