--- a/hallhitch/administration/__init__.py
+++ b/hallhitch/administration/__init__.py
@@ -1,1 +1,4 @@
-"""Administration of the hosted service: the catalog's store, its one writer, the HTTP API. No live traffic."""
+"""Administration service of the hosted product: the catalog's store, its single writer and the HTTP API.
+
+No traffic of tenants passes through it.
+"""
--- a/hallhitch/administration/bootstrap.py
+++ b/hallhitch/administration/bootstrap.py
@@ -1,4 +1,4 @@
-"""First operator of an empty store: without one nobody could call the API."""
+"""Creation of the first operator of an empty store; without an operator nobody could call the API."""
 
 from __future__ import annotations
 
@@ -19,21 +19,23 @@
 
 
 def create_first_operator(settings: AdministrationSettings, file: str) -> str:
-    """Create the store and its first operator, and return the token, which is kept nowhere.
+    """Create the store and its first operator, and return the operator's token.
+
+    The store holds only a hash of the token's secret, so the token cannot be read again.
 
     Raises:
-        StoreError: The store cannot be created, or has operators already.
+        StoreError: The store cannot be created, or already has operators.
     """
     initialise(settings, file)
     store = open_store(settings, file).store
     try:
         loaded = store.load().catalog
         if loaded.operators:
-            raise StoreError(store.path, "has operators already; nothing was changed")
+            raise StoreError(store.path, "the store already has operators; nothing was changed")
         secret = new_secret()
         now_ms = int(time.time() * 1000)
         operator = Credential(Scope.OPERATOR, (Verifier(PASSWORD_HASHER.hash(secret)),))
-        # The epoch begins at the clock's seconds: a store made anew must not repeat versions of an older one.
+        # The first epoch is the Unix time: a store created again must not reuse versions of an earlier store.
         empty = loaded if loaded.epoch else Catalog(epoch=max(1, now_ms // 1000))
         store.commit_snapshot(1, empty, 0, 0)
         applied = apply_change(empty, Change(OPERATORS, (Edit(Kind.CREDENTIAL, FIRST_OPERATOR_ID, operator),)))
--- a/hallhitch/administration/bounded_protocol.py
+++ b/hallhitch/administration/bounded_protocol.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections of the administration API, bounded in number and in the time that a request may take."""
+"""HTTP/1.1 connections of the administration API, with limits on their number and on the time to send a request."""
 
 from __future__ import annotations
 
@@ -12,13 +12,17 @@
 
 
 class BoundedProtocol(H11Protocol):
-    """Connection that is refused over `limits.connections` and aborted after `limits.request_seconds` a request."""
+    """Connection that is subject to the limits of the API's settings.
 
-    limits: ApiSettings  # set on the subclass that a server makes
+    A connection beyond `limits.connections` is aborted at once. One whose caller takes longer than
+    `limits.request_seconds` to send a whole request is aborted, too.
+    """
+
+    limits: ApiSettings  # set on the subclass that `serve` creates
     _request_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Take over the transport of a connection that is open."""
+        """Set up a new connection, or abort it if there are too many."""
         if len(self.connections) >= self.limits.connections:
             COUNTS["api_connections_refused"] += 1
             self.transport = transport
@@ -32,13 +36,13 @@
         self._start_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection is closed."""
+        """Release what belongs to a closed connection."""
         self._stop_timer()
-        if self.flow is not None:  # a refused connection was never made
+        if self.flow is not None:  # a refused connection was never passed to the base class
             super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes that have arrived."""
+        """Pass received bytes to the base class, and stop the timer once a request is complete."""
         if self.transport.is_closing():
             return
         if self._request_timer is None and (self.cycle is None or self.cycle.response_complete):
--- a/hallhitch/administration/rate_limits.py
+++ b/hallhitch/administration/rate_limits.py
@@ -1,4 +1,7 @@
-"""Token buckets by key, for callers' request rates and failed authentications. No clock: time comes in."""
+"""Token buckets by key, which limit the request rates of callers and the rate of failed authentications.
+
+The module reads no clock; callers pass the time.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +17,10 @@
 
 
 class TokenBuckets:
-    """Buckets of at most `burst` tokens that fill by `rate_per_s`; past `max_keys` the least recently used go.
+    """Token buckets that hold at most `burst` tokens and are refilled at `rate_per_s`.
 
-    An evicted bucket is a full one: with more than `max_keys` in use at once, limits are looser, never tighter.
+    Beyond `max_keys` buckets, the least recently used one is evicted. A key whose bucket was evicted starts again with
+    a full one, so with more than `max_keys` keys in use the limits become looser, never tighter.
     """
 
     def __init__(self, rate_per_s: float, burst: float, max_keys: int = 10_000) -> None:
@@ -26,7 +30,7 @@
         self._buckets: OrderedDict[Hashable, _Bucket] = OrderedDict()
 
     def wait(self, key: Hashable, now_s: float) -> float:
-        """Return the seconds until there is a token, 0 if there is one now; nothing is taken."""
+        """Return the seconds until a token is available, 0 if there is one now; take no token."""
         bucket = self._buckets.get(key)
         if bucket is None:
             return 0.0
@@ -34,7 +38,7 @@
         return max(0.0, (1.0 - bucket.tokens) / self._rate_per_s)
 
     def take(self, key: Hashable, now_s: float) -> float:
-        """Take a token and return 0; without one, take nothing and return the seconds until there is one."""
+        """Take a token and return 0, or return the seconds until one is available."""
         bucket = self._buckets.get(key)
         if bucket is None:
             bucket = self._buckets[key] = _Bucket(self._burst, now_s)
--- a/hallhitch/administration/serve.py
+++ b/hallhitch/administration/serve.py
@@ -1,6 +1,7 @@
-"""The administration service as a process: store, writer, API over TLS, signals, housekeeping.
+"""The process of the administration service: store, writer, API over TLS, signals and periodic tasks.
 
-Shutdown order: no new connections, calls under way answered, queued changes made durable, the store closed.
+At a shutdown, the service stops accepting connections, answers the calls in progress, makes the queued changes durable
+and then closes the store.
 """
 
 from __future__ import annotations
@@ -35,14 +36,14 @@
 from hallhitch.tls.certificate_store import CertificateStore
 
 TLS_HANDSHAKE_TIMEOUT_S: Final = 5.0
-TLS_SHUTDOWN_TIMEOUT_S: Final = 0.3  # short: an idle caller may never answer close_notify
-DRAIN_TIMEOUT_S: Final = 8.0  # for calls under way at the shutdown
-CLEANUP_INTERVAL_S: Final = 3_600.0  # between deletions of expired responses
+TLS_SHUTDOWN_TIMEOUT_S: Final = 0.3  # short, because an idle caller may never answer the close_notify
+DRAIN_TIMEOUT_S: Final = 8.0  # for the calls in progress at a shutdown
+CLEANUP_INTERVAL_S: Final = 3_600.0  # between two deletions of expired responses
 log = structlog.get_logger()
 
 
 class AdministrationServer(uvicorn.Server):
-    """uvicorn's server on a listener of our own, with a time-out of handshakes and without signal handlers."""
+    """uvicorn server on a given listener, with a time-out for TLS handshakes and without signal handlers."""
 
     def __init__(self, config: uvicorn.Config, listener: socket.socket, context: ssl.SSLContext) -> None:
         super().__init__(config)
@@ -50,18 +51,18 @@
         self._context = context
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Start listening."""
+        """Start to accept connections on the listener."""
         await self.lifespan.startup()
 
-        def connection() -> asyncio.Protocol:
-            made: asyncio.Protocol = self.config.http_protocol_class(  # type: ignore[call-arg]
+        def create_protocol() -> asyncio.Protocol:
+            protocol: asyncio.Protocol = self.config.http_protocol_class(  # type: ignore[call-arg]
                 config=self.config, server_state=self.server_state, app_state=self.lifespan.state
             )
-            return made
+            return protocol
 
         self.servers = [
             await asyncio.get_running_loop().create_server(
-                connection,
+                create_protocol,
                 sock=self._listener,
                 ssl=self._context,
                 ssl_handshake_timeout=TLS_HANDSHAKE_TIMEOUT_S,
@@ -73,13 +74,13 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Install no signal handlers: `serve` has its own."""
+        """Install no signal handlers; `serve` installs its own."""
         yield
 
 
 @dataclass(frozen=True, slots=True)
 class _Service:
-    """Parts of a service whose store is open and whose writer has not started."""
+    """Components of a service whose store is open and whose writer has not been started yet."""
 
     store: SqliteStore
     keys: ServiceKeys
@@ -91,7 +92,7 @@
 
 
 def _open_service(settings: AdministrationSettings, file: str) -> _Service:
-    """Open store, certificates and listener; nothing stays open where one of them fails."""
+    """Open the store, the certificates and the listener; if one of them fails, the store is closed again."""
     opened = open_store(settings, file)
     store = opened.store
     try:
@@ -118,12 +119,12 @@
 
 
 async def serve(settings: AdministrationSettings, file: str) -> None:
-    """Serve until SIGTERM or SIGINT; SIGHUP reloads the certificates.
+    """Run the service until SIGTERM or SIGINT; SIGHUP reloads the certificates.
 
     Raises:
         StoreError: The store cannot be opened.
         CertificateError: The certificates cannot be read.
-        OSError: The address cannot be listened on.
+        OSError: The service cannot listen on the address.
     """
     started_at_s = time.monotonic()
     service = _open_service(settings, file)
@@ -136,24 +137,24 @@
     loop = asyncio.get_running_loop()
 
     def begin_shutdown() -> None:
-        publisher.close()  # gateways' waiting requests are answered now
+        publisher.close()  # otherwise gateways' pending requests would delay the shutdown
         server.should_exit = True
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, begin_shutdown)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, begin_shutdown)
     loop.add_signal_handler(signal.SIGHUP, service.certificates.reload)
-    chores = [
+    periodic_tasks = [
         loop.create_task(_reload_certificates(service.certificates, settings.tls.look_seconds)),
         loop.create_task(_delete_expired_responses(writer)),
     ]
     _log_start(settings, service, started_at_s)
     await server.serve()
-    for chore in chores:
-        chore.cancel()
+    for task in periodic_tasks:
+        task.cancel()
     await writer.close()
     checker.close()
     service.store.close()
-    log.info("ended", counts=dict(COUNTS), version=writer.catalog.version, batches=writer.batches)
+    log.info("stopped", counts=dict(COUNTS), version=writer.catalog.version, batches=writer.batches)
 
 
 def _log_start(settings: AdministrationSettings, service: _Service, started_at_s: float) -> None:
@@ -173,15 +174,15 @@
 def _create_server(
     settings: AdministrationSettings, app: Any, listener: socket.socket, certificates: CertificateStore
 ) -> AdministrationServer:
-    """Configure uvicorn: its log is silenced, its limits come from the settings."""
+    """Create the uvicorn server with the limits from the settings and without its log."""
     api = settings.api
     uvicorn_log = logging.getLogger("uvicorn")
     uvicorn_log.propagate = False
-    uvicorn_log.addHandler(logging.NullHandler())  # what it would report is counted in COUNTS
-    protocol = type("BoundedProtocol", (BoundedProtocol,), {"limits": api})
+    uvicorn_log.addHandler(logging.NullHandler())  # COUNTS counts what uvicorn would log
+    protocol_class = type("BoundedProtocol", (BoundedProtocol,), {"limits": api})
     config = uvicorn.Config(
         app,
-        http=protocol,
+        http=protocol_class,
         ws="none",
         lifespan="off",
         log_config=None,
@@ -196,15 +197,15 @@
     return AdministrationServer(config, listener, certificates.context)
 
 
-async def _reload_certificates(certificates: CertificateStore, seconds: float) -> None:
-    """Reload replaced certificates without a signal."""
+async def _reload_certificates(certificates: CertificateStore, interval_s: float) -> None:
+    """Check periodically for replaced certificates, so that a reload needs no signal."""
     while True:
-        await asyncio.sleep(seconds)
+        await asyncio.sleep(interval_s)
         certificates.reload()
 
 
 async def _delete_expired_responses(writer: Writer) -> None:
-    """Delete expired responses at the start and each hour."""
+    """Delete expired responses at the start, and then every CLEANUP_INTERVAL_S."""
     while True:
         await writer.delete_expired_responses()
         await asyncio.sleep(CLEANUP_INTERVAL_S)
