--- a/hallhitch/administration/backups.py
+++ b/hallhitch/administration/backups.py
@@ -1,7 +1,7 @@
 """Backup, restore and verification of a store's database.
 
-A restored store begins a later epoch than any it can know of, so that no version that gateways hold comes again with
-other content.
+A restored store starts an epoch later than any that it knows of. Otherwise a version number that gateways already hold
+would be assigned again, to different content.
 """
 
 from __future__ import annotations
@@ -30,18 +30,20 @@
 from hallhitch.catalog.model import Catalog
 from hallhitch.catalog.rows import catalog_rows
 
-BACKUP_STEP_PAGES: Final = 512  # copied at a time: writers get their turn between two steps
+BACKUP_STEP_PAGES: Final = 512  # pages copied per step; writers can write between two steps
 
 
 def backup(folder: Path, target: Path) -> LoadResult:
-    """Copy a store, in use or not, to a new file, and verify the copy; the file appears complete or not at all.
+    """Copy a store to a new file and verify the copy.
+
+    The store may be in use. The target appears under its name only once it is complete and verified.
 
     Raises:
-        StoreError: The target exists, the store cannot be read or the copy not be written.
-        CorruptStoreError: The copy does not verify.
+        StoreError: The target exists already, the store cannot be read, or the copy cannot be written.
+        CorruptStoreError: The copy fails the verification.
     """
     if target.exists():
-        raise StoreError(target, "exists; a backup overwrites nothing")
+        raise StoreError(target, "the file exists already; a backup does not overwrite files")
     temporary = target.with_name(target.name + ".tmp")
     source = connect(folder / DATABASE_FILE, readonly=True)
     try:
@@ -53,7 +55,7 @@
         _sync_file(temporary)
         os.rename(temporary, target)
         sync_folder(target.parent)
-        return loaded  # noqa: TRY300  the common case reads first
+        return loaded  # noqa: TRY300  kept in the `try` block, before the error handling
     except (sqlite3.Error, OSError) as error:
         raise StoreError(target, error) from error
     finally:
@@ -62,10 +64,10 @@
 
 
 def verify(path: Path) -> LoadResult:
-    """Verify each page and each row of a database file.
+    """Verify every page and every row of a database file.
 
     Raises:
-        CorruptStoreError: Names the first row that does not fit.
+        CorruptStoreError: A page or row is damaged; the error names the first one found.
     """
     db = connect(path, readonly=True)
     try:
@@ -75,42 +77,45 @@
         loaded = load(db, path)
         for actor, key, at_ms, fingerprint, body, checksum in db.execute("SELECT * FROM answer"):
             if columns_checksum(actor, key, at_ms, fingerprint, body) != checksum:
-                raise CorruptStoreError(f"{path}: table answer, actor {actor}, key {key}", "the checksum does not fit")
-        return loaded  # noqa: TRY300  the common case reads first
+                raise CorruptStoreError(
+                    f"{path}: table answer, actor {actor}, key {key}", "the checksum does not match"
+                )
+        return loaded  # noqa: TRY300  kept in the `try` block, before the error handling
     except sqlite3.Error as error:
         raise CorruptStoreError(path, error) from error
     finally:
         db.close()
 
 
-def restore(folder: Path, source: Path, at_least: int = 0) -> Catalog:
-    """Put a backup in a store's place, in a later epoch than any it can know of, and return its catalog.
+def restore(folder: Path, source: Path, highest_known_epoch: int = 0) -> Catalog:
+    """Replace a store's database by a backup, in a new epoch, and return its catalog.
 
-    The database that was there is moved aside, not deleted. `at_least` is an epoch that gateways are known to hold.
+    The previous database is moved to a directory beside it and not deleted. The new epoch is later than those of the
+    backup and of the previous database, and later than `highest_known_epoch`, which gateways are known to hold.
 
     Raises:
-        StoreError: The store is in use or cannot be written.
-        CorruptStoreError: The backup does not verify.
+        StoreError: The store is in use, or cannot be written.
+        CorruptStoreError: The backup fails the verification.
     """
     lock = StoreLock(folder)
     try:
         loaded = verify(source)
-        epoch = max(loaded.catalog.epoch, at_least, _latest_epoch(folder)) + 1
-        # Seconds of the clock too: a backup restored twice, on new folders, must give two epochs.
+        epoch = max(loaded.catalog.epoch, highest_known_epoch, _latest_epoch(folder)) + 1
+        # The epoch is at least the Unix time: the same backup restored into two new directories must get two epochs.
         epoch = max(epoch, int(time.time()))
         temporary = folder / RESTORE_FILE
         temporary.unlink(missing_ok=True)
         with (
-            contextlib.closing(connect(source, readonly=True)) as old,
+            contextlib.closing(connect(source, readonly=True)) as source_db,
             contextlib.closing(sqlite3.connect(temporary, isolation_level=None)) as db,
         ):
-            old.backup(db)
+            source_db.backup(db)
             migrate(db, temporary)
             catalog = _rewrite_in_epoch(db, loaded.catalog, epoch)
             db.execute("PRAGMA journal_mode=DELETE")
         _sync_file(temporary)
         _replace_database(folder, temporary)
-        return catalog  # noqa: TRY300  the common case reads first
+        return catalog  # noqa: TRY300  kept in the `try` block, before the error handling
     except (sqlite3.Error, OSError) as error:
         raise StoreError(folder, error) from error
     finally:
@@ -123,45 +128,51 @@
 
 
 def _rewrite_in_epoch(db: sqlite3.Connection, base: Catalog, epoch: int) -> Catalog:
-    """Write the same state as the first snapshot of a later epoch; the log of the earlier epoch is deleted."""
+    """Write the state as the first snapshot of a later epoch, and delete the change log of the earlier epoch."""
     catalog = Catalog(epoch, base.version, base.tenants, base.operators, base.hosts, base.checksum)
     db.execute("BEGIN IMMEDIATE")
     (last_id,) = db.execute("SELECT coalesce(max(id), 0) FROM snapshot").fetchone()
     db.execute("DELETE FROM snapshot")
     db.execute("DELETE FROM piece")
     db.execute("DELETE FROM change")
-    id = last_id + 1
+    snapshot_id = last_id + 1
     rows = list(catalog_rows(catalog))
     chunks = 0
     for start in range(0, len(rows), SNAPSHOT_CHUNK_ROWS):
         body = encode_rows(rows[start : start + SNAPSHOT_CHUNK_ROWS])
-        db.execute("INSERT INTO piece VALUES (?,?,?,?)", (id, chunks, body, columns_checksum(id, chunks, body)))
+        db.execute(
+            "INSERT INTO piece VALUES (?,?,?,?)",
+            (snapshot_id, chunks, body, columns_checksum(snapshot_id, chunks, body)),
+        )
         chunks += 1
-    write_snapshot_head(db, id, catalog, chunks)
+    write_snapshot_head(db, snapshot_id, catalog, chunks)
     db.execute("COMMIT")
     return catalog
 
 
 def _latest_epoch(folder: Path) -> int:
-    """Return the epoch of the database in a directory; 0 where it cannot be read."""
+    """Return the latest epoch of the database in a directory; 0 if it cannot be read."""
     try:
         with contextlib.closing(connect(folder / DATABASE_FILE, readonly=True)) as db:
             row = db.execute(
                 "SELECT max(epoch) FROM (SELECT epoch FROM change UNION ALL SELECT epoch FROM snapshot)"
             ).fetchone()
             return int(row[0] or 0)
-    except (StoreError, sqlite3.Error):  # what cannot be read is why one restores
+    except (StoreError, sqlite3.Error):  # an unreadable database is a reason to restore a backup
         return 0
 
 
 def _replace_database(folder: Path, restored: Path) -> None:
-    """Move the old files aside and the restored one in; a start in between sees RESTORE_FILE and reports it."""
+    """Move the previous database to a directory beside it, then rename the restored file to DATABASE_FILE.
+
+    A process that starts between the two steps finds RESTORE_FILE and reports the interrupted restore.
+    """
     number = 1 + sum(1 for _ in folder.glob(f"{SUPERSEDED_PREFIX}-*"))
-    aside = folder / f"{SUPERSEDED_PREFIX}-{number:04}-{time.strftime('%Y%m%dT%H%M%S')}"
-    aside.mkdir()
+    superseded = folder / f"{SUPERSEDED_PREFIX}-{number:04}-{time.strftime('%Y%m%dT%H%M%S')}"
+    superseded.mkdir()
     for name in (DATABASE_FILE, f"{DATABASE_FILE}-wal", f"{DATABASE_FILE}-shm"):
         if (folder / name).exists():
-            os.rename(folder / name, aside / name)
+            os.rename(folder / name, superseded / name)
     sync_folder(folder)
     os.rename(restored, folder / DATABASE_FILE)
     sync_folder(folder)
--- a/hallhitch/administration/call_decider.py
+++ b/hallhitch/administration/call_decider.py
@@ -1,4 +1,8 @@
-"""Decision of one call within a batch: rejected, repeated, refused or made; runs in the writer's thread."""
+"""Processing of one call within a batch, in the writer's thread.
+
+A call ends in one of four ways: it is rejected with an error, answered with the stored reply of an earlier attempt,
+refused by a rule of the catalog, or applied.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +27,14 @@
 from hallhitch.catalog.model import Catalog
 from hallhitch.core.invariants import invariant
 
-RESPONSE_RETENTION_MS: Final = 24 * 3_600_000  # how long responses are kept for repeats, as the API promises
+RESPONSE_RETENTION_MS: Final = 24 * 3_600_000  # the API guarantees that a retry within this time gets the first reply
 
 Outcome = Reply | Exception
 
 
 @dataclass(slots=True)
 class Decision:
-    """Outcome of one call: the catalog it leaves and, where it changed something, the diff."""
+    """Outcome of one call: the catalog after it and, if the call changed the catalog, the diff."""
 
     catalog: Catalog
     outcome: Outcome
@@ -38,18 +42,18 @@
 
 
 class CallDecider:
-    """Decides calls and writes their changes, responses and audit entries into a batch."""
+    """Decides calls, and writes their changes, responses and audit entries to a batch."""
 
     def __init__(self, keys: ServiceKeys) -> None:
         self._keys = keys
 
     def decide(self, batch: Batch, call: Call, catalog: Catalog, now_ms: int) -> Decision:
-        """Decide a call on the catalog that the calls before it leave, and write what it changes.
+        """Decide a call on the catalog as the previous calls left it, and write the results to the batch.
 
         Raises:
-            CorruptStoreError: The stored response of the call is damaged.
+            CorruptStoreError: The stored response to the call is damaged.
         """
-        # The credential was checked when the call came in; what counts is that it is valid when the change is made.
+        # The credential was checked when the call arrived, but it must still be valid when the change is made.
         credential = valid_credential(catalog, call.caller.tenant, call.caller.id, now_ms)
         if credential is None or credential.scope is not call.caller.scope:
             return Decision(catalog, CredentialNoLongerValid(call.caller.name))
@@ -59,7 +63,7 @@
         return self._make_change(batch, call, catalog, now_ms)
 
     def _make_change(self, batch: Batch, call: Call, catalog: Catalog, now_ms: int) -> Decision:
-        """Plan and apply a call's change; write the change, the response and the audit entry."""
+        """Plan and apply a call's change, and write the change, the response and the audit entry to the batch."""
         caller = call.caller.name
         diff: Diff | None = None
         version = 0
@@ -77,13 +81,13 @@
             reply = call.refusal_reply(refusal)
             is_sealed = False
         body = self._keys.seal(reply.body, f"{caller} {call.key}") if is_sealed else reply.body
-        packed = encode_stored_reply(StoredReply(reply.status, reply.headers, body, is_sealed))
-        batch.store_response(caller, call.key, StoredResponse(now_ms, call.fingerprint, packed))
+        encoded_reply = encode_stored_reply(StoredReply(reply.status, reply.headers, body, is_sealed))
+        batch.store_response(caller, call.key, StoredResponse(now_ms, call.fingerprint, encoded_reply))
         batch.audit(AuditEntry(0, now_ms, call.tenant, caller, call.action, reply.status, catalog.epoch, version))
         return Decision(catalog, reply, diff)
 
     def _repeat_reply(self, call: Call, stored: StoredResponse) -> Outcome:
-        """Return the first reply, byte for byte; IdempotencyKeyReused where it was to a different call."""
+        """Return the stored reply byte for byte, or IdempotencyKeyReused if it belongs to a different call."""
         if stored.fingerprint != call.fingerprint:
             return IdempotencyKeyReused(call.caller.name, call.key)
         reply = decode_stored_reply(stored.body)
--- a/hallhitch/administration/store_folder.py
+++ b/hallhitch/administration/store_folder.py
@@ -1,4 +1,4 @@
-"""Opening and creation of a store's directory, with the key file that belongs to it."""
+"""Creation and opening of a store's directory with its database and key file."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.administration.store import SqliteStore
 
-KEY_ID_ENTRY: Final = "key"  # the store's entry that holds the id of its key file
+KEY_ID_ENTRY: Final = "key"  # entry of the table `meta` that holds the id of the store's key
 
 
 @dataclass(frozen=True, slots=True)
 class OpenedStore:
-    """Store with the keys that belong to it."""
+    """An open store and its keys."""
 
     store: SqliteStore
     keys: ServiceKeys
 
 
 def open_store(settings: AdministrationSettings, file: str) -> OpenedStore:
-    """Open the store and read its key file.
+    """Open the store, and read its key file.
 
     Raises:
-        StoreError: The store or the key file is missing or cannot be read, or they do not belong together.
+        StoreError: The store or its key file is missing or unreadable, or the key belongs to another store.
     """
     folder = settings.path(settings.store.folder, file)
     store = SqliteStore(folder)
     try:
         keys = ServiceKeys.read(folder)
         if store.meta(KEY_ID_ENTRY) != keys.key_id:
-            raise _foreign_key(folder)
+            raise _key_mismatch_error(folder)
     except BaseException:
         store.close()
         raise
@@ -41,10 +41,10 @@
 
 
 def initialise(settings: AdministrationSettings, file: str) -> Path:
-    """Create the directory, the key file and an empty store, and return the directory; what exists is kept.
+    """Create the directory, the key file and an empty store where they do not exist, and return the directory.
 
     Raises:
-        StoreError: The directory cannot be written, or holds a store of another key.
+        StoreError: The directory cannot be written, or holds a store that was created with another key.
     """
     folder = settings.path(settings.store.folder, file)
     try:
@@ -58,11 +58,11 @@
         if key_id is None:
             store.set_meta(KEY_ID_ENTRY, keys.key_id)
         elif key_id != keys.key_id:
-            raise _foreign_key(folder)
+            raise _key_mismatch_error(folder)
     finally:
         store.close()
     return folder
 
 
-def _foreign_key(folder: Path) -> StoreError:
-    return StoreError(folder, "the key file is not the one that this store was made with")
+def _key_mismatch_error(folder: Path) -> StoreError:
+    return StoreError(folder, "the key file is not the one that this store was created with")
--- a/hallhitch/administration/store_recovery.py
+++ b/hallhitch/administration/store_recovery.py
@@ -1,7 +1,7 @@
-"""Recovery of the catalog at a start: newest snapshot, then the change log, verified against the state tables.
+"""Recovery of the catalog at a start: load the newest snapshot, replay the change log, verify the state tables.
 
-Each row's checksum is verified, and the checksum of the catalog after each change. The first row that does not fit
-ends the recovery with `CorruptStoreError`; nothing damaged is skipped.
+The checksum of every row is verified, and the checksum of the catalog after each replayed change. The first damaged
+row ends the recovery with `CorruptStoreError`; damaged rows are never skipped.
 """
 
 from __future__ import annotations
@@ -27,25 +27,25 @@
 
 
 class LoadResult(Struct, frozen=True):
-    """What a start recovered."""
+    """The recovered catalog and what its recovery found."""
 
     catalog: Catalog
     history: History
-    latest_at_ms: int  # the latest time in the store
-    replayed_changes: int  # changes applied to the snapshot
+    latest_at_ms: int  # latest time of a change or an audit entry
+    replayed_changes: int  # changes replayed on top of the snapshot
 
 
 def load(db: sqlite3.Connection, path: Path) -> LoadResult:
-    """Recover the catalog from snapshot and change log.
+    """Recover the catalog from the newest snapshot and the change log.
 
     Raises:
-        CorruptStoreError: Names the first row that does not fit.
+        CorruptStoreError: The store is damaged; the error names the first damaged row.
     """
     try:
         return _load(db)
     except CorruptStoreError as error:
         raise CorruptStoreError(f"{path}: {error.location}", error.reason) from error
-    except (sqlite3.Error, TypeError, ValueError) as error:  # a column of another type, text that is no UTF-8
+    except (sqlite3.Error, TypeError, ValueError) as error:  # also a column of the wrong type, or invalid UTF-8
         raise CorruptStoreError(path, error) from error
 
 
@@ -61,7 +61,7 @@
         if last_version is None:
             history.start(change.epoch, change.version - 1)
         elif change.version != last_version + 1:
-            raise CorruptStoreError(_location(change), f"the one before it, {last_version + 1}, is missing")
+            raise CorruptStoreError(_location(change), f"version {last_version + 1}, which precedes it, is missing")
         last_version = change.version
         history.add(change.diff)
         if change.version <= catalog.version:
@@ -80,70 +80,78 @@
 
 
 def _replay(catalog: Catalog, change: LoggedChange, checksum: str) -> Catalog:
-    """Apply a logged change; the result must have the checksum that was logged with it."""
+    """Apply a logged change, and verify the resulting catalog by the checksum logged with the change."""
     try:
         catalog = apply_diff(catalog, change.diff)
     except (ValueError, KeyError) as error:
         raise CorruptStoreError(_location(change), error) from error
     if checksum_text(catalog) != checksum:
-        raise CorruptStoreError(_location(change), "what it leads to is not what it led to")
+        raise CorruptStoreError(_location(change), "the catalog after this change does not match the logged checksum")
     return catalog
 
 
 def _load_snapshot(db: sqlite3.Connection) -> Catalog:
-    """Build the catalog of the newest snapshot; empty where there is none."""
+    """Build the catalog of the newest snapshot; an empty catalog if there is none."""
     row = db.execute("SELECT * FROM snapshot ORDER BY epoch DESC, version DESC LIMIT 1").fetchone()
     if row is None:
         return Catalog()
-    id, epoch, version, catalog_checksum, parts, chunks, checksum = row
+    snapshot_id, epoch, version, catalog_checksum, parts, chunks, checksum = row
     if columns_checksum(*row[:6]) != checksum:
-        raise CorruptStoreError(f"table snapshot, id {id}", "the checksum does not fit")
-    (present,) = db.execute("SELECT count(*) FROM piece WHERE snapshot=?", (id,)).fetchone()
-    if present != chunks:
-        raise CorruptStoreError(f"table piece, snapshot {id}", f"{present} pieces in place of {chunks}")
+        raise CorruptStoreError(f"table snapshot, id {snapshot_id}", "the checksum does not match")
+    (stored_chunks,) = db.execute("SELECT count(*) FROM piece WHERE snapshot=?", (snapshot_id,)).fetchone()
+    if stored_chunks != chunks:
+        raise CorruptStoreError(
+            f"table piece, snapshot {snapshot_id}", f"{stored_chunks} chunks are stored instead of {chunks}"
+        )
     part_versions = decode_parts(parts)
     try:
-        catalog = build_catalog(epoch, version, _snapshot_rows(db, id), part_versions)
+        catalog = build_catalog(epoch, version, _snapshot_rows(db, snapshot_id), part_versions)
     except (ValueError, KeyError) as error:
-        raise CorruptStoreError(f"table piece, snapshot {id}", error) from error
+        raise CorruptStoreError(f"table piece, snapshot {snapshot_id}", error) from error
     if checksum_text(catalog) != catalog_checksum:
-        raise CorruptStoreError(f"table snapshot, id {id}", "its pieces do not give its sum")
+        raise CorruptStoreError(
+            f"table snapshot, id {snapshot_id}", "the catalog of this snapshot does not match its checksum"
+        )
     return catalog
 
 
-def _snapshot_rows(db: sqlite3.Connection, id: int) -> Iterator[Row]:
-    """Yield a snapshot's rows, chunk by chunk."""
-    chunks = db.execute("SELECT number, body, digest FROM piece WHERE snapshot=? ORDER BY number", (id,))
+def _snapshot_rows(db: sqlite3.Connection, snapshot_id: int) -> Iterator[Row]:
+    """Yield a snapshot's rows, chunk by chunk, and verify each chunk."""
+    chunks = db.execute("SELECT number, body, digest FROM piece WHERE snapshot=? ORDER BY number", (snapshot_id,))
     for number, body, checksum in chunks:
-        if columns_checksum(id, number, body) != checksum:
-            raise CorruptStoreError(f"table piece, snapshot {id}, number {number}", "the checksum does not fit")
+        if columns_checksum(snapshot_id, number, body) != checksum:
+            raise CorruptStoreError(
+                f"table piece, snapshot {snapshot_id}, number {number}", "the checksum does not match"
+            )
         yield from decode_rows(body)
 
 
 def _verify_state_tables(db: sqlite3.Connection, catalog: Catalog) -> None:
-    """Verify that the tables `row` and `part` hold what snapshot and log give."""
+    """Verify that the tables `row` and `part` match the catalog recovered from snapshot and log."""
     total = 0
     for tenant, kind, name, version, body in db.execute("SELECT * FROM row"):
         if not isinstance(body, bytes):
-            raise CorruptStoreError(f"table row, tenant {tenant!r}, {kind} {name}", "the body is no blob")
+            raise CorruptStoreError(f"table row, tenant {tenant!r}, {kind} {name}", "the body is not a blob")
         total += row_hash(tenant, kind, name, version, body)
     if total % CHECKSUM_MODULUS != catalog.checksum:
         raise _first_state_difference(db, catalog)
     parts = {name: (created, version) for name, created, version in db.execute("SELECT * FROM part")}
     for name, part in catalog.tenants.items():
         if parts.pop(name, None) != (part.created_in_version, part.version):
-            raise CorruptStoreError(f"table part, tenant {name}", "not what the log gives")
+            raise CorruptStoreError(f"table part, tenant {name}", "differs from the catalog of the change log")
     for name in parts:
-        raise CorruptStoreError(f"table part, tenant {name}", "not in the log")
+        raise CorruptStoreError(f"table part, tenant {name}", "not in the catalog of the change log")
 
 
 def _first_state_difference(db: sqlite3.Connection, catalog: Catalog) -> CorruptStoreError:
-    """Return the error that names the first row of the state tables that the log does not give."""
+    """Return the error that names the first row in which the state tables differ from the catalog."""
     expected = {
         (row.tenant, row.kind.value, row.name): (row.version, row.encoded_value()) for row in catalog_rows(catalog)
     }
     for tenant, kind, name, version, body in db.execute("SELECT * FROM row"):
         if expected.pop((tenant, kind, name), None) != (version, body):
-            return CorruptStoreError(f"table row, tenant {tenant!r}, {kind} {name}", "not what the log gives")
+            return CorruptStoreError(
+                f"table row, tenant {tenant!r}, {kind} {name}", "differs from the catalog of the change log"
+            )
     tenant, kind, name = min(expected)
     return CorruptStoreError(f"table row, tenant {tenant!r}, {kind} {name}", "missing")
--- a/hallhitch/administration/store_schema.py
+++ b/hallhitch/administration/store_schema.py
@@ -1,7 +1,7 @@
-"""Tables of the store's SQLite database, as migrations from one schema version to the next.
+"""Schema of the store's SQLite database, as migrations from one schema version to the next.
 
-`PRAGMA user_version` counts the migrations applied. Migrations are appended, never edited: databases on disk hold
-what the earlier ones made.
+`PRAGMA user_version` holds the number of applied migrations. New migrations are appended, and existing ones are never
+edited: databases on disk were created by them.
 """
 
 from __future__ import annotations
@@ -39,19 +39,19 @@
 
 
 def migrate(db: sqlite3.Connection, path: Path) -> int:
-    """Apply the migrations that the database lacks, each in one transaction, and return how many.
+    """Apply the missing migrations, each in a transaction of its own, and return their number.
 
     Raises:
-        StoreError: The database is of a newer schema than this program knows, or a migration failed.
+        StoreError: The schema is newer than this program supports, or a migration failed.
     """
     (applied,) = db.execute("PRAGMA user_version").fetchone()
     if applied > len(MIGRATIONS):
-        raise StoreError(path, f"form {applied} is newer than this program knows ({len(MIGRATIONS)})")
+        raise StoreError(path, f"schema version {applied} is newer than this program supports ({len(MIGRATIONS)})")
     for number in range(applied, len(MIGRATIONS)):
         try:
             db.executescript(f"BEGIN IMMEDIATE; {MIGRATIONS[number]}; PRAGMA user_version={number + 1}; COMMIT;")
         except sqlite3.Error as error:
             with contextlib.suppress(sqlite3.Error):
                 db.execute("ROLLBACK")
-            raise StoreError(path, f"step {number + 1} of the form: {error}") from error
+            raise StoreError(path, f"the migration to schema version {number + 1} failed: {error}") from error
     return len(MIGRATIONS) - int(applied)
--- a/hallhitch/administration/write_calls.py
+++ b/hallhitch/administration/write_calls.py
@@ -1,4 +1,4 @@
-"""Calls that change the catalog, as the API hands them to the writer, and the replies that come back."""
+"""Calls that change the catalog, which the API submits to the writer, and the replies to them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Reply(Struct, frozen=True):
-    """Response to a call, as it is sent and as it is stored for repeats."""
+    """Response to a call; it is sent to the caller and stored for retries."""
 
     status: int
     headers: dict[str, str]
@@ -22,7 +22,7 @@
 
 
 class StoredReply(Struct, frozen=True):
-    """Reply in the store's form: `sealed` tells that the body is encrypted, as it holds a secret."""
+    """Stored form of a reply; if `sealed`, the body is encrypted because it contains a secret."""
 
     status: int
     headers: dict[str, str]
@@ -31,23 +31,24 @@
 
 
 class PlannedChange(Struct, frozen=True):
-    """Change that a call asks for, given the catalog it was decided on, and how to reply once it is made."""
+    """Change that a call requests on a given catalog; `reply` creates the reply from the changed catalog."""
 
     change: Change
     reply: Callable[[Catalog], Reply]
-    has_secret: bool = False  # the reply holds a secret: it is stored sealed
+    has_secret: bool = False  # the reply contains a secret and is stored encrypted
 
 
 class Call(Struct, frozen=True):
-    """Call that changes something; `fingerprint` tells it from another with the same key.
+    """Call that changes the catalog.
 
-    `plan` makes the change from the catalog and the time (Unix ms) and may raise ChangeRefused.
+    `fingerprint` distinguishes it from a different call with the same idempotency key. `plan` creates the change from
+    the catalog and the time (Unix ms), and may raise ChangeRefused.
     """
 
     caller: Principal
     key: str
     fingerprint: bytes
-    tenant: str  # whose part, for the audit
+    tenant: str  # the tenant under whom the call is audited
     action: str
     plan: Callable[[Catalog, int], PlannedChange]
     refusal_reply: Callable[[ChangeRefused], Reply]
--- a/hallhitch/administration/writer.py
+++ b/hallhitch/administration/writer.py
@@ -1,9 +1,9 @@
-"""The one writer of the catalog: calls that change something, in order, many to a transaction.
+"""The single writer of the catalog, which processes changing calls in order and commits them in batches.
 
-While a batch is being made durable the next one gathers, so that all calls of it share one disk synchronisation. Each
-call is decided on the catalog that the calls before it leave, in a thread of the writer's own; the event loop
-publishes the result once it is on disk, and only then replies. A repeat of a call (same caller and idempotency key)
-gets the first reply again, byte for byte.
+While one batch is written, the next calls queue up, so that all calls of a batch share one synchronisation of the
+disk. Each call is decided on the catalog as the previous calls left it, in the writer's thread. The event loop
+publishes the new catalog and replies only after the batch is on disk. A retry of a call, with the same caller and
+idempotency key, gets the first reply again, byte for byte.
 """
 
 from __future__ import annotations
@@ -28,16 +28,17 @@
 from hallhitch.catalog.rows import Row, catalog_rows
 from hallhitch.core.invariants import COUNTS
 
-MAX_BATCH_CALLS: Final = 256  # in a transaction
-MAX_QUEUED_CALLS: Final = 4_096  # more are rejected
+MAX_BATCH_CALLS: Final = 256  # calls per transaction
+MAX_QUEUED_CALLS: Final = 4_096  # further calls are rejected
 SNAPSHOT_INTERVAL_CHANGES: Final = 10_000
-RETAINED_LOG_CHANGES: Final = 2_000  # kept before a snapshot, so that followers a little behind get diffs
+# Changes before a snapshot that stay in the log, so that followers that lag a little get diffs and no snapshot.
+RETAINED_LOG_CHANGES: Final = 2_000
 log = structlog.get_logger()
 
 
 @dataclass(slots=True)
 class _BatchResult:
-    """Catalog after a batch, an outcome for each of its calls, and the diffs of those that changed something."""
+    """Catalog after a batch, the outcome of each of its calls, and the diffs of the calls that changed the catalog."""
 
     catalog: Catalog
     outcomes: list[Outcome] = field(default_factory=list)
@@ -46,14 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingCall:
+    """Call that is queued or in the current batch, with the future of its reply."""
+
     call: Call
     future: asyncio.Future[Reply]
 
 
 class Writer:
-    """Owner of the newest catalog and of the way to the next one."""
+    """Holds the newest catalog, and applies calls that change it."""
 
-    def __init__(  # noqa: PLR0913  fields of one record
+    def __init__(  # noqa: PLR0913  the components that one writer needs
         self,
         store: SqliteStore,
         catalog: Catalog,
@@ -65,14 +68,14 @@
     ) -> None:
         self.catalog = catalog
         self.history = history
-        self.catalog_changed = asyncio.Event()  # set, and replaced by another, once there is a newer catalog
+        self.catalog_changed = asyncio.Event()  # set and replaced whenever a newer catalog is published
         self.batches = 0
         self._store = store
         self._clock = clock
         self._decider = CallDecider(keys)
         self._snapshot_interval = snapshot_interval
         self._retained_log_changes = retained_log_changes
-        self._thread = ThreadPoolExecutor(1, thread_name_prefix="writer")
+        self._executor = ThreadPoolExecutor(1, thread_name_prefix="writer")
         self._queue: deque[_PendingCall] = deque()
         self._in_flight: dict[tuple[str, str], _PendingCall] = {}  # by caller and idempotency key
         self._wake = asyncio.Event()
@@ -82,88 +85,94 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, changes_since_snapshot: int) -> None:
-        """Start taking calls; so many changes were replayed on the last snapshot."""
+        """Start to process calls; `changes_since_snapshot` is the number of changes replayed at the start."""
         self._changes_since_snapshot = changes_since_snapshot
         self._main_task = asyncio.create_task(self._run())
 
     async def submit(self, call: Call) -> Reply:
-        """Make a call and wait for its reply; it is made although the waiting task is cancelled.
+        """Queue a call and wait for its reply; cancellation of the waiting task does not cancel the call.
 
         Raises:
-            IdempotencyKeyReused: The key was used for another call.
-            CredentialNoLongerValid: The caller's credential stopped being valid after admission.
-            WriterHalted: The service ends, or the store's state is in doubt.
-            WriteQueueFull: Too many calls wait.
-            StoreError: The batch of the call was not written.
+            IdempotencyKeyReused: The idempotency key was already used for a different call.
+            CredentialNoLongerValid: The caller's credential expired or was revoked after the admission of the call.
+            WriterHalted: The service is shutting down, or it is unclear what the store holds.
+            WriteQueueFull: Too many calls are waiting.
+            StoreError: The batch with this call was not written.
         """
-        id = (call.caller.name, call.key)
-        running = self._in_flight.get(id)
+        call_id = (call.caller.name, call.key)
+        running = self._in_flight.get(call_id)
         if running is not None:
             if running.call.fingerprint != call.fingerprint:
                 raise IdempotencyKeyReused(call.caller.name, call.key)
             return await asyncio.shield(running.future)
         if self._halt_reason or self._closing:
-            raise WriterHalted(self._halt_reason or "the service is ending")
+            raise WriterHalted(self._halt_reason or "the service is shutting down")
         if len(self._queue) >= MAX_QUEUED_CALLS:
             raise WriteQueueFull(MAX_QUEUED_CALLS)
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
-        future.add_done_callback(lambda done: done.cancelled() or done.exception())  # nobody may be left to look
+        # Marks an exception as retrieved: the caller may be gone, and asyncio would log an exception that nobody read.
+        future.add_done_callback(lambda done: done.cancelled() or done.exception())
         pending = _PendingCall(call, future)
-        self._in_flight[id] = pending
+        self._in_flight[call_id] = pending
         self._queue.append(pending)
         self._wake.set()
         return await asyncio.shield(future)
 
     async def close(self) -> None:
-        """Finish the calls that were taken, then end."""
+        """Process the queued calls, then stop."""
         self._closing = True
         self._wake.set()
         await self._main_task
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self._thread.shutdown(wait=True)
+        self._executor.shutdown(wait=True)
 
     async def delete_expired_responses(self) -> None:
-        """Delete stored responses older than RESPONSE_RETENTION_MS."""
+        """Delete the stored responses that are older than RESPONSE_RETENTION_MS."""
         try:
-            count = await self._in_thread(self._store.delete_responses, self._clock.now_ms() - RESPONSE_RETENTION_MS)
+            count = await self._run_in_thread(
+                self._store.delete_responses, self._clock.now_ms() - RESPONSE_RETENTION_MS
+            )
             log.info("expired responses deleted", count=count)
         except BatchNotWrittenError as error:
-            log.error("expired responses not deleted", error=str(error))  # noqa: TRY400  expected: no traceback
+            log.error("could not delete expired responses", error=str(error))  # noqa: TRY400  expected: no traceback
 
     async def snapshot(self) -> None:
-        """Write the catalog as it is now, chunk by chunk between batches, then truncate the log behind it.
+        """Write a snapshot of the current catalog, then truncate the change log.
 
-        The catalog is immutable: what changes meanwhile stays in the log and is replayed on top.
+        The chunks are written between batches. The catalog object is immutable: later changes are in the log, and a
+        recovery replays them on top of the snapshot.
         """
         catalog = self.catalog
         self._changes_since_snapshot = 0
-        id = (catalog.epoch << 32 | catalog.version) & 0x7FFF_FFFF_FFFF_FFFF
+        snapshot_id = (catalog.epoch << 32 | catalog.version) & 0x7FFF_FFFF_FFFF_FFFF
         try:
-            chunks = await self._write_chunks(id, catalog)
-            await self._in_thread(self._store.commit_snapshot, id, catalog, chunks, self._retained_log_changes)
+            chunks = await self._write_chunks(snapshot_id, catalog)
+            await self._run_in_thread(
+                self._store.commit_snapshot, snapshot_id, catalog, chunks, self._retained_log_changes
+            )
             log.info("snapshot written", epoch=catalog.epoch, version=catalog.version, pieces=chunks)
         except BatchNotWrittenError as error:
-            log.error("snapshot not written", error=str(error))  # noqa: TRY400  expected: no traceback
+            log.error("could not write a snapshot", error=str(error))  # noqa: TRY400  expected: no traceback
 
-    async def _write_chunks(self, id: int, catalog: Catalog) -> int:
-        """Write a snapshot's chunks and return how many."""
+    async def _write_chunks(self, snapshot_id: int, catalog: Catalog) -> int:
+        """Write the chunks of a snapshot, and return their number."""
         chunks = 0
         rows: list[Row] = []
         for row in catalog_rows(catalog):
             rows.append(row)
             if len(rows) == SNAPSHOT_CHUNK_ROWS:
-                await self._in_thread(self._store.write_snapshot_chunk, id, chunks, rows)
+                await self._run_in_thread(self._store.write_snapshot_chunk, snapshot_id, chunks, rows)
                 chunks += 1
                 rows = []
         if rows:
-            await self._in_thread(self._store.write_snapshot_chunk, id, chunks, rows)
+            await self._run_in_thread(self._store.write_snapshot_chunk, snapshot_id, chunks, rows)
             chunks += 1
         return chunks
 
-    async def _in_thread(self, call: Callable[..., Any], *values: Any) -> Any:
-        return await asyncio.get_running_loop().run_in_executor(self._thread, call, *values)
+    async def _run_in_thread(self, function: Callable[..., Any], *arguments: Any) -> Any:
+        return await asyncio.get_running_loop().run_in_executor(self._executor, function, *arguments)
 
     async def _run(self) -> None:
         """Process batch after batch until `close`."""
@@ -177,18 +186,18 @@
                 return
 
     async def _process_batch(self, batch: list[_PendingCall]) -> None:
-        """Decide a batch, make it durable, publish the catalog, reply."""
+        """Decide the calls of a batch, make it durable, publish the catalog and reply to the callers."""
         outcomes: list[Outcome]
         try:
             if self._halt_reason:
                 raise WriterHalted(self._halt_reason)
             calls = [pending.call for pending in batch]
-            result = await self._in_thread(self._commit, calls, self.catalog, self._clock.now_ms())
+            result = await self._run_in_thread(self._commit, calls, self.catalog, self._clock.now_ms())
             self._publish(result)
             outcomes = result.outcomes
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
+        except Exception as error:  # noqa: BLE001  any failure is logged, and the writer goes on
             COUNTS["batches_failed"] += 1
-            log.error("batch not written", error=f"{type(error).__name__}: {error}", calls=len(batch))  # noqa: TRY400
+            log.error("could not write a batch", error=f"{type(error).__name__}: {error}", calls=len(batch))  # noqa: TRY400
             await self._verify_store_after_failure()
             outcomes = [error] * len(batch)
         for pending, outcome in zip(batch, outcomes, strict=True):
@@ -199,7 +208,7 @@
                 pending.future.set_result(outcome)
 
     def _publish(self, result: _BatchResult) -> None:
-        """Publish a durable batch's catalog, and start a snapshot where one is due."""
+        """Publish the catalog of a durable batch, and start a snapshot if one is due."""
         for diff in result.diffs:
             self.history.add(diff)
         if result.catalog is not self.catalog:
@@ -215,21 +224,21 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _verify_store_after_failure(self) -> None:
-        """Halt the writer if the disk does not hold the version that this process holds."""
+        """Halt the writer if the store's version differs from the version in memory."""
         if self._halt_reason:
             return
         try:
-            on_disk = await self._in_thread(self._store.latest_version)
-        except Exception as error:  # noqa: BLE001  an outer edge: logged, and the process goes on
-            log.error("the store cannot be read", error=str(error))  # noqa: TRY400  expected: no traceback
-            return  # each further batch tries again, and fails as a whole
+            on_disk = await self._run_in_thread(self._store.latest_version)
+        except Exception as error:  # noqa: BLE001  any failure is logged, and the writer goes on
+            log.error("could not read the version of the store", error=str(error))  # noqa: TRY400  expected: no traceback
+            return  # the next batch tries again, and fails as a whole if the store is still unreadable
         if on_disk not in ((self.catalog.epoch, self.catalog.version), (0, 0)):
-            held = f"{self.catalog.epoch}.{self.catalog.version}"
-            self._halt_reason = f"the store is at {on_disk[0]}.{on_disk[1]}, this process at {held}"
-            log.critical("no changes until a restart", reason=self._halt_reason)
+            version_in_memory = f"{self.catalog.epoch}.{self.catalog.version}"
+            self._halt_reason = f"the store holds version {on_disk[0]}.{on_disk[1]}, the process {version_in_memory}"
+            log.critical("writer halted until a restart", reason=self._halt_reason)
 
     def _commit(self, calls: list[Call], catalog: Catalog, now_ms: int) -> _BatchResult:
-        """Decide and write all calls of a batch in one transaction, or none; runs in the writer's thread."""
+        """Decide all calls of a batch and write them in one transaction; runs in the writer's thread."""
         result = _BatchResult(catalog)
         with self._store.batch() as batch:
             for call in calls:
