--- a/tests/administration/test_faults.py
+++ b/tests/administration/test_faults.py
@@ -1,4 +1,4 @@
-"""The store's troubles: a full disk, a folder that cannot be written, a second process, clocks, damage, old backups."""
+"""Faults around the store: a full disk, missing permissions, a second process, clock steps, corruption, old backups."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tests.stand_ins import GUARD, ROOT
 
 ACME = "/v1/tenants/acme"
-# Drops the right of the superuser to write where the mode forbids it, so that the test is the same for all users.
+# Drops the capabilities that let the superuser ignore file modes, so that the test works alike for all users.
 UNPRIVILEGED = """
 import ctypes, ctypes.util
 libc = ctypes.CDLL(None, use_errno=True)
@@ -36,37 +36,37 @@
     data[word] &= ~0b110 if word == 0 else 0xFFFFFFFF
 assert libc.syscall({capset}, head, data) == 0
 """
-NUMBERS = {"x86_64": (125, 126), "aarch64": (90, 91)}
+CAPABILITY_SYSCALLS = {"x86_64": (125, 126), "aarch64": (90, 91)}  # capget and capset
 
 
 class FullDisk(AdministrationCase):
-    """Disks that take no more."""
+    """A disk on which no more can be written, simulated by a limit on the file size."""
 
     async def test_a_full_disk_rejects_changes_and_loses_none(self) -> None:
-        """Guards against half of a change on a full disk, and against a process that must be restarted after it."""
+        """Guards against partial changes on a full disk, and against a service that has to be restarted afterwards."""
         await seed(self.root, "acme")
         pid, size = self.plane.process.pid, (self.plane.folder / "store" / "state.db-wal").stat().st_size
         _, hard = resource.prlimit(pid, resource.RLIMIT_FSIZE)
         version = await self.status()
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (size + 100, hard))
-        tried = []
+        responses = []
         for number in range(5):
-            made = await change(self.root, "PUT", f"{ACME}/plans/p{number}", PLAN, f"key-{number}")
-            tried.append(made)
-            self.assertEqual((made.status_code, made.json()["code"]), (503, "not-written"), made.text)
-            self.assertGreater(int(made.headers["retry-after"]), 0)
+            response = await change(self.root, "PUT", f"{ACME}/plans/p{number}", PLAN, f"key-{number}")
+            responses.append(response)
+            self.assertEqual((response.status_code, response.json()["code"]), (503, "not-written"), response.text)
+            self.assertGreater(int(response.headers["retry-after"]), 0)
         self.assertEqual(await self.status(), version)
         self.assertEqual((await self.root.get(f"{ACME}/plans/p0")).status_code, 404)
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (hard, hard))
-        again = await change(self.root, "PUT", f"{ACME}/plans/p0", PLAN, "key-0")
-        self.assertEqual(again.status_code, 201, "the same key, made now for the first time")
+        retried = await change(self.root, "PUT", f"{ACME}/plans/p0", PLAN, "key-0")
+        self.assertEqual(retried.status_code, 201, "the call is executed now, for the first time")
         await self.plane.stop()
-        found = backups.verify(self.plane.folder / "store" / "state.db")
-        self.assertEqual(f"{found.catalog.epoch}.{found.catalog.version}", again.json()["version"])
+        verified = backups.verify(self.plane.folder / "store" / "state.db")
+        self.assertEqual(f"{verified.catalog.epoch}.{verified.catalog.version}", retried.json()["version"])
 
 
 class StartFailures(unittest.IsolatedAsyncioTestCase):
-    """Starts that must not be made, and say why in one line."""
+    """Starts that must fail, with the reason in one line."""
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
@@ -75,60 +75,60 @@
         self.plane = AdministrationProcess(Path(folder.name))
         self.store = self.plane.folder / "store"
 
-    def refused(self, *says: str, fault: str = "") -> None:
-        """Check that `control serve` ends with exit code 2 and one line."""
-        call = ["-m", "hallhitch", "control", "serve", str(self.plane.file)]
+    def assert_start_fails(self, *expected_texts: str, fault: str = "") -> None:
+        """Check that `control serve` ends with exit code 2 and one line that contains the expected texts."""
+        command = ["-m", "hallhitch", "control", "serve", str(self.plane.file)]
         if fault:
-            call = [
+            command = [
                 "-c",
-                f"{fault}\nimport sys; sys.argv = ['hallhitch'] + {call[2:]!r}\n"
+                f"{fault}\nimport sys; sys.argv = ['hallhitch'] + {command[2:]!r}\n"
                 "from hallhitch.__main__ import main\nraise SystemExit(main())",
             ]
-        run = subprocess.run([sys.executable, *call], cwd=ROOT, capture_output=True, text=True, timeout=GUARD)
-        lines = [line for line in run.stderr.splitlines() if not line.startswith("{")]
-        self.assertEqual((run.returncode, len(lines)), (2, 1), run.stderr)
-        for text in says:
+        finished = subprocess.run([sys.executable, *command], cwd=ROOT, capture_output=True, text=True, timeout=GUARD)
+        lines = [line for line in finished.stderr.splitlines() if not line.startswith("{")]
+        self.assertEqual((finished.returncode, len(lines)), (2, 1), finished.stderr)
+        for text in expected_texts:
             self.assertIn(text, lines[0])
 
     async def test_a_second_process_is_refused_the_store(self) -> None:
-        """Guards against two writers on one store."""
+        """Guards against two processes that write to the same store."""
         await self.plane.start()
-        self.refused("in use by process", str(self.plane.process.pid))
+        self.assert_start_fails("in use by process", str(self.plane.process.pid))
         self.assertEqual(await self.plane.stop(), 0)
 
     async def test_an_unwritable_directory_prevents_the_start(self) -> None:
-        """Guards against a start that serves and cannot change anything."""
+        """Guards against a service that starts although it cannot write anything."""
         import platform
 
-        capget, capset = NUMBERS[platform.machine()]
+        capget, capset = CAPABILITY_SYSCALLS[platform.machine()]
         fault = UNPRIVILEGED.format(capget=capget, capset=capset)
         files = [self.store, *self.store.iterdir()]
         for path in files:
             path.chmod(0o500 if path.is_dir() else 0o400)
         for path in files:
             self.addCleanup(path.chmod, 0o700)
-        self.refused(str(self.store), "ermission", fault=fault)
+        self.assert_start_fails(str(self.store), "ermission", fault=fault)
 
     async def test_a_missing_store_or_key_or_a_foreign_key_prevents_the_start(self) -> None:
-        """Guards against an empty store made in silence where a mount is missing, and answers sealed by another key."""
+        """Guards against an empty store created silently where a mount is missing, and against a wrong key."""
         key = self.store / "key"
-        right = key.read_text()
+        original_key = key.read_text()
         key.write_text("0" * 64)
-        self.refused("not the one")
+        self.assert_start_fails("not the one")
         key.unlink()
-        self.refused("key", "No such file")
-        key.write_text(right)
+        self.assert_start_fails("key", "No such file")
+        key.write_text(original_key)
         (self.store / "state.db").rename(self.store / "away")
-        self.refused("there is no store")
+        self.assert_start_fails("there is no store")
 
     async def test_corrupt_rows_are_named_and_prevent_the_start(self) -> None:
-        """Guards against a damaged row that is passed over, wherever it lies."""
+        """Guards against a damaged row that a start overlooks, in any table."""
         await self.plane.start()
         async with self.plane.client() as root:
             await seed(root, "acme", "bolt")
         await self.plane.stop()
-        good = (self.store / "state.db").read_bytes()
-        for code, place in [
+        intact = (self.store / "state.db").read_bytes()
+        for statement, location in [
             ("UPDATE change SET body=replace(body, 'press-1', 'press-2') WHERE version=2", "table change, version"),
             ("UPDATE change SET at=at+1 WHERE version=3", "table change, version"),
             ("DELETE FROM change WHERE version=2", "table change, version"),
@@ -139,27 +139,27 @@
             ("UPDATE part SET version=1 WHERE tenant='bolt'", "table part, tenant bolt"),
             ("UPDATE snapshot SET version=1", "table snapshot"),
         ]:
-            with self.subTest(code=code), contextlib.closing(sqlite3.connect(self.store / "state.db")) as db:
-                db.execute(code)
+            with self.subTest(statement=statement), contextlib.closing(sqlite3.connect(self.store / "state.db")) as db:
+                db.execute(statement)
                 db.commit()
-            self.refused("state.db", place)
-            (self.store / "state.db").write_bytes(good)
-        torn = bytearray(good)
+            self.assert_start_fails("state.db", location)
+            (self.store / "state.db").write_bytes(intact)
+        torn = bytearray(intact)
         torn[4096:8192] = b"\0" * 4096
         (self.store / "state.db").write_bytes(torn)
-        self.refused("state.db")
+        self.assert_start_fails("state.db")
 
     async def test_a_newer_schema_prevents_the_start(self) -> None:
-        """Guards against an old program that writes into a newer store."""
+        """Guards against an old program that writes to a store with a newer schema."""
         with contextlib.closing(sqlite3.connect(self.store / "state.db")) as db:
             db.execute(f"PRAGMA user_version={len(MIGRATIONS) + 1}")
-        self.refused("newer than this program")
+        self.assert_start_fails("newer than this program supports")
 
     async def test_time_does_not_go_back_with_the_wall_clock(self) -> None:
-        """Guards against an expired credential that lives again, and against times that run backwards in the audit."""
+        """Guards against an expired credential that becomes valid again, and against audit times that go back."""
         fault = (
-            "import time, os\nreal = time.time\n"
-            f"time.time = lambda: real() - (86400 if os.path.exists({str(self.plane.folder / 'back')!r}) else 0)"
+            "import time, os\noriginal = time.time\n"
+            f"time.time = lambda: original() - (86400 if os.path.exists({str(self.plane.folder / 'back')!r}) else 0)"
         )
         await self.plane.start(fault)
         async with self.plane.client() as root:
@@ -173,40 +173,46 @@
                 await self.plane.stop()
                 self.assertIn("the clock went back", "".join(self.plane.log_lines))
                 await self.plane.start(fault)
-                self.assertEqual((await caller.get(ACME)).status_code, 401, "after a restart too")
+                self.assertEqual(
+                    (await caller.get(ACME)).status_code, 401, "the credential stays expired after a restart"
+                )
             await change(root, "PUT", f"{ACME}/plans/p", PLAN)
             times = [item["at"] for item in (await root.get(f"{ACME}/audit")).json()["items"]]
             self.assertEqual(times, sorted(times, reverse=True))
         self.assertEqual(await self.plane.stop(), 0)
 
     async def test_a_restored_backup_begins_a_later_epoch(self) -> None:
-        """Guards against versions that go back, and entity tags of the lost time that match again."""
+        """Guards against versions that go back, and against entity tags of lost changes that match again."""
         await self.plane.start()
         folder, backup = self.plane.folder / "store", self.plane.folder / "backup.db"
         async with self.plane.client() as root:
             await seed(root, "acme")
             saved = await asyncio.to_thread(backups.backup, folder, backup)
             lost = await change(root, "PUT", f"{ACME}/plans/p", PLAN, "lost-key")
-            held = lost.json()["version"]
+            lost_version = lost.json()["version"]
         await self.plane.stop()
-        made = backups.restore(folder, backup)
-        self.assertEqual(made.version, saved.catalog.version)
-        self.assertGreater((made.epoch, made.version), tuple(map(int, held.split("."))))
-        self.assertGreater(backups.restore(folder, backup).epoch, made.epoch, "each restore is an epoch of its own")
+        restored = backups.restore(folder, backup)
+        self.assertEqual(restored.version, saved.catalog.version)
+        self.assertGreater((restored.epoch, restored.version), tuple(map(int, lost_version.split("."))))
+        self.assertGreater(backups.restore(folder, backup).epoch, restored.epoch, "each restore starts a new epoch")
         await self.plane.start()
         async with self.plane.client() as root:
             self.assertEqual((await root.get(f"{ACME}/plans/p")).status_code, 404)
-            again = await change(root, "PUT", f"{ACME}/plans/p", PLAN, "lost-key")
-            self.assertEqual(again.status_code, 201, "a call answered in the lost time is made, not repeated")
-            same_number = again.json()["version"].split(".")[1] == held.split(".")[1]
-            self.assertTrue(same_number and again.json()["version"] != held)
+            retried = await change(root, "PUT", f"{ACME}/plans/p", PLAN, "lost-key")
+            self.assertEqual(
+                retried.status_code,
+                201,
+                "a call answered after the backup is executed again, not answered from the store",
+            )
+            same_number = retried.json()["version"].split(".")[1] == lost_version.split(".")[1]
+            self.assertTrue(same_number and retried.json()["version"] != lost_version)
             stale = await change(root, "PUT", f"{ACME}/plans/p", PLAN, If_Match=lost.headers["etag"])
             self.assertEqual(stale.status_code, 412)
         self.assertEqual(await self.plane.stop(), 0)
-        self.assertEqual(len(list(folder.glob("before-restore-*"))), 2, "what stood there is kept")
+        self.assertEqual(len(list(folder.glob("before-restore-*"))), 2, "the replaced databases are kept")
 
     async def test_corrupt_backups_and_interrupted_restores_are_refused(self) -> None:
-        """Guards against a good store replaced by a bad one, and a start between two of a restore's steps."""
+        """Guards against an intact store replaced by a corrupt backup, and against a start during a restore."""
         folder, backup = self.plane.folder / "store", self.plane.folder / "backup.db"
         backups.backup(folder, backup)
         with self.assertRaises(StoreError):
@@ -214,93 +220,93 @@
         with contextlib.closing(sqlite3.connect(backup)) as db:
             db.execute("UPDATE row SET version=9")
             db.commit()
-        before = (folder / "state.db").read_bytes()
+        database_before = (folder / "state.db").read_bytes()
         with self.assertRaises(CorruptStoreError):
             backups.restore(folder, backup)
-        self.assertEqual((folder / "state.db").read_bytes(), before)
+        self.assertEqual((folder / "state.db").read_bytes(), database_before)
         (folder / "state.db").rename(folder / "restore.tmp")
-        self.refused("a restore was interrupted")
+        self.assert_start_fails("a restore was interrupted")
 
 
-class StoreByItself(unittest.TestCase):
-    """The store by itself."""
+class StoreWithoutService(unittest.TestCase):
+    """The store and the clock, without a process of the service."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def filled(self, store: SqliteStore, changes: int) -> Catalog:
-        """A store with a tenant and some changes."""
+    def fill(self, store: SqliteStore, changes: int) -> Catalog:
+        """Write a tenant and up to that number of changes to the store, and return the catalog."""
         catalog = Catalog(epoch=5)
         store.commit_snapshot(1, catalog, 0, 0)
         for number in range(changes):
             edit = Edit(Kind.PLAN, f"p{number % 7}", None if number % 7 == 6 and number > 7 else Plan(price=number))
             if number % 7 == 6 and number <= 7:
                 edit = Edit(Kind.TENANT, "a", Head(limits=Limits(plans=50)))
-            first = Edit(Kind.TENANT, "a", Head(limits=Limits(plans=50)))
+            first_edit = Edit(Kind.TENANT, "a", Head(limits=Limits(plans=50)))
             try:
-                made = apply_change(catalog, Change("a", (first,) if number == 0 else (edit,)))
-            except Exception:  # noqa: BLE001  an outer edge: logged, and the process goes on
+                applied = apply_change(catalog, Change("a", (first_edit,) if number == 0 else (edit,)))
+            except Exception:  # noqa: BLE001  some edits are refused, which does not matter here
                 continue
             with store.batch() as batch:
-                batch.append_change(made.catalog, made.diff, number, "a", "test")
-            catalog = made.catalog
+                batch.append_change(applied.catalog, applied.diff, number, "a", "test")
+            catalog = applied.catalog
         return catalog
 
     def test_snapshot_and_log_recover_the_same_catalog(self) -> None:
-        """Guards against a compaction that forgets, or keeps what was dropped."""
+        """Guards against a truncation of the log that loses changes, or keeps changes that it should delete."""
         store = SqliteStore(self.folder, create=True)
-        catalog = self.filled(store, 30)
+        catalog = self.fill(store, 30)
         self.assertEqual(store.load().catalog, catalog)
         from hallhitch.catalog.rows import catalog_rows
 
         store.write_snapshot_chunk(9, 0, list(catalog_rows(catalog)))
         store.commit_snapshot(9, catalog, 1, 4)
-        found = store.load()
-        self.assertEqual((found.catalog, found.replayed_changes), (catalog, 0))
-        self.assertIsNotNone(found.history.diff(catalog, 5, catalog.version - 3))
-        self.assertIsNone(found.history.diff(catalog, 5, catalog.version - 6))
+        loaded = store.load()
+        self.assertEqual((loaded.catalog, loaded.replayed_changes), (catalog, 0))
+        self.assertIsNotNone(loaded.history.diff(catalog, 5, catalog.version - 3))
+        self.assertIsNone(loaded.history.diff(catalog, 5, catalog.version - 6))
         store.close()
 
     def test_a_failed_batch_is_rolled_back(self) -> None:
-        """Guards against part of a transaction."""
+        """Guards against a transaction that takes effect in part."""
         store = SqliteStore(self.folder, create=True)
-        catalog = self.filled(store, 3)
-        made = apply_change(catalog, Change("b", (Edit(Kind.TENANT, "b", Head()),)))
+        catalog = self.fill(store, 3)
+        applied = apply_change(catalog, Change("b", (Edit(Kind.TENANT, "b", Head()),)))
         with self.assertRaises(ZeroDivisionError), store.batch() as batch:
-            batch.append_change(made.catalog, made.diff, 9, "b", "test")
+            batch.append_change(applied.catalog, applied.diff, 9, "b", "test")
             raise ZeroDivisionError
         self.assertEqual(store.load().catalog, catalog)
         store.close()
 
     def test_each_schema_version_migrates_to_the_newest(self) -> None:
-        """Guards against a store of an older form that can no longer be opened."""
-        for steps in range(len(MIGRATIONS)):
-            folder = self.folder / str(steps)
+        """Guards against a store with an older schema that can no longer be opened."""
+        for schema_version in range(len(MIGRATIONS)):
+            folder = self.folder / str(schema_version)
             folder.mkdir()
             db = connect(folder / "state.db", create=True)
-            for number in range(steps):
+            for number in range(schema_version):
                 db.executescript(MIGRATIONS[number] + f"PRAGMA user_version={number + 1};")
             db.close()
             store = SqliteStore(folder)
-            catalog = self.filled(store, 5)
+            catalog = self.fill(store, 5)
             self.assertEqual(store.load().catalog, catalog)
             store.close()
 
     def test_expired_responses_are_deleted(self) -> None:
-        """Guards against a table of answers that grows without end."""
+        """Guards against a table of stored responses that grows without bound."""
         from hallhitch.administration.store_records import StoredResponse
 
         store = SqliteStore(self.folder, create=True)
-        for at in (0, 10, RESPONSE_RETENTION_MS):
+        for stored_at_ms in (0, 10, RESPONSE_RETENTION_MS):
             with store.batch() as batch:
-                batch.store_response("a", f"k{at}", StoredResponse(at, b"", b""))
+                batch.store_response("a", f"k{stored_at_ms}", StoredResponse(stored_at_ms, b"", b""))
         self.assertEqual(store.delete_responses(RESPONSE_RETENTION_MS), 2)
         store.close()
 
     def test_the_wall_clock_does_not_advance_while_behind(self) -> None:
-        """Guards against a clock that goes back with the machine's."""
-        wall = iter([10.0, 12.0, 5.0, 11.9, 12.5])
-        clock = WallClock(9_000, lambda: next(wall))
+        """Guards against times that go back with the clock of the machine."""
+        wall_times_s = iter([10.0, 12.0, 5.0, 11.9, 12.5])
+        clock = WallClock(9_000, lambda: next(wall_times_s))
         self.assertEqual([clock.now_ms() for _ in range(5)], [10_000, 12_000, 12_000, 12_000, 12_500])
--- a/tests/administration/test_kill.py
+++ b/tests/administration/test_kill.py
@@ -1,7 +1,8 @@
-"""An administrator's call repeated after a time-out: the process killed at any point, under load.
+"""Calls that are retried after the process was killed, at chosen points and at random under load.
 
-Each operation creates something under `If-None-Match: *`, so a second execution would be told 412 and not 201: one
-change each, and none acknowledged that is gone, shows in the answers alone. Versions and audit are counted too.
+Each call creates an entry with `If-None-Match: *`, so a second execution would be answered by 412 instead of 201. The
+responses alone therefore show that each call is executed exactly once and that no acknowledged change is lost. The
+versions are counted as well.
 """
 
 from __future__ import annotations
@@ -26,37 +27,38 @@
 WORKERS = 8
 ACME = "/v1/tenants/acme"
 
-# Code that runs in the program first: kills it at one point of a change to `clients/victim`, once the file is there.
+# Code that the process runs first. It kills the process at one point of the call with the key `victim`, once the file
+# `trigger` exists.
 KILLS = {
     "before the commit": """
 import os
 from hallhitch.administration import store
-was = store.SqliteBatch.store_response
-def store_response(self, actor, key, answer):
-    was(self, actor, key, answer)
-    if key == "victim" and os.path.exists({mark!r}):
+original = store.SqliteBatch.store_response
+def store_response(self, actor, key, response):
+    original(self, actor, key, response)
+    if key == "victim" and os.path.exists({trigger!r}):
         os.kill(os.getpid(), 9)
 store.SqliteBatch.store_response = store_response
 """,
     "after the commit": """
 import os
 from hallhitch.administration import writer
-was = writer.Writer._commit
-def commit(self, calls, catalogue, now):
-    done = was(self, calls, catalogue, now)
-    if any(call.key == "victim" for call in calls) and os.path.exists({mark!r}):
+original = writer.Writer._commit
+def commit(self, calls, catalog, now_ms):
+    result = original(self, calls, catalog, now_ms)
+    if any(call.key == "victim" for call in calls) and os.path.exists({trigger!r}):
         os.kill(os.getpid(), 9)
-    return done
+    return result
 writer.Writer._commit = commit
 """,
-    "after the answer was written": """
+    "after the response was written": """
 import os
 from uvicorn.protocols.http import h11_impl
-was = h11_impl.RequestResponseCycle.send
+original = h11_impl.RequestResponseCycle.send
 async def send(self, message):
-    await was(self, message)
+    await original(self, message)
     if (message["type"] == "http.response.body" and self.scope["path"].endswith("/victim")
-            and os.path.exists({mark!r})):
+            and os.path.exists({trigger!r})):
         os.kill(os.getpid(), 9)
 h11_impl.RequestResponseCycle.send = send
 """,
@@ -64,7 +66,7 @@
 
 
 class KilledProcess(unittest.IsolatedAsyncioTestCase):
-    """kill -9, at chosen points and at any."""
+    """Kills the process by SIGKILL, at chosen points and at random ones."""
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
@@ -73,83 +75,90 @@
         self.folder = Path(folder.name)
         self.plane = AdministrationProcess(self.folder)
 
-    async def _ended(self) -> None:
-        """Wait for the process to be gone."""
+    async def _wait_until_killed(self) -> None:
+        """Wait until the process has been killed and its log is read."""
         self.assertEqual(await soon(self.plane.process.wait()), -signal.SIGKILL)
-        await soon(self.plane._drain)
+        await soon(self.plane._log_reader)
 
     async def test_a_kill_at_each_point_of_a_change_loses_and_repeats_nothing(self) -> None:
-        """Guards against a change made twice, or lost though it was acknowledged, at each side of the commit."""
-        mark = str(self.folder / "mark")
+        """Guards against a change that is executed twice, or lost after its acknowledgement, around the commit."""
+        trigger = str(self.folder / "trigger")
         for number, (point, code) in enumerate(KILLS.items()):
             with self.subTest(point=point):
-                await self.plane.start(code.format(mark=mark))
+                await self.plane.start(code.format(trigger=trigger))
                 async with self.plane.client() as root:
                     if number == 0:
                         await seed(root, "acme")
-                    Path(mark).touch()
+                    Path(trigger).touch()
                     first = None
                     with contextlib.suppress(httpx.TransportError):
                         first = await change(
                             root, "PUT", f"{ACME}/credentials/victim", {"scope": "read"}, "victim", If_None_Match="*"
                         )
-                await self._ended()
-                self.assertEqual(point == "after the answer was written", first is not None)
-                Path(mark).unlink()
+                await self._wait_until_killed()
+                self.assertEqual(point == "after the response was written", first is not None)
+                Path(trigger).unlink()
                 await self.plane.start()
                 async with self.plane.client() as root:
-                    before = (await root.get("/v1/status")).json()["version"]
-                    again = await change(
+                    version_before = (await root.get("/v1/status")).json()["version"]
+                    retried = await change(
                         root, "PUT", f"{ACME}/credentials/victim", {"scope": "read"}, "victim", If_None_Match="*"
                     )
-                    after = (await root.get("/v1/status")).json()["version"]
-                    self.assertEqual(again.status_code, 201, again.text)
-                    self.assertEqual(before == after, point != "before the commit")
+                    version_after = (await root.get("/v1/status")).json()["version"]
+                    self.assertEqual(retried.status_code, 201, retried.text)
+                    self.assertEqual(version_before == version_after, point != "before the commit")
                     if first is not None:
-                        self.assertEqual((again.content, again.headers), (first.content, first.headers))
-                    async with self.plane.client(again.json()["token"]) as caller:
-                        self.assertEqual((await caller.get(ACME)).status_code, 200, "the secret of the first answer")
+                        self.assertEqual((retried.content, retried.headers), (first.content, first.headers))
+                    async with self.plane.client(retried.json()["token"]) as caller:
+                        self.assertEqual(
+                            (await caller.get(ACME)).status_code, 200, "the token of the first response is valid"
+                        )
                     await change(root, "DELETE", f"{ACME}/credentials/victim")
                 await self.plane.stop()
-                await self._forget("victim")
+                await self._delete_stored_response("victim")
 
-    async def _forget(self, key: str) -> None:
-        """Let the key be new for the next point."""
+    async def _delete_stored_response(self, key: str) -> None:
+        """Delete the stored response of an idempotency key, so that the next point can use it again."""
         with contextlib.closing(sqlite3.connect(self.folder / "store" / "state.db")) as db:
             db.execute("DELETE FROM answer WHERE key=?", (key,))
             db.commit()
 
-    async def test_kills_under_load_lose_and_repeat_nothing(self) -> None:  # noqa: C901  one case after the other
-        """Guards against the same where many changes share a transaction and snapshots are under way."""
+    async def test_kills_under_load_lose_and_repeat_nothing(self) -> None:  # noqa: C901  one scenario from start to end
+        """Guards against the same faults while many changes share a transaction and snapshots are written."""
         rng = random.Random(20261)
-        text = self.plane.file.read_text().replace('folder = "store"', 'folder = "store"\nsnapshot_each = 7\nkeep = 3')
-        self.plane.file.write_text(text)
+        settings = self.plane.file.read_text().replace(
+            'folder = "store"', 'folder = "store"\nsnapshot_each = 7\nkeep = 3'
+        )
+        self.plane.file.write_text(settings)
         acknowledged: dict[str, bytes] = {}
-        wanted = 0
-        for round_ in range(ROUNDS):
+        attempted_count = 0
+        for round_number in range(ROUNDS):
             await self.plane.start()
-            tell = asyncio.Event()
-            kill_at = len(acknowledged) + rng.randrange(1, 40)
+            enough_acknowledged = asyncio.Event()
+            kill_at_count = len(acknowledged) + rng.randrange(1, 40)
             async with self.plane.client() as root:
-                if round_ == 0:
+                if round_number == 0:
                     await seed(root, "acme")
                     await change(root, "PATCH", ACME, {"limits": {"clients": 10**6, "rate": 1e9}})
 
                 async def worker(
-                    number: int, root: httpx.AsyncClient = root, kill_at: int = kill_at, tell: asyncio.Event = tell
+                    number: int,
+                    root: httpx.AsyncClient = root,
+                    kill_at_count: int = kill_at_count,
+                    enough_acknowledged: asyncio.Event = enough_acknowledged,
                 ) -> None:
-                    nonlocal wanted
-                    turn = 0
+                    nonlocal attempted_count
+                    sequence = 0
                     while True:
-                        name = f"w{number}-{turn}"
-                        turn += 1
+                        name = f"w{number}-{sequence}"
+                        sequence += 1
                         if name in acknowledged:
                             continue
-                        if f"new {name}" not in self.seen:
-                            self.seen.add(f"new {name}")
-                            wanted += 1
+                        if f"new {name}" not in self.attempted:
+                            self.attempted.add(f"new {name}")
+                            attempted_count += 1
                         try:
-                            made = await change(
+                            response = await change(
                                 root,
                                 "PUT",
                                 f"{ACME}/clients/{name}",
@@ -159,36 +168,40 @@
                             )
                         except httpx.TransportError:
                             return
-                        self.assertEqual(made.status_code, 201, made.text)
-                        acknowledged[name] = made.content
-                        if len(acknowledged) >= kill_at:
-                            tell.set()
+                        self.assertEqual(response.status_code, 201, response.text)
+                        acknowledged[name] = response.content
+                        if len(acknowledged) >= kill_at_count:
+                            enough_acknowledged.set()
 
                 tasks = [asyncio.create_task(worker(n)) for n in range(WORKERS)]
-                await asyncio.wait_for(tell.wait(), GUARD)
+                await asyncio.wait_for(enough_acknowledged.wait(), GUARD)
                 self.plane.process.kill()
-                await self._ended()
+                await self._wait_until_killed()
                 for task in tasks:
                     await soon(task)
         await self.plane.start()
         async with self.plane.client() as root:
-            for name in sorted(self.seen):  # every call that was ever begun, acknowledged or not
+            for name in sorted(self.attempted):  # all calls that were ever sent, acknowledged or not
                 name = name.removeprefix("new ")
-                made = await change(
+                response = await change(
                     root, "PUT", f"{ACME}/clients/{name}", {"plan": "small-shop"}, f"key-{name}", If_None_Match="*"
                 )
-                self.assertEqual(made.status_code, 201, made.text)
+                self.assertEqual(response.status_code, 201, response.text)
                 if name in acknowledged:
-                    self.assertEqual(made.content, acknowledged[name])
+                    self.assertEqual(response.content, acknowledged[name])
             version = (await root.get("/v1/status")).json()["version"]
-            told = (await root.get(ACME)).json()
-        self.assertEqual(told["uses"]["clients"], wanted + 1)
-        self.assertEqual(int(version.split(".")[1]), wanted + 3, "the operator, the tenant, its limits, and one each")
+            tenant = (await root.get(ACME)).json()
+        self.assertEqual(tenant["uses"]["clients"], attempted_count + 1)
+        self.assertEqual(
+            int(version.split(".")[1]),
+            attempted_count + 3,
+            "the operator, the tenant and its limits are one change each, and each client is one",
+        )
         await self.plane.stop()
-        found = backups.verify(self.folder / "store" / "state.db")
-        self.assertEqual(found.catalog.version, wanted + 3)
+        verified = backups.verify(self.folder / "store" / "state.db")
+        self.assertEqual(verified.catalog.version, attempted_count + 3)
 
-    seen: set[str]
+    attempted: set[str]
 
     def setUp(self) -> None:
-        self.seen = set()
+        self.attempted = set()
