--- a/hallhitch/administration/bootstrap.py
+++ b/hallhitch/administration/bootstrap.py
@@ -8,7 +8,7 @@
 from hallhitch.administration.errors import StoreError
 from hallhitch.administration.secrets import PASSWORD_HASHER, new_secret
 from hallhitch.administration.settings import AdministrationSettings
-from hallhitch.administration.store_folder import initialise, open_store
+from hallhitch.administration.store_folder import create_store, open_store
 from hallhitch.administration.store_records import AuditEntry
 from hallhitch.catalog.access import Token
 from hallhitch.catalog.changes import Change, Edit, apply_change
@@ -18,7 +18,7 @@
 FIRST_OPERATOR_ID: Final = "root"
 
 
-def create_first_operator(settings: AdministrationSettings, file: str) -> str:
+def create_first_operator(settings: AdministrationSettings, settings_file: str) -> str:
     """Create the store and its first operator, and return the operator's token.
 
     The store holds only a hash of the token's secret, so the token cannot be read again.
@@ -26,8 +26,8 @@
     Raises:
         StoreError: The store cannot be created, or already has operators.
     """
-    initialise(settings, file)
-    store = open_store(settings, file).store
+    create_store(settings, settings_file)
+    store = open_store(settings, settings_file).store
     try:
         loaded = store.load().catalog
         if loaded.operators:
--- a/hallhitch/administration/serve.py
+++ b/hallhitch/administration/serve.py
@@ -91,9 +91,9 @@
     listener: socket.socket
 
 
-def _open_service(settings: AdministrationSettings, file: str) -> _Service:
+def _open_service(settings: AdministrationSettings, settings_file: str) -> _Service:
     """Open the store, the certificates and the listener; if one of them fails, the store is closed again."""
-    opened = open_store(settings, file)
+    opened = open_store(settings, settings_file)
     store = opened.store
     try:
         recovered = store.load()
@@ -109,7 +109,8 @@
         )
         client_ca = settings.tls.client_ca
         certificates = CertificateStore(
-            settings.path(settings.tls.folder, file), settings.path(client_ca, file) if client_ca else None
+            settings.path(settings.tls.folder, settings_file),
+            settings.path(client_ca, settings_file) if client_ca else None,
         )
         listener = open_listener(parse_address(settings.api.listen))
     except BaseException:
@@ -118,7 +119,7 @@
     return _Service(store, opened.keys, recovered, clock, writer, certificates, listener)
 
 
-async def serve(settings: AdministrationSettings, file: str) -> None:
+async def serve(settings: AdministrationSettings, settings_file: str) -> None:
     """Run the service until SIGTERM or SIGINT; SIGHUP reloads the certificates.
 
     Raises:
@@ -127,7 +128,7 @@
         OSError: The service cannot listen on the address.
     """
     started_at_s = time.monotonic()
-    service = _open_service(settings, file)
+    service = _open_service(settings, settings_file)
     writer = service.writer
     checker = SecretChecker(service.keys)
     writer.start(service.recovered.replayed_changes)
@@ -154,7 +155,7 @@
     await writer.close()
     checker.close()
     service.store.close()
-    log.info("stopped", counts=dict(COUNTS), version=writer.catalog.version, batches=writer.batches)
+    log.info("stopped", counts=dict(COUNTS), version=writer.catalog.version, batches=writer.batch_count)
 
 
 def _log_start(settings: AdministrationSettings, service: _Service, started_at_s: float) -> None:
--- a/hallhitch/administration/settings.py
+++ b/hallhitch/administration/settings.py
@@ -39,7 +39,7 @@
 
 
 class TlsSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Directory of the server certificates, and the CA file that verifies the client certificates of operators."""
+    """Directory of the server certificates, and the CA file that verifies client certificates."""
 
     folder: str
     client_ca: str | None = None
@@ -53,6 +53,6 @@
     api: ApiSettings
     tls: TlsSettings
 
-    def path(self, text: str, file: str) -> Path:
+    def path(self, text: str, settings_file: str) -> Path:
         """Resolve a path of the settings file; a relative one is relative to the directory of that file."""
-        return Path(file).resolve().parent / text
+        return Path(settings_file).resolve().parent / text
--- a/hallhitch/administration/store_folder.py
+++ b/hallhitch/administration/store_folder.py
@@ -22,13 +22,13 @@
     keys: ServiceKeys
 
 
-def open_store(settings: AdministrationSettings, file: str) -> OpenedStore:
+def open_store(settings: AdministrationSettings, settings_file: str) -> OpenedStore:
     """Open the store, and read its key file.
 
     Raises:
         StoreError: The store or its key file is missing or unreadable, or the key belongs to another store.
     """
-    folder = settings.path(settings.store.folder, file)
+    folder = settings.path(settings.store.folder, settings_file)
     store = SqliteStore(folder)
     try:
         keys = ServiceKeys.read(folder)
@@ -40,13 +40,13 @@
     return OpenedStore(store, keys)
 
 
-def initialise(settings: AdministrationSettings, file: str) -> Path:
+def create_store(settings: AdministrationSettings, settings_file: str) -> Path:
     """Create the directory, the key file and an empty store where they do not exist, and return the directory.
 
     Raises:
         StoreError: The directory cannot be written, or holds a store that was created with another key.
     """
-    folder = settings.path(settings.store.folder, file)
+    folder = settings.path(settings.store.folder, settings_file)
     try:
         folder.mkdir(parents=True, exist_ok=True, mode=0o700)
         keys = ServiceKeys.create(folder)
--- a/hallhitch/administration/writer.py
+++ b/hallhitch/administration/writer.py
@@ -69,7 +69,7 @@
         self.catalog = catalog
         self.history = history
         self.catalog_changed = asyncio.Event()  # set and replaced whenever a newer catalog is published
-        self.batches = 0
+        self.batch_count = 0
         self._store = store
         self._clock = clock
         self._decider = CallDecider(keys)
@@ -215,7 +215,7 @@
             self.catalog = result.catalog
             self.catalog_changed.set()
             self.catalog_changed = asyncio.Event()
-        self.batches += 1
+        self.batch_count += 1
         self._changes_since_snapshot += len(result.diffs)
         if self._changes_since_snapshot >= self._snapshot_interval:
             self._changes_since_snapshot = 0
