--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -44,10 +44,10 @@
 ADMINS = 32
 
 
-def fill(plane: AdministrationProcess, tenants: int, clients: int) -> None:
+def fill(service: AdministrationProcess, tenants: int, clients: int) -> None:
     """Put a catalogue of that size in the store as its snapshot and state, and 1,000 changes behind it."""
-    folder = plane.folder / "store"
-    opened = open_store(read(str(plane.file), AdministrationSettings), str(plane.file))
+    folder = service.folder / "store"
+    opened = open_store(read(str(service.settings_file), AdministrationSettings), str(service.settings_file))
     store = opened.store
     keys = opened.keys
     was = store.load().catalog
@@ -149,10 +149,10 @@
 
 
 def callers(
-    plane: AdministrationProcess, tenants: int, seconds: float, **kinds: int
+    service: AdministrationProcess, tenants: int, seconds: float, **kinds: int
 ) -> dict[str, tuple[list[float], int]]:
     """Run callers of several kinds at once."""
-    port, ca = int(plane.url.rpartition(":")[2]), str(plane.folder / "tls" / "ca.crt")
+    port, ca = int(service.url.rpartition(":")[2]), str(service.folder / "tls" / "ca.crt")
     context = multiprocessing.get_context("fork")
     running = []
     for kind, count in kinds.items():
@@ -169,11 +169,11 @@
     return found
 
 
-def start(plane: AdministrationProcess) -> tuple[subprocess.Popen[str], float, int]:
+def start(service: AdministrationProcess) -> tuple[subprocess.Popen[str], float, int]:
     """Start the program: the process, seconds until it serves, its resident KiB then."""
     began = time.perf_counter()
     process = subprocess.Popen(
-        [sys.executable, "-O", "-m", "hallhitch", "control", "serve", str(plane.file)],
+        [sys.executable, "-O", "-m", "hallhitch", "control", "serve", str(service.settings_file)],
         stderr=subprocess.PIPE,
         text=True,
     )
@@ -214,14 +214,14 @@
     """All rows of the table: what, the figure, what bounds it."""
     total = tenants * clients
     with tempfile.TemporaryDirectory() as place:
-        plane = AdministrationProcess(Path(place))
+        service = AdministrationProcess(Path(place))
         for _ in range(2):  # the first has its modules compiled
-            process, empty_s, empty_kib = start(plane)
+            process, empty_s, empty_kib = start(service)
             stop(process)
-        fill(plane, tenants, clients)
+        fill(service, tenants, clients)
         starts = []
         for _ in range(3):
-            process, took, kib = start(plane)
+            process, took, kib = start(service)
             starts.append(took)
             stop(process)
         rows = [
@@ -239,9 +239,9 @@
             ),
             ("transactions of one row, SQLite alone", f"{syncs(Path(place)):.0f} a second", "this disk's sync"),
         ]
-        process, *_ = start(plane)
+        process, *_ = start(service)
         for admins in (1, ADMINS):
-            times, failed = callers(plane, tenants, seconds, change=admins)["change"]
+            times, failed = callers(service, tenants, seconds, change=admins)["change"]
             rows.append(
                 (
                     f"durable changes, {admins} at once",
@@ -252,7 +252,7 @@
                     else "one core of Python: HTTP, TLS and framework; syncs are shared",
                 )
             )
-        alone, failed = callers(plane, tenants, seconds, read=2)["read"]
+        alone, failed = callers(service, tenants, seconds, read=2)["read"]
         rows.append(
             (
                 "reads, 2 at once, alone",
@@ -260,7 +260,7 @@
                 "the framework",
             )
         )
-        both = callers(plane, tenants, seconds, read=2, change=ADMINS)
+        both = callers(service, tenants, seconds, read=2, change=ADMINS)
         rows.append(
             (
                 f"reads, 2 at once, beside {ADMINS} who change",
@@ -269,7 +269,7 @@
                 "the same core: a read waits its turn behind changes",
             )
         )
-        pairs = callers(plane, tenants, seconds, there=1, absent=1)
+        pairs = callers(service, tenants, seconds, there=1, absent=1)
         there, absent = pairs["there"][0], pairs["absent"][0]
         least = min(len(there), len(absent))
         rng = np.random.default_rng(1)
@@ -283,8 +283,8 @@
             )
         )
         began = time.perf_counter()
-        backup(plane.folder / "store", plane.folder / "saved.db")
-        size = (plane.folder / "saved.db").stat().st_size / 1e6
+        backup(service.folder / "store", service.folder / "saved.db")
+        size = (service.folder / "saved.db").stat().st_size / 1e6
         rows.append(
             (
                 "backup and its verification, in service",
@@ -293,7 +293,7 @@
             )
         )
         stop(process)
-        process, took, _ = start(plane)
+        process, took, _ = start(service)
         rows.append(("start after these changes", f"{took:.2f} s", "the log behind the last snapshot is replayed"))
         stop(process)
     return rows
--- a/benchmarks/feed.py
+++ b/benchmarks/feed.py
@@ -38,7 +38,7 @@
 from hallhitch.catalog_sync.feed_client import FeedClient, client_tls_context
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
-from tests.administration_process import AdministrationProcess, change, seed
+from tests.administration_process import AdministrationProcess, create_tenants, send_change
 
 GATEWAY_COUNT: Final = 4
 TENANT_COUNT: Final = 1000
@@ -67,19 +67,19 @@
 
 @contextlib.asynccontextmanager
 async def _feed_clients(
-    plane: AdministrationProcess, certificate: Path, on_catalog: Callable[[int, Catalog], None]
+    service: AdministrationProcess, certificate: Path, on_catalog: Callable[[int, Catalog], None]
 ) -> AsyncIterator[None]:
     """Run the gateways' feed clients."""
     context = client_tls_context(
-        str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
+        str(service.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
     )
     tasks = [
         asyncio.create_task(
             FeedClient(
-                plane.url,
+                service.url,
                 context,
                 f"gateway-{number}",
-                CatalogCache(plane.folder / f"saved-{number}"),
+                CatalogCache(service.folder / f"saved-{number}"),
                 partial(on_catalog, number),
             ).run()
         )
@@ -97,23 +97,23 @@
     """Return the ms from the reply to each change until all gateways have applied it, warm-up excluded."""
     latencies_ms = list[float]()
     with tempfile.TemporaryDirectory() as folder:
-        plane = AdministrationProcess(Path(folder))
-        await plane.start()
-        certificate = authority.issue_certificate(plane.folder / "tls", "gateways", ["gateways"], client=True)
+        service = AdministrationProcess(Path(folder))
+        await service.start()
+        certificate = authority.issue_certificate(service.folder / "tls", "gateways", ["gateways"], client=True)
         fingerprint = certificate_fingerprint(ssl.PEM_cert_to_DER_cert(certificate.read_text()))
         applied = AppliedVersions()
-        async with plane.client() as root:
-            await change(root, "PUT", "/v1/operators/gateways", {"scope": "gateway", "certificate": fingerprint})
-            await seed(root, "acme")
-            async with _feed_clients(plane, certificate, applied.on_catalog):
+        async with service.client() as root:
+            await send_change(root, "PUT", "/v1/operators/gateways", {"scope": "gateway", "certificate": fingerprint})
+            await create_tenants(root, "acme")
+            async with _feed_clients(service, certificate, applied.on_catalog):
                 for number in range(count):
                     plan = {"rate": 1.0 + number, "burst": 9.0}
-                    reply = await change(root, "PUT", "/v1/tenants/acme/plans/small-shop", plan, If_Match="*")
+                    reply = await send_change(root, "PUT", "/v1/tenants/acme/plans/small-shop", plan, If_Match="*")
                     started_s = time.monotonic()
                     version = int(reply.headers["etag"].strip('"').partition(".")[2])
                     await applied.wait_for(version)
                     latencies_ms.append((time.monotonic() - started_s) * 1000)
-        await plane.stop()
+        await service.stop()
     return latencies_ms[WARM_UP_CHANGES:]
 
 
--- a/hallhitch/administration/api/guard.py
+++ b/hallhitch/administration/api/guard.py
@@ -136,7 +136,10 @@
         """Verify a secret that is not cached, if its caller has not failed too often."""
         now_s = time.monotonic()
         token_key = (address, token.tenant, token.id)
-        wait_s = max(self._failures_by_token.wait(token_key, now_s), self._failures_by_address.wait(address, now_s))
+        wait_s = max(
+            self._failures_by_token.seconds_until_token(token_key, now_s),
+            self._failures_by_address.seconds_until_token(address, now_s),
+        )
         if wait_s:
             detail = "Too many failed authentications."
             raise ProblemError(429, "too-many-failures", detail, retry_after_s=wait_s)
--- a/hallhitch/administration/rate_limits.py
+++ b/hallhitch/administration/rate_limits.py
@@ -29,7 +29,7 @@
         self._max_keys = max_keys
         self._buckets: OrderedDict[Hashable, _Bucket] = OrderedDict()
 
-    def wait(self, key: Hashable, now_s: float) -> float:
+    def seconds_until_token(self, key: Hashable, now_s: float) -> float:
         """Return the seconds until a token is available, 0 if there is one now; take no token."""
         bucket = self._buckets.get(key)
         if bucket is None:
--- a/tests/administration/test_api.py
+++ b/tests/administration/test_api.py
@@ -10,7 +10,7 @@
 
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
-from tests.administration_process import PLAN, AdministrationCase, change, issue, seed
+from tests.administration_process import PLAN, AdministrationCase, create_tenants, issue_credential, send_change
 from tests.stand_ins import soon
 
 ACME = "/v1/tenants/acme"
@@ -21,41 +21,41 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        await seed(self.root, "acme")
+        await create_tenants(self.root, "acme")
 
     async def test_create_replace_patch_delete(self) -> None:
         """Guards against answers that do not say what stands, and statuses that mean something else."""
         path = f"{ACME}/plans/full-plant"
-        made = await change(self.root, "PUT", path, {"rate": 10, "burst": 20})
+        made = await send_change(self.root, "PUT", path, {"rate": 10, "burst": 20})
         self.assertEqual((made.status_code, made.json()["rate"]), (201, 10.0))
         self.assertEqual(made.headers["etag"], f'"{made.json()["version"]}"')
         read = await self.root.get(path)
         self.assertEqual(
             (read.status_code, read.json(), read.headers["etag"]), (200, made.json(), made.headers["etag"])
         )
-        patched = await change(self.root, "PATCH", path, {"price": 1.8, "burst": None})
+        patched = await send_change(self.root, "PATCH", path, {"price": 1.8, "burst": None})
         self.assertEqual(patched.status_code, 422, "a burst of nothing does not go with a rate")
-        patched = await change(self.root, "PATCH", path, {"price": 1.8, "rate": None})
+        patched = await send_change(self.root, "PATCH", path, {"price": 1.8, "rate": None})
         self.assertEqual((patched.json()["price"], patched.json()["rate"]), (1.8, 0.0))
-        gone = await change(self.root, "DELETE", path)
+        gone = await send_change(self.root, "DELETE", path)
         self.assertEqual((gone.status_code, gone.content), (204, b""))
         self.assertEqual((await self.root.get(path)).status_code, 404)
-        again = await change(self.root, "DELETE", path)
+        again = await send_change(self.root, "DELETE", path)
         self.assertEqual(again.status_code, 404)
 
     async def test_conditions(self) -> None:
         """Guards against a lost update: a replace goes under the version that it replaces."""
         path = f"{ACME}/plans/small-shop"
         tag = (await self.root.get(path)).headers["etag"]
-        self.assertEqual((await change(self.root, "PUT", path, PLAN)).status_code, 428)
-        self.assertEqual((await change(self.root, "PUT", path, PLAN, If_None_Match="*")).status_code, 412)
-        self.assertEqual((await change(self.root, "PUT", path, PLAN, If_Match='"1.1"')).status_code, 412)
-        self.assertEqual((await change(self.root, "PUT", path, PLAN, If_Match=f"W/{tag}")).status_code, 412)
-        self.assertEqual((await change(self.root, "PUT", path, PLAN, If_Match="1.1")).status_code, 400)
-        made = await change(self.root, "PUT", path, PLAN | {"price": 2.0}, If_Match=f'"x", {tag}')
+        self.assertEqual((await send_change(self.root, "PUT", path, PLAN)).status_code, 428)
+        self.assertEqual((await send_change(self.root, "PUT", path, PLAN, If_None_Match="*")).status_code, 412)
+        self.assertEqual((await send_change(self.root, "PUT", path, PLAN, If_Match='"1.1"')).status_code, 412)
+        self.assertEqual((await send_change(self.root, "PUT", path, PLAN, If_Match=f"W/{tag}")).status_code, 412)
+        self.assertEqual((await send_change(self.root, "PUT", path, PLAN, If_Match="1.1")).status_code, 400)
+        made = await send_change(self.root, "PUT", path, PLAN | {"price": 2.0}, If_Match=f'"x", {tag}')
         self.assertEqual(made.status_code, 200)
-        self.assertEqual((await change(self.root, "DELETE", path, If_Match=tag)).status_code, 412)
-        new = await change(self.root, "PUT", f"{ACME}/plans/new", PLAN, If_Match="*")
+        self.assertEqual((await send_change(self.root, "DELETE", path, If_Match=tag)).status_code, 412)
+        new = await send_change(self.root, "PUT", f"{ACME}/plans/new", PLAN, If_Match="*")
         self.assertEqual(new.status_code, 412)
 
     async def test_concurrent_replacements_conflict_by_entity_tag(self) -> None:
@@ -64,13 +64,14 @@
         for _ in range(8):
             tag = (await self.root.get(path)).headers["etag"]
             answers = await asyncio.gather(
-                *(change(self.root, "PUT", path, PLAN | {"price": price}, If_Match=tag) for price in (3.0, 4.0))
+                *(send_change(self.root, "PUT", path, PLAN | {"price": price}, If_Match=tag) for price in (3.0, 4.0))
             )
             self.assertEqual(sorted(a.status_code for a in answers), [200, 412])
             won = next(a for a in answers if a.status_code == 200)
             self.assertEqual((await self.root.get(path)).json(), won.json())
         merged = await asyncio.gather(
-            change(self.root, "PATCH", path, {"price": 5.0}), change(self.root, "PATCH", path, {"beyond_cost": 0.8})
+            send_change(self.root, "PATCH", path, {"price": 5.0}),
+            send_change(self.root, "PATCH", path, {"beyond_cost": 0.8}),
         )
         self.assertEqual([a.status_code for a in merged], [200, 200])
         read = (await self.root.get(path)).json()
@@ -87,37 +88,39 @@
         ]
         for method, path, body, status in cases:
             key = str(uuid.uuid4())
-            first = await change(self.root, method, path, body, key)
+            first = await send_change(self.root, method, path, body, key)
             version = await self.status()
             for _ in range(2):
-                again = await change(self.root, method, path, body, key)
+                again = await send_change(self.root, method, path, body, key)
                 self.assertEqual(
                     (again.status_code, again.content, again.headers), (status, first.content, first.headers)
                 )
             self.assertEqual(await self.status(), version)
-            other = await change(self.root, method, path + "x", body, key)
+            other = await send_change(self.root, method, path + "x", body, key)
             self.assertEqual((other.status_code, other.json()["code"]), (422, "key-reused"))
-        await self.plane.stop()
-        await self.plane.start()
-        again = await change(self.root, method, path, body, key)
+        await self.service.stop()
+        await self.service.start()
+        again = await send_change(self.root, method, path, body, key)
         self.assertEqual((again.content, again.headers), (first.content, first.headers), "after a restart too")
 
     async def test_repeats_of_a_running_call_wait_for_its_response(self) -> None:
         """Guards against a repeat that overtakes its first call, and makes the change by itself."""
         for number in range(10):
             key, path = str(uuid.uuid4()), f"{ACME}/credentials/c{number}"
-            answers = await asyncio.gather(*(change(self.root, "PUT", path, {"scope": "read"}, key) for _ in range(6)))
+            answers = await asyncio.gather(
+                *(send_change(self.root, "PUT", path, {"scope": "read"}, key) for _ in range(6))
+            )
             self.assertEqual({(a.status_code, a.content) for a in answers}, {(201, answers[0].content)})
 
     async def test_idempotency_keys_are_scoped_to_the_caller(self) -> None:
         """Guards against one tenant learning another's answer by guessing its key."""
-        await seed(self.root, "bolt")
-        boss = self.plane.client(await issue(self.root, "acme", "boss"))
-        other = self.plane.client(await issue(self.root, "bolt", "boss"))
+        await create_tenants(self.root, "bolt")
+        boss = self.service.client(await issue_credential(self.root, "acme", "boss"))
+        other = self.service.client(await issue_credential(self.root, "bolt", "boss"))
         path, key = f"{ACME}/plans/p", "the-same-key"
-        self.assertEqual((await change(boss, "PUT", path, PLAN, key)).status_code, 201)
-        self.assertEqual((await change(other, "PUT", path, PLAN, key)).status_code, 404)
-        mine = await change(other, "PUT", "/v1/tenants/bolt/plans/p", PLAN, key)
+        self.assertEqual((await send_change(boss, "PUT", path, PLAN, key)).status_code, 201)
+        self.assertEqual((await send_change(other, "PUT", path, PLAN, key)).status_code, 404)
+        mine = await send_change(other, "PUT", "/v1/tenants/bolt/plans/p", PLAN, key)
         self.assertEqual(mine.status_code, 201)
         await boss.aclose()
         await other.aclose()
@@ -134,10 +137,10 @@
             ({"kind": "client", "name": "press-1", "value": {"plan": "small-shop"}, "expect": "none"}, 412, "edits[1]"),
             ({"kind": "credential", "name": "k", "value": {"scope": "admin"}}, 422, "edits[1]"),
         ]:
-            made = await change(self.root, "POST", path, {"edits": [good, bad]})
+            made = await send_change(self.root, "POST", path, {"edits": [good, bad]})
             self.assertEqual((made.status_code, made.json()["field"]), (status, field), made.text)
         self.assertEqual(await self.status(), version)
-        made = await change(self.root, "POST", path, {"edits": [good]})
+        made = await send_change(self.root, "POST", path, {"edits": [good]})
         self.assertEqual(made.status_code, 200)
         told = (await self.root.get(f"/v1/versions/{made.json()['version'].split('.')[1]}")).json()
         self.assertEqual([(row["kind"], row["name"]) for row in told["rows"]], [("client", "press-5")])
@@ -147,8 +150,8 @@
         edits = [
             {"kind": "client", "name": f"c{n:03}", "value": {"plan": "small-shop", "on": n % 2 == 0}} for n in range(40)
         ]
-        await change(self.root, "PATCH", ACME, {"limits": {"rate": 500.0}})
-        self.assertEqual((await change(self.root, "POST", f"{ACME}/changes", {"edits": edits})).status_code, 200)
+        await send_change(self.root, "PATCH", ACME, {"limits": {"rate": 500.0}})
+        self.assertEqual((await send_change(self.root, "POST", f"{ACME}/changes", {"edits": edits})).status_code, 200)
         queries: list[tuple[dict[str, str], int]] = [
             ({}, 41),
             ({"on": "true"}, 21),
@@ -172,7 +175,7 @@
 
     async def test_the_openapi_description_is_public_and_complete(self) -> None:
         """Guards against a description that clients cannot be made from."""
-        async with self.plane.client(None) as nobody:
+        async with self.service.client(None) as nobody:
             told = (await nobody.get("/openapi.json")).json()
         self.assertEqual(told["openapi"], "3.1.0")
         self.assertGreaterEqual(len(told["paths"]), 19)
@@ -191,55 +194,58 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        await seed(self.root, "acme")
+        await create_tenants(self.root, "acme")
 
     async def _counts(self, token: str) -> bool:
-        async with self.plane.client(token) as caller:
+        async with self.service.client(token) as caller:
             return (await caller.get(ACME)).status_code == 200
 
     async def test_rotation_overlaps_and_revocation_is_immediate(self) -> None:
         """Guards against a rotation that locks its holder out, and a revoked secret that still opens."""
-        first = await issue(self.root, "acme", "boss")
+        first = await issue_credential(self.root, "acme", "boss")
         path = f"{ACME}/credentials/boss"
-        second = (await change(self.root, "POST", f"{path}/rotate", {"overlap_seconds": 600})).json()
+        second = (await send_change(self.root, "POST", f"{path}/rotate", {"overlap_seconds": 600})).json()
         self.assertIsNotNone(second["overlap_until"])
         self.assertTrue(await self._counts(first) and await self._counts(second["token"]))
-        third = (await change(self.root, "POST", f"{path}/rotate", {"overlap_seconds": 0})).json()["token"]
+        third = (await send_change(self.root, "POST", f"{path}/rotate", {"overlap_seconds": 0})).json()["token"]
         self.assertEqual([await self._counts(t) for t in (first, second["token"], third)], [False, False, True])
-        self.assertEqual((await change(self.root, "DELETE", path)).status_code, 204)
+        self.assertEqual((await send_change(self.root, "DELETE", path)).status_code, 204)
         self.assertFalse(await self._counts(third))
-        fresh = await issue(self.root, "acme", "boss")
+        fresh = await issue_credential(self.root, "acme", "boss")
         self.assertTrue(await self._counts(fresh) and not await self._counts(third))
 
     async def test_a_secret_is_returned_only_when_issued(self) -> None:
         """Guards against a secret in the store, in a list or in a version."""
-        token = await issue(self.root, "acme", "boss")
-        key = await issue(self.root, "acme", "press", "client", client="press-1")
+        token = await issue_credential(self.root, "acme", "boss")
+        key = await issue_credential(self.root, "acme", "press", "client", client="press-1")
         number = (await self.status()).split(".")[1]
         for path in (f"{ACME}/credentials", f"{ACME}/credentials/boss", f"/v1/versions/{number}", "/v1/audit"):
             text = (await self.root.get(path)).text
             for secret in (token, key):
                 self.assertNotIn(secret.rpartition(".")[2], text)
             self.assertNotIn("argon2", text)
-        await self.plane.stop()
-        held = b"".join(p.read_bytes() for p in (self.plane.folder / "store").iterdir())
+        await self.service.stop()
+        held = b"".join(p.read_bytes() for p in (self.service.folder / "store").iterdir())
         self.assertNotIn(token.rpartition(".")[2].encode(), held)
         self.assertNotIn(key.rpartition(".")[2].encode(), held)
-        self.assertNotIn(self.plane.token.rpartition(".")[2].encode(), held)
+        self.assertNotIn(self.service.token.rpartition(".")[2].encode(), held)
 
     async def test_scopes(self) -> None:
         """Guards against a reader that changes, an admin that raises its own limits, a client key that administers."""
-        admin, reader = await issue(self.root, "acme", "boss"), await issue(self.root, "acme", "eye", "read")
-        press = await issue(self.root, "acme", "press", "client", client="press-1")
+        admin, reader = (
+            await issue_credential(self.root, "acme", "boss"),
+            await issue_credential(self.root, "acme", "eye", "read"),
+        )
+        press = await issue_credential(self.root, "acme", "press", "client", client="press-1")
         wants = {admin: (201, 403, 403, 403, 404, 404), reader: (403, 403, 403, 403, 404, 404), press: (401,) * 6}
         for number, (token, statuses) in enumerate(wants.items()):
-            async with self.plane.client(token) as caller:
+            async with self.service.client(token) as caller:
                 found = [
-                    (await change(caller, "PUT", f"{ACME}/plans/p{number}", PLAN)).status_code,
-                    (await change(caller, "PATCH", ACME, {"limits": {"rate": 1e6}})).status_code,
-                    (await change(caller, "PUT", f"{ACME}/hosts/new.example.org", {})).status_code,
+                    (await send_change(caller, "PUT", f"{ACME}/plans/p{number}", PLAN)).status_code,
+                    (await send_change(caller, "PATCH", ACME, {"limits": {"rate": 1e6}})).status_code,
+                    (await send_change(caller, "PUT", f"{ACME}/hosts/new.example.org", {})).status_code,
                     (
-                        await change(
+                        await send_change(
                             caller,
                             "POST",
                             f"{ACME}/changes",
@@ -253,29 +259,29 @@
 
     async def test_credentials_of_a_disabled_tenant_are_invalid(self) -> None:
         """Guards against credentials that outlive their tenant's service."""
-        token = await issue(self.root, "acme", "boss")
-        await change(self.root, "PATCH", ACME, {"on": False})
+        token = await issue_credential(self.root, "acme", "boss")
+        await send_change(self.root, "PATCH", ACME, {"on": False})
         self.assertFalse(await self._counts(token))
-        await change(self.root, "PATCH", ACME, {"on": True})
+        await send_change(self.root, "PATCH", ACME, {"on": True})
         self.assertTrue(await self._counts(token))
 
     async def test_operators_authenticate_by_client_certificate(self) -> None:
         """Guards against a certificate that names nobody being taken for an operator."""
-        folder = self.plane.folder / "tls"
+        folder = self.service.folder / "tls"
         known, unknown = (authority.issue_certificate(folder, name, [name], client=True) for name in ("ann", "bob"))
         shown = certificate_fingerprint(ssl.PEM_cert_to_DER_cert(known.read_text()))
-        made = await change(self.root, "PUT", "/v1/operators/ann", {"scope": "operator", "certificate": shown})
+        made = await send_change(self.root, "PUT", "/v1/operators/ann", {"scope": "operator", "certificate": shown})
         self.assertEqual(made.status_code, 201)
         for certificate, status in ((known, 200), (unknown, 401)):
             context = ssl.create_default_context(cafile=str(folder / "ca.crt"))
             context.load_cert_chain(certificate, certificate.with_suffix(".key"))
-            async with self.plane.client(None, context) as caller:
+            async with self.service.client(None, context) as caller:
                 self.assertEqual((await caller.get("/v1/status")).status_code, status)
 
     async def _half_said(self, token: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, bytes]:
         """A call whose head was taken, and the rest of its body."""
-        host, port = self.plane.url.removeprefix("https://").split(":")
-        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.tls_context)
+        host, port = self.service.url.removeprefix("https://").split(":")
+        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.service.tls_context)
         body = json.dumps(PLAN).encode()
         writer.write(
             f"PUT {ACME}/plans/late HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {token}\r\n"
@@ -288,9 +294,9 @@
 
     async def test_a_credential_revoked_during_a_call_is_rejected(self) -> None:
         """Guards against a change made for a caller after its revocation was acknowledged."""
-        token = await issue(self.root, "acme", "boss")
+        token = await issue_credential(self.root, "acme", "boss")
         reader, writer, body = await self._half_said(token)
-        self.assertEqual((await change(self.root, "DELETE", f"{ACME}/credentials/boss")).status_code, 204)
+        self.assertEqual((await send_change(self.root, "DELETE", f"{ACME}/credentials/boss")).status_code, 204)
         writer.write(body)
         self.assertIn(b" 401 ", await soon(reader.readline()))
         writer.close()
@@ -298,9 +304,9 @@
 
     async def test_a_credential_expired_during_a_call_is_rejected(self) -> None:
         """Guards against the same for one that runs out."""
-        token = await issue(self.root, "acme", "boss")
+        token = await issue_credential(self.root, "acme", "boss")
         reader, writer, body = await self._half_said(token)
-        made = await change(self.root, "PATCH", f"{ACME}/credentials/boss", {"expires": 1})
+        made = await send_change(self.root, "PATCH", f"{ACME}/credentials/boss", {"expires": 1})
         self.assertEqual(made.status_code, 200)
         writer.write(body)
         self.assertIn(b" 401 ", await soon(reader.readline()))
@@ -322,50 +328,50 @@
 
     async def test_calls_per_second_are_limited(self) -> None:
         """Guards against one credential taking the service from others."""
-        await seed(self.root, "acme")
-        token = await issue(self.root, "acme", "boss")
+        await create_tenants(self.root, "acme")
+        token = await issue_credential(self.root, "acme", "boss")
         answers = [await self.root.get("/v1/status") for _ in range(12)]
         self.assertEqual({a.status_code for a in answers}, {200, 429})
         self.assertGreater(int(answers[-1].headers["retry-after"]), 0)
-        async with self.plane.client(token) as other:
+        async with self.service.client(token) as other:
             self.assertEqual((await other.get(ACME)).status_code, 200)
 
     async def test_failed_authentications_limit_only_their_caller(self) -> None:
         """Guards against guesses that are free, and against one caller's failures shutting another out."""
         wrong = f"hh_.root.{'x' * 43}"
-        async with self.plane.client(wrong) as guesser:
+        async with self.service.client(wrong) as guesser:
             statuses = [(await guesser.get("/v1/status")).status_code for _ in range(6)]
         self.assertEqual((statuses[0], statuses[-1]), (401, 429))
-        async with self.plane.client() as good:
+        async with self.service.client() as good:
             first = await good.get("/v1/status")
         self.assertEqual(first.status_code, 429, "the same token's name, from the same place, not yet known to be good")
-        await self.plane.stop()
-        await self.plane.start()
+        await self.service.stop()
+        await self.service.start()
         self.assertEqual((await self.root.get("/v1/status")).status_code, 200)
-        async with self.plane.client(wrong) as guesser:
+        async with self.service.client(wrong) as guesser:
             statuses = [(await guesser.get("/v1/status")).status_code for _ in range(6)]
         self.assertEqual(statuses[-1], 429)
         self.assertEqual((await self.root.get("/v1/status")).status_code, 200, "one known to be good goes on")
 
     async def test_bodies_heads_and_request_time_are_bounded(self) -> None:
         """Guards against a caller that holds memory or a connection by what it never finishes saying."""
-        big = await change(self.root, "PUT", ACME, {"on": True, "x": "y" * 5000})
+        big = await send_change(self.root, "PUT", ACME, {"on": True, "x": "y" * 5000})
         self.assertEqual((big.status_code, big.json()["code"]), (413, "too-large"))
         long = await self.root.get("/v1/status", headers={"X-Long": "y" * 3000})
         self.assertEqual(long.status_code, 431)
-        host, port = self.plane.url.removeprefix("https://").split(":")
-        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.tls_context)
+        host, port = self.service.url.removeprefix("https://").split(":")
+        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.service.tls_context)
         writer.write(b"GET /v1/status HTTP/1.1\r\nHost: x\r\n")
         self.assertEqual(await soon(_rest(reader)), b"", "a head half said is not waited for")
         writer.close()
 
     async def test_the_number_of_connections_is_bounded(self) -> None:
         """Guards against idle connections without end."""
-        host, port = self.plane.url.removeprefix("https://").split(":")
+        host, port = self.service.url.removeprefix("https://").split(":")
         held = []
         for _ in range(6):
-            held.append(await asyncio.open_connection(host, int(port), ssl=self.plane.tls_context))
-        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.plane.tls_context)
+            held.append(await asyncio.open_connection(host, int(port), ssl=self.service.tls_context))
+        reader, writer = await asyncio.open_connection(host, int(port), ssl=self.service.tls_context)
         self.assertEqual(await soon(_rest(reader)), b"")
         for _, kept in (*held, (reader, writer)):
             kept.close()
@@ -384,7 +390,7 @@
 
     async def test_invalid_input_is_named_and_changes_nothing(self) -> None:
         """Guards against input that is taken for something else than its sender meant."""
-        await seed(self.root, "acme")
+        await create_tenants(self.root, "acme")
         version = await self.status()
         deep = b'{"a":' * 5000 + b"1" + b"}" * 5000
         cases: list[tuple[bytes, int]] = [
@@ -431,7 +437,7 @@
             made = await self.root.request("PUT", f"{ACME}/plans/p", content=b"{}", headers=headers)
             self.assertEqual(made.status_code, status)
         for name in ("A", "a b", "%00", "x" * 65, "..", "%F0%9F%92%A5"):
-            made = await change(self.root, "PUT", f"{ACME}/plans/{name}", PLAN)
+            made = await send_change(self.root, "PUT", f"{ACME}/plans/{name}", PLAN)
             self.assertIn(made.status_code, (404, 422), name)
         self.assertEqual(await self.status(), version)
 
@@ -441,10 +447,10 @@
 
     async def test_client_ids_are_canonical(self) -> None:
         """Guards against a quota doubled by the case of its customer's digits."""
-        await seed(self.root, "acme")
-        made = await change(self.root, "PUT", f"{ACME}/clients/00000000B4D65521", {"plan": "small-shop"})
+        await create_tenants(self.root, "acme")
+        made = await send_change(self.root, "PUT", f"{ACME}/clients/00000000B4D65521", {"plan": "small-shop"})
         self.assertEqual((made.status_code, made.json()["name"]), (201, "00000000b4d65521"))
-        again = await change(self.root, "PUT", f"{ACME}/clients/00000000b4d65521", {"plan": "small-shop"})
+        again = await send_change(self.root, "PUT", f"{ACME}/clients/00000000b4d65521", {"plan": "small-shop"})
         self.assertEqual(again.status_code, 428)
 
 
--- a/tests/administration/test_faults.py
+++ b/tests/administration/test_faults.py
@@ -21,7 +21,14 @@
 from hallhitch.administration.store_schema import MIGRATIONS
 from hallhitch.catalog.changes import Change, Edit, apply_change
 from hallhitch.catalog.model import Catalog, Head, Kind, Limits, Plan
-from tests.administration_process import PLAN, AdministrationCase, AdministrationProcess, change, issue, seed
+from tests.administration_process import (
+    PLAN,
+    AdministrationCase,
+    AdministrationProcess,
+    create_tenants,
+    issue_credential,
+    send_change,
+)
 from tests.stand_ins import GUARD, ROOT
 
 ACME = "/v1/tenants/acme"
@@ -44,24 +51,24 @@
 
     async def test_a_full_disk_rejects_changes_and_loses_none(self) -> None:
         """Guards against partial changes on a full disk, and against a service that has to be restarted afterwards."""
-        await seed(self.root, "acme")
-        pid, size = self.plane.process.pid, (self.plane.folder / "store" / "state.db-wal").stat().st_size
+        await create_tenants(self.root, "acme")
+        pid, size = self.service.process.pid, (self.service.folder / "store" / "state.db-wal").stat().st_size
         _, hard = resource.prlimit(pid, resource.RLIMIT_FSIZE)
         version = await self.status()
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (size + 100, hard))
         responses = []
         for number in range(5):
-            response = await change(self.root, "PUT", f"{ACME}/plans/p{number}", PLAN, f"key-{number}")
+            response = await send_change(self.root, "PUT", f"{ACME}/plans/p{number}", PLAN, f"key-{number}")
             responses.append(response)
             self.assertEqual((response.status_code, response.json()["code"]), (503, "not-written"), response.text)
             self.assertGreater(int(response.headers["retry-after"]), 0)
         self.assertEqual(await self.status(), version)
         self.assertEqual((await self.root.get(f"{ACME}/plans/p0")).status_code, 404)
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (hard, hard))
-        retried = await change(self.root, "PUT", f"{ACME}/plans/p0", PLAN, "key-0")
+        retried = await send_change(self.root, "PUT", f"{ACME}/plans/p0", PLAN, "key-0")
         self.assertEqual(retried.status_code, 201, "the call is executed now, for the first time")
-        await self.plane.stop()
-        verified = backups.verify(self.plane.folder / "store" / "state.db")
+        await self.service.stop()
+        verified = backups.verify(self.service.folder / "store" / "state.db")
         self.assertEqual(f"{verified.catalog.epoch}.{verified.catalog.version}", retried.json()["version"])
 
 
@@ -72,12 +79,12 @@
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.plane = AdministrationProcess(Path(folder.name))
-        self.store = self.plane.folder / "store"
+        self.service = AdministrationProcess(Path(folder.name))
+        self.store = self.service.folder / "store"
 
     def assert_start_fails(self, *expected_texts: str, fault: str = "") -> None:
         """Check that `control serve` ends with exit code 2 and one line that contains the expected texts."""
-        command = ["-m", "hallhitch", "control", "serve", str(self.plane.file)]
+        command = ["-m", "hallhitch", "control", "serve", str(self.service.settings_file)]
         if fault:
             command = [
                 "-c",
@@ -92,9 +99,9 @@
 
     async def test_a_second_process_is_refused_the_store(self) -> None:
         """Guards against two processes that write to the same store."""
-        await self.plane.start()
-        self.assert_start_fails("in use by process", str(self.plane.process.pid))
-        self.assertEqual(await self.plane.stop(), 0)
+        await self.service.start()
+        self.assert_start_fails("in use by process", str(self.service.process.pid))
+        self.assertEqual(await self.service.stop(), 0)
 
     async def test_an_unwritable_directory_prevents_the_start(self) -> None:
         """Guards against a service that starts although it cannot write anything."""
@@ -123,10 +130,10 @@
 
     async def test_corrupt_rows_are_named_and_prevent_the_start(self) -> None:
         """Guards against a damaged row that a start overlooks, in any table."""
-        await self.plane.start()
-        async with self.plane.client() as root:
-            await seed(root, "acme", "bolt")
-        await self.plane.stop()
+        await self.service.start()
+        async with self.service.client() as root:
+            await create_tenants(root, "acme", "bolt")
+        await self.service.stop()
         intact = (self.store / "state.db").read_bytes()
         for statement, location in [
             ("UPDATE change SET body=replace(body, 'press-1', 'press-2') WHERE version=2", "table change, version"),
@@ -159,46 +166,46 @@
         """Guards against an expired credential that becomes valid again, and against audit times that go back."""
         fault = (
             "import time, os\noriginal = time.time\n"
-            f"time.time = lambda: original() - (86400 if os.path.exists({str(self.plane.folder / 'back')!r}) else 0)"
+            f"time.time = lambda: original() - (86400 if os.path.exists({str(self.service.folder / 'back')!r}) else 0)"
         )
-        await self.plane.start(fault)
-        async with self.plane.client() as root:
-            await seed(root, "acme")
+        await self.service.start(fault)
+        async with self.service.client() as root:
+            await create_tenants(root, "acme")
             at = (await root.get(f"{ACME}/audit")).json()["items"][0]["at"]
-            token = await issue(root, "acme", "boss", expires=at)
-            async with self.plane.client(token) as caller:
+            token = await issue_credential(root, "acme", "boss", expires=at)
+            async with self.service.client(token) as caller:
                 self.assertEqual((await caller.get(ACME)).status_code, 401)
-                (self.plane.folder / "back").touch()
+                (self.service.folder / "back").touch()
                 self.assertEqual((await caller.get(ACME)).status_code, 401)
-                await self.plane.stop()
-                self.assertIn("the clock went back", "".join(self.plane.log_lines))
-                await self.plane.start(fault)
+                await self.service.stop()
+                self.assertIn("the clock went back", "".join(self.service.log_lines))
+                await self.service.start(fault)
                 self.assertEqual(
                     (await caller.get(ACME)).status_code, 401, "the credential stays expired after a restart"
                 )
-            await change(root, "PUT", f"{ACME}/plans/p", PLAN)
+            await send_change(root, "PUT", f"{ACME}/plans/p", PLAN)
             times = [item["at"] for item in (await root.get(f"{ACME}/audit")).json()["items"]]
             self.assertEqual(times, sorted(times, reverse=True))
-        self.assertEqual(await self.plane.stop(), 0)
+        self.assertEqual(await self.service.stop(), 0)
 
     async def test_a_restored_backup_begins_a_later_epoch(self) -> None:
         """Guards against versions that go back, and against entity tags of lost changes that match again."""
-        await self.plane.start()
-        folder, backup = self.plane.folder / "store", self.plane.folder / "backup.db"
-        async with self.plane.client() as root:
-            await seed(root, "acme")
+        await self.service.start()
+        folder, backup = self.service.folder / "store", self.service.folder / "backup.db"
+        async with self.service.client() as root:
+            await create_tenants(root, "acme")
             saved = await asyncio.to_thread(backups.backup, folder, backup)
-            lost = await change(root, "PUT", f"{ACME}/plans/p", PLAN, "lost-key")
+            lost = await send_change(root, "PUT", f"{ACME}/plans/p", PLAN, "lost-key")
             lost_version = lost.json()["version"]
-        await self.plane.stop()
+        await self.service.stop()
         restored = backups.restore(folder, backup)
         self.assertEqual(restored.version, saved.catalog.version)
         self.assertGreater((restored.epoch, restored.version), tuple(map(int, lost_version.split("."))))
         self.assertGreater(backups.restore(folder, backup).epoch, restored.epoch, "each restore starts a new epoch")
-        await self.plane.start()
-        async with self.plane.client() as root:
+        await self.service.start()
+        async with self.service.client() as root:
             self.assertEqual((await root.get(f"{ACME}/plans/p")).status_code, 404)
-            retried = await change(root, "PUT", f"{ACME}/plans/p", PLAN, "lost-key")
+            retried = await send_change(root, "PUT", f"{ACME}/plans/p", PLAN, "lost-key")
             self.assertEqual(
                 retried.status_code,
                 201,
@@ -206,14 +213,14 @@
             )
             same_number = retried.json()["version"].split(".")[1] == lost_version.split(".")[1]
             self.assertTrue(same_number and retried.json()["version"] != lost_version)
-            stale = await change(root, "PUT", f"{ACME}/plans/p", PLAN, If_Match=lost.headers["etag"])
+            stale = await send_change(root, "PUT", f"{ACME}/plans/p", PLAN, If_Match=lost.headers["etag"])
             self.assertEqual(stale.status_code, 412)
-        self.assertEqual(await self.plane.stop(), 0)
+        self.assertEqual(await self.service.stop(), 0)
         self.assertEqual(len(list(folder.glob("before-restore-*"))), 2, "the replaced databases are kept")
 
     async def test_corrupt_backups_and_interrupted_restores_are_refused(self) -> None:
         """Guards against an intact store replaced by a corrupt backup, and against a start during a restore."""
-        folder, backup = self.plane.folder / "store", self.plane.folder / "backup.db"
+        folder, backup = self.service.folder / "store", self.service.folder / "backup.db"
         backups.backup(folder, backup)
         with self.assertRaises(StoreError):
             backups.backup(folder, backup)
--- a/tests/administration/test_fuzz.py
+++ b/tests/administration/test_fuzz.py
@@ -16,7 +16,7 @@
     status_code_conformance,
 )
 
-from tests.administration_process import AdministrationCase, seed
+from tests.administration_process import AdministrationCase, create_tenants
 
 CHECKS = [not_a_server_error, status_code_conformance, content_type_conformance, response_schema_conformance]
 EXAMPLES = int(os.environ.get("HALLHITCH_FUZZ_EXAMPLES", "12"))  # for each operation
@@ -28,7 +28,7 @@
 
     async def test_every_operation_conforms_to_the_openapi_description(self) -> None:
         """Guards against a body that makes the program fail, and a description that promises something else."""
-        await seed(self.root, "acme")
+        await create_tenants(self.root, "acme")
         described = (await self.root.get("/openapi.json")).json()
         tried = await asyncio.to_thread(self._fuzz, described)
         self.assertEqual(len(tried), sum(len(methods) for methods in described["paths"].values()))
@@ -37,7 +37,7 @@
     def _fuzz(self, described: dict[str, Any]) -> set[str]:
         schema = schemathesis.openapi.from_dict(described)
         tried = set()
-        headers = {"Authorization": f"Bearer {self.plane.token}"}
+        headers = {"Authorization": f"Bearer {self.service.token}"}
         for found in schema.get_all_operations():
             operation = found.ok()  # type: ignore[union-attr]
 
@@ -51,7 +51,7 @@
             @hypothesis.given(case=operation.as_strategy())
             def one(case: Any) -> None:
                 answer = case.call(
-                    base_url=self.plane.url, headers=headers, verify=str(self.plane.folder / "tls" / "ca.crt")
+                    base_url=self.service.url, headers=headers, verify=str(self.service.folder / "tls" / "ca.crt")
                 )
                 case.validate_response(answer, checks=CHECKS)
 
--- a/tests/administration/test_isolation.py
+++ b/tests/administration/test_isolation.py
@@ -9,7 +9,7 @@
 
 import httpx
 
-from tests.administration_process import AdministrationCase, change, issue, seed
+from tests.administration_process import AdministrationCase, create_tenants, issue_credential, send_change
 
 OTHER_TENANT, MISSING_TENANT = "bolt", "nobody"
 OTHER_TENANT_NAMES = ("bolt", "spy-plan", "spy-client", "spy.example.org")
@@ -50,8 +50,8 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        await seed(self.root, "acme", OTHER_TENANT)
-        await change(
+        await create_tenants(self.root, "acme", OTHER_TENANT)
+        await send_change(
             self.root,
             "POST",
             f"/v1/tenants/{OTHER_TENANT}/changes",
@@ -63,8 +63,8 @@
                 ]
             },
         )
-        self.admin_token = await issue(self.root, "acme", "boss")
-        await issue(self.root, OTHER_TENANT, "spy-credential")
+        self.admin_token = await issue_credential(self.root, "acme", "boss")
+        await issue_credential(self.root, OTHER_TENANT, "spy-credential")
         self.openapi = (await self.root.get("/openapi.json")).json()
 
     def calls(self, tenant: str, present: bool) -> list[tuple[str, str, Any]]:
@@ -92,7 +92,7 @@
         method, path, body = call
         if method == "GET":
             return await client.get(path, headers=headers)
-        return await change(client, method, path, body, **headers)
+        return await send_change(client, method, path, body, **headers)
 
     async def _state(self) -> list[Any]:
         """Return what operators see of the other tenant, except the audit log, which records the tests' calls."""
@@ -113,9 +113,9 @@
         """Guards against a path on which a tenant can use another's entries, or can find out that they exist."""
         self.version = (await self.root.get(f"/v1/tenants/{OTHER_TENANT}")).json()["part_version"].split(".")[1]
         state_before, attempts = await self._state(), 0
-        tokens = {"admin": self.admin_token, "reader": await issue(self.root, "acme", "eye", "read")}
+        tokens = {"admin": self.admin_token, "reader": await issue_credential(self.root, "acme", "eye", "read")}
         for scope, token in tokens.items():
-            async with self.plane.client(token) as caller:
+            async with self.service.client(token) as caller:
                 existing, missing = self.calls(OTHER_TENANT, True), self.calls(MISSING_TENANT, False)
                 for call, missing_call in zip(existing, missing, strict=True):
                     with self.subTest(scope=scope, call=call[:2]):
@@ -142,13 +142,13 @@
     async def test_invalid_credentials_are_rejected(self) -> None:
         """Guards against a path that does not authenticate its callers."""
         self.version = "2"
-        expired = await issue(self.root, "acme", "ended", expires=1)
-        revoked = await issue(self.root, "acme", "gone")
-        await change(self.root, "DELETE", "/v1/tenants/acme/credentials/gone")
-        client_token = await issue(self.root, "acme", "press", "client", client="press-1")
+        expired = await issue_credential(self.root, "acme", "ended", expires=1)
+        revoked = await issue_credential(self.root, "acme", "gone")
+        await send_change(self.root, "DELETE", "/v1/tenants/acme/credentials/gone")
+        client_token = await issue_credential(self.root, "acme", "press", "client", client="press-1")
         state_before, bodies = await self._state(), set()
         for token in (expired, revoked, client_token, None, "hh_acme.boss." + "y" * 43, "garbage"):
-            async with self.plane.client(token) as caller:
+            async with self.service.client(token) as caller:
                 for call in (
                     self.calls("acme", True) if token != "hh_acme.boss." + "y" * 43 else self.calls("acme", True)[:3]
                 ):
@@ -161,7 +161,7 @@
 
     async def test_bodies_cannot_address_another_tenant(self) -> None:
         """Guards against edits of another tenant's entries in a call on the caller's own tenant."""
-        async with self.plane.client(self.admin_token) as caller:
+        async with self.service.client(self.admin_token) as caller:
             for edit, status in [
                 ({"kind": "tenant", "name": OTHER_TENANT, "value": {}}, 403),
                 ({"kind": "tenant", "name": "acme"}, 403),
@@ -169,7 +169,7 @@
                 ({"kind": "client", "name": f"{OTHER_TENANT}/press-1", "value": {"plan": "small-shop"}}, 422),
                 ({"kind": "client", "name": "press-1", "value": {"plan": "spy-plan"}}, 409),
             ]:
-                response = await change(caller, "POST", "/v1/tenants/acme/changes", {"edits": [edit]})
+                response = await send_change(caller, "POST", "/v1/tenants/acme/changes", {"edits": [edit]})
                 self.assertEqual(response.status_code, status, response.text)
                 for name in OTHER_TENANT_NAMES[2:]:
                     self.assertNotIn(name, response.json()["detail"])
--- a/tests/administration/test_kill.py
+++ b/tests/administration/test_kill.py
@@ -20,7 +20,7 @@
 import httpx
 
 from hallhitch.administration import backups
-from tests.administration_process import AdministrationProcess, change, seed
+from tests.administration_process import AdministrationProcess, create_tenants, send_change
 from tests.stand_ins import GUARD, soon
 
 ROUNDS = int(os.environ.get("HALLHITCH_SOAK_ROUNDS", "24"))
@@ -73,35 +73,35 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.plane = AdministrationProcess(self.folder)
+        self.service = AdministrationProcess(self.folder)
 
     async def _wait_until_killed(self) -> None:
         """Wait until the process has been killed and its log is read."""
-        self.assertEqual(await soon(self.plane.process.wait()), -signal.SIGKILL)
-        await soon(self.plane._log_reader)
+        self.assertEqual(await soon(self.service.process.wait()), -signal.SIGKILL)
+        await soon(self.service._log_reader)
 
     async def test_a_kill_at_each_point_of_a_change_loses_and_repeats_nothing(self) -> None:
         """Guards against a change that is executed twice, or lost after its acknowledgement, around the commit."""
         trigger = str(self.folder / "trigger")
         for number, (point, code) in enumerate(KILLS.items()):
             with self.subTest(point=point):
-                await self.plane.start(code.format(trigger=trigger))
-                async with self.plane.client() as root:
+                await self.service.start(code.format(trigger=trigger))
+                async with self.service.client() as root:
                     if number == 0:
-                        await seed(root, "acme")
+                        await create_tenants(root, "acme")
                     Path(trigger).touch()
                     first = None
                     with contextlib.suppress(httpx.TransportError):
-                        first = await change(
+                        first = await send_change(
                             root, "PUT", f"{ACME}/credentials/victim", {"scope": "read"}, "victim", If_None_Match="*"
                         )
                 await self._wait_until_killed()
                 self.assertEqual(point == "after the response was written", first is not None)
                 Path(trigger).unlink()
-                await self.plane.start()
-                async with self.plane.client() as root:
+                await self.service.start()
+                async with self.service.client() as root:
                     version_before = (await root.get("/v1/status")).json()["version"]
-                    retried = await change(
+                    retried = await send_change(
                         root, "PUT", f"{ACME}/credentials/victim", {"scope": "read"}, "victim", If_None_Match="*"
                     )
                     version_after = (await root.get("/v1/status")).json()["version"]
@@ -109,12 +109,12 @@
                     self.assertEqual(version_before == version_after, point != "before the commit")
                     if first is not None:
                         self.assertEqual((retried.content, retried.headers), (first.content, first.headers))
-                    async with self.plane.client(retried.json()["token"]) as caller:
+                    async with self.service.client(retried.json()["token"]) as caller:
                         self.assertEqual(
                             (await caller.get(ACME)).status_code, 200, "the token of the first response is valid"
                         )
-                    await change(root, "DELETE", f"{ACME}/credentials/victim")
-                await self.plane.stop()
+                    await send_change(root, "DELETE", f"{ACME}/credentials/victim")
+                await self.service.stop()
                 await self._delete_stored_response("victim")
 
     async def _delete_stored_response(self, key: str) -> None:
@@ -126,20 +126,20 @@
     async def test_kills_under_load_lose_and_repeat_nothing(self) -> None:  # noqa: C901  one scenario from start to end
         """Guards against the same faults while many changes share a transaction and snapshots are written."""
         rng = random.Random(20261)
-        settings = self.plane.file.read_text().replace(
+        settings = self.service.settings_file.read_text().replace(
             'folder = "store"', 'folder = "store"\nsnapshot_each = 7\nkeep = 3'
         )
-        self.plane.file.write_text(settings)
+        self.service.settings_file.write_text(settings)
         acknowledged: dict[str, bytes] = {}
         attempted_count = 0
         for round_number in range(ROUNDS):
-            await self.plane.start()
+            await self.service.start()
             enough_acknowledged = asyncio.Event()
             kill_at_count = len(acknowledged) + rng.randrange(1, 40)
-            async with self.plane.client() as root:
+            async with self.service.client() as root:
                 if round_number == 0:
-                    await seed(root, "acme")
-                    await change(root, "PATCH", ACME, {"limits": {"clients": 10**6, "rate": 1e9}})
+                    await create_tenants(root, "acme")
+                    await send_change(root, "PATCH", ACME, {"limits": {"clients": 10**6, "rate": 1e9}})
 
                 async def worker(
                     number: int,
@@ -158,7 +158,7 @@
                             self.attempted.add(f"new {name}")
                             attempted_count += 1
                         try:
-                            response = await change(
+                            response = await send_change(
                                 root,
                                 "PUT",
                                 f"{ACME}/clients/{name}",
@@ -175,15 +175,15 @@
 
                 tasks = [asyncio.create_task(worker(n)) for n in range(WORKERS)]
                 await asyncio.wait_for(enough_acknowledged.wait(), GUARD)
-                self.plane.process.kill()
+                self.service.process.kill()
                 await self._wait_until_killed()
                 for task in tasks:
                     await soon(task)
-        await self.plane.start()
-        async with self.plane.client() as root:
+        await self.service.start()
+        async with self.service.client() as root:
             for name in sorted(self.attempted):  # all calls that were ever sent, acknowledged or not
                 name = name.removeprefix("new ")
-                response = await change(
+                response = await send_change(
                     root, "PUT", f"{ACME}/clients/{name}", {"plan": "small-shop"}, f"key-{name}", If_None_Match="*"
                 )
                 self.assertEqual(response.status_code, 201, response.text)
@@ -197,7 +197,7 @@
             attempted_count + 3,
             "the operator, the tenant and its limits are one change each, and each client is one",
         )
-        await self.plane.stop()
+        await self.service.stop()
         verified = backups.verify(self.folder / "store" / "state.db")
         self.assertEqual(verified.catalog.version, attempted_count + 3)
 
--- a/tests/administration_process.py
+++ b/tests/administration_process.py
@@ -35,17 +35,19 @@
     process: asyncio.subprocess.Process
 
     def __init__(self, folder: Path, **api: object) -> None:
-        self.folder, self.file = folder, folder / "control.toml"
+        self.folder, self.settings_file = folder, folder / "control.toml"
         self.url = f"https://127.0.0.1:{free_port()}"
         api_settings = {"listen": self.url.removeprefix("https://"), "calls_per_second": 1e6, "burst": 1e6} | api
         lines = "\n".join(f"{name} = {json.dumps(value)}" for name, value in api_settings.items())
-        self.file.write_text(
+        self.settings_file.write_text(
             f'[store]\nfolder = "store"\n[api]\n{lines}\n[tls]\nfolder = "tls"\n'
             'client_ca = "tls/ca.crt"\nlook_seconds = 0.05\n'
         )
         authority.create_authority(folder / "tls")
         authority.issue_certificate(folder / "tls", "default", ["127.0.0.1", "localhost"])
-        self.token = create_first_operator(read(str(self.file), AdministrationSettings), str(self.file))
+        self.token = create_first_operator(
+            read(str(self.settings_file), AdministrationSettings), str(self.settings_file)
+        )
         self.tls_context = ssl.create_default_context(cafile=str(folder / "tls" / "ca.crt"))
         self.log_lines: list[str] = []
 
@@ -53,12 +55,12 @@
         """Start the process and wait for a log line with `expect`; `fault` is code that the process runs first."""
         command = [
             "-c",
-            f"{fault}\nimport sys\nsys.argv = ['hallhitch', 'control', 'serve', {str(self.file)!r}]\n"
+            f"{fault}\nimport sys\nsys.argv = ['hallhitch', 'control', 'serve', {str(self.settings_file)!r}]\n"
             "from hallhitch.__main__ import main\nraise SystemExit(main())",
         ]
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *(command if fault else ["-m", "hallhitch", "control", "serve", str(self.file)]),
+            *(command if fault else ["-m", "hallhitch", "control", "serve", str(self.settings_file)]),
             cwd=ROOT,
             env=dict(os.environ) | environ,
             stderr=asyncio.subprocess.PIPE,
@@ -97,7 +99,7 @@
         )
 
 
-async def change(
+async def send_change(
     client: httpx.AsyncClient, method: str, path: str, body: Any = None, key: str = "", **headers: str
 ) -> httpx.Response:
     """Send a call that changes something, with the given idempotency key or a new one."""
@@ -106,7 +108,7 @@
     return await client.request(method, path, json=body, headers=all_headers)
 
 
-async def seed(client: httpx.AsyncClient, *tenants: str) -> None:
+async def create_tenants(client: httpx.AsyncClient, *tenants: str) -> None:
     """Create tenants with a plan, a client and a host name each."""
     for name in tenants:
         edits = [
@@ -115,13 +117,13 @@
             {"kind": "client", "name": "press-1", "value": {"plan": "small-shop"}},
             {"kind": "host", "name": f"{name}.tenants.example.org", "value": {}},
         ]
-        response = await change(client, "POST", f"/v1/tenants/{name}/changes", {"edits": edits})
+        response = await send_change(client, "POST", f"/v1/tenants/{name}/changes", {"edits": edits})
         assert response.status_code == 200, response.text
 
 
-async def issue(caller: httpx.AsyncClient, tenant: str, id: str, scope: str = "admin", **fields: Any) -> str:
+async def issue_credential(caller: httpx.AsyncClient, tenant: str, id: str, scope: str = "admin", **fields: Any) -> str:
     """Create a credential and return its token."""
-    response = await change(caller, "PUT", f"/v1/tenants/{tenant}/credentials/{id}", {"scope": scope} | fields)
+    response = await send_change(caller, "PUT", f"/v1/tenants/{tenant}/credentials/{id}", {"scope": scope} | fields)
     assert response.status_code == 201, response.text
     return str(response.json()["token"])
 
@@ -136,14 +138,14 @@
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.plane = AdministrationProcess(Path(folder.name), **self.api)
-        await self.plane.start(self.fault)
-        self.root = self.plane.client()
+        self.service = AdministrationProcess(Path(folder.name), **self.api)
+        await self.service.start(self.fault)
+        self.root = self.service.client()
         self.addAsyncCleanup(self.root.aclose)
 
     async def asyncTearDown(self) -> None:
-        code = await self.plane.stop()
-        log = "".join(self.plane.log_lines)
+        code = await self.service.stop()
+        log = "".join(self.service.log_lines)
         self.assertEqual(code, 0, log)
         self.assertNotIn("broken:", log)
         self.assertNotRegex(log, r"hh_[a-z0-9-]*\.[a-z0-9-]+\.[A-Za-z0-9_-]{8,}", "a token in the log")
--- a/tests/catalog_sync/test_feed_client.py
+++ b/tests/catalog_sync/test_feed_client.py
@@ -15,28 +15,28 @@
 from hallhitch.catalog_sync.feed_client import FeedClient, client_tls_context
 from hallhitch.tls import authority
 from hallhitch.tls.certificate_files import certificate_fingerprint
-from tests.administration_process import AdministrationCase, AdministrationProcess, change, seed
+from tests.administration_process import AdministrationCase, AdministrationProcess, create_tenants, send_change
 from tests.cli.command_runner import run_command
 from tests.stand_ins import soon
 
 
-def gateway_tls_context(plane: AdministrationProcess, certificate: Path) -> ssl.SSLContext:
+def gateway_tls_context(service: AdministrationProcess, certificate: Path) -> ssl.SSLContext:
     """TLS to a control plane with a client certificate."""
     return client_tls_context(
-        str(plane.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
+        str(service.folder / "tls" / "ca.crt"), str(certificate), str(certificate.with_suffix(".key"))
     )
 
 
 class RunningFeedClient:
     """A link in this process, and what it applied."""
 
-    def __init__(self, plane: Any, name: str, certificate: Path) -> None:
-        self.name, self.plane = name, plane
+    def __init__(self, service: Any, name: str, certificate: Path) -> None:
+        self.name, self.service = name, service
         self.applied: list[Catalog] = []
         self._catalog_applied = asyncio.Event()
-        context = gateway_tls_context(plane, certificate)
-        self.path = plane.folder / f"{name}.catalogue"
-        self.client = FeedClient(plane.url, context, name, CatalogCache(self.path), self._on_catalog)
+        context = gateway_tls_context(service, certificate)
+        self.path = service.folder / f"{name}.catalogue"
+        self.client = FeedClient(service.url, context, name, CatalogCache(self.path), self._on_catalog)
         self.task = asyncio.create_task(self.client.run())
 
     def _on_catalog(self, made: Catalog) -> None:
@@ -63,21 +63,23 @@
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.certificate = authority.issue_certificate(self.plane.folder / "tls", "gateways", ["gateways"], client=True)
+        self.certificate = authority.issue_certificate(
+            self.service.folder / "tls", "gateways", ["gateways"], client=True
+        )
         shown = certificate_fingerprint(ssl.PEM_cert_to_DER_cert(self.certificate.read_text()))
-        made = await change(self.root, "PUT", "/v1/operators/gateways", {"scope": "gateway", "certificate": shown})
+        made = await send_change(self.root, "PUT", "/v1/operators/gateways", {"scope": "gateway", "certificate": shown})
         self.assertEqual(made.status_code, 201, made.text)
-        await seed(self.root, "acme")
+        await create_tenants(self.root, "acme")
 
     def gateway(self, name: str) -> RunningFeedClient:
         """A gateway that follows, and ends with the test."""
-        made = RunningFeedClient(self.plane, name, self.certificate)
+        made = RunningFeedClient(self.service, name, self.certificate)
         self.addAsyncCleanup(made.stop)
         return made
 
     async def set_plan_rate(self, rate: float) -> str:
         """Change a plan; the version that has it."""
-        made = await change(
+        made = await send_change(
             self.root, "PUT", "/v1/tenants/acme/plans/small-shop", {"rate": rate, "burst": 9.0}, If_Match="*"
         )
         self.assertEqual(made.status_code, 200, made.text)
@@ -116,13 +118,13 @@
 
     async def test_tenants_apply_waits_until_all_gateways_applied_it(self) -> None:
         """Guards against a command that ends before the change is everywhere, or that waits for ever."""
-        file = self.plane.folder / "acme.toml"
+        file = self.service.folder / "acme.toml"
         file.write_text(
             'tenant = "acme"\n[plans.small-shop]\nrate = 8.0\nburst = 9.0\n'
             '[clients.press-1]\nplan = "small-shop"\n[hosts."acme.tenants.example.org"]\n'
         )
-        token = self.plane.folder / "token"
-        token.write_text(self.plane.token)
+        token = self.service.folder / "token"
+        token.write_text(self.service.token)
         arguments = (
             "tenants",
             "apply",
@@ -131,11 +133,11 @@
             "--wait",
             "0",
             "--url",
-            self.plane.url,
+            self.service.url,
             "--token-file",
             str(token),
             "--ca",
-            str(self.plane.folder / "tls" / "ca.crt"),
+            str(self.service.folder / "tls" / "ca.crt"),
         )
         done = await asyncio.to_thread(run_command, *arguments)
         self.assertEqual(done.returncode, 1, done.stderr)
@@ -153,14 +155,14 @@
         one = self.gateway("one")
         version = await self.set_plan_rate(3.0)
         await one.wait_for_version(version)
-        await self.plane.stop(signal.SIGKILL)
+        await self.service.stop(signal.SIGKILL)
         late = self.gateway("one-more")  # starts with nothing on disk and nobody to ask
         await one.stop()
         again = self.gateway("one")  # starts from its disk
         await asyncio.sleep(0)
         self.assertEqual(self.plan_rate(await again.wait_for_version(version)), 3.0)
         self.assertEqual(late.applied, [])
-        await self.plane.start()
+        await self.service.start()
         version = await self.set_plan_rate(6.0)
         for gateway in (again, late):
             self.assertEqual(self.plan_rate(await gateway.wait_for_version(version)), 6.0)
@@ -171,8 +173,8 @@
         """Guards against a tenant that reads the feed, and a gateway's certificate that opens the API."""
         query: dict[str, Any] = {"gateway": "x", "instance": "0" * 16, "epoch": 0, "version": 0}
         self.assertEqual((await self.root.get("/v1/feed", params=query)).status_code, 404)
-        context = gateway_tls_context(self.plane, self.certificate)
-        async with self.plane.client(None, context) as gateway:
+        context = gateway_tls_context(self.service, self.certificate)
+        async with self.service.client(None, context) as gateway:
             self.assertEqual((await gateway.get("/v1/feed", params=query)).status_code, 200)
             for path in (
                 "/v1/tenants",
@@ -185,7 +187,7 @@
                 "/v1/versions/1",
             ):
                 self.assertEqual((await gateway.get(path)).status_code, 404, path)
-            made = await change(gateway, "PUT", "/v1/tenants/evil", {"on": True})
+            made = await send_change(gateway, "PUT", "/v1/tenants/evil", {"on": True})
             self.assertEqual(made.status_code, 404)
             other = await gateway.get("/v1/feed", params=query | {"instance": "1" * 16})
             self.assertEqual((other.status_code, other.json()["code"]), (409, "name-taken"))
@@ -193,22 +195,22 @@
             self.assertEqual((ahead.status_code, ahead.json()["code"]), (409, "behind"))
             for bad in ({"epoch": -1}, {"epoch": "x"}, {"gateway": "A B"}, {"instance": "z"}, {"hold_ms": 10**9}):
                 self.assertEqual((await gateway.get("/v1/feed", params=query | bad)).status_code, 422, bad)
-        drop = await change(self.root, "DELETE", "/v1/operators/gateways", If_Match="*")
+        drop = await send_change(self.root, "DELETE", "/v1/operators/gateways", If_Match="*")
         self.assertEqual(drop.status_code, 204)
-        async with self.plane.client(None, context) as gateway:
+        async with self.service.client(None, context) as gateway:
             self.assertEqual((await gateway.get("/v1/feed", params=query)).status_code, 401, "revoked")
         self.assertEqual(
-            (await change(self.root, "PUT", "/v1/tenants/acme/credentials/g", {"scope": "gateway"})).status_code,
+            (await send_change(self.root, "PUT", "/v1/tenants/acme/credentials/g", {"scope": "gateway"})).status_code,
             422,
             "no tenant has gateways",
         )
 
     async def test_snapshot_transfers_are_limited_under_a_thundering_herd(self) -> None:
         """Guards against a fleet's return that the control plane answers all at once, or not at all."""
-        context = gateway_tls_context(self.plane, self.certificate)
+        context = gateway_tls_context(self.service, self.certificate)
         limits = httpx.Limits(max_connections=60)
         async with httpx.AsyncClient(
-            base_url=self.plane.url, verify=context, trust_env=False, limits=limits, timeout=30.0
+            base_url=self.service.url, verify=context, trust_env=False, limits=limits, timeout=30.0
         ) as gateway:
 
             async def ask(n: int) -> httpx.Response:
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -9,7 +9,7 @@
 import unittest
 from pathlib import Path
 
-from tests.administration_process import AdministrationCase, change
+from tests.administration_process import AdministrationCase, send_change
 from tests.cli.command_runner import run_command
 from tests.stand_ins import ROOT
 
@@ -73,14 +73,14 @@
         return await asyncio.to_thread(
             run_command,
             *words,
-            HALLHITCH_URL=self.plane.url,
-            HALLHITCH_TOKEN=token or self.plane.token,
-            HALLHITCH_CA=str(self.plane.folder / "tls" / "ca.crt"),
+            HALLHITCH_URL=self.service.url,
+            HALLHITCH_TOKEN=token or self.service.token,
+            HALLHITCH_CA=str(self.service.folder / "tls" / "ca.crt"),
         )
 
     async def test_declared_tenant_is_applied_once(self) -> None:
         """`apply` makes the changes that `diff` shows, and none the second time."""
-        path = self.plane.folder / "acme.toml"
+        path = self.service.folder / "acme.toml"
         path.write_text(TENANT)
         told = await self.hallhitch("tenants", "diff", str(path))
         self.assertEqual((told.returncode, told.stdout.count("+ ")), (1, 4), told.stderr)
@@ -108,7 +108,7 @@
 
     async def test_interrupted_apply_is_completed_by_the_next_one(self) -> None:
         """A second `apply` makes the changes that are missing."""
-        path = self.plane.folder / "acme.toml"
+        path = self.service.folder / "acme.toml"
         clients = "".join(f'[clients.c{n}]\nplan = "small-shop"\n' for n in range(1500))
         path.write_text(TENANT.replace("[plans", "[limits]\nclients = 5000\nrate = 9000\n[plans") + clients)
         first = [
@@ -116,7 +116,7 @@
             {"kind": "plan", "name": "small-shop", "value": {"rate": 1.5, "burst": 4.0}},
             *({"kind": "client", "name": f"c{n}", "value": {"plan": "small-shop"}} for n in range(400)),
         ]
-        made = await change(self.root, "POST", "/v1/tenants/acme/changes", {"edits": first})
+        made = await send_change(self.root, "POST", "/v1/tenants/acme/changes", {"edits": first})
         self.assertEqual(made.status_code, 200, made.text)
         done = await self.hallhitch("tenants", "apply", "--yes", "--json", str(path))
         told = json.loads(done.stdout)
@@ -125,7 +125,7 @@
 
     async def test_credentials(self) -> None:
         """Issued and rotated tokens authenticate, revoked ones do not, and lists show none."""
-        path = self.plane.folder / "acme.toml"
+        path = self.service.folder / "acme.toml"
         path.write_text(TENANT)
         await self.hallhitch("tenants", "apply", "--yes", str(path))
         token = (await self.hallhitch("credentials", "issue", "acme", "boss", "--scope", "admin")).stdout.strip()
@@ -145,10 +145,10 @@
 
     async def test_backup_during_service(self) -> None:
         """A backup is made and verified while the control plane serves."""
-        path = self.plane.folder / "acme.toml"
+        path = self.service.folder / "acme.toml"
         path.write_text(TENANT)
         await self.hallhitch("tenants", "apply", "--yes", str(path))
-        target, file = str(self.plane.folder / "b.db"), str(self.plane.file)
+        target, file = str(self.service.folder / "b.db"), str(self.service.settings_file)
         saved = json.loads((await self.hallhitch("control", "backup", file, target)).stdout)
         for verified in (target, file):
             told = json.loads((await self.hallhitch("control", "verify", verified)).stdout)
--- a/tests/tls/test_tls_in_service.py
+++ b/tests/tls/test_tls_in_service.py
@@ -15,11 +15,11 @@
     """A control plane with certificates of a local authority."""
 
     def address(self) -> tuple[str, int]:
-        host, port = self.plane.url.removeprefix("https://").split(":")
+        host, port = self.service.url.removeprefix("https://").split(":")
         return host, int(port)
 
     def client_context(self) -> ssl.SSLContext:
-        return ssl.create_default_context(cafile=str(self.plane.folder / "tls" / "ca.crt"))
+        return ssl.create_default_context(cafile=str(self.service.folder / "tls" / "ca.crt"))
 
     async def presented_certificate(self, server_name: str | None = None) -> dict[str, object]:
         """Return the certificate that the server presents to a new connection."""
@@ -35,11 +35,11 @@
 
     async def logged(self, text: str) -> None:
         """Wait for a log line that contains the text; lines that were logged earlier count."""
-        while not any(text in line for line in self.plane.log_lines):
+        while not any(text in line for line in self.service.log_lines):
             await asyncio.sleep(0.01)
 
     async def test_certificates_are_replaced_without_dropping_connections(self) -> None:
-        directory = self.plane.folder / "tls"
+        directory = self.service.folder / "tls"
         self.assertEqual((await self.root.get("/v1/status")).status_code, 200)  # a connection that stays open
         previous = await self.presented_certificate()
         issue_certificate(directory, "default", ["127.0.0.1", "localhost"])
@@ -52,7 +52,7 @@
         late = await self.presented_certificate("late.example.org")
         self.assertEqual(late["subjectAltName"], (("DNS", "late.example.org"),))
         (directory / "default.crt").write_text("invalid")
-        self.plane.process.send_signal(1)  # SIGHUP
+        self.service.process.send_signal(1)  # SIGHUP
         await soon(self.logged("certificate rejected"))
         self.assertEqual(await self.presented_certificate(), replaced, "the previous certificate must stay in use")
 
