--- a/hallhitch/administration/api/app.py
+++ b/hallhitch/administration/api/app.py
@@ -1,4 +1,4 @@
-"""The API as one ASGI application, and its OpenAPI 3.1 description, built from the handlers' own types."""
+"""The API as one ASGI application, and its OpenAPI 3.1 document, which is generated from the handlers' types."""
 
 from __future__ import annotations
 
@@ -38,36 +38,36 @@
     )
 
 
-def on_problem(_: Request[Any, Any, Any], error: ProblemError) -> Response[bytes]:
-    """Respond to an error of our own."""
+def on_problem_error(_: Request[Any, Any, Any], error: ProblemError) -> Response[bytes]:
+    """Convert a `ProblemError` raised by a handler to a response."""
     return _problem_response(error)
 
 
-def on_http(_: Request[Any, Any, Any], error: HTTPException) -> Response[bytes]:
-    """Respond to an error of the framework."""
+def on_http_exception(_: Request[Any, Any, Any], error: HTTPException) -> Response[bytes]:
+    """Convert an exception of the framework to a problem document, and keep its Allow header."""
     if isinstance(error, ValidationException):
         return _problem_response(_validation_problem(error))
     if error.status_code == 404:
         return _problem_response(not_found())
     code = {405: "method", 413: "too-large", 415: "media-type"}.get(error.status_code, "malformed")
-    answer = _problem_response(ProblemError(error.status_code, code, error.detail))
+    response = _problem_response(ProblemError(error.status_code, code, error.detail))
     if error.headers and "allow" in {name.lower() for name in error.headers}:
-        answer.headers["allow"] = next(value for name, value in error.headers.items() if name.lower() == "allow")
-    return answer
+        response.headers["allow"] = next(value for name, value in error.headers.items() if name.lower() == "allow")
+    return response
 
 
 def _validation_problem(error: ValidationException) -> ProblemError:
-    """Return the error of a body or parameter that does not fit, by its field."""
-    field, what = "", error.detail
+    """Return the 422 error for an invalid body or parameter, with the path of the first invalid field."""
+    field, message = "", error.detail
     extra = error.extra
     if isinstance(extra, list) and extra and isinstance(extra[0], dict):
-        field, what = str(extra[0].get("key", "")), str(extra[0].get("message", what))
-    text, _, place = what.partition(" - at `$")
-    return ProblemError(422, "invalid", text, place.rstrip("`").lstrip(".") or field)
+        field, message = str(extra[0].get("key", "")), str(extra[0].get("message", message))
+    detail, _, path = message.partition(" - at `$")  # msgspec appends the path of the field to its message
+    return ProblemError(422, "invalid", detail, path.rstrip("`").lstrip(".") or field)
 
 
 def on_unhandled_error(request: Request[Any, Any, Any], error: Exception) -> Response[bytes]:
-    """Respond to an unexpected error, whose details go to the log and not to the caller."""
+    """Log an unexpected exception and respond with 500, without details that could leak to the caller."""
     log.error("handler failed", path=request.url.path, error=f"{type(error).__name__}: {error}", exc_info=error)
     return _problem_response(
         ProblemError(500, "fault", "The service failed at this call; repeat it with the same key.")
@@ -76,12 +76,12 @@
 
 @get("/openapi.json", include_in_schema=False, operation_id="openapi")
 async def openapi_document(request: Request[Any, Any, Any]) -> Response[bytes]:
-    """The description."""
-    return Response(request.app.state.described, media_type="application/json")
+    """Serve the OpenAPI document, which was encoded at startup."""
+    return Response(request.app.state.openapi_json, media_type="application/json")
 
 
 def encode_openapi(app: Litestar) -> bytes:
-    """Encode the OpenAPI description as JSON."""
+    """Encode the OpenAPI document as JSON."""
     return msgspec.json.encode(app.openapi_schema.to_schema())
 
 
@@ -91,11 +91,18 @@
     store: SqliteStore | None,
     publisher: FeedPublisher | None = None,
 ) -> Litestar:
-    """Create the framework's application of all handlers, without the guard."""
+    """Create the Litestar application with all handlers, without the guard.
+
+    Without services (None), the application can only generate its OpenAPI document.
+    """
     app = Litestar(
         route_handlers=[*HANDLERS, *FEED_HANDLERS, openapi_document],
         guards=[authorize_handler],
-        exception_handlers={ProblemError: on_problem, HTTPException: on_http, Exception: on_unhandled_error},
+        exception_handlers={
+            ProblemError: on_problem_error,
+            HTTPException: on_http_exception,
+            Exception: on_unhandled_error,
+        },
         openapi_config=OpenAPIConfig(
             title="hallhitch administration",
             version=__version__,
@@ -112,11 +119,11 @@
             ),
         ),
         logging_config=None,
-        request_max_body_size=None,  # the guard bounds bodies
+        request_max_body_size=None,  # the guard limits the size of bodies
     )
     app.state.service, app.state.checker, app.state.store = service, checker, store
     app.state.publisher = publisher
-    app.state.described = encode_openapi(app)
+    app.state.openapi_json = encode_openapi(app)
     return app
 
 
@@ -128,5 +135,5 @@
     settings: ApiSettings,
     publisher: FeedPublisher,
 ) -> Guard:
-    """Create the whole application: the guard around the framework."""
+    """Create the complete application: the Litestar application behind the guard."""
     return Guard(create_framework(Service(writer), checker, store, publisher), writer, checker, clock, settings)
--- a/hallhitch/administration/api/authorization.py
+++ b/hallhitch/administration/api/authorization.py
@@ -1,4 +1,4 @@
-"""Authorization of a handler's call by the caller's scope, before its body is parsed."""
+"""Authorization of a request by the scope of its caller's credential, before the body is decoded."""
 
 from __future__ import annotations
 
@@ -15,16 +15,19 @@
 
 
 def authorize_handler(connection: ASGIConnection[Any, Any, Any, Any], handler: BaseRouteHandler) -> None:
-    """Refuse a call beyond the caller's scope; another tenant's entries give the same error as missing ones.
+    """Reject a request that the caller's scope does not allow.
+
+    Another tenant's entries get the same response as missing ones, so that a caller cannot learn which exist.
+    The handler's options say what the request accesses: `tenant` (if the path has none), `kind`, `write` and `feed`.
 
     Raises:
-        ProblemError: 404 where the entry is hidden from the caller, 403 where it is beyond the credential's scope.
+        ProblemError: 404 if the entry is hidden from the caller, 403 if the credential's scope does not suffice.
     """
     caller = connection.scope["state"]["caller"]
-    if caller is None:
+    if caller is None:  # a public path
         return
     options = handler.opt
-    if options.get("feed"):  # only gateways read the feed, and they read nothing else
+    if options.get("feed"):  # only gateways may use the feed, and they may use nothing else
         if caller.scope is not Scope.GATEWAY:
             raise not_found()
         return
--- a/hallhitch/administration/api/guard.py
+++ b/hallhitch/administration/api/guard.py
@@ -1,6 +1,6 @@
-"""Admission of calls before any handler: bounds on bodies, authentication, rates. Plain ASGI around the framework.
+"""ASGI middleware that authenticates requests and limits their rate and size before they reach the framework.
 
-A call that is rejected here counts against its caller, and nothing was decided or stored for it.
+A request that is rejected here still counts against its caller's limits, but nothing is decided or stored for it.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 AsgiScope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[Any]]
 Send = Callable[[Any], Awaitable[None]]
-App = Callable[[Any, Any, Any], Awaitable[None]]
+AsgiApp = Callable[[Any, Any, Any], Awaitable[None]]
 PUBLIC_PATHS = {"/openapi.json"}
 READ_METHODS = {"GET", "HEAD", "OPTIONS"}
 IDEMPOTENCY_KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,200}")
@@ -41,10 +41,14 @@
 
 
 class Guard:
-    """Admits calls; the caller, the body and the call's fingerprint go into the scope's state for the handlers."""
+    """ASGI middleware that admits requests.
+
+    It stores the caller, the body, the idempotency key and the request's fingerprint in the scope's state, where the
+    handlers read them.
+    """
 
     def __init__(
-        self, app: App, writer: Writer, checker: SecretChecker, clock: WallClock, settings: ApiSettings
+        self, app: AsgiApp, writer: Writer, checker: SecretChecker, clock: WallClock, settings: ApiSettings
     ) -> None:
         self._app = app
         self._writer = writer
@@ -53,12 +57,12 @@
         self._settings = settings
         self._calls = TokenBuckets(settings.calls_per_second, settings.burst)
         failures_per_s = settings.failures_per_minute / 60
-        # By address and the token's name.
+        # Keyed by the client's address together with the tenant and id in the token.
         self._failures_by_token = TokenBuckets(failures_per_s, max(3.0, settings.failures_per_minute / 2))
         self._failures_by_address = TokenBuckets(failures_per_s * 10, settings.failures_per_minute * 5)
 
     async def __call__(self, scope: AsgiScope, receive: Receive, send: Send) -> None:
-        """Admit a call and pass it on, or answer it with the reason."""
+        """Pass an admitted request to the framework; respond to a rejected one with a problem document."""
         if scope["type"] != "http":
             return await self._app(scope, receive, send)
         try:
@@ -71,7 +75,11 @@
         return None
 
     async def _admit(self, scope: AsgiScope, receive: Receive) -> Receive:
-        """Check a call before any handler sees it, and return the channel from which the framework reads its body."""
+        """Check a request and return the ASGI receive channel from which the framework reads its body.
+
+        Raises:
+            ProblemError: The request is rejected.
+        """
         headers = Headers(scope["headers"])
         if headers.size_bytes > self._settings.head_kib * 1024:
             raise ProblemError(431, "too-large", f"A head holds {self._settings.head_kib} KiB at most.")
@@ -97,7 +105,7 @@
         return _replay_body(body, receive)
 
     def _limit_rate(self, caller: Principal) -> None:
-        # Gateways of one credential are many, and each is bounded by what the feed gives out.
+        # Many gateways share one credential, and the feed itself limits how much it sends to each.
         if caller.scope is Scope.GATEWAY:
             return
         wait_s = self._calls.take(caller.name, time.monotonic())
@@ -105,7 +113,7 @@
             raise ProblemError(429, "too-many-calls", "This credential calls too often.", retry_after_s=wait_s)
 
     async def _authenticate(self, scope: AsgiScope, headers: Headers) -> Principal:
-        """Return who calls, by bearer token or client certificate.
+        """Return the caller, authenticated by bearer token or client certificate.
 
         Raises:
             ProblemError: 401 without a valid credential, 429 after too many failures, 503 if too many checks wait.
@@ -119,8 +127,8 @@
             if operator is not None:
                 return operator
             raise unauthenticated()
-        scheme, _, text = authorization.partition(" ")
-        token = parse_token(text.strip()) if scheme.lower() == "bearer" else None
+        scheme, _, token_text = authorization.partition(" ")
+        token = parse_token(token_text.strip()) if scheme.lower() == "bearer" else None
         if token is None:
             raise unauthenticated()
         address = (scope.get("client") or ("", 0))[0]
@@ -133,7 +141,11 @@
         return Principal(token.tenant, token.id, credential.scope)
 
     async def _check_secret(self, token: Token, address: str, verifiers: list[Verifier]) -> None:
-        """Verify a secret that is not cached, if its caller has not failed too often."""
+        """Verify a secret that is not cached, and count a failure against the token and the client's address.
+
+        Raises:
+            ProblemError: 401 for a wrong secret, 429 after too many failures, 503 if too many checks wait.
+        """
         now_s = time.monotonic()
         token_key = (address, token.tenant, token.id)
         wait_s = max(
@@ -154,7 +166,7 @@
             raise unauthenticated()
 
     async def _read_body(self, headers: Headers, receive: Receive) -> bytes:
-        """Read the whole body; 413 as soon as it is known to be too large."""
+        """Read the whole body; raise ProblemError 413 as soon as it is known to be too large."""
         limit_bytes = self._settings.body_kib * 1024
         length = headers.single("content-length")
         if length is not None and length.isdigit() and int(length) > limit_bytes:
@@ -172,18 +184,18 @@
 
 
 class Headers:
-    """Headers of a request; one that must be single and is not gives 400."""
+    """Raw headers of a request, as ASGI passes them: names in lower case, values as bytes."""
 
     def __init__(self, raw: list[tuple[bytes, bytes]]) -> None:
         self._raw = raw
 
     @property
     def size_bytes(self) -> int:
-        """Return the size of names and values."""
+        """Return the total size of all names and values."""
         return sum(len(name) + len(value) for name, value in self._raw)
 
     def single(self, name: str) -> str | None:
-        """Return a header's value; None where it is absent, ProblemError 400 where it occurs twice."""
+        """Return a header's value, None if it is absent; raise ProblemError 400 if it occurs more than once."""
         values = [value for key, value in self._raw if key == name.encode()]
         if len(values) > 1:
             raise ProblemError(400, "malformed", "This header stands twice.", name.title())
@@ -191,7 +203,7 @@
 
 
 def unauthenticated() -> ProblemError:
-    """Return the one error for all that can be wrong with a credential."""
+    """Return the 401 error, the same for every reason, so that it does not tell which part of a credential is wrong."""
     return ProblemError(401, "unauthenticated", "This needs a credential that counts.")
 
 
@@ -210,7 +222,7 @@
 
 
 def _fingerprint(scope: AsgiScope, headers: Headers, body: bytes) -> bytes:
-    """Hash what makes a call the same as another of its key: method, path, query, conditions and body."""
+    """Hash the method, path, query, conditions and body; a repeat of a call has the same hash."""
     conditions = "\n".join(headers.single(name) or "" for name in ("if-match", "if-none-match"))
     fingerprint = blake2b(digest_size=16)
     for part in (
@@ -226,7 +238,7 @@
 
 
 def _replay_body(body: bytes, receive: Receive) -> Receive:
-    """Return a channel that gives the framework the body that was read, then whatever comes."""
+    """Return a receive channel that yields the body already read first, and then the messages of `receive`."""
     is_replayed = False
 
     async def replay() -> Any:
@@ -240,10 +252,10 @@
 
 
 async def send_problem(send: Send, problem: ProblemError, method: str) -> None:
-    """Send an error response."""
+    """Send an error response; to a HEAD request, without its body."""
     body = problem.body()
     headers = problem.headers() | {"content-length": str(len(body))}
-    if problem.status in (400, 413, 431):  # what follows on the connection may be the rest of it
+    if problem.status in (400, 413, 431):  # the rest of the request may still follow on the connection
         headers["connection"] = "close"
     await send(
         {
--- a/hallhitch/administration/api/json_bodies.py
+++ b/hallhitch/administration/api/json_bodies.py
@@ -1,4 +1,7 @@
-"""Parsing of JSON bodies, stricter than the decoders behind it, and JSON merge patches (RFC 7396)."""
+"""Strict parsing of JSON bodies, and JSON merge patches (RFC 7396).
+
+The parser rejects bodies that other decoders accept but may read differently, such as duplicate member names.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,18 @@
 
 from hallhitch.administration.api.problems import ProblemError
 
-MAX_NESTING_DEPTH: Final = 32  # far more than any body here has
-MAX_DETAIL_CHARS: Final = 300  # a problem document repeats no more of a parser's message
+MAX_NESTING_DEPTH: Final = 32  # far more than any valid body has
+MAX_DETAIL_CHARS: Final = 300  # bounds how much of a parser's message a problem document repeats
 STRING_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"', re.DOTALL)
 BRACKET_PATTERN = re.compile(rb"[\[\]{}]")
 
 
 def parse_strict(body: bytes) -> Any:
-    """Parse a body into plain values.
+    """Parse a body into dicts, lists, strings, numbers, booleans and None.
 
     Raises:
-        ProblemError: 400 for what is no JSON, nests too deep, or would be read differently by two parsers.
+        ProblemError: 400 if the body is not valid JSON, nests too deeply, repeats a member name in one object, or has a
+            number that is not finite.
     """
     if nesting_depth(body) > MAX_NESTING_DEPTH:
         raise ProblemError(400, "malformed", f"The body nests deeper than {MAX_NESTING_DEPTH}.")
@@ -55,7 +59,10 @@
 
 
 def nesting_depth(body: bytes) -> int:
-    """Return how deep brackets outside strings nest; 0 where there are too few to nest too deep."""
+    """Return how deeply the brackets outside strings nest.
+
+    Returns 0 without scanning if there are too few brackets to exceed the limit.
+    """
     if body.count(b"[") + body.count(b"{") <= MAX_NESTING_DEPTH:
         return 0
     depth = 0
@@ -67,7 +74,7 @@
 
 
 def apply_merge_patch(target: Any, patch: Any) -> Any:
-    """Apply a JSON merge patch: null removes a member, objects merge, anything else replaces."""
+    """Apply a JSON merge patch: null removes a member, objects are merged, any other value replaces the old one."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, dict) else {}
--- a/hallhitch/administration/api/problems.py
+++ b/hallhitch/administration/api/problems.py
@@ -1,4 +1,4 @@
-"""Errors as `application/problem+json` (RFC 9457). Another tenant's entries and missing ones give the same error."""
+"""Error responses of the API as problem documents (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 class Problem(Struct, frozen=True, omit_defaults=True):
-    """The body of an error. `code` is stable; `field` is a path into the body, or a header's name."""
+    """Body of an error response.
+
+    `code` does not change between releases; `field` is a path into the request's body or the name of a header.
+    """
 
     type: str
     title: str
@@ -35,7 +38,7 @@
 
 
 class ProblemError(AdministrationError):
-    """Error response; `retry_after_s` above 0 goes into Retry-After."""
+    """Error with the response that the caller gets; a positive `retry_after_s` is sent as Retry-After."""
 
     def __init__(self, status: int, code: str, detail: str, field: str = "", retry_after_s: float = 0.0) -> None:
         super().__init__(detail)
@@ -46,7 +49,7 @@
         self.retry_after_s = retry_after_s
 
     def body(self) -> bytes:
-        """Encode the problem document."""
+        """Encode the problem document as JSON."""
         return msgspec.json.encode(
             Problem(
                 f"urn:hallhitch:problem:{self.code}",
@@ -59,7 +62,7 @@
         )
 
     def headers(self) -> dict[str, str]:
-        """Return the headers of the response."""
+        """Return the headers of the response, without Content-Length."""
         headers = {"content-type": PROBLEM_MEDIA_TYPE, "cache-control": "no-store"}
         if self.status == 401:
             headers["www-authenticate"] = 'Bearer realm="hallhitch"'
@@ -69,12 +72,15 @@
 
 
 def not_found() -> ProblemError:
-    """Return the one error for what does not exist and what is another tenant's."""
+    """Return the 404 error, the same for a missing entry and for another tenant's.
+
+    A difference would tell a caller which entries of other tenants exist.
+    """
     return ProblemError(404, "not-found", "There is nothing of this name that you may see.")
 
 
 def problem_from_refusal(refusal: ChangeRefused) -> ProblemError:
-    """Return the error response of a refused change."""
+    """Return the error response for a change that the catalog refused."""
     if refusal.code == "not-found" and refusal.field in ("", "edits[0]"):
         return not_found()
     return ProblemError(STATUS_BY_CODE[refusal.code], refusal.code, refusal.detail, refusal.field)
