--- a/hallhitch/administration/api/audit_resources.py
+++ b/hallhitch/administration/api/audit_resources.py
@@ -1,4 +1,4 @@
-"""Paths of the audit log, of versions and of the service's status."""
+"""Handlers for the audit log, the versions of the catalog and the service's status."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from litestar.params import PathParameter
 
 from hallhitch.administration.api import views
-from hallhitch.administration.api.calls import Conn, caller_of, json_response, service_of
+from hallhitch.administration.api.calls import ApiRequest, caller_of, json_response, service_of
 from hallhitch.administration.api.parameters import (
     READ_ERRORS,
-    Before,
+    AuditCursor,
     Limit,
 )
 from hallhitch.administration.api.problems import not_found
@@ -23,21 +23,29 @@
 from hallhitch.catalog.names import OPERATORS
 
 
-async def _audit_page(request: Conn, tenant: str | None, after: str, limit: int) -> Response[Any]:
+async def _audit_page(request: ApiRequest, tenant: str | None, after: str, limit: int) -> Response[Any]:
     store: SqliteStore = request.app.state.store
-    before = int(after) if after else 2**62
-    entries = await asyncio.to_thread(store.audit_entries, tenant, before, limit + 1)
+    before_id = int(after) if after else 2**62  # above any id: the first page starts at the newest entry
+    entries = await asyncio.to_thread(store.audit_entries, tenant, before_id, limit + 1)
     items = [
         views.AuditView(
-            a.id, a.at_ms, a.tenant, a.actor, a.action, a.status, views.stamp(a.epoch, a.version) if a.version else None
+            entry.id,
+            entry.at_ms,
+            entry.tenant,
+            entry.actor,
+            entry.action,
+            entry.status,
+            views.format_version(entry.epoch, entry.version) if entry.version else None,
         )
-        for a in entries[:limit]
+        for entry in entries[:limit]
     ]
     return json_response(views.AuditPage(items, str(items[-1].id) if len(entries) > limit else None))
 
 
 @get("/v1/tenants/{tenant:str}/audit", responses=READ_ERRORS, operation_id="listTenantAudit", tags=["audit"])
-async def tenant_audit(request: Conn, tenant: str, after: Before = "", limit: Limit = 100) -> Response[views.AuditPage]:
+async def tenant_audit(
+    request: ApiRequest, tenant: str, after: AuditCursor = "", limit: Limit = 100
+) -> Response[views.AuditPage]:
     """What was decided about a tenant, newest first."""
     if tenant not in service_of(request).catalog.tenants and caller_of(request).scope is not Scope.OPERATOR:
         raise not_found()
@@ -45,33 +53,35 @@
 
 
 @get("/v1/audit", responses=READ_ERRORS, operation_id="listAudit", tags=["audit"], opt={"tenant": OPERATORS})
-async def audit(request: Conn, after: Before = "", limit: Limit = 100) -> Response[views.AuditPage]:
+async def audit(request: ApiRequest, after: AuditCursor = "", limit: Limit = 100) -> Response[views.AuditPage]:
     """What was decided, newest first (operators)."""
     return await _audit_page(request, None, after, limit)
 
 
 @get("/v1/versions/{number:int}", responses=READ_ERRORS, operation_id="getVersion", tags=["versions"])
-async def version(request: Conn, number: Annotated[int, PathParameter(ge=0, le=2**53)]) -> Response[views.VersionView]:
+async def version(
+    request: ApiRequest, number: Annotated[int, PathParameter(ge=0, le=2**53)]
+) -> Response[views.VersionView]:
     """What a version of the present epoch touched: a tenant sees its own part, operators all."""
     caller, catalog = caller_of(request), service_of(request).catalog
     store: SqliteStore = request.app.state.store
-    written = await asyncio.to_thread(store.logged_change, catalog.epoch, number)
+    logged = await asyncio.to_thread(store.logged_change, catalog.epoch, number)
     tenant = None if caller.scope is Scope.OPERATOR else caller.tenant
-    if written is None or (tenant is not None and written.tenant != tenant):
+    if logged is None or (tenant is not None and logged.tenant != tenant):
         raise not_found()
     return json_response(
         views.VersionView(
-            views.stamp(written.epoch, written.version),
-            written.at_ms,
-            written.tenant,
-            written.actor,
-            views.rows_view(written.diff, tenant),
+            views.format_version(logged.epoch, logged.version),
+            logged.at_ms,
+            logged.tenant,
+            logged.actor,
+            views.row_views(logged.diff, tenant),
         )
     )
 
 
 @get("/v1/status", responses=READ_ERRORS, operation_id="getStatus", tags=["versions"], opt={"tenant": OPERATORS})
-async def status(request: Conn) -> Response[views.StatusView]:
+async def status(request: ApiRequest) -> Response[views.StatusView]:
     """Where the catalogue stands (operators)."""
     catalog = service_of(request).catalog
-    return json_response(views.StatusView(views.stamp(catalog.epoch, catalog.version), len(catalog.tenants)))
+    return json_response(views.StatusView(views.format_version(catalog.epoch, catalog.version), len(catalog.tenants)))
--- a/hallhitch/administration/api/calls.py
+++ b/hallhitch/administration/api/calls.py
@@ -1,6 +1,6 @@
-"""From a request to a change and its response: conditions (RFC 9110), merge patches, pages.
+"""Steps that the handlers share: preconditions (RFC 9110), changes through the writer, merge patches, pagination.
 
-Whatever must hold when a change is made is checked in the writer, on the catalog of that moment.
+Preconditions are checked in the `plan` functions. The writer runs them, on the catalog to which the change applies.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 from hallhitch.catalog.errors import ChangeRefused
 from hallhitch.catalog.model import VALUE_TYPES, Catalog, Kind, Versioned
 
-JSON = "application/json"
-STRONG_TAG_PATTERN = re.compile(r'\s*"(\d{1,15})\.(\d{1,15})"\s*')
+JSON_MEDIA_TYPE = "application/json"
+VERSION_TAG_PATTERN = re.compile(r'\s*"(\d{1,15})\.(\d{1,15})"\s*')
 ENTITY_TAG_PATTERN = re.compile(r'\s*(?:W/)?"[^"]*"\s*')
 MAX_PAGE_ITEMS: Final = 500
-MAX_AUDITED_CHARS: Final = 400  # of a call's method and path
+MAX_AUDITED_CHARS: Final = 400  # of a request's method and path, as the audit log shows them
 NOT_WRITTEN: Final = (
     "The store could not be written and nothing was changed, as far as is known. Repeat the call with the same key."
 )
-Conn = Request[Any, Any, Any]
+ApiRequest = Request[Any, Any, Any]
 _encode = msgspec.json.Encoder().encode
 
 
 class Target(Struct, frozen=True):
-    """Entry of the catalog that a call is about."""
+    """Identifies the catalog entry that a request reads or changes."""
 
     tenant: str
     kind: Kind
@@ -47,80 +47,85 @@
 
 
 class Condition(Struct, frozen=True):
-    """Precondition of the headers on the present entry: `tags` are the versions that If-Match allows."""
+    """Preconditions of a request, from If-Match (`match_any` or `tags`) and If-None-Match (`must_be_absent`).
+
+    `match_any` stands for `*`; `tags` holds the versions that If-Match allows, each as epoch and number.
+    """
 
     match_any: bool = False
     tags: frozenset[tuple[int, int]] | None = None
-    absent: bool = False
+    must_be_absent: bool = False
 
-    def check(self, catalog: Catalog, kept: Versioned | None, replaces: bool) -> None:
-        """Check the condition against the present entry.
+    def check(self, catalog: Catalog, current: Versioned | None, is_replacement: bool) -> None:
+        """Check the preconditions against the current entry (None if there is none).
 
         Raises:
-            ChangeRefused: It does not hold, or a replacement comes without one.
+            ChangeRefused: A precondition does not hold, or an existing entry would be replaced without If-Match.
         """
-        if self.absent and kept is not None:
+        if self.must_be_absent and current is not None:
             raise ChangeRefused("stale", "If-None-Match", "there is one already")
-        if (self.match_any or self.tags is not None) and kept is None:
+        if (self.match_any or self.tags is not None) and current is None:
             raise ChangeRefused("stale", "If-Match", "there is nothing of this name")
-        if self.tags is not None and kept is not None and (catalog.epoch, kept.version) not in self.tags:
+        if self.tags is not None and current is not None and (catalog.epoch, current.version) not in self.tags:
             raise ChangeRefused("stale", "If-Match", "this was changed meanwhile")
-        if replaces and kept is not None and not self.match_any and self.tags is None:
+        if is_replacement and current is not None and not self.match_any and self.tags is None:
             raise ChangeRefused("unconditional", "If-Match", "a replace needs the version that it replaces")
 
 
-def condition_of(request: Conn) -> Condition:
-    """Parse the conditions in the headers; ProblemError 400 where they are malformed."""
-    match, none = request.headers.get("if-match"), request.headers.get("if-none-match")
-    if none is not None and none.strip() != "*":
+def condition_of(request: ApiRequest) -> Condition:
+    """Parse the preconditions in the headers; raise ProblemError 400 if they are malformed."""
+    if_match, if_none_match = request.headers.get("if-match"), request.headers.get("if-none-match")
+    if if_none_match is not None and if_none_match.strip() != "*":
         raise ProblemError(400, "malformed", "If-None-Match takes '*' only.", "If-None-Match")
-    if match is None:
-        return Condition(absent=none is not None)
-    if match.strip() == "*":
-        return Condition(match_any=True, absent=none is not None)
+    if if_match is None:
+        return Condition(must_be_absent=if_none_match is not None)
+    if if_match.strip() == "*":
+        return Condition(match_any=True, must_be_absent=if_none_match is not None)
     tags = set()
-    for part in match.split(","):
-        if not ENTITY_TAG_PATTERN.fullmatch(part):
+    for tag_text in if_match.split(","):
+        if not ENTITY_TAG_PATTERN.fullmatch(tag_text):
             raise ProblemError(400, "malformed", "If-Match takes '*' or entity tags.", "If-Match")
-        strong = STRONG_TAG_PATTERN.fullmatch(part)
-        if strong:  # a weak tag, or one of another making, never matches
-            tags.add((int(strong[1]), int(strong[2])))
-    return Condition(tags=frozenset(tags), absent=none is not None)
+        version_match = VERSION_TAG_PATTERN.fullmatch(tag_text)
+        if version_match:  # a weak tag, or one that this service did not issue, never matches
+            tags.add((int(version_match[1]), int(version_match[2])))
+    return Condition(tags=frozenset(tags), must_be_absent=if_none_match is not None)
 
 
 @dataclass(slots=True)
 class Service:
-    """Parts of the service that handlers use."""
+    """Components of the service that the handlers use."""
 
     writer: Writer
 
     @property
     def catalog(self) -> Catalog:
-        """Return the newest catalog that is on disk."""
+        """Return the newest catalog; all its changes are on disk."""
         return self.writer.catalog
 
 
-def caller_of(request: Conn) -> Principal:
-    """Return the caller, as the guard authenticated it."""
+def caller_of(request: ApiRequest) -> Principal:
+    """Return the caller that the guard authenticated."""
     caller: Principal = request.scope["state"]["caller"]
     return caller
 
 
-def service_of(request: Conn) -> Service:
-    """Return the parts of the service that handlers use."""
+def service_of(request: ApiRequest) -> Service:
+    """Return the components of the service that the handlers use."""
     service: Service = request.app.state.service
     return service
 
 
 async def submit(
-    request: Conn,
+    request: ApiRequest,
     tenant: str,
     plan: Callable[[Catalog, int], PlannedChange],
 ) -> Response[Any]:
-    """Make a call through the writer and return its reply.
+    """Submit a change to the writer and return the response, which is the stored one if the call is a repeat.
+
+    `plan` makes the change from the catalog and the time (Unix ms).
 
     Raises:
-        ProblemError: The call was not made.
+        ProblemError: The writer did not make the change or could not confirm it; 401, 422 or 503.
     """
     state = request.scope["state"]
     call = Call(
@@ -155,87 +160,92 @@
 
 
 def resource_reply(catalog: Catalog, target: Target, status: int, token: str | None = None) -> Reply:
-    """Return an entry as a reply, with its entity tag; ChangeRefused where it does not exist."""
-    kept = catalog.get(target.tenant, target.kind, target.name)
-    if kept is None:
+    """Return the reply that shows an entry, with its entity tag; raise ChangeRefused if there is no such entry."""
+    entry = catalog.get(target.tenant, target.kind, target.name)
+    if entry is None:
         raise ChangeRefused("not-found", "", "there is nothing of this name")
     headers = {
-        "content-type": JSON,
-        "etag": f'"{views.stamp(catalog.epoch, kept.version)}"',
+        "content-type": JSON_MEDIA_TYPE,
+        "etag": f'"{views.format_version(catalog.epoch, entry.version)}"',
         "cache-control": "no-store",
     }
-    return Reply(status, headers, _encode(views.view(catalog, target.kind, target.name, kept, token)))
+    return Reply(status, headers, _encode(views.entry_view(catalog, target.kind, target.name, entry, token)))
 
 
-def read(request: Conn, target: Target) -> Response[Any]:
+def read(request: ApiRequest, target: Target) -> Response[Any]:
     """Respond to a GET of one entry."""
     try:
         reply = resource_reply(service_of(request).catalog, target, 200)
     except ChangeRefused as error:
         raise not_found() from error
-    return Response(reply.body, status_code=200, headers=reply.headers, media_type=JSON)
+    return Response(reply.body, status_code=200, headers=reply.headers, media_type=JSON_MEDIA_TYPE)
 
 
-async def put(request: Conn, target: Target, value: Any, token: str | None = None) -> Response[Any]:
-    """Create or replace an entry; with `token`, the response holds a secret."""
+async def put(request: ApiRequest, target: Target, value: Any, token: str | None = None) -> Response[Any]:
+    """Create or replace an entry. A `token` is part of the response, whose stored copy is then encrypted."""
     condition = condition_of(request)
 
     def plan(catalog: Catalog, now_ms: int) -> PlannedChange:
-        present = _current_entry(catalog, target)
-        condition.check(catalog, present, replaces=True)
-        status = 200 if present is not None else 201
+        current = _current_entry(catalog, target)
+        condition.check(catalog, current, is_replacement=True)
+        status = 200 if current is not None else 201
         return PlannedChange(
             Change(target.tenant, (Edit(target.kind, target.name, value),)),
-            lambda made: resource_reply(made, target, status, token),
+            lambda new_catalog: resource_reply(new_catalog, target, status, token),
             token is not None,
         )
 
     return await submit(request, target.tenant, plan)
 
 
-async def patch(request: Conn, target: Target, merge_value: Callable[[Any, Any], Any] | None = None) -> Response[Any]:
-    """Merge the body into the present value; `merge_value` does so where the body has a form of its own."""
+async def patch(
+    request: ApiRequest, target: Target, merge_value: Callable[[Any, Any], Any] | None = None
+) -> Response[Any]:
+    """Merge the body into the current value.
+
+    `merge_value` gets the current value and the body, for kinds to which a JSON merge patch does not apply.
+    """
     condition = condition_of(request)
     body = parse_strict(request.scope["state"]["raw"])
     if not isinstance(body, dict):
         raise ProblemError(422, "invalid", "A merge patch of a thing is an object.")
 
     def plan(catalog: Catalog, now_ms: int) -> PlannedChange:
-        present = _current_entry(catalog, target)
-        if present is None:
+        current = _current_entry(catalog, target)
+        if current is None:
             raise ChangeRefused("not-found", "", "there is nothing of this name")
-        condition.check(catalog, present, replaces=False)
+        condition.check(catalog, current, is_replacement=False)
         if merge_value is not None:
-            value = merge_value(present.value, body)
+            value = merge_value(current.value, body)
         else:
-            value = convert_value(apply_merge_patch(msgspec.to_builtins(present.value), body), VALUE_TYPES[target.kind])
+            value = convert_value(apply_merge_patch(msgspec.to_builtins(current.value), body), VALUE_TYPES[target.kind])
         return PlannedChange(
             Change(target.tenant, (Edit(target.kind, target.name, value),)),
-            lambda made: resource_reply(made, target, 200),
+            lambda new_catalog: resource_reply(new_catalog, target, 200),
         )
 
     return await submit(request, target.tenant, plan)
 
 
-async def delete(request: Conn, target: Target) -> Response[Any]:
+async def delete(request: ApiRequest, target: Target) -> Response[Any]:
     """Delete an entry."""
     condition = condition_of(request)
 
     def plan(catalog: Catalog, now_ms: int) -> PlannedChange:
-        present = _current_entry(catalog, target)
-        if present is None:
+        current = _current_entry(catalog, target)
+        if current is None:
             raise ChangeRefused("not-found", "", "there is nothing of this name")
-        condition.check(catalog, present, replaces=False)
+        condition.check(catalog, current, is_replacement=False)
         return PlannedChange(
             Change(target.tenant, (Edit(target.kind, target.name),)),
-            lambda made: Reply(204, {"content-type": JSON}, b""),
+            lambda new_catalog: Reply(204, {"content-type": JSON_MEDIA_TYPE}, b""),
         )
 
     return await submit(request, target.tenant, plan)
 
 
 def convert_value(value: Any, type_: type[Any]) -> Any:
-    """Convert plain values to a type; ChangeRefused names the field that does not fit."""
+    """Convert parsed JSON to a type; raise ChangeRefused with the path of the first invalid field."""
     try:
         return msgspec.convert(value, type_, strict=True)
     except msgspec.ValidationError as error:
@@ -244,34 +254,38 @@
 
 
 def _current_entry(catalog: Catalog, target: Target) -> Versioned | None:
-    """Return the present entry; ChangeRefused where its tenant does not exist."""
+    """Return the current entry, None if there is none; raise ChangeRefused if its tenant does not exist."""
     if target.kind is not Kind.TENANT and target.tenant and target.tenant not in catalog.tenants:
         raise ChangeRefused("not-found", "", "there is no such tenant")
     return catalog.get(target.tenant, target.kind, target.name)
 
 
-def page(
-    names: Iterable[str], after: str, limit: int, is_wanted: Callable[[str], bool]
+def page_of_names(
+    names: Iterable[str], after: str, limit: int, matches_filter: Callable[[str], bool]
 ) -> tuple[list[str], str | None]:
-    """Return the wanted names past `after`, in order, at most `limit`, and the last of them if there are more."""
-    candidates = (name for name in names if name > after and is_wanted(name))
+    """Return the first `limit` matching names after `after`, sorted, and the next page's `after` if there are more."""
+    candidates = (name for name in names if name > after and matches_filter(name))
     page_names = heapq.nsmallest(limit + 1, candidates)
     next_after = page_names[limit - 1] if len(page_names) > limit else None
     return page_names[:limit], next_after
 
 
 def page_of_kind(
-    request: Conn, tenant: str, kind: Kind, after: str, limit: int, prefix: str
+    request: ApiRequest, tenant: str, kind: Kind, after: str, limit: int, prefix: str
 ) -> tuple[list[tuple[str, Versioned]], str | None]:
-    """Return a page of one kind of a tenant's entries, and where the next begins; 404 for an unknown tenant."""
-    tenant_part = service_of(request).catalog.tenants.get(tenant)
-    if tenant_part is None:
+    """Return a page of a tenant's entries of one kind, and the next page's `after` if there are more.
+
+    Raises:
+        ProblemError: 404 for an unknown tenant.
+    """
+    tenant_record = service_of(request).catalog.tenants.get(tenant)
+    if tenant_record is None:
         raise not_found()
-    entries = tenant_part.entries(kind)
-    names, next_after = page(entries, after, limit, lambda name: name.startswith(prefix))
+    entries = tenant_record.entries(kind)
+    names, next_after = page_of_names(entries, after, limit, lambda name: name.startswith(prefix))
     return [(name, entries[name]) for name in names], next_after
 
 
 def json_response(body: Any) -> Response[Any]:
-    """Respond with a view as JSON."""
-    return Response(msgspec.json.encode(body), media_type=JSON, headers={"cache-control": "no-store"})
+    """Return a response with a view encoded as JSON."""
+    return Response(msgspec.json.encode(body), media_type=JSON_MEDIA_TYPE, headers={"cache-control": "no-store"})
--- a/hallhitch/administration/api/parameters.py
+++ b/hallhitch/administration/api/parameters.py
@@ -1,4 +1,7 @@
-"""Parameters and error responses that the API's paths share, as its OpenAPI description shows them."""
+"""Parameters and error responses that several handlers share.
+
+Their names, descriptions and bounds are published in the OpenAPI document.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 from hallhitch.administration.api import calls
 from hallhitch.administration.api.problems import PROBLEM_MEDIA_TYPE, Problem
 
-Key = Annotated[
+IdempotencyKey = Annotated[
     str,
     HeaderParameter(
         name="Idempotency-Key",
@@ -26,26 +29,26 @@
 Prefix = Annotated[str, QueryParameter(name="prefix", max_length=253, description="Only names that begin so.")]
 
 
-def _problem(text: str) -> ResponseSpec:
+def _problem_response(text: str) -> ResponseSpec:
     return ResponseSpec(Problem, generate_examples=False, description=text, media_type=PROBLEM_MEDIA_TYPE)
 
 
 READ_ERRORS = {
-    400: _problem("What cannot be read."),
-    401: _problem("No credential that counts."),
-    404: _problem("Nothing there that the caller may see."),
-    429: _problem("Too many calls."),
-    503: _problem("Nothing can be looked up now."),
+    400: _problem_response("What cannot be read."),
+    401: _problem_response("No credential that counts."),
+    404: _problem_response("Nothing there that the caller may see."),
+    429: _problem_response("Too many calls."),
+    503: _problem_response("Nothing can be looked up now."),
 }
 CHANGE_ERRORS = READ_ERRORS | {
-    403: _problem("Beyond the credential's scope."),
-    409: _problem("Contradicts what stands."),
-    412: _problem("The thing is not as If-Match or If-None-Match says."),
-    413: _problem("Too large a body."),
-    415: _problem("Another media type."),
-    422: _problem("A value that cannot be, or a key used for another call."),
-    428: _problem("A replace without If-Match."),
+    403: _problem_response("Beyond the credential's scope."),
+    409: _problem_response("Contradicts what stands."),
+    412: _problem_response("The thing is not as If-Match or If-None-Match says."),
+    413: _problem_response("Too large a body."),
+    415: _problem_response("Another media type."),
+    422: _problem_response("A value that cannot be, or a key used for another call."),
+    428: _problem_response("A replace without If-Match."),
 }
-Before = Annotated[
+AuditCursor = Annotated[
     str, QueryParameter(name="after", pattern="^[0-9]{0,18}$", description="The `next` of the page before.")
 ]
--- a/hallhitch/administration/api/tenant_resources.py
+++ b/hallhitch/administration/api/tenant_resources.py
@@ -1,4 +1,4 @@
-"""Paths of tenants themselves, and of changes with several edits."""
+"""Handlers for tenants, and for changes with several edits."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from litestar import Controller, Response, delete, get, patch, post, put
 
 from hallhitch.administration.api import calls, views
-from hallhitch.administration.api.calls import Conn, Target, caller_of, json_response, service_of
+from hallhitch.administration.api.calls import ApiRequest, Target, caller_of, json_response, service_of
 from hallhitch.administration.api.parameters import (
     CHANGE_ERRORS,
     READ_ERRORS,
     After,
+    IdempotencyKey,
     IfMatch,
     IfNoneMatch,
-    Key,
     Limit,
     Prefix,
 )
@@ -33,11 +33,11 @@
 )
 from hallhitch.catalog.names import canonical_client_id
 
-NO_VERSION: Final = -1  # no entry has it: what a version of another epoch stands for
+NO_VERSION: Final = -1  # matches no entry; stands for a version of another epoch
 
 
 class Tenants(Controller):
-    """Tenants."""
+    """Handlers for tenants."""
 
     path = "/v1/tenants"
     tags = ("tenants",)
@@ -45,29 +45,29 @@
 
     @get("/", responses=READ_ERRORS, operation_id="listTenants")
     async def list(
-        self, request: Conn, after: After = "", limit: Limit = 100, prefix: Prefix = ""
+        self, request: ApiRequest, after: After = "", limit: Limit = 100, prefix: Prefix = ""
     ) -> Response[views.TenantPage]:
         """The tenants that the caller may see."""
         catalog, caller = service_of(request).catalog, caller_of(request)
         visible = catalog.tenants if caller.scope is Scope.OPERATOR else [caller.tenant]
-        names, next_after = calls.page(
+        names, next_after = calls.page_of_names(
             visible, after, limit, lambda name: name.startswith(prefix) and name in catalog.tenants
         )
         items = [views.tenant_view(catalog, name, catalog.tenants[name]) for name in names]
         return json_response(views.TenantPage(items, next_after))
 
     @get("/{tenant:str}", responses=READ_ERRORS, operation_id="getTenant")
-    async def get(self, request: Conn, tenant: str) -> Response[views.TenantView]:
+    async def get(self, request: ApiRequest, tenant: str) -> Response[views.TenantView]:
         """One tenant."""
         return calls.read(request, Target(tenant, Kind.TENANT, tenant))
 
     @put("/{tenant:str}", responses=CHANGE_ERRORS, operation_id="putTenant", opt={"write": True})
     async def put(
         self,
-        request: Conn,
+        request: ApiRequest,
         tenant: str,
         data: Head,
-        key: Key,
+        key: IdempotencyKey,
         if_match: IfMatch = None,
         if_none_match: IfNoneMatch = None,
     ) -> Response[views.TenantView]:
@@ -76,13 +76,15 @@
 
     @patch("/{tenant:str}", responses=CHANGE_ERRORS, operation_id="patchTenant", opt={"write": True})
     async def patch(
-        self, request: Conn, tenant: str, data: dict[str, Any], key: Key, if_match: IfMatch = None
+        self, request: ApiRequest, tenant: str, data: dict[str, Any], key: IdempotencyKey, if_match: IfMatch = None
     ) -> Response[views.TenantView]:
         """Merge into a tenant's own entry (operators)."""
         return await calls.patch(request, Target(tenant, Kind.TENANT, tenant))
 
     @delete("/{tenant:str}", responses=CHANGE_ERRORS, operation_id="deleteTenant", opt={"write": True}, status_code=204)
-    async def delete(self, request: Conn, tenant: str, key: Key, if_match: IfMatch = None) -> Response[None]:
+    async def delete(
+        self, request: ApiRequest, tenant: str, key: IdempotencyKey, if_match: IfMatch = None
+    ) -> Response[None]:
         """Drop a tenant with all it has (operators)."""
         return await calls.delete(request, Target(tenant, Kind.TENANT, tenant))
 
@@ -94,7 +96,7 @@
         opt={"write": True, "kind": Kind.PLAN},
     )
     async def changes(
-        self, request: Conn, tenant: str, data: views.ChangesBody, key: Key
+        self, request: ApiRequest, tenant: str, data: views.ChangesBody, key: IdempotencyKey
     ) -> Response[views.ChangedView]:
         """Several edits of one tenant, all or none."""
         caller = caller_of(request)
@@ -111,18 +113,24 @@
             if tenant not in catalog.tenants and not creates_tenant:
                 raise ChangeRefused("not-found", "", "there is no such tenant")
             edits = [_catalog_edit(catalog, edit, f"edits[{number}]") for number, edit in enumerate(data.edits)]
-            return PlannedChange(Change(tenant, tuple(edits)), lambda after: _changed_reply(after, len(edits)))
+            return PlannedChange(
+                Change(tenant, tuple(edits)), lambda new_catalog: _changed_reply(new_catalog, len(edits))
+            )
 
         return await calls.submit(request, tenant, plan)
 
 
-def _changed_reply(catalog: Catalog, edits: int) -> Reply:
-    view = views.ChangedView(views.stamp(catalog.epoch, catalog.version), edits)
-    return Reply(200, {"content-type": calls.JSON, "cache-control": "no-store"}, msgspec.json.encode(view))
+def _changed_reply(catalog: Catalog, edit_count: int) -> Reply:
+    view = views.ChangedView(views.format_version(catalog.epoch, catalog.version), edit_count)
+    return Reply(200, {"content-type": calls.JSON_MEDIA_TYPE, "cache-control": "no-store"}, msgspec.json.encode(view))
 
 
 def _catalog_edit(catalog: Catalog, edit: views.EditBody, path: str) -> Edit:
-    """Return one edit of several in the catalog's form; ChangeRefused names the field that does not fit."""
+    """Convert an edit of the request to the catalog's `Edit`.
+
+    Raises:
+        ChangeRefused: The value is invalid; the error has the path of the field, which begins with `path`.
+    """
     name = canonical_client_id(edit.name) if edit.kind is Kind.CLIENT else edit.name
     expect = _expected_version(catalog, edit.expect)
     if edit.value is None:
@@ -135,7 +143,7 @@
 
 
 def _expected_version(catalog: Catalog, expect: str | None) -> int | None:
-    """Return the version that an edit expects, in the form of `Edit.expect`."""
+    """Convert `EditBody.expect` to `Edit.expect`."""
     if expect is None:
         return None
     if expect == "none":
--- a/hallhitch/administration/api/views.py
+++ b/hallhitch/administration/api/views.py
@@ -1,4 +1,7 @@
-"""Bodies of requests and responses as JSON. Field names and class names are part of the OpenAPI description."""
+"""JSON bodies of requests and responses, and their construction from the catalog.
+
+The names of the classes and of their fields are part of the OpenAPI document.
+"""
 
 from __future__ import annotations
 
@@ -23,51 +26,51 @@
 )
 from hallhitch.catalog.rows import Row
 
-Name = Annotated[str, Meta(min_length=1, max_length=253)]
+EntryName = Annotated[str, Meta(min_length=1, max_length=253)]
 Sha256 = Annotated[str, Meta(pattern="^[0-9a-f]{64}$")]
 
 
 class CredentialBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A credential to issue: with `certificate` it is a client certificate's, otherwise a secret is made."""
+    """Credential to issue: for a client certificate if `certificate` is set, otherwise with a generated secret."""
 
     scope: Scope
     client: str | None = None
     expires: Moment | None = None  # Unix milliseconds
-    certificate: Sha256 | None = None  # of the certificate in DER form; operators only
+    certificate: Sha256 | None = None  # fingerprint of the certificate in DER form; operators only
 
 
 class CredentialPatch(Struct, frozen=True, forbid_unknown_fields=True):
-    """What can be changed of a credential that is issued."""
+    """Fields of an issued credential that can be changed."""
 
     expires: Moment | None = None
 
 
 class RotateBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """How long the secret before counts beside the new one."""
+    """Rotation of a secret: for how long the previous secret stays valid beside the new one."""
 
     overlap_seconds: Annotated[int, Meta(ge=0, le=30 * 86_400)] = 3_600
 
 
 class EditBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """One edit of several: put `value`, or with `value` null drop what is there.
+    """One edit of a change: create or replace the entry with `value`, or delete it if `value` is null.
 
-    `expect` is the version (as in an ETag, without quotes) that the thing must have, or "none" if it must not be there.
+    `expect` is the version (as in an ETag, without quotes) that the entry must have, or "none" if it must not exist.
     """
 
     kind: Kind
-    name: Name
+    name: EntryName
     value: dict[str, Any] | None = None
     expect: Annotated[str, Meta(pattern=r"^(none|[0-9]{1,15}\.[0-9]{1,15})$")] | None = None
 
 
 class ChangesBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """Edits of one tenant, made all or none."""
+    """Edits of one tenant, applied atomically."""
 
     edits: Annotated[list[EditBody], Meta(min_length=1, max_length=1000)]
 
 
 class Uses(Struct, frozen=True):
-    """What a tenant has, beside its limits."""
+    """How much a tenant uses of its limits; `rate` sums the plan rates of its enabled clients, in units per second."""
 
     clients: int
     plans: int
@@ -77,37 +80,37 @@
 
 
 class TenantView(Head, frozen=True, kw_only=True, forbid_unknown_fields=False):
-    """A tenant."""
+    """Tenant with its limits and how much it uses of them."""
 
     name: str
     version: str
-    part_version: str  # the last version that changed anything of the tenant's
+    part_version: str  # the last version that changed the tenant or any of its entries
     uses: Uses
 
 
 class PlanView(Plan, frozen=True, kw_only=True, forbid_unknown_fields=False):
-    """A plan."""
+    """Plan with its name and version."""
 
     name: str
     version: str
 
 
 class ClientView(Client, frozen=True, kw_only=True, forbid_unknown_fields=False):
-    """A client."""
+    """Client with its name and version."""
 
     name: str
     version: str
 
 
 class HostView(Host, frozen=True, kw_only=True, forbid_unknown_fields=False):
-    """A host name."""
+    """Host name and its version."""
 
     name: str
     version: str
 
 
 class CredentialView(Struct, frozen=True):
-    """A credential, without what it is checked against; `token` stands only in the answer that issues it."""
+    """Credential without its verifiers; `token` is set only in the response that issues or rotates it."""
 
     name: str
     version: str
@@ -115,47 +118,47 @@
     client: str | None
     expires: int | None
     certificate: str | None
-    overlap_until: int | None  # until when the secret before the newest counts
+    overlap_until: int | None  # when the previous secret becomes invalid, in Unix milliseconds
     token: str | None = None
 
 
 class TenantPage(Struct, frozen=True):
-    """Tenants by name; `next` goes into `after`."""
+    """Tenants by name; `next`, if not null, is the `after` parameter of the next page."""
 
     items: list[TenantView]
     next: str | None
 
 
 class PlanPage(Struct, frozen=True):
-    """Plans by name."""
+    """Plans in the order of their names."""
 
     items: list[PlanView]
     next: str | None
 
 
 class ClientPage(Struct, frozen=True):
-    """Clients by name."""
+    """Clients in the order of their names."""
 
     items: list[ClientView]
     next: str | None
 
 
 class HostPage(Struct, frozen=True):
-    """Host names by name."""
+    """Host names in alphabetical order."""
 
     items: list[HostView]
     next: str | None
 
 
 class CredentialPage(Struct, frozen=True):
-    """Credentials by id."""
+    """Credentials in the order of their ids."""
 
     items: list[CredentialView]
     next: str | None
 
 
 class AuditView(Struct, frozen=True):
-    """One call that was decided; `version` is null where it changed nothing."""
+    """Entry of the audit log; `version` is null if the call changed nothing."""
 
     id: int
     at: int
@@ -167,14 +170,14 @@
 
 
 class AuditPage(Struct, frozen=True):
-    """Calls, newest first."""
+    """Entries of the audit log, newest first."""
 
     items: list[AuditView]
     next: str | None
 
 
 class RowView(Struct, frozen=True):
-    """One thing that a version touched; `value` null where it went, and hidden for credentials."""
+    """Entry that a version changed; `value` is null if it was deleted, and empty for a credential."""
 
     tenant: str
     kind: Kind
@@ -183,7 +186,7 @@
 
 
 class VersionView(Struct, frozen=True):
-    """One version."""
+    """Version of the catalog, with the entries that it changed."""
 
     version: str
     at: int
@@ -193,27 +196,27 @@
 
 
 class ChangedView(Struct, frozen=True):
-    """What several edits made."""
+    """Result of a change: its version and the number of its edits."""
 
     version: str
     touched: int
 
 
 class StatusView(Struct, frozen=True):
-    """Where the catalogue stands."""
+    """Version of the catalog, and the number of tenants."""
 
     version: str
     tenants: int
 
 
-def stamp(epoch: int, version: int) -> str:
-    """Format a version: epoch and number."""
+def format_version(epoch: int, version: int) -> str:
+    """Format a version as its epoch and its number within the epoch."""
     return f"{epoch}.{version}"
 
 
-def view(catalog: Catalog, kind: Kind, name: str, entry: Versioned, token: str | None = None) -> Any:
-    """Return an entry's view."""
-    version = stamp(catalog.epoch, entry.version)
+def entry_view(catalog: Catalog, kind: Kind, name: str, entry: Versioned, token: str | None = None) -> Any:
+    """Return the view of an entry of any kind."""
+    version = format_version(catalog.epoch, entry.version)
     value = entry.value
     if kind is Kind.TENANT:
         return tenant_view(catalog, name, catalog.tenants[name])
@@ -224,22 +227,22 @@
 
 
 def tenant_view(catalog: Catalog, name: str, tenant: Tenant) -> TenantView:
-    """Return a tenant's view."""
+    """Return the view of a tenant."""
     head: Head = tenant.head.value
     uses = Uses(len(tenant.clients), len(tenant.plans), len(tenant.hosts), len(tenant.credentials), tenant.rate)
     return TenantView(
         head.on,
         head.limits,
         name=name,
-        version=stamp(catalog.epoch, tenant.head.version),
-        part_version=stamp(catalog.epoch, tenant.version),
+        version=format_version(catalog.epoch, tenant.head.version),
+        part_version=format_version(catalog.epoch, tenant.version),
         uses=uses,
     )
 
 
 def credential_view(name: str, version: str, credential: Credential, token: str | None = None) -> CredentialView:
-    """Return a credential's view, without its verifiers."""
-    overlaps = [verifier.until for verifier in credential.verifiers[1:] if verifier.until is not None]
+    """Return the view of a credential."""
+    overlap_ends = [verifier.until for verifier in credential.verifiers[1:] if verifier.until is not None]
     return CredentialView(
         name,
         version,
@@ -247,13 +250,13 @@
         credential.client,
         credential.expires,
         credential.certificate,
-        max(overlaps, default=None),
+        max(overlap_ends, default=None),
         token,
     )
 
 
-def rows_view(diff: Diff, tenant: str | None) -> list[RowView]:
-    """Return what a version touched, of one tenant or (None) of all."""
+def row_views(diff: Diff, tenant: str | None) -> list[RowView]:
+    """Return the entries that a version changed, of one tenant or of all (None)."""
     rows = [
         RowView(deleted, Kind.TENANT, deleted, None)
         for deleted in diff.reset
@@ -266,7 +269,7 @@
 
 
 def _visible_value(row: Row) -> dict[str, Any] | None:
-    """Return a row's value as plain values; None where it is deleted, nothing of a credential."""
+    """Return a row's value for JSON: None if the entry was deleted, an empty object for a credential."""
     if row.value is None:
         return None
     if row.kind is Kind.CREDENTIAL:
