--- a/hallhitch/lab/emulator/__init__.py
+++ b/hallhitch/lab/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""The emulator: the system's real processes on loopback, and emulated parties for everything that they talk to.
+"""Runs the system's real processes on loopback among emulated clients, backends, platform and operator.
 
-`emulator.Emulator` puts the parts together, `scenarios` has the faults by name, `rules` checks what the emulated
-parties recorded. Programs never import it.
+`emulator.Emulator` assembles the parts, `scenarios` lists the fault scenarios by name, and `rules` checks what the
+emulated parties recorded. The system's own programs must not import this package.
 """
--- a/hallhitch/lab/emulator/config_semantics.py
+++ b/hallhitch/lab/emulator/config_semantics.py
@@ -1,4 +1,4 @@
-"""What the operator's configurations permit, read from them as they were sent; which of them may be in force when.
+"""Derives from the configurations as sent what they permit, and which of them may be in force at a given time.
 
 Pure functions over records: no I/O, no clock.
 """
@@ -15,14 +15,14 @@
 
 
 class NamedRoute(NamedTuple):
-    """A route of a configuration."""
+    """A route of a configuration with its name."""
 
     name: str
     document: Any
 
 
 def find_route(config: Config, host: str, path: str) -> NamedRoute | None:
-    """Return the route that a request takes: of its host, the longest prefix that begins its path."""
+    """Return the route of a request: among those of its host, the one with the longest matching path prefix."""
     path = path.partition("?")[0]
     matching = [
         (len(route["pathPrefix"]), NamedRoute(name, route))
@@ -35,7 +35,7 @@
 
 
 def route_services(route: Any) -> frozenset[str]:
-    """Return the services to which a route may forward."""
+    """Return the services that a route may forward to."""
     split = route.get("trafficSplit")
     if split:
         return frozenset(part["targetService"] for part in split)
@@ -43,13 +43,13 @@
 
 
 def find_tenant(config: Config, api_key: str) -> str:
-    """Return the name of the tenant that holds a key, or ""."""
+    """Return the name of the tenant that owns a key, or ""."""
     tenants = config.get("tenants", {})
     return next((name for name, tenant in tenants.items() if api_key and api_key in tenant["apiKeys"]), "")
 
 
 def admits_request(config: Config, host: str, path: str, api_key: str) -> bool:
-    """Whether a request has a route, and the key that it needs."""
+    """Return whether a request has a route and the key that the route needs, if any."""
     route = find_route(config, host, path)
     if route is None:
         return False
@@ -58,7 +58,7 @@
 
 
 def permits_service(config: Config, host: str, path: str, api_key: str, service: str) -> bool:
-    """Whether a service may run a request."""
+    """Return whether a service may execute a request."""
     route = find_route(config, host, path)
     if route is None or not admits_request(config, host, path, api_key):
         return False
@@ -67,17 +67,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SentConfigs:
-    """The configurations of a run by version; `accepted` leaves out those that were rejected."""
+    """The configurations of a run, sorted by version; `accepted` excludes those that were rejected."""
 
     accepted: tuple[OperatorOperation, ...]
     all_sent: tuple[OperatorOperation, ...]
 
     def documents(self, before_ms: float = FOREVER_MS) -> list[Config]:
-        """Return all configurations that were sent by then, rejected ones among them."""
+        """Return all configurations that were sent up to a moment, including rejected ones."""
         return [operation.config for operation in self.all_sent if operation.sent_at_ms <= before_ms]
 
     def acknowledged_version(self, moment_ms: float) -> int:
-        """Return the highest version that was acknowledged by then, or -1."""
+        """Return the highest version that was acknowledged up to a moment, or -1."""
         return max(
             (
                 operation.version
@@ -90,17 +90,17 @@
     def possibly_in_force(
         self, sent_at_ms: float, handled_at_ms: float, bounds: CheckBounds
     ) -> list[OperatorOperation]:
-        """Return what may be in force for a request on a machine in contact, from its sending to its handling."""
-        least_version = self.acknowledged_version(sent_at_ms - bounds.config_apply_ms)
+        """Return the configurations that a machine in contact may apply to a request with these times."""
+        minimum_version = self.acknowledged_version(sent_at_ms - bounds.config_apply_ms)
         return [
             operation
             for operation in self.accepted
-            if operation.version >= least_version and operation.sent_at_ms <= handled_at_ms
+            if operation.version >= minimum_version and operation.sent_at_ms <= handled_at_ms
         ]
 
 
 def sent_configs(operations: Iterable[OperatorOperation]) -> SentConfigs:
-    """Return the configurations among an operator's operations."""
+    """Collect the configurations among an operator's operations."""
     all_sent = sorted(
         (operation for operation in operations if operation.kind == "config"),
         key=lambda operation: (operation.version, operation.sent_at_ms),
@@ -110,13 +110,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ContactHistory:
-    """Which machines were in contact when: neither they nor a coordinator had a fault in the window before."""
+    """When machines were in contact: neither they nor a coordinator had a fault during or in the window before."""
 
     fault_intervals: tuple[FaultInterval, ...]
     contact_window_ms: float
 
     def is_in_contact(self, machines: Sequence[str], since_ms: float, until_ms: float) -> bool:
-        """Whether all of these machines were in contact throughout."""
+        """Return whether all of these machines were in contact during the whole period."""
         return not any(
             (fault.target == "core" or fault.target in machines)
             and fault.begin_ms <= until_ms
--- a/hallhitch/lab/emulator/execution_rules.py
+++ b/hallhitch/lab/emulator/execution_rules.py
@@ -1,6 +1,6 @@
-"""Rules on single requests: executed once, sealed and complete, as sent, where a configuration permits it.
+"""Rules on single requests: execution at most once, integrity of request and response, permitted services and regions.
 
-Names and meanings of the rules are those of the operators' page.
+The operators' documentation defines the rules under the same names.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def check_duplicate_execution(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """TWICE: a non-idempotent request is executed once at most."""
+    """TWICE: a non-idempotent request is executed at most once."""
     non_idempotent = non_idempotent_ids(records)
     return [
         Violation("TWICE", f"{id} ran at {', '.join(arrival.instance for arrival in executions)}")
@@ -31,7 +31,7 @@
 
 
 def check_refused_execution(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """REFUSED: a non-idempotent request whose response promises that it was not executed was not."""
+    """REFUSED: a non-idempotent request is not executed if its response status promises that it was not."""
     non_idempotent, executions = non_idempotent_ids(records), executions_by_id(records)
     return [
         Violation(
@@ -44,12 +44,12 @@
 
 
 def check_response_integrity(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """MIXED: a success is what a backend responded to this request, complete."""
+    """MIXED: a successful response is the complete response of a backend to this very request."""
     violations, executions = [], executions_by_id(records)
     for attempt in records.attempts:
         if attempt.echoed_id and attempt.echoed_id != attempt.id:
             violations.append(
-                Violation("MIXED", f"{attempt.id} got an answer to {attempt.echoed_id} from {attempt.gateway}")
+                Violation("MIXED", f"{attempt.id} got a response to {attempt.echoed_id} from {attempt.gateway}")
             )
         elif 200 <= attempt.status < 300:
             defect = _response_defect(attempt, executions.get(attempt.id, []))
@@ -60,19 +60,19 @@
 
 
 def _response_defect(attempt: ClientAttempt, executions: list[BackendArrival]) -> str:
-    """Return what is wrong with a success, or ""."""
+    """Return what is wrong with a successful response, or ""."""
     if not attempt.seal:
         return "without a seal"
     sealed = [arrival for arrival in executions if arrival.seal == attempt.seal]
     if not sealed:
-        return "with a seal of no backend that ran it"
+        return "with a seal that no backend created for it"
     if not attempt.is_complete or attempt.response_digest != sealed[0].response_digest:
-        return "without the backend's whole body"
-    return "" if 200 <= sealed[0].status < 300 else f"where {sealed[0].instance} answered {sealed[0].status}"
+        return "without the complete body that the backend sent"
+    return "" if 200 <= sealed[0].status < 300 else f"but {sealed[0].instance} responded {sealed[0].status}"
 
 
 def check_request_integrity(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """UNASKED: what is executed was sent by a client, unchanged, under its tenant's name and without its key."""
+    """UNASKED: an executed request was sent by a client, arrives unchanged, names its tenant and omits its key."""
     violations, attempts = [], attempts_by_id(records)
     configs = sent_configs(records.operations).documents()
 
@@ -88,17 +88,17 @@
             continue
         attempt = attempts.get(arrival.id)
         if attempt is None:
-            id = arrival.id or "a request without id"
-            violations.append(Violation("UNASKED", f"{id} ran at {arrival.instance}: nobody sent it"))
+            id = arrival.id or "a request without an id"
+            violations.append(Violation("UNASKED", f"{id} ran at {arrival.instance}, but no client sent it"))
             continue
         if changed := _changed_parts(arrival, attempt):
-            detail = f"{arrival.id} ran at {arrival.instance} with another {', '.join(changed)}"
+            detail = f"{arrival.id} ran at {arrival.instance} with a different {', '.join(changed)}"
             violations.append(Violation("UNASKED", detail))
         if arrival.authorization:
-            detail = f"{arrival.id}: the key itself was passed to {arrival.instance}"
+            detail = f"{arrival.id}: the client's key was forwarded to {arrival.instance}"
             violations.append(Violation("UNASKED", detail))
         if arrival.tenant not in permitted_tenants(attempt.api_key, attempt.host, attempt.path):
-            detail = f"{arrival.id} ran for '{arrival.tenant}', who does not hold its key"
+            detail = f"{arrival.id} ran for tenant '{arrival.tenant}', which does not own its key"
             violations.append(Violation("UNASKED", detail))
     return violations
 
@@ -114,7 +114,7 @@
 
 
 def check_routes(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """ROUTE: a request is executed by a service, and with a key, that some configuration ever permitted."""
+    """ROUTE: a request is executed only by a service and with a key that some configuration of the run permits."""
     attempts, configs = attempts_by_id(records), sent_configs(records.operations).documents()
 
     @lru_cache(LOOKUP_CACHE_SIZE)
@@ -132,19 +132,19 @@
 
 
 def check_allowed_regions(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """HOME: a request reaches backends only in the regions of its route and its tenant."""
+    """HOME: a request reaches only backends in the regions that its route and its tenant allow."""
     attempts, configs = attempts_by_id(records), sent_configs(records.operations).documents()
 
     @lru_cache(LOOKUP_CACHE_SIZE)
     def is_allowed(host: str, path: str, api_key: str, region: str) -> bool:
-        verdicts = []
+        allowed_by_config = []
         for config in configs:
             route = find_route(config, host, path)
             if route is not None:
                 tenant = config.get("tenants", {}).get(find_tenant(config, api_key), {})
                 region_lists = (route.document.get("allowedRegions"), tenant.get("allowedRegions"))
-                verdicts.append(all(not regions or region in regions for regions in region_lists))
-        return not verdicts or any(verdicts)
+                allowed_by_config.append(all(not regions or region in regions for regions in region_lists))
+        return not allowed_by_config or any(allowed_by_config)
 
     violations = []
     for arrival in records.arrivals:
--- a/hallhitch/lab/emulator/load_rules.py
+++ b/hallhitch/lab/emulator/load_rules.py
@@ -1,6 +1,6 @@
-"""Rules on backends that leave or warm up, on evacuated zones, and on the amounts of requests.
+"""Rules on draining and cold backends, evacuated zones, quotas and the retry budget.
 
-Names and meanings of the rules are those of the operators' page.
+The operators' documentation defines the rules under the same names.
 """
 
 from __future__ import annotations
@@ -26,12 +26,15 @@
 )
 from hallhitch.lab.emulator.records import FOREVER_MS, BackendArrival, CheckBounds, Records, Violation
 
-MISDIRECTED: Final = 421  # the backend declined what was meant for another instance
-COLD_WINDOW_MS: Final = 1000.0  # a cold backend's rate is a second's
+MISDIRECTED: Final = 421  # the status of a backend that declines a request meant for another instance
+COLD_WINDOW_MS: Final = 1000.0  # a cold backend's rate limit is per second
 
 
 def check_drain(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """DRAIN: a request reaches no backend long after the list showed that it leaves; outages of the list excepted."""
+    """DRAIN: no request reaches a backend later than the drain timeout after the list shows it as draining or gone.
+
+    Outages of the list do not count toward the timeout.
+    """
     attempts = attempts_by_id(records)
     contact = ContactHistory(tuple(records.fault_intervals), bounds.contact_window_ms)
     listed_at_ms: dict[str, float] = {}
@@ -40,26 +43,28 @@
     list_outages = [fault for fault in records.fault_intervals if fault.target == "platform"]
     violations = []
     for arrival in records.arrivals:
-        leaves_at_ms = listed_at_ms.get(arrival.instance)
-        if leaves_at_ms is None or arrival.arrived_at_ms <= leaves_at_ms:
+        draining_since_ms = listed_at_ms.get(arrival.instance)
+        if draining_since_ms is None or arrival.arrived_at_ms <= draining_since_ms:
             continue
         if arrival.status == MISDIRECTED or arrival.id not in attempts:
             continue
         outage_ms = sum(
-            max(0.0, min(arrival.arrived_at_ms, outage.end_ms) - max(leaves_at_ms, outage.begin_ms))
+            max(0.0, min(arrival.arrived_at_ms, outage.end_ms) - max(draining_since_ms, outage.begin_ms))
             for outage in list_outages
         )
-        is_late = arrival.arrived_at_ms - leaves_at_ms - outage_ms > bounds.drain_timeout_ms
+        is_late = arrival.arrived_at_ms - draining_since_ms - outage_ms > bounds.drain_timeout_ms
         machines = (arrival.sender, attempts[arrival.id].gateway)
-        if is_late and contact.is_in_contact(machines, leaves_at_ms, arrival.arrived_at_ms):
-            after_ms = arrival.arrived_at_ms - leaves_at_ms
-            detail = f"{arrival.id} reached {arrival.instance} {after_ms:.0f} ms after it was shown leaving"
+        if is_late and contact.is_in_contact(machines, draining_since_ms, arrival.arrived_at_ms):
+            after_ms = arrival.arrived_at_ms - draining_since_ms
+            detail = (
+                f"{arrival.id} reached {arrival.instance} {after_ms:.0f} ms after it was listed as draining or gone"
+            )
             violations.append(Violation("DRAIN", detail))
     return violations
 
 
 def check_evacuation(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """EVAC: a request reaches no zone long after its evacuation was acknowledged."""
+    """EVAC: no request reaches a zone later than the bound after its evacuation was acknowledged."""
     contact = ContactHistory(tuple(records.fault_intervals), bounds.contact_window_ms)
     attempts = attempts_by_id(records)
     violations = []
@@ -84,13 +89,15 @@
             machines = (arrival.sender, attempt.gateway)
             if contact.is_in_contact(machines, attempt.sent_at_ms, arrival.arrived_at_ms):
                 after_ms = arrival.arrived_at_ms - start.acknowledged_at_ms
-                detail = f"{arrival.id} reached {arrival.instance} in {arrival.zone} {after_ms:.0f} ms after the word"
+                detail = (
+                    f"{arrival.id} reached {arrival.instance} in {arrival.zone} {after_ms:.0f} ms after the evacuation"
+                )
                 violations.append(Violation("EVAC", detail))
     return violations
 
 
 def check_cold_load(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """FAILBACK: a cold backend gets no more in a second than it bears."""
+    """FAILBACK: within a second, a cold backend gets no more requests than it can handle."""
     attempts, violations = attempts_by_id(records), []
     arrivals_by_instance: dict[str, list[BackendArrival]] = defaultdict(list)
     for arrival in records.arrivals:
@@ -106,13 +113,13 @@
         counts = count_in_sliding_windows(transits, COLD_WINDOW_MS)
         highest = max(counts, key=lambda count: count.requests, default=WindowCount(0.0, 0))
         if highest.requests > limit:
-            detail = f"{period.instance} got {highest.requests} in a second, {limit:g} at most"
+            detail = f"{period.instance} got {highest.requests} requests in a second, the limit is {limit:g} requests"
             violations.append(Violation("FAILBACK", detail))
     return violations
 
 
 class _QuotaLimits:
-    """The limits of tenants over time, as far as any configuration that may be in force grants them."""
+    """The limits of tenants over time: the highest that any configuration possibly in force grants."""
 
     def __init__(self, configs: SentConfigs, bounds: CheckBounds) -> None:
         self._configs = configs
@@ -132,7 +139,7 @@
         ]
 
     def limit(self, tenant_name: str, moment_ms: float) -> float:
-        """Return how many requests a tenant may run in the window that ends then."""
+        """Return how many requests of a tenant may be executed in the window that ends at this moment."""
         window_ms, highest = self._bounds.quota_window_ms, 0.0
         for operation, until_ms in zip(self._configs.accepted, self._in_force_until_ms, strict=True):
             tenant = operation.config.get("tenants", {}).get(tenant_name)
@@ -145,7 +152,7 @@
 
 
 def check_quota(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """QUOTA: in no window a tenant's executed requests are more than its limit permits."""
+    """QUOTA: a tenant's executed requests exceed its limit in no window."""
     attempts, violations = attempts_by_id(records), []
     limits = _QuotaLimits(sent_configs(records.operations), bounds)
     transits_by_tenant: dict[str, list[Transit]] = defaultdict(list)
@@ -161,34 +168,36 @@
         ]
         if exceeded:
             _, ends_at_ms, count, limit = max(exceeded)
-            detail = f"{tenant} ran {count} in the window to {ends_at_ms:.0f}, {limit:g} at most"
+            detail = (
+                f"{tenant} ran {count} requests in the window to {ends_at_ms:.0f} ms, the limit is {limit:g} requests"
+            )
             violations.append(Violation("QUOTA", detail))
     return violations
 
 
 def check_retry_budget(records: Records, bounds: CheckBounds) -> list[Violation]:
-    """BUDGET: in no window a service gets more retries and hedged requests than its requests permit."""
+    """BUDGET: in every window, the retries and hedged requests of a service stay within a ratio of its requests."""
     requests, retries = _requests_by_service(records), _retries_by_service(records)
     violations, window_ms = [], bounds.retry_window_ms
     for service, retried_at_ms in retries.items():
         sent_at_ms = requests[service]
-        for number, moment_ms in enumerate(retried_at_ms):
-            retry_count = number + 1 - bisect_left(retried_at_ms, moment_ms - window_ms)
-            request_count = max(  # a retry may belong to requests of up to a window before
+        for index, moment_ms in enumerate(retried_at_ms):
+            retry_count = index + 1 - bisect_left(retried_at_ms, moment_ms - window_ms)
+            request_count = max(  # a retry may belong to a request sent up to one window earlier
                 bisect_right(sent_at_ms, moment_ms - delay_ms)
                 - bisect_left(sent_at_ms, moment_ms - delay_ms - window_ms)
                 for delay_ms in (0.0, window_ms / 2, window_ms)
             )
             limit = bounds.retry_budget_ratio * request_count + bounds.retry_budget_slack
             if retry_count > limit:
-                detail = f"{service} got {retry_count} further arrivals in a window, {limit:g} at most"
+                detail = f"{service} got {retry_count} repeated arrivals in a window, the limit is {limit:g} arrivals"
                 violations.append(Violation("BUDGET", detail))
                 break
     return violations
 
 
 def _requests_by_service(records: Records) -> dict[str, list[float]]:
-    """Return when requests were sent that a service may get, in order."""
+    """Return, for each service, the sorted send times of the requests that may be routed to it."""
     configs = sent_configs(records.operations).documents()
 
     @lru_cache(LOOKUP_CACHE_SIZE)
@@ -204,7 +213,7 @@
 
 
 def _retries_by_service(records: Records) -> dict[str, list[float]]:
-    """Return when each service got a request that some backend had got before, in order."""
+    """Return, for each service, the sorted arrival times of requests that another arrival preceded."""
     retried_at_ms: dict[str, list[float]] = defaultdict(list)
     seen_ids: set[str] = set()
     for arrival in sorted(records.arrivals, key=lambda arrival: arrival.arrived_at_ms):
--- a/hallhitch/lab/emulator/record_index.py
+++ b/hallhitch/lab/emulator/record_index.py
@@ -1,4 +1,4 @@
-"""Look-ups over the records of a run that several rules need."""
+"""Indexes over the records of a run that several rules share."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from hallhitch.lab.emulator.config_semantics import NON_IDEMPOTENT, find_route, sent_configs
 from hallhitch.lab.emulator.records import BackendArrival, ClientAttempt, Records
 
-LOOKUP_CACHE_SIZE: Final = 4096  # entries: a run asks for the same paths and keys again and again
+LOOKUP_CACHE_SIZE: Final = 4096  # entries; a run repeats the same paths and keys many times
 
 
 def attempts_by_id(records: Records) -> dict[str, ClientAttempt]:
-    """Return all attempts by their ids."""
+    """Return all attempts by request id."""
     return {attempt.id: attempt for attempt in records.attempts}
 
 
 def executions_by_id(records: Records) -> dict[str, list[BackendArrival]]:
-    """Return the arrivals that a backend began to execute, by the ids of their requests."""
+    """Return the arrivals that a backend began to execute, by request id."""
     executions: dict[str, list[BackendArrival]] = defaultdict(list)
     for arrival in records.arrivals:
         if arrival.started_at_ms is not None:
@@ -28,7 +28,7 @@
 
 
 def non_idempotent_ids(records: Records) -> set[str]:
-    """Return the ids of requests that may run once at most: any configuration calls their route non-idempotent."""
+    """Return the ids of requests that must run at most once: some configuration marks their route as non-idempotent."""
     configs = sent_configs(records.operations).documents()
 
     @lru_cache(LOOKUP_CACHE_SIZE)
@@ -47,22 +47,22 @@
 
 
 class WindowCount(NamedTuple):
-    """How many requests were both sent and arrived in the window that ends at a moment."""
+    """The number of requests that were both sent and received in the window that ends at `ends_at_ms`."""
 
     ends_at_ms: float
     requests: int
 
 
 def count_in_sliding_windows(transits: list[Transit], window_ms: float) -> Iterator[WindowCount]:
-    """Yield a count for the window that ends with each arrival.
+    """Yield, for each arrival, the count of the window that ends with it.
 
-    Requests that were sent before the window are left out: on their way they may have been delayed into it.
+    Requests that were sent before the window are not counted: a delay on the way may have moved them into it.
     """
     transits = sorted(transits, key=lambda transit: transit.arrived_at_ms)
     first = 0
-    for number, (_, ends_at_ms) in enumerate(transits):
+    for index, (_, ends_at_ms) in enumerate(transits):
         begins_at_ms = ends_at_ms - window_ms
         while transits[first].arrived_at_ms < begins_at_ms:
             first += 1
-        count = sum(1 for transit in transits[first : number + 1] if transit.sent_at_ms >= begins_at_ms)
+        count = sum(1 for transit in transits[first : index + 1] if transit.sent_at_ms >= begins_at_ms)
         yield WindowCount(ends_at_ms, count)
--- a/hallhitch/lab/emulator/records.py
+++ b/hallhitch/lab/emulator/records.py
@@ -1,6 +1,6 @@
-"""What the emulated parties saw on their sockets, as plain records: all that the checker of the rules reads.
+"""Records of what the emulated parties saw on their sockets: the only input of the rules.
 
-Times are steady ms of the single process that holds the emulator, so that they compare. No I/O.
+All times are monotonic milliseconds of the one process that runs the emulator, so they are comparable. No I/O.
 """
 
 from __future__ import annotations
@@ -10,38 +10,38 @@
 from dataclasses import dataclass, field
 from typing import Any, Final, Literal
 
-Config = Mapping[str, Any]  # a configuration as the operator sends it
+Config = Mapping[str, Any]  # a configuration document as the operator sends it
 FOREVER_MS: Final = float("inf")
 
 
 @dataclass(slots=True)
 class ClientAttempt:
-    """One attempt of a client and what came of it; each attempt is a request of its own."""
+    """One attempt of a client and its outcome; each attempt has a request id of its own."""
 
     id: str
     sent_at_ms: float
     region: str
     zone: str
-    gateway: str  # the machine that the client connected to, by name
+    gateway: str  # name of the machine that the client connected to
     method: str
     host: str
-    path: str  # with its query
-    api_key: str  # "" = none
+    path: str  # including the query string
+    api_key: str  # "" if the request has none
     body_digest: int
-    deadline_ms: float  # from `sent_at_ms`
-    is_probe: bool = False  # sent to learn what is in force: earns nothing
+    deadline_ms: float  # relative to `sent_at_ms`
+    is_probe: bool = False  # sent to find out which configuration a gateway uses, not as part of the workload
     ended_at_ms: float | None = None
-    left_at_ms: float | None = None  # when its client closed the connection without waiting for the response
-    status: int = 0  # 0 = the connection closed, or nothing came
+    left_at_ms: float | None = None  # when the client closed the connection without waiting for the response
+    status: int = 0  # 0 if the connection closed or no response arrived
     seal: str = ""
-    echoed_id: str = ""  # that the response bore
+    echoed_id: str = ""  # the request id in the response
     response_digest: int = 0
     is_complete: bool = False
 
 
 @dataclass(slots=True)
 class BackendArrival:
-    """One request at a backend; `started_at_ms` stays None where the backend declined it."""
+    """One request at a backend; `started_at_ms` stays None if the backend declined it."""
 
     number: int
     id: str
@@ -50,24 +50,24 @@
     service: str
     zone: str
     region: str
-    sender: str  # the process that forwarded it, by name
+    sender: str  # name of the process that forwarded it
     method: str
     path: str
     tenant: str
-    authorization: str  # a header that must not get here
+    authorization: str  # a header that a gateway must not forward
     body_digest: int
     started_at_ms: float | None = None
-    planned_end_ms: float | None = None  # when its execution ends if nobody stops it
-    stopped_at_ms: float | None = None  # when its execution ended
-    status: int = 0  # of its response; 0 = none was sent
+    planned_end_ms: float | None = None  # when the execution ends unless it is cancelled
+    stopped_at_ms: float | None = None  # when the execution ended or was cancelled
+    status: int = 0  # of the response; 0 if none was sent
     seal: str = ""
     response_digest: int = 0
-    is_broken_off: bool = False  # the backend itself broke off, or sent what is no response
+    is_broken_off: bool = False  # the backend sent no response, an incomplete or an invalid one
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorOperation:
-    """One write of the operator; `acknowledged_at_ms` is None where it never was."""
+    """One write of the operator; `acknowledged_at_ms` is None if it was not acknowledged."""
 
     sent_at_ms: float
     kind: Literal["config", "evacuate", "return"]
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigRead:
-    """A configuration that the operator read; None = no response."""
+    """The configuration that the operator read, or None if there was no response."""
 
     read_at_ms: float
     config: Config | None
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListingChange:
-    """From when the platform's list shows an instance as draining or gone."""
+    """The moment from which the platform's instance list shows an instance as draining or gone."""
 
     listed_at_ms: float
     instance: str
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdPeriod:
-    """A backend was cold, and bears so many requests a second meanwhile."""
+    """A period in which a backend was cold and could handle `rate_per_s` requests per second."""
 
     begin_ms: float
     end_ms: float
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultInterval:
-    """A fault of a machine by name, of any coordinator ("core"), or of the platform's list ("platform")."""
+    """A fault of a machine (by name), of any coordinator ("core") or of the platform's instance list ("platform")."""
 
     begin_ms: float
     end_ms: float
@@ -125,13 +125,13 @@
     listing_changes: list[ListingChange] = field(default_factory=list)
     cold_periods: list[ColdPeriod] = field(default_factory=list)
     fault_intervals: list[FaultInterval] = field(default_factory=list)
-    process_starts: list[tuple[float, str]] = field(default_factory=list)  # (when, machine)
+    process_starts: list[tuple[float, str]] = field(default_factory=list)  # (time in ms, machine name)
     arrival_numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
 
 @dataclass(frozen=True, slots=True)
 class CheckBounds:
-    """The bounds of the rules; names are those of the settings."""
+    """The bounds of the rules, named after the settings that they correspond to."""
 
     contact_window_ms: float = 5000.0
     drain_timeout_ms: float = 3000.0
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that did not hold, and what shows it."""
+    """A violation of a rule, with the evidence for it."""
 
     rule: str
     detail: str
--- a/hallhitch/lab/emulator/rules.py
+++ b/hallhitch/lab/emulator/rules.py
@@ -1,8 +1,8 @@
-"""The checker of the rules: it reads the records of the emulated parties, and knows nothing of the system's insides.
+"""Black-box checks of a run: each rule reads only the records of the emulated parties, not the system's internal state.
 
-Each rule is a pure function from records and bounds to violations; it reads no clock and no socket. Where the
-operators' page gives a rule more room than records can show, the rule here gives at least as much; what is left out is
-named in docs/operate/own-world.md.
+Each rule is a pure function from records and bounds to violations; it reads no clock and no socket. Where records
+cannot show whether an exception that the operators' documentation grants applies, the rule here is the more lenient
+one. docs/operate/own-world.md lists what is not checked.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 Rule = Callable[[Records, CheckBounds], list[Violation]]
 
-# The names are those of the operators' page.
+# The operators' documentation uses the same names.
 RULES: Final[dict[str, Rule]] = {
     "TWICE": check_duplicate_execution,
     "REFUSED": check_refused_execution,
@@ -50,5 +50,5 @@
 
 
 def check_records(records: Records, bounds: CheckBounds) -> dict[str, list[Violation]]:
-    """Return the violations of each rule; a rule that holds has an empty list."""
+    """Return the violations of each rule; the list is empty for a rule that holds."""
     return {name: rule(records, bounds) for name, rule in RULES.items()}
