--- a/hallhitch/lab/emulator/emulator.py
+++ b/hallhitch/lab/emulator/emulator.py
@@ -1,7 +1,7 @@
-"""The emulator of the whole system: backends, the platform, the operator, clients, and the real processes between.
+"""Emulator of the whole system: emulated backends, platform, operator and clients around the system's real processes.
 
-It starts everything, waits for conditions, injects faults, and ends what it started. It judges nothing: `rules` reads
-`records` afterwards.
+It starts everything, waits for conditions, injects faults, and stops what it started. It does not check results:
+`rules` evaluates `records` after the run.
 """
 
 from __future__ import annotations
@@ -43,25 +43,25 @@
 from hallhitch.messages.addressing import split_address
 from hallhitch.node.clock import now
 
-POLL_INTERVAL_S: Final = 0.05  # of conditions
-PROBE_INTERVAL_S: Final = 0.3  # of conditions that send requests
-CONDITION_TIMEOUT_S: Final = 60.0  # far above what a start takes on a busy machine
+POLL_INTERVAL_S: Final = 0.05  # between two evaluations of a condition
+PROBE_INTERVAL_S: Final = 0.3  # between two evaluations of a condition that sends requests
+CONDITION_TIMEOUT_S: Final = 60.0  # far longer than a start takes on a busy machine
 READINESS_TIMEOUT_S: Final = 1.0
 READINESS_INTERVAL_S: Final = 1.0
-FIRST_BACKEND_HOST: Final = 150  # last number of its address
+FIRST_BACKEND_HOST: Final = 150  # last octet of its address
 HOSTS_PER_NETWORK: Final = 250
-LISTING_LAG_RATIO: Final = 0.6  # of the lag that the settings promise
+LISTING_LAG_RATIO: Final = 0.6  # of the maximum lag in the settings
 CLIENTS_PER_ZONE: Final = 3
-CLIENT_WITHOUT_KEEP_ALIVE: Final = 1  # of the clients of a zone, by number
-CLIENT_WITH_LONG_TTL: Final = 2
-LONG_TTL_FACTOR: Final = 3.0
+CLIENT_WITHOUT_KEEP_ALIVE: Final = 1  # index among the clients of a zone
+CLIENT_WITH_LONG_TTL: Final = 2  # index among the clients of a zone
+LONG_TTL_FACTOR: Final = 3.0  # such a client uses answers of the directory beyond their TTL
 
 
 class Emulator:
-    """The whole system with all that it talks to; an async context manager.
+    """The whole system and its environment, as an async context manager.
 
-    `directory` keeps settings, logs and disks (a temporary one if None). `is_relayed`: relays stand between the
-    system's processes, so that their links too are delayed and can be cut.
+    `directory` holds settings, logs and data directories; None selects a temporary one. If `is_relayed`, connections
+    between the system's processes go through relays, which can delay and cut these links as well.
     """
 
     def __init__(self, spec: EmulatorSpec, directory: Path | None = None, is_relayed: bool = False) -> None:
@@ -103,7 +103,7 @@
         )
         self.client_environment = self._create_client_environment()
         self.clients = self._create_clients(streams)
-        self.last_readiness: dict[str, bool] = {}  # by gateway
+        self.last_readiness: dict[str, bool] = {}  # by gateway name
         self._started_backends = 0
         self._platform_down_since_ms: float | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -139,7 +139,7 @@
         ]
 
     def _directory_addresses(self, region: str) -> list[Address]:
-        """Return the addresses of directories, those of this region first."""
+        """Return the addresses of all directories, those in this region first."""
         directories = self.processes.with_service("directory")
         nearest_first = sorted(directories, key=lambda machine: machine.region != region)
         return [(machine.host, self.base_port + DIRECTORY_OFFSET) for machine in nearest_first]
@@ -148,10 +148,10 @@
         return [(machine.host, self.base_port + OPERATOR_OFFSET) for machine in machines]
 
     def operator_for(self, machines: Sequence[Machine]) -> EmulatedOperator:
-        """Return another operator, who knows of these coordinators alone."""
+        """Return another operator that knows only these coordinators."""
         return EmulatedOperator(self.records, lambda: self._operator_addresses(machines), next(self._operator_streams))
 
-    # --- Start and end.
+    # --- Start and stop.
 
     async def __aenter__(self) -> Emulator:
         try:
@@ -176,18 +176,18 @@
             self._temporary.cleanup()
 
     async def start(self) -> None:
-        """Start backends and the platform, then the system's processes."""
+        """Start backends, platform and relays, then the system's processes."""
         zone_numbers = self.spec.zone_numbers()
         for backend_spec, count in self.spec.backends:
-            for number in range(count):
-                region, zone = zone_numbers[number % len(zone_numbers)]
+            for index in range(count):
+                region, zone = zone_numbers[index % len(zone_numbers)]
                 await self.start_backend(backend_spec.service, region, zone)
         await self.platform.start()
         await self.relays.start()
         await self.processes.start_all()
 
     async def start_backend(self, service: str, region: int, zone: int, is_cold: bool = False) -> None:
-        """Start one more backend of a service in a zone."""
+        """Start another backend of a service in a zone, given by its region's number and its own."""
         backend_spec = next(spec for spec, _ in self.spec.backends if spec.service == service)
         self._started_backends += 1
         network, host = divmod(FIRST_BACKEND_HOST + self._started_backends, HOSTS_PER_NETWORK)
@@ -200,7 +200,7 @@
         )
 
     async def start_successor(self, old: Machine) -> Machine:
-        """Start an empty machine that is to take the place of another."""
+        """Start a machine without data that replaces another."""
         successor = self.processes.add_successor(old)
         self._process_numbers[successor.name] = successor.number
         self._machine_region_numbers[successor.name] = self._machine_region_numbers[old.name]
@@ -213,11 +213,11 @@
     # --- Conditions.
 
     async def wait_until_configured(self, version: int = 1) -> None:
-        """Send the first configuration and wait until it is accepted and all gateways are ready.
+        """Send the first configuration and wait until it is acknowledged and all gateways are ready.
 
         Raises:
-            ProcessExitedError: A process ended by itself meanwhile.
-            ConditionTimeout: It did not come about.
+            ProcessExitedError: A process exited unexpectedly while waiting.
+            ConditionTimeout: The configuration was not acknowledged, or the gateways were not ready in time.
         """
         configuring = asyncio.ensure_future(self._configure(version))
         exiting = asyncio.ensure_future(self.processes.unexpected_exit.wait())
@@ -234,12 +234,14 @@
         config = config_document(self.spec, version)
         operation = await self.operator.replace_config(config, CONDITION_TIMEOUT_S * 1000)
         if operation.acknowledged_at_ms is None:
-            raise ConditionTimeout(f"no configuration was taken: status {operation.status}", self.directory)
+            raise ConditionTimeout(
+                f"the first configuration was not acknowledged: status {operation.status}", self.directory
+            )
         await self.wait_until_ready()
 
     async def wait_until_ready(self) -> None:
-        """Wait until all gateways that run report that they are ready."""
-        await self.wait_until(self._are_all_ready, "gateways are ready")
+        """Wait until all running gateways report that they are ready."""
+        await self.wait_until(self._are_all_ready, "all running gateways are ready")
 
     async def _are_all_ready(self) -> bool:
         gateways = self.processes.with_role("gateway")
@@ -247,7 +249,7 @@
         return all(await asyncio.gather(*(self.is_ready(machine) for machine in running)))
 
     async def wait_until_serving(self) -> None:
-        """Wait until every gateway serves every tenant: what a start has to wait out is over."""
+        """Wait until every gateway serves every tenant, so that all waiting periods after a start have passed."""
         requests = [
             self.spec.request_kinds[0].make_request(number, self.spec.api_keys(tenant)[0])
             for number, tenant in enumerate(self.spec.tenants)
@@ -267,7 +269,7 @@
         await self.wait_until(are_all_served, "every gateway serves every tenant", poll_interval_s=PROBE_INTERVAL_S)
 
     async def is_ready(self, machine: Machine) -> bool:
-        """Whether a gateway's readiness address reports that it is ready."""
+        """Return whether a gateway's readiness endpoint reports that it is ready."""
         with contextlib.suppress(OSError, EOFError, TimeoutError, ValueError):
             async with asyncio.timeout(READINESS_TIMEOUT_S):
                 address = (machine.host, self.base_port + READINESS_OFFSET)
@@ -284,19 +286,19 @@
         """Poll until a condition is true.
 
         Raises:
-            ConditionTimeout: It never was.
+            ConditionTimeout: The condition did not become true in time.
         """
         try:
             async with asyncio.timeout(timeout_s):
                 while not await condition():  # noqa: ASYNC110  polls another process
                     await asyncio.sleep(poll_interval_s)
         except TimeoutError:
-            raise ConditionTimeout(f"waited in vain until {description}", self.directory) from None
+            raise ConditionTimeout(f"timed out waiting until {description}", self.directory) from None
 
-    # --- Faults and observation while it runs.
+    # --- Faults and observation during a run.
 
     async def partition(self, targets: Sequence[Machine], peers: Sequence[Machine | str], duration_s: float) -> None:
-        """Cut these machines off from peers (none: from all) for some seconds."""
+        """Cut the links between targets and peers for some seconds; without peers, all links of the targets."""
         begin_ms = now()
         number = self.network.begin_fault(
             "cut",
@@ -310,7 +312,7 @@
             self.processes.record_fault(machine, "cut", begin_ms, now())
 
     def set_platform_state(self, state: PlatformState) -> None:
-        """Change how the platform's list treats calls, and record the fault that ends with it."""
+        """Change how the platform's instance list handles calls, and record the outage that this change ends."""
         if self._platform_down_since_ms is not None:
             fault = FaultInterval(self._platform_down_since_ms, now(), "platform", self.platform.state)
             self.records.fault_intervals.append(fault)
@@ -318,13 +320,13 @@
         self._platform_down_since_ms = None if state is PlatformState.UP else now()
 
     def spawn(self, work: Awaitable[None]) -> None:
-        """Run something in the background until it or the emulator ends."""
+        """Run a task in the background until it completes or the emulator stops."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def watch_readiness(self) -> None:
-        """Check each gateway's readiness again and again, as the platform does."""
+        """Poll the readiness of all gateways at an interval, as the platform does."""
         while True:
             for machine in self.processes.with_role("gateway"):
                 self.last_readiness[machine.name] = await self.is_ready(machine)
@@ -332,7 +334,7 @@
 
 
 async def http_get_status(address: Address | str, target: str) -> int:
-    """Send one GET on a connection of its own and return the status."""
+    """Send one GET request on a new connection and return the status."""
     host, port = split_address(address) if isinstance(address, str) else address
     reader, writer = await asyncio.open_connection(host, port)
     try:
--- a/hallhitch/lab/emulator/node_file.py
+++ b/hallhitch/lab/emulator/node_file.py
@@ -1,4 +1,4 @@
-"""Machines of an emulator and their settings files."""
+"""The machines of an emulator and the text of their settings files."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from hallhitch.lab.emulator.spec import EmulatorSpec
 
-# For each service of a machine: names of listening addresses in the settings, and their ports.
+# For each service of a machine: the settings names of its listening addresses and their port offsets.
 LISTENERS: Final = {
     "edge": (("frontend", FRONTEND_OFFSET), ("readiness", READINESS_OFFSET)),
     "control_plane": (("controlPlane", OPERATOR_OFFSET),),
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Machine:
-    """One machine with its one process."""
+    """One machine and its process."""
 
     name: str
     role: str  # gateway or coordinator
@@ -42,37 +42,37 @@
     directory: Path
     process: asyncio.subprocess.Process | None = None
     was_started: bool = False
-    is_initial: bool = True  # there when the whole system starts for the first time
+    is_initial: bool = True  # part of the system at its first start, as opposed to a successor
     is_paused: bool = False
-    down_since_ms: float | None = None  # by a fault that was injected
+    down_since_ms: float | None = None  # since an injected fault
     unexpected_exit_codes: list[int] = field(default_factory=list)
     is_end_requested: bool = False
-    watcher: asyncio.Task[None] | None = None  # restarts the process where it ends by itself
+    watcher: asyncio.Task[None] | None = None  # restarts the process after an unexpected exit
 
     @property
     def data_directory(self) -> Path:
-        """Its disk."""
+        """The data directory, which stands for the machine's disk."""
         return self.directory / "data"
 
     @property
     def log_file(self) -> Path:
-        """The output of its process."""
+        """The file that receives stdout and stderr of the process."""
         return self.directory / "log"
 
     @property
     def is_running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     def last_lines(self, count: int) -> list[str]:
-        """Return the end of its log."""
+        """Return the last lines of the log."""
         if not self.log_file.exists():
             return []
         return self.log_file.read_text(errors="replace").splitlines()[-count:]
 
 
 def listen_addresses(machine: Machine, base_port: int) -> dict[str, str]:
-    """Return a machine's listening addresses, as the settings file has them."""
+    """Return the listening addresses of a machine by their names in the settings file."""
     return {
         name: f"{machine.host}:{base_port + offset}"
         for service in machine.serves
@@ -83,7 +83,7 @@
 def node_file_text(
     spec: EmulatorSpec, machine: Machine, base_port: int, seeds: Sequence[str], is_first_start: bool, platform: Address
 ) -> str:
-    """Return the text of a machine's settings file."""
+    """Return the content of a machine's settings file."""
     is_gateway = machine.role == "gateway"
     top_level: dict[str, Any] = {
         "nodeName": machine.name,
--- a/hallhitch/lab/emulator/ports.py
+++ b/hallhitch/lab/emulator/ports.py
@@ -1,4 +1,4 @@
-"""The block of ports of one emulator, as offsets from its first port."""
+"""The block of ports that one emulator uses, as offsets from its first port."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import socket
 from typing import Final
 
-INTERNAL_OFFSET: Final = 0  # the first of the range that a node may use for calls between processes
+INTERNAL_OFFSET: Final = 0  # start of the range that a node may use for calls between processes
 INTERNAL_PORT_COUNT: Final = 8
 OPERATOR_OFFSET: Final = 8
 DIRECTORY_OFFSET: Final = 9
@@ -16,12 +16,12 @@
 BACKEND_OFFSET: Final = 13
 PORTS_PER_EMULATOR: Final = 16
 FIRST_PORT: Final = 12_000
-LAST_PORT: Final = 31_000  # below the range from which Linux gives ports to clients
-PID_STRIDE: Final = 7  # blocks of processes that start one after the other lie apart
+LAST_PORT: Final = 31_000  # below the range of ephemeral ports on Linux
+PID_STRIDE: Final = 7  # keeps the blocks of processes with consecutive pids apart
 
 
 def reserve_ports() -> tuple[int, socket.socket]:
-    """Return the first port of a free block, and the socket that holds it for as long as the emulator is there.
+    """Return the first port of a free block and a socket bound to it, which reserves the block until it is closed.
 
     Raises:
         OSError: No block is free.
@@ -32,7 +32,7 @@
         reservation = socket.socket()
         try:
             reservation.bind(("127.0.0.1", base_port))
-            return base_port, reservation  # noqa: TRY300  the common case reads first
+            return base_port, reservation  # noqa: TRY300  the usual case is read first
         except OSError:
             reservation.close()
-    raise OSError("no free block of ports")
+    raise OSError("no block of ports is free for another emulator")
--- a/hallhitch/lab/emulator/process_rig.py
+++ b/hallhitch/lab/emulator/process_rig.py
@@ -1,7 +1,7 @@
-"""The system's programs as real processes on loopback: their settings files, starts, ends and faults.
+"""Runs the system's programs as real processes on loopback: settings files, starts, stops and faults.
 
-A machine has a host, a settings file and, where it has a disk, a data directory, all of which outlive its process. The
-rig ends nothing but what it started.
+A machine has a host, a settings file and, if its role keeps data, a data directory, all of which outlive its process.
+The rig stops only processes that it started.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 ROOT: Final = Path(__file__).parents[3]
 RELAYED_PROGRAM: Final = "hallhitch.lab.emulator.relayed_program"
 DEPLOY_FILE: Final = ROOT / "deploy" / "system.toml"
-RESTART_DELAY_S: Final = 0.3  # after a process ended by itself
-MAX_RESTARTS: Final = 3  # of a process that ends by itself: beyond it, it ends at every start
-KILL_TIMEOUT_S: Final = 10.0  # for a killed process to be gone
+RESTART_DELAY_S: Final = 0.3  # from an unexpected exit until the restart
+MAX_RESTARTS: Final = 3  # after unexpected exits; a process that exceeds this fails at every start
+KILL_TIMEOUT_S: Final = 10.0  # for a killed process to exit
 INHERITED_VARIABLES: Final = ("PATH", "HOME", "LANG", "VIRTUAL_ENV")
 MAX_SEEDS: Final = 3
-FIRST_COORDINATOR_HOST: Final = 101  # last number of its address
+FIRST_COORDINATOR_HOST: Final = 101  # last octet of its address
 FIRST_GATEWAY_HOST: Final = 1
-FIRST_SUCCESSOR_HOST: Final = 120  # beyond all other machines but backends
+FIRST_SUCCESSOR_HOST: Final = 120  # above all other machines except backends
 
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """A role of the deploy file: the program's module, its class of machines, the services that it has."""
+    """A role of the deploy file: the module of its program, its class of machines and the services that it provides."""
 
     module: str
     machine_class: str
@@ -47,14 +47,14 @@
 
 
 def read_roles(path: Path = DEPLOY_FILE) -> dict[str, Role]:
-    """Return the roles as they are deployed, by name."""
+    """Read the roles of the deploy file, by name."""
     with open(path, "rb") as file:
         tables = tomllib.load(file)["roles"]
     return {name: Role(table["run"].split()[-1], table["on"], tuple(table["serves"])) for name, table in tables.items()}
 
 
 class ProcessRig:
-    """All machines of an emulator and their processes. `is_relayed`: relays stand between the processes."""
+    """All machines of an emulator and their processes, which connect over relays if `is_relayed`."""
 
     def __init__(
         self,
@@ -85,18 +85,18 @@
         zone_numbers = spec.zone_numbers()
         for number in range(spec.coordinators):
             location = zone_numbers[number % len(zone_numbers)]
-            self._add_initial("coordinator", f"core-{number + 1}", location, FIRST_COORDINATOR_HOST + number)
+            self._add_initial_machine("coordinator", f"core-{number + 1}", location, FIRST_COORDINATOR_HOST + number)
         for region, zone in zone_numbers:
             for number in range(spec.gateways_per_zone):
                 name = f"edge-{region}{zone}{number + 1}"
-                self._add_initial("gateway", name, (region, zone), FIRST_GATEWAY_HOST + number)
+                self._add_initial_machine("gateway", name, (region, zone), FIRST_GATEWAY_HOST + number)
 
-    def _add_initial(self, role: str, name: str, location: tuple[int, int], host_number: int) -> None:
+    def _add_initial_machine(self, role: str, name: str, location: tuple[int, int], host_number: int) -> None:
         region, zone = location
         host = f"127.{region}.{zone}.{host_number}"
-        self._add(role, name, host, self.spec.zone_name(region, zone), self.spec.region_name(region))
+        self._add_machine(role, name, host, self.spec.zone_name(region, zone), self.spec.region_name(region))
 
-    def _add(self, role: str, name: str, host: str, zone: str, region: str) -> Machine:
+    def _add_machine(self, role: str, name: str, host: str, zone: str, region: str) -> Machine:
         self._machine_count += 1
         machine = Machine(
             name,
@@ -112,15 +112,15 @@
         return machine
 
     def add_successor(self, old: Machine) -> Machine:
-        """Add an empty machine with the role and zone of another, at a host of its own, without starting it."""
-        network, kind = old.host.rpartition(".")[0], old.name.partition("-")[0]
+        """Add a machine without data, with the role and zone of another and a new host, without starting it."""
+        network, name_prefix = old.host.rpartition(".")[0], old.name.partition("-")[0]
         host = f"{network}.{FIRST_SUCCESSOR_HOST + self._machine_count}"
-        machine = self._add(old.role, f"{kind}-{self._machine_count + 1}", host, old.zone, old.region)
+        machine = self._add_machine(old.role, f"{name_prefix}-{self._machine_count + 1}", host, old.zone, old.region)
         machine.is_initial = False
         return machine
 
     def with_role(self, role: str) -> list[Machine]:
-        """Return all machines of a role."""
+        """Return all machines with a role."""
         return [machine for machine in self.machines.values() if machine.role == role]
 
     def with_service(self, service: str) -> list[Machine]:
@@ -128,7 +128,7 @@
         return [machine for machine in self.machines.values() if service in machine.serves]
 
     def process_names(self) -> dict[int, str]:
-        """Return the names of the machines whose processes run, by pid."""
+        """Return the names of the machines with a running process, by pid."""
         return {
             machine.process.pid: machine.name
             for machine in self.machines.values()
@@ -136,7 +136,7 @@
         }
 
     def seed_addresses(self) -> list[str]:
-        """Return the seeds that are written into settings files."""
+        """Return the addresses of the seed nodes for the settings files."""
         seeds = self.with_service("control_plane")[:MAX_SEEDS]
         return [listen_addresses(machine, self.base_port)["controlPlane"] for machine in seeds]
 
@@ -155,7 +155,7 @@
         return path
 
     async def start(self, machine: Machine) -> None:
-        """Start a machine's process, with the settings of this moment."""
+        """Write a machine's settings file and start its process."""
         path = self.write_node_file(machine, machine.is_initial and not machine.was_started)
         environment = {name: os.environ[name] for name in INHERITED_VARIABLES if name in os.environ}
         arguments = [self.roles[machine.role].module]
@@ -182,7 +182,7 @@
         machine.watcher = asyncio.get_running_loop().create_task(self._watch(machine, process))
 
     async def _watch(self, machine: Machine, process: asyncio.subprocess.Process) -> None:
-        """Restart a process that ends by itself, unless it does at every start."""
+        """Restart a process that exits unexpectedly, up to `MAX_RESTARTS` times."""
         exit_code = await process.wait()
         if not machine.is_end_requested:
             machine.unexpected_exit_codes.append(exit_code)
@@ -192,43 +192,43 @@
                 await self.start(machine)
 
     def describe_unexpected_exits(self) -> list[str]:
-        """Return which processes ended by themselves, with their exit codes and the last lines of their logs."""
+        """Describe each process that exited unexpectedly, with its exit codes and the last line of its log."""
         descriptions = []
         for machine in (*self.machines.values(), *self.removed):
             if machine.unexpected_exit_codes:
                 exit_codes = ", ".join(map(str, machine.unexpected_exit_codes))
-                last_line = (machine.last_lines(1) or ["no log"])[0]
-                descriptions.append(f"{machine.name} ended by itself ({exit_codes}): {last_line}")
+                last_line = (machine.last_lines(1) or ["empty log"])[0]
+                descriptions.append(f"{machine.name} exited unexpectedly (exit code {exit_codes}): {last_line}")
         return descriptions
 
     async def start_all(self) -> None:
-        """Start all machines that do not run."""
+        """Start all machines that are not running."""
         await asyncio.gather(*(self.start(machine) for machine in self.machines.values() if not machine.is_running))
 
     # --- Faults.
 
     def record_fault(self, machine: Machine, fault: str, begin_ms: float, end_ms: float) -> None:
-        """Record a fault of a machine."""
+        """Record a fault of a machine, for coordinators also under the target "core"."""
         targets = ("core", machine.name) if machine.role == "coordinator" else (machine.name,)
         self._records.fault_intervals += [FaultInterval(begin_ms, end_ms, target, fault) for target in targets]
 
     def _record_recovery(self, machine: Machine, fault: str) -> None:
-        """Record the fault of a machine that is down until now."""
+        """Record the fault of a machine that was down until now."""
         if machine.down_since_ms is not None:
             self.record_fault(machine, fault, machine.down_since_ms, now())
             machine.down_since_ms = None
 
     async def kill(self, machine: Machine, wipes_disk: bool = False) -> None:
-        """Kill a process, which stays down until `restart`, and wipe its disk where told to."""
-        await self._end(machine, signal.SIGKILL)
+        """Kill a process, which stays down until `restart`, and delete its data directory if `wipes_disk`."""
+        await self._stop(machine, signal.SIGKILL)
         if wipes_disk:
             shutil.rmtree(machine.data_directory, ignore_errors=True)
 
     async def terminate(self, machine: Machine, timeout_ms: float | None = None) -> int:
-        """Send SIGTERM, kill the process after a time-out (None: the grace period), and return its exit code."""
-        return await self._end(machine, signal.SIGTERM, timeout_ms)
+        """Send SIGTERM, kill the process after a timeout (None: the grace period), and return its exit code."""
+        return await self._stop(machine, signal.SIGTERM, timeout_ms)
 
-    async def _end(self, machine: Machine, signal_number: signal.Signals, timeout_ms: float | None = None) -> int:
+    async def _stop(self, machine: Machine, signal_number: signal.Signals, timeout_ms: float | None = None) -> int:
         process = machine.process
         if process is None or process.returncode is not None:
             return 0
@@ -243,12 +243,12 @@
             return await process.wait()
 
     async def restart(self, machine: Machine, fault: str = "down") -> None:
-        """Start a process again that was ended by `kill` or `terminate`."""
+        """Start a process again after `kill` or `terminate`, and record the fault."""
         await self.start(machine)
         self._record_recovery(machine, fault)
 
     async def remove(self, machine: Machine) -> int:
-        """Terminate a process for good, with its machine and its disk; return its exit code."""
+        """Terminate a process, remove its machine and data directory for good, and return the exit code."""
         exit_code = await self.terminate(machine)
         self._record_recovery(machine, "removed")
         shutil.rmtree(machine.data_directory, ignore_errors=True)
@@ -256,26 +256,26 @@
         return exit_code
 
     def pause(self, machine: Machine) -> None:
-        """Pause a process: to the others it is as if it were cut off."""
+        """Pause a process with SIGSTOP, so that it stops responding while its connections stay open."""
         if machine.process is not None and machine.is_running:
             machine.is_paused, machine.down_since_ms = True, now()
             machine.process.send_signal(signal.SIGSTOP)
 
     def resume(self, machine: Machine) -> None:
-        """Resume a paused process."""
+        """Resume a paused process and record the fault."""
         if machine.process is not None and machine.is_running and machine.is_paused:
             machine.is_paused = False
             machine.process.send_signal(signal.SIGCONT)
             self._record_recovery(machine, "paused")
 
     def reload_seeds(self, machine: Machine, seeds: Sequence[str]) -> None:
-        """Write other seeds into a settings file and let the process read it again."""
+        """Write new seeds into a machine's settings file and make the process reload it."""
         self.write_node_file(machine, False, seeds)
         if machine.process is not None and machine.is_running:
             machine.process.send_signal(signal.SIGHUP)
 
     async def close(self) -> None:
-        """End all that was started here."""
+        """Kill all processes and wait until they have exited."""
         running = [machine for machine in self.machines.values() if machine.is_running]
         for machine in self.machines.values():
             machine.is_end_requested = True
--- a/hallhitch/lab/emulator/spec.py
+++ b/hallhitch/lab/emulator/spec.py
@@ -1,6 +1,6 @@
-"""What an emulator holds: zones, machines, backends, tenants, kinds of requests, bounds.
+"""Specification of an emulator: zones, machines, backends, tenants, kinds of requests and bounds.
 
-Plain values. Names are made up from numbers, so that nothing of a real site is in here.
+Plain values. Names of zones and regions are generated from numbers, so no data of a real site is included.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """One kind of request: its route, and how it is sent."""
+    """One kind of request: its route, its rate and its deadlines."""
 
     name: str
     route_kind: str  # idempotent, non_idempotent, download
-    services: tuple[tuple[str, int], ...]  # with weights, where there are several
-    rate_per_s: float  # of all clients together
+    services: tuple[tuple[str, int], ...]  # (name, weight); the weight matters only if there are several
+    rate_per_s: float  # total over all clients
     latency_target_ms: float
     deadline_ms: float
     priority: int = 1
@@ -34,11 +34,11 @@
 
     @property
     def prefix(self) -> str:
-        """The prefix of its paths."""
+        """The path prefix of the route."""
         return f"/{self.name}/"
 
     def make_request(self, number: int, api_key: str) -> ClientRequest:
-        """Return one request of this kind."""
+        """Return a request of this kind with its own path and body."""
         is_idempotent = self.route_kind != NON_IDEMPOTENT
         return ClientRequest(
             kind=self.name,
@@ -55,22 +55,22 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSpec:
-    """One tenant and its share of the requests."""
+    """One tenant, its share of the traffic and its rate limit."""
 
     name: str
     traffic_share: float
-    rate_limit_per_s: int = 0  # 0 = no limit
+    rate_limit_per_s: int = 0  # 0 means no limit
     key_count: int = 2
 
 
 @dataclass(frozen=True, slots=True)
 class EmulatorSpec:
-    """Everything that an emulator is built from."""
+    """The parameters of an emulator."""
 
     regions: int = 3
     zones_per_region: int = 1
     gateways_per_zone: int = 3
-    coordinators: int = 3  # in all, one region after the other
+    coordinators: int = 3  # in total, assigned to the zones in turn
     backends: tuple[tuple[BackendSpec, int], ...] = (
         (BackendSpec("shelf", slots=4, work_ms=40), 12),
         (BackendSpec("vault", slots=4, work_ms=30), 6),
@@ -86,40 +86,40 @@
         TenantSpec("green", 0.3, 90),
         TenantSpec("blue", 0.2, 60),
     )
-    region_delay_ms: float = 25.0  # one way between regions, for clients and backends
+    region_delay_ms: float = 25.0  # one-way, between regions
     local_delay_ms: float = 0.5
     tolerated_losses: int = 1
     grace_period_ms: float = 6000.0
-    catch_up_ms: float = 4000.0  # after its start, for which a machine may not be counted on
-    max_ttl_ms: float = 5000.0  # of the directory's answers
+    catch_up_ms: float = 4000.0  # after its start, during which a machine does not yet count as available
+    max_ttl_ms: float = 5000.0  # of answers of the directory
     list_rate_per_s: float = 47.0
     list_lag_ms: float = 500.0
-    bounds: CheckBounds = CheckBounds()  # noqa: RUF009  frozen, shared by all
+    bounds: CheckBounds = CheckBounds()  # noqa: RUF009  frozen, so sharing it is safe
     seed: int = 1
 
     def region_name(self, number: int) -> str:
-        """Return a region's name by its number from 1."""
+        """Return the name of a region by its number, which starts at 1."""
         return f"region-{number}"
 
     def zone_name(self, region: int, zone: int) -> str:
-        """Return a zone's name by the numbers of its region and its own, from 1."""
+        """Return the name of a zone by the number of its region and its own number, which start at 1."""
         return f"zone-{region}{'abcdefgh'[zone - 1]}"
 
     def zone_numbers(self) -> list[tuple[int, int]]:
-        """Return the numbers of region and zone of all zones."""
+        """Return (region number, zone number) of all zones."""
         return [(region, zone) for region in range(1, self.regions + 1) for zone in range(1, self.zones_per_region + 1)]
 
     def region_by_zone(self) -> dict[str, str]:
-        """Return the region of each zone, by name."""
+        """Return the region name of each zone, by zone name."""
         return {self.zone_name(region, zone): self.region_name(region) for region, zone in self.zone_numbers()}
 
     def response_bytes(self, path: str) -> int:
-        """Return the size of the response to a request for this path."""
+        """Return the response body size for a path."""
         for kind in self.request_kinds:
             if path.startswith(kind.prefix):
                 return kind.response_bytes
         return DEFAULT_RESPONSE_BYTES
 
     def api_keys(self, tenant: TenantSpec) -> list[str]:
-        """Return a tenant's keys."""
+        """Return the API keys of a tenant."""
         return [f"key-{tenant.name}-{number}-0123456789" for number in range(tenant.key_count)]
