--- a/hallhitch/lab/emulator/link_relays.py
+++ b/hallhitch/lab/emulator/link_relays.py
@@ -1,7 +1,8 @@
-"""Relays between the system's own processes: each link of two is delayed, stalled or cut by itself.
+"""TCP relays between the system's own processes, so that each link can be delayed, stalled or cut separately.
 
-One listener for each caller and each other machine, at the caller's image of that machine (`relayed_program`). Bytes
-pass unread and in order; what a cut holds back arrives when it ends, unless its sender has gone meanwhile.
+There is one listener for each pair of a caller and a callee; `relayed_program` defines its address. Bytes are forwarded
+uninterpreted and in order. Bytes that a cut holds back arrive when it ends, unless the sender has closed the connection
+by then.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 from typing import Final
 
 from hallhitch.lab.emulator.network_paths import NetworkPaths, region_of
-from hallhitch.lab.emulator.relayed_program import CONNECTED, MAX_CALLERS, REFUSED, image_of, parse_image
+from hallhitch.lab.emulator.relayed_program import CONNECTED, MAX_CALLERS, REFUSED, parse_relay_host, relay_host
 from hallhitch.lab.http_messages import Reader, Writer
 from hallhitch.node.clock import now
 
 CHUNK_BYTES: Final = 65_536
-MAX_CHUNKS_IN_FLIGHT: Final = 256  # in one direction: a sender beyond that waits
+MAX_CHUNKS_IN_FLIGHT: Final = 256  # per direction; the relay stops reading at this limit
 ACCEPT_BACKLOG: Final = 256
 
 
 @dataclass(frozen=True, slots=True)
 class RelayEndpoint:
-    """One machine, as relays know it."""
+    """One machine as the relays identify it."""
 
     number: int
     name: str
@@ -41,10 +42,10 @@
 
 
 class LinkRelays:
-    """All relays of an emulator, at one port."""
+    """All relays of an emulator, which share one port."""
 
     def __init__(self, network: NetworkPaths, endpoints: Sequence[RelayEndpoint], port: int) -> None:
-        self.connections: set[Writer] = set()  # both ends of each
+        self.connections: set[Writer] = set()  # to the caller and to the callee of each relayed connection
         self._network = network
         self._port = port
         self._by_number = {endpoint.number: endpoint for endpoint in endpoints}
@@ -52,25 +53,25 @@
         self._servers: list[asyncio.Server] = []
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen for each pair of the initial machines."""
         for caller in self._by_number.values():
             others = [endpoint for endpoint in self._by_number.values() if endpoint is not caller]
-            await self._listen([image_of(endpoint.host, caller.number) for endpoint in others])
+            await self._listen([relay_host(endpoint.host, caller.number) for endpoint in others])
 
     async def add(self, endpoint: RelayEndpoint) -> None:
-        """Add a machine, to and from all that ever were: the relay to one that is gone refuses as its port does.
+        """Add relays between a new machine and all earlier ones, including removed ones, which refuse connections.
 
         Raises:
-            ValueError: There are more machines than images can tell apart.
+            ValueError: The machine's number does not fit into a relay's address.
         """
         if endpoint.number > MAX_CALLERS:
-            raise ValueError(f"{endpoint.name}: {MAX_CALLERS} machines at most may have relays")
+            raise ValueError(f"{endpoint.name}: at most {MAX_CALLERS} machines can have relays")
         others = list(self._by_number.values())
         self._by_number[endpoint.number] = self._by_host[endpoint.host] = endpoint
         await self._listen(
             [
-                *(image_of(endpoint.host, other.number) for other in others),
-                *(image_of(other.host, endpoint.number) for other in others),
+                *(relay_host(endpoint.host, other.number) for other in others),
+                *(relay_host(other.host, endpoint.number) for other in others),
             ]
         )
 
@@ -87,8 +88,8 @@
             writer.transport.abort()
 
     async def _relay(self, reader: Reader, writer: Writer) -> None:
-        """Relay one connection until either side ends it."""
-        caller_number, host = parse_image(writer.get_extra_info("sockname")[0])
+        """Relay one connection until either side closes it."""
+        caller_number, host = parse_relay_host(writer.get_extra_info("sockname")[0])
         caller, callee = self._by_number[caller_number], self._by_host[host]
         delay_ms = self._network.delay_ms(region_of(caller.host), region_of(callee.host))
         outbound = _Link(caller.name, callee.name, delay_ms)
@@ -96,14 +97,14 @@
         self.connections.add(writer)
         callee_writer: Writer | None = None
         try:
-            await self._traverse(outbound)
+            await self._wait_for_link(outbound)
             try:
                 callee_reader, callee_writer = await asyncio.open_connection(callee.host, self._port)
             except OSError:
-                await self._traverse(inbound)
+                await self._wait_for_link(inbound)
                 return await self._report_outcome(writer, REFUSED)
             self.connections.add(callee_writer)
-            await self._traverse(inbound)
+            await self._wait_for_link(inbound)
             await self._report_outcome(writer, CONNECTED)
             pumps = [
                 asyncio.ensure_future(self._pump(reader, callee_writer, outbound)),
@@ -122,28 +123,30 @@
                     self.connections.discard(end)
                     end.close()
 
-    async def _traverse(self, link: _Link) -> None:
+    async def _wait_for_link(self, link: _Link) -> None:
         await self._network.wait_for_link(link.sender, link.receiver, now() + link.delay_ms)
 
     @staticmethod
     async def _report_outcome(writer: Writer, outcome: bytes) -> None:
-        """Send what became of a connection; its caller may have given it up while the link was cut."""
+        """Tell the caller whether the callee accepted; the caller may have closed while the link was cut."""
         if writer.is_closing():
-            raise ConnectionResetError("the caller has gone")
+            raise ConnectionResetError("the caller closed the connection")
         writer.write(outcome)
         await writer.drain()
 
     async def _pump(self, reader: Reader, writer: Writer, link: _Link) -> None:
-        """Forward what comes one way until it ends; the end is delayed as bytes are."""
-        in_flight: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_CHUNKS_IN_FLIGHT)  # (due, bytes)
+        """Forward one direction until its end of stream, which is delayed like the bytes before it."""
+        in_flight: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(
+            MAX_CHUNKS_IN_FLIGHT
+        )  # (due time in ms, bytes); no bytes mean end of stream
 
         async def read_chunks() -> None:
-            has_ended = False
-            while not has_ended:
+            is_at_end = False
+            while not is_at_end:
                 data = b""
                 with contextlib.suppress(OSError):
                     data = await reader.read(CHUNK_BYTES)
-                has_ended = not data
+                is_at_end = not data
                 await in_flight.put((now() + link.delay_ms, data))
 
         reading = asyncio.ensure_future(read_chunks())
--- a/hallhitch/lab/emulator/network_paths.py
+++ b/hallhitch/lab/emulator/network_paths.py
@@ -1,8 +1,8 @@
-"""Network paths between parties: delays between regions, and links that stall or are cut.
+"""Network conditions between parties: delays between regions, and links that are stalled or cut.
 
-Addresses are 127.REGION.ZONE.MACHINE, regions from 1 on. Owns the state of links, with the parties' names of
-`hallhitch.lab.fleet.links` (`g0`, `g1` are processes, `nodes` the backends, `discovery` the platform); it moves no
-bytes. Links between two processes of the system go over `link_relays`.
+Addresses are 127.REGION.ZONE.MACHINE, with regions numbered from 1. This module owns the state of the links and uses
+the party names of `hallhitch.lab.fleet.links` (`g0`, `g1` are processes, `nodes` the backends, `discovery` the
+platform). It transfers no bytes; links between two processes of the system go through `link_relays`.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 PLATFORM: Final = "discovery"
 BACKENDS: Final = "nodes"
 CLIENTS: Final = "counter"
-MAX_PROCESSES: Final = 256  # that links know
+MAX_PROCESSES: Final = 256  # that the link table has room for
 
 
 def region_of(host: str) -> int:
-    """Return the number of a host's region.
+    """Return the region number in a host address.
 
     >>> region_of("127.2.0.3")
     2
@@ -32,10 +32,10 @@
 
 
 class NetworkPaths:
-    """Delays and links.
+    """Delays between regions and the state of links between parties.
 
-    `process_numbers` are those of processes by name; a name that is not there is a stranger's. `region_pair_delays_ms`
-    replaces the delay between some pairs of regions, the lower number first.
+    `process_numbers` maps the names of processes to their numbers; any other name belongs to another party.
+    `region_pair_delays_ms` overrides the delay between pairs of regions, with the lower number first.
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         self._changed = asyncio.Event()
 
     def link_name(self, party: str) -> str:
-        """Return what links call a party."""
+        """Return the name of a party in the link table."""
         if party in self._process_numbers:
             return f"g{self._process_numbers[party]}"
         return party or "nobody"
 
     def delay_ms(self, region: int, other_region: int) -> float:
-        """Return the delay one way between two regions; region 0 is near all."""
+        """Return the one-way delay between two regions; region 0 is local to every region."""
         if not region or not other_region or region == other_region:
             return self._local_delay_ms
         pair = (min(region, other_region), max(region, other_region))
@@ -69,29 +69,29 @@
     def begin_fault(
         self, kind: Literal["cut", "stall"], targets: Sequence[str], peers: Sequence[str] = (), one_way: bool = False
     ) -> int:
-        """Begin a fault of the links between processes and peers, by name (no peers: all); return its number."""
+        """Begin a fault on the links between targets and peers (all, if there are none) and return its number."""
         target_names = tuple(map(self.link_name, targets))
         peer_names = tuple(map(self.link_name, peers))
         number = self._links.begin(FleetFault(kind, 0.0, whom=target_names, to=peer_names, one_way=one_way))
-        self._notify()
+        self._notify_waiters()
         return number
 
     def end_fault(self, number: int) -> None:
-        """End a fault."""
+        """End the fault with this number."""
         self._links.end(number)
-        self._notify()
+        self._notify_waiters()
 
-    def _notify(self) -> None:
+    def _notify_waiters(self) -> None:
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
     def is_blocked(self, sender: str, receiver: str) -> bool:
-        """Whether nothing passes this way now."""
+        """Return whether the link is stalled or cut in this direction."""
         source, target = self.link_name(sender), self.link_name(receiver)
         return self._links.is_cut(source, target) or self._links.is_stalled(source, target)
 
     async def wait_for_link(self, sender: str, receiver: str, until_ms: float = 0.0) -> None:
-        """Wait until a moment, and for as long as the link is blocked: what a cut holds back arrives later."""
+        """Wait until a moment, and then until the link is not blocked, so that a cut delays data and loses none."""
         delay_ms = until_ms - now()
         if delay_ms > 0:
             await asyncio.sleep(delay_ms / 1000)
--- a/hallhitch/lab/emulator/response_fault.py
+++ b/hallhitch/lab/emulator/response_fault.py
@@ -1,4 +1,4 @@
-"""Faults of the responses of emulated backends."""
+"""Faults in the responses of emulated backends."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 
 class ResponseFault(StrEnum):
-    """What goes wrong with the response to an executed request."""
+    """A fault in the response to a request that was executed."""
 
     BROKEN_OFF = "broken"
     DUPLICATED = "doubled"
     DUPLICATED_LATE = "late"
-    LOST = "lost"  # the connection is reset instead
+    LOST = "lost"  # the connection is reset instead of a response
     GARBLED = "garbled"
     SILENT = "silent"  # nothing is sent until the connection closes
 
 
-# Of these a client sees no complete response of the backend's making.
+# With these faults, a client receives no complete response of the backend.
 FAULTS_WITHOUT_RESPONSE: Final = frozenset(
     (ResponseFault.BROKEN_OFF, ResponseFault.LOST, ResponseFault.GARBLED, ResponseFault.SILENT)
 )
--- a/tests/system/emulator/test_network.py
+++ b/tests/system/emulator/test_network.py
@@ -1,4 +1,4 @@
-"""Owners of connections, links that are cut, relays between processes."""
+"""Connection owners, links that are cut, and relays between processes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
             assert ConnectionOwners(dict).find_owner(peer, local) == ""
 
 
-def test_cut_link_holds_back_until_it_ends() -> None:
+def test_cut_link_blocks_both_directions_until_the_cut_ends() -> None:
     async def body() -> None:
         network = NetworkPaths(0, 0, {"edge-1": 4, "edge-2": 5})
         number = network.begin_fault("cut", ["edge-1"], ["nodes"])
@@ -49,8 +49,8 @@
     run_with_timeout(body)
 
 
-def test_relay_refuses_delays_and_cuts_as_a_link_does() -> None:
-    """Opening goes on only once the link does; a dead port refuses; what a cut holds back comes after it."""
+def test_relay_refuses_connections_and_holds_data_back_during_a_cut() -> None:
+    """A connection opens only when the link is restored, a closed port refuses, and data held back by a cut arrives."""
 
     async def body() -> None:
         base_port, reservation = reserve_ports()
@@ -80,7 +80,7 @@
     run_with_timeout(body)
 
 
-def test_relays_reject_more_machines_than_images_can_tell_apart() -> None:
+def test_relays_reject_more_machines_than_fit_into_their_addresses() -> None:
     relays = LinkRelays(NetworkPaths(0, 0, {}), [], 1)
-    with pytest.raises(ValueError, match=f"edge-9: {MAX_CALLERS} machines at most"):
+    with pytest.raises(ValueError, match=f"edge-9: at most {MAX_CALLERS} machines"):
         asyncio.run(relays.add(RelayEndpoint(MAX_CALLERS + 1, "edge-9", "127.1.1.1")))
