--- a/hallhitch/lab/emulator/backend.py
+++ b/hallhitch/lab/emulator/backend.py
@@ -1,6 +1,6 @@
 """Emulated backends: their slots, queues and states. `backend_connection` serves their requests.
 
-Each runs at a loopback address of its own; all share one event loop. Nothing here knows how the system works.
+Each backend listens at its own loopback address; all share one event loop. They know nothing of the system's internals.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 if TYPE_CHECKING:
     from hallhitch.lab.emulator.backend_fleet import BackendFleet
 
-COLD_CRASH_FACTOR: Final = 3.0  # times its cold rate within a second: a cold backend crashes
-COLD_WINDOW_MS: Final = 1000.0
+COLD_CRASH_FACTOR: Final = 3.0  # a cold backend crashes above this multiple of its cold rate
+COLD_WINDOW_MS: Final = 1000.0  # in which arrivals at a cold backend are counted
 ACCEPT_BACKLOG: Final = 256
 
 
 @dataclass(frozen=True, slots=True)
 class BackendSpec:
-    """The backends of one service."""
+    """The properties of the backends of one service."""
 
     service: str
     slots: int = 3
     queue_limit: int = 3
-    work_ms: float = 40.0  # of a request, on the mean
+    work_ms: float = 40.0  # mean per request
     max_connections: int = 100
     cold_time_ms: float = 3000.0
     cold_rate_per_s: float = 12.0
     resets_when_full: bool = False
     health_path: str = "/health"
-    idle_timeout_ms: float = 15_000.0  # of a connection
-    crowding_ratio: float = 0.0  # by which work grows as its slots fill
+    idle_timeout_ms: float = 15_000.0  # of an idle connection
+    contention_ratio: float = 0.0  # by which work takes longer when all slots are busy
 
 
 class Backend:
-    """One incarnation of a backend."""
+    """One running instance of a backend; a restart creates another one."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
         self.zone, self.region = location
         self.started_at_ms = now()
         self.cold_until_ms = self.started_at_ms + spec.cold_time_ms if is_cold else self.started_at_ms
-        self.listed_states: list[tuple[float, str]] = [(self.started_at_ms, "ready")]  # (since when, state)
+        self.listed_states: list[tuple[float, str]] = [(self.started_at_ms, "ready")]  # (since when in ms, state)
         self.is_draining = False
         self.has_ended = False
         self.is_healthy = True
-        self.pending_faults: deque[ResponseFault] = deque()  # of the next executions
+        self.pending_faults: deque[ResponseFault] = deque()  # in the responses of the next executions
         self.busy_slots = 0
         self.waiting: deque[asyncio.Future[None]] = deque()
         self.connections: set[BackendConnection] = set()
@@ -71,17 +71,17 @@
 
     @property
     def is_cold(self) -> bool:
-        """Whether it is cold now."""
+        """Whether the backend is cold now."""
         return now() < self.cold_until_ms
 
     async def listen(self) -> None:
-        """Accept connections."""
+        """Start accepting connections."""
         self._server = await asyncio.get_running_loop().create_server(
             lambda: BackendConnection(self), *self.address, reuse_address=True, backlog=ACCEPT_BACKLOG
         )
 
     def end(self) -> None:
-        """End its process: addresses refuse, connections break."""
+        """Stop the backend: new connections are refused, existing ones are reset."""
         self.has_ended = True
         if self._server is not None:
             self._server.close()
@@ -89,11 +89,11 @@
             connection.abort()
 
     def listed_state(self, moment_ms: float) -> str:
-        """Return the state that the list had of it at a moment; "" = not known yet."""
+        """Return the state that the platform's list shows at a moment, or "" before the backend started."""
         return next((state for since_ms, state in reversed(self.listed_states) if since_ms <= moment_ms), "")
 
-    def is_overrun_by_arrival(self, arrived_at_ms: float) -> bool:
-        """Count an arrival; whether it is more than a cold backend survives."""
+    def is_overloaded_by_arrival(self, arrived_at_ms: float) -> bool:
+        """Count an arrival and return whether it makes a cold backend crash."""
         if not self.is_cold or not self.spec.cold_rate_per_s:
             return False
         self._recent_arrivals_ms.append(arrived_at_ms)
@@ -102,29 +102,29 @@
         return len(self._recent_arrivals_ms) > COLD_CRASH_FACTOR * self.spec.cold_rate_per_s + self.spec.slots
 
     async def acquire_slot(self) -> bool:
-        """Wait for a slot; return False where the queue is full."""
+        """Wait for a slot and return True, or return False at once if the queue is full."""
         if self.busy_slots < self.spec.slots:
             self.busy_slots += 1
             return True
         if len(self.waiting) >= self.spec.queue_limit:
             return False
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.waiting.append(turn)
+        slot_granted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.waiting.append(slot_granted)
         try:
-            await turn
+            await slot_granted
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
+            if slot_granted.done() and not slot_granted.cancelled():
                 self.release_slot()
-            elif turn in self.waiting:
-                self.waiting.remove(turn)
+            elif slot_granted in self.waiting:
+                self.waiting.remove(slot_granted)
             raise
         return True
 
     def release_slot(self) -> None:
-        """Hand the slot to the next that waits, or free it."""
+        """Hand the slot to the next waiting request, or free it."""
         while self.waiting:
-            turn = self.waiting.popleft()
-            if not turn.done():
-                return turn.set_result(None)
+            slot_granted = self.waiting.popleft()
+            if not slot_granted.done():
+                return slot_granted.set_result(None)
         self.busy_slots -= 1
         return None
--- a/hallhitch/lab/emulator/backend_connection.py
+++ b/hallhitch/lab/emulator/backend_connection.py
@@ -1,6 +1,6 @@
-"""One connection to an emulated backend: requests are read, recorded and responded to one at a time.
+"""One connection to an emulated backend, which reads, records and responds to requests one at a time.
 
-An arrival is recorded before anything is sent, and so is the start of its execution.
+An arrival and the start of its execution are recorded before any part of the response is sent.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 NOT_EXECUTED_HEADER: Final = b"Hallhitch-Not-Executed: 1\r\n"
 LATE_DUPLICATE_DELAY_MS: Final = 30.0  # long enough for the next request to be on the connection
-COLD_WORK_FACTOR: Final = 2.0  # times the work of a warm backend
-DEFAULT_DEADLINE_MS: Final = 60_000.0  # of a request that names none
+COLD_WORK_FACTOR: Final = 2.0  # a cold backend takes this many times as long as a warm one
+DEFAULT_DEADLINE_MS: Final = 60_000.0  # of a request without a deadline header
 
 
 def digest_body(body: bytes) -> int:
-    """Return what records keep of a body."""
+    """Return the digest of a body that records contain."""
     return zlib.crc32(body)
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection of a backend."""
+    """Server side of one connection to a backend."""
 
     def __init__(self, backend: Backend) -> None:
         self.backend = backend
@@ -42,11 +42,11 @@
         self._task: asyncio.Task[None] | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
-        self._sender = ""  # the process that opened the connection, by name
-        self._delay_ms = 0.0  # one way
+        self._sender = ""  # name of the process that opened the connection
+        self._delay_ms = 0.0  # one-way
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over the transport of a connection that is open."""
+        """Register the connection, or reset it if the backend has stopped or is at its connection limit."""
         self._transport = cast(asyncio.Transport, transport)
         is_full = len(self.backend.connections) >= self.spec.max_connections
         if is_full or self.backend.has_ended:
@@ -57,7 +57,7 @@
         return None
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that the connection is closed."""
+        """Cancel the current request and release the resources of a closed connection."""
         self.backend.connections.discard(self)
         if self._idle_timer is not None:
             self._idle_timer.cancel()
@@ -66,7 +66,7 @@
         self._reader.close()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes that have arrived."""
+        """Parse received bytes and start serving complete requests."""
         try:
             self._waiting += self._reader.feed(data)
         except Malformed:
@@ -96,7 +96,7 @@
             self._transport.close()
 
     async def _serve(self) -> None:
-        """Serve all requests that have been read, one after the other."""
+        """Serve all parsed requests in order."""
         while self._waiting:
             message = self._waiting.popleft()
             await self.fleet.network.wait_for_link(self._sender, BACKENDS, now() + self._delay_ms)
@@ -153,7 +153,7 @@
             return await self._decline(arrival, 400)
         if headers.get("hallhitch-expected-instance", backend.instance) != backend.instance:
             return await self._decline(arrival, 421)
-        if backend.is_overrun_by_arrival(arrival.arrived_at_ms):
+        if backend.is_overloaded_by_arrival(arrival.arrived_at_ms):
             return self.fleet.crash(backend)
         remaining = headers.get("hallhitch-deadline-remaining", "")
         remaining_ms = float(remaining) if remaining.replace(".", "", 1).isdigit() else DEFAULT_DEADLINE_MS
@@ -171,14 +171,14 @@
             backend.release_slot()
 
     async def _decline(self, arrival: BackendArrival, status: int) -> None:
-        """Respond that the request has not been executed."""
+        """Respond with a status and the header that promises that the request was not executed."""
         arrival.status = status
         await self._respond(status, NOT_EXECUTED_HEADER, request_id=arrival.id)
 
     async def _execute(self, arrival: BackendArrival, ends_at_ms: float) -> None:
         backend = self.backend
         work_ms = self.fleet.draw_work_ms(self.spec) * (COLD_WORK_FACTOR if backend.is_cold else 1.0)
-        work_ms *= 1 + self.spec.crowding_ratio * backend.busy_slots / self.spec.slots
+        work_ms *= 1 + self.spec.contention_ratio * backend.busy_slots / self.spec.slots
         arrival.planned_end_ms = min(now() + work_ms, ends_at_ms)
         try:
             await asyncio.sleep(max(0.0, arrival.planned_end_ms - now()) / 1000)
@@ -200,14 +200,14 @@
         return (text * (size // len(text) + 1))[:size]
 
     async def _send_success(self, arrival: BackendArrival, body: bytes) -> None:
-        """Send a success, or what a fault makes of it."""
+        """Send a successful response, with the next pending or drawn fault applied to it."""
         pending_faults = self.backend.pending_faults
         fault = pending_faults.popleft() if pending_faults else self.fleet.draw_fault()
         arrival.is_broken_off = fault in FAULTS_WITHOUT_RESPONSE
         seal = f"Hallhitch-Response-Seal: {arrival.seal}\r\n".encode()
         match fault:
             case ResponseFault.SILENT:
-                await asyncio.get_running_loop().create_future()  # until the connection closes
+                await asyncio.get_running_loop().create_future()  # waits until the closing of the connection cancels it
             case ResponseFault.LOST:
                 await self._wait_for_link()
                 self.abort()
--- a/hallhitch/lab/emulator/backend_fleet.py
+++ b/hallhitch/lab/emulator/backend_fleet.py
@@ -1,6 +1,6 @@
-"""All emulated backends: who runs, what the platform's list says of them, and their faults.
+"""All emulated backends: which ones run, how the platform's instance list shows them, and their faults.
 
-Owns starts, drains, crashes and the records of them; serves no request itself.
+This module starts, drains and crashes backends and records it; it serves no requests itself.
 """
 
 from __future__ import annotations
@@ -17,7 +17,9 @@
 from hallhitch.lab.streams import Streams
 from hallhitch.node.clock import now
 
-CRASH_LISTING_DELAY_MS: Final = 2000.0  # for which a crashed backend stays on the list
+CRASH_LISTING_DELAY_MS: Final = (
+    2000.0  # from a crash until the backend is marked as gone, in addition to the list's lag
+)
 LIST_COLUMNS: Final = (
     "instanceId",
     "targetService",
@@ -32,13 +34,14 @@
 
 
 class BackendFleet:
-    """The backends.
+    """The emulated backends and their shared settings.
 
-    `find_owner` returns the process that opened a connection, by its two ends; `region_numbers` are those of processes
-    by name; `response_bytes` returns the size of a response by its path.
+    `find_owner` returns the name of the process that opened a connection, given the peer and local addresses;
+    `region_numbers` maps names of processes to region numbers; `response_bytes` returns the size of the response to a
+    path.
     """
 
-    def __init__(  # noqa: PLR0913  fields of one record
+    def __init__(  # noqa: PLR0913  settings, most with defaults
         self,
         records: Records,
         network: NetworkPaths,
@@ -57,23 +60,23 @@
         self.backends: dict[str, Backend] = {}
         self.connections_opened = 0
         self.health_checks = 0
-        self.fault_ratios: dict[ResponseFault, float] = {}  # of executions, by what goes wrong with their responses
-        self.work_factor = 1.0  # by which all requests take longer than usual
+        self.fault_ratios: dict[ResponseFault, float] = {}  # share of responses with each fault
+        self.work_factor = 1.0  # multiplies the work of all requests
         self._port = port
         self._region_numbers = region_numbers or {}
         self._work_stream, self._fault_stream = Streams(seed).of("work"), Streams(seed).of("tricks")
 
     def identify_caller(self, peer: Address, local: Address, backend: Backend) -> tuple[str, float]:
-        """Return the process that opened a connection, and its distance in ms one way."""
+        """Return the name of the process that opened a connection and the one-way delay to it in ms."""
         name = self.find_owner(peer, local)
         return name, self.network.delay_ms(self._region_numbers.get(name, 0), region_of(backend.address[0]))
 
     def draw_work_ms(self, spec: BackendSpec) -> float:
-        """Draw how long the next request takes."""
+        """Draw the work of the next request in ms."""
         return spec.work_ms * self.work_factor * self._work_stream.uniform(0.6, 1.4)
 
     def draw_fault(self) -> ResponseFault | None:
-        """Draw what goes wrong with the next response."""
+        """Draw the fault of the next response, if any."""
         for fault, ratio in self.fault_ratios.items():
             if self._fault_stream.chance(ratio):
                 return fault
@@ -82,7 +85,7 @@
     async def start_backend(
         self, instance: str, spec: BackendSpec, host: str, location: tuple[str, str], is_cold: bool = False
     ) -> Backend:
-        """Start a backend at a host of its own, in a zone and its region."""
+        """Start a backend at its own host; `location` is (zone, region)."""
         backend = Backend(self, instance, spec, (host, self._port), location, is_cold)
         await backend.listen()
         self.backends[instance] = backend
@@ -96,25 +99,25 @@
         )
 
     def make_cold(self, backend: Backend, duration_ms: float) -> None:
-        """Let a backend become cold again."""
+        """Make a backend cold again for some time."""
         backend.cold_until_ms = now() + duration_ms
         self._record_cold_period(backend)
 
     def drain(self, backend: Backend, ends_after_ms: float | None = None) -> None:
-        """Let a backend announce that it leaves, and end it after some time (None: not by itself)."""
+        """Mark a backend as draining and stop it after `ends_after_ms`; None leaves it running."""
         backend.is_draining = True
         self._change_listing(backend, now(), "draining")
         if ends_after_ms is not None:
             asyncio.get_running_loop().call_later(ends_after_ms / 1000, self.end_backend, backend)
 
     def end_backend(self, backend: Backend) -> None:
-        """End a backend in order."""
+        """Stop a backend and mark it as gone in the list."""
         if not backend.has_ended:
             backend.end()
             self._change_listing(backend, now(), "gone")
 
     def crash(self, backend: Backend) -> None:
-        """End a backend at once; the list says so later."""
+        """Stop a backend without notice; it is marked as gone in the list after `CRASH_LISTING_DELAY_MS`."""
         if not backend.has_ended:
             backend.end()
             self._change_listing(backend, now() + CRASH_LISTING_DELAY_MS, "gone")
@@ -124,12 +127,12 @@
         self.records.listing_changes.append(ListingChange(since_ms + self.listing_lag_ms, backend.instance))
 
     def listed_rows(self, moment_ms: float, zone: str = "") -> list[list[object]]:
-        """Return the list's rows as they stood at a moment (`LIST_COLUMNS`)."""
+        """Return the rows of the list (`LIST_COLUMNS`) at a moment, for one zone or for all."""
         rows: list[list[object]] = []
         for backend in self.backends.values():
             state = backend.listed_state(moment_ms)
-            is_elsewhere = bool(zone) and backend.zone != zone
-            if state not in LISTED_STATES or is_elsewhere:
+            is_in_other_zone = bool(zone) and backend.zone != zone
+            if state not in LISTED_STATES or is_in_other_zone:
                 continue
             host, port = backend.address
             rows.append(
@@ -147,6 +150,6 @@
         return rows
 
     def close(self) -> None:
-        """End all backends."""
+        """Stop all backends."""
         for backend in self.backends.values():
             backend.end()
--- a/hallhitch/lab/emulator/client.py
+++ b/hallhitch/lab/emulator/client.py
@@ -1,6 +1,6 @@
-"""Clients by region: they resolve gateways, keep connections, send with ids, deadlines and keys, and retry.
+"""Emulated clients: they resolve gateways, reuse connections, send requests with ids, deadlines and keys, and retry.
 
-Clients record every attempt. When they retry is decided in `client_request`; the rest here is I/O.
+Clients record every attempt. `client_request` decides when they retry; this module does the I/O.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 from hallhitch.node.clock import now
 
 MAX_ATTEMPTS: Final = 4
-FIRST_BACKOFF_MS: Final = 20.0  # doubled with each attempt
-NO_GATEWAY_PAUSE_S: Final = 0.05  # before an attempt counts as failed that no gateway is known for
+FIRST_BACKOFF_MS: Final = 20.0  # doubled after each attempt
+NO_GATEWAY_PAUSE_S: Final = 0.05  # before an attempt fails because no gateway is known
 CONNECT_TIMEOUT_MS: Final = 1000.0  # of a new connection
-DEFAULT_IDLE_TIMEOUT_MS: Final = 4000.0  # of a kept connection whose gateway names no time, and at most
-UNREAD_TIMEOUT_MS: Final = 1000.0  # of an idempotent attempt at a gateway that does not read
+DEFAULT_IDLE_TIMEOUT_MS: Final = 4000.0  # upper bound, and the default if the gateway announces none
+UNREAD_TIMEOUT_MS: Final = 1000.0  # of an idempotent attempt at a paused gateway
 
 
 @dataclass(slots=True)
 class _ClientConnection:
-    """A connection to a gateway."""
+    """An open connection to a gateway."""
 
     address: str
     reader: Reader
@@ -46,13 +46,13 @@
 
 
 class Client:
-    """Clients of one zone that share the directory's answer and idle connections.
+    """A group of clients of one zone that share the directory's answer and a pool of idle connections.
 
-    `keeps_connections` is False for clients that open one for each attempt; `ttl_factor` multiplies how long they use
-    the directory's answer.
+    If `keeps_connections` is False, each attempt opens a new connection; `ttl_factor` multiplies the time for which the
+    directory's answer is used.
     """
 
-    def __init__(  # noqa: PLR0913  fields of one record
+    def __init__(  # noqa: PLR0913  settings, some with defaults
         self,
         environment: ClientEnvironment,
         region: str,
@@ -77,10 +77,10 @@
             connection.writer.close()
         self._idle.clear()
 
-    # --- One request.
+    # --- Requests.
 
     async def request(self, request: ClientRequest) -> RequestOutcome:
-        """Send a request, with retries, until it is answered for good or its deadline is over."""
+        """Send a request and retry it until its result is final or its deadline has passed."""
         outcome = RequestOutcome(request, self.region, now())
         deadline_ms, backoff_ms = outcome.sent_at_ms + request.deadline_ms, FIRST_BACKOFF_MS
         while outcome.attempts < MAX_ATTEMPTS and now() < deadline_ms:
@@ -97,7 +97,7 @@
         return outcome
 
     async def _attempt(self, request: ClientRequest, deadline_ms: float, is_first: bool) -> AttemptResult:
-        """Send one attempt; only the first uses an idle connection."""
+        """Send one attempt; only the first may use an idle connection."""
         connection = self._take_idle_connection() if is_first and self._keeps_connections else None
         if connection is None:
             usable = await self.directory.resolve(request.host)
@@ -111,7 +111,7 @@
         return await self._send_attempt(connection, request, deadline_ms)
 
     def _close_outdated(self) -> None:
-        """Close the idle connections to gateways that the newest answer of the directory leaves out."""
+        """Close idle connections to gateways that the directory's newest answer no longer contains."""
         for connection in [idle for idle in self._idle if self.directory.is_outdated(idle.address)]:
             self._idle.remove(connection)
             connection.writer.close()
@@ -131,7 +131,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000):
                 await self._wait_for_outbound_link(address, 0.0)
                 reader, writer = await asyncio.open_connection(host, port)
-                await asyncio.sleep(2 * self._delay_ms(address) / 1000)  # the handshake's round trip
+                await asyncio.sleep(2 * self._delay_ms(address) / 1000)  # the round trip of the handshake
         except (OSError, TimeoutError):
             self.directory.failed_addresses.add(address)
             return None
@@ -175,7 +175,7 @@
         """Send one attempt on a connection and record it."""
         attempt = self._record_attempt(connection, request, deadline_ms, is_probe)
         address, timeout_ms = connection.address, attempt.deadline_ms
-        # A paused gateway reads nothing: idempotent attempts are abandoned there in time for another one.
+        # A paused gateway reads nothing, so an idempotent attempt there times out early enough for a retry.
         if request.is_idempotent and not self._environment.is_reading(address):
             timeout_ms = min(timeout_ms, UNREAD_TIMEOUT_MS, timeout_ms / 3)
         encoded = _encode_request(request, attempt)
@@ -205,7 +205,7 @@
         return AttemptResult(attempt.status, retry_after_ms=retry_after_ms)
 
     def _release_connection(self, connection: _ClientConnection, headers: Mapping[str, str]) -> None:
-        """Keep a connection for a later request, or close it."""
+        """Return a connection to the idle pool, or close it if it cannot be reused."""
         parameters = dict(part.strip().partition("=")[::2] for part in headers.get("keep-alive", "").split(","))
         timeout = parameters.get("timeout", "")
         idle_timeout_ms = float(timeout) * 1000 if timeout.isdigit() else DEFAULT_IDLE_TIMEOUT_MS
@@ -218,7 +218,7 @@
             self._idle.append(connection)
 
     async def probe(self, address: str, request: ClientRequest) -> int:
-        """Send one attempt to this gateway and return its status; 0 = none."""
+        """Send one attempt to a gateway and return its status, or 0 if there was no response."""
         connection = await self._open_connection(address)
         if connection is None:
             return 0
--- a/hallhitch/lab/emulator/client_environment.py
+++ b/hallhitch/lab/emulator/client_environment.py
@@ -1,4 +1,4 @@
-"""What all emulated clients share."""
+"""State that all emulated clients share."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True)
 class ClientEnvironment:
-    """What all clients of an emulator share. `gateway_names` are those of machines by frontend address."""
+    """State that all clients of an emulator share. `gateway_names` maps frontend addresses to names of machines."""
 
     records: Records
     network: NetworkPaths
-    directories: Mapping[str, Sequence[Address]]  # by region: nearest first
+    directories: Mapping[str, Sequence[Address]]  # by region, nearest first
     gateway_names: Mapping[str, str]
     max_ttl_ms: float
-    is_reading: Callable[[str], bool] = lambda address: True  # whether the process at an address reads what comes
+    is_reading: Callable[[str], bool] = lambda address: True  # whether the gateway at an address reads requests
     request_ids: Iterator[int] = field(default_factory=lambda: itertools.count(1))
     counters: Counter[str] = field(default_factory=Counter)
--- a/hallhitch/lab/emulator/directory_client.py
+++ b/hallhitch/lab/emulator/directory_client.py
@@ -1,4 +1,4 @@
-"""The directory as clients of one zone use it: an answer is kept for its time, addresses that failed are avoided."""
+"""Client of the directory for one zone: it caches an answer for its TTL and avoids addresses that have failed."""
 
 from __future__ import annotations
 
@@ -15,52 +15,52 @@
 from hallhitch.node.clock import now
 from hallhitch.node.durations import parse_duration_ms
 
-QUERY_TIMEOUT_MS: Final = 1000.0  # of one directory
-MAX_DIRECTORIES: Final = 3  # that are tried for one answer
-MAX_ADDRESSES: Final = 64  # of an answer that are used
+QUERY_TIMEOUT_MS: Final = 1000.0  # for one query
+MAX_DIRECTORIES: Final = 3  # tried in turn for one answer
+MAX_ADDRESSES: Final = 64  # used of one answer
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLocation:
-    """Where clients are."""
+    """The region and zone of clients."""
 
     region: str
     zone: str
-    region_number: int  # in the network paths
+    region_number: int  # as in `NetworkPaths`
 
 
 class DirectoryAnswer(NamedTuple):
-    """Addresses of gateways and how long they are valid."""
+    """Addresses of gateways with their TTL."""
 
     addresses: list[str]
     ttl_ms: float
 
 
 class DirectoryClient:
-    """The newest answer of the directory, and which of its addresses failed since."""
+    """Caches the newest answer of the directory and tracks which of its addresses have failed since."""
 
     def __init__(self, environment: ClientEnvironment, location: ClientLocation, ttl_factor: float) -> None:
-        """`ttl_factor` multiplies how long an answer is used."""
+        """`ttl_factor` multiplies the time for which an answer is used."""
         self.addresses: list[str] = []
         self.failed_addresses: set[str] = set()
         self._environment = environment
         self._location = location
         self._ttl_factor = ttl_factor
         self._valid_until_ms = 0.0
-        self._resolving = asyncio.Lock()
+        self._resolve_lock = asyncio.Lock()
 
     async def resolve(self, host: str) -> list[str]:
-        """Return the addresses to choose from: those that have not failed, or all where each has."""
-        async with self._resolving:
+        """Return the addresses that have not failed, or all of them if every one has."""
+        async with self._resolve_lock:
             if now() >= self._valid_until_ms:
-                await self._renew(host)
+                await self._refresh(host)
         return [address for address in self.addresses if address not in self.failed_addresses] or self.addresses
 
     def is_outdated(self, address: str) -> bool:
-        """Return whether the newest answer leaves out an address."""
+        """Return whether the newest answer no longer contains an address."""
         return bool(self.addresses) and address not in self.addresses
 
-    async def _renew(self, host: str) -> None:
+    async def _refresh(self, host: str) -> None:
         environment = self._environment
         for directory in list(environment.directories[self._location.region])[:MAX_DIRECTORIES]:
             with contextlib.suppress(OSError, EOFError, ValueError, TimeoutError, KeyError):
--- a/hallhitch/lab/emulator/emulated_operator.py
+++ b/hallhitch/lab/emulator/emulated_operator.py
@@ -1,6 +1,6 @@
-"""An operator: sends configurations and evacuations until they are accepted, reads back, and records each operation.
+"""Emulated operator: sends configurations and evacuations until they are accepted, reads them, and records all of it.
 
-It knows the addresses that serve `control_plane` now, and nothing else of the system.
+It knows the addresses that currently serve `control_plane` and nothing else about the system.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 from hallhitch.lab.streams import Stream
 from hallhitch.node.clock import now
 
-DEFAULT_TIMEOUT_MS: Final = 10_000.0  # of an operation with all its attempts
-RESPONSE_TIMEOUT_MS: Final = 1000.0  # the operators' protocol: after it, they go on to another address
-BODY_BYTES_PER_EXTRA_MS: Final = 200.0  # of a body for which it waits longer
-CONCLUSIVE_STATUSES: Final = (400, 409, 412, 413, 422)
+DEFAULT_TIMEOUT_MS: Final = 10_000.0  # of an operation over all its attempts
+RESPONSE_TIMEOUT_MS: Final = 1000.0  # the operators' protocol: try another address afterwards
+BODY_BYTES_PER_EXTRA_MS: Final = 200.0  # the response timeout grows by 1 ms per this many bytes of the body
+CONCLUSIVE_STATUSES: Final = (400, 409, 412, 413, 422)  # rejections that are not retried
 RETRYABLE_CLIENT_ERRORS: Final = (408, 429)
-MAX_ATTEMPTS_ON_CLIENT_ERROR: Final = 3  # of any other 4xx
-MAX_REDIRECTS: Final = 2  # in a row
+MAX_ATTEMPTS_ON_CLIENT_ERROR: Final = 3  # attempts that end with any other 4xx status
+MAX_REDIRECTS: Final = 2  # per attempt
 FIRST_BACKOFF_MS: Final = 50.0
 MAX_BACKOFF_MS: Final = 1000.0
 BACKOFF_FACTOR: Final = 1.5
 
 
 class OperatorResponse(NamedTuple):
-    """A response; status 0 where none came."""
+    """A response; its status is 0 if none arrived."""
 
     status: int
     body: bytes = b""
 
 
 class EmulatedOperator:
-    """One operator. `list_addresses` returns the control planes there are now; it is called before each attempt."""
+    """One operator. `list_addresses` is called before each attempt and returns the current control plane addresses."""
 
     def __init__(self, records: Records, list_addresses: Callable[[], Sequence[Address]], stream: Stream) -> None:
         self._records = records
@@ -45,7 +45,7 @@
         self._stream = stream
 
     async def replace_config(self, config: Config, timeout_ms: float = DEFAULT_TIMEOUT_MS) -> OperatorOperation:
-        """Send a configuration until it has a conclusive response."""
+        """Send a configuration until there is a conclusive response."""
         body = json.dumps(config).encode()
         sent_at_ms = now()
         response = await self._send("POST", "/hallhitch/rpc?call=config.replace", body, timeout_ms)
@@ -61,7 +61,7 @@
         return operation
 
     async def start_evacuation(self, zone: str, timeout_ms: float = DEFAULT_TIMEOUT_MS) -> OperatorOperation:
-        """Evacuate a zone: its backends get nothing more."""
+        """Evacuate a zone, so that its backends get no more requests."""
         return await self._change_evacuation("evacuate", "start", zone, timeout_ms)
 
     async def stop_evacuation(self, zone: str, timeout_ms: float = DEFAULT_TIMEOUT_MS) -> OperatorOperation:
@@ -87,7 +87,7 @@
         return read
 
     async def read_config_if_answered(self, timeout_ms: float) -> ConfigRead:
-        """Read from machines that may have no majority: no response is no violation, a superseded one is."""
+        """Read from machines that may lack a majority: a missing response is no violation, a superseded one is."""
         read = await self._read_config(timeout_ms)
         if read.config is not None:
             self._records.config_reads.append(read)
@@ -103,7 +103,7 @@
             return ConfigRead(now(), {"configVersion": -1})
 
     async def _send(self, method: str, target: str, body: bytes, timeout_ms: float) -> OperatorResponse:
-        """Try one address after the other until there is a conclusive response."""
+        """Try the addresses in turn until there is a conclusive response."""
         deadline_ms, backoff_ms, client_errors, last_status = now() + timeout_ms, FIRST_BACKOFF_MS, 0, 0
         number = self._stream.index(len(self._list_addresses()))
         while now() < deadline_ms:
@@ -123,7 +123,7 @@
         return OperatorResponse(last_status if last_status >= 400 else 0)
 
     async def _attempt(self, address: Address, method: str, target: str, body: bytes) -> OperatorResponse:
-        """Send one attempt, following redirects."""
+        """Send one attempt and follow its redirects."""
         for _ in range(MAX_REDIRECTS + 1):
             try:
                 async with asyncio.timeout((RESPONSE_TIMEOUT_MS + len(body) / BODY_BYTES_PER_EXTRA_MS) / 1000):
--- a/hallhitch/lab/emulator/operator_config.py
+++ b/hallhitch/lab/emulator/operator_config.py
@@ -1,4 +1,4 @@
-"""Configurations as the operator sends them, written from an emulator's spec."""
+"""Builds the configuration documents that the operator sends from the spec of an emulator."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def route_document(kind: RequestKind) -> dict[str, Any]:
-    """Return the route of a kind of request."""
+    """Return the route document of a kind of request."""
     route: dict[str, Any] = {
         "host": SERVED_HOST,
         "pathPrefix": kind.prefix,
@@ -31,7 +31,7 @@
 
 
 def config_document(spec: EmulatorSpec, version: int, additional_kinds: Sequence[RequestKind] = ()) -> Config:
-    """Return the spec's configuration under a version, with routes for additional kinds of requests."""
+    """Return the configuration of a spec with a version, and with routes for additional kinds of requests."""
     services = {
         backend.service: {
             "healthPath": backend.health_path,
@@ -68,7 +68,7 @@
 
 
 def move_route(config: Config, kind_name: str, service: str, version: int) -> Config:
-    """Return the same configuration under another version, with one route's requests at another service."""
+    """Return a copy of a configuration with a new version and one route moved to another service."""
     document: dict[str, Any] = copy.deepcopy(dict(config))
     document["configVersion"] = version
     route = document["routes"][f"r-{kind_name}"]
--- a/hallhitch/lab/emulator/platform_api.py
+++ b/hallhitch/lab/emulator/platform_api.py
@@ -1,6 +1,6 @@
-"""The platform's list of instances: pages, lag, a rate limit for all callers together, outages.
+"""Server of the platform's instance list, with pages, lag, a rate limit over all callers, and outages.
 
-It returns what the fleet's listing was `listing_lag_ms` ago and knows nothing else.
+It returns the fleet's listing as it was `listing_lag_ms` ago.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 INSTANCES_PER_PAGE: Final = 50
 RATE_WINDOW_MS: Final = 1000.0
-SLOW_RESPONSE_MS: Final = 1500.0  # above what a caller waits for a reachable list
+SLOW_RESPONSE_MS: Final = 1500.0  # longer than callers wait before they consider the list unreachable
 JSON_CONTENT_TYPE: Final = "Content-Type: application/json\r\n"
 
 
 class PlatformState(StrEnum):
-    """How the list's server treats calls."""
+    """How the server handles calls."""
 
     UP = "up"
     SLOW = "slow"
     DOWN = "down"  # connections are reset
-    SILENT = "silent"  # nothing is sent
+    SILENT = "silent"  # requests are read but not responded to
 
 
 class PlatformApi:
-    """The list's server."""
+    """The server of the instance list."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._writers: set[Writer] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve_connection, *self.address, reuse_address=True)
 
     def close(self) -> None:
@@ -85,7 +85,7 @@
         writer.transport.abort()
 
     def respond(self, moment_ms: float, target: str) -> bytes:
-        """Return the response to a call at a moment."""
+        """Return the response to a call that arrives at a moment."""
         path, _, query = target.partition("?")
         if path != "/instances":
             return encode_response(404)
@@ -98,7 +98,7 @@
         self._recent_calls_ms.append(moment_ms)
         parameters = dict(parse_qsl(query))
         first_row, listed_at_ms = 0, moment_ms - self._fleet.listing_lag_ms
-        if token := parameters.get("pageToken", ""):  # p-(first row)-(moment that the first page shows)
+        if token := parameters.get("pageToken", ""):  # p-(first row)-(moment of the listing on the first page)
             _, row, listed_at = token.split("-")
             first_row, listed_at_ms = int(row), float(listed_at)
         rows = self._fleet.listed_rows(listed_at_ms, parameters.get("zone", ""))
--- a/hallhitch/lab/emulator/traffic.py
+++ b/hallhitch/lab/emulator/traffic.py
@@ -1,4 +1,4 @@
-"""The workload: requests drawn before a run, so that a seed gives the same ones, and sent open loop at their times."""
+"""The workload: requests are planned before a run, reproducibly for a seed, and sent open-loop at their times."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from hallhitch.lab.streams import Stream, Streams
 from hallhitch.node.clock import now
 
-START_DELAY_MS: Final = 100.0  # so that all tasks are there when the first request is due
-OnSecond = Callable[[int, list[RequestOutcome]], None]  # a second is over, with what ended in it
+START_DELAY_MS: Final = 100.0  # so that all tasks exist when the first request is due
+OnSecond = Callable[[int, list[RequestOutcome]], None]  # called after each second with the requests that ended in it
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault of a scenario: when it is injected, counted from the start of traffic, and how."""
+    """A fault of a scenario; `at_s` is counted from the start of traffic."""
 
     at_s: float
     description: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """One request, its time from the start of traffic, and the index of the client that sends it."""
+    """A request with its offset from the start of traffic and the index of its client."""
 
     offset_ms: float
     client_index: int
@@ -38,7 +38,7 @@
 def plan_requests(
     spec: EmulatorSpec, duration_s: float, client_count: int, load_factor: float = 1.0
 ) -> list[PlannedRequest]:
-    """Return all requests of a run by time: each kind at its rate times `load_factor`."""
+    """Return all requests of a run, sorted by time: each kind is sent at its rate times `load_factor`."""
     streams, planned = Streams(spec.seed), list[PlannedRequest]()
     sender_stream = streams.of("who")
     for kind in spec.request_kinds:
@@ -65,15 +65,15 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """One run of planned requests and faults."""
+    """One run of planned requests and faults, with its results."""
 
     emulator: Emulator
     planned_requests: list[PlannedRequest]
     outcomes: list[RequestOutcome] = field(default_factory=list)
-    send_delays_ms: list[float] = field(default_factory=list)  # by which requests were sent after their time
+    send_delays_ms: list[float] = field(default_factory=list)  # by how much requests were sent late
 
     async def run(self, faults: list[PlannedFault], on_second: OnSecond = lambda second, outcomes: None) -> None:
-        """Send all requests, inject the faults, and wait for everything in flight."""
+        """Send all requests, inject the faults, and wait for everything that is in flight."""
         begin_ms = now() + START_DELAY_MS
         tasks = [asyncio.create_task(self._inject(fault, begin_ms)) for fault in faults]
         second, reported = 0, 0
