--- a/hallhitch/lab/emulator/control_scenarios.py
+++ b/hallhitch/lab/emulator/control_scenarios.py
@@ -1,8 +1,8 @@
-"""Fault scenarios for the control plane: it is partitioned, replaced machine by machine, and changed hundreds of times.
+"""Fault scenarios for the control plane: partitions, replacement of every machine, and hundreds of changes.
 
-Beside the rules of every scenario, acknowledged configurations are read back while the fault lasts, also through a
-coordinator that may have no majority and may then give no response. One write or read is in flight at a time wherever a
-read is checked, so that what it must return is certain. Times are seconds from the start of traffic.
+In addition to the usual rules, acknowledged configurations are read back during the fault, also through a coordinator
+that may lack a majority and then need not respond. Where a read is checked, only one write or read is in flight at a
+time, so that the expected result is unambiguous. Times are in seconds from the start of traffic.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from hallhitch.node.clock import now
 
 WRITE_INTERVAL_S: Final = 0.5
-MINORITY_TIMEOUT_MS: Final = 1200.0  # of a coordinator that may have no majority: it gives a call up after 1000
-OVERLAP_S: Final = 1.0  # for which a replaced machine runs on beside its successor
+MINORITY_TIMEOUT_MS: Final = 1200.0  # for a coordinator that may lack a majority, which gives up a call after 1000 ms
+OVERLAP_S: Final = 1.0  # for which a replaced machine keeps running beside its successor
 CHANGE_COUNT: Final = 300
-DRAIN_MARGIN_MS: Final = 1000.0  # beyond the bound, for which a draining backend still runs
+DRAIN_MARGIN_MS: Final = 1000.0  # for which a draining backend keeps running beyond the drain timeout
 DRAIN_INTERVAL_S: Final = 1.5
-MISSED_CHANGES: Final = 20  # by a coordinator that is away
+MISSED_CHANGES: Final = 20  # by a coordinator that is down
 
 Injection = Callable[[], Awaitable[None]]
 
 
 @dataclass(slots=True)
 class ConfigSequence:
-    """Configurations with ascending versions that move one route to and fro between two services."""
+    """Configurations with ascending versions that move one route back and forth between two services."""
 
     emulator: Emulator
     _versions: Iterator[int] = field(default_factory=lambda: itertools.count(2))
@@ -44,17 +44,17 @@
         return self.with_service(version, "shelf" if version % 2 else "vault")
 
     def with_service(self, version: int, service: str) -> Config:
-        """Return the configuration that sends the route to a service."""
+        """Return a configuration that routes to a service."""
         return move_route(config_document(self.emulator.spec, version), "ask", service, version)
 
     def next_conflicting_pair(self) -> tuple[Config, Config]:
-        """Return two contents of one version."""
+        """Return two different configurations with the same version."""
         version = next(self._versions)
         return self.with_service(version, "shelf"), self.with_service(version, "vault")
 
 
 async def _write_configs(emulator: Emulator, configs: ConfigSequence, duration_s: float) -> None:
-    """Write one configuration after the other, and read each back."""
+    """Write configurations one at a time and read each one back."""
     ends_at_ms = now() + duration_s * 1000
     while now() < ends_at_ms:
         await emulator.operator.replace_config(configs.next())
@@ -63,9 +63,10 @@
 
 
 def coordinator_partitions(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
-    """Partition a coordinator from the others for a third of the run, then as long from all gateways.
+    """Partition a coordinator from the others for a third of the run, then from all gateways for as long.
 
-    Both sides are written to, and two contents of one version are written as each partition ends. Needs relays.
+    Operators write to both sides. As each partition ends, they write two different configurations with the same
+    version. Requires relays.
     """
     isolated, *others = emulator.processes.with_role("coordinator")
     gateways = emulator.processes.with_role("gateway")
@@ -93,24 +94,24 @@
 
         return inject
 
-    suffix = f"for {partition_s:g} s, orders on both sides"
+    suffix = f"for {partition_s:g} s, with writes on both sides"
     return [
         PlannedFault(
             duration_s * 0.05,
-            f"{isolated.name} cut off from the other coordinators {suffix}",
+            f"{isolated.name} partitioned from the other coordinators {suffix}",
             partition_from(others),
         ),
         PlannedFault(
-            duration_s * 0.55, f"{isolated.name} cut off from all gateways {suffix}", partition_from(gateways)
+            duration_s * 0.55, f"{isolated.name} partitioned from all gateways {suffix}", partition_from(gateways)
         ),
     ]
 
 
 def coordinator_replacements(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
-    """Replace every coordinator by an empty machine at another host, with writes meanwhile.
+    """Replace every coordinator by a machine without data at another host while configurations are written.
 
-    Right after each replacement, as soon as a further loss must be tolerated, another coordinator is killed and stays
-    away as long.
+    As soon as the system must tolerate another loss after a replacement, another coordinator is killed and stays down
+    for the catch-up time.
     """
     initial, configs = emulator.processes.with_role("coordinator"), ConfigSequence(emulator)
     catch_up_s = emulator.spec.catch_up_ms / 1000
@@ -132,10 +133,14 @@
 
     interval_s = duration_s * 0.9 / len(initial)
     faults = [
-        PlannedFault(duration_s * 0.05, "orders go on", lambda: _write_configs(emulator, configs, duration_s * 0.9))
+        PlannedFault(
+            duration_s * 0.05,
+            "configurations are written continuously",
+            lambda: _write_configs(emulator, configs, duration_s * 0.9),
+        )
     ]
     for number, old in enumerate(initial):
-        description = f"a new machine comes for {old.name}, which leaves; another one is killed for {catch_up_s:g} s"
+        description = f"a new machine replaces {old.name}; another coordinator is down for {catch_up_s:g} s"
         faults.append(PlannedFault(duration_s * 0.05 + interval_s * number, description, replace(old)))
     return faults
 
@@ -143,9 +148,10 @@
 def many_config_changes(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
     """Write hundreds of configurations while one coordinator is restarted and another loses its disk.
 
-    Each is away for some of the changes. Then the one that was there all the time is killed, and both are read from.
+    Each of the two misses some changes. Afterwards the one that was up all the time is killed, and the configuration is
+    read from each of the two.
     """
-    restarted, wiped, steady = emulator.processes.with_role("coordinator")[:3]
+    restarted, wiped, uninterrupted = emulator.processes.with_role("coordinator")[:3]
     configs, processes = ConfigSequence(emulator), emulator.processes
 
     async def terminate() -> None:
@@ -164,20 +170,24 @@
                 await faults_by_change[number]()
             await emulator.operator.replace_config(configs.next())
         await asyncio.sleep(emulator.spec.catch_up_ms / 1000)
-        await processes.kill(steady)
+        await processes.kill(uninterrupted)
         for machine in (restarted, wiped):
             await emulator.operator_for([machine]).read_config()
-        await processes.restart(steady, "killed")
+        await processes.restart(uninterrupted, "killed")
 
-    description = f"{CHANGE_COUNT} changes; {restarted.name} is restarted, {wiped.name} loses its disk"
+    description = (
+        f"{CHANGE_COUNT} configurations are written; {restarted.name} is restarted, {wiped.name} loses its disk"
+    )
     return [
         PlannedFault(duration_s * 0.05, description, inject),
-        PlannedFault(duration_s * 0.05, "backends drain one after the other", lambda: _drain_in_turn(emulator)),
+        PlannedFault(
+            duration_s * 0.05, "half of the backends are replaced in turn", lambda: _replace_backends_in_turn(emulator)
+        ),
     ]
 
 
-async def _drain_in_turn(emulator: Emulator) -> None:
-    """Replace half of the backends, one after the other: a new one starts, an old one drains."""
+async def _replace_backends_in_turn(emulator: Emulator) -> None:
+    """Replace half of the backends one at a time: start a new one, then drain an old one."""
     fleet, bounds = emulator.backends, emulator.spec.bounds
     for backend in list(fleet.backends.values())[::2]:
         await emulator.start_backend(backend.spec.service, 1, 1, is_cold=False)
--- a/hallhitch/lab/emulator/report.py
+++ b/hallhitch/lab/emulator/report.py
@@ -1,4 +1,4 @@
-"""The report of a run: served ratio and latencies by region and kind of request, acknowledgements, rules.
+"""Report of a run: served ratio and latencies by region and kind of request, acknowledgements and violations.
 
 Pure functions from records to lines; no I/O.
 """
@@ -14,13 +14,13 @@
 from hallhitch.lab.emulator.records import Config, OperatorOperation, Violation
 
 Row = tuple[str, ...]
-TABLE_HEADER: Final = ("", "asked", "served", "in aim", "refused", "failed", "p50 ms", "p99 ms", "tries")
+TABLE_HEADER: Final = ("", "requests", "served", "in target", "rejected", "failed", "p50 ms", "p99 ms", "attempts")
 REJECTED_STATUSES: Final = (429, 503)
-MAX_REPORTED_VIOLATIONS: Final = 3  # of one rule
+MAX_REPORTED_VIOLATIONS: Final = 3  # per rule
 
 
-def percentile(values: Sequence[float], share: float) -> float:
-    """Return the nearest-rank percentile; 0 of nothing.
+def percentile(values: Sequence[float], fraction: float) -> float:
+    """Return the nearest-rank percentile, or 0 if there are no values.
 
     >>> percentile([1.0, 2.0, 3.0, 4.0], 0.5)
     2.0
@@ -28,13 +28,13 @@
     if not values:
         return 0.0
     ordered = sorted(values)
-    rank = -(-int(share * 10_000) * len(ordered) // 10_000)
+    rank = -(-int(fraction * 10_000) * len(ordered) // 10_000)
     return ordered[min(len(ordered) - 1, max(0, rank - 1))]
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Counts and latencies of some requests; a latency is that of a served request from its first attempt on."""
+    """Counts and latencies of some requests; latencies are those of served requests, from their first attempt."""
 
     requests: int
     served: int
@@ -47,11 +47,11 @@
 
     @property
     def served_ratio(self) -> float:
-        """Served requests of all."""
+        """The share of requests that were served."""
         return self.served / self.requests if self.requests else 0.0
 
     def row(self, name: str) -> Row:
-        """Return a row of the table."""
+        """Return the row of the table for these requests."""
         divisor = max(1, self.requests)
         return (
             name,
@@ -67,7 +67,7 @@
 
 
 def summarize(outcomes: Iterable[RequestOutcome]) -> Summary:
-    """Summarize some requests."""
+    """Return the summary of some requests."""
     outcomes = list(outcomes)
     served = [outcome for outcome in outcomes if outcome.is_served]
     latencies_ms = [outcome.ended_at_ms - outcome.sent_at_ms for outcome in served]
@@ -88,7 +88,7 @@
 
 
 def outcome_table(outcomes: Sequence[RequestOutcome]) -> list[Row]:
-    """Return rows by region, by kind of request, and of all."""
+    """Return a row for each region and kind of request, and one for all requests."""
     rows = []
     groupings: tuple[Callable[[RequestOutcome], str], ...] = (
         lambda outcome: outcome.region,
@@ -101,7 +101,7 @@
 
 
 def describe_acknowledgements(operations: Sequence[OperatorOperation]) -> str:
-    """Describe how many operations were acknowledged, how long it took, and versions acknowledged for two contents.
+    """Describe how many operations were acknowledged, how fast, and how many versions for more than one content.
 
     >>> operations = [
     ...     OperatorOperation(0.0, "config", 40.0),
@@ -109,7 +109,7 @@
     ...     OperatorOperation(0.0, "config", None),
     ... ]
     >>> describe_acknowledgements(operations)
-    '3 orders, 2 acknowledged: p50 40 ms, p99 60 ms, worst 60 ms; 0 numbers acknowledged for two contents'
+    '3 operations, 2 acknowledged: p50 40 ms, p99 60 ms, max 60 ms; 0 versions acknowledged with two contents'
     """
     latencies_ms = []
     contents: dict[int, list[Config]] = defaultdict(list)
@@ -121,16 +121,16 @@
             contents[operation.version].append(operation.config)
     conflicting = sum(len(configs) > 1 for configs in contents.values())
     return (
-        f"{len(operations)} orders, {len(latencies_ms)} acknowledged: p50 {percentile(latencies_ms, 0.5):.0f} ms, "
-        f"p99 {percentile(latencies_ms, 0.99):.0f} ms, worst {max(latencies_ms, default=0.0):.0f} ms; "
-        f"{conflicting} numbers acknowledged for two contents"
+        f"{len(operations)} operations, {len(latencies_ms)} acknowledged: p50 {percentile(latencies_ms, 0.5):.0f} ms, "
+        f"p99 {percentile(latencies_ms, 0.99):.0f} ms, max {max(latencies_ms, default=0.0):.0f} ms; "
+        f"{conflicting} versions acknowledged with two contents"
     )
 
 
 def describe_violations(violations_by_rule: Mapping[str, Sequence[Violation]]) -> list[str]:
-    """Return a line for each rule, and what shows that it was broken."""
+    """Return a line for each rule, followed by the details of its first violations."""
     lines = []
     for rule, violations in violations_by_rule.items():
-        lines.append(f"{rule:<9} {'kept' if not violations else f'BROKEN {len(violations)} times'}")
+        lines.append(f"{rule:<9} {'ok' if not violations else f'VIOLATED {len(violations)} times'}")
         lines += [f"          {violation.detail}" for violation in violations[:MAX_REPORTED_VIOLATIONS]]
     return lines
--- a/hallhitch/lab/emulator/scenarios.py
+++ b/hallhitch/lab/emulator/scenarios.py
@@ -1,6 +1,6 @@
-"""Fault scenarios by name: each is a function from an emulator and a duration to the faults that it injects.
+"""Fault scenarios by name: each function returns the faults that it plans for an emulator and a duration.
 
-Times are seconds from the start of traffic. Every scenario undoes what it does, so that its end is without faults.
+Times are in seconds from the start of traffic. Every scenario reverts its faults, so a run ends without any.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from hallhitch.lab.emulator.spec import RequestKind
 from hallhitch.lab.emulator.traffic import PlannedFault
 
-RESTART_DELAY_S: Final = 1.0  # after which a killed process is started again
+RESTART_DELAY_S: Final = 1.0  # from a kill until the restart
 PAUSE_DURATION_S: Final = 3.0
 COLD_DURATION_MS: Final = 3000.0
 INVALID_CONFIG_TIMEOUT_MS: Final = 3000.0
 ADDED_ROUTES: Final = 20
 OVERLOAD_RATE_PER_S: Final = 200
-OVERLOAD_RATIO: Final = 0.3  # of the run
+OVERLOAD_RATIO: Final = 0.3  # of the run's duration
 DEPARTURES_PER_S: Final = 20
-DEPARTURE_RATIO: Final = 0.3  # of the run
-DEPARTURE_WORK_FACTOR: Final = 20.0  # so that requests last well beyond the rule's half second
+DEPARTURE_RATIO: Final = 0.3  # of the run's duration
+DEPARTURE_WORK_FACTOR: Final = 20.0  # makes requests last much longer than the half second of the rule GONE
 PATIENCE_MS: Final = 60.0
-FIRST_DEPARTURE_REQUEST: Final = 20_000  # numbers of requests that no other one has
-FIRST_OVERLOAD_REQUEST: Final = 10_000  # numbers of requests that no other one has
+FIRST_DEPARTURE_REQUEST: Final = 20_000  # start of a range of request numbers that nothing else uses
+FIRST_OVERLOAD_REQUEST: Final = 10_000  # start of a range of request numbers that nothing else uses
 RESPONSE_FAULT_RATIOS: Final = {
     ResponseFault.LOST: 0.01,
     ResponseFault.BROKEN_OFF: 0.01,
@@ -61,7 +61,7 @@
 
 def _plan_kill(emulator: Emulator, at_s: float, machine: Machine, wipes_disk: bool = False) -> PlannedFault:
     suffix = " and loses its disk" if wipes_disk else ""
-    description = f"{machine.name} is killed{suffix}, and back after {RESTART_DELAY_S:g} s"
+    description = f"{machine.name} is killed{suffix}, restarted after {RESTART_DELAY_S:g} s"
     return PlannedFault(at_s, description, _kill_and_restart(emulator, machine, wipes_disk))
 
 
@@ -69,8 +69,8 @@
     emulator: Emulator, at_s: float, targets: Sequence[Machine], peers: Sequence[Machine], duration_s: float
 ) -> PlannedFault:
     target_names = " and ".join(machine.name for machine in targets)
-    peer_names = " and ".join(machine.name for machine in peers) or "everybody"
-    description = f"{target_names} cut off from {peer_names} for {duration_s:g} s"
+    peer_names = " and ".join(machine.name for machine in peers) or "all others"
+    description = f"{target_names} partitioned from {peer_names} for {duration_s:g} s"
     return PlannedFault(at_s, description, lambda: emulator.partition(targets, peers, duration_s))
 
 
@@ -83,7 +83,7 @@
     ]
 
 
-def thundering_herd(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
+def simultaneous_kills(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
     """Kill all coordinators at once, then half of the gateways at once."""
     coordinators, gateways = _machines(emulator)
     return [
@@ -93,7 +93,7 @@
 
 
 def disk_losses(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
-    """Let a coordinator lose its disk right after a configuration was acknowledged, and another one later."""
+    """Wipe the disk of a coordinator right after a configuration was acknowledged, and that of another one later."""
     coordinators, _ = _machines(emulator)
 
     async def inject() -> None:
@@ -101,13 +101,15 @@
         await _kill_and_restart(emulator, coordinators[0], wipes_disk=True)()
 
     return [
-        PlannedFault(duration_s * 0.2, f"version 4; {coordinators[0].name} is killed and loses its disk", inject),
+        PlannedFault(
+            duration_s * 0.2, f"version 4 is written; {coordinators[0].name} is killed and loses its disk", inject
+        ),
         _plan_kill(emulator, duration_s * 0.65, coordinators[-1], wipes_disk=True),
     ]
 
 
 def partitions(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
-    """Partition a gateway and a coordinator from all others, then the coordinators in two. Needs relays."""
+    """Partition a gateway, then a coordinator from all others, then the coordinators in two. Requires relays."""
     coordinators, gateways = _machines(emulator)
     partition_s = duration_s * 0.15
     return [
@@ -118,9 +120,9 @@
 
 
 def process_pauses(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
-    """Pause a gateway and a coordinator; let another gateway leave in order and come back."""
+    """Pause a gateway, then a coordinator; terminate another gateway gracefully and restart it."""
     coordinators, gateways = _machines(emulator)
-    leaving = gateways[-1]
+    terminated = gateways[-1]
 
     def pause(machine: Machine) -> Injection:
         async def inject() -> None:
@@ -130,62 +132,66 @@
 
         return inject
 
-    async def leave() -> None:
-        await emulator.processes.terminate(leaving)
-        await emulator.processes.restart(leaving, "left")
+    async def terminate_and_restart() -> None:
+        await emulator.processes.terminate(terminated)
+        await emulator.processes.restart(terminated, "left")
 
-    suffix = f"stands still for {PAUSE_DURATION_S:g} s"
+    suffix = f"is paused for {PAUSE_DURATION_S:g} s"
     return [
         PlannedFault(duration_s * 0.2, f"{gateways[0].name} {suffix}", pause(gateways[0])),
         PlannedFault(duration_s * 0.45, f"{coordinators[0].name} {suffix}", pause(coordinators[0])),
-        PlannedFault(duration_s * 0.6, f"{leaving.name} is told to leave, and comes back", leave),
+        PlannedFault(duration_s * 0.6, f"{terminated.name} is terminated and restarted", terminate_and_restart),
     ]
 
 
 def backend_faults(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
-    """Let backends drain, crash and come back cold, responses go wrong, and the list go away."""
+    """Drain and crash backends, start cold ones, inject response faults, and stop the instance list."""
     fleet, spec = emulator.backends, emulator.spec
     services = [backend_spec.service for backend_spec, _ in spec.backends]
-    first, last = services[0], services[-1]
+    first_service, last_service = services[0], services[-1]
 
     def instance(service: str, number: int) -> str:
         return [name for name, backend in fleet.backends.items() if backend.spec.service == service][number]
 
     async def drain() -> None:
-        draining = fleet.backends[instance(first, 0)]
+        draining = fleet.backends[instance(first_service, 0)]
         fleet.drain(draining, spec.bounds.drain_timeout_ms + DRAIN_MARGIN_MS)
-        await emulator.start_backend(first, 1, 1, is_cold=True)
+        await emulator.start_backend(first_service, 1, 1, is_cold=True)
 
     async def crash() -> None:
-        fleet.crash(fleet.backends[instance(first, 1)])
-        await emulator.start_backend(first, 2 if spec.regions > 1 else 1, 1, is_cold=True)
+        fleet.crash(fleet.backends[instance(first_service, 1)])
+        await emulator.start_backend(first_service, 2 if spec.regions > 1 else 1, 1, is_cold=True)
 
     async def make_cold() -> None:
         for number in (2, 3):
-            fleet.make_cold(fleet.backends[instance(first, number)], COLD_DURATION_MS)
+            fleet.make_cold(fleet.backends[instance(first_service, number)], COLD_DURATION_MS)
 
-    async def break_responses() -> None:
+    async def inject_response_faults() -> None:
         fleet.fault_ratios |= RESPONSE_FAULT_RATIOS
         await asyncio.sleep(duration_s * 0.2)
         fleet.fault_ratios.clear()
 
     async def stop_list() -> None:
         emulator.set_platform_state(PlatformState.DOWN)
-        fleet.crash(fleet.backends[instance(last, 0)])
+        fleet.crash(fleet.backends[instance(last_service, 0)])
         await asyncio.sleep(duration_s * 0.15)
         emulator.set_platform_state(PlatformState.UP)
 
     return [
         PlannedFault(duration_s * 0.1, "a backend drains, a new one starts cold", drain),
         PlannedFault(duration_s * 0.3, "a backend crashes, a new one starts cold", crash),
-        PlannedFault(duration_s * 0.4, "two backends turn cold", make_cold),
-        PlannedFault(duration_s * 0.5, "answers are lost, broken off, doubled, late, garbled", break_responses),
-        PlannedFault(duration_s * 0.75, "the list is down, a backend crashes", stop_list),
+        PlannedFault(duration_s * 0.4, "two backends become cold", make_cold),
+        PlannedFault(
+            duration_s * 0.5,
+            "responses are lost, truncated, duplicated, duplicated late, or garbled",
+            inject_response_faults,
+        ),
+        PlannedFault(duration_s * 0.75, "the instance list is down, a backend crashes", stop_list),
     ]
 
 
 def config_changes(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
-    """Add routes, let two operators write at once, write an invalid configuration, evacuate a zone."""
+    """Add routes, write two configurations concurrently, write an invalid one, and evacuate a zone."""
     spec, operator = emulator.spec, emulator.operator
     added_kinds = [
         RequestKind(f"fresh{number}", "idempotent", ((spec.backends[0][0].service, 1),), 1.0, 500, 2000)
@@ -204,7 +210,7 @@
             )
         )
 
-    async def race() -> None:
+    async def write_concurrently() -> None:
         first = move_route(config_document(spec, 3, added_kinds), "ask", "shelf", 5)
         second = move_route(config_document(spec, 3, added_kinds), "look", "vault", 6)
         await asyncio.gather(operator.replace_config(first), operator.replace_config(second))
@@ -219,15 +225,15 @@
         await operator.stop_evacuation(zone)
 
     return [
-        PlannedFault(duration_s * 0.1, "twenty routes more", add_routes),
-        PlannedFault(duration_s * 0.35, "two operators at once", race),
-        PlannedFault(duration_s * 0.5, "an invalid configuration", write_invalid_config),
-        PlannedFault(duration_s * 0.55, f"{zone} is evacuated, and taken back", evacuate),
+        PlannedFault(duration_s * 0.1, "twenty routes are added", add_routes),
+        PlannedFault(duration_s * 0.35, "two configurations are written concurrently", write_concurrently),
+        PlannedFault(duration_s * 0.5, "an invalid configuration is written", write_invalid_config),
+        PlannedFault(duration_s * 0.55, f"{zone} is evacuated, later returned to service", evacuate),
     ]
 
 
 def overload(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
-    """Let one tenant send many times its usual rate for a part of the run."""
+    """Make one tenant send many times its usual rate during a part of the run."""
     spec = emulator.spec
     tenant, clients = spec.tenants[-1], emulator.clients[-3:]
     keys = spec.api_keys(tenant)
@@ -243,12 +249,12 @@
             await asyncio.sleep(1 / OVERLOAD_RATE_PER_S)
         await asyncio.gather(*tasks)
 
-    description = f"{tenant.name} sends {OVERLOAD_RATE_PER_S} a second more"
+    description = f"{tenant.name} sends {OVERLOAD_RATE_PER_S} additional requests per second"
     return [PlannedFault(duration_s * 0.3, description, inject)]
 
 
 def client_departures(emulator: Emulator, duration_s: float) -> list[PlannedFault]:
-    """Let all backends be slow for a part of the run, and clients leave long before their responses."""
+    """Slow down all backends during a part of the run, and disconnect clients long before their responses."""
     spec = emulator.spec
     kinds = [kind for kind in spec.request_kinds if kind.route_kind != NON_IDEMPOTENT]
 
@@ -264,19 +270,19 @@
         await asyncio.gather(*tasks)
         emulator.backends.work_factor = 1.0
 
-    description = f"backends are {DEPARTURE_WORK_FACTOR:g} times as slow, clients leave after {PATIENCE_MS:g} ms"
+    description = f"backends take {DEPARTURE_WORK_FACTOR:g} times as long, clients disconnect after {PATIENCE_MS:g} ms"
     return [PlannedFault(duration_s * 0.3, description, inject)]
 
 
 def _machines(emulator: Emulator) -> tuple[list[Machine], list[Machine]]:
-    """Return coordinators and gateways."""
+    """Return the coordinators and the gateways."""
     return emulator.processes.with_role("coordinator"), emulator.processes.with_role("gateway")
 
 
-# The names are those of the command line.
+# By the names that the command line accepts.
 SCENARIOS: Final[dict[str, Scenario]] = {
     "kills": process_kills,
-    "herd": thundering_herd,
+    "herd": simultaneous_kills,
     "wipes": disk_losses,
     "links": partitions,
     "frozen": process_pauses,
