--- a/tests/system/emulator/emulated_parties.py
+++ b/tests/system/emulator/emulated_parties.py
@@ -1,4 +1,4 @@
-"""Single emulated parties for tests: one backend, requests to it, a server with scripted replies."""
+"""Helpers for tests of single emulated parties: a backend, requests to it, and a server with scripted responses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hallhitch.lab.emulator.records import Records
 from hallhitch.lab.http_messages import Reader, Writer, read_message
 
-TEST_TIMEOUT_S: Final = 20.0  # after which a wait was in vain
+TEST_TIMEOUT_S: Final = 20.0  # after which a test fails
 BACKEND_HOST: Final = "127.1.1.200"
 BACKEND_LOCATION: Final = ("zone-1a", "region-1")
 SCRIPTED_HOST: Final = "127.1.1.1"
@@ -22,13 +22,13 @@
 
 
 def run_with_timeout(body: Callable[[], Awaitable[None]]) -> None:
-    """Run a test's coroutine within the time-out."""
+    """Run the coroutine of a test with a timeout."""
     asyncio.run(asyncio.wait_for(body(), TEST_TIMEOUT_S))
 
 
 @contextlib.asynccontextmanager
 async def running_backend(spec: BackendSpec, is_cold: bool = False) -> AsyncIterator[Backend]:
-    """One backend, `b1`, of a fleet of its own."""
+    """Run one backend, `b1`, in its own fleet."""
     base_port, reservation = reserve_ports()
     fleet = BackendFleet(Records(), NetworkPaths(0, 0, {}), base_port)
     try:
@@ -39,7 +39,7 @@
 
 
 def encode_request(id: str, deadline_ms: int = 5000, path: str = "/look/1", **headers: str) -> bytes:
-    """Encode a request; names of headers have _ for -."""
+    """Encode a request; underscores in header names become hyphens."""
     lines = [f"GET {path} HTTP/1.1", "Host: x", f"Hallhitch-Deadline-Remaining: {deadline_ms}"]
     lines += [f"Hallhitch-Request-Id: {id}"] if id else []
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
@@ -47,7 +47,7 @@
 
 
 async def send_request(backend: Backend, request: bytes) -> Message | None:
-    """Return the response on a connection of its own; None where it broke without one."""
+    """Send a request on a new connection; return the response, or None if the connection closed without one."""
     reader, writer = await asyncio.open_connection(*backend.address)
     try:
         writer.write(request)
@@ -59,18 +59,18 @@
 
 
 def status_of(message: Message | None) -> int:
-    """Return a response's status; 0 = none."""
+    """Return the status of a response, or 0 if there is none."""
     return int(message[0].split()[1]) if message is not None else 0
 
 
 async def wait_for_arrivals(backend: Backend, count: int) -> None:
-    """Wait until so many requests have arrived."""
+    """Wait until this many requests have arrived."""
     while len(backend.fleet.records.arrivals) < count:
         await asyncio.sleep(0)
 
 
 async def start_scripted_server(port: int, reply: Callable[[str, dict[str, str], bytes], bytes]) -> asyncio.Server:
-    """Start a server at SCRIPTED_HOST that sends what `reply` returns for each message."""
+    """Start a server at SCRIPTED_HOST that responds to each message with what `reply` returns."""
 
     async def serve(reader: Reader, writer: Writer) -> None:
         with contextlib.suppress(OSError, EOFError):
--- a/tests/system/emulator/record_builder.py
+++ b/tests/system/emulator/record_builder.py
@@ -1,4 +1,4 @@
-"""Records of a run, written by hand for tests of the rules."""
+"""Builds the records of a run by hand, for tests of the rules."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 def accepted_config(sent_at_ms: float, acknowledged_at_ms: float, version: int, config: Config) -> OperatorOperation:
-    """A configuration that was acknowledged."""
+    """Return the operation of a configuration that was acknowledged."""
     return OperatorOperation(sent_at_ms, "config", acknowledged_at_ms, version, config, status=200)
 
 
 class RecordBuilder:
-    """Records of a run without faults in which version 1 was acknowledged at 0."""
+    """Builds the records of a run without faults, in which version 1 is acknowledged at 0 ms."""
 
     def __init__(self) -> None:
         self.records = Records(
@@ -43,7 +43,7 @@
         )
 
     def add_attempt(self, sent_at_ms: float, kind: str = "look", status: int = 200, **changes: Any) -> ClientAttempt:
-        """Add a client's attempt; a success is a complete response of the backend `b1`, unless changed."""
+        """Add an attempt; by default, a successful one gets a complete response of the backend `b1`."""
         id = f"{len(self.records.attempts) + 1:x}"
         is_success = status == 200
         attempt = ClientAttempt(
@@ -65,14 +65,14 @@
             response_digest=7 if is_success else 0,
             is_complete=True,
         )
-        _change(attempt, changes)
+        _set_fields(attempt, changes)
         self.records.attempts.append(attempt)
         return attempt
 
     def add_arrival(
         self, attempt: ClientAttempt, arrived_at_ms: float | None = None, instance: str = "b1", **changes: Any
     ) -> BackendArrival:
-        """Add an attempt's arrival at a backend, which executes it, unless changed."""
+        """Add the arrival of an attempt at a backend, which by default executes it."""
         arrived_at_ms = attempt.sent_at_ms + 10 if arrived_at_ms is None else arrived_at_ms
         arrival = BackendArrival(
             number=next(self.records.arrival_numbers),
@@ -93,7 +93,7 @@
             seal=f"{instance}.{attempt.id}",
             response_digest=7,
         )
-        _change(arrival, changes)
+        _set_fields(arrival, changes)
         self.records.arrivals.append(arrival)
         return arrival
 
@@ -102,16 +102,16 @@
         self.records.fault_intervals.append(FaultInterval(begin_ms, end_ms, target, fault))
 
     def move_look_to_vault(self) -> None:
-        """Add version 2, acknowledged at 1000, that sends requests of the kind `look` to the service vault."""
+        """Add version 2, acknowledged at 1000 ms, which routes requests of the kind `look` to the service `vault`."""
         config = move_route(FIRST_CONFIG, "look", "vault", 2)
         self.records.operations.append(accepted_config(950, 1000.0, 2, config))
 
     def violated_rules(self) -> set[str]:
-        """Return the names of the rules that are violated."""
+        """Check the records and return the names of the violated rules."""
         return {rule for rule, violations in check_records(self.records, BOUNDS).items() if violations}
 
 
-def _change(record: ClientAttempt | BackendArrival, changes: dict[str, Any]) -> None:
+def _set_fields(record: ClientAttempt | BackendArrival, changes: dict[str, Any]) -> None:
     for name, value in changes.items():
         assert hasattr(record, name)
         setattr(record, name, value)
--- a/tests/system/emulator/test_coordinator_replacement.py
+++ b/tests/system/emulator/test_coordinator_replacement.py
@@ -1,4 +1,4 @@
-"""A coordinator is replaced by an empty machine, with real processes; every wait is for a condition."""
+"""Replacement of a coordinator by a machine without data, with real processes; every wait is for a condition."""
 
 from __future__ import annotations
 
@@ -24,9 +24,10 @@
 TIMEOUT_S = 120.0
 
 
-def test_new_machine_takes_the_place_of_one_that_leaves(tmp_path: Path) -> None:
-    """The successor, not marked as a first start, returns what was acknowledged before it came; the old machine ends in
-    order and is asked for nothing more; what is acknowledged afterwards is read from each."""
+def test_successor_replaces_a_coordinator_without_losing_configurations(tmp_path: Path) -> None:
+    """A successor joins an existing cluster, so its settings do not mark a first start. It returns the configuration
+    that was acknowledged before it joined. The old machine exits cleanly and gets no further requests. A configuration
+    that is acknowledged afterwards is read from every coordinator."""
 
     async def body() -> None:
         async with Emulator(SPEC, tmp_path, is_relayed=True) as emulator:
@@ -41,7 +42,7 @@
                 read = await emulator.operator_for([successor]).read_config_if_answered(TIMEOUT_S * 1000)
                 return read.config is not None
 
-            await emulator.wait_until(responds, "the new machine answers", TIMEOUT_S)
+            await emulator.wait_until(responds, "the successor responds", TIMEOUT_S)
             assert await emulator.processes.remove(old) == 0
             assert old not in emulator.processes.with_role("coordinator") and not old.data_directory.exists()
             write = await emulator.operator.replace_config(configs.next(), TIMEOUT_S * 1000)
@@ -52,7 +53,7 @@
             ]
             assert [read.config and read.config["configVersion"] for read in reads] == [3, 3, 3]
             assert emulator.processes.describe_unexpected_exits() == []
-        # Bounds of time judge nothing here: what a busy machine delays is no violation.
+        # Time bounds are relaxed: a delay on a busy machine is no violation.
         bounds = replace(SPEC.bounds, config_apply_ms=TIMEOUT_S * 1000, downgrade_slack_ms=TIMEOUT_S * 1000)
         violations_by_rule = check_records(emulator.records, bounds)
         assert {rule: violations for rule, violations in violations_by_rule.items() if violations} == {}
--- a/tests/system/emulator/test_emulated_backend.py
+++ b/tests/system/emulator/test_emulated_backend.py
@@ -1,4 +1,4 @@
-"""The emulated backend over loopback sockets: what it responds, and what it records."""
+"""Responses and records of the emulated backend, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -49,10 +49,10 @@
             assert response is not None and status_of(response) == 200
             assert response[1]["hallhitch-instance-id"] == "b1"
             backend.fleet.drain(backend)
-            response = await send_request(backend, encode_request("a4"))  # it serves on, and announces that it leaves
+            response = await send_request(backend, encode_request("a4"))  # it still serves, but announces the close
             assert response is not None and (status_of(response), response[1]["connection"]) == (200, "close")
             assert status_of(await send_request(backend, HEALTH_CHECK)) == 503
-            assert len(arrivals) == 5  # health checks are no requests
+            assert len(arrivals) == 5  # health checks are not recorded
 
     run_with_timeout(body)
 
@@ -63,7 +63,7 @@
 
     async def body() -> None:
         async with running_backend(spec) as backend:
-            # The first execution holds its slot until its client leaves.
+            # The first execution occupies its slot until its client disconnects.
             backend.pending_faults.append(ResponseFault.SILENT)
             first = asyncio.ensure_future(send_request(backend, encode_request("a1")))
             await wait_for_arrivals(backend, 1)
@@ -74,12 +74,12 @@
             was_started = [arrival.started_at_ms is not None for arrival in backend.fleet.records.arrivals]
             assert was_started == [True, False, False]
             first.cancel()
-            assert status_of(await second) == 200  # the slot is free once the first connection closes
+            assert status_of(await second) == 200  # the slot becomes free when the first connection closes
 
     run_with_timeout(body)
 
 
-def test_deadline_that_passes_in_the_queue_is_declined_and_while_executing_is_not() -> None:
+def test_deadline_expired_in_the_queue_is_declined_and_during_execution_times_out() -> None:
     async def body() -> None:
         async with running_backend(BackendSpec("shelf", slots=1, queue_limit=1, work_ms=60_000)) as backend:
             arrivals = backend.fleet.records.arrivals
@@ -90,7 +90,7 @@
             await wait_for_arrivals(backend, 3)
             while now() < arrivals[2].arrived_at_ms + 1:
                 await asyncio.sleep(0)
-            first.cancel()  # its slot is free
+            first.cancel()  # frees the slot
             assert status_of(await second) == 503
             assert [arrival.started_at_ms is not None for arrival in arrivals] == [True, True, False]
 
@@ -112,7 +112,7 @@
             else:
                 with pytest.raises((EOFError, OSError, asyncio.LimitOverrunError, ValueError)):  # noqa: PT012
                     status_line, _, _ = await read_message(reader)
-                    raise ValueError(status_line)  # what is no response
+                    raise ValueError(status_line)  # the response is invalid
             assert backend.fleet.records.arrivals[0].is_broken_off == (fault not in DUPLICATES)
             writer.close()
 
--- a/tests/system/emulator/test_emulated_client.py
+++ b/tests/system/emulator/test_emulated_client.py
@@ -1,4 +1,4 @@
-"""The emulated client: when it retries, and what it sends and records."""
+"""Retries, requests and records of the emulated client."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     assert retry_delay_ms(request_, result, remaining_ms, BACKOFF_MS) == expected_ms
 
 
-def test_a_client_that_has_left_does_not_come_back() -> None:
+def test_client_that_disconnected_does_not_retry() -> None:
     assert retry_delay_ms(IDEMPOTENT, AttemptResult(has_left=True), 900, BACKOFF_MS) is None
 
 
--- a/tests/system/emulator/test_emulated_operator.py
+++ b/tests/system/emulator/test_emulated_operator.py
@@ -1,4 +1,4 @@
-"""The emulated operator: retries, redirects, conclusive responses, and what it records."""
+"""Retries, redirects, conclusive responses and records of the emulated operator."""
 
 from __future__ import annotations
 
--- a/tests/system/emulator/test_end_to_end.py
+++ b/tests/system/emulator/test_end_to_end.py
@@ -1,6 +1,6 @@
-"""The whole path with the real processes: three coordinators, three gateways, backends and clients, on loopback.
+"""End-to-end test with the real processes on loopback: three coordinators, three gateways, backends and clients.
 
-Every wait is for a condition, within a limit that judges nothing.
+Every wait is for a condition; its timeout only guards against hanging and is no requirement.
 """
 
 from __future__ import annotations
@@ -27,8 +27,9 @@
 
 
 def test_configurations_requests_and_losses(tmp_path: Path) -> None:
-    """A configuration is accepted and requests run as it says; another one is accepted and obeyed with a coordinator
-    dead; a gateway that is told to leave ends in order; no rule is broken, and what was acknowledged is read back."""
+    """A configuration is accepted and requests are routed by it. With one coordinator killed, another configuration is
+    accepted and applied. A gateway exits cleanly on SIGTERM. No rule is violated, and the acknowledged configuration is
+    read back."""
 
     async def body() -> None:
         async with Emulator(SPEC, tmp_path) as emulator:
@@ -44,7 +45,7 @@
                 async def is_served() -> bool:
                     return (await client.request(request)).is_served
 
-                # A deadline of two seconds may pass on a busy machine: then it is sent again, as its user would.
+                # On a busy machine the deadline of two seconds may expire; then the request is sent again.
                 await emulator.wait_until(is_served, f"{request.path} is served to {client}", TIMEOUT_S)
 
             await asyncio.gather(
@@ -59,22 +60,24 @@
             write = await emulator.operator.replace_config(second_config, TIMEOUT_S * 1000)
             assert write.acknowledged_at_ms is not None
 
-            async def is_obeyed() -> bool:
-                known = len(arrivals)
+            async def is_applied() -> bool:
+                arrivals_before = len(arrivals)
                 statuses = [
                     await emulator.clients[0].probe(address, shelf_kinds[0].make_request(1, keys[0]))
                     for address in emulator.client_environment.gateway_names
                 ]
-                return set(statuses) == {200} and {arrival.service for arrival in arrivals[known:]} == {"vault"}
+                return set(statuses) == {200} and {arrival.service for arrival in arrivals[arrivals_before:]} == {
+                    "vault"
+                }
 
-            await emulator.wait_until(is_obeyed, "every gateway obeys the second configuration", TIMEOUT_S)
+            await emulator.wait_until(is_applied, "every gateway applies the second configuration", TIMEOUT_S)
             read = await emulator.operator.read_config()
             assert read.config is not None and read.config["configVersion"] == 7
 
-            leaving = emulator.processes.with_role("gateway")[0]
-            assert await emulator.processes.terminate(leaving, TIMEOUT_S * 1000) == 0
+            terminated = emulator.processes.with_role("gateway")[0]
+            assert await emulator.processes.terminate(terminated, TIMEOUT_S * 1000) == 0
             assert emulator.processes.describe_unexpected_exits() == []
-        # Bounds of time judge nothing here: what a busy machine delays is no violation.
+        # Time bounds are relaxed: a delay on a busy machine is no violation.
         bounds = replace(SPEC.bounds, config_apply_ms=TIMEOUT_S * 1000, downgrade_slack_ms=TIMEOUT_S * 1000)
         violations_by_rule = check_records(emulator.records, bounds)
         assert {rule: violations for rule, violations in violations_by_rule.items() if violations} == {}
--- a/tests/system/emulator/test_platform_api.py
+++ b/tests/system/emulator/test_platform_api.py
@@ -1,4 +1,4 @@
-"""The platform's list: pages, lag, rate limit, outages."""
+"""Pages, lag, rate limit and outages of the platform's instance list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.system.emulator.emulated_parties import run_with_timeout, running_backend
 
 
-def test_list_is_paged_lags_and_is_rate_limited() -> None:
+def test_list_has_pages_lag_and_a_rate_limit() -> None:
     async def body() -> None:
         async with running_backend(BackendSpec("shelf", work_ms=0)) as backend:
             fleet = backend.fleet
@@ -30,14 +30,14 @@
                 return int(head.split()[1]), json.loads(text or b"{}")
 
             first_page = call(all_listed_at_ms - 1000, "/instances")[1]
-            assert first_page["instances"]["rowValues"] == []  # no backend was known yet
+            assert first_page["instances"]["rowValues"] == []  # the list lags, so it shows no backend yet
             names, target = list[str](), "/instances"
             while target:
                 status, page = call(all_listed_at_ms + 10, target)
                 assert status == 200 and "instanceId" in page["instances"]["columnNames"]
                 names += [row[0] for row in page["instances"]["rowValues"]]
                 target = f"/instances?pageToken={page['nextPageToken']}" if page["nextPageToken"] else ""
-                fleet.drain(backend)  # a page that follows shows the same moment as the first
+                fleet.drain(backend)  # later pages show the same moment as the first one
             assert names == ["b1", "b2", "b3", "b4", "b5"]
             assert call(all_listed_at_ms + 20, "/instances")[0] == 200
             assert call(all_listed_at_ms + 30, "/instances")[0] == 429 and platform.rejected == 1
--- a/tests/system/emulator/test_rules.py
+++ b/tests/system/emulator/test_rules.py
@@ -1,4 +1,4 @@
-"""The checker on records whose verdict is known: each rule on both sides of its bound."""
+"""Each rule on records with a known result, on both sides of its bound."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def _limit_tenant(version: int, rate_per_s: int) -> Config:
-    """The first configuration under a version, with a limit without burst for the tenant red."""
+    """Return the first configuration with a version, and with a rate limit without burst for the tenant red."""
     config = copy.deepcopy(dict(FIRST_CONFIG)) | {"configVersion": version}
     config["tenants"]["red"] |= {"ratePerS": rate_per_s, "burstSize": 0}
     return config
@@ -59,7 +59,7 @@
 
 
 def _draining(arrived_at_ms: float, **changes: Any) -> Fill:
-    """The list shows a backend as leaving at 1000; a request arrives."""
+    """The list shows a backend as draining from 1000 ms; a request arrives."""
 
     def fill(builder: RecordBuilder) -> None:
         builder.records.listing_changes.append(ListingChange(1000, "b1"))
@@ -74,7 +74,7 @@
 
 
 def _departed(count: int, stopped_at_ms: float, kind: str = "look", planned_end_ms: float = 2000.0) -> Fill:
-    """Clients leave at 1000; each has a request that a backend has begun, and that ends then."""
+    """Clients disconnect at 1000 ms; a backend is executing a request of each, and stops at `stopped_at_ms`."""
 
     def fill(builder: RecordBuilder) -> None:
         for _ in range(count):
@@ -90,7 +90,7 @@
 
 
 def _departed_mostly_stopped(late_count: int) -> Fill:
-    """Four clients leave; the executions for some of them are not stopped in time."""
+    """Four clients disconnect; the executions of some of their requests are not cancelled in time."""
 
     def fill(builder: RecordBuilder) -> None:
         _departed(4 - late_count, 1100)(builder)
@@ -100,7 +100,7 @@
 
 
 def _arriving_after_departure(count: int, arrived_at_ms: float) -> Fill:
-    """Requests reach a backend after their clients have left at 1000."""
+    """Requests reach a backend after their clients disconnected at 1000 ms."""
 
     def fill(builder: RecordBuilder) -> None:
         for _ in range(count):
@@ -112,7 +112,7 @@
 
 
 def _evacuated(arrived_at_ms: float, stopped_at_ms: float | None = None) -> Fill:
-    """A zone's evacuation is acknowledged at 1000; a request arrives."""
+    """The evacuation of a zone is acknowledged at 1000 ms; a request arrives."""
 
     def fill(builder: RecordBuilder) -> None:
         operations = builder.records.operations
@@ -126,7 +126,7 @@
 
 
 def _cold(count: int, interval_ms: float, delay_ms: float = 10.0) -> Fill:
-    """A backend that bears three requests a second gets some."""
+    """A cold backend with a rate of three requests per second gets some requests."""
 
     def fill(builder: RecordBuilder) -> None:
         builder.records.cold_periods.append(ColdPeriod(0, 60_000, "b1", 3.0))
@@ -138,7 +138,7 @@
 
 
 def _limited(count: int, rate_per_s: int) -> Fill:
-    """So many requests in 800 ms, across the border of two whole seconds."""
+    """Requests arrive within 800 ms that span the boundary between two whole seconds."""
 
     def fill(builder: RecordBuilder) -> None:
         builder.records.operations = [accepted_config(-100, 0.0, 1, _limit_tenant(1, rate_per_s))]
@@ -149,7 +149,7 @@
 
 
 def _limit_lowered(first_sent_at_ms: float) -> Fill:
-    """The limit falls from 20 to 5 a second with a version acknowledged at 0; ten requests come in a second."""
+    """Version 2, acknowledged at 0 ms, lowers the limit from 20 to 5 per second; ten requests arrive in 500 ms."""
 
     def fill(builder: RecordBuilder) -> None:
         builder.records.operations = [
@@ -163,7 +163,7 @@
 
 
 def _retries(count: int, requests: int) -> Fill:
-    """The last requests of some are retried."""
+    """Some requests are sent, and the last `count` of them are retried."""
 
     def fill(builder: RecordBuilder) -> None:
         for number in range(requests):
@@ -176,7 +176,7 @@
 
 
 def _moved(sent_at_ms: float, service: str = "shelf") -> Fill:
-    """Version 2 sends `look` to the vault, acknowledged at 1000; a request is executed by a service."""
+    """Version 2, acknowledged at 1000 ms, routes `look` to `vault`; a request is executed by a service."""
 
     def fill(builder: RecordBuilder) -> None:
         builder.move_look_to_vault()
@@ -186,7 +186,7 @@
 
 
 def _downgraded(after_ms: float) -> Fill:
-    """A request is executed as version 2 permits, and one some time later as version 1 does."""
+    """A request is executed as version 2 permits, and a later one as only version 1 permits."""
 
     def fill(builder: RecordBuilder) -> None:
         builder.move_look_to_vault()
@@ -197,7 +197,7 @@
 
 
 def _added_route(status: int, sent_at_ms: float) -> Fill:
-    """Version 2 adds a route; a request on it gets a status."""
+    """Version 2, acknowledged at 1000 ms, adds a route; a request on it gets a status."""
 
     def fill(builder: RecordBuilder) -> None:
         added = RequestKind("fresh", "idempotent", (("shelf", 1),), 1, 500, 2000)
@@ -236,28 +236,28 @@
     ("a seal of no backend", _attempt(seal="b9.1"), {"MIXED"}),
     ("another body", _attempt(response_digest=8), {"MIXED"}),
     ("another request's response", _attempt(echoed_id="ff"), {"MIXED"}),
-    ("a success out of a failure", _arrival(status=500), {"MIXED"}),
+    ("a success from a failed execution", _arrival(status=500), {"MIXED"}),
     ("an unknown id", _arrival(id="ffff"), {"UNASKED", "MIXED"}),
     ("another path", _arrival(path="/look/2"), {"UNASKED"}),
     ("another tenant", _arrival(tenant="blue"), {"UNASKED"}),
     ("the key forwarded", _arrival(authorization=f"Token {API_KEY}"), {"UNASKED"}),
-    ("a service that no version allows", _arrival(service="vault"), {"ROUTE", "CONFIG"}),
-    ("a key that no version held", _attempt(api_key="who"), {"ROUTE", "UNASKED", "CONFIG"}),
+    ("a service that no version permits", _arrival(service="vault"), {"ROUTE", "CONFIG"}),
+    ("a key that no version contains", _attempt(api_key="who"), {"ROUTE", "UNASKED", "CONFIG"}),
     ("draining, in time", _draining(3990), set()),
     ("draining, late", _draining(4100), {"DRAIN"}),
     ("draining, late, 421", _draining(4100, status=421, started_at_ms=None, seal=""), {"MIXED"}),
-    ("draining, late, the list was down", _draining_during_list_outage, set()),
-    ("draining, late, its gateway was down", _with_fault(_draining(4100)), set()),
-    ("stopped with its client", _departed(4, 1100), set()),
-    ("going on without its client", _departed(4, 1900), {"GONE"}),
-    ("going on without its client, briefly", _departed(4, 1450, planned_end_ms=1450), set()),
-    ("going on without its client, unsafe", _departed(4, 1900, "stamp"), set()),
-    ("going on without its client, out of contact", _departed_from_a_failing_gateway, set()),
-    ("one in four going on without its client", _departed_mostly_stopped(1), set()),
-    ("two in four going on without their clients", _departed_mostly_stopped(2), {"GONE"}),
-    ("a few arrivals after their clients left", _arriving_after_departure(3, 1600), set()),
-    ("many arrivals after their clients left", _arriving_after_departure(4, 1600), {"GONE"}),
-    ("many arrivals as their clients leave", _arriving_after_departure(9, 1400), set()),
+    ("draining, late, list down", _draining_during_list_outage, set()),
+    ("draining, late, gateway down", _with_fault(_draining(4100)), set()),
+    ("cancelled when its client disconnects", _departed(4, 1100), set()),
+    ("continuing without its client", _departed(4, 1900), {"GONE"}),
+    ("continuing without its client, briefly", _departed(4, 1450, planned_end_ms=1450), set()),
+    ("continuing without its client, non-idempotent", _departed(4, 1900, "stamp"), set()),
+    ("continuing without its client, out of contact", _departed_from_a_failing_gateway, set()),
+    ("one in four continuing without its client", _departed_mostly_stopped(1), set()),
+    ("two in four continuing without their clients", _departed_mostly_stopped(2), {"GONE"}),
+    ("a few arrivals after their clients disconnected", _arriving_after_departure(3, 1600), set()),
+    ("many arrivals after their clients disconnected", _arriving_after_departure(4, 1600), {"GONE"}),
+    ("many arrivals while their clients disconnect", _arriving_after_departure(9, 1400), set()),
     ("evacuated, in time", _evacuated(5990), set()),
     ("evacuated, late", _evacuated(6100), {"EVAC"}),
     ("evacuated, stopped", _evacuated(6100, stopped_at_ms=3000), set()),
@@ -274,7 +274,7 @@
     ("old service, in time", _moved(3990), set()),
     ("old service, late", _moved(4100), {"CONFIG"}),
     ("old service, late, out of contact", _with_fault(_moved(4100)), set()),
-    ("old service, a coordinator down", _with_fault(_moved(4100), "core"), set()),
+    ("old service, coordinator down", _with_fault(_moved(4100), "core"), set()),
     ("new service at once", _moved(960, "vault"), set()),
     ("downgraded", _downgraded(300), {"CONFIG"}),
     ("downgraded within the slack", _downgraded(100), set()),
