--- a/hallhitch/lab/emulator/backend_fleet.py
+++ b/hallhitch/lab/emulator/backend_fleet.py
@@ -17,9 +17,7 @@
 from hallhitch.lab.streams import Streams
 from hallhitch.node.clock import now
 
-CRASH_LISTING_DELAY_MS: Final = (
-    2000.0  # from a crash until the backend is marked as gone, in addition to the list's lag
-)
+CRASH_LISTING_DELAY_MS: Final = 2000.0  # from a crash until the backend is marked as gone, without the list's lag
 LIST_COLUMNS: Final = (
     "instanceId",
     "targetService",
@@ -104,7 +102,7 @@
         self._record_cold_period(backend)
 
     def drain(self, backend: Backend, ends_after_ms: float | None = None) -> None:
-        """Mark a backend as draining and stop it after `ends_after_ms`; None leaves it running."""
+        """Make a backend announce that it is draining, and stop it after `ends_after_ms`; None leaves it running."""
         backend.is_draining = True
         self._change_listing(backend, now(), "draining")
         if ends_after_ms is not None:
--- a/hallhitch/lab/emulator/client.py
+++ b/hallhitch/lab/emulator/client.py
@@ -31,7 +31,7 @@
 FIRST_BACKOFF_MS: Final = 20.0  # doubled after each attempt
 NO_GATEWAY_PAUSE_S: Final = 0.05  # before an attempt fails because no gateway is known
 CONNECT_TIMEOUT_MS: Final = 1000.0  # of a new connection
-DEFAULT_IDLE_TIMEOUT_MS: Final = 4000.0  # upper bound, and the default if the gateway announces none
+DEFAULT_IDLE_TIMEOUT_MS: Final = 4000.0  # maximum, and the default if the gateway announces none
 UNREAD_TIMEOUT_MS: Final = 1000.0  # of an idempotent attempt at a paused gateway
 
 
--- a/hallhitch/lab/emulator/connection_owners.py
+++ b/hallhitch/lab/emulator/connection_owners.py
@@ -22,9 +22,8 @@
 REQUEST_BODY: Final = "=BBBBI"
 ANY_STATE: Final = 0xFFFFFFFF
 NO_COOKIE: Final = b"\xff" * 8
-INODE_OFFSET: Final = (
-    struct.calcsize(MESSAGE_HEADER) + 4 + 48 + 16
-)  # after the header, four state bytes, the socket id and four 32-bit fields
+# The inode follows the header, four state bytes, the socket id and four 32-bit fields.
+INODE_OFFSET: Final = struct.calcsize(MESSAGE_HEADER) + 4 + 48 + 16
 MAX_REPLY_BYTES: Final = 8192
 REPLY_TIMEOUT_S: Final = 1.0  # the kernel replies immediately
 
--- a/hallhitch/lab/emulator/records.py
+++ b/hallhitch/lab/emulator/records.py
@@ -29,7 +29,7 @@
     api_key: str  # "" if the request has none
     body_digest: int
     deadline_ms: float  # relative to `sent_at_ms`
-    is_probe: bool = False  # sent to find out which configuration a gateway uses, not as part of the workload
+    is_probe: bool = False  # sent to check the state of a gateway, not as part of the workload
     ended_at_ms: float | None = None
     left_at_ms: float | None = None  # when the client closed the connection without waiting for the response
     status: int = 0  # 0 if the connection closed or no response arrived
--- a/hallhitch/lab/emulator/report.py
+++ b/hallhitch/lab/emulator/report.py
@@ -101,7 +101,7 @@
 
 
 def describe_acknowledgements(operations: Sequence[OperatorOperation]) -> str:
-    """Describe how many operations were acknowledged, how fast, and how many versions for more than one content.
+    """Describe how many operations were acknowledged, how fast, and how many versions have two contents.
 
     >>> operations = [
     ...     OperatorOperation(0.0, "config", 40.0),
