--- a/hallhitch/lab/emulator/spec.py
+++ b/hallhitch/lab/emulator/spec.py
@@ -86,7 +86,7 @@
         TenantSpec("green", 0.3, 90),
         TenantSpec("blue", 0.2, 60),
     )
-    region_delay_ms: float = 25.0  # one-way, between regions
+    region_delay_ms: float = 25.0  # one-way between regions; between processes only over relays
     local_delay_ms: float = 0.5
     tolerated_losses: int = 1
     grace_period_ms: float = 6000.0
