--- a/hallhitch/catalog/__init__.py
+++ b/hallhitch/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""Catalog of tenants, its changes and diffs, credentials. Decisions over values: no HTTP, no SQL, no clock."""
+"""Catalog of tenants: its entries, changes, diffs and credentials. Pure logic without HTTP, SQL or a clock."""
--- a/hallhitch/catalog/access.py
+++ b/hallhitch/catalog/access.py
@@ -1,4 +1,4 @@
-"""Authentication and authorization: decisions over the catalog. Comparing secrets is left to the caller."""
+"""Authentication and authorization against the catalog. The caller compares secrets."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from hallhitch.catalog.names import OPERATORS
 
 TOKEN_PATTERN: Final = re.compile(r"hh_([a-z0-9-]{0,40})\.([a-z0-9-]{1,64})\.([A-Za-z0-9_-]{43})")
-ADMIN_KINDS: Final = (Kind.PLAN, Kind.CLIENT, Kind.CREDENTIAL)  # what a tenant's administrator may change
+ADMIN_KINDS: Final = (Kind.PLAN, Kind.CLIENT, Kind.CREDENTIAL)  # entries that an administrator of a tenant may change
 
 
 class Token(Struct, frozen=True):
-    """Bearer token in its parts; `secret` is 256 random bits."""
+    """Parsed bearer token; `secret` encodes 256 random bits."""
 
     tenant: str
     id: str
@@ -40,7 +40,7 @@
 
 
 class Verdict(StrEnum):
-    """Decision on a call: allowed, refused as beyond its scope, or answered as if there were nothing."""
+    """Decision on a call: allow it, reject it as beyond the caller's scope, or answer as if the entry did not exist."""
 
     ALLOWED = "yes"
     BEYOND_SCOPE = "beyond"
@@ -48,13 +48,13 @@
 
 
 def parse_token(text: str) -> Token | None:
-    """Parse a token; None where the text cannot be one."""
+    """Parse a token; return None if the text is malformed."""
     match = TOKEN_PATTERN.fullmatch(text)
     return Token(*match.groups()) if match else None
 
 
 def valid_credential(catalog: Catalog, tenant: str, id: str, now_ms: int) -> Credential | None:
-    """Return a credential if it is valid at a time; those of a tenant that is off are not."""
+    """Return a credential if it is valid at `now_ms`; credentials of a disabled tenant are not valid."""
     entry = catalog.get(tenant, Kind.CREDENTIAL, id)
     if entry is None:
         return None
@@ -67,7 +67,7 @@
 
 
 def valid_verifiers(credential: Credential, now_ms: int) -> list[Verifier]:
-    """Return the verifiers that are valid at a time, newest first."""
+    """Return the verifiers that are valid at `now_ms`, newest first."""
     return [verifier for verifier in credential.verifiers if verifier.until is None or verifier.until > now_ms]
 
 
@@ -81,9 +81,9 @@
 
 
 def authorize(principal: Principal, tenant: str | None, kind: Kind | None, write: bool) -> Verdict:
-    """Decide on a call about a tenant's entries; None is the list of tenants, "" the operators' part.
+    """Decide on a call about a tenant's entries; `tenant` is None for the list of tenants, "" for the operators.
 
-    Another tenant's entries are hidden, not forbidden, so that the answer does not reveal that they exist.
+    Entries of other tenants are hidden instead of forbidden, so that the response does not reveal that they exist.
     """
     if principal.scope is Scope.OPERATOR:
         return Verdict.ALLOWED
@@ -95,5 +95,5 @@
         return Verdict.HIDDEN
     if not write:
         return Verdict.ALLOWED
-    is_own_to_change = principal.scope is Scope.ADMIN and kind in ADMIN_KINDS
-    return Verdict.ALLOWED if is_own_to_change else Verdict.BEYOND_SCOPE
+    is_change_allowed = principal.scope is Scope.ADMIN and kind in ADMIN_KINDS
+    return Verdict.ALLOWED if is_change_allowed else Verdict.BEYOND_SCOPE
--- a/hallhitch/catalog/changes.py
+++ b/hallhitch/catalog/changes.py
@@ -1,7 +1,7 @@
-"""Changes: values that, applied to a catalog, give the next version or a refusal. Pure and repeatable.
+"""Changes of the catalog: applying one gives the next version or raises `ChangeRefused`. Pure and deterministic.
 
-Limits and references are checked on the catalog that a whole change gives, not on its steps: in one change, clients
-may move to a plan that comes with it and leave one that goes with it.
+Limits and references are checked on the result of the whole change and not after each edit: one change may create a
+plan, move clients to it and delete their earlier plan, in any order.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 )
 from hallhitch.catalog.rows import Row, canonical_value
 
-MAX_EDITS_PER_CHANGE: Final = 1_000  # what a gateway and a store take in one piece
-RATE_ROUNDING: Final = 1 + 1e-9  # a sum of rates that equals the limit may come out a little above it
+MAX_EDITS_PER_CHANGE: Final = 1_000  # bounds the work of gateways and of the store for one change
+RATE_ROUNDING: Final = 1 + 1e-9  # rounding may put a sum of rates that equals the limit slightly above it
 
 
 class Edit(Struct, frozen=True):
-    """Put a value under a name, or (value None) delete it, if it is at the expected version.
+    """Sets the value of an entry, or deletes the entry (`value` None), if it has the expected version.
 
-    `expect`: None sets no condition, 0 that the name is unused, n that version n last changed it.
+    `expect`: None sets no condition, 0 requires that the name is unused, n that version n last changed the entry.
     """
 
     kind: Kind
@@ -43,24 +43,24 @@
 
 
 class Change(Struct, frozen=True):
-    """Edits of one tenant's part ("" for the operators'), made all or none."""
+    """Edits of the entries of one tenant ("" for the operators), applied all or none."""
 
     tenant: str
     edits: tuple[Edit, ...]
 
 
 class Applied(Struct, frozen=True):
-    """Result of a change: the next catalog, and the diff that leads to it."""
+    """Result of a change: the next catalog, and the diff from the previous one."""
 
     catalog: Catalog
     diff: Diff
 
 
 def apply_change(catalog: Catalog, change: Change) -> Applied:
-    """Apply a change; the catalog given stays as it is.
+    """Apply a change and return the result; the given catalog is not modified.
 
     Raises:
-        ChangeRefused: Names the first edit at fault, or the limit that the change would exceed.
+        ChangeRefused: The change is invalid; the error names the first invalid edit or the exceeded limit.
     """
     if not 1 <= len(change.edits) <= MAX_EDITS_PER_CHANGE:
         detail = f"1 to {MAX_EDITS_PER_CHANGE} edits make a change, not {len(change.edits)}"
@@ -83,15 +83,15 @@
 
 
 def _apply_edit(draft: CatalogDraft, tenant: str, edit: Edit, path: str, version: int) -> None:
-    """Apply one edit, with the checks that depend on no other edit."""
-    present = draft.get(tenant, edit.kind, edit.name)
+    """Apply one edit, after the checks that do not depend on later edits."""
+    existing = draft.get(tenant, edit.kind, edit.name)
     if draft.get(tenant, Kind.TENANT, tenant) is None and edit.kind is not Kind.TENANT and tenant:
         raise ChangeRefused("not-found", path, "there is no such tenant")
-    _check_expected(edit, present, path)
+    _check_expected(edit, existing, path)
     if edit.value is None:
-        if present is None:
+        if existing is None:
             raise ChangeRefused("not-found", path, f"there is no {edit.kind.value} of this name")
-        draft.drop(tenant, edit.kind, edit.name)
+        draft.delete(tenant, edit.kind, edit.name)
         return
     _check_name(tenant, edit, path)
     try:
@@ -102,13 +102,13 @@
     draft.put(Row(tenant, edit.kind, edit.name, version, value))
 
 
-def _check_expected(edit: Edit, present: Versioned | None, path: str) -> None:
-    """Check the version that the caller expects against the one that is present."""
+def _check_expected(edit: Edit, existing: Versioned | None, path: str) -> None:
+    """Check the version that the caller expects against the current version of the entry."""
     if edit.expect is None:
         return
-    if edit.expect == (present.version if present is not None else 0):
+    if edit.expect == (existing.version if existing is not None else 0):
         return
-    raise ChangeRefused("stale", path, "there is no such thing" if present is None else "this was changed meanwhile")
+    raise ChangeRefused("stale", path, "there is no such thing" if existing is None else "this was changed meanwhile")
 
 
 def _check_name(tenant: str, edit: Edit, path: str) -> None:
@@ -124,21 +124,21 @@
 
 
 def _check_value(draft: CatalogDraft, tenant: str, edit: Edit, value: Any, path: str) -> None:
-    """Check what a value's type does not; a client's plan is checked on the whole change."""
+    """Check what the type of the value does not; `_check_tenant` checks references between entries."""
     if isinstance(value, Plan):
         for field in value.to_decision_plan(edit.name).faults():
             raise ChangeRefused("invalid", f"{path}.value.{field}", "out of range, or contradicts another field")
     elif isinstance(value, Credential):
         _check_credential(tenant, value, path)
     elif isinstance(value, Host):
-        holder = draft.tenant_of_host(edit.name)
-        if holder is not None and holder != tenant:
+        owner = draft.tenant_of_host(edit.name)
+        if owner is not None and owner != tenant:
             raise ChangeRefused("taken", f"{path}.name", "this host name is in use")
 
 
 def _check_credential(tenant: str, credential: Credential, path: str) -> None:
-    is_operators = credential.scope in (Scope.OPERATOR, Scope.GATEWAY)
-    if is_operators != (tenant == names.OPERATORS):
+    is_operator_scope = credential.scope in (Scope.OPERATOR, Scope.GATEWAY)
+    if is_operator_scope != (tenant == names.OPERATORS):
         detail = "operators and gateways, and only they, are the operators'"
         raise ChangeRefused("invalid", f"{path}.value.scope", detail)
     if credential.scope is Scope.GATEWAY and credential.certificate is None:
@@ -150,7 +150,7 @@
 
 
 def _check_tenant(tenant: Tenant) -> None:
-    """Check limits and references between the entries of one tenant."""
+    """Check the limits of one tenant and the references between its entries."""
     limits = tenant.head.value.limits
     for kind, field in tenant.KINDS.items():
         limit = getattr(limits, field)
--- a/hallhitch/catalog/draft.py
+++ b/hallhitch/catalog/draft.py
@@ -1,7 +1,7 @@
-"""Catalog under change: indexes and checksum follow each put and drop. It refuses nothing.
+"""Mutable draft of a catalog: each put and delete updates the indexes and the checksum, without validation.
 
-`changes.apply_change` checks the catalog that comes of it; `history.apply_diff` uses it on rows that were checked
-before.
+`changes.apply_change` validates the resulting catalog; `history.apply_diff` uses a draft for rows that were
+validated before.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class _TenantDraft:
-    """One tenant's part under change."""
+    """Mutable entries and indexes of one tenant."""
 
     def __init__(self, tenant: Tenant) -> None:
         self.base = tenant
@@ -28,23 +28,23 @@
         self.active_client_counts = tenant.active_client_counts.mutate()
         self.credential_ids_by_client = tenant.credential_ids_by_client.mutate()
 
-    def index(self, name: str, entry: Versioned, change: int) -> None:
-        """Add an entry to the indexes (`change` 1) or take it out (-1)."""
+    def update_indexes(self, name: str, entry: Versioned, delta: int) -> None:
+        """Add an entry to the indexes (`delta` 1) or remove it (-1)."""
         value = entry.value
         if isinstance(value, Client):
-            _add_count(self.client_counts, value.plan, change)
+            _add_count(self.client_counts, value.plan, delta)
             if value.on:
-                _add_count(self.active_client_counts, value.plan, change)
+                _add_count(self.active_client_counts, value.plan, delta)
         elif isinstance(value, Credential) and value.client is not None:
             ids = self.credential_ids_by_client.get(value.client, frozenset())
-            ids = ids | {name} if change > 0 else ids - {name}
+            ids = ids | {name} if delta > 0 else ids - {name}
             if ids:
                 self.credential_ids_by_client[value.client] = ids
             else:
                 del self.credential_ids_by_client[value.client]
 
     def finish(self, version: int) -> Tenant:
-        """Return the part as it is now."""
+        """Return the tenant with the present entries of the draft."""
         entries = {Tenant.KINDS[kind]: mutation.finish() for kind, mutation in self.entries.items()}
         return Tenant(
             self.base.created_in_version,
@@ -57,8 +57,8 @@
         )
 
 
-def _add_count(counts: MapMutation[str, int], name: str, change: int) -> None:
-    total = counts.get(name, 0) + change
+def _add_count(counts: MapMutation[str, int], name: str, delta: int) -> None:
+    total = counts.get(name, 0) + delta
     if total:
         counts[name] = total
     else:
@@ -66,32 +66,32 @@
 
 
 class CatalogDraft:
-    """Puts and drops on a catalog; `finish` gives the next one and leaves the first as it was."""
+    """Collects puts and deletes on a catalog; `finish` returns the next catalog and does not modify the base."""
 
     def __init__(self, catalog: Catalog) -> None:
         self.base = catalog
-        self.touched: dict[tuple[str, Kind, str], None] = {}  # in order
-        self._parts: dict[str, _TenantDraft] = {}
+        self.touched: dict[tuple[str, Kind, str], None] = {}  # keys of changed entries, in the order of changes
+        self._tenant_drafts: dict[str, _TenantDraft] = {}
         self._tenants = catalog.tenants.mutate()
         self._operators = catalog.operators.mutate()
         self._hosts = catalog.hosts.mutate()
         self._checksum = catalog.checksum
 
     def get(self, tenant: str, kind: Kind, name: str) -> Versioned | None:
-        """Return an entry of the draft; None where there is none."""
+        """Return an entry of the draft, or None if it does not exist."""
         if tenant == OPERATORS:
             return self._operators.get(name) if kind is Kind.CREDENTIAL else None
-        part = self._open_part(tenant)
-        if part is None:
+        tenant_draft = self._tenant_draft(tenant)
+        if tenant_draft is None:
             return None
-        return part.head if kind is Kind.TENANT else part.entries[kind].get(name)
+        return tenant_draft.head if kind is Kind.TENANT else tenant_draft.entries[kind].get(name)
 
     def tenant_of_host(self, name: str) -> str | None:
-        """Return the tenant that a host name leads to in the draft."""
+        """Return the tenant that a host name belongs to in the draft."""
         return self._hosts.get(name)
 
     def put(self, row: Row) -> None:
-        """Put one entry.
+        """Create or replace one entry.
 
         Raises:
             KeyError: The entry's tenant does not exist.
@@ -102,68 +102,68 @@
         if row.tenant == OPERATORS:
             self._operators[row.name] = entry
             return
-        part = self._open_part(row.tenant)
+        tenant_draft = self._tenant_draft(row.tenant)
         if row.kind is Kind.TENANT:
-            if part is None:
-                self._parts[row.tenant] = _TenantDraft(Tenant(row.version, row.version, entry))
+            if tenant_draft is None:
+                self._tenant_drafts[row.tenant] = _TenantDraft(Tenant(row.version, row.version, entry))
             else:
-                part.head = entry
+                tenant_draft.head = entry
             return
-        if part is None:
+        if tenant_draft is None:
             raise KeyError(row.tenant)
-        part.entries[row.kind][row.name] = entry
+        tenant_draft.entries[row.kind][row.name] = entry
         if row.kind is Kind.HOST:
             self._hosts[row.name] = row.tenant
         if before is not None:
-            part.index(row.name, before, -1)
-        part.index(row.name, entry, 1)
+            tenant_draft.update_indexes(row.name, before, -1)
+        tenant_draft.update_indexes(row.name, entry, 1)
 
-    def drop(self, tenant: str, kind: Kind, name: str) -> None:
-        """Delete one entry and what depends on it: a client's credentials, all entries of a tenant."""
+    def delete(self, tenant: str, kind: Kind, name: str) -> None:
+        """Delete one entry and its dependents: the credentials of a client, all entries of a tenant."""
         before = self.get(tenant, kind, name)
         if before is None:
             return
         if kind is Kind.TENANT:
-            self._drop_tenant(tenant)
+            self._delete_tenant(tenant)
             return
         self._update_checksum(tenant, kind, name, before, None)
         if tenant == OPERATORS:
             del self._operators[name]
             return
-        part = self._open_part(tenant)
-        if part is None:
+        tenant_draft = self._tenant_draft(tenant)
+        if tenant_draft is None:
             raise KeyError(tenant)
-        del part.entries[kind][name]
+        del tenant_draft.entries[kind][name]
         if kind is Kind.HOST:
             del self._hosts[name]
         if kind is Kind.CLIENT:
-            for id in sorted(part.credential_ids_by_client.get(name, ())):
-                self.drop(tenant, Kind.CREDENTIAL, id)
-        part.index(name, before, -1)
+            for id in sorted(tenant_draft.credential_ids_by_client.get(name, ())):
+                self.delete(tenant, Kind.CREDENTIAL, id)
+        tenant_draft.update_indexes(name, before, -1)
 
-    def close_parts(self, except_tenant: str, version: int) -> None:
-        """Close all open parts but one, so that `finish` has less to do; they open again if need be."""
-        for name in [name for name in self._parts if name != except_tenant]:
-            self._tenants[name] = self._parts.pop(name).finish(version)
+    def finish_tenants(self, except_tenant: str, version: int) -> None:
+        """Finish the open drafts of all tenants but one, so that `finish` has less to do; a later edit reopens it."""
+        for name in [name for name in self._tenant_drafts if name != except_tenant]:
+            self._tenants[name] = self._tenant_drafts.pop(name).finish(version)
 
     def finish(self, epoch: int, version: int) -> Catalog:
-        """Return the catalog that has come of the draft."""
+        """Return the catalog with all changes of the draft."""
         changed = {tenant for tenant, _, _ in self.touched}
-        for name, part in self._parts.items():
-            if name in changed:  # others were opened only to be read
-                self._tenants[name] = part.finish(version)
+        for name, tenant_draft in self._tenant_drafts.items():
+            if name in changed:  # the other drafts were opened only for reading
+                self._tenants[name] = tenant_draft.finish(version)
         return Catalog(
             epoch, version, self._tenants.finish(), self._operators.finish(), self._hosts.finish(), self._checksum
         )
 
-    def _open_part(self, name: str) -> _TenantDraft | None:
-        part = self._parts.get(name)
-        if part is None:
+    def _tenant_draft(self, name: str) -> _TenantDraft | None:
+        tenant_draft = self._tenant_drafts.get(name)
+        if tenant_draft is None:
             tenant = self._tenants.get(name)
             if tenant is None:
                 return None
-            part = self._parts[name] = _TenantDraft(tenant)
-        return part
+            tenant_draft = self._tenant_drafts[name] = _TenantDraft(tenant)
+        return tenant_draft
 
     def _update_checksum(
         self, tenant: str, kind: Kind, name: str, before: Versioned | None, after: Versioned | None
@@ -175,11 +175,11 @@
             self._checksum += entry_hash(tenant, kind, name, after)
         self._checksum %= CHECKSUM_MODULUS
 
-    def _drop_tenant(self, name: str) -> None:
-        part = self._open_part(name)
-        if part is None:
+    def _delete_tenant(self, name: str) -> None:
+        tenant_draft = self._tenant_draft(name)
+        if tenant_draft is None:
             return
-        tenant = part.finish(0)
+        tenant = tenant_draft.finish(0)
         for row in tenant_rows(Catalog(tenants=Map({name: tenant})), name):
             self._checksum -= entry_hash(name, row.kind, row.name, Versioned(row.value, row.version))
         self._checksum %= CHECKSUM_MODULUS
@@ -187,19 +187,19 @@
             del self._hosts[host]
         self.touched = {key: None for key in self.touched if key[0] != name}
         self.touched[name, Kind.TENANT, name] = None
-        self._parts.pop(name, None)
+        self._tenant_drafts.pop(name, None)
         if name in self._tenants:
             del self._tenants[name]
 
 
 @dataclass(slots=True)
 class _TenantEntries:
-    """Entries of one tenant by kind, while a catalog is built."""
+    """Entries of one tenant by kind, collected by `build_catalog`."""
 
     by_kind: dict[Kind, dict[str, Versioned]] = field(default_factory=lambda: {kind: {} for kind in Kind})
 
     def build(self, name: str, created_in_version: int, version: int) -> Tenant:
-        """Return the tenant's part with its indexes."""
+        """Return the tenant with its indexes."""
         client_counts = Counter[str]()
         active_client_counts = Counter[str]()
         for entry in self.by_kind[Kind.CLIENT].values():
@@ -221,11 +221,14 @@
         )
 
 
-def build_catalog(epoch: int, version: int, rows: Iterable[Row], parts: dict[str, tuple[int, int]]) -> Catalog:
-    """Build a catalog from all its rows; `parts` has the versions that created and last changed each tenant.
+def build_catalog(
+    epoch: int, version: int, rows: Iterable[Row], tenant_versions: dict[str, tuple[int, int]]
+) -> Catalog:
+    """Build a catalog from all its rows.
 
-    The result equals that of a draft with a put for each row; it is faster, for starts, as it fills plain dicts and
-    makes persistent maps of them at the end.
+    `tenant_versions` holds the versions that created and last changed each tenant. The result equals that of a draft
+    with a put for each row. This is faster, which shortens a start, since it fills plain dicts and converts them to
+    persistent maps at the end.
     """
     checksum = 0
     entries: dict[str, _TenantEntries] = {}
@@ -237,17 +240,17 @@
             tenant_entries = entries[row.tenant] = _TenantEntries()
         tenant_entries.by_kind[row.kind][row.name] = entry
     operators = entries.pop(OPERATORS, _TenantEntries()).by_kind[Kind.CREDENTIAL]
-    tenants = {name: tenant_entries.build(name, *parts[name]) for name, tenant_entries in entries.items()}
+    tenants = {name: tenant_entries.build(name, *tenant_versions[name]) for name, tenant_entries in entries.items()}
     hosts: dict[str, str] = {}
     for name, tenant in tenants.items():
         hosts.update(dict.fromkeys(tenant.hosts, name))
     return Catalog(epoch, version, Map(tenants), Map(operators), Map(hosts), checksum % CHECKSUM_MODULUS)
 
 
-def with_part_versions(catalog: Catalog, parts: dict[str, tuple[int, int]]) -> Catalog:
-    """Return the same catalog with the versions given as those that created and last changed its tenants."""
+def with_tenant_versions(catalog: Catalog, tenant_versions: dict[str, tuple[int, int]]) -> Catalog:
+    """Return the catalog with the given versions as those that created and last changed its tenants."""
     tenants = catalog.tenants.mutate()
-    for name, (created_in_version, version) in parts.items():
+    for name, (created_in_version, version) in tenant_versions.items():
         tenant = tenants[name]
         tenants[name] = Tenant(
             created_in_version,
--- a/hallhitch/catalog/errors.py
+++ b/hallhitch/catalog/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the catalog package, all of one base."""
+"""Errors of the catalog package; all derive from `CatalogError`."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class CatalogError(Exception):
-    """Base of the catalog's errors."""
+    """Base class of all errors of the catalog."""
 
 
-class ChangeRefused(CatalogError):  # noqa: N818  named for the event, as callers read it
-    """A change is not made, nor any part of it; `code` is stable, `field` a path into the change."""
+class ChangeRefused(CatalogError):  # noqa: N818  named after the event
+    """A change was rejected as a whole; `code` is a stable identifier, `field` a path into the change."""
 
     CODES: ClassVar = ("not-found", "stale", "invalid", "over-limit", "in-use", "taken")
 
@@ -22,11 +22,11 @@
 
 
 class FeedError(CatalogError):
-    """A line of the feed, or its end, does not lead on from the catalog that is held; that catalog stays."""
+    """A line of the feed is malformed or does not apply to the current catalog, which stays unchanged."""
 
 
-class GatewayNameTaken(CatalogError):  # noqa: N818  named for the event, as callers read it
-    """Another instance of this gateway's name holds the lease for so long."""
+class GatewayNameTaken(CatalogError):  # noqa: N818  named after the event
+    """Another instance holds the lease of this gateway name for another `remaining_ms`."""
 
     def __init__(self, name: str, remaining_ms: float) -> None:
         super().__init__(f"{name} is another instance's for {remaining_ms:.0f} ms")
@@ -35,28 +35,28 @@
 
 
 class SlotError(CatalogError, ValueError):
-    """Slots are created without any, or a tenant gives one back that it does not hold."""
+    """The number of slots is below 1, or a tenant releases a slot that it does not hold."""
 
 
 class SpreadError(CatalogError, ValueError):
-    """A client's set of gateways is asked for with a spread below 1."""
+    """The spread of a client's set of gateways is below 1."""
 
     def __init__(self, spread: int) -> None:
-        super().__init__(f"a client's set has at least one gateway, not {spread}")
+        super().__init__(f"the spread of a client must be at least 1 gateway, not {spread}")
         self.spread = spread
 
 
-class DiffMismatch(CatalogError, ValueError):  # noqa: N818  named for the event, as callers read it
-    """A diff is applied to a catalog at another version than the one it leads on from."""
+class DiffMismatch(CatalogError, ValueError):  # noqa: N818  named after the event
+    """A diff was applied to a catalog at another version than its base version."""
 
-    def __init__(self, since: tuple[int, int], held: tuple[int, int]) -> None:
-        super().__init__(f"the diff leads on from {since[0]}.{since[1]}, not from {held[0]}.{held[1]}")
+    def __init__(self, since: tuple[int, int], current: tuple[int, int]) -> None:
+        super().__init__(f"the diff applies to {since[0]}.{since[1]}, but the catalog is at {current[0]}.{current[1]}")
         self.since = since
-        self.held = held
+        self.held = current
 
 
 class TenantFileError(CatalogError, ValueError):
-    """A field of a tenant's file does not fit; msgspec reports it as it reports a wrong type."""
+    """A field of a tenant file is invalid; as a ValueError, msgspec reports it like a wrong type."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"field '{field}': {reason}")
--- a/hallhitch/catalog/feed_follower.py
+++ b/hallhitch/catalog/feed_follower.py
@@ -1,7 +1,7 @@
-"""A gateway's side of the feed: it assembles snapshots, applies diffs and spaces its retries. No I/O, no clock.
+"""The gateway's side of the feed: assembles snapshots, applies diffs and delays retries. No I/O, no clock.
 
-Invariants: the version held never goes back; the catalog held is replaced as a whole, by a diff from it or by a
-complete snapshot whose checksum fits; a failed line or connection leaves it as it was.
+Invariants: the current version never decreases; the current catalog is replaced as a whole, by a diff from its version
+or by a complete snapshot with a matching checksum; a failed line or connection leaves it unchanged.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import Final
 
-from hallhitch.catalog.draft import CatalogDraft, with_part_versions
+from hallhitch.catalog.draft import CatalogDraft, with_tenant_versions
 from hallhitch.catalog.errors import FeedError
 from hallhitch.catalog.feed import (
     MAX_LINE_BYTES,
@@ -25,12 +25,12 @@
 from hallhitch.catalog.model import Catalog
 from hallhitch.catalog.rows import Row
 
-BASE_RETRY_DELAY_MS: Final = 200.0  # before the first retry; doubled by each further failure
+BASE_RETRY_DELAY_MS: Final = 200.0  # longest delay of the first retry; each further failure doubles it
 MAX_RETRY_DELAY_MS: Final = 20_000.0
 
 
 class SnapshotAssembly:
-    """Catalog that arrives in chunks: each is taken in as it comes, so that the end costs no more than a chunk."""
+    """Catalog received in chunks; each is applied on arrival, so that the last line costs no more than a chunk."""
 
     def __init__(self, epoch: int, version: int) -> None:
         self.epoch = epoch
@@ -39,46 +39,48 @@
         self._received_rows = 0
 
     def add_rows(self, rows: tuple[Row, ...]) -> None:
-        """Take in a chunk.
+        """Apply the rows of a chunk.
 
         Raises:
-            FeedError: A row is no gateway's, or comes before its tenant's own.
+            FeedError: A row is not for gateways, or precedes the row of its tenant.
         """
         self._received_rows += len(rows)
         for row in rows:
             if row.value is None or not is_for_gateways(row):
-                raise FeedError(f"{row.tenant}/{row.kind}/{row.name}: no row of a gateway's snapshot")
+                raise FeedError(
+                    f"{row.tenant}/{row.kind}/{row.name}: a row that does not belong in a snapshot for gateways"
+                )
             try:
                 self._draft.put(row)
             except KeyError:
-                raise FeedError(f"{row.tenant}/{row.kind}/{row.name}: before its tenant's own row") from None
-        # A snapshot needs no list of touched names, only the parts of tenants.
+                raise FeedError(f"{row.tenant}/{row.kind}/{row.name}: the row precedes the row of its tenant") from None
+        # A snapshot needs only the tenants, not the keys of the changed entries.
         self._draft.touched = {}
-        if rows:  # rows come tenant by tenant: those before the last are complete
-            self._draft.close_parts(rows[-1].tenant, self.version)
+        if rows:  # rows are grouped by tenant: all tenants before the last one are complete
+            self._draft.finish_tenants(rows[-1].tenant, self.version)
 
     def finish(self, end: SnapshotEnd) -> Catalog:
-        """Return the catalog.
+        """Return the complete catalog.
 
         Raises:
             FeedError: Rows are missing or damaged.
         """
         if self._received_rows != end.rows:
-            raise FeedError(f"{self._received_rows} rows of {end.rows} came")
-        self._draft.close_parts("", self.version)
+            raise FeedError(f"received {self._received_rows} of {end.rows} rows of the snapshot")
+        self._draft.finish_tenants("", self.version)
         catalog = self._draft.finish(self.epoch, self.version)
         if snapshot_checksum(self.epoch, self.version, end.parts, catalog.checksum) != end.seal:
-            raise FeedError("the snapshot's checksum does not fit")
+            raise FeedError("the checksum of the snapshot does not match")
         if set(end.parts) != set(catalog.tenants):
-            raise FeedError("the parts are of other tenants than the rows")
-        return with_part_versions(catalog, end.parts)
+            raise FeedError("the tenant versions at the end of the snapshot name other tenants than its rows")
+        return with_tenant_versions(catalog, end.parts)
 
 
 class FeedFollower:
     """One gateway's replica of the catalog.
 
-    Only a later epoch starts anew: an operator restored a backup. Whatever else does not lead on from the catalog
-    that is held is refused, and that catalog goes on serving.
+    A snapshot of a later epoch replaces the catalog even if its version is lower: an operator restored a backup. Any
+    other line that does not apply to the current catalog is rejected, and that catalog stays in use.
     """
 
     def __init__(self, catalog: Catalog, random_source: random.Random) -> None:
@@ -89,20 +91,20 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Return the epoch and version that are held."""
+        """Return the epoch and version of the current catalog."""
         return self.catalog.epoch, self.catalog.version
 
     def receive_line(self, line: bytes) -> Catalog | None:
-        """Process one line of the feed and return the catalog held from now on, where the line completes one.
+        """Process one line of the feed; return the new catalog if the line completes one.
 
         Raises:
-            FeedError: The line does not lead on; ask again after `record_failure` says.
+            FeedError: The line is invalid here; retry after the delay that `record_failure` returns.
         """
         try:
             catalog = self._process_line(line)
-        except (ValueError, KeyError) as error:  # KeyError: a diff that names what is not there
+        except (ValueError, KeyError) as error:  # KeyError: a diff names an entry that does not exist
             self._assembly = None
-            raise FeedError(f"no line of a feed: {error}") from error
+            raise FeedError(f"invalid line of the feed: {error}") from error
         except FeedError:
             self._assembly = None
             raise
@@ -112,19 +114,19 @@
         return catalog
 
     def discard_partial(self) -> None:
-        """Discard what came of a snapshot: the connection ended before it was complete."""
+        """Discard a partial snapshot after the connection ended early."""
         self._assembly = None
 
     def record_failure(self) -> float:
-        """Record a failed request and return the ms to wait, drawn so that gateways that failed together spread."""
+        """Record a failed request and return the delay in ms, random so that gateways do not retry together."""
         self.discard_partial()
-        longest_ms = min(MAX_RETRY_DELAY_MS, BASE_RETRY_DELAY_MS * 2.0 ** min(self._failures, 30))
+        max_delay_ms = min(MAX_RETRY_DELAY_MS, BASE_RETRY_DELAY_MS * 2.0 ** min(self._failures, 30))
         self._failures += 1
-        return longest_ms * (0.25 + 0.75 * self._random.random())
+        return max_delay_ms * (0.25 + 0.75 * self._random.random())
 
     def _process_line(self, text: bytes) -> Catalog | None:
         if len(text) > MAX_LINE_BYTES:
-            raise FeedError(f"a line of more than {MAX_LINE_BYTES} bytes")
+            raise FeedError(f"a line of the feed is longer than {MAX_LINE_BYTES} bytes")
         line = decode_line(text)
         if bytes(line.diff):
             return self._apply_diff(line)
@@ -132,12 +134,12 @@
             self._begin_snapshot(line.whole)
             return None
         if self._assembly is None:
-            raise FeedError("a chunk or an end outside a snapshot")
+            raise FeedError("a chunk or end line outside a snapshot")
         if bytes(line.rows):
             self._assembly.add_rows(decode_rows(bytes(line.rows)))
             return None
         if line.end is None:
-            raise FeedError("an empty line")
+            raise FeedError("a line without content")
         assembly = self._assembly
         self._assembly = None
         return assembly.finish(line.end)
@@ -145,34 +147,34 @@
     def _apply_diff(self, line: FeedLine) -> Catalog:
         diff = decode_diff(bytes(line.diff))
         if self._assembly is not None:
-            raise FeedError("a diff inside a snapshot")
+            raise FeedError("a diff line inside a snapshot")
         if diff.version <= self.catalog.version:
-            raise FeedError(f"{diff.epoch}.{diff.version} is not later than what is held")
+            raise FeedError(f"the diff to {diff.epoch}.{diff.version} is not later than the current catalog")
         if not all(row.value is None or is_for_gateways(row) for row in diff.rows):
-            raise FeedError("a row that is not a gateway's to know")
+            raise FeedError("the diff has a row that is not for gateways")
         return apply_diff(self.catalog, diff)
 
     def _begin_snapshot(self, begin: SnapshotBegin) -> None:
         if self._assembly is not None:
-            raise FeedError("a snapshot inside a snapshot")
+            raise FeedError("a snapshot begins inside another snapshot")
         if (begin.epoch, begin.version) < self.version:
-            held = f"{self.catalog.epoch}.{self.catalog.version}"
-            raise FeedError(f"{begin.epoch}.{begin.version} is older than {held}")
+            current = f"{self.catalog.epoch}.{self.catalog.version}"
+            raise FeedError(f"the snapshot {begin.epoch}.{begin.version} is older than the catalog {current}")
         self._assembly = SnapshotAssembly(begin.epoch, begin.version)
 
 
 def read_snapshot(lines: Iterator[bytes]) -> Catalog:
-    """Read a catalog from a snapshot's lines, as a gateway saves them.
+    """Read a catalog from the lines of a snapshot, the format in which a gateway saves it.
 
     Raises:
-        FeedError: A line does not fit, or the snapshot has no end or more after it.
+        FeedError: A line is invalid, the end line is missing, or more lines follow it.
     """
     follower = FeedFollower(Catalog(), random.Random(0))
     catalog: Catalog | None = None
     for line in lines:
         if catalog is not None:
-            raise FeedError("lines after the snapshot's end")
+            raise FeedError("more lines follow the end of the snapshot")
         catalog = follower.receive_line(line)
     if catalog is None:
-        raise FeedError("the snapshot has no end")
+        raise FeedError("the snapshot has no end line")
     return catalog
--- a/hallhitch/catalog/gateway_leases.py
+++ b/hallhitch/catalog/gateway_leases.py
@@ -1,8 +1,8 @@
 """Leases of the gateways that follow the catalog, and the version that each has applied. No I/O, no clock.
 
-A gateway renews its lease with each request for updates, which says the version it holds. Each start of a gateway is
-an instance with an id of its own, drawn by it. A gateway whose lease expired goes on serving what it holds; it is only
-no longer counted. Times are ms of a monotonic clock (leases are durations, not dates).
+A gateway renews its lease with each request for updates, which contains its current version. At each start a gateway
+draws a new instance id. A gateway whose lease expired keeps serving its catalog; it is only no longer counted. Times
+are in ms of a monotonic clock, since leases are durations and not dates.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from hallhitch.catalog.errors import GatewayNameTaken
 
-LEASE_MS: Final = 15_000.0  # a renewal lasts as long: three of a gateway's requests, which wait 5 s each
-MAX_GATEWAYS: Final = 2_000  # counted at a time; more are served the feed and not counted
-NAME_RETENTION_MS: Final = 10 * LEASE_MS  # past its lease, after which a gateway's name is forgotten
+LEASE_MS: Final = 15_000.0  # from a renewal: three requests of a gateway, which wait for 5 s each
+MAX_GATEWAYS: Final = 2_000  # counted at a time; further gateways get the feed but are not counted
+NAME_RETENTION_MS: Final = 10 * LEASE_MS  # from the end of a lease until the name may be evicted
 
 Version = tuple[int, int]  # epoch and version
 
@@ -25,65 +25,65 @@
 
     name: str
     instance: str
-    version: Version  # applied
+    version: Version  # last one applied
     lease_ends_ms: float
-    since_ms: float  # when this instance came
+    since_ms: float  # first renewal by this instance
 
 
 class Progress(Struct, frozen=True):
-    """Roll-out of a version: applied by so many of the gateways with a lease."""
+    """Roll-out of a version: `applied` of the `counted` gateways with a lease have it."""
 
     applied: int
     counted: int
 
     @property
     def state(self) -> str:
-        """Return `pending` (no gateway has it, or there is none), `partial` or `complete` (all have it)."""
+        """Return `pending` (no gateway applied it, or there are none), `partial`, or `complete` (all applied it)."""
         if not self.applied:
             return "pending"
         return "complete" if self.applied == self.counted else "partial"
 
 
 class GatewayLeases:
-    """All leases, in memory: a service that starts again learns them within one lease."""
+    """All leases, in memory only: after a restart, gateways renew them within one lease."""
 
     def __init__(self) -> None:
         self._gateways: dict[str, Gateway] = {}
 
     def renew(self, name: str, instance: str, version: Version, now_ms: float) -> bool:
-        """Renew a lease and record the version that the gateway holds; False where there are too many to count.
+        """Renew a lease and record the gateway's version; return False if too many gateways are counted already.
 
-        After a crash the new instance waits no longer than what is left of the old one's lease.
+        After a crash the new instance waits no longer than the rest of the previous instance's lease.
 
         Raises:
-            GatewayNameTaken: Another instance of the name holds the lease: two processes under one name would each
-                be taken for the other.
+            GatewayNameTaken: Another instance holds the lease of the name; two processes with one name would be
+                mistaken for each other.
         """
-        held = self._gateways.get(name)
-        if held is not None and held.instance != instance and held.lease_ends_ms > now_ms:
-            raise GatewayNameTaken(name, held.lease_ends_ms - now_ms)
-        if held is None and len(self._gateways) >= MAX_GATEWAYS and not self._evict(now_ms):
+        current = self._gateways.get(name)
+        if current is not None and current.instance != instance and current.lease_ends_ms > now_ms:
+            raise GatewayNameTaken(name, current.lease_ends_ms - now_ms)
+        if current is None and len(self._gateways) >= MAX_GATEWAYS and not self._evict(now_ms):
             return False
-        is_same_instance = held is not None and held.instance == instance
-        since_ms = held.since_ms if held is not None and is_same_instance else now_ms
+        is_same_instance = current is not None and current.instance == instance
+        since_ms = current.since_ms if current is not None and is_same_instance else now_ms
         self._gateways[name] = Gateway(name, instance, version, now_ms + LEASE_MS, since_ms)
         return True
 
     def release(self, name: str, instance: str) -> bool:
-        """Release a lease, so that the name is free at once; False where the instance does not hold it."""
-        held = self._gateways.get(name)
-        if held is None or held.instance != instance:
+        """Release a lease, so that the name is free at once; return False if the instance does not hold it."""
+        current = self._gateways.get(name)
+        if current is None or current.instance != instance:
             return False
         del self._gateways[name]
         return True
 
     def active(self, now_ms: float) -> list[Gateway]:
-        """Return the gateways with a lease, by name."""
+        """Return the gateways with a valid lease, sorted by name."""
         active = [gateway for gateway in self._gateways.values() if gateway.lease_ends_ms > now_ms]
         return sorted(active, key=lambda gateway: gateway.name)
 
     def expired(self, now_ms: float) -> list[Gateway]:
-        """Return the gateways whose lease expired not long ago, by name."""
+        """Return the gateways whose lease expired within NAME_RETENTION_MS, sorted by name."""
         expired = [
             gateway
             for gateway in self._gateways.values()
@@ -92,12 +92,12 @@
         return sorted(expired, key=lambda gateway: gateway.name)
 
     def progress(self, version: Version, now_ms: float) -> Progress:
-        """Return a version's roll-out; a gateway at a later epoch has all of the earlier one that was kept."""
+        """Return the roll-out of a version; a gateway at a later epoch counts as having applied it."""
         active = self.active(now_ms)
         return Progress(sum(gateway.version >= version for gateway in active), len(active))
 
     def _evict(self, now_ms: float) -> bool:
-        """Forget names long past their lease or, if there is none, the one whose lease expired longest ago."""
+        """Remove names past their retention or, if there are none, the name whose lease expired first."""
         evicted = [
             gateway.name for gateway in self._gateways.values() if gateway.lease_ends_ms + NAME_RETENTION_MS <= now_ms
         ]
--- a/hallhitch/catalog/model.py
+++ b/hallhitch/catalog/model.py
@@ -1,4 +1,4 @@
-"""Values of the catalog. All are immutable; rates are units a second, times Unix milliseconds."""
+"""Values of the catalog. All are immutable; rates are in units per second, times in Unix milliseconds."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 from hallhitch.decision import api
 
-MAX_RATE = 1e9  # of any rate, burst or price: the counter keeps seven digits of a total, and 1e9 at most
-Share = Annotated[float, Meta(ge=0, le=MAX_RATE)]
-Number = Annotated[int, Meta(ge=0, le=1_000_000_000)]
+MAX_RATE = 1e9  # of a rate, burst or price: the counter keeps totals to seven digits, and 1e9 at most
+Amount = Annotated[float, Meta(ge=0, le=MAX_RATE)]
+Count = Annotated[int, Meta(ge=0, le=1_000_000_000)]
 Moment = Annotated[int, Meta(ge=0, le=2**53)]
 
 
@@ -31,90 +31,90 @@
 class Scope(StrEnum):
     """What a credential lets its holder do."""
 
-    OPERATOR = "operator"  # everything, of all tenants
-    ADMIN = "admin"  # reads its tenant; changes its plans, clients and credentials
+    OPERATOR = "operator"  # has full access to all tenants
+    ADMIN = "admin"  # reads its tenant; changes the plans, clients and credentials of it
     READ = "read"  # reads its tenant
-    GATEWAY = "gateway"  # follows the feed and does nothing else; of the operators' part, by certificate
-    CLIENT = "client"  # no administration: names one client to the gateways
+    GATEWAY = "gateway"  # only follows the feed; belongs to the operators and authenticates by certificate
+    CLIENT = "client"  # no access to the administration; identifies one client to the gateways
 
 
 class Limits(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a tenant may have and hand out; `rate` is the sum over its clients that are on of their plans' rates."""
+    """Limits of a tenant; `rate` bounds the sum of the plans' rates over its enabled clients."""
 
-    clients: Number = 1_000
-    plans: Number = 20
-    hosts: Number = 10
-    credentials: Number = 2_000
-    rate: Share = 1_000.0
-    open_requests: Number = 1_000
+    clients: Count = 1_000
+    plans: Count = 20
+    hosts: Count = 10
+    credentials: Count = 2_000
+    rate: Amount = 1_000.0
+    open_requests: Count = 1_000
 
 
 class Head(Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operators say of a tenant."""
+    """Settings of a tenant, which only operators change."""
 
     on: bool = True
     limits: Limits = Limits()
 
 
 class Plan(Struct, frozen=True, forbid_unknown_fields=True):
-    """The quota of each client on it, as `decision.api.Plan` has it; 0 means no such limit."""
+    """Quota of each client with this plan, with the fields of `decision.api.Plan`; 0 means no limit."""
 
-    rate: Share = 0.0
-    burst: Share = 0.0
-    open_limit: Number = 0
-    price: Share = 1.0
-    beyond_worth: Share = 0.0
-    beyond_cost: Share = 0.0
-    ceiling_rate: Share = 0.0
-    ceiling_burst: Share = 0.0
+    rate: Amount = 0.0
+    burst: Amount = 0.0
+    open_limit: Count = 0
+    price: Amount = 1.0
+    beyond_worth: Amount = 0.0
+    beyond_cost: Amount = 0.0
+    ceiling_rate: Amount = 0.0
+    ceiling_burst: Amount = 0.0
 
     def to_decision_plan(self, name: str) -> api.Plan:
-        """Return the same plan in the decision module's form."""
+        """Convert the plan to the type of the decision module."""
         return api.Plan(name, **msgspec.structs.asdict(self))
 
 
 class Client(Struct, frozen=True, forbid_unknown_fields=True, gc=False):
-    """A client of a tenant."""
+    """A client of a tenant, with its plan."""
 
     plan: str
     on: bool = True
 
 
 class Host(Struct, frozen=True, forbid_unknown_fields=True):
-    """A host name that leads to the tenant."""
+    """A host name that is routed to the tenant."""
 
     on: bool = True
 
 
 class Verifier(Struct, frozen=True, forbid_unknown_fields=True):
-    """Hash that a secret is verified against, and until when; the secret itself is not stored."""
+    """Hash that a secret is verified against until a time; the secret itself is not stored."""
 
-    hash: str  # argon2id in its own text form, or "keyed:" and a keyed BLAKE2b
+    hash: str  # argon2id in its standard encoding, or "keyed:" followed by a keyed BLAKE2b hash
     until: Moment | None = None
 
 
 class Credential(Struct, frozen=True, forbid_unknown_fields=True):
-    """A credential: the newest verifier first, older ones while they overlap."""
+    """A credential. The newest verifier comes first; older ones follow until they expire."""
 
     scope: Scope
     verifiers: tuple[Verifier, ...] = ()
     client: str | None = None
     expires: Moment | None = None
-    certificate: str | None = None  # SHA-256 of a client certificate, in place of a secret
+    certificate: str | None = None  # SHA-256 fingerprint of a client certificate, used instead of a secret
 
 
 Value = Head | Plan | Client | Host | Credential
 
 
 class Versioned(Struct, frozen=True, gc=False):
-    """Value, and the version that last changed it."""
+    """Value of an entry, and the version that last changed it."""
 
     value: Any
     version: int
 
 
 class Tenant(Struct, frozen=True):
-    """One tenant's part of the catalog; `version` is the last that changed anything in it."""
+    """One tenant and its entries; `version` is the last one that changed any of them."""
 
     KINDS: ClassVar[dict[Kind, str]] = {
         Kind.PLAN: "plans",
@@ -130,18 +130,18 @@
     clients: Map[str, Versioned] = Map()
     hosts: Map[str, Versioned] = Map()
     credentials: Map[str, Versioned] = Map()
-    client_counts: Map[str, int] = Map()  # clients by plan
-    active_client_counts: Map[str, int] = Map()  # those of them that are on
-    credential_ids_by_client: Map[str, frozenset[str]] = Map()  # ids of credentials by the client they name
+    client_counts: Map[str, int] = Map()  # number of clients by plan
+    active_client_counts: Map[str, int] = Map()  # number of enabled clients by plan
+    credential_ids_by_client: Map[str, frozenset[str]] = Map()  # credential ids by client
 
     def entries(self, kind: Kind) -> Map[str, Versioned]:
-        """Return the entries of one kind, by name."""
+        """Return the entries of one kind by name."""
         entries: Map[str, Versioned] = getattr(self, self.KINDS[kind])
         return entries
 
     @property
     def rate(self) -> float:
-        """Return the units a second that all clients that are on may use together, in the long run."""
+        """Return the sustained rate of all enabled clients together, in units per second."""
         return math.fsum(
             self.plans[name].value.rate * count
             for name, count in self.active_client_counts.items()
@@ -150,23 +150,23 @@
 
 
 class Catalog(Struct, frozen=True):
-    """All tenants at one version. Versions are dense within an epoch; a restored backup begins a later epoch."""
+    """All tenants at one version. Versions have no gaps within an epoch; restoring a backup begins a later epoch."""
 
     epoch: int = 0
     version: int = 0
     tenants: Map[str, Tenant] = Map()
     operators: Map[str, Versioned] = Map()
-    hosts: Map[str, str] = Map()  # which tenant a host name leads to
-    checksum: int = 0  # the checksum of all rows, whatever their order
+    hosts: Map[str, str] = Map()  # tenant by host name
+    checksum: int = 0  # of all rows, independent of their order
 
     def get(self, tenant: str, kind: Kind, name: str) -> Versioned | None:
-        """Return an entry; None where there is none. A tenant's own entry is its head."""
+        """Return an entry, or None if it does not exist. The entry of a tenant itself is its head."""
         if tenant == "":
             return self.operators.get(name) if kind is Kind.CREDENTIAL else None
-        part = self.tenants.get(tenant)
-        if part is None:
+        owner = self.tenants.get(tenant)
+        if owner is None:
             return None
-        return part.head if kind is Kind.TENANT else part.entries(kind).get(name)
+        return owner.head if kind is Kind.TENANT else owner.entries(kind).get(name)
 
 
 VALUE_TYPES: dict[Kind, type[Any]] = {
--- a/hallhitch/catalog/rows.py
+++ b/hallhitch/catalog/rows.py
@@ -1,7 +1,8 @@
-"""Rows of the catalog, the form that store, snapshots and diffs share, and the catalog's checksum.
+"""Rows of the catalog, the representation shared by store, snapshots and diffs, and the checksum of the catalog.
 
-The checksum of a catalog is the sum of its rows' hashes (xxh3, 128 bits) modulo 2**128: it does not depend on their
-order, and one change costs two hashes. It finds damage; it proves nothing against someone who can write to the store.
+The checksum of a catalog is the sum of its rows' hashes (xxh3, 128 bits) modulo 2**128. It does not depend on their
+order, and updating it for one changed row costs two hashes. It detects damage, but does not protect against an attacker
+who can write to the store.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class Row(Struct, frozen=True, gc=False):
-    """One entry of the catalog, or its deletion (`value` None), as of `version`; `tenant` "" are the operators."""
+    """One entry of the catalog, or its deletion (`value` None), as of `version`; `tenant` is "" for the operators."""
 
     tenant: str
     kind: Kind
@@ -36,19 +37,19 @@
 
 
 def decode_value(kind: Kind, body: bytes) -> Any:
-    """Decode a value; ValueError says what is wrong with the bytes."""
+    """Decode a value; raise ValueError if it is malformed."""
     return _decoders[kind](body)
 
 
 def canonical_value(kind: Kind, value: Any) -> Any:
-    """Return the value as it comes back from its bytes (a rate of 5 is 5.0); ValueError says what is wrong with it."""
+    """Return the value encoded and decoded again (a rate of 5 becomes 5.0); raise ValueError if it is invalid."""
     if type(value) is not VALUE_TYPES[kind]:
         raise ValueError(f"this is no {kind.value}")
     return decode_value(kind, _encode(value))
 
 
 def row_hash(tenant: str, kind: str, name: str, version: int, body: bytes) -> int:
-    """Compute a row's hash, below CHECKSUM_MODULUS."""
+    """Compute the hash of a row, an integer below CHECKSUM_MODULUS."""
     return xxh3_128_intdigest(b"%s\0%s\0%s\0%d\0%s" % (tenant.encode(), kind.encode(), name.encode(), version, body))
 
 
@@ -58,7 +59,7 @@
 
 
 def catalog_rows(catalog: Catalog) -> Iterator[Row]:
-    """Yield all rows; a tenant's own row comes before those of its entries."""
+    """Yield all rows; the row of a tenant precedes those of its entries."""
     for name, entry in catalog.operators.items():
         yield Row(OPERATORS, Kind.CREDENTIAL, name, entry.version, entry.value)
     for tenant in catalog.tenants:
@@ -66,7 +67,7 @@
 
 
 def tenant_rows(catalog: Catalog, name: str) -> Iterator[Row]:
-    """Yield the rows of one tenant's part, its own first."""
+    """Yield the row of one tenant, then those of its entries."""
     tenant = catalog.tenants[name]
     yield Row(name, Kind.TENANT, name, tenant.head.version, tenant.head.value)
     for kind in tenant.KINDS:
--- a/hallhitch/catalog/tenant_file.py
+++ b/hallhitch/catalog/tenant_file.py
@@ -1,6 +1,6 @@
-"""Tenant declared in a file, and the edits that bring the catalog there. Pure: the caller reads and sends.
+"""Tenant declared in a file, and the edits that change the catalog to match it. No I/O.
 
-Credentials are not declared: they are issued, and their secrets belong in no file that is kept.
+Credentials are not declared but issued; their secrets must not be kept in a file.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 EntryKey = tuple[Kind, str]
 DeclaredEntries = dict[EntryKey, Value]
 
-# Order of edits, by kind and whether they delete: any prefix of them is a valid change. New plans come before the
-# clients that move to them, and go after the clients that leave them.
+# Order of edits, by kind and whether they delete, in which every prefix is a valid change: plans are created before
+# clients move to them, and deleted after clients have left them.
 EDIT_ORDER: Final = (
     (Kind.TENANT, False),
     (Kind.PLAN, False),
@@ -32,7 +32,7 @@
 
 
 class TenantFile(Struct, frozen=True, forbid_unknown_fields=True):
-    """One tenant, complete: an entry that is not in the file is to be deleted."""
+    """Complete declaration of one tenant; entries that are not in the file are deleted."""
 
     tenant: str
     on: bool = True
@@ -59,7 +59,7 @@
                 raise TenantFileError(f"hosts.{name}", "cannot name a host")
 
     def entries(self) -> DeclaredEntries:
-        """Return all that the file declares, by kind and name."""
+        """Return all declared entries by kind and name."""
         declared: DeclaredEntries = {(Kind.TENANT, self.tenant): Head(self.on, self.limits)}
         declared |= {(Kind.PLAN, name): plan for name, plan in self.plans.items()}
         declared |= {(Kind.CLIENT, names.canonical_client_id(name)): client for name, client in self.clients.items()}
@@ -68,7 +68,7 @@
 
 
 class PlannedEdit(Struct, frozen=True):
-    """One difference: `current` None creates, `wanted` None deletes; `version` is the one that the edit expects."""
+    """Edit of one entry: `current` None creates it, `wanted` None deletes it; `version` is the expected version."""
 
     kind: Kind
     name: str
@@ -77,7 +77,7 @@
     version: str | None
 
     def changed_fields(self) -> Iterator[tuple[str, object, object]]:
-        """Yield the fields that differ: name, current value, wanted value."""
+        """Yield name, current value and wanted value of each field that differs."""
         before = msgspec.structs.asdict(self.current) if self.current is not None else {}
         after = msgspec.structs.asdict(self.wanted) if self.wanted is not None else {}
         for name in after or before:
@@ -85,14 +85,14 @@
                 yield name, before.get(name), after.get(name)
 
 
-def plan_edits(present: dict[EntryKey, tuple[Value, str]], wanted: DeclaredEntries) -> list[PlannedEdit]:
-    """Return the edits from the present entries (with versions) to the wanted ones, in EDIT_ORDER."""
+def plan_edits(existing: dict[EntryKey, tuple[Value, str]], wanted: DeclaredEntries) -> list[PlannedEdit]:
+    """Return the edits that change the existing entries (with versions) to the wanted ones, in EDIT_ORDER."""
     edits = []
     for (kind, name), value in wanted.items():
-        current, version = present.get((kind, name), (None, None))
+        current, version = existing.get((kind, name), (None, None))
         if current != value:
             edits.append(PlannedEdit(kind, name, current, value, version))
-    for (kind, name), (current, version) in present.items():
+    for (kind, name), (current, version) in existing.items():
         if (kind, name) not in wanted:
             edits.append(PlannedEdit(kind, name, current, None, version))
     return sorted(edits, key=lambda edit: (EDIT_ORDER.index((edit.kind, edit.wanted is None)), edit.name))
--- a/hallhitch/catalog/tenant_slots.py
+++ b/hallhitch/catalog/tenant_slots.py
@@ -1,7 +1,7 @@
 """One gateway's slots (connections, handshakes, open requests), shared among tenants by weight. No I/O, no clock.
 
-A tenant that floods, errs, sends slowly or keeps what it has uses up its own share. Beyond it, a tenant may have what
-no other wants, and never the reserve.
+A tenant that floods the gateway, fails, sends slowly or keeps its slots exhausts only its own share. Beyond its share,
+a tenant may take free slots, but never those of the reserve.
 """
 
 from __future__ import annotations
@@ -10,38 +10,38 @@
 
 from hallhitch.catalog.errors import SlotError
 
-RESERVED_SLOT_RATIO: Final = 0.1  # of all slots: only tenants under their own share take these
+RESERVED_SLOT_RATIO: Final = 0.1  # of all slots: reserved for tenants below their own share
 
 
 class TenantSlots:
-    """A number of slots for all tenants.
+    """A fixed number of slots shared by all tenants.
 
-    A tenant's share is its weight's part of all slots but the reserve, among the tenants that hold any. Up to its
-    share it gets a slot while there is one; beyond it only while more than the reserve is free. A tenant that comes
-    while others hold more than their share gets slots of the reserve at once, and more as others release theirs.
-    Cost: O(1) a call; memory grows with the tenants that hold any.
+    The share of a tenant is its fraction, by weight among the tenants that hold slots, of all slots but the reserve. Up
+    to its share a tenant gets any free slot; beyond it only while more slots than the reserve are free. A tenant that
+    arrives while others exceed their share gets slots of the reserve at once, and more as others release theirs.
+    Cost: O(1) per call; memory grows with the number of tenants that hold slots.
     """
 
     def __init__(self, total: int) -> None:
         if total < 1:
-            raise SlotError(f"no places to share: {total}")
+            raise SlotError(f"the number of slots must be at least 1, not {total}")
         self.total = total
         self.free = total
         self._held: dict[str, int] = {}
         self._weights: dict[str, float] = {}
-        self._total_weight = 0.0  # of the tenants that hold any
+        self._total_weight = 0.0  # of the tenants that hold slots
 
     def held(self, tenant: str) -> int:
         """Return how many slots a tenant holds."""
         return self._held.get(tenant, 0)
 
     def share(self, tenant: str, weight: float) -> float:
-        """Return a tenant's own share of the slots, among the tenants that hold any."""
+        """Return a tenant's share of the slots among the tenants that hold slots."""
         other_weight = self._total_weight - self._weights.get(tenant, 0.0)
         return self.total * (1 - RESERVED_SLOT_RATIO) * weight / (other_weight + weight)
 
     def acquire(self, tenant: str, weight: float, limit: int) -> bool:
-        """Take a slot if the tenant may have one; `limit` is its own, whatever is free."""
+        """Take a slot if the tenant may have one; it never holds more than `limit`, even if slots are free."""
         held = self.held(tenant)
         if held >= limit or not self.free:
             return False
@@ -55,19 +55,19 @@
         return True
 
     def release(self, tenant: str) -> None:
-        """Give a slot back.
+        """Release one slot of a tenant.
 
         Raises:
-            SlotError: The tenant holds none.
+            SlotError: The tenant holds no slot.
         """
         held = self.held(tenant)
         if not held:
-            raise SlotError(f"{tenant} holds no place")
+            raise SlotError(f"tenant {tenant} holds no slot to release")
         self.free += 1
         if held > 1:
             self._held[tenant] = held - 1
             return
         del self._held[tenant]
         weight = self._weights.pop(tenant)
-        # Zero where no tenant holds a slot, so that rounding errors do not add up.
+        # Reset to zero when no tenant holds a slot, so that rounding errors do not accumulate.
         self._total_weight = self._total_weight - weight if self._held else 0.0
--- a/tests/catalog/test_fair_queue.py
+++ b/tests/catalog/test_fair_queue.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hallhitch.catalog.fair_queue import MAX_SAVED_MS, Admitted, FairQueue, Rejected
+from hallhitch.catalog.fair_queue import MAX_BURST_MS, Admitted, FairQueue, Rejected
 
 TENANTS = {"a": 1.0, "b": 2.0, "c": 0.5}
 
@@ -143,7 +143,7 @@
             queue.enqueue(now, tenant_by_id[n], 1.0, n, 1e9)
         begun = Counter(
             tenant_by_id[decision.id]
-            for _, decision in drain(queue, now, now + MAX_SAVED_MS + 60)
+            for _, decision in drain(queue, now, now + MAX_BURST_MS + 60)
             if decision.id in tenant_by_id
         )
         self.assertLess(abs(begun["late"] - begun["busy"]), 25)
