--- a/hallhitch/catalog_sync/catalog_cache.py
+++ b/hallhitch/catalog_sync/catalog_cache.py
@@ -1,8 +1,8 @@
-"""Last good catalog on a gateway's disk, so that it starts and serves while the administration is unreachable.
+"""Cache of the last valid catalog on disk, so that a gateway starts while the administration service is unreachable.
 
-One file holds a snapshot in the feed's own lines. It is replaced as a whole: written beside, synchronised, renamed,
-the directory synchronised; an interruption leaves the earlier file. A damaged file is renamed and logged. Versions
-never go back. A full disk costs a log line, never a request.
+One file holds a snapshot in the format of the feed. It is replaced atomically: a temporary file is written, synced and
+renamed, then the directory is synced; an interruption leaves the earlier file. A damaged file is renamed and logged.
+Versions never go back. A full disk causes a log line, and no request fails.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class CatalogCache:
-    """File of one gateway. Not for two processes at once: the second would undo the first's newer versions."""
+    """Cache file of one gateway. Two processes must not share it: one could overwrite newer versions of the other."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -31,7 +31,7 @@
         self._saved_version = (0, 0)  # epoch and version
 
     def load(self) -> Catalog | None:
-        """Return the catalog that was saved last; None if there is none, or it is damaged."""
+        """Return the catalog that was saved last, or None if there is none or it is damaged."""
         self._temporary_path.unlink(missing_ok=True)
         try:
             with open(self._path, "rb") as file:
@@ -39,15 +39,15 @@
         except FileNotFoundError:
             return None
         except FeedError as error:
-            self._set_aside(error)
+            self._rename_damaged(error)
             return None
         self._saved_version = catalog.epoch, catalog.version
         return catalog
 
     def save(self, catalog: Catalog) -> bool:
-        """Save a catalog; False where it is no newer than the saved one, or could not be written.
+        """Save a catalog; return False if it is not newer than the saved one or could not be written.
 
-        Blocks for as long as the disk needs: call it in a thread. The catalog is immutable, so nothing tears.
+        Blocks on the disk, so call it in a thread. The catalog is immutable, so it cannot change while it is written.
         """
         if (catalog.epoch, catalog.version) <= self._saved_version:
             return False
@@ -55,7 +55,7 @@
             self._write(catalog)
         except OSError as error:
             COUNTS["saved_catalogue_unwritten"] += 1
-            log.error("catalogue not saved", file=str(self._path), error=str(error.strerror))  # noqa: TRY400
+            log.error("catalog not saved", file=str(self._path), error=str(error.strerror))  # noqa: TRY400
             self._temporary_path.unlink(missing_ok=True)
             return False
         self._saved_version = catalog.epoch, catalog.version
@@ -68,15 +68,15 @@
             file.flush()
             os.fsync(file.fileno())
         os.replace(self._temporary_path, self._path)
-        folder = os.open(self._path.parent, os.O_RDONLY)
+        directory = os.open(self._path.parent, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
 
-    def _set_aside(self, error: FeedError) -> None:
-        """Rename the damaged file, so that it can be looked at and is not read again."""
-        damaged = self._path.with_name(f"{self._path.name}.damaged-{time.time_ns() // 1_000_000}")
-        os.replace(self._path, damaged)
+    def _rename_damaged(self, error: FeedError) -> None:
+        """Rename the damaged file, so that it can be inspected and is not read again."""
+        damaged_path = self._path.with_name(f"{self._path.name}.damaged-{time.time_ns() // 1_000_000}")
+        os.replace(self._path, damaged_path)
         COUNTS["saved_catalogue_damaged"] += 1
-        log.error("saved catalogue damaged", file=str(self._path), put_aside=damaged.name, error=str(error))
+        log.error("saved catalog damaged", file=str(self._path), renamed_to=damaged_path.name, error=str(error))
--- a/hallhitch/catalog_sync/feed_client.py
+++ b/hallhitch/catalog_sync/feed_client.py
@@ -1,7 +1,7 @@
-"""Client of the catalog's feed on a gateway: it requests updates, applies them and saves them to disk.
+"""Client of the catalog feed on a gateway: requests updates, applies them and saves them to disk.
 
-Serving never waits for any of this. Lines are processed one at a time with the event loop free between them; the disk
-is written in a thread, the newest catalog only. A failed request is retried later, and the catalog held goes on.
+Serving requests never waits for the feed. Lines are processed one at a time, and the event loop runs between them. A
+thread writes to disk, only the newest catalog. A failed request is retried later, and the current catalog stays in use.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 from hallhitch.catalog_sync.catalog_cache import CatalogCache
 from hallhitch.core.invariants import COUNTS
 
-HOLD_MS: Final = 5_000  # a request waits so long for an update: a third of a gateway's lease
-RESPONSE_TIMEOUT_S: Final = 5.0  # past HOLD_MS without a byte, after which the connection is closed
-LEAVE_TIMEOUT_S: Final = 1.0  # to release the lease at the end
-STALE_LOG_INTERVAL_S: Final = 60.0  # between two log lines that the catalog is stale
-MAX_RETRY_AFTER_S: Final = 60.0  # however long the server's Retry-After is
-MAX_LOGGED_CHARS: Final = 300  # of an error or a problem document
+LONG_POLL_MS: Final = 5_000  # longest wait of a request for an update: a third of a gateway's lease
+RESPONSE_TIMEOUT_S: Final = 5.0  # without a byte, beyond LONG_POLL_MS: the connection is closed
+RELEASE_TIMEOUT_S: Final = 1.0  # to release the lease on shutdown
+STALE_LOG_INTERVAL_S: Final = 60.0  # between two warnings that the catalog may be stale
+MAX_RETRY_AFTER_S: Final = 60.0  # upper bound of the Retry-After of the server
+MAX_LOGGED_CHARS: Final = 300  # of an error or a problem document in a log line
 log = structlog.get_logger()
 
 
 def client_tls_context(ca: str, certificate: str, key: str) -> ssl.SSLContext:
-    """Return the TLS context to the administration: it is verified against `ca`, the gateway presents `certificate`.
+    """Return the TLS context: the administration service is verified against `ca`, the gateway presents `certificate`.
 
     Raises:
-        OSError: A file cannot be read; the error names none.
+        OSError: A file cannot be read; the error does not name the file.
     """
     context = ssl.create_default_context(cafile=ca)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -49,7 +49,7 @@
 
 
 class FeedClient:
-    """Follows the feed for as long as it runs; `on_catalog` is called in the event loop with each newer catalog."""
+    """Follows the feed while `run` runs; calls `on_catalog` in the event loop with each newer catalog."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
             base_url=url,
             verify=context,
             trust_env=False,
-            timeout=httpx.Timeout(RESPONSE_TIMEOUT_S, read=HOLD_MS / 1000 + RESPONSE_TIMEOUT_S),
+            timeout=httpx.Timeout(RESPONSE_TIMEOUT_S, read=LONG_POLL_MS / 1000 + RESPONSE_TIMEOUT_S),
         )
         self._instance = secrets.token_hex(16)
         self._random = random_source or random.Random()
@@ -79,18 +79,18 @@
 
     @property
     def catalog(self) -> Catalog:
-        """Return the catalog that this gateway serves by."""
+        """Return the catalog that this gateway currently uses."""
         return self._follower.catalog
 
     @property
     def staleness_s(self) -> float:
-        """Return the seconds since the administration last responded."""
+        """Return the seconds since the administration service last responded."""
         return time.monotonic() - self._last_response_at_s
 
     async def run(self) -> None:
-        """Follow until cancelled; then release the lease, and finish saving the newest catalog."""
+        """Follow the feed until cancelled, then release the lease and finish saving the newest catalog."""
         if self.catalog.version:
-            log.info("catalogue from disk", epoch=self.catalog.epoch, version=self.catalog.version)
+            log.info("catalog loaded from disk", epoch=self.catalog.epoch, version=self.catalog.version)
             self._on_catalog(self.catalog)
         try:
             while True:
@@ -100,13 +100,13 @@
                     delay_s = self._record_failure(error)
                 await asyncio.sleep(delay_s)
         finally:
-            await self._leave()
+            await self._close()
 
     async def _request_update(self) -> float:
-        """Make one request, process its response to the end, and return the seconds to wait before the next.
+        """Make one request, process the whole response, and return the delay in seconds before the next request.
 
         Raises:
-            FeedError: The response is an error, or leads to no newer catalog.
+            FeedError: The response is an error, or does not contain a complete newer catalog.
         """
         epoch, version = self._follower.version
         query: dict[str, Any] = {
@@ -114,7 +114,7 @@
             "instance": self._instance,
             "epoch": epoch,
             "version": version,
-            "hold_ms": HOLD_MS,
+            "hold_ms": LONG_POLL_MS,
         }
         async with self._client.stream("GET", "/v1/feed", params=query) as response:
             if response.status_code == HTTPStatus.NO_CONTENT:
@@ -122,34 +122,34 @@
                 return 0.0
             if response.status_code != HTTPStatus.OK:
                 return await self._delay_after_problem(response)
-            async for line in lines_of(response):
+            async for line in response_lines(response):
                 if (catalog := self._follower.receive_line(line)) is not None:
                     self._apply(catalog)
                 await asyncio.sleep(0)
         if self._follower.version == (epoch, version):
-            raise FeedError("the answer ended before its end")
+            raise FeedError("the response ended before the update was complete")
         self._record_response()
         return 0.0
 
     async def _delay_after_problem(self, response: httpx.Response) -> float:
-        """Return the seconds to wait where a busy server says when to retry; FeedError for other problems."""
+        """Return the delay in seconds if a busy server sent Retry-After; raise FeedError for other problems."""
         problem = (await response.aread())[:MAX_LOGGED_CHARS].decode(errors="replace")
         retry_after = response.headers.get("retry-after", "")
         is_busy = response.status_code == HTTPStatus.SERVICE_UNAVAILABLE
         if is_busy and retry_after.replace(".", "", 1).isdigit():
             self._follower.discard_partial()
             return min(MAX_RETRY_AFTER_S, float(retry_after)) * self._random.uniform(1.0, 1.5)
-        raise FeedError(f"{response.status_code}: {problem}")
+        raise FeedError(f"the feed responded with status {response.status_code}: {problem}")
 
     def _apply(self, catalog: Catalog) -> None:
-        log.info("catalogue applied", epoch=catalog.epoch, version=catalog.version, tenants=len(catalog.tenants))
+        log.info("catalog applied", epoch=catalog.epoch, version=catalog.version, tenants=len(catalog.tenants))
         self._on_catalog(catalog)
         self._unsaved = catalog
         if self._save_task is None or self._save_task.done():
             self._save_task = asyncio.create_task(self._save_unsaved())
 
     async def _save_unsaved(self) -> None:
-        """Save the newest catalog, and again if a newer one has come meanwhile."""
+        """Save the newest catalog, and repeat if a newer one arrived in the meantime."""
         while self._unsaved is not None:
             catalog = self._unsaved
             self._unsaved = None
@@ -157,7 +157,7 @@
 
     def _record_response(self) -> None:
         if self.staleness_s > STALE_LOG_INTERVAL_S:
-            log.info("control plane answers again", after_s=round(self.staleness_s))
+            log.info("administration service reachable again", after_s=round(self.staleness_s))
         self._last_response_at_s = time.monotonic()
         self._stale_logged_at_s = self._last_response_at_s
 
@@ -167,7 +167,7 @@
         if self._stale_logged_at_s <= self._last_response_at_s or now - self._stale_logged_at_s > STALE_LOG_INTERVAL_S:
             self._stale_logged_at_s = now
             log.warning(
-                "catalogue may be stale",
+                "catalog may be stale",
                 error=f"{type(error).__name__}: {error}"[:MAX_LOGGED_CHARS],
                 since_s=round(self.staleness_s, 1),
                 epoch=self.catalog.epoch,
@@ -175,10 +175,10 @@
             )
         return self._follower.record_failure() / 1000
 
-    async def _leave(self) -> None:
-        """Release the lease if the administration can be reached, finish saving, close the connection."""
+    async def _close(self) -> None:
+        """Release the lease if the administration service is reachable, finish saving and close the connections."""
         with contextlib.suppress(httpx.HTTPError, OSError, TimeoutError):
-            async with asyncio.timeout(LEAVE_TIMEOUT_S):
+            async with asyncio.timeout(RELEASE_TIMEOUT_S):
                 await self._client.delete(
                     "/v1/feed",
                     params={"gateway": self._name, "instance": self._instance},
@@ -189,20 +189,20 @@
         await self._client.aclose()
 
 
-async def lines_of(response: httpx.Response) -> AsyncIterator[bytes]:
-    """Yield the lines of a response as they are complete.
+async def response_lines(response: httpx.Response) -> AsyncIterator[bytes]:
+    """Yield each line of a response as soon as it is complete.
 
     Raises:
-        FeedError: A line is too long, or the last one has no end.
+        FeedError: A line is too long, or the last line is not terminated.
     """
-    held = bytearray()
+    buffer = bytearray()
     async for data in response.aiter_bytes():
-        held += data
-        *lines, rest = held.split(b"\n")
+        buffer += data
+        *lines, incomplete_line = buffer.split(b"\n")
         for line in lines:
             yield bytes(line)
-        held = bytearray(rest)
-        if len(held) > MAX_LINE_BYTES:
-            raise FeedError(f"a line of more than {MAX_LINE_BYTES} bytes")
-    if held:
-        raise FeedError("the last line has no end")
+        buffer = bytearray(incomplete_line)
+        if len(buffer) > MAX_LINE_BYTES:
+            raise FeedError(f"a line of the feed is longer than {MAX_LINE_BYTES} bytes")
+    if buffer:
+        raise FeedError("the last line of the response is not terminated")
