--- a/tests/catalog/catalog_strategies.py
+++ b/tests/catalog/catalog_strategies.py
@@ -1,4 +1,4 @@
-"""Catalogs and random changes of them, for tests."""
+"""Hypothesis strategies for catalogs and their changes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     Verifier,
 )
 
-FEW = st.sampled_from(["x", "y", "z"])
+NAMES = st.sampled_from(["x", "y", "z"])
 HOSTS = st.sampled_from(["a.example.org", "b.example.org", "x.example.org"])
 VALUES: dict[Kind, st.SearchStrategy[Any]] = {
     Kind.TENANT: st.builds(
@@ -29,40 +29,42 @@
         st.builds(Limits, clients=st.integers(1, 3), plans=st.integers(1, 3), rate=st.sampled_from([2, 5.0, 100.0])),
     ),
     Kind.PLAN: st.builds(Plan, rate=st.sampled_from([0, 1, 2.5]), burst=st.sampled_from([0.0, 3.0])),
-    Kind.CLIENT: st.builds(Client, FEW, st.booleans()),
+    Kind.CLIENT: st.builds(Client, NAMES, st.booleans()),
     Kind.HOST: st.builds(Host, st.booleans()),
     Kind.CREDENTIAL: st.builds(
-        Credential, st.sampled_from(list(Scope)), st.just((Verifier("h"),)), st.none() | FEW, st.none() | st.just(5)
+        Credential, st.sampled_from(list(Scope)), st.just((Verifier("h"),)), st.none() | NAMES, st.none() | st.just(5)
     ),
 }
 
 
 @st.composite
 def edits(draw: st.DrawFn, tenant: str) -> Edit:
-    """Some edit, good or not."""
+    """Generate an edit, valid or not."""
     kind = draw(st.sampled_from(list(Kind)))
-    name = tenant if kind is Kind.TENANT else draw(HOSTS if kind is Kind.HOST else FEW)
-    drop = draw(st.integers(0, 9)) < (1 if kind is Kind.TENANT else 3)
-    return Edit(kind, name, None if drop else draw(VALUES[kind]), draw(st.none() | st.none() | st.integers(0, 6)))
+    name = tenant if kind is Kind.TENANT else draw(HOSTS if kind is Kind.HOST else NAMES)
+    is_deletion = draw(st.integers(0, 9)) < (1 if kind is Kind.TENANT else 3)
+    return Edit(
+        kind, name, None if is_deletion else draw(VALUES[kind]), draw(st.none() | st.none() | st.integers(0, 6))
+    )
 
 
 @st.composite
 def changes(draw: st.DrawFn) -> Change:
-    """Some change of one of three tenants, or of the operators'."""
+    """Generate a change of one of three tenants, or of the operators."""
     tenant = draw(st.sampled_from(["a", "b", "c", ""]))
     return Change(tenant, tuple(draw(st.lists(edits(tenant), min_size=1, max_size=5))))
 
 
 def populated_catalog() -> Catalog:
-    """A catalogue in which most changes have something to change."""
-    made = Catalog(epoch=3)
+    """Return a catalog with entries that most generated changes apply to."""
+    catalog = Catalog(epoch=3)
     for tenant in "ab":
-        edits_ = (
+        initial_edits = (
             Edit(Kind.TENANT, tenant, Head(limits=Limits(3, 3))),
             Edit(Kind.PLAN, "x", Plan(1.0, 3.0)),
             Edit(Kind.CLIENT, "x", Client("x")),
             Edit(Kind.HOST, f"{tenant}.example.org", Host()),
             Edit(Kind.CREDENTIAL, "x", Credential(Scope.CLIENT, (Verifier("h"),), "x")),
         )
-        made = apply_change(made, Change(tenant, edits_)).catalog
-    return made
+        catalog = apply_change(catalog, Change(tenant, initial_edits)).catalog
+    return catalog
--- a/tests/catalog/test_changes.py
+++ b/tests/catalog/test_changes.py
@@ -1,4 +1,4 @@
-"""The catalogue by itself: properties over random changes, and the refusals that must be named."""
+"""Catalog changes: properties over random changes, and the code and field of each refusal."""
 
 from __future__ import annotations
 
@@ -37,50 +37,50 @@
 from hallhitch.catalog.rows import CHECKSUM_MODULUS, catalog_rows, entry_hash
 from hallhitch.catalog.tenant_file import TenantFile, plan_edits
 from hallhitch.decision.policy import digest
-from tests.catalog.catalog_strategies import FEW, changes, populated_catalog
+from tests.catalog.catalog_strategies import NAMES, changes, populated_catalog
 
 
-def check(case: unittest.TestCase, catalog: Catalog) -> None:
-    """What holds of every catalogue, looked up the long way."""
+def assert_consistent(case: unittest.TestCase, catalog: Catalog) -> None:
+    """Check the invariants of every catalog against values recomputed from its entries."""
     total = 0
     hosts: dict[str, str] = {}
     for row in catalog_rows(catalog):
-        kept = catalog.get(row.tenant, row.kind, row.name)
-        assert kept is not None
-        total += entry_hash(row.tenant, row.kind, row.name, kept)
+        entry = catalog.get(row.tenant, row.kind, row.name)
+        assert entry is not None
+        total += entry_hash(row.tenant, row.kind, row.name, entry)
     case.assertEqual(total % CHECKSUM_MODULUS, catalog.checksum)
     for name, part in catalog.tenants.items():
-        clients = [kept.value for kept in part.clients.values()]
+        clients = [entry.value for entry in part.clients.values()]
         for plan in {client.plan for client in clients} | set(part.client_counts):
             case.assertIn(plan, part.plans)
             case.assertEqual(part.client_counts.get(plan, 0), sum(c.plan == plan for c in clients))
             case.assertEqual(part.active_client_counts.get(plan, 0), sum(c.plan == plan and c.on for c in clients))
-        handed = sum(part.plans[c.plan].value.rate for c in clients if c.on)
-        case.assertAlmostEqual(part.rate, handed)
+        rate_sum = sum(part.plans[c.plan].value.rate for c in clients if c.on)
+        case.assertAlmostEqual(part.rate, rate_sum)
         limits = part.head.value.limits
-        case.assertLessEqual(handed, limits.rate + 1e-6)
+        case.assertLessEqual(rate_sum, limits.rate + 1e-6)
         case.assertLessEqual(len(part.clients), limits.clients)
         hosts |= dict.fromkeys(part.hosts, name)
-        named: dict[str, set[str]] = {}
-        for id, kept in part.credentials.items():
-            if kept.value.client is not None:
-                case.assertIn(kept.value.client, part.clients)
-                named.setdefault(kept.value.client, set()).add(id)
-        case.assertEqual({client: set(ids) for client, ids in part.credential_ids_by_client.items()}, named)
+        credential_ids: dict[str, set[str]] = {}
+        for id, entry in part.credentials.items():
+            if entry.value.client is not None:
+                case.assertIn(entry.value.client, part.clients)
+                credential_ids.setdefault(entry.value.client, set()).add(id)
+        case.assertEqual({client: set(ids) for client, ids in part.credential_ids_by_client.items()}, credential_ids)
     case.assertEqual(dict(catalog.hosts), hosts)
 
 
 class CatalogProperties(unittest.TestCase):
-    """Random histories."""
+    """Properties over random sequences of changes."""
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.lists(changes(), max_size=25))
-    def test_random_changes_keep_indexes_checksum_and_diffs_consistent(self, history: list[Change]) -> None:
-        """Guards against indexes, checksums and diffs that drift from what is there, and versions with gaps."""
+    def test_random_changes_keep_indexes_checksum_and_diffs_consistent(self, sequence: list[Change]) -> None:
+        """Guards against indexes, checksums and diffs that differ from the entries, and against gaps in versions."""
         catalog = populated_catalog()
-        kept, log = [catalog], History()
-        log.start(3, catalog.version)
-        for change in history:
+        catalogs, history = [catalog], History()
+        history.start(3, catalog.version)
+        for change in sequence:
             before = catalog
             try:
                 applied = apply_change(catalog, change)
@@ -92,11 +92,11 @@
             others = {name: part for name, part in before.tenants.items() if name != change.tenant}
             self.assertEqual(others, {n: p for n, p in applied.catalog.tenants.items() if n != change.tenant})
             catalog = applied.catalog
-            check(self, catalog)
-            log.add(applied.diff)
-            kept.append(catalog)
-        for old in kept:
-            diff = log.diff(catalog, 3, old.version)
+            assert_consistent(self, catalog)
+            history.add(applied.diff)
+            catalogs.append(catalog)
+        for old in catalogs:
+            diff = history.diff(catalog, 3, old.version)
             assert diff is not None
             self.assertEqual(apply_diff(old, decode_diff(encode_diff(diff))), catalog)
         whole_diff = snapshot_diff(catalog)
@@ -106,12 +106,12 @@
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.data())
     def test_planned_edits_reach_a_declared_tenant_in_one_change_or_several(self, data: st.DataObject) -> None:
-        """Guards against a declaration that cannot be applied from where the tenant stands, whole or in pieces."""
+        """Guards against edits that fail from the tenant's current state, sent as one change or in several."""
 
         def declared() -> TenantFile:
-            plans = {n: Plan(1.0, 3.0) for n in data.draw(st.sets(FEW, min_size=1))}
-            clients = {n: Client(data.draw(st.sampled_from(sorted(plans)))) for n in data.draw(st.sets(FEW))}
-            hosts = {f"{n}.example.org": Host() for n in data.draw(st.sets(FEW))}
+            plans = {n: Plan(1.0, 3.0) for n in data.draw(st.sets(NAMES, min_size=1))}
+            clients = {n: Client(data.draw(st.sampled_from(sorted(plans)))) for n in data.draw(st.sets(NAMES))}
+            hosts = {f"{n}.example.org": Host() for n in data.draw(st.sets(NAMES))}
             return TenantFile("a", True, Limits(), plans, clients, hosts)
 
         catalog = Catalog(epoch=1)
@@ -134,13 +134,13 @@
         st.text("abc/.:@", max_size=6),
     )
     def test_customer_ids_are_unique_over_tenants(self, a: str, b: str, c: str, d: str) -> None:
-        """Guards against one tenant's traffic spending another's quota, whatever the two call their clients."""
+        """Guards against clients of two tenants that share a quota because their ids collide."""
         if all(map(names.is_tenant, (a, c))) and all(map(names.is_client, (b, d))) and (a, b) != (c, d):
             self.assertNotEqual(names.decision_customer_id(a, b), names.decision_customer_id(c, d))
 
 
 class ChangeRefusals(unittest.TestCase):
-    """Changes that must not be made, by code and field."""
+    """Invalid changes, with the code and field of their refusals."""
 
     def setUp(self) -> None:
         first = Change(
@@ -154,12 +154,12 @@
         )
         other_change = Change("b", (Edit(Kind.TENANT, "b", Head()),))
         operator = Change("", (Edit(Kind.CREDENTIAL, "root", Credential(Scope.OPERATOR, (Verifier("h"),))),))
-        self.was = Catalog(epoch=1)
+        self.initial_catalog = Catalog(epoch=1)
         for change in (first, other_change, operator):
-            self.was = apply_change(self.was, change).catalog
+            self.initial_catalog = apply_change(self.initial_catalog, change).catalog
 
     def test_each_refusal_has_its_code_and_field(self) -> None:
-        """Guards against a bad change that is made, or refused without saying where."""
+        """Guards against an invalid change that is applied, or refused without the field at fault."""
         key = (Verifier("h"),)
         cases: list[tuple[str, Edit | tuple[Edit, ...], str, str]] = [
             ("c", Edit(Kind.PLAN, "p", Plan()), "not-found", "edits[0]"),
@@ -198,13 +198,13 @@
         ]
         for tenant, edit, code, field in cases:
             with self.subTest(tenant=tenant, edit=edit), self.assertRaises(ChangeRefused) as refusal:
-                apply_change(self.was, Change(tenant, edit if isinstance(edit, tuple) else (edit,)))
+                apply_change(self.initial_catalog, Change(tenant, edit if isinstance(edit, tuple) else (edit,)))
             self.assertEqual((refusal.exception.code, refusal.exception.field), (code, field))
 
     def test_limits_are_checked_on_the_result_of_all_edits(self) -> None:
-        """Guards against refusing an atomic change for the order of its edits."""
+        """Guards against a refusal of an atomic change because of the order of its edits."""
         applied = apply_change(
-            self.was,
+            self.initial_catalog,
             Change(
                 "a", (Edit(Kind.PLAN, "p"), Edit(Kind.CLIENT, "one", Client("q")), Edit(Kind.PLAN, "q", Plan(1.0, 1.0)))
             ),
@@ -212,41 +212,41 @@
         self.assertEqual(list(applied.catalog.tenants["a"].plans), ["q"])
 
     def test_a_recreated_tenant_is_reset_in_the_diff(self) -> None:
-        """Guards against followers that keep what a tenant had before it was dropped and made again."""
-        log = History()
-        log.start(1, self.was.version)
-        now = self.was
+        """Guards against followers that keep entries of a tenant from before it was deleted and recreated."""
+        history = History()
+        history.start(1, self.initial_catalog.version)
+        now = self.initial_catalog
         for change in (Change("a", (Edit(Kind.TENANT, "a"),)), Change("a", (Edit(Kind.TENANT, "a", Head()),))):
             applied = apply_change(now, change)
-            log.add(applied.diff)
+            history.add(applied.diff)
             now = applied.catalog
-        diff = log.diff(now, 1, self.was.version)
+        diff = history.diff(now, 1, self.initial_catalog.version)
         assert diff is not None
-        self.assertEqual((diff.reset, apply_diff(self.was, diff)), (("a",), now))
+        self.assertEqual((diff.reset, apply_diff(self.initial_catalog, diff)), (("a",), now))
 
     def test_versions_evicted_from_history_give_no_diff(self) -> None:
-        """Guards against a diff with a gap in it, and one across epochs."""
-        log, now = History(max_names=3), self.was
-        log.start(1, now.version)
+        """Guards against a diff that omits versions, and a diff across epochs."""
+        history, now = History(max_names=3), self.initial_catalog
+        history.start(1, now.version)
         for number in range(5):
             applied = apply_change(now, Change("b", (Edit(Kind.PLAN, f"p{number}", Plan()),)))
-            log.add(applied.diff)
+            history.add(applied.diff)
             now = applied.catalog
-        self.assertIsNone(log.diff(now, 1, self.was.version))
-        self.assertIsNone(log.diff(now, 2, now.version))
-        self.assertIsNone(log.diff(now, 1, now.version + 1))
-        kept = log.diff(now, 1, now.version - 3)
-        assert kept is not None
-        self.assertEqual(len(kept.rows), 3)
+        self.assertIsNone(history.diff(now, 1, self.initial_catalog.version))
+        self.assertIsNone(history.diff(now, 2, now.version))
+        self.assertIsNone(history.diff(now, 1, now.version + 1))
+        oldest_diff = history.diff(now, 1, now.version - 3)
+        assert oldest_diff is not None
+        self.assertEqual(len(oldest_diff.rows), 3)
         with self.assertRaises(ValueError):
-            apply_diff(self.was, kept)
+            apply_diff(self.initial_catalog, oldest_diff)
 
 
 class AccessDecisions(unittest.TestCase):
-    """Who may do what."""
+    """Authorization and tokens."""
 
     def test_other_tenants_are_hidden_and_own_entries_follow_the_scope(self) -> None:
-        """Guards against a 403 that tells of another tenant, and against scopes that reach too far."""
+        """Guards against a 403 that reveals another tenant, and against scopes that permit too much."""
         admin, reader = Caller("a", "x", Scope.ADMIN), Caller("a", "y", Scope.READ)
         client, operator = Caller("a", "z", Scope.CLIENT), Caller("", "o", Scope.OPERATOR)
         for kind in Kind:
@@ -279,7 +279,7 @@
             self.assertIsNone(parse_token(text), text)
 
     def test_customer_ids_of_two_tenants_hash_differently(self) -> None:
-        """Guards against equal client ids meeting in the counter's names."""
+        """Guards against equal client ids of two tenants that share a key of the counter."""
         first_id, second_id = (
             names.decision_customer_id("a", "00000000b4d65521"),
             names.decision_customer_id("b", "00000000b4d65521"),
--- a/tests/catalog/test_feed.py
+++ b/tests/catalog/test_feed.py
@@ -1,4 +1,4 @@
-"""The feed by itself: whatever changes, a follower ends with what the control plane has, and never with less."""
+"""The feed: after any changes a follower converges on the catalog of the control plane."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from tests.catalog.catalog_strategies import changes, populated_catalog
 
 
-def seen(catalog: Catalog) -> tuple[Any, ...]:
-    """All that a gateway can tell of a catalogue."""
+def gateway_view(catalog: Catalog) -> tuple[Any, ...]:
+    """Return the parts of a catalog that gateways receive, in comparable form."""
     rows = sorted(
         (row.tenant, row.kind, row.name, row.version, repr(row.value))
         for row in catalog_rows(catalog)
@@ -35,43 +35,45 @@
 
 
 def catch_up(follower: FeedFollower, newest: Catalog, history: History) -> int:
-    """Ask once; how many lines came."""
+    """Apply one update and return its number of lines."""
     lines = update_lines(newest, history, *follower.version)
     return sum(1 for _ in map(follower.receive_line, lines)) if lines is not None else 0
 
 
 class FeedFollowing(unittest.TestCase):
-    """Whole paths."""
+    """Snapshots and diffs from the control plane to a follower."""
 
     @given(st.lists(st.tuples(changes(), st.booleans(), st.booleans()), max_size=25), st.integers(1, 60))
     @settings(max_examples=150)
-    def test_followers_converge_on_the_newest_catalog(self, steps: list[tuple[Change, bool, bool]], kept: int) -> None:
-        """Guards against a diff that leaves a follower with something else than the whole would have given it."""
-        newest, history = populated_catalog(), History(kept)
+    def test_followers_converge_on_the_newest_catalog(
+        self, steps: list[tuple[Change, bool, bool]], max_names: int
+    ) -> None:
+        """Guards against a diff whose result differs from that of a snapshot."""
+        newest, history = populated_catalog(), History(max_names)
         history.start(newest.epoch, newest.version)
-        often, seldom = FeedFollower(Catalog(), random.Random(1)), FeedFollower(Catalog(), random.Random(2))
-        for change, often_asks, seldom_asks in steps:
+        frequent, rare = FeedFollower(Catalog(), random.Random(1)), FeedFollower(Catalog(), random.Random(2))
+        for change, frequent_updates, rare_updates in steps:
             try:
-                made = apply_change(newest, change)
+                applied = apply_change(newest, change)
             except ChangeRefused:
                 continue
-            history.add(made.diff)
-            newest = made.catalog
-            if often_asks:
-                catch_up(often, newest, history)
-                self.assertEqual(seen(often.catalog), seen(newest))
-            if seldom_asks and seldom.catalog.version == 0:
-                catch_up(seldom, newest, history)
-        for follower in (often, seldom):
+            history.add(applied.diff)
+            newest = applied.catalog
+            if frequent_updates:
+                catch_up(frequent, newest, history)
+                self.assertEqual(gateway_view(frequent.catalog), gateway_view(newest))
+            if rare_updates and rare.catalog.version == 0:
+                catch_up(rare, newest, history)
+        for follower in (frequent, rare):
             catch_up(follower, newest, history)
-            self.assertEqual(seen(follower.catalog), seen(newest))
-            self.assertEqual(catch_up(follower, newest, history), 0, "there is nothing more")
+            self.assertEqual(gateway_view(follower.catalog), gateway_view(newest))
+            self.assertEqual(catch_up(follower, newest, history), 0, "the follower is up to date")
             self.assertFalse(follower.catalog.operators)
-            whole = read_snapshot(snapshot_lines(newest))
-            self.assertEqual(follower.catalog.checksum, whole.checksum, "diffs and whole have the same checksum")
+            snapshot = read_snapshot(snapshot_lines(newest))
+            self.assertEqual(follower.catalog.checksum, snapshot.checksum, "diffs and snapshot give the same checksum")
 
     def test_gateways_get_only_client_credentials(self) -> None:
-        """Guards against verifiers of administrators on every gateway's disk."""
+        """Guards against verifiers of administrators that are sent to gateways."""
         newest = apply_change(
             populated_catalog(),
             Change("a", (Edit(Kind.CREDENTIAL, "boss", Credential(Scope.ADMIN, (Verifier("bosshash"),))),)),
@@ -84,7 +86,7 @@
         self.assertNotIn(b"root", text)
         history = History()
         history.start(newest.epoch, newest.version)
-        made = apply_change(
+        applied = apply_change(
             newest,
             Change(
                 "a",
@@ -94,15 +96,15 @@
                 ),
             ),
         )
-        line = diff_line(made.diff)
+        line = diff_line(applied.diff)
         self.assertNotIn(b"nowboss", line)
         self.assertNotIn(b"reader", line)
         follower = FeedFollower(read_snapshot(snapshot_lines(newest)), random.Random(1))
         follower.receive_line(line)
-        self.assertIsNone(follower.catalog.get("a", Kind.CREDENTIAL, "x"), "it names no client any more")
+        self.assertIsNone(follower.catalog.get("a", Kind.CREDENTIAL, "x"), "the credential no longer names a client")
 
     def test_a_later_epoch_replaces_the_catalog(self) -> None:
-        """Guards against gateways that stay on what was undone, or follow a control plane that went back unsaid."""
+        """Guards against gateways that keep undone changes, or follow an older state without a new epoch."""
         old = populated_catalog()
         new = apply_change(old, Change("a", (Edit(Kind.PLAN, "y", Plan(9.0, 9.0)),))).catalog
         history = History()
@@ -113,15 +115,15 @@
         with self.assertRaises(FeedError):
             follower.receive_line(next(snapshot_lines(old)))
         self.assertEqual(follower.version, (new.epoch, new.version))
-        again = Catalog(old.epoch + 1, old.version, old.tenants, old.operators, old.hosts, old.checksum)
-        history.start(again.epoch, again.version)
-        catch_up(follower, again, history)
-        self.assertEqual(seen(follower.catalog), seen(again))
+        restored = Catalog(old.epoch + 1, old.version, old.tenants, old.operators, old.hosts, old.checksum)
+        history.start(restored.epoch, restored.version)
+        catch_up(follower, restored, history)
+        self.assertEqual(gateway_view(follower.catalog), gateway_view(restored))
         with self.assertRaises(FeedError):
             follower.receive_line(next(snapshot_lines(new)))
 
     def test_an_incomplete_snapshot_is_discarded(self) -> None:
-        """Guards against a cut or damaged transfer that is taken for a catalogue."""
+        """Guards against a truncated or damaged transfer that is accepted as a catalog."""
         newest = populated_catalog()
         lines = list(snapshot_lines(newest, 2))
         self.assertGreater(len(lines), 5)
@@ -133,15 +135,15 @@
             self.assertEqual(follower.version, (0, 0))
             with self.assertRaises(FeedError):
                 follower.receive_line(lines[-1])
-        for place in range(1, len(lines) - 1):
+        for position in range(1, len(lines) - 1):
             for damaged in (
-                [*lines[:place], *lines[place + 1 :]],
-                [*lines[:place], lines[place], *lines[place:]],
-                [*lines[:place], lines[place].replace(b"h", b"i"), *lines[place + 1 :]],
+                [*lines[:position], *lines[position + 1 :]],
+                [*lines[:position], lines[position], *lines[position:]],
+                [*lines[:position], lines[position].replace(b"h", b"i"), *lines[position + 1 :]],
             ):
                 if damaged == lines:
                     continue
-                with self.subTest(place=place), self.assertRaises(FeedError):
+                with self.subTest(position=position), self.assertRaises(FeedError):
                     read_snapshot(iter(damaged))
 
     @given(
@@ -161,7 +163,7 @@
         )
     )
     def test_invalid_lines_leave_the_catalog_unchanged(self, line: bytes) -> None:
-        """Guards against bytes of somebody else's that end a gateway's catalogue or its process."""
+        """Guards against invalid bytes that replace a gateway's catalog or crash its process."""
         held = read_snapshot(snapshot_lines(populated_catalog()))
         follower = FeedFollower(held, random.Random(1))
         with contextlib.suppress(FeedError):
@@ -169,24 +171,25 @@
         self.assertIs(follower.catalog, held)
 
     def test_retry_delays_of_many_followers_spread(self) -> None:
-        """Guards against a fleet that comes back at one moment, again and again."""
+        """Guards against gateways that failed together and retry at the same time."""
         followers = [FeedFollower(Catalog(), random.Random(n)) for n in range(500)]
         for attempt in range(12):
-            waits = sorted(follower.record_failure() for follower in followers)
-            most = min(MAX_RETRY_DELAY_MS, BASE_RETRY_DELAY_MS * 2**attempt)
-            self.assertLessEqual(waits[-1], most)
-            self.assertGreater(waits[0], 0.2 * most)
+            delays = sorted(follower.record_failure() for follower in followers)
+            max_delay_ms = min(MAX_RETRY_DELAY_MS, BASE_RETRY_DELAY_MS * 2**attempt)
+            self.assertLessEqual(delays[-1], max_delay_ms)
+            self.assertGreater(delays[0], 0.2 * max_delay_ms)
             busiest = max(
-                sum(start <= wait < start + most / 20 for wait in waits) for start in (n * most / 20 for n in range(20))
+                sum(start <= delay < start + max_delay_ms / 20 for delay in delays)
+                for start in (n * max_delay_ms / 20 for n in range(20))
             )
-            self.assertLess(busiest, 60, "of 500, in a twentieth of the time")
+            self.assertLess(busiest, 60, "of 500 retries, in a twentieth of the time")
         newest, history = populated_catalog(), History()
         history.start(newest.epoch, newest.version)
         catch_up(followers[0], newest, history)
-        self.assertLessEqual(followers[0].record_failure(), BASE_RETRY_DELAY_MS, "what worked begins anew")
+        self.assertLessEqual(followers[0].record_failure(), BASE_RETRY_DELAY_MS, "a success resets the delay")
 
     def test_a_large_snapshot_is_processed_in_short_steps(self) -> None:
-        """Guards against pieces that grow with the catalogue."""
+        """Guards against chunks that grow with the size of the catalog."""
         newest = Catalog(epoch=1)
         edits = [Edit(Kind.TENANT, "big", Head()), Edit(Kind.PLAN, "p", Plan(1.0, 1.0))]
         newest = apply_change(newest, Change("big", tuple(edits))).catalog
@@ -196,4 +199,4 @@
         lines = list(snapshot_lines(newest))
         self.assertEqual(len(lines), 2 + -(-902 // 200))
         self.assertLess(max(map(len, lines)), 20_000)
-        self.assertEqual(seen(read_snapshot(iter(lines))), seen(newest))
+        self.assertEqual(gateway_view(read_snapshot(iter(lines))), gateway_view(newest))
--- a/tests/catalog/test_tenant_slots.py
+++ b/tests/catalog/test_tenant_slots.py
@@ -1,4 +1,4 @@
-"""Slots shared over tenants, as properties and under a flood."""
+"""Slots shared among tenants: properties, and a flood by one tenant."""
 
 from __future__ import annotations
 
@@ -11,28 +11,31 @@
 from hallhitch.catalog.tenant_slots import RESERVED_SLOT_RATIO, TenantSlots
 
 TENANTS = {"a": 1.0, "b": 2.0, "c": 0.5}
-OPS = st.lists(st.tuples(st.sampled_from(["take", "give"]), st.sampled_from(sorted(TENANTS))), max_size=120)
+OPERATIONS = st.lists(
+    st.tuples(st.sampled_from(["acquire", "release"]), st.sampled_from(sorted(TENANTS))), max_size=120
+)
 
 
 class Slots(unittest.TestCase):
-    """Connections, handshakes, open requests."""
+    """Shares, reserve and release of slots."""
 
-    @given(OPS, st.integers(1, 30), st.integers(1, 30))
+    @given(OPERATIONS, st.integers(1, 30), st.integers(1, 30))
     def test_random_operations_respect_shares_and_reserve(
-        self, ops: list[tuple[str, str]], total: int, limit: int
+        self, operations: list[tuple[str, str]], total: int, limit: int
     ) -> None:
-        """Guards against places made or lost, and a tenant kept from its share by one that holds more than its own."""
+        """Guards against a wrong count of slots, and a tenant kept from its share by one that exceeds its own."""
         slots, held = TenantSlots(total), Counter[str]()
-        for operation, tenant in ops:
-            if operation == "give" and held[tenant]:
+        for operation, tenant in operations:
+            if operation == "release" and held[tenant]:
                 slots.release(tenant)
                 held[tenant] -= 1
-            elif operation == "take":
+            elif operation == "acquire":
                 free, share = slots.free, slots.share(tenant, TENANTS[tenant])
                 acquired = slots.acquire(tenant, TENANTS[tenant], limit)
-                own = held[tenant] + 1 <= share
+                is_within_share = held[tenant] + 1 <= share
                 self.assertEqual(
-                    acquired, held[tenant] < limit and free > 0 and (own or free > RESERVED_SLOT_RATIO * total)
+                    acquired,
+                    held[tenant] < limit and free > 0 and (is_within_share or free > RESERVED_SLOT_RATIO * total),
                 )
                 held[tenant] += acquired
             self.assertEqual(slots.free, total - sum(held.values()))
@@ -41,18 +44,18 @@
             self.assertAlmostEqual(slots._total_weight, weights)
 
     def test_a_flood_leaves_the_reserve_to_a_late_tenant(self) -> None:
-        """Guards against a tenant that takes all places before another asks for its first."""
+        """Guards against a tenant that takes all slots before another acquires its first."""
         slots = TenantSlots(100)
         self.assertEqual(sum(slots.acquire("flood", 1.0, 1000) for _ in range(500)), 90, "all but the reserve")
         self.assertEqual(sum(slots.acquire("quiet", 1.0, 1000) for _ in range(50)), 10)
-        for _ in range(89):  # what the flood gives back goes to the other until each has its share
+        for _ in range(89):  # released slots go to the quiet tenant until each has its share
             slots.release("flood")
             slots.acquire("flood", 1.0, 1000)
             slots.acquire("quiet", 1.0, 1000)
         self.assertGreaterEqual(slots.held("quiet"), 45)
 
     def test_releasing_an_unheld_slot_is_an_error(self) -> None:
-        """Guards against a place given back twice."""
+        """Guards against a slot that is released twice."""
         slots = TenantSlots(2)
         with self.assertRaises(ValueError):
             slots.release("a")
--- a/tests/catalog_sync/test_catalog_cache.py
+++ b/tests/catalog_sync/test_catalog_cache.py
@@ -1,4 +1,4 @@
-"""The saved catalogue: killed at any moment, damaged anywhere, on a full disk."""
+"""Cache file of the catalog: killed writers, damaged files and a full disk."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from tests.catalog_sync.versioned_catalogs import catalog_at_version
 from tests.stand_ins import ROOT
 
-WRITER = """
+WRITER_LOOP = """
 import sys
 from pathlib import Path
 from hallhitch.catalog_sync.catalog_cache import CatalogCache
 from tests.catalog_sync.versioned_catalogs import catalog_at_version
-saved = CatalogCache(Path(sys.argv[1]))
-held = saved.load()
-version = held.version if held else 0
+cache = CatalogCache(Path(sys.argv[1]))
+catalog = cache.load()
+version = catalog.version if catalog else 0
 print("from", version, flush=True)
 while True:
     version += 1
-    assert saved.save(catalog_at_version(version))
+    assert cache.save(catalog_at_version(version))
     print(version, flush=True)
 """
-FULL = """
+FULL_DISK_WRITER = """
 import resource, signal, sys
 from pathlib import Path
 from hallhitch.catalog_sync.catalog_cache import CatalogCache
@@ -42,87 +42,89 @@
 """
 
 
-def rate(catalog: Catalog) -> float:
-    """What tells one version's content from another's."""
-    kept = catalog.get("a", Kind.PLAN, "y")
-    assert kept is not None
-    return float(kept.value.rate)
+def plan_rate(catalog: Catalog) -> float:
+    """Return the plan rate that `catalog_at_version` sets to the version."""
+    entry = catalog.get("a", Kind.PLAN, "y")
+    assert entry is not None
+    return float(entry.value.rate)
 
 
 class CatalogCacheFile(unittest.TestCase):
-    """One file."""
+    """Loading and saving one cache file."""
 
     def setUp(self) -> None:
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = Path(folder.name) / "catalogue"
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = Path(directory.name) / "catalog"
 
     def test_a_saved_catalog_loads_unchanged_and_never_goes_back(self) -> None:
-        """Guards against a start from something else than what was followed, and versions that go back."""
-        saved = CatalogCache(self.path)
-        self.assertIsNone(saved.load())
-        self.assertTrue(saved.save(catalog_at_version(7)))
-        self.assertFalse(saved.save(catalog_at_version(7)))
-        self.assertFalse(saved.save(catalog_at_version(6)), "older")
-        again = CatalogCache(self.path)
-        found = again.load()
-        assert found is not None
-        self.assertEqual((found.version, rate(found)), (7, 7.0))
-        self.assertFalse(again.save(catalog_at_version(6)), "older than what the file holds")
+        """Guards against a loaded catalog that differs from the saved one, and against versions that go back."""
+        cache = CatalogCache(self.path)
+        self.assertIsNone(cache.load())
+        self.assertTrue(cache.save(catalog_at_version(7)))
+        self.assertFalse(cache.save(catalog_at_version(7)))
+        self.assertFalse(cache.save(catalog_at_version(6)), "older")
+        reopened = CatalogCache(self.path)
+        loaded = reopened.load()
+        assert loaded is not None
+        self.assertEqual((loaded.version, plan_rate(loaded)), (7, 7.0))
+        self.assertFalse(reopened.save(catalog_at_version(6)), "older than the version in the file")
 
     def test_a_kill_at_any_moment_leaves_a_complete_file(self) -> None:
-        """Guards against a file that is cut off, mixed, or older than what was acknowledged."""
+        """Guards against a file that is truncated, mixes versions, or is older than the last acknowledged save."""
         last = 0
-        for turn in range(int(os.environ.get("HALLHITCH_SOAK_ROUNDS", "8")) // 4 + 6):
+        for round_number in range(int(os.environ.get("HALLHITCH_SOAK_ROUNDS", "8")) // 4 + 6):
             with subprocess.Popen(
-                [sys.executable, "-c", WRITER, str(self.path)], cwd=ROOT, text=True, stdout=subprocess.PIPE
+                [sys.executable, "-c", WRITER_LOOP, str(self.path)], cwd=ROOT, text=True, stdout=subprocess.PIPE
             ) as process:
                 assert process.stdout is not None
-                began = int(process.stdout.readline().split()[1])
-                self.assertGreaterEqual(began, last, "what was said to be saved is there")
-                for _ in range(turn % 5 + 1):
+                initial_version = int(process.stdout.readline().split()[1])
+                self.assertGreaterEqual(initial_version, last, "every acknowledged version is in the file")
+                for _ in range(round_number % 5 + 1):
                     last = int(process.stdout.readline())
                 process.send_signal(signal.SIGKILL)
-                for line in process.stdout:  # said before it died
+                for line in process.stdout:  # printed before the process was killed
                     last = int(line)
-            found = CatalogCache(self.path).load()
-            assert found is not None
-            self.assertIn(found.version, (last, last + 1))
-            self.assertEqual(rate(found), float(found.version), "one version whole")
+            loaded = CatalogCache(self.path).load()
+            assert loaded is not None
+            self.assertIn(loaded.version, (last, last + 1))
+            self.assertEqual(plan_rate(loaded), float(loaded.version), "the content is that of the version")
 
-    def test_a_damaged_file_is_set_aside(self) -> None:
-        """Guards against a start from a damaged catalogue, and against one that is lost with the evidence."""
+    def test_a_damaged_file_is_renamed(self) -> None:
+        """Guards against a start from a damaged catalog, and against the loss of the damaged file."""
         good = b"".join(snapshot_lines(catalog_at_version(3)))
-        for place in range(0, len(good), 23):
-            for damaged in (good[:place], good[:place] + bytes([good[place] ^ 1]) + good[place + 1 :]):
+        for position in range(0, len(good), 23):
+            for damaged in (good[:position], good[:position] + bytes([good[position] ^ 1]) + good[position + 1 :]):
                 self.path.write_bytes(damaged)
-                found = CatalogCache(self.path).load()
-                if found is None:
+                loaded = CatalogCache(self.path).load()
+                if loaded is None:
                     self.assertFalse(self.path.exists())
-                    aside = next(self.path.parent.glob("catalogue.damaged-*"))
-                    self.assertEqual(aside.read_bytes(), damaged)
-                    aside.unlink()
-                else:  # the line's end was all that was missing
+                    renamed = next(self.path.parent.glob("catalog.damaged-*"))
+                    self.assertEqual(renamed.read_bytes(), damaged)
+                    renamed.unlink()
+                else:  # only the final newline was missing
                     self.assertEqual(damaged.rstrip(), good.rstrip())
 
     def test_a_full_disk_keeps_the_earlier_file(self) -> None:
-        """Guards against a gateway that loses its catalogue, or its process, to a disk without room."""
+        """Guards against a gateway that loses its saved catalog, or crashes, when the disk is full."""
         CatalogCache(self.path).save(catalog_at_version(4))
-        done = subprocess.run([sys.executable, "-c", FULL, str(self.path)], cwd=ROOT, capture_output=True, text=True)
-        self.assertEqual(done.returncode, 0, done.stderr)
-        self.assertIn("False", done.stdout)
-        self.assertIn("not saved", done.stdout + done.stderr)
-        found = CatalogCache(self.path).load()
-        assert found is not None
-        self.assertEqual(rate(found), 4.0)
-        self.assertEqual([p.name for p in self.path.parent.iterdir()], ["catalogue"])
+        process = subprocess.run(
+            [sys.executable, "-c", FULL_DISK_WRITER, str(self.path)], cwd=ROOT, capture_output=True, text=True
+        )
+        self.assertEqual(process.returncode, 0, process.stderr)
+        self.assertIn("False", process.stdout)
+        self.assertIn("not saved", process.stdout + process.stderr)
+        loaded = CatalogCache(self.path).load()
+        assert loaded is not None
+        self.assertEqual(plan_rate(loaded), 4.0)
+        self.assertEqual([p.name for p in self.path.parent.iterdir()], ["catalog"])
 
     def test_a_partial_temporary_file_is_removed(self) -> None:
-        """Guards against leftovers of a killed writer that pile up, or are read."""
+        """Guards against temporary files of a killed writer that accumulate or are loaded."""
         CatalogCache(self.path).save(catalog_at_version(4))
-        self.path.with_name("catalogue.new").write_bytes(b'{"whole"')
-        found = CatalogCache(self.path).load()
-        assert found is not None
-        self.assertEqual(found.version, 4)
-        self.assertFalse(self.path.with_name("catalogue.new").exists())
+        self.path.with_name("catalog.new").write_bytes(b'{"whole"')
+        loaded = CatalogCache(self.path).load()
+        assert loaded is not None
+        self.assertEqual(loaded.version, 4)
+        self.assertFalse(self.path.with_name("catalog.new").exists())
         self.assertEqual(read_snapshot(iter(self.path.read_bytes().splitlines(True))).version, 4)
