--- a/hallhitch/catalog/fair_queue.py
+++ b/hallhitch/catalog/fair_queue.py
@@ -71,12 +71,10 @@
     def __init__(self, now_ms: float, processor_share: float = PROCESSOR_SHARE) -> None:
         self._processor_share = processor_share
         self._refilled_at_ms = now_ms
-        self._available_ms = MAX_BURST_MS  # processor time left to admit requests; below 0 after one that cost more
+        self._available_ms = MAX_BURST_MS  # processor time left for requests; negative after an underestimated one
         self._virtual_time = 0.0
         self._queues: dict[str, _TenantQueue] = {}
-        self._heap: list[
-            tuple[float, int, str]
-        ] = []  # (virtual start, sequence, tenant) of tenants with waiting requests
+        self._heap: list[tuple[float, int, str]] = []  # (virtual start, sequence, tenant) of waiting tenants
         self._sequence = count()
         self._queued_weight = 0.0  # of the tenants in the heap
 
