--- a/hallhitch/administration/api/views.py
+++ b/hallhitch/administration/api/views.py
@@ -18,10 +18,10 @@
     Head,
     Host,
     Kind,
-    Moment,
     Plan,
     Scope,
     Tenant,
+    UnixTimeMs,
     Versioned,
 )
 from hallhitch.catalog.rows import Row
@@ -35,14 +35,14 @@
 
     scope: Scope
     client: str | None = None
-    expires: Moment | None = None  # Unix milliseconds
+    expires: UnixTimeMs | None = None  # Unix milliseconds
     certificate: Sha256 | None = None  # fingerprint of the certificate in DER form; operators only
 
 
 class CredentialPatch(Struct, frozen=True, forbid_unknown_fields=True):
     """Fields of an issued credential that can be changed."""
 
-    expires: Moment | None = None
+    expires: UnixTimeMs | None = None
 
 
 class RotateBody(Struct, frozen=True, forbid_unknown_fields=True):
--- a/hallhitch/catalog/model.py
+++ b/hallhitch/catalog/model.py
@@ -15,7 +15,7 @@
 MAX_RATE = 1e9  # of a rate, burst or price: the counter keeps totals to seven digits, and 1e9 at most
 Amount = Annotated[float, Meta(ge=0, le=MAX_RATE)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000_000)]
-Moment = Annotated[int, Meta(ge=0, le=2**53)]
+UnixTimeMs = Annotated[int, Meta(ge=0, le=2**53)]
 
 
 class Kind(StrEnum):
@@ -90,7 +90,7 @@
     """Hash that a secret is verified against until a time; the secret itself is not stored."""
 
     hash: str  # argon2id in its standard encoding, or "keyed:" followed by a keyed BLAKE2b hash
-    until: Moment | None = None
+    until: UnixTimeMs | None = None
 
 
 class Credential(Struct, frozen=True, forbid_unknown_fields=True):
@@ -99,7 +99,7 @@
     scope: Scope
     verifiers: tuple[Verifier, ...] = ()
     client: str | None = None
-    expires: Moment | None = None
+    expires: UnixTimeMs | None = None
     certificate: str | None = None  # SHA-256 fingerprint of a client certificate, used instead of a secret
 
 
