--- a/hallhitch/catalog/gateway_leases.py
+++ b/hallhitch/catalog/gateway_leases.py
@@ -92,7 +92,7 @@
         return sorted(expired, key=lambda gateway: gateway.name)
 
     def progress(self, version: Version, now_ms: float) -> Progress:
-        """Return the roll-out of a version; a gateway at a later epoch counts as having applied it."""
+        """Return the roll-out of a version; a later epoch contains all that was kept of an earlier one."""
         active = self.active(now_ms)
         return Progress(sum(gateway.version >= version for gateway in active), len(active))
 
