--- a/hallhitch/cli/__init__.py
+++ b/hallhitch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, on click: arguments, tables, exit codes. It decides nothing."""
+"""The command line, built with click: it parses arguments, prints results and sets exit codes."""
--- a/hallhitch/cli/api_client.py
+++ b/hallhitch/cli/api_client.py
@@ -1,4 +1,4 @@
-"""The commands' client of the administration API: calls are retried under one idempotency key."""
+"""The client that commands call the administration API with; retries of a change reuse its idempotency key."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import click
 import httpx
 
-from hallhitch.cli.output import Failure
+from hallhitch.cli.output import CommandError
 
 MAX_ATTEMPTS: Final = 5
 FIRST_BACKOFF_S: Final = 0.3
@@ -23,16 +23,16 @@
 RESPONSE_TIMEOUT_S: Final = 10.0
 PAGE_SIZE: Final = 500
 RETRYABLE_CODES: Final = {429, 502, 503, 504}
-F = TypeVar("F", bound=Callable[..., Any])
+CommandT = TypeVar("CommandT", bound=Callable[..., Any])
 
 
-class NotFound(Failure):
-    """There is no such thing, or the credential may not see it."""
+class NotFoundError(CommandError):
+    """The resource does not exist, or the credential does not give access to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ApiRequest:
-    """A call of the API."""
+    """One call of the API; it is sent again unchanged when it is retried."""
 
     method: str
     path: tuple[str, ...]
@@ -42,7 +42,7 @@
 
     @property
     def target(self) -> str:
-        """The path, quoted."""
+        """The path of the request, percent-encoded."""
         return "/v1/" + "/".join(quote(part, safe="") for part in self.path)
 
     def __str__(self) -> str:
@@ -50,7 +50,7 @@
 
 
 class ApiClient:
-    """A client of the administration API."""
+    """Calls the administration API over TLS, with a bearer token or a client certificate."""
 
     def __init__(self, url: str, token: str | None, ca: str | None, cert: str | None) -> None:
         context = ssl.create_default_context(cafile=ca)
@@ -65,20 +65,20 @@
         """Read a resource.
 
         Raises:
-            NotFound: there is none.
-            Failure: the call failed.
+            NotFoundError: The resource does not exist.
+            CommandError: The call failed.
         """
         return self._call(ApiRequest("GET", path, query=query)).json()
 
     def find(self, *path: str) -> Any:
-        """Read a resource, or None if there is none."""
+        """Read a resource, or return None if it does not exist."""
         try:
             return self.get(*path)
-        except NotFound:
+        except NotFoundError:
             return None
 
     def pages(self, *path: str, **query: str) -> Iterator[Any]:
-        """Read all items of a list, page by page."""
+        """Yield all items of a list, which is read page by page."""
         after = ""
         while True:
             page = self.get(*path, limit=str(PAGE_SIZE), after=after, **query)
@@ -87,21 +87,24 @@
                 return
             after = page["next"]
 
-    def change(self, method: str, *path: str, body: Any = None, match: str | None = None) -> Any:
-        """Change a resource, once: all attempts carry one idempotency key.
+    def change(self, method: str, *path: str, body: Any = None, if_match: str | None = None) -> Any:
+        """Change a resource; all attempts carry the same idempotency key, so that the change is made at most once.
 
         Raises:
-            NotFound: there is none.
-            Failure: the call failed.
+            NotFoundError: The resource does not exist.
+            CommandError: The call failed.
         """
         headers = {"Idempotency-Key": str(uuid.uuid4())}
-        if match is not None:
-            headers["If-Match"] = match
+        if if_match is not None:
+            headers["If-Match"] = if_match
         response = self._call(ApiRequest(method, path, headers, body))
         return response.json() if response.content else None
 
     def _call(self, request: ApiRequest) -> httpx.Response:
-        """Make a call, with retries after transport errors and retryable statuses."""
+        """Send a request, and retry it after transport errors and retryable statuses.
+
+        A certificate error is not retried: it would occur again.
+        """
         backoff_s, reason = FIRST_BACKOFF_S, ""
         for attempt in range(MAX_ATTEMPTS):
             if attempt:
@@ -117,18 +120,18 @@
                     break
                 continue
             if response.status_code not in RETRYABLE_CODES:
-                return _checked(request, response)
+                return _check_status(request, response)
             reason = _describe_error(response)
             backoff_s = max(backoff_s, float(response.headers.get("retry-after", 0)))
-        raise Failure(f"{request}: {reason}")
+        raise CommandError(f"{request}: {reason}")
 
 
-def _checked(request: ApiRequest, response: httpx.Response) -> httpx.Response:
-    """Return a response that is no error."""
+def _check_status(request: ApiRequest, response: httpx.Response) -> httpx.Response:
+    """Return the response, or raise an error for a status of 400 or more."""
     if response.status_code == 404:
-        raise NotFound(f"{request}: {_describe_error(response)}")
+        raise NotFoundError(f"{request}: {_describe_error(response)}")
     if response.status_code >= 400:
-        raise Failure(f"{request}: {_describe_error(response)}")
+        raise CommandError(f"{request}: {_describe_error(response)}")
     return response
 
 
@@ -146,8 +149,8 @@
         return str(response.status_code)
 
 
-def api_options(command: F) -> F:
-    """Add the options of a command that calls the API; `connect` takes them."""
+def api_options(command: CommandT) -> CommandT:
+    """Add the options of a command that calls the API; the command passes them to `connect`."""
     for option in reversed(
         (
             click.option(
@@ -155,15 +158,22 @@
                 envvar="HALLHITCH_URL",
                 default="https://127.0.0.1:8443",
                 show_default=True,
-                help="The administration API [HALLHITCH_URL].",
+                help="URL of the administration API [HALLHITCH_URL].",
+            ),
+            click.option(
+                "--token-file", type=click.Path(), help="File with the token; without it, HALLHITCH_TOKEN is used."
+            ),
+            click.option(
+                "--ca",
+                envvar="HALLHITCH_CA",
+                type=click.Path(),
+                help="CA certificate that the server's certificate is verified with [HALLHITCH_CA].",
             ),
-            click.option("--token-file", type=click.Path(), help="A file with the token; otherwise HALLHITCH_TOKEN."),
-            click.option("--ca", envvar="HALLHITCH_CA", type=click.Path(), help="Whom to trust [HALLHITCH_CA]."),
             click.option(
                 "--cert",
                 envvar="HALLHITCH_CERT",
                 type=click.Path(),
-                help="A client certificate in place of a token; its key lies beside it [HALLHITCH_CERT].",
+                help="Client certificate instead of a token; its key is in the .key file beside it [HALLHITCH_CERT].",
             ),
         )
     ):
@@ -172,15 +182,15 @@
 
 
 def connect(url: str, token_file: str | None, ca: str | None, cert: str | None) -> ApiClient:
-    """Make the client that the options describe.
+    """Make an API client from the options.
 
     Raises:
-        Failure: there is no credential, or a file cannot be read.
+        CommandError: No credential is given, or a file cannot be read.
     """
     try:
         token = Path(token_file).read_text().strip() if token_file else os.environ.get("HALLHITCH_TOKEN")
         if not token and not cert:
-            raise Failure("no credential: give --token-file, --cert or HALLHITCH_TOKEN")
+            raise CommandError("no credential: set --token-file, --cert or HALLHITCH_TOKEN")
         return ApiClient(url, token, ca, cert)
     except OSError as error:
-        raise Failure(f"{error.filename or ca or cert}: {error.strerror}") from error
+        raise CommandError(f"{error.filename or ca or cert}: {error.strerror}") from error
--- a/hallhitch/cli/check.py
+++ b/hallhitch/cli/check.py
@@ -1,4 +1,4 @@
-"""`hallhitch check FILE`: read a settings file as the program would, and do nothing else."""
+"""`hallhitch check FILE`: validates a settings file as the program does when it reads it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from hallhitch.resp.settings import RespSettings
 from hallhitch.settings_file import SettingsError, read
 
-FORMS: dict[str, type[Any]] = {
+FILE_TYPES: dict[str, type[Any]] = {
     "control": AdministrationSettings,
     "tenant": TenantFile,
     "resp": RespSettings,
@@ -27,35 +27,40 @@
 }
 
 
-def form_of(path: str) -> str:
-    """What a file is for, by what stands at its top."""
+def detect_file_type(path: str) -> str:
+    """Return the type of a settings file, detected from its top-level keys."""
     try:
         with open(path, "rb") as file:
-            top = tomllib.load(file)
+            document = tomllib.load(file)
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from error
     except ValueError as error:
         raise SettingsError(f"{path}: not TOML: {error}") from error
-    if {"store", "api", "tls"} & set(top):
+    if {"store", "api", "tls"} & set(document):
         return "control"
-    if "case" in top:
+    if "case" in document:
         return "cases"
-    if "troubles" in top:
+    if "troubles" in document:
         return "timeline"
-    if {"cluster", "seeds", "networks", "periods", "follow"} & set(top):
+    if {"cluster", "seeds", "networks", "periods", "follow"} & set(document):
         return "peers"
-    if {"world", "traffic", "classes", "faults"} & set(top):
+    if {"world", "traffic", "classes", "faults"} & set(document):
         return "scenario"
-    return "tenant" if {"tenant", "plans", "clients", "hosts"} & set(top) else "resp"
+    return "tenant" if {"tenant", "plans", "clients", "hosts"} & set(document) else "resp"
 
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--as", "form", type=click.Choice(sorted(FORMS)), help="What the file is for; told from it otherwise.")
-def check(file: str, form: str | None) -> None:
-    """Check a settings FILE: one line for what is wrong, and exit code 2."""
-    form = form or form_of(file)
-    read(file, FORMS[form])
-    if form == "cases":
-        load_cases(file, {})  # each against the scenario that it changes
-    click.echo(f"{file}: good ({form})")
+@click.option(
+    "--as",
+    "file_type",
+    type=click.Choice(sorted(FILE_TYPES)),
+    help="Type of the file; by default it is detected from the file's keys.",
+)
+def check(file: str, file_type: str | None) -> None:
+    """Check a settings FILE. The first error is reported in one line, with exit code 2."""
+    file_type = file_type or detect_file_type(file)
+    read(file, FILE_TYPES[file_type])
+    if file_type == "cases":
+        load_cases(file, {})  # validates each case together with the scenario that it changes
+    click.echo(f"{file}: valid ({file_type})")
--- a/hallhitch/cli/credentials.py
+++ b/hallhitch/cli/credentials.py
@@ -1,4 +1,4 @@
-"""`hallhitch credentials`: issue, rotate, revoke, list. TENANT is a tenant's name, or `operators`."""
+"""`hallhitch credentials`: issues, rotates, revokes and lists credentials of a tenant, or of `operators`."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 import click
 
 from hallhitch.cli.api_client import api_options, connect
-from hallhitch.cli.output import as_json, table
-from hallhitch.cli.tenants import JSON
+from hallhitch.cli.output import print_json, print_table
+from hallhitch.cli.tenants import JSON_OPTION
 
 OPERATORS: Final = "operators"
-TENANT, ID = click.argument("tenant"), click.argument("id")
+TENANT_ARGUMENT, ID_ARGUMENT = click.argument("tenant"), click.argument("id")
 
 
 def _api_path(tenant: str, *rest: str) -> tuple[str, ...]:
-    """The path of a tenant's credentials, or of the operators'."""
+    """Return the API path of a tenant's credentials, or of the operators' credentials."""
     return (OPERATORS, *rest) if tenant == OPERATORS else ("tenants", tenant, "credentials", *rest)
 
 
@@ -26,20 +26,20 @@
 
 @click.group()
 def credentials() -> None:
-    """Credentials: who may call, and as what."""
+    """Manage the credentials of the administration API. TENANT is a tenant's name, or `operators`."""
 
 
 @credentials.command("list")
-@TENANT
+@TENANT_ARGUMENT
 @api_options
-@JSON
-def list_(tenant: str, plain: bool, **options: Any) -> None:
-    """A tenant's credentials, without their secrets."""
+@JSON_OPTION
+def list_(tenant: str, json_output: bool, **options: Any) -> None:
+    """List a tenant's credentials, without their secrets."""
     items = list(connect(**options).pages(*_api_path(tenant)))
-    if plain:
-        return as_json(items)
-    table(
-        ("id", "scope", "client", "expires", "old secret until", "version"),
+    if json_output:
+        return print_json(items)
+    print_table(
+        ("id", "scope", "client", "expires", "old secret valid until", "version"),
         [_table_row(item) for item in items],
     )
     return None
@@ -57,25 +57,25 @@
 
 
 @credentials.command()
-@TENANT
-@ID
+@TENANT_ARGUMENT
+@ID_ARGUMENT
 @click.option("--scope", type=click.Choice(["operator", "admin", "read", "client"]), required=True)
-@click.option("--client", help="The client that the credential names (scope client).")
-@click.option("--expires", type=click.DateTime(), help="When it stops to count (UTC).")
-@click.option("--certificate", help="SHA-256 of a client certificate, in place of a secret (operators).")
+@click.option("--client", help="Client that the credential belongs to (with scope client).")
+@click.option("--expires", type=click.DateTime(), help="Time at which the credential expires (UTC).")
+@click.option("--certificate", help="SHA-256 of a client certificate, which replaces the secret (operators only).")
 @api_options
-@JSON
-def issue(  # noqa: PLR0913  fields of one record
+@JSON_OPTION
+def issue(  # noqa: PLR0913  one parameter for each option
     tenant: str,
     id: str,
     scope: str,
     client: str | None,
     expires: datetime | None,
     certificate: str | None,
-    plain: bool,
+    json_output: bool,
     **options: Any,
 ) -> None:
-    """Issue a credential; its token is told this once."""
+    """Issue a credential. Its token is shown only this once."""
     body: dict[str, Any] = {"scope": scope}
     if client is not None:
         body["client"] = client
@@ -83,43 +83,43 @@
         body["certificate"] = certificate
     if expires is not None:
         body["expires"] = int(expires.replace(tzinfo=UTC).timestamp() * 1000)
-    _print_credential(connect(**options).change("PUT", *_api_path(tenant, id), body=body), plain)
+    _print_credential(connect(**options).change("PUT", *_api_path(tenant, id), body=body), json_output)
 
 
 @credentials.command()
-@TENANT
-@ID
+@TENANT_ARGUMENT
+@ID_ARGUMENT
 @click.option(
     "--overlap",
     type=click.IntRange(0, 30 * 86_400),
     default=3_600,
     show_default=True,
-    help="Seconds for which the secret before counts too.",
+    help="Seconds for which the previous secret stays valid.",
 )
 @api_options
-@JSON
-def rotate(tenant: str, id: str, overlap: int, plain: bool, **options: Any) -> None:
-    """Give a credential a new secret; its token is told this once."""
+@JSON_OPTION
+def rotate(tenant: str, id: str, overlap: int, json_output: bool, **options: Any) -> None:
+    """Give a credential a new secret. Its token is shown only this once."""
     body = {"overlap_seconds": overlap}
-    _print_credential(connect(**options).change("POST", *_api_path(tenant, id, "rotate"), body=body), plain)
+    _print_credential(connect(**options).change("POST", *_api_path(tenant, id, "rotate"), body=body), json_output)
 
 
 @credentials.command()
-@TENANT
-@ID
+@TENANT_ARGUMENT
+@ID_ARGUMENT
 @api_options
-@JSON
-def revoke(tenant: str, id: str, plain: bool, **options: Any) -> None:
-    """Revoke a credential: once this has ended it does not count."""
+@JSON_OPTION
+def revoke(tenant: str, id: str, json_output: bool, **options: Any) -> None:
+    """Revoke a credential. It is invalid as soon as the command has returned."""
     connect(**options).change("DELETE", *_api_path(tenant, id))
-    if plain:
-        return as_json({"tenant": tenant, "name": id, "revoked": True})
-    click.echo(f"{tenant}/{id} is revoked")
+    if json_output:
+        return print_json({"tenant": tenant, "name": id, "revoked": True})
+    click.echo(f"{tenant}/{id} revoked")
     return None
 
 
-def _print_credential(credential: dict[str, Any], plain: bool) -> None:
-    if plain:
-        return as_json(credential)
+def _print_credential(credential: dict[str, Any], json_output: bool) -> None:
+    if json_output:
+        return print_json(credential)
     click.echo(credential["token"] or f"{credential['name']}: issued, version {credential['version']}")
     return None
--- a/hallhitch/cli/demo.py
+++ b/hallhitch/cli/demo.py
@@ -1,4 +1,4 @@
-"""`hallhitch control demo`: a control plane with two tenants, and the calls to try."""
+"""`hallhitch control demo`: starts a control plane with two tenants and prints commands to try."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from hallhitch.administration.settings import AdministrationSettings
 from hallhitch.catalog.tenant_file import TenantFile
 from hallhitch.cli.api_client import ApiClient
-from hallhitch.cli.output import Failure
+from hallhitch.cli.output import CommandError
 from hallhitch.cli.tenants import apply_declaration
 from hallhitch.settings_file import read
 from hallhitch.tls import authority
 
-TENANTS = Path(__file__).parents[2] / "deploy" / "demo"
-SETTINGS = """[store]
+TENANT_FILES_DIRECTORY = Path(__file__).parents[2] / "deploy" / "demo"
+SETTINGS_TEMPLATE = """[store]
 folder = "store"
 [api]
 listen = "127.0.0.1:{port}"
@@ -31,16 +31,16 @@
 
 
 def write_secret_file(path: Path, text: str) -> None:
-    """Write a file that only its owner can read."""
+    """Write a file that is created with mode 600, so that only its owner can read it."""
     path.touch(mode=0o600)
     path.write_text(text + "\n")
 
 
-def prepare(folder: Path, port: int) -> Path:
-    """Make the files that a control plane needs, unless they are there; return the settings file."""
+def prepare_files(folder: Path, port: int) -> Path:
+    """Write the settings file and return its path; create the certificates and the store unless they exist."""
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / "control.toml"
-    file.write_text(SETTINGS.format(port=port))
+    file.write_text(SETTINGS_TEMPLATE.format(port=port))
     if not (folder / "tls" / "ca.crt").exists():
         authority.create_authority(folder / "tls")
     if not (folder / "tls" / "default.crt").exists():
@@ -54,14 +54,17 @@
 @click.command()
 @click.option("--folder", type=click.Path(path_type=Path), default=Path("found/demo-control"), show_default=True)
 @click.option("--port", type=click.IntRange(1, 65535), default=8443, show_default=True)
-@click.option("--once", is_flag=True, help="End once everything was tried, in place of serving on.")
+@click.option("--once", is_flag=True, help="Exit after the tenants are set up, instead of serving until interrupted.")
 def demo(folder: Path, port: int, once: bool) -> None:
-    """A control plane with two tenants in FOLDER; prints the calls to try, and serves until it is ended."""
-    file = prepare(folder, port)
-    log = open(folder / "log", "a")  # noqa: SIM115 - the process writes there for as long as it lives
+    """Start a control plane with two tenants, print commands to try, and serve until interrupted.
+
+    The files of the control plane are kept in --folder.
+    """
+    file = prepare_files(folder, port)
+    log = open(folder / "log", "a")  # noqa: SIM115 - the server process writes to it until it exits
     process = subprocess.Popen([sys.executable, "-m", "hallhitch", "control", "serve", str(file)], stderr=log)
     try:
-        _show(folder, port, process)
+        _set_up_tenants(folder, port, process)
         if not once:
             process.wait()
     except KeyboardInterrupt:
@@ -73,30 +76,32 @@
         log.close()
 
 
-def _show(folder: Path, port: int, process: subprocess.Popen[bytes]) -> None:
-    """Apply the tenants' declarations, and print the calls to try."""
+def _set_up_tenants(folder: Path, port: int, process: subprocess.Popen[bytes]) -> None:
+    """Apply the tenants' declarations, issue their credentials, and print commands to try."""
     url, ca = f"https://127.0.0.1:{port}", str(folder / "tls" / "ca.crt")
     api = ApiClient(url, (folder / "operator.token").read_text().strip(), ca, None)
-    api.get("status")  # tried again until the process serves
+    api.get("status")  # the client retries until the server accepts connections
     if process.poll() is not None:
-        raise Failure(f"the control plane ended; {folder / 'log'} says why")
-    for path in sorted(TENANTS.glob("*.toml")):
-        wanted = read(str(path), TenantFile)
-        edits = apply_declaration(api, wanted)
-        click.echo(f"tenant {wanted.tenant}: {len(edits)} changes applied")
-        if api.find("tenants", wanted.tenant, "credentials", "boss") is None:
-            credential = api.change("PUT", "tenants", wanted.tenant, "credentials", "boss", body={"scope": "admin"})
-            write_secret_file(folder / f"{wanted.tenant}.token", credential["token"])
+        raise CommandError(f"the control plane exited; its log {folder / 'log'} has the reason")
+    for path in sorted(TENANT_FILES_DIRECTORY.glob("*.toml")):
+        declaration = read(str(path), TenantFile)
+        edits = apply_declaration(api, declaration)
+        click.echo(f"tenant {declaration.tenant}: {len(edits)} changes applied")
+        if api.find("tenants", declaration.tenant, "credentials", "boss") is None:
+            credential = api.change(
+                "PUT", "tenants", declaration.tenant, "credentials", "boss", body={"scope": "admin"}
+            )
+            write_secret_file(folder / f"{declaration.tenant}.token", credential["token"])
     command = f"{os.path.relpath(Path(sys.prefix) / 'bin' / 'hallhitch')}"
     click.echo(f"""
-It serves at {url}; its log is {folder / "log"}. In another shell:
+The control plane serves at {url}; its log is {folder / "log"}. In another shell:
 
   export HALLHITCH_URL={url} HALLHITCH_CA={ca}
   export HALLHITCH_TOKEN=$(cat {folder / "operator.token"})
   {command} tenants list
   {command} tenants show acme
   {command} tenants diff deploy/demo/acme.toml       # edit the file, then `apply` it
-  {command} credentials issue acme eye --scope read
+  {command} credentials issue acme reader --scope read
   {command} control backup {folder / "control.toml"} {folder / "saved.db"}
 
   curl --cacert {ca} {url}/openapi.json
--- a/hallhitch/cli/demo_fleet.py
+++ b/hallhitch/cli/demo_fleet.py
@@ -1,4 +1,4 @@
-"""`hallhitch demo-gateway`: two real gateways, an emulated fleet, half a minute of traffic with one fault, a report."""
+"""`hallhitch demo-gateway`: runs two real gateways and emulated nodes under traffic with one fault, and reports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import msgspec
 import structlog
 
-from hallhitch.cli.output import fail_on_violations, table
+from hallhitch.cli.output import fail_on_violations, print_table
 from hallhitch.settings_file import read
 
 if TYPE_CHECKING:
@@ -37,13 +37,13 @@
 
 
 class SecondPrinter:
-    """Prints what came of the tries that ended in each second."""
+    """Prints how many attempts were served, refused and failed in each second."""
 
     def __init__(self) -> None:
         self._previous: dict[str, int] = {}
 
     def print_second(self, second: int, statuses: dict[str, int]) -> None:
-        """Print a second, given the counts of statuses since the run began."""
+        """Print the counts of one second, given the counts by status since the start of the run."""
         served, refused = (statuses.get(name, 0) - self._previous.get(name, 0) for name in ("served", "refused"))
         failed = sum(statuses.values()) - sum(self._previous.values()) - served - refused
         self._previous = dict(statuses)
@@ -51,7 +51,7 @@
 
 
 @click.command("demo-gateway")
-@click.option("--scenario", default=DEFAULT_SCENARIO, show_default=True, help="A scenario's name, or a file.")
+@click.option("--scenario", default=DEFAULT_SCENARIO, show_default=True, help="Name of a scenario, or a scenario file.")
 @click.option("--seconds", type=click.FloatRange(5, 600), default=DEFAULT_DURATION_S, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
@@ -59,10 +59,13 @@
     type=click.Path(path_type=Path),
     default=Path("found/demo"),
     show_default=True,
-    help="A folder for the log and the report.",
+    help="Directory for the event log and the report.",
 )
 def demo(scenario: str, seconds: float, seed: int, to: Path) -> None:
-    """Two gateways, an emulated fleet on loopback, traffic with a fault. Exit code 1 if a rule was broken."""
+    """Run two gateways and emulated nodes on loopback, under traffic with a fault.
+
+    Exit code 1 if a rule was violated.
+    """
     from hallhitch.lab.checker import check
     from hallhitch.lab.figures import figures
     from hallhitch.lab.sockets.run import play
@@ -74,19 +77,19 @@
         f"{shortened.name}: 2 gateways, {shortened.world.nodes} nodes, {shortened.seconds:.0f} s, "
         f"{'; '.join(faults) or 'no fault'}"
     )
-    click.echo(f"{'s':>4} {'served':>8} {'refused':>8} {'failed':>8}   of that second")
+    click.echo(f"{'s':>4} {'served':>8} {'refused':>8} {'failed':>8}   in this second")
     run = play(shortened, seed, SecondPrinter().print_second)
     events = run.journal.events
     run_figures, violations = figures(events, run.traffic, run.counter.calls), check(events)
     _write_results(run, run_figures, violations, to)
-    table(("figure", "value"), [(name, f"{getattr(run_figures, name):.4g}") for name in PRINTED_FIGURES])
-    click.echo(f"{len(events)} events in {to / 'log.jsonl'}; the report is {to / 'report.html'}")
+    print_table(("figure", "value"), [(name, f"{getattr(run_figures, name):.4g}") for name in PRINTED_FIGURES])
+    click.echo(f"{len(events)} events written to {to / 'log.jsonl'}, the report to {to / 'report.html'}")
     fail_on_violations(violations)
-    click.echo("no rule broken")
+    click.echo("no rule violated")
 
 
 def _shortened_scenario(name: str, seconds: float) -> Scenario:
-    """Read a scenario by name or file, with two gateways, its time and faults cut down to some seconds."""
+    """Read a scenario by name or file; set two gateways, and scale its duration and its faults down to `seconds`."""
     from hallhitch.lab.scenario import Scenario, replaced
 
     path = Path(name) if name.endswith(".toml") else SCENARIOS / f"{name}.toml"
@@ -99,7 +102,7 @@
 
 
 def _write_results(run: SocketRun, figures: Figures, violations: list[Violation], folder: Path) -> None:
-    """Write the journal and the report."""
+    """Write the event log and the HTML report."""
     from hallhitch.lab.experiments import Outcome
     from hallhitch.lab.report import page
 
--- a/hallhitch/cli/demo_system.py
+++ b/hallhitch/cli/demo_system.py
@@ -1,4 +1,4 @@
-"""`hallhitch demo`: the whole system on loopback, some seconds of traffic with two faults, the rules checked."""
+"""`hallhitch demo`: runs the whole system on loopback under traffic with faults, and checks the rules."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import click
 
-from hallhitch.cli.output import Failure, table
+from hallhitch.cli.output import CommandError, print_table
 
 if TYPE_CHECKING:
     from hallhitch.lab.emulator.client_request import RequestOutcome
@@ -16,7 +16,7 @@
 
 DEFAULT_DURATION_S: Final = 20.0
 DEFAULT_SCENARIO: Final = "kills"
-SCENARIO_NAMES: Final = (  # written out, so that the command line does not import the emulator
+SCENARIO_NAMES: Final = (  # repeated here, so that the command line does not import the emulator
     "kills",
     "herd",
     "wipes",
@@ -34,7 +34,7 @@
 
 @click.command()
 @click.option(
-    "--day", type=click.Choice(SCENARIO_NAMES), default=DEFAULT_SCENARIO, show_default=True, help="What goes wrong."
+    "--day", type=click.Choice(SCENARIO_NAMES), default=DEFAULT_SCENARIO, show_default=True, help="Scenario of faults."
 )
 @click.option("--seconds", type=click.FloatRange(5, 600), default=DEFAULT_DURATION_S, show_default=True)
 @click.option(
@@ -42,12 +42,19 @@
     type=click.FloatRange(0.1, 5),
     default=1.0,
     show_default=True,
-    help="Times the usual 110 requests a second.",
+    help="Factor of the usual load of 110 requests per second.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--to", type=click.Path(path_type=Path), help="A folder to keep settings, logs and disks in.")
+@click.option(
+    "--to",
+    type=click.Path(path_type=Path),
+    help="Directory that keeps the settings, logs and disks; a temporary one by default.",
+)
 def demo(day: str, seconds: float, load: float, seed: int, to: Path | None) -> None:
-    """Three regions, nine gateways, three coordinators, a day with faults. Exit code 1 if a rule was broken."""
+    """Run three regions, nine gateways and three coordinators through a scenario of faults.
+
+    Exit code 1 if a rule was violated or a process exited unexpectedly.
+    """
     import uvloop
 
     uvloop.run(_run_scenario(day, seconds, load, seed, to))
@@ -74,20 +81,23 @@
         await _wait_for_start(emulator, duration_s)
         emulator.spawn(emulator.watch_readiness())
         faults = SCENARIOS[name](emulator, duration_s)
-        click.echo(f"{'s':>4} {'served':>8} {'refused':>8} {'failed':>8}   of that second")
+        click.echo(f"{'s':>4} {'served':>8} {'refused':>8} {'failed':>8}   in this second")
         traffic = Traffic(emulator, plan_requests(spec, duration_s, len(emulator.clients), load_factor))
         await traffic.run(faults, lambda second, outcomes: _print_second(second, outcomes, faults))
         await emulator.operator.read_config()
         unexpected_exits = emulator.processes.describe_unexpected_exits()
     click.echo()
-    table(TABLE_HEADER, outcome_table(traffic.outcomes))
+    print_table(TABLE_HEADER, outcome_table(traffic.outcomes))
     click.echo(
-        f"\n{emulator.backends.connections_opened} connections to backends, {emulator.backends.health_checks} probes, "
-        f"{emulator.platform.calls} calls to the platform; 99 of 100 requests left at most "
+        f"\n{emulator.backends.connections_opened} connections to backends, "
+        f"{emulator.backends.health_checks} health checks, "
+        f"{emulator.platform.calls} calls to the platform; 99% of requests were sent at most "
         f"{percentile(traffic.send_delays_ms, 0.99):.1f} ms late"
     )
     records = emulator.records
-    click.echo(f"{describe_acknowledgements(records.operations)}; {len(records.config_reads)} times read back\n")
+    click.echo(
+        f"{describe_acknowledgements(records.operations)}; configuration read back {len(records.config_reads)} times\n"
+    )
     violations_by_rule = check_records(records, spec.bounds)
     for line in describe_violations(violations_by_rule):
         click.echo(line)
@@ -95,8 +105,8 @@
         click.echo(line, err=True)
     count = sum(map(len, violations_by_rule.values()))
     if count or unexpected_exits:
-        raise Failure(f"{count} breaches of the rules, {len(unexpected_exits)} processes ended by themselves")
-    click.echo("no rule broken")
+        raise CommandError(f"{count} rule violations, {len(unexpected_exits)} processes exited unexpectedly")
+    click.echo("no rule violated")
 
 
 async def _wait_for_start(emulator: Emulator, duration_s: float) -> None:
@@ -114,15 +124,15 @@
         ready_after_ms = now() - began_ms
         await emulator.wait_until_serving()
     except EmulatorError as error:
-        raise Failure(str(error)) from None
+        raise CommandError(str(error)) from None
     click.echo(
-        f"all ready after {ready_after_ms / 1000:.1f} s, every gateway serves every tenant after "
-        f"{(now() - began_ms) / 1000:.1f} s; {duration_s:g} s of traffic follow"
+        f"all gateways ready after {ready_after_ms / 1000:.1f} s and serving every tenant after "
+        f"{(now() - began_ms) / 1000:.1f} s; starting {duration_s:g} s of traffic"
     )
 
 
 def _print_second(second: int, outcomes: list[RequestOutcome], faults: list[PlannedFault]) -> None:
-    """Print what came of the requests that ended in a second, and which faults were injected in it."""
+    """Print the outcomes of the requests that ended in one second, and the faults that were injected in it."""
     from hallhitch.lab.emulator.report import REJECTED_STATUSES
 
     served = sum(outcome.is_served for outcome in outcomes)
--- a/hallhitch/cli/experiment.py
+++ b/hallhitch/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`hallhitch experiment`: try scenarios, run and compare settings in virtual time, and report."""
+"""`hallhitch experiment`: runs scenarios in virtual time, compares settings and writes reports."""
 
 from __future__ import annotations
 
@@ -11,36 +11,53 @@
 import click
 import msgspec
 
-from hallhitch.cli.output import Failure, as_json, fail_on_violations, table
+from hallhitch.cli.output import CommandError, fail_on_violations, print_json, print_table
 from hallhitch.settings_file import SettingsError
 
 if TYPE_CHECKING:
     from hallhitch.lab.result_store import OutcomesBySetting
 
-DATABASE = click.option(
+DATABASE_OPTION = click.option(
     "--db",
     type=click.Path(path_type=Path),
     default=Path("found/experiments.db"),
     show_default=True,
-    help="The file that results are kept in.",
+    help="SQLite database of the results.",
+)
+JSON_OPTION = click.option("--json", "json_output", is_flag=True, help="Print JSON.")
+PRINTED_FIGURES = (
+    "service",
+    "in_time",
+    "late",
+    "refused",
+    "failed",
+    "beyond_units",
+    "beyond_cost",
+    "attempts",
+    "p50",
+    "p99",
 )
-JSON = click.option("--json", "plain", is_flag=True, help="Print JSON.")
-SHOWN = ("service", "in_time", "late", "refused", "failed", "beyond_units", "beyond_cost", "attempts", "p50", "p99")
 
 
 @click.group()
 def experiment() -> None:
-    """Experiments on a model of the fleet, in virtual time, with the gateway's own decisions."""
+    """Run experiments with the gateway's decision code on a model of the fleet, in virtual time."""
 
 
 @experiment.command("try")
 @click.argument("scenario", type=click.Path())
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--set", "settings", multiple=True, metavar="PATH=VALUE", help="Replace a field, as world.nodes=12.")
-@click.option("--log", type=click.Path(path_type=Path), help="Write the event log there.")
-@JSON
-def try_(scenario: str, seed: int, settings: tuple[str, ...], log: Path | None, plain: bool) -> None:
-    """Play SCENARIO (a file, or FILE:CASE) once, and check the rules. Exit code 1 if one was broken."""
+@click.option(
+    "--set",
+    "settings",
+    multiple=True,
+    metavar="PATH=VALUE",
+    help="Replace a field of the scenario, for example world.nodes=12.",
+)
+@click.option("--log", type=click.Path(path_type=Path), help="File to write the event log to.")
+@JSON_OPTION
+def try_(scenario: str, seed: int, settings: tuple[str, ...], log: Path | None, json_output: bool) -> None:
+    """Run SCENARIO (a file, or FILE:CASE) once and check the rules. Exit code 1 if a rule was violated."""
     import logging
 
     import structlog
@@ -55,29 +72,34 @@
     base = load_scenario(scenario)
     try:
         values = {path: msgspec.json.decode(value) for path, _, value in (s.partition("=") for s in settings)}
-        chosen = replaced(base, values)
+        modified = replaced(base, values)
     except ValueError as error:
         raise SettingsError(f"--set: {error}") from error
-    result = play(chosen, seed)
+    result = play(modified, seed)
     events = result.journal.events
-    found, violations = figures(events, result.traffic, result.counter_calls), check(events)
+    run_figures, violations = figures(events, result.traffic, result.counter_calls), check(events)
     if log is not None:
         log.write_bytes(b"".join(result.journal.encoded_lines()))
-    if plain:
-        as_json({"figures": msgspec.to_builtins(found), "broken": [str(violation) for violation in violations]})
+    if json_output:
+        print_json(
+            {"figures": msgspec.to_builtins(run_figures), "broken": [str(violation) for violation in violations]}
+        )
     else:
-        table(("figure", "value"), [(name, f"{getattr(found, name):.4g}") for name in SHOWN])
-        for name, value in (found.by_class | found.by_plan).items():
+        print_table(("figure", "value"), [(name, f"{getattr(run_figures, name):.4g}") for name in PRINTED_FIGURES])
+        for name, value in (run_figures.by_class | run_figures.by_plan).items():
             click.echo(f"service of {name}: {value:.4f}")
-    fail_on_violations(violations, printed=0 if plain else 5)
+    fail_on_violations(violations, printed=0 if json_output else 5)
 
 
 @experiment.command()
 @click.argument("file", type=click.Path())
 @click.option("--workers", type=click.IntRange(1, 256), default=max(1, (os.cpu_count() or 2) - 1), show_default=True)
-@DATABASE
+@DATABASE_OPTION
 def run(file: str, workers: int, db: Path) -> None:
-    """Run the experiment of FILE; what is there already is not run again, so it may be interrupted."""
+    """Run the experiment that FILE defines.
+
+    Runs that have a stored result are skipped, so that an interrupted experiment can be continued.
+    """
     from hallhitch.lab import experiments
     from hallhitch.lab.result_store import ResultStore
 
@@ -94,24 +116,24 @@
             bar.update(1)
 
         experiments.run_missing(store, jobs, workers, on_outcome)
-    click.echo(f"{missing} runs made, {len(jobs) - missing} were there")
-    _show(store.outcomes(definition.name))
+    click.echo(f"{missing} runs executed, {len(jobs) - missing} already stored")
+    _print_figures(store.outcomes(definition.name))
     store.close()
     if runs_with_violations:
-        raise Failure(f"{runs_with_violations} runs broke a rule")
+        raise CommandError(f"{runs_with_violations} runs violated a rule")
 
 
 @experiment.command("list")
-@DATABASE
+@DATABASE_OPTION
 def list_(db: Path) -> None:
-    """The experiments that have results."""
+    """List the experiments that have stored results."""
     from hallhitch.lab.result_store import ResultStore
 
     rows = []
     for summary in ResultStore(db).experiments():
         last = datetime.fromtimestamp(summary.last_at, UTC).isoformat(timespec="seconds")
         rows.append((summary.name, summary.runs, summary.runs_with_violations, last))
-    table(("experiment", "runs", "broken", "last"), rows)
+    print_table(("experiment", "runs", "with violations", "last run"), rows)
 
 
 def _load_outcomes(db: Path, name: str) -> OutcomesBySetting:
@@ -119,28 +141,31 @@
 
     outcomes = ResultStore(db).outcomes(name)
     if not outcomes:
-        raise Failure(f"{db}: has no results of '{name}'")
+        raise CommandError(f"{db}: no results of experiment '{name}'")
     return outcomes
 
 
-def _show(outcomes_by_setting: OutcomesBySetting) -> None:
+def _print_figures(outcomes_by_setting: OutcomesBySetting) -> None:
     from hallhitch.lab.statistics import bootstrap_interval
 
     rows = []
     for (scenario, setting), outcomes in outcomes_by_setting.items():
         figures = [outcome.figures for outcome in outcomes.values()]
-        service = bootstrap_interval([each.service for each in figures])
-        means = [bootstrap_interval([float(getattr(each, name)) for each in figures]).mean for name in SHOWN[1:]]
+        service = bootstrap_interval([run_figures.service for run_figures in figures])
+        means = [
+            bootstrap_interval([float(getattr(run_figures, name)) for run_figures in figures]).mean
+            for name in PRINTED_FIGURES[1:]
+        ]
         rows.append((scenario, setting, len(outcomes), str(service), *(f"{mean:.4g}" for mean in means)))
-    table(("scenario", "setting", "seeds", "service", *SHOWN[1:]), rows)
+    print_table(("scenario", "setting", "seeds", "service", *PRINTED_FIGURES[1:]), rows)
 
 
 @experiment.command()
 @click.argument("name")
-@DATABASE
+@DATABASE_OPTION
 def show(name: str, db: Path) -> None:
-    """The figures of an experiment."""
-    _show(_load_outcomes(db, name))
+    """Show the mean figures of an experiment, by scenario and setting."""
+    _print_figures(_load_outcomes(db, name))
 
 
 @experiment.command()
@@ -148,11 +173,11 @@
 @click.argument("first")
 @click.argument("second")
 @click.option("--figure", default="service", show_default=True)
-@click.option("--less", is_flag=True, help="Less of the figure is better.")
-@DATABASE
-@JSON
-def compare(name: str, first: str, second: str, figure: str, less: bool, db: Path, plain: bool) -> None:  # noqa: PLR0913
-    """Compare two settings of an experiment by paired seeds: the SECOND less the FIRST."""
+@click.option("--less", is_flag=True, help="A lower value of the figure is better.")
+@DATABASE_OPTION
+@JSON_OPTION
+def compare(name: str, first: str, second: str, figure: str, less: bool, db: Path, json_output: bool) -> None:  # noqa: PLR0913
+    """Compare two settings of an experiment by paired seeds: the value of SECOND minus that of FIRST."""
     from hallhitch.lab import statistics
 
     outcomes, rows = _load_outcomes(db, name), []
@@ -160,21 +185,21 @@
         try:
             comparison = statistics.compare(outcomes[scenario, first], outcomes[scenario, second], figure, not less)
         except (KeyError, ValueError, AttributeError) as error:
-            raise Failure(f"{scenario}: {error}") from error
+            raise CommandError(f"{scenario}: {error}") from error
         difference = comparison.difference
         rows.append((scenario, difference.count, str(difference), comparison.verdict))
-    if plain:
-        return as_json([dict(zip(("scenario", "pairs", "difference", "verdict"), row, strict=True)) for row in rows])
-    table(("scenario", "pairs", f"{figure}, difference", "verdict"), rows)
+    if json_output:
+        return print_json([dict(zip(("scenario", "pairs", "difference", "verdict"), row, strict=True)) for row in rows])
+    print_table(("scenario", "pairs", f"{figure}, difference", "verdict"), rows)
     return None
 
 
 @experiment.command()
 @click.argument("name")
-@click.option("--to", type=click.Path(path_type=Path), help="The file; found/NAME.html otherwise.")
-@DATABASE
+@click.option("--to", type=click.Path(path_type=Path), help="File to write; found/NAME.html by default.")
+@DATABASE_OPTION
 def report(name: str, to: Path | None, db: Path) -> None:
-    """Write an experiment as one HTML file with charts."""
+    """Write the results of an experiment as one HTML page with charts."""
     from hallhitch.lab.report import page
 
     outcomes = _load_outcomes(db, name)
--- a/hallhitch/cli/load.py
+++ b/hallhitch/cli/load.py
@@ -1,4 +1,4 @@
-"""`hallhitch load`: open-loop load on a server of one's own, on loopback."""
+"""`hallhitch load`: sends open-loop load to a server on loopback."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 import click
 
-from hallhitch.cli.output import Failure, as_json, table
+from hallhitch.cli.output import CommandError, print_json, print_table
 from hallhitch.settings_file import SettingsError
 
-# The platform's mix: class to share, deadline in ms, and whether a request has a body.
-CLASSES = {"inspect": (0.78, 4000, False), "reject": (0.22, 1500, True)}
-PLANS = {"small-shop": 0.5, "full-plant": 0.5}
+# The platform's mix of requests: for each class its share, its deadline in ms and whether its requests have a body.
+REQUEST_CLASSES = {"inspect": (0.78, 4000, False), "reject": (0.22, 1500, True)}
+PLAN_SHARES = {"small-shop": 0.5, "full-plant": 0.5}
 
 
 @click.command()
 @click.argument("address")
-@click.option("--rate", type=click.FloatRange(0.01, 1e5), default=100.0, show_default=True, help="Requests a second.")
+@click.option("--rate", type=click.FloatRange(0.01, 1e5), default=100.0, show_default=True, help="Requests per second.")
 @click.option("--seconds", type=click.FloatRange(0.1, 1e5), default=10.0, show_default=True)
 @click.option(
     "--shape",
@@ -26,14 +26,14 @@
     default="poisson",
     show_default=True,
 )
-@click.option("--trace", type=click.Path(path_type=Path), help="Replay this trace in place of a shape.")
+@click.option("--trace", type=click.Path(path_type=Path), help="Replay this trace instead of generating a shape.")
 @click.option("--protocol", type=click.Choice(["http", "resp"]), default="http", show_default=True)
 @click.option("--customers", type=click.IntRange(1, 10**6), default=200, show_default=True)
 @click.option("--workers", type=click.IntRange(1, 64), default=1, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--record", type=click.Path(path_type=Path), help="Write what is asked as a trace.")
-@click.option("--json", "plain", is_flag=True, help="Print JSON.")
-def load(  # noqa: PLR0913  fields of one record
+@click.option("--record", type=click.Path(path_type=Path), help="File to write the requests to, as a trace.")
+@click.option("--json", "json_output", is_flag=True, help="Print JSON.")
+def load(  # noqa: PLR0913  one parameter for each option
     address: str,
     rate: float,
     seconds: float,
@@ -44,12 +44,12 @@
     workers: int,
     seed: int,
     record: Path | None,
-    plain: bool,
+    json_output: bool,
 ) -> None:
-    """Load ADDRESS (host:port on loopback) by a schedule, whether or not it keeps pace.
+    """Send requests to ADDRESS (host:port on loopback) on a fixed schedule, even if the server falls behind.
 
-    Times count from when a request was meant to go. Exit code 1 if the generator itself was late: such a run measures
-    the generator.
+    Latencies count from the scheduled time of a request. Exit code 1 if the generator itself sent too late: such a
+    run measures the generator and not the server.
     """
     from hallhitch.lab.load.generator import LoadPlan, run_load
     from hallhitch.lab.load.protocols import parse_loopback_address
@@ -63,7 +63,9 @@
             with open(trace, "rb") as file:
                 requests = read_trace(file)
         else:
-            mix = RequestMix({name: MixedClass(*fields) for name, fields in CLASSES.items()}, PLANS, customers)
+            mix = RequestMix(
+                {name: MixedClass(*fields) for name, fields in REQUEST_CLASSES.items()}, PLAN_SHARES, customers
+            )
             requests = make_requests(arrival_times(shape, rate, seconds, seed), mix, seed)
     except (ValueError, OSError) as error:
         raise SettingsError(f"{trace or address}: {error}") from error
@@ -76,8 +78,8 @@
         (group, histogram.get_total_count(), *(f"{ms:.1f}" for ms in tally.percentiles(group).values()))
         for group, histogram in sorted(tally.latencies.items())
     ]
-    if plain:
-        as_json(
+    if json_output:
+        print_json(
             {
                 "sent": tally.sent,
                 "valid": tally.is_valid,
@@ -87,8 +89,10 @@
             }
         )
     else:
-        table(("", "requests", *(f"p{p:g} ms" for p in PERCENTILES)), rows)
-        click.echo(f"the generator was at most {tally.p99_send_delay_ms:.2f} ms late for 99 of 100 requests")
+        print_table(("", "requests", *(f"p{p:g} ms" for p in PERCENTILES)), rows)
+        click.echo(f"the generator sent 99% of requests at most {tally.p99_send_delay_ms:.2f} ms late")
     if not tally.is_valid:
         delay_ms = tally.p99_send_delay_ms
-        raise Failure(f"invalid: the generator was {delay_ms:.1f} ms late (p99; {MAX_P99_SEND_DELAY_MS:g} at most)")
+        raise CommandError(
+            f"invalid run: the generator was {delay_ms:.1f} ms late (p99; {MAX_P99_SEND_DELAY_MS:g} ms allowed)"
+        )
--- a/hallhitch/cli/main.py
+++ b/hallhitch/cli/main.py
@@ -1,4 +1,7 @@
-"""`hallhitch`: all commands. What is wrong is one line on standard error; exit code 2 for files, 1 for calls."""
+"""`hallhitch`: the entry point of the command line.
+
+An error is one line on standard error. The exit code is 2 for an error in a file and 1 for a failed command.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 from hallhitch.cli.fleet import fleet
 from hallhitch.cli.load import load
 from hallhitch.cli.members import members
-from hallhitch.cli.output import Failure
+from hallhitch.cli.output import CommandError
 from hallhitch.cli.tenants import tenants
 from hallhitch.cli.tls import tls
 from hallhitch.cli.trace import trace
@@ -28,9 +31,9 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__)
 def commands() -> None:
-    """hallhitch: a gateway that keeps each client's quota over all gateways.
+    """hallhitch: a gateway that enforces each client's quota across all gateways.
 
-    Without a command, `python -m hallhitch` is one gateway, configured by EDGE_CONFIG.
+    Without a command, `python -m hallhitch` runs one gateway, configured by EDGE_CONFIG.
     """
     logs.configure()
 
@@ -40,11 +43,11 @@
 
 
 def main() -> int:
-    """Run a command."""
+    """Run a command, print its error if it fails, and return the exit code."""
     try:
         commands(prog_name="hallhitch", standalone_mode=False)
     except click.exceptions.Abort:
-        click.echo("hallhitch: given up", err=True)
+        click.echo("hallhitch: aborted", err=True)
         return 1
     except click.ClickException as error:
         error.show()
@@ -52,7 +55,7 @@
     except (SettingsError, StoreError, CertificateError) as error:
         click.echo(f"hallhitch: {error}", err=True)
         return 2
-    except Failure as error:
+    except CommandError as error:
         click.echo(f"hallhitch: {error}", err=True)
         return 1
     return 0
--- a/hallhitch/cli/output.py
+++ b/hallhitch/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: tables for people, JSON for programs."""
+"""Output of the commands: tables for people, JSON for programs, and the error of a failed command."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 MAX_PRINTED_VIOLATIONS: Final = 3
 
 
-class Failure(Exception):  # noqa: N818  named for the event, as callers read it
-    """A command that could not do its work; the message says why."""
+class CommandError(Exception):
+    """A command failed; the message says why, and the exit code is 1."""
 
 
-def as_json(value: Any) -> None:
-    """Print a value as JSON."""
+def print_json(value: Any) -> None:
+    """Print a value as indented JSON, with sorted keys."""
     click.echo(json.dumps(value, indent=2, sort_keys=True))
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print aligned columns."""
+def print_table(head: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
+    """Print rows in aligned columns under an uppercase header."""
     text = [[("-" if cell is None else str(cell)) for cell in row] for row in rows]
     widths = [max(len(cell) for cell in column) for column in zip(head, *text, strict=True)]
     for row in ([name.upper() for name in head], *text):
@@ -29,12 +29,12 @@
 
 
 def fail_on_violations(violations: Sequence[object], printed: int = MAX_PRINTED_VIOLATIONS) -> None:
-    """Print the first violations of the rules on standard error.
+    """Print the first rule violations on standard error.
 
     Raises:
-        Failure: there are any.
+        CommandError: There is at least one violation.
     """
     for violation in violations[:printed]:
         click.echo(str(violation), err=True)
     if violations:
-        raise Failure(f"{len(violations)} breaches of the rules")
+        raise CommandError(f"{len(violations)} rule violations")
--- a/tests/cli/command_runner.py
+++ b/tests/cli/command_runner.py
@@ -8,10 +8,10 @@
 from tests.stand_ins import GUARD, ROOT
 
 
-def run_command(*words: str, **environ: str) -> subprocess.CompletedProcess[str]:
-    """Run a command to its end, with an environment of its own."""
+def run_command(*arguments: str, **environ: str) -> subprocess.CompletedProcess[str]:
+    """Run a command until it exits. Its environment is PATH and `environ`; nothing is inherited."""
     return subprocess.run(
-        [sys.executable, "-m", "hallhitch", *words],
+        [sys.executable, "-m", "hallhitch", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
--- a/tests/lab/test_cases.py
+++ b/tests/lab/test_cases.py
@@ -119,7 +119,7 @@
         with self.assertRaisesRegex(SettingsError, "no case 'zones'; there are able"):
             load_scenario(f"{CASES_FILE}:zones")
         self.assertEqual(load_scenario(f"{CASES_FILE}:zone").faults[0].kind, "zone_lost")
-        self.assertEqual(run_command("check", CASES_FILE).stdout.split(": ")[1].strip(), "good (cases)")
+        self.assertEqual(run_command("check", CASES_FILE).stdout.split(": ")[1].strip(), "valid (cases)")
 
 
 class ProcessCases(unittest.IsolatedAsyncioTestCase):
