--- a/hallhitch/lab/simulation/__init__.py
+++ b/hallhitch/lab/simulation/__init__.py
@@ -1,6 +1,7 @@
 """Deterministic simulation of the control plane: the real programs on simulated links, disks and clocks.
 
-Used by tests and benchmarks alone. A run follows from one `schedule.Schedule`: faults are drawn from its seed, virtual
-time advances from event to event, and `invariants` judges the history of operations and observations, as Jepsen and
-FoundationDB's simulation do. The system's own decisions are made by the code in service, never here.
+Only tests and benchmarks use this package. A `schedule.Schedule` determines a run completely: its faults are drawn from
+a seed, and virtual time advances from event to event. `invariants` then checks the recorded history of operations and
+observations, as Jepsen and FoundationDB's simulation testing do. All decisions of the system are made by the production
+code, never by this package.
 """
--- a/hallhitch/lab/simulation/coordinator_cluster.py
+++ b/hallhitch/lab/simulation/coordinator_cluster.py
@@ -1,7 +1,8 @@
-"""Control planes of several coordinators on one event loop in virtual time.
+"""The control planes of several coordinators on one event loop in virtual time.
 
-Links carry encoded envelopes without sockets, data directories are in memory, and the loop's clock jumps to the next
-timer. For whole processes over simulated TCP see `simulation`. Times are steady ms unless the name says otherwise.
+Links carry encoded envelopes without sockets, data directories are in memory, and the loop advances its clock to the
+next timer instead of blocking. For whole processes over simulated TCP see `simulation`. Times are virtual milliseconds
+unless the name says otherwise.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 
 T = TypeVar("T")
 GRACE_PERIOD_MS: Final = RuleBounds().grace_period_ms
-FORMER_LEASE_MS: Final = 1050.0  # votes on leases by former members count for so long: a lease of 1 s and its margin
+FORMER_LEASE_MS: Final = 1050.0  # former members' votes on leases count for this time: a lease of 1 s and its margin
 INITIAL_DISK_WRITE_MS: Final = 2.0
 
 
 class CoordinatorMachine:
-    """One coordinator with its disk, across restarts of its process."""
+    """One coordinator and its disk, which outlive the restarts of its process."""
 
     def __init__(self, cluster: CoordinatorCluster, address: str) -> None:
         self.cluster = cluster
@@ -37,10 +38,10 @@
         self.plane: ControlPlane | None = None
         self.operator: OperatorApi | None = None
         self.links: _SimulatedLinks | None = None  # of the newest incarnation
-        self.committed_states: list[ClusterState] = []  # that this incarnation was notified of
+        self.committed_states: list[ClusterState] = []  # that the newest incarnation was notified of
 
     async def start(self, is_first_start: bool = False, seed_addresses: tuple[str, ...] = ()) -> None:
-        """Start a new incarnation on what the disk holds."""
+        """Start a new incarnation with the state that is on the disk."""
         node = self.cluster.node_settings(self.address, is_first_start, seed_addresses)
         self.committed_states = []
         self.links = _SimulatedLinks(self.cluster, self)
@@ -61,14 +62,14 @@
         await plane.start()
 
     async def kill(self) -> None:
-        """End the process at once; its files stay."""
+        """Kill the process and keep its files."""
         plane = self.plane
         self.plane = self.operator = None
         if plane is not None:
             await plane.stop()
 
     async def terminate(self) -> None:
-        """Hand the membership over, as on SIGTERM, then end the process."""
+        """Leave the membership, as on SIGTERM, then end the process."""
         plane = self.plane
         assert plane is not None
         await plane.leave(GRACE_PERIOD_MS / 2)
@@ -76,26 +77,26 @@
             await self.kill()
 
     async def wipe(self) -> None:
-        """End the process and lose the disk."""
+        """Kill the process and replace the disk with an empty one."""
         await self.kill()
         self.disk = InMemoryStorage()
 
     async def lose_power(self) -> None:
-        """End the process and lose what was not synced."""
+        """Kill the process and lose unsynced files."""
         await self.kill()
         self.disk.lose_power()
 
     async def _run_on_disk(self, call: Callable[[], None]) -> None:
-        """Run a blocking call after the disk's delay, unless its incarnation has ended by then."""
+        """Run a blocking call after the delay of the disk, unless its incarnation has ended by then."""
         plane = self.plane
         await asyncio.sleep(self.write_duration_ms / 1000)
         if self.plane is not plane:
-            await asyncio.shield(self.cluster.never)
+            await asyncio.shield(self.cluster.never_done)
         call()
 
 
 class _SimulatedLinks:
-    """The calls that one incarnation of a machine sends to its peers."""
+    """Sends the calls of one incarnation of a machine to its peers."""
 
     def __init__(self, cluster: CoordinatorCluster, machine: CoordinatorMachine) -> None:
         self._cluster = cluster
@@ -105,7 +106,7 @@
         """Call a peer and wait up to `timeout_ms`.
 
         Raises:
-            RequestTimeout: No response came, or nobody runs at the address.
+            RequestTimeout: No response came in time, or no process runs at the address.
         """
         cluster, own_address = self._cluster, self._machine.address
         encoded = envelope.SerializeToString()
@@ -117,7 +118,7 @@
                 await cluster.traverse_link(own_address, address, len(encoded))
                 peer = cluster.machines.get(address)
                 if peer is None or peer.plane is None:
-                    raise RequestTimeout("connect", address, "nobody there")
+                    raise RequestTimeout("connect", address, "no process runs at the address")
                 response = peer.plane.handle(request)
                 if isinstance(response, Awaitable):
                     response = await response
@@ -125,10 +126,10 @@
                 encoded = response.SerializeToString()
                 await cluster.traverse_link(address, own_address, len(encoded))
                 if self._machine.links is not self:
-                    await asyncio.shield(cluster.never)
+                    await asyncio.shield(cluster.never_done)
                 return Envelope.FromString(encoded)
         except TimeoutError:
-            raise RequestTimeout("call", address, "silence") from None
+            raise RequestTimeout("call", address, "no response in time") from None
 
 
 class CoordinatorCluster:
@@ -146,15 +147,15 @@
         self.rng = random.Random(seed)
         self.tolerated_losses = tolerated_losses
         self.link_delay_ms = link_delay_ms
-        self.bytes_per_ms = float("inf")  # of each message by itself: messages do not queue behind each other
-        self.never: asyncio.Future[None] = loop.create_future()
+        self.bytes_per_ms = float("inf")  # applied to each message separately: messages do not queue behind each other
+        self.never_done: asyncio.Future[None] = loop.create_future()
         self.seeds = tuple(f"10.0.0.{number}:7000" for number in range(1, initial_members + 1))
         self.machines: dict[str, CoordinatorMachine] = {}
-        self.background_tasks: list[asyncio.Future[None]] = []  # tasks of a scenario that run until its end
+        self.background_tasks: list[asyncio.Future[None]] = []  # tasks that run until the end of a scenario
         self.partitions: set[frozenset[str]] = set()  # pairs of addresses that cannot reach each other
-        self.inbound_blocked: set[str] = set()  # nothing reaches these addresses; what they send arrives
-        self.blocked_links: set[tuple[str, str]] = set()  # (source, target), one way
-        self.message_faults: dict[int, Callable[[], Coroutine[Any, Any, None]]] = {}  # by number of the message
+        self.inbound_blocked: set[str] = set()  # messages to these addresses are lost, messages from them arrive
+        self.blocked_links: set[tuple[str, str]] = set()  # (source, target): messages in this direction are lost
+        self.message_faults: dict[int, Callable[[], Coroutine[Any, Any, None]]] = {}  # injected, by message number
         self.message_count = self.call_count = self.request_bytes = 0
         for address in self.seeds:
             self.add_machine(address)
@@ -165,18 +166,18 @@
         return self.machines[address]
 
     def clock(self) -> float:
-        """Return steady ms."""
+        """Return the virtual time in ms."""
         return self.loop.time() * 1000
 
     async def traverse_link(self, source: str, target: str, size_bytes: int = 0) -> None:
-        """Wait as long as a message takes; never return where the link is blocked."""
+        """Wait for the transmission time of a message. Never returns if the link is blocked."""
         self.message_count += 1
-        if inject := self.message_faults.pop(self.message_count, None):
-            await inject()
+        if inject_fault := self.message_faults.pop(self.message_count, None):
+            await inject_fault()
         delay_ms = self.rng.uniform(0.5, 1.5) * self.link_delay_ms + size_bytes / self.bytes_per_ms
         await asyncio.sleep(delay_ms / 1000)
         if self._is_blocked(source, target):
-            await asyncio.shield(self.never)
+            await asyncio.shield(self.never_done)
 
     def _is_blocked(self, source: str, target: str) -> bool:
         return (
@@ -192,7 +193,7 @@
         }
 
     async def bootstrap(self, *additional_addresses: str) -> list[CoordinatorMachine]:
-        """Start all machines for the first time, these addresses included."""
+        """Add machines at these addresses, and start all machines for the first time."""
         for address in additional_addresses:
             self.add_machine(address)
         for machine in self.machines.values():
@@ -200,7 +201,7 @@
         return list(self.machines.values())
 
     def node_settings(self, address: str, is_first_start: bool, seed_addresses: tuple[str, ...] = ()) -> NodeSettings:
-        """Return the settings of one machine; without seed addresses those of the initial members."""
+        """Return the settings of one machine. The seed addresses default to those of the initial members."""
         return coordinator_settings(address, is_first_start, seed_addresses or self.seeds, self.tolerated_losses)
 
 
--- a/hallhitch/lab/simulation/fault_injection.py
+++ b/hallhitch/lab/simulation/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injection of faults into a simulation: what each kind of fault does when it starts and when it ends."""
+"""Injection of faults into a simulation: the actions of each kind of fault at its start and at its end."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
     from hallhitch.lab.simulation.simulation import Simulation
 
 REPLACEMENT_HOST_PREFIX: Final = "10.0.2."
-DISK_SLOWDOWN: Final = 30.0  # a job takes 60 ms: far above a link's delay, below the time-out of a call
-EXTRA_LINK_DELAY_S: Final = 0.4  # each way: a call and its response take nearly the operators' time-out
+DISK_SLOWDOWN: Final = 30.0  # a job takes 60 ms: far longer than a link's delay, shorter than the time-out of a call
+EXTRA_LINK_DELAY_S: Final = 0.4  # each way: a call and its response take nearly as long as the operators' time-out
 
 
-class Actions(NamedTuple):
-    """What happens when a fault starts, and when it ends."""
+class FaultActions(NamedTuple):
+    """The actions to run when a fault starts and when it ends."""
 
     start: Callable[[], None]
     end: Callable[[], None]
 
 
-Plan = Callable[["Simulation", Fault], Actions]
+ActionFactory = Callable[["Simulation", Fault], FaultActions]
 
 
 def inject(simulation: Simulation, fault: Fault) -> None:
     """Schedule the start and the end of a fault."""
-    actions = _PLANS[fault.kind](simulation, fault)
+    actions = _ACTION_FACTORIES[fault.kind](simulation, fault)
     simulation.network.call_at(fault.starts_at_s, actions.start)
     simulation.network.call_at(fault.ends_at_s, actions.end)
 
 
-def _partition_of(simulation: Simulation, machine: SimulatedMachine, fault: Fault) -> Partition:
-    """Return which links of the machine are blocked."""
+def _create_partition(simulation: Simulation, machine: SimulatedMachine, fault: Fault) -> Partition:
+    """Return the partition that blocks the links of the machine which the fault covers."""
 
     def is_opposite(host: str) -> bool:
         peer = simulation.machines.get(host)
@@ -61,45 +61,45 @@
     return is_blocked
 
 
-def _partition(simulation: Simulation, fault: Fault) -> Actions:
+def _partition_coordinator(simulation: Simulation, fault: Fault) -> FaultActions:
     partitions: list[Partition] = []
 
     def start() -> None:
-        partitions.append(_partition_of(simulation, simulation.coordinator_slots[fault.slot], fault))
+        partitions.append(_create_partition(simulation, simulation.coordinator_slots[fault.slot], fault))
         simulation.network.add_partition(partitions[0])
 
-    return Actions(start, lambda: simulation.network.heal_partition(partitions[0]))
+    return FaultActions(start, lambda: simulation.network.heal_partition(partitions[0]))
 
 
-def _pause_coordinator(simulation: Simulation, fault: Fault) -> Actions:
+def _pause_coordinator(simulation: Simulation, fault: Fault) -> FaultActions:
     def set_paused(is_paused: bool) -> None:
         simulation.coordinator_slots[fault.slot].set_paused(is_paused)
 
-    return Actions(lambda: set_paused(True), lambda: set_paused(False))
+    return FaultActions(lambda: set_paused(True), lambda: set_paused(False))
 
 
-def _pause_gateway(simulation: Simulation, fault: Fault) -> Actions:
+def _pause_gateway(simulation: Simulation, fault: Fault) -> FaultActions:
     gateway = simulation.gateways[fault.slot]
     pauses = simulation.history.gateway_pauses.setdefault(gateway.host, [])
     pauses.append(Interval(fault.starts_at_s, fault.ends_at_s))
-    return Actions(lambda: gateway.set_paused(True), lambda: gateway.set_paused(False))
+    return FaultActions(lambda: gateway.set_paused(True), lambda: gateway.set_paused(False))
 
 
-def _end_and_restart(*, loses_power: bool, loses_disk: bool) -> Plan:
-    def plan(simulation: Simulation, fault: Fault) -> Actions:
+def _restart_one(*, loses_power: bool, loses_disk: bool) -> ActionFactory:
+    def create_actions(simulation: Simulation, fault: Fault) -> FaultActions:
         def start() -> None:
             machine = simulation.coordinator_slots[fault.slot]
             machine.end(loses_power)
             if loses_disk:
                 machine.wipe()
 
-        return Actions(start, lambda: simulation.coordinator_slots[fault.slot].start())
+        return FaultActions(start, lambda: simulation.coordinator_slots[fault.slot].start())
 
-    return plan
+    return create_actions
 
 
-def _end_and_restart_all(*, loses_power: bool) -> Plan:
-    def plan(simulation: Simulation, fault: Fault) -> Actions:
+def _restart_all(*, loses_power: bool) -> ActionFactory:
+    def create_actions(simulation: Simulation, fault: Fault) -> FaultActions:
         def start() -> None:
             for machine in simulation.coordinator_slots:
                 machine.end(loses_power)
@@ -108,57 +108,57 @@
             for machine in simulation.coordinator_slots:
                 machine.start()
 
-        return Actions(start, end)
+        return FaultActions(start, end)
 
-    return plan
+    return create_actions
 
 
-def _start_successor(simulation: Simulation, fault: Fault) -> None:
-    """Put a new machine into the slot; the operators' list follows."""
-    successor = simulation.add_coordinator(f"{REPLACEMENT_HOST_PREFIX}{len(simulation.machines)}")
-    simulation.coordinator_slots[fault.slot] = successor
+def _start_replacement(simulation: Simulation, fault: Fault) -> None:
+    """Start a new machine in the slot and record it in the operators' list."""
+    replacement = simulation.add_coordinator(f"{REPLACEMENT_HOST_PREFIX}{len(simulation.machines)}")
+    simulation.coordinator_slots[fault.slot] = replacement
     simulation.record_coordinator_list()
-    successor.start()
+    replacement.start()
 
 
-def _planned_replacement(simulation: Simulation, fault: Fault) -> Actions:
+def _replace_planned(simulation: Simulation, fault: Fault) -> FaultActions:
     replaced: list[SimulatedCoordinator] = []
 
     def start() -> None:
         replaced.append(simulation.coordinator_slots[fault.slot])
-        _start_successor(simulation, fault)
+        _start_replacement(simulation, fault)
 
     def end() -> None:
         replaced[0].is_removed = True
         replaced[0].terminate()
 
-    return Actions(start, end)
+    return FaultActions(start, end)
 
 
-def _unplanned_replacement(simulation: Simulation, fault: Fault) -> Actions:
+def _replace_unplanned(simulation: Simulation, fault: Fault) -> FaultActions:
     def start() -> None:
         machine = simulation.coordinator_slots[fault.slot]
         machine.is_removed = True
         machine.end(loses_power=True)
 
-    return Actions(start, lambda: _start_successor(simulation, fault))
+    return FaultActions(start, lambda: _start_replacement(simulation, fault))
 
 
-def _slow_disk(simulation: Simulation, fault: Fault) -> Actions:
+def _slow_down_disk(simulation: Simulation, fault: Fault) -> FaultActions:
     def set_slowdown(slowdown: float) -> None:
         simulation.coordinator_slots[fault.slot].disk.slowdown = slowdown
 
-    return Actions(lambda: set_slowdown(DISK_SLOWDOWN), lambda: set_slowdown(1.0))
+    return FaultActions(lambda: set_slowdown(DISK_SLOWDOWN), lambda: set_slowdown(1.0))
 
 
-def _full_disk(simulation: Simulation, fault: Fault) -> Actions:
+def _fill_disk(simulation: Simulation, fault: Fault) -> FaultActions:
     def set_full(is_full: bool) -> None:
         simulation.coordinator_slots[fault.slot].disk.is_full = is_full
 
-    return Actions(lambda: set_full(True), lambda: set_full(False))
+    return FaultActions(lambda: set_full(True), lambda: set_full(False))
 
 
-def _slow_links(simulation: Simulation, fault: Fault) -> Actions:
+def _slow_down_links(simulation: Simulation, fault: Fault) -> FaultActions:
     hosts: list[str] = []
 
     def start() -> None:
@@ -168,27 +168,27 @@
     def end() -> None:
         simulation.network.extra_delay_s.pop(hosts[0], None)
 
-    return Actions(start, end)
+    return FaultActions(start, end)
 
 
-def _restart_gateway(simulation: Simulation, fault: Fault) -> Actions:
+def _restart_gateway(simulation: Simulation, fault: Fault) -> FaultActions:
     gateway = simulation.gateways[fault.slot]
-    return Actions(gateway.end, gateway.start)
+    return FaultActions(gateway.end, gateway.start)
 
 
-_PLANS: Final[dict[FaultKind, Plan]] = {
-    FaultKind.PARTITION: _partition,
+_ACTION_FACTORIES: Final[dict[FaultKind, ActionFactory]] = {
+    FaultKind.PARTITION: _partition_coordinator,
     FaultKind.PAUSE: _pause_coordinator,
-    FaultKind.KILL: _end_and_restart(loses_power=False, loses_disk=False),
-    FaultKind.POWER_LOSS: _end_and_restart(loses_power=True, loses_disk=False),
-    FaultKind.DISK_LOSS: _end_and_restart(loses_power=True, loses_disk=True),
-    FaultKind.PLANNED_REPLACEMENT: _planned_replacement,
-    FaultKind.UNPLANNED_REPLACEMENT: _unplanned_replacement,
-    FaultKind.SLOW_DISK: _slow_disk,
-    FaultKind.FULL_DISK: _full_disk,
-    FaultKind.SLOW_LINKS: _slow_links,
-    FaultKind.ALL_KILLED: _end_and_restart_all(loses_power=False),
-    FaultKind.ALL_POWER_LOSS: _end_and_restart_all(loses_power=True),
+    FaultKind.KILL: _restart_one(loses_power=False, loses_disk=False),
+    FaultKind.POWER_LOSS: _restart_one(loses_power=True, loses_disk=False),
+    FaultKind.DISK_LOSS: _restart_one(loses_power=True, loses_disk=True),
+    FaultKind.PLANNED_REPLACEMENT: _replace_planned,
+    FaultKind.UNPLANNED_REPLACEMENT: _replace_unplanned,
+    FaultKind.SLOW_DISK: _slow_down_disk,
+    FaultKind.FULL_DISK: _fill_disk,
+    FaultKind.SLOW_LINKS: _slow_down_links,
+    FaultKind.ALL_KILLED: _restart_all(loses_power=False),
+    FaultKind.ALL_POWER_LOSS: _restart_all(loses_power=True),
     FaultKind.GATEWAY_RESTART: _restart_gateway,
     FaultKind.GATEWAY_PAUSE: _pause_gateway,
 }
--- a/hallhitch/lab/simulation/faults.py
+++ b/hallhitch/lab/simulation/faults.py
@@ -1,6 +1,7 @@
-"""Faults as values: what happens to which machine, when and for how long.
+"""Descriptions of faults: the kind, the machine, the start and the duration.
 
-A slot is the place of a coordinator machine: a replacement puts a new machine into the slot. Times are virtual seconds.
+A slot is the position of a machine: a replacement puts a new coordinator machine into the slot of the old one. Times
+are virtual seconds.
 """
 
 from __future__ import annotations
@@ -11,15 +12,15 @@
 
 
 class FaultKind(Enum):
-    """What happens to the machine of a slot, or to all. The order of members is part of what a seed means."""
+    """What happens to one machine or to all. Reordering the members changes the schedule of every seed."""
 
-    PARTITION = "partition"  # links are cut; what is in flight is held back
+    PARTITION = "partition"  # links are cut; bytes in flight are held back until the end
     PAUSE = "process paused"
-    KILL = "process killed"  # and started again
+    KILL = "process killed"  # and restarted at the end of the fault
     POWER_LOSS = "power lost"
-    DISK_LOSS = "disk lost"  # the machine comes back with an empty disk
-    PLANNED_REPLACEMENT = "planned replacement"  # a new machine first, then SIGTERM for the old one
-    UNPLANNED_REPLACEMENT = "unplanned replacement"  # the old machine is gone for good, then a new one comes
+    DISK_LOSS = "disk lost"  # the machine restarts with an empty disk
+    PLANNED_REPLACEMENT = "planned replacement"  # a new machine starts, then the old one gets SIGTERM
+    UNPLANNED_REPLACEMENT = "unplanned replacement"  # the old machine is lost for good, then a new one starts
     SLOW_DISK = "slow disk"
     FULL_DISK = "full disk"
     SLOW_LINKS = "slow links"
@@ -30,7 +31,7 @@
 
 
 class PartitionScope(Enum):
-    """Which machines are on the opposite side of a partition. The order of members is part of what a seed means."""
+    """The machines on the opposite side of a partition. Reordering the members changes the schedule of every seed."""
 
     ALL = "all"
     COORDINATORS = "coordinators"
@@ -39,20 +40,20 @@
 
 
 class PartitionDirection(Enum):
-    """Which direction is cut, seen from the machine. The order of members is part of what a seed means."""
+    """The direction that is cut, seen from the machine. Reordering the members changes the schedule of every seed."""
 
     BOTH = "both"
     INBOUND = "inbound"
     OUTBOUND = "outbound"
 
 
-GATEWAY_FAULTS: Final = (FaultKind.GATEWAY_RESTART, FaultKind.GATEWAY_PAUSE)  # no tolerated loss is spent on these
+GATEWAY_FAULTS: Final = (FaultKind.GATEWAY_RESTART, FaultKind.GATEWAY_PAUSE)  # they do not count as losses
 CLUSTER_WIDE_FAULTS: Final = (FaultKind.ALL_KILLED, FaultKind.ALL_POWER_LOSS)
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault at a slot; with `scope` and `direction` where it is a partition."""
+    """One fault at a slot. `scope` and `direction` only apply to partitions."""
 
     kind: FaultKind
     starts_at_s: float
@@ -68,9 +69,9 @@
 
     @property
     def ends_at_s(self) -> float:
-        """The moment at which its cause is over."""
+        """The end of the fault itself; its machine counts as lost until `recovered_at_s`."""
         return self.starts_at_s + self.duration_s
 
     def recovered_at_s(self, catch_up_s: float) -> float:
-        """Return until when its machine counts as lost: the operators' pages add the time to catch up."""
+        """Return until when its machine counts as lost: the operating pages add the time to catch up."""
         return self.starts_at_s + self.duration_s + catch_up_s
--- a/hallhitch/lab/simulation/in_memory_storage.py
+++ b/hallhitch/lab/simulation/in_memory_storage.py
@@ -1,7 +1,7 @@
-"""A coordinator's data directory in memory.
+"""An in-memory data directory of a coordinator.
 
 Implements `planes.control.storage.Storage`. Invariant: after a power loss the directory holds exactly the files
-whose content and name were both synced. For disks that tear writes at random see `simulated_disk`.
+whose content and name were both synced. For a disk that tears unsynced writes at random see `simulated_disk`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class InMemoryStorage:
-    """Files of one machine, and what a power loss leaves of them."""
+    """The files of one machine, and those that survive a power loss."""
 
     def __init__(self) -> None:
         self.files: dict[str, Mapping[bytes, bytes]] = {}
@@ -19,7 +19,7 @@
         self._synced: dict[str, Mapping[bytes, bytes]] = {}
 
     def file_names(self) -> list[str]:
-        """Return the names of all files in order."""
+        """Return the names of all files in sorted order."""
         return sorted(self.files)
 
     def write_database(self, base: str, records: Mapping[bytes, bytes]) -> None:
@@ -54,7 +54,7 @@
         self.durable_files = {name: self._synced[name] for name in self.files if name in self._synced}
 
     def remove_file(self, name: str) -> None:
-        """Remove one file."""
+        """Remove one file, if it exists."""
         self.files.pop(name, None)
 
     def lose_power(self) -> None:
@@ -63,4 +63,4 @@
 
     def _require_space(self) -> None:
         if self.is_full:
-            raise OSError("no room")
+            raise OSError("the simulated disk is full")
--- a/hallhitch/lab/simulation/invariants.py
+++ b/hallhitch/lab/simulation/invariants.py
@@ -1,7 +1,7 @@
-"""The checker: what must hold of every operation history, one function for each subject.
+"""The checker of operation histories, with one function for each group of invariants.
 
-The model is a register with versions, as the operators' protocol has it: writes with a higher version replace those
-with a lower one, and reads are linearizable. Times are virtual seconds.
+The model is a versioned register, as in the operators' protocol: a write replaces the
+configuration if its version is higher, and reads are linearizable. Times are virtual seconds.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
     Violation,
 )
 
-RESUME_BACKLOG_S: Final = 0.1  # after a pause, in which a process has read everything that waited
+RESUME_BACKLOG_S: Final = 0.1  # the time in which a resumed process reads all data that arrived during the pause
 
 
 def find_violations(history: OperationHistory) -> list[Violation]:
-    """Return everything that did not hold."""
+    """Return all violations of invariants."""
     return [violation for check in CHECKS for violation in check(history)]
 
 
@@ -33,7 +33,8 @@
         if read.is_acknowledged and read.config_version < acknowledged:
             yield Violation(
                 Invariant.DURABILITY,
-                f"read invoked at {read.invoked_at_s:.3f} returned {read.config_version}, acknowledged: {acknowledged}",
+                f"read invoked at {read.invoked_at_s:.3f} returned version {read.config_version}, "
+                f"acknowledged: {acknowledged}",
             )
         if read.is_final_read and not read.is_acknowledged:
             yield Violation(
@@ -41,12 +42,12 @@
             )
 
 
-def check_single_content(history: OperationHistory) -> Iterator[Violation]:  # noqa: C901  one case after the other
-    """Whatever is read or observed under one version is the same, and was written; so is the state of a serial."""
+def check_single_content(history: OperationHistory) -> Iterator[Violation]:  # noqa: C901  independent cases
+    """All reads and observations of a version have the same, written content, and those of a serial the same state."""
     written: dict[int, set[str]] = {}
     for write in history.operations_of(OperationKind.REPLACE_CONFIG):
         written.setdefault(write.config_version, set()).add(write.content)
-    observed: dict[int, dict[str, str]] = {}  # version -> content -> who observed it first
+    observed: dict[int, dict[str, str]] = {}  # version -> content -> its first observer
     for read in history.operations_of(OperationKind.DESCRIBE_CONFIG):
         if read.is_acknowledged and read.config_version >= 0:
             observed.setdefault(read.config_version, {}).setdefault(read.content, read.client)
@@ -56,16 +57,18 @@
             contents.setdefault(observation.content, observation.process)
     for version, contents in observed.items():
         if len(contents) > 1:
-            yield Violation(Invariant.SINGLE_CONTENT, f"version {version} is {contents}")
+            yield Violation(Invariant.SINGLE_CONTENT, f"version {version} has several contents: {contents}")
         if unknown := contents.keys() - written.get(version, set()):
-            yield Violation(Invariant.SINGLE_CONTENT, f"version {version} is {unknown}, which nobody wrote")
+            yield Violation(
+                Invariant.SINGLE_CONTENT, f"version {version} has contents {unknown}, which no operator wrote"
+            )
     states_by_serial: dict[int, set[tuple[int, str, frozenset[str]]]] = {}
     for observation in history.observations:
         state = (observation.config_version, observation.content, observation.evacuated_zones)
         states_by_serial.setdefault(observation.serial, set()).add(state)
     for serial, states in states_by_serial.items():
         if len(states) > 1:
-            yield Violation(Invariant.SINGLE_STATE, f"serial {serial} is {sorted(map(str, states))}")
+            yield Violation(Invariant.SINGLE_STATE, f"serial {serial} has several states: {sorted(map(str, states))}")
 
 
 def check_single_acknowledged_content(history: OperationHistory) -> Iterator[Violation]:
@@ -88,14 +91,14 @@
 
 
 def check_no_false_rejection(history: OperationHistory) -> Iterator[Violation]:
-    """A content that was committed is never rejected under its version."""
+    """A write whose version and content were committed is never rejected."""
     committed = {(observation.config_version, observation.content) for observation in history.observations}
     for write in history.operations_of(OperationKind.REPLACE_CONFIG):
         is_rejected = 400 <= write.status < 500
         if is_rejected and (write.config_version, write.content) in committed:
             yield Violation(
                 Invariant.NO_FALSE_REJECTION,
-                f"{write.content} of version {write.config_version} was committed, and got {write.status}",
+                f"{write.content} of version {write.config_version} was committed, but rejected with {write.status}",
             )
 
 
@@ -103,18 +106,16 @@
     """Serials and versions never decrease within one incarnation of a process."""
     newest: dict[str, Observation] = {}
     for observation in history.observations:
-        before = newest.get(observation.process)
-        if before is not None and (
-            observation.serial < before.serial or observation.config_version < before.config_version
+        previous = newest.get(observation.process)
+        if previous is not None and (
+            observation.serial < previous.serial or observation.config_version < previous.config_version
         ):
-            yield Violation(
-                Invariant.MONOTONIC_READS, f"{observation.process} went back from {before} to {observation}"
-            )
+            yield Violation(Invariant.MONOTONIC_READS, f"{observation.process} observed {previous}, then {observation}")
         newest[observation.process] = observation
 
 
-def _sent_at_s(history: OperationHistory, observation: Observation) -> float:
-    """Return when an observed state was sent at the earliest: a resumed gateway reads first what waited for it."""
+def _earliest_sent_at_s(history: OperationHistory, observation: Observation) -> float:
+    """Return when a state was sent at the earliest: a resumed gateway first reads what was sent during its pause."""
     pauses = history.gateway_pauses.get(observation.host, ())
     observed_at_s = observation.observed_at_s
     return min(
@@ -126,21 +127,21 @@
 
 
 def check_bounded_staleness(history: OperationHistory) -> Iterator[Violation]:
-    """A gateway is never sent a version older than what was acknowledged more than the bound before."""
+    """A gateway is never sent a version older than one that was acknowledged more than the bound before."""
     bound_s = history.config_apply_bound_s
     for observation in history.gateway_observations:
-        acknowledged = history.acknowledged_version_before(_sent_at_s(history, observation) - bound_s)
+        acknowledged = history.acknowledged_version_before(_earliest_sent_at_s(history, observation) - bound_s)
         if observation.config_version < acknowledged:
             yield Violation(
                 Invariant.BOUNDED_STALENESS,
-                f"{observation.process} (started at {observation.process_started_at_s:.3f}) got version "
+                f"{observation.process} (started at {observation.process_started_at_s:.3f}) received version "
                 f"{observation.config_version} at {observation.observed_at_s:.3f}, "
                 f"{acknowledged} was acknowledged over {bound_s:.1f} s before",
             )
 
 
 def check_propagation_time(history: OperationHistory) -> Iterator[Violation]:
-    """Without faults, each gateway knows a version within the bound after its acknowledgement."""
+    """Without faults, each gateway learns a version within the bound after its acknowledgement."""
     observations: dict[str, list[Observation]] = {}
     for observation in history.gateway_observations:
         observations.setdefault(observation.process, []).append(observation)
@@ -160,7 +161,8 @@
             runs_throughout = lifetime.begin_s < begin_s and lifetime.end_s > deadline_s
             if runs_throughout and max(known_versions, default=-1) < write.config_version:
                 yield Violation(
-                    Invariant.PROPAGATION_TIME, f"{process} lacked version {write.config_version} at {deadline_s:.3f}"
+                    Invariant.PROPAGATION_TIME,
+                    f"{process} did not have version {write.config_version} at {deadline_s:.3f}",
                 )
 
 
@@ -174,8 +176,8 @@
         for loss in history.majority_losses:
             if loss.overlaps(begin_s, begin_s + history.acknowledgement_bound_s):
                 begin_s = max(begin_s, loss.end_s)
-        ends_s = [moment for moment in (write.completed_at_s, write.abandoned_at_s) if moment is not None]
-        is_late = begin_s + history.acknowledgement_bound_s < min([*ends_s, history.converged_by_s])
+        end_times_s = [time_s for time_s in (write.completed_at_s, write.abandoned_at_s) if time_s is not None]
+        is_late = begin_s + history.acknowledgement_bound_s < min([*end_times_s, history.converged_by_s])
         is_conflict = write.kind is OperationKind.REPLACE_CONFIG and write.status == 409
         if is_late and not is_conflict and not write.is_single_attempt:
             yield Violation(
@@ -196,19 +198,19 @@
 
 
 def check_evacuation_order(history: OperationHistory) -> Iterator[Violation]:
-    """The retry of a start is never committed after the acknowledgement of a later stop."""
+    """A retried start of an evacuation is never committed after the acknowledgement of a later stop."""
     for observation in history.gateway_observations:
         for zone in observation.evacuated_zones:
             if not _may_be_evacuated(history, zone, observation):
                 yield Violation(
                     Invariant.EVACUATION_ORDER,
-                    f"{observation.process} got {zone} as evacuated at {observation.observed_at_s:.3f}",
+                    f"{observation.process} received {zone} as evacuated at {observation.observed_at_s:.3f}",
                 )
 
 
 def _may_be_evacuated(history: OperationHistory, zone: str, observation: Observation) -> bool:
-    """Whether some start of the evacuation was not yet overtaken by a stop that the gateway had to know."""
-    stopped_before_s = _sent_at_s(history, observation) - history.config_apply_bound_s
+    """Whether an evacuation was started without a later stop that the gateway should have learned by then."""
+    stopped_before_s = _earliest_sent_at_s(history, observation) - history.config_apply_bound_s
     starts = [
         operation
         for operation in history.operations_of(OperationKind.START_EVACUATION)
@@ -229,7 +231,7 @@
 
 
 def check_convergence(history: OperationHistory) -> Iterator[Violation]:
-    """At the end all gateways know the newest version, and zones are evacuated as the last operations left them."""
+    """At the end all gateways have the newest version, and the last operation on each zone has taken effect."""
     last_by_host = {observation.host: observation for observation in history.gateway_observations}
     if not last_by_host:
         return
@@ -238,18 +240,18 @@
         if observation.config_version < acknowledged:
             yield Violation(
                 Invariant.CONVERGENCE,
-                f"{observation.process} still has {observation.config_version} at the end, not {acknowledged}",
+                f"{observation.process} still has version {observation.config_version} at the end, not {acknowledged}",
             )
     newest = max(last_by_host.values(), key=lambda observation: observation.serial)
-    for zone, is_evacuated in _settled_zones(history).items():
+    for zone, is_evacuated in _final_evacuations(history).items():
         if (zone in newest.evacuated_zones) is not is_evacuated:
             yield Violation(
                 Invariant.EVACUATION_ORDER, f"{zone} is {'not ' if is_evacuated else ''}evacuated at the end"
             )
 
 
-def _settled_zones(history: OperationHistory) -> dict[str, bool]:
-    """Return whether each zone whose last operation was acknowledged is evacuated."""
+def _final_evacuations(history: OperationHistory) -> dict[str, bool]:
+    """Return, for each zone whose last operation was acknowledged, whether it should be evacuated."""
     evacuations = history.operations_of(OperationKind.START_EVACUATION, OperationKind.STOP_EVACUATION)
     last_by_zone = {
         operation.zone: operation for operation in sorted(evacuations, key=lambda operation: operation.invoked_at_s)
--- a/hallhitch/lab/simulation/machine.py
+++ b/hallhitch/lab/simulation/machine.py
@@ -1,4 +1,4 @@
-"""Simulated machines: a process with its disk, across restarts, and what it observes of the replicated state."""
+"""Simulated machines: the disk, the restarts of the process, and the replicated states that the process learns."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class GatewayFollower:
-    """A gateway without its data plane: it follows the replicated state."""
+    """A gateway without a data plane, which only follows the replicated state."""
 
     def __init__(self, node: NodeSettings, runtime: Runtime) -> None:
         self._node = node
@@ -39,7 +39,7 @@
         self._sync = GatewaySync(context, node.seed_addresses)
 
     async def start(self) -> None:
-        """Serve peers and follow the coordinators."""
+        """Start serving peers and following the coordinators."""
         await self._links.serve(self._node.internal_address)
         self._sync.start()
 
@@ -63,7 +63,7 @@
 
 
 class SimulatedMachine(ABC):
-    """One machine with its disk, across restarts of its process."""
+    """One machine and its disk, which outlive the restarts of its process."""
 
     is_coordinator: ClassVar[bool]
 
@@ -72,8 +72,8 @@
         self.host = host
         self.disk = SimulatedDisk(random.Random(f"{simulation.schedule.seed} disk {host}"))
         self.loop: ProcessLoop | None = None
-        self.incarnation = 0  # starts of its process so far
-        self.is_removed = False  # it will not be started again
+        self.incarnation = 0  # number of starts of its process
+        self.is_removed = False  # removed machines are never started again
         self._disk_thread: DiskThread | None = None
 
     @property
@@ -82,7 +82,7 @@
         return f"{self.host}#{self.incarnation}"
 
     def start(self, is_first_start: bool = False) -> None:
-        """Start its process, unless that runs or the machine is removed."""
+        """Start the process, unless it is running or the machine was removed."""
         if self.loop is not None or self.is_removed:
             return
         network = self.simulation.network
@@ -97,14 +97,14 @@
     async def _run_program(
         self, loop: ProcessLoop, rng: random.Random, thread: DiskThread, is_first_start: bool
     ) -> None:
-        """Build the program of this incarnation and start it."""
+        """Create and start the program of this incarnation."""
 
     @abstractmethod
-    def _forget_program(self) -> None:
-        """Drop the program of an incarnation that has ended."""
+    def _release_program(self) -> None:
+        """Release the program of an incarnation that has ended."""
 
-    def _observe(self, hub: StateHub, observations: list[Observation]) -> None:
-        """Record each newer state that the process comes to know."""
+    def _record_observations(self, hub: StateHub, observations: list[Observation]) -> None:
+        """Record each newer state that the process learns."""
         network, started_at_s, process = self.simulation.network, self.simulation.network.now_s, self.process_name
         last_serial = 0
 
@@ -129,8 +129,8 @@
 
         hub.on_change.append(on_change)
 
-    def _on_newer_state(self) -> None:  # noqa: B027  # most machines have nothing to do then
-        """React to a newer state of the process."""
+    def _on_newer_state(self) -> None:  # noqa: B027  # optional to override
+        """Handle a newer state of the process."""
 
     def set_paused(self, is_paused: bool) -> None:
         """Pause or resume the process."""
@@ -138,12 +138,12 @@
             self.loop.is_paused = is_paused
 
     def end(self, loses_power: bool = False) -> None:
-        """End the process at once, and the machine as well where it loses power."""
+        """Kill the process, and cut the power of the machine if `loses_power` is set."""
         network = self.simulation.network
         if loses_power:
             network.unpowered_hosts.add(self.host)
         loop, self.loop = self.loop, None
-        self._forget_program()
+        self._release_program()
         if loop is not None:
             if self._disk_thread is not None:
                 self._disk_thread.interrupt()
@@ -154,12 +154,12 @@
             self.disk.lose_power()
 
     def wipe(self) -> None:
-        """Replace the disk by an empty one."""
+        """Replace the disk with an empty one."""
         self.disk = SimulatedDisk(random.Random(f"{self.simulation.schedule.seed} disk {self.host} {self.incarnation}"))
 
 
 class SimulatedCoordinator(SimulatedMachine):
-    """A machine that runs the coordinator's program as in service."""
+    """A machine that runs the production coordinator program."""
 
     is_coordinator = True
     program: CoordinatorProgram | None = None
@@ -167,13 +167,13 @@
     async def _run_program(
         self, loop: ProcessLoop, rng: random.Random, thread: DiskThread, is_first_start: bool
     ) -> None:
-        node = self.simulation.coordinator_node(self.host, is_first_start)
+        node = self.simulation.coordinator_node_settings(self.host, is_first_start)
         runtime = Runtime(clock=loop.now_ms, random=rng, storage=self.disk, run_blocking=thread.run)
         program = self.program = CoordinatorProgram(node, runtime)
-        self._observe(program._hub, self.simulation.history.coordinator_observations)
+        self._record_observations(program._hub, self.simulation.history.coordinator_observations)
         await program.start()
 
-    def _forget_program(self) -> None:
+    def _release_program(self) -> None:
         self.program = None
 
     def _on_newer_state(self) -> None:
@@ -181,18 +181,18 @@
             self.simulation.record_members(self.program)
 
     def terminate(self) -> None:
-        """Let the process leave in order, as on SIGTERM; kill it after the grace period."""
+        """Shut the process down gracefully, as on SIGTERM, and kill it after the grace period."""
         loop, program = self.loop, self.program
         if loop is None or program is None:
             return self.end()
         network = self.simulation.network
         deadline_s = network.now_s + GRACE_PERIOD_S
 
-        async def leave() -> None:
+        async def shut_down_and_end() -> None:
             await program.shut_down()
             network.call_at(network.now_s, lambda: self._end_incarnation(loop))
 
-        loop.spawn(leave())
+        loop.spawn(shut_down_and_end())
         network.call_at(deadline_s, lambda: self._end_incarnation(loop))
         return None
 
@@ -205,7 +205,7 @@
 
 
 class SimulatedGateway(SimulatedMachine):
-    """A machine that follows the replicated state as a gateway does."""
+    """A machine that runs a `GatewayFollower`."""
 
     is_coordinator = False
     program: GatewayFollower | None = None
@@ -213,18 +213,18 @@
     async def _run_program(
         self, loop: ProcessLoop, rng: random.Random, thread: DiskThread, is_first_start: bool
     ) -> None:
-        node = self.simulation.gateway_node(self.host, is_first_start)
+        node = self.simulation.gateway_node_settings(self.host, is_first_start)
         program = self.program = GatewayFollower(node, Runtime(clock=loop.now_ms, random=rng, run_blocking=thread.run))
         history = self.simulation.history
-        self._observe(program.hub, history.gateway_observations)
+        self._record_observations(program.hub, history.gateway_observations)
         history.gateway_lifetimes[self.process_name] = Interval(self.simulation.network.now_s, float("inf"))
         await program.start()
 
-    def _forget_program(self) -> None:
+    def _release_program(self) -> None:
         self.program = None
 
     def end(self, loses_power: bool = False) -> None:
-        """End the process at once and record the end of its lifetime."""
+        """Kill the process and record the end of its lifetime."""
         lifetimes = self.simulation.history.gateway_lifetimes
         lifetime = lifetimes.get(self.process_name)
         if lifetime is not None and self.loop is not None:
--- a/hallhitch/lab/simulation/node_settings.py
+++ b/hallhitch/lab/simulation/node_settings.py
@@ -8,7 +8,7 @@
 
 REGION_BY_ZONE = {"viti-a": "viti", "viti-b": "viti"}
 PORTS_PER_NODE = 16
-SEED_OPERATOR_PORT = 9000  # the port under which seed nodes are listed; coordinators derive the internal one themselves
+SEED_OPERATOR_PORT = 9000  # port of the seed nodes in the settings; coordinators derive the internal port themselves
 
 
 def coordinator_settings(
--- a/hallhitch/lab/simulation/operation_history.py
+++ b/hallhitch/lab/simulation/operation_history.py
@@ -1,6 +1,7 @@
-"""The operation history of a run: what clients invoked, what processes observed, and what faults were active.
+"""The operation history of a run: the operations of clients, the observations of processes, and the active faults.
 
-Knows nothing of how the system works. Times are virtual seconds; an operation without a response has no completion.
+The history does not depend on how the system works. Times are virtual seconds. An operation without a response has no
+completion time.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class OperationKind(Enum):
-    """What an operator invokes; the value is the name of the call."""
+    """The calls that an operator invokes. The values are the names of the calls in the operators' protocol."""
 
     REPLACE_CONFIG = "config.replace"
     DESCRIBE_CONFIG = "config.describe"
@@ -27,13 +28,13 @@
     kind: OperationKind
     invoked_at_s: float
     config_version: int = -1
-    content: str = ""  # identifies the content of a configuration
+    content: str = ""  # tells configurations of the same version apart
     zone: str = ""
-    completed_at_s: float | None = None  # None: abandoned, or still in flight at the end of the run
+    completed_at_s: float | None = None  # None if it was abandoned or was in flight at the end of the run
     abandoned_at_s: float | None = None
     status: int = 0
-    is_superseded: bool = False  # acknowledged as older than the version that was committed when it came
-    committed_version: int = -1  # named by the acknowledgement
+    is_superseded: bool = False  # acknowledged, but a newer version had been committed before
+    committed_version: int = -1  # the version that the acknowledgement names
     attempts: int = 0
     lost_responses: int = 0
     is_final_read: bool = False
@@ -47,9 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """One state that a process came to know."""
+    """A replicated state that a process learned."""
 
-    process: str  # host and number of the start: one incarnation
+    process: str  # one incarnation, as host#number
     observed_at_s: float
     process_started_at_s: float
     serial: int
@@ -65,19 +66,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A closed interval of time."""
+    """A closed time interval."""
 
     begin_s: float
     end_s: float
 
     def overlaps(self, begin_s: float, end_s: float) -> bool:
-        """Whether it has a moment in common with another interval."""
+        """Whether it overlaps another closed interval."""
         return self.begin_s <= end_s and self.end_s >= begin_s
 
 
 @dataclass(frozen=True, slots=True)
 class MemberAddition:
-    """A machine that became a member, and whether it held the replicated state by then."""
+    """A machine that became a member, and whether it had the replicated state then."""
 
     host: str
     added_at_s: float
@@ -85,7 +86,7 @@
 
 
 class Invariant(StrEnum):
-    """What holds in every history; `invariants` has the checks."""
+    """The properties that every history must have; `invariants` has the checks."""
 
     DURABILITY = "acknowledged writes are durable"
     SINGLE_CONTENT = "one content per version"
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """An invariant that did not hold, and where."""
+    """A violated invariant and the events that violate it."""
 
     invariant: Invariant
     detail: str
@@ -115,13 +116,13 @@
 
 
 def violated_invariants(violations: Iterable[Violation]) -> frozenset[Invariant]:
-    """Return the invariants that did not hold."""
+    """Return the invariants that were violated."""
     return frozenset(violation.invariant for violation in violations)
 
 
 @dataclass(slots=True)
 class OperationHistory:
-    """Everything that was observed in one run. The first three fields are bounds of the settings."""
+    """All events that were recorded in one run. The first three fields are bounds from the settings."""
 
     config_apply_bound_s: float
     acknowledgement_bound_s: float
@@ -129,29 +130,29 @@
     operations: list[Operation] = field(default_factory=list)
     gateway_observations: list[Observation] = field(default_factory=list)
     coordinator_observations: list[Observation] = field(default_factory=list)
-    member_additions: list[MemberAddition] = field(default_factory=list)  # after the bootstrap
+    member_additions: list[MemberAddition] = field(default_factory=list)  # excluding the initial members
     gateway_lifetimes: dict[str, Interval] = field(default_factory=dict)  # by process
     gateway_pauses: dict[str, list[Interval]] = field(default_factory=dict)  # by host
     majority_losses: list[Interval] = field(default_factory=list)
-    fault_intervals: list[Interval] = field(default_factory=list)  # any fault, and the time to regain contact
-    converged_by_s: float = float("inf")  # the last fault and its effects are long over
+    fault_intervals: list[Interval] = field(default_factory=list)  # each fault, extended by the time to regain contact
+    converged_by_s: float = float("inf")  # well after the last fault and its effects
 
     @property
     def observations(self) -> list[Observation]:
-        """Those of gateways, then those of coordinators."""
+        """The observations of gateways, then those of coordinators."""
         return [*self.gateway_observations, *self.coordinator_observations]
 
     def operations_of(self, *kinds: OperationKind) -> list[Operation]:
-        """Return the operations of these kinds in the order of invocation."""
+        """Return the operations of these kinds in the order in which they were recorded."""
         return [operation for operation in self.operations if operation.kind in kinds]
 
-    def acknowledged_version_before(self, moment_s: float) -> int:
-        """Return the highest configuration version that was acknowledged before a moment, or -1."""
+    def acknowledged_version_before(self, time_s: float) -> int:
+        """Return the highest configuration version that was acknowledged before a virtual time, or -1 if none was."""
         return max(
             (
                 write.config_version
                 for write in self.operations_of(OperationKind.REPLACE_CONFIG)
-                if write.is_acknowledged and write.completed_at_s is not None and write.completed_at_s < moment_s
+                if write.is_acknowledged and write.completed_at_s is not None and write.completed_at_s < time_s
             ),
             default=-1,
         )
--- a/hallhitch/lab/simulation/operator_client.py
+++ b/hallhitch/lab/simulation/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls of operators over HTTP, one connection each, on a simulated process."""
+"""HTTP calls of operators from a simulated process, each on a new connection."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from hallhitch.lab.simulation.operation_history import Operation, OperationKind
 from hallhitch.lab.simulation.process_loop import ProcessLoop
 
-RESPONSE_TIMEOUT_S: Final = 1.0  # the operators' protocol: after it, they go on to another machine
-SUPERSEDED_OUTCOME: Final = "superseded"  # of an acknowledged write that a newer version came before
+RESPONSE_TIMEOUT_S: Final = 1.0  # operators' protocol: after this time they try another machine
+SUPERSEDED_OUTCOME: Final = "superseded"  # outcome of an acknowledged write if a newer version was committed before it
 
 
 class Response(NamedTuple):
-    """A response; status 0 where none came."""
+    """An HTTP response; status 0 stands for no response."""
 
     status: int
     body: bytes
@@ -24,7 +24,7 @@
 
 
 class _HttpCall(asyncio.Protocol):
-    """One HTTP request and its response on a connection of their own."""
+    """Receives the response to one HTTP request. The connection carries only this request."""
 
     def __init__(self) -> None:
         self.response: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
@@ -40,12 +40,12 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         if not self.response.done():
-            self.response.set_exception(ConnectionResetError("no answer"))
-            self.response.exception()  # nobody may be waiting any more
+            self.response.set_exception(ConnectionResetError("connection closed before the response was complete"))
+            self.response.exception()  # marks the exception as retrieved, as the caller may have timed out
 
 
 def encode_config(version: int, content: str, route_count: int = 1) -> bytes:
-    """Encode a configuration; `content` tells it from others of the same version."""
+    """Encode a configuration. `content` distinguishes it from others of the same version."""
     route = {
         "host": "a.example",
         "routeKind": "idempotent",
@@ -71,7 +71,7 @@
     body: bytes,
     timeout_s: float = RESPONSE_TIMEOUT_S,
 ) -> Response:
-    """Send an operation to one machine and return its response, or `NO_RESPONSE` after the time-out."""
+    """Send an operation to one machine and return its response, or `NO_RESPONSE` on a time-out or connection error."""
     target = f"/hallhitch/rpc?call={operation.kind.value}" + (f"&of={operation.zone}" if operation.zone else "")
     head = f"POST {target} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {len(body)}\r\n\r\n"
     transport: Any = None
@@ -90,15 +90,15 @@
 
 
 def record_response(operation: Operation, response: Response, completed_at_s: float) -> None:
-    """Complete an operation with its conclusive response."""
+    """Record the conclusive response that completes an operation."""
     operation.status = response.status
     operation.completed_at_s = completed_at_s
     if response.status != 200:
         return
-    answer = json.loads(response.body)
+    result = json.loads(response.body)
     if operation.kind is OperationKind.DESCRIBE_CONFIG:
-        operation.config_version = answer["configVersion"]
-        operation.content = answer["mark"]
+        operation.config_version = result["configVersion"]
+        operation.content = result["mark"]
     elif operation.kind is OperationKind.REPLACE_CONFIG:
-        operation.committed_version = answer["configVersion"]
-        operation.is_superseded = answer.get("outcome") == SUPERSEDED_OUTCOME
+        operation.committed_version = result["configVersion"]
+        operation.is_superseded = result.get("outcome") == SUPERSEDED_OUTCOME
--- a/hallhitch/lab/simulation/operator_workload.py
+++ b/hallhitch/lab/simulation/operator_workload.py
@@ -1,7 +1,7 @@
-"""The workload: operators that write and read configurations and evacuate zones, retrying as their protocol says.
+"""The workload: operators that write and read configurations, evacuate zones, and retry as their protocol requires.
 
-Each operation goes on to another machine after a time-out, until it gets a conclusive response. Times are virtual
-seconds. All randomness of one operator comes from a generator that its name seeds.
+An operation is retried on another machine until it gets a conclusive response. Times are virtual seconds. Each operator
+has a random generator of its own, which is seeded by its name.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 FIRST_BACKOFF_S: Final = 0.05
 MAX_BACKOFF_S: Final = 1.0
-MAX_WRITES_IN_FLIGHT: Final = 4  # of one operator; there are two operators
-CONCLUSIVE_STATUSES: Final = (409, 400, 412, 413, 422)  # the protocol: not to be retried
+MAX_WRITES_IN_FLIGHT: Final = 4  # per operator; there are two operators
+CONCLUSIVE_STATUSES: Final = (409, 400, 412, 413, 422)  # operators' protocol: these are not retried
 RETRYABLE_CLIENT_ERRORS: Final = (408, 429)
-MAX_ATTEMPTS_ON_CLIENT_ERROR: Final = 3  # the protocol: other 4xx are conclusive at the third attempt
-MAX_LOST_RESPONSES: Final = 2  # of one operation, so that each ends
-MEAN_WRITE_INTERVAL_S: Final = 0.7  # a run of 8 to 16 s has some ten writes of each operator
-BURST_RATIO: Final = 0.1  # of writes come as MAX_WRITES_IN_FLIGHT at once
+MAX_ATTEMPTS_ON_CLIENT_ERROR: Final = 3  # operators' protocol: other 4xx are conclusive at the third attempt
+MAX_LOST_RESPONSES: Final = 2  # per operation, so that every operation completes
+MEAN_WRITE_INTERVAL_S: Final = 0.7  # each operator makes some ten writes in a run of 8 to 16 s
+BURST_RATIO: Final = 0.1  # share of writes that are sent as a burst of MAX_WRITES_IN_FLIGHT
 
 
 class VersionSequence:
-    """The version numbers that all operators draw from."""
+    """The version numbers and contents that all operators share."""
 
     def __init__(self, rng: random.Random) -> None:
         self.newest = 0
@@ -43,20 +43,20 @@
         self._content_count = 0
 
     def next(self) -> int:
-        """Return a higher version; steps are uneven."""
+        """Return a higher version than before, with gaps of random size."""
         self.newest += self._rng.choice((1, 1, 2, 7))
         return self.newest
 
     def next_content(self) -> str:
-        """Return a content that nobody wrote before."""
+        """Return a content that no operator has written before."""
         self._content_count += 1
         return f"content-{self._content_count}"
 
 
 class SimulatedOperator:
-    """One operator of the coordinators that `list_machines` returns; `zone` is the one that it evacuates."""
+    """One operator, which calls the coordinators that `list_machines` returns and evacuates `zone`."""
 
-    def __init__(  # noqa: PLR0913  fields of one record
+    def __init__(  # noqa: PLR0913  all arguments are independent
         self,
         name: str,
         loop: ProcessLoop,
@@ -106,7 +106,7 @@
             await asyncio.wait(self._writes_in_flight)
 
     def _draw_write(self) -> tuple[int, str]:
-        """Return version and content of a write: mostly new; a race for a version; an older one; a repeated one."""
+        """Return version and content of a write: mostly new, sometimes conflicting, outdated or repeated."""
         draw = self._rng.random()
         if draw < 0.2:
             return self._versions.newest, self._versions.next_content()
@@ -144,7 +144,7 @@
         return operation
 
     async def _complete(self, operation: Operation, body: bytes, deadline_s: float) -> None:
-        """Retry until there is a conclusive response, or the deadline is over."""
+        """Retry until a conclusive response arrives or the deadline passes."""
         backoff_s = FIRST_BACKOFF_S
         machines: list[str] = []
         while self.loop.time() < deadline_s:
@@ -166,7 +166,7 @@
         return is_client_error and attempts >= MAX_ATTEMPTS_ON_CLIENT_ERROR
 
     async def _attempt(self, host: str, operation: Operation, body: bytes) -> Response:
-        """Send an attempt; its response may be lost on its way."""
+        """Send one attempt. Its response may be lost."""
         response = await send_attempt(self.loop, host, self._port, operation, body)
         may_be_lost = response.status and operation.lost_responses < MAX_LOST_RESPONSES
         if may_be_lost and self._rng.random() < self._schedule.response_loss_ratio:
--- a/hallhitch/lab/simulation/process_loop.py
+++ b/hallhitch/lab/simulation/process_loop.py
@@ -1,8 +1,9 @@
-"""One process in virtual time: an event loop of its own, stepped by the simulation.
+"""The event loop of one simulated process in virtual time, stepped by the simulation.
 
-A loop that is not stepped is a paused process: its timers and the bytes that reach it wait. When it is stepped again,
-asyncio itself runs what was ready before it looks at timers, as in service. A process that has ended is never stepped
-again, so that nothing of it runs any more: no `finally`, no last message.
+While a process is paused, the simulation does not step its loop: its timers and the bytes that reach it wait. When the
+loop is stepped again, asyncio runs the callbacks that were ready before it looks at timers, as it does in production.
+The loop of a process that has ended is only stepped to free its tasks: nothing that they still do, such as a `finally`
+block or a last message, has an effect outside the process.
 """
 
 from __future__ import annotations
@@ -15,23 +16,23 @@
 if TYPE_CHECKING:
     from hallhitch.lab.simulation.network import Network
 
-ITERATIONS_PER_STEP: Final = 20  # of one loop, before those of other processes at the same moment
-MAX_CLEANUP_STEPS: Final = 50  # a task may need several to unwind, and may start others while it does
+ITERATIONS_PER_STEP: Final = 20  # of one loop before other processes run at the same virtual time
+MAX_CLEANUP_STEPS: Final = 50  # a cancelled task may need several steps and may start other tasks meanwhile
 
 
-class _NoSelector:
-    """A selector without sockets: the simulation puts what arrives on the loop."""
+class _SocketlessSelector:
+    """A selector without sockets: the simulation schedules incoming data on the loop itself."""
 
     def select(self, timeout: float | None) -> list[Any]:
         return []
 
 
 class ProcessLoop(asyncio.BaseEventLoop):
-    """The event loop of one process on the machine `host`. `clock` returns virtual seconds."""
+    """The event loop of one process on the machine `host`. `clock` returns the virtual time in seconds."""
 
     def __init__(self, clock: Callable[[], float], network: Network, host: str) -> None:
         super().__init__()
-        self._selector = _NoSelector()
+        self._selector = _SocketlessSelector()
         self._clock = clock
         self.network = network
         self.host = host
@@ -44,15 +45,15 @@
         pass
 
     def time(self) -> float:
-        """Return virtual seconds."""
+        """Return the virtual time in seconds."""
         return self._clock()
 
     def now_ms(self) -> float:
-        """Return steady ms."""
+        """Return the virtual time in ms."""
         return self.time() * 1000
 
     def next_step_at_s(self) -> float:
-        """Return when this process has something to do; infinite where it is paused or has ended."""
+        """Return the time of the next step of this process, or infinity if it is idle, paused or has ended."""
         if self.is_paused or self.has_ended:
             return float("inf")
         if self._ready:  # type: ignore[attr-defined]
@@ -61,7 +62,7 @@
         return float(timers[0]._when) if timers else float("inf")
 
     def step(self) -> None:
-        """Run what is ready, the timers that are due, and what follows from both at this moment."""
+        """Run the ready callbacks, the timers that are due, and the callbacks that these schedule for the same time."""
         asyncio._set_running_loop(self)
         try:
             for _ in range(ITERATIONS_PER_STEP):
@@ -72,7 +73,7 @@
             asyncio._set_running_loop(None)
 
     def spawn(self, main: Coroutine[Any, Any, Any]) -> None:
-        """Start a task of this process; it runs until it returns or the process ends."""
+        """Start a task of this process. It runs until it returns or the process ends."""
 
         def start() -> None:
             task = self.create_task(main)
@@ -81,7 +82,7 @@
         self.call_soon(start)
 
     def terminate(self) -> None:
-        """End the process. Its tasks are unwound only to free them: nothing they do reaches anybody."""
+        """End the process. Its tasks are cancelled only to free them: nothing that they do reaches another process."""
         self.has_ended = True
         for _ in range(MAX_CLEANUP_STEPS):
             tasks = asyncio.all_tasks(self)
@@ -101,20 +102,20 @@
         if not self.has_ended:
             self.unhandled_errors.append(str(context.get("exception") or context.get("message")))
 
-    # --- Sockets, as asyncio's streams and protocols ask for them.
+    # --- Sockets, through the methods that asyncio's streams and protocols call.
 
     async def create_server(  # type: ignore[override]
         self, factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        """Listen on this machine."""
+        """Listen on a port of this machine."""
         return self.network.listen(self, int(port), factory)
 
     async def create_connection(  # type: ignore[override]
         self, factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        """Connect to another machine; never returns while no packet gets through.
+        """Connect to another machine. Retries without end while the machine cannot be reached.
 
         Raises:
-            ConnectionRefusedError: Nobody listens there.
+            ConnectionRefusedError: No process listens on that port.
         """
         return await self.network.connect(self, str(host), int(port), factory)
--- a/hallhitch/lab/simulation/schedule.py
+++ b/hallhitch/lab/simulation/schedule.py
@@ -1,7 +1,7 @@
-"""The schedule of a simulated run, and how it is drawn from a seed.
+"""The schedule of a simulated run, and the function that draws it from a seed.
 
-Invariant: no drawn schedule loses more machines at once than the settings tolerate. A machine is lost from the start of
-its fault until `catch_up_s` after its end.
+Invariant: no drawn schedule loses more machines at once than the settings tolerate. A machine counts as lost from the
+start of its fault until `catch_up_s` after the end of the fault.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A whole run: everything in it follows from this value."""
+    """The parameters that determine a run completely."""
 
     seed: int
     tolerated_losses: int
     initial_coordinators: int
     gateways: int
     faults: tuple[Fault, ...]
-    duration_s: float  # in which operators send operations and faults start
+    duration_s: float  # the time during which operators send operations and faults start
     link_delay_ms: float = 2.0  # mean, one way
-    catch_up_s: float = 5.0  # as in the settings
-    response_loss_ratio: float = 0.1  # of responses to operators
+    catch_up_s: float = 5.0  # replaces `catch_up_ms` of the node settings
+    response_loss_ratio: float = 0.1  # share of the responses to operators that are lost
     operation_rate_factor: float = 1.0
 
     def __str__(self) -> str:
@@ -44,12 +44,12 @@
         return "\n".join([summary, *(f"  {fault}" for fault in self.faults)])
 
     def with_faults(self, faults: tuple[Fault, ...]) -> Schedule:
-        """Return the same run with these faults."""
+        """Return a copy of the schedule with these faults."""
         return replace(self, faults=faults)
 
 
-# A kind that is repeated is drawn more often. The order is part of what a seed means.
-DRAWN_KINDS: Final = (
+# A kind that is repeated is drawn more often. Reordering the entries changes the schedule of every seed.
+WEIGHTED_FAULT_KINDS: Final = (
     *[FaultKind.PARTITION] * 5,
     *[FaultKind.PAUSE] * 3,
     *[FaultKind.KILL] * 2,
@@ -63,12 +63,12 @@
     *[FaultKind.GATEWAY_RESTART] * 3,
     FaultKind.GATEWAY_PAUSE,
 )
-SINGLE_FAULT_RATIO: Final = 0.95  # of drawn faults; the rest are cluster-wide
-FIRST_FAULT_AT_S: Final = 2.5  # after the bootstrap, so that a majority has formed
+SINGLE_MACHINE_FAULT_RATIO: Final = 0.95  # share of the drawn faults; the rest are cluster-wide
+FIRST_FAULT_AT_S: Final = 2.5  # after the bootstrap, when a majority has formed
 
 
 def draw_schedule(seed: int, *, initial_coordinators: int | None = None) -> Schedule:
-    """Draw the schedule of a seed."""
+    """Draw the schedule that a seed determines."""
     rng = random.Random(f"faults {seed}")
     initial_coordinators = initial_coordinators or rng.choice((3, 3, 3, 5))
     duration_s = rng.uniform(8.0, 16.0)
@@ -96,7 +96,11 @@
 
 
 def _draw_fault(rng: random.Random, schedule: Schedule) -> Fault:
-    kind = rng.choice(DRAWN_KINDS) if rng.random() < SINGLE_FAULT_RATIO else rng.choice(CLUSTER_WIDE_FAULTS)
+    kind = (
+        rng.choice(WEIGHTED_FAULT_KINDS)
+        if rng.random() < SINGLE_MACHINE_FAULT_RATIO
+        else rng.choice(CLUSTER_WIDE_FAULTS)
+    )
     duration_s = rng.choice((0.3, 1.0, 3.0, 3.0, 6.0, 12.0, 18.0)) * rng.uniform(0.7, 1.3)
     return Fault(
         kind,
@@ -109,20 +113,20 @@
 
 
 def is_tolerable(faults: list[Fault], schedule: Schedule) -> bool:
-    """Whether at no moment more machines are lost than is tolerated; a cluster-wide fault keeps apart from all others.
+    """Whether no more machines than tolerated are lost at once, and no cluster-wide fault overlaps another fault.
 
-    Disks survive a cluster-wide fault, so that it counts as no loss of its own.
+    A cluster-wide fault does not count as a loss, because the disks survive it.
     """
-    counted = [fault for fault in faults if fault.kind not in GATEWAY_FAULTS]
-    single = [fault for fault in counted if fault.kind not in CLUSTER_WIDE_FAULTS]
-    cluster_wide = [fault for fault in counted if fault.kind in CLUSTER_WIDE_FAULTS]
+    coordinator_faults = [fault for fault in faults if fault.kind not in GATEWAY_FAULTS]
+    single_machine_faults = [fault for fault in coordinator_faults if fault.kind not in CLUSTER_WIDE_FAULTS]
+    cluster_wide_faults = [fault for fault in coordinator_faults if fault.kind in CLUSTER_WIDE_FAULTS]
 
-    def active_at(fault: Fault, moment_s: float) -> bool:
-        return fault.starts_at_s <= moment_s <= fault.recovered_at_s(schedule.catch_up_s)
+    def is_active_at(fault: Fault, time_s: float) -> bool:
+        return fault.starts_at_s <= time_s <= fault.recovered_at_s(schedule.catch_up_s)
 
-    for fault in [*single, *cluster_wide]:
-        moment_s = fault.starts_at_s
-        lost = [candidate for candidate in single if active_at(candidate, moment_s)]
+    for fault in [*single_machine_faults, *cluster_wide_faults]:
+        time_s = fault.starts_at_s
+        lost = [candidate for candidate in single_machine_faults if is_active_at(candidate, time_s)]
         if len({candidate.slot for candidate in lost}) < len(lost):
             return False
         if fault.kind in CLUSTER_WIDE_FAULTS:
@@ -130,6 +134,6 @@
                 return False
         elif len(lost) > schedule.tolerated_losses:
             return False
-        if any(candidate is not fault and active_at(candidate, moment_s) for candidate in cluster_wide):
+        if any(candidate is not fault and is_active_at(candidate, time_s) for candidate in cluster_wide_faults):
             return False
     return True
--- a/hallhitch/lab/simulation/schedule_check.py
+++ b/hallhitch/lab/simulation/schedule_check.py
@@ -1,4 +1,4 @@
-"""Run a schedule, judge it, and shrink it before a failure is reported."""
+"""Runs a schedule, checks the invariants, and shrinks a failing schedule before it is reported."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from hallhitch.lab.simulation.shrink import shrink_schedule
 from hallhitch.lab.simulation.simulation import run_schedule
 
-MAX_REPORTED_VIOLATIONS: Final = 6  # one fault often breaks an invariant again and again
+MAX_REPORTED_VIOLATIONS: Final = 6  # one fault often violates an invariant many times
 
 
-class InvariantsViolated(AssertionError):  # noqa: N818  named for the event, as callers read it
-    """A schedule violates an invariant."""
+class InvariantsViolated(AssertionError):  # noqa: N818  the name describes the event
+    """A run of a schedule violated invariants. The message has the schedule and the first violations."""
 
     def __init__(self, schedule: Schedule, violations: list[Violation]) -> None:
         self.schedule = schedule
@@ -23,10 +23,10 @@
 
 
 def check_schedule(schedule: Schedule) -> None:
-    """Run a schedule.
+    """Run a schedule and check the invariants.
 
     Raises:
-        InvariantsViolated: An invariant does not hold; carries the smallest failing schedule that was met.
+        InvariantsViolated: An invariant does not hold. Has the smallest failing schedule that was found.
     """
     violations = run_schedule(schedule)
     if not violations:
--- a/hallhitch/lab/simulation/simulation.py
+++ b/hallhitch/lab/simulation/simulation.py
@@ -1,10 +1,10 @@
-"""The control plane in virtual time: coordinators as in service, gateways that follow, operators, faults.
+"""Simulation of the control plane in virtual time: production coordinators, gateways, operators and faults.
 
-Each process has an event loop of its own (`process_loop`); links and HTTP run over simulated TCP (`network`); data
-directories are simulated disks (`simulated_disk`). Invariant: everything in a run follows from its schedule, so that
-the same schedule gives the same operation history. Times are virtual seconds.
+Each process has an event loop of its own (`process_loop`). Links between peers and HTTP run over simulated TCP
+(`network`), and data directories are simulated disks (`simulated_disk`). Invariant: the schedule determines the run
+completely, so that the same schedule produces the same operation history. Times are virtual seconds.
 
-The names of hosts and operators seed their generators: another name is another run of the same seed.
+The names of hosts and operators seed their random generators: renaming one changes the run of every seed.
 """
 
 from __future__ import annotations
@@ -42,25 +42,25 @@
 CLUSTER_NAME: Final = "simulated"
 EVACUATED_ZONE_BY_OPERATOR: Final = {"one": "viti-a", "two": "viti-b"}
 MAX_SEEDS: Final = 3
-START_SPREAD_S: Final = 0.3  # in which all machines start at first
-COORDINATOR_LIST_LAG_S: Final = 3.0  # of the list that operators and newly written settings have
-QUIET_PERIOD_S: Final = 11.0  # after the last fault until all must agree; longer than any bound of the settings
+START_SPREAD_S: Final = 0.3  # window of the first starts of all machines
+COORDINATOR_LIST_LAG_S: Final = 3.0  # age of the list that operators and the settings of later starts use
+QUIET_PERIOD_S: Final = 11.0  # between the last fault and the final reads; longer than any bound of the settings
 FINAL_READ_POLL_S: Final = 0.2
-FINAL_READ_MARGIN_S: Final = 1.0  # beyond the bound of an acknowledgement
-MAX_STEPS: Final = 2_000_000  # far above any run that ends
+FINAL_READ_MARGIN_S: Final = 1.0  # added to the bound on an acknowledgement
+MAX_STEPS: Final = 2_000_000  # far more than any run that terminates
 
-Plan = Callable[["Simulation"], float]  # schedules what happens and returns the second at which it is over
+Plan = Callable[["Simulation"], float]  # schedules operations and faults and returns when the last of them ends
 
 
 class EndlessRunError(RuntimeError):
-    """A run took more steps than any run that ends."""
+    """A run took more than `MAX_STEPS` steps."""
 
     def __init__(self, schedule: Schedule, now_s: float) -> None:
-        super().__init__(f"the run does not get past virtual second {now_s:.3f}: {schedule}")
+        super().__init__(f"the run did not get past virtual second {now_s:.3f}: {schedule}")
 
 
 class Simulation:
-    """All machines, operators and what happens to them."""
+    """All machines and operators of one run, and its recorded history."""
 
     def __init__(self, schedule: Schedule) -> None:
         self.schedule = schedule
@@ -71,35 +71,35 @@
             acknowledgement_bound_s=bounds.ack_timeout_ms / 1000,
             contact_window_s=bounds.contact_window_ms / 1000,
         )
-        self.unhandled_errors: list[str] = []  # of processes that have ended
+        self.unhandled_errors: list[str] = []  # of processes that have ended already
         initial_hosts = [f"10.0.0.{number}" for number in range(1, schedule.initial_coordinators + 1)]
         self.seed_hosts = tuple(initial_hosts[:MAX_SEEDS])
         self.coordinator_slots = [SimulatedCoordinator(self, host) for host in initial_hosts]
         self.gateways = [SimulatedGateway(self, f"10.0.1.{number}") for number in range(1, schedule.gateways + 1)]
-        self.coordinators = {machine.host: machine for machine in self.coordinator_slots}  # removed ones, too
+        self.coordinators = {machine.host: machine for machine in self.coordinator_slots}  # including removed ones
         self.machines: dict[str, SimulatedMachine] = {
             machine.host: machine for machine in [*self.coordinator_slots, *self.gateways]
         }
         self.operators: list[SimulatedOperator] = []
         self._external_loops: list[ProcessLoop] = []
         self._known_member_hosts = set(initial_hosts)
-        self._coordinator_lists: list[tuple[float, list[str]]] = []  # (since when, hosts)
+        self._coordinator_lists: list[tuple[float, list[str]]] = []  # (valid since, hosts)
         self.record_coordinator_list()
 
-    # --- What processes and operators know.
+    # --- Settings and member lists of processes and operators.
 
-    def coordinator_node(self, host: str, is_first_start: bool) -> NodeSettings:
+    def coordinator_node_settings(self, host: str, is_first_start: bool) -> NodeSettings:
         """Return the settings of a coordinator."""
         return replace(
-            self._node(host, is_first_start),
+            self._common_node_settings(host, is_first_start),
             cluster_name=CLUSTER_NAME,
             listen_addresses={"controlPlane": (host, OPERATOR_PORT)},
         )
 
-    def gateway_node(self, host: str, is_first_start: bool) -> NodeSettings:
+    def gateway_node_settings(self, host: str, is_first_start: bool) -> NodeSettings:
         """Return the settings of a gateway."""
         return replace(
-            self._node(host, is_first_start),
+            self._common_node_settings(host, is_first_start),
             cluster_name=CLUSTER_NAME,
             role="gateway",
             machine_class="edge",
@@ -107,8 +107,8 @@
             serves=frozenset(),
         )
 
-    def _node(self, host: str, is_first_start: bool) -> NodeSettings:
-        # The settings of a later start were written from a list that lags.
+    def _common_node_settings(self, host: str, is_first_start: bool) -> NodeSettings:
+        # The settings of a later start were written from an outdated list of coordinators.
         hosts = self.seed_hosts if is_first_start else self.listed_coordinators()[: len(self.seed_hosts)]
         seed_addresses = tuple(f"{seed_host}:{INTERNAL_PORT}" for seed_host in hosts)
         node = coordinator_settings(
@@ -117,27 +117,27 @@
         return replace(node, bounds=replace(node.bounds, catch_up_ms=self.schedule.catch_up_s * 1000))
 
     def record_coordinator_list(self) -> None:
-        """Note that the machines of the slots have changed."""
+        """Record the current machines of the slots in the operators' list."""
         hosts = [machine.host for machine in self.coordinator_slots]
         self._coordinator_lists.append((self.network.now_s, hosts))
 
     def listed_coordinators(self) -> list[str]:
-        """Return the coordinators as the operators' list has them, which lags."""
-        written_at_s = self.network.now_s - COORDINATOR_LIST_LAG_S
-        for since_s, hosts in reversed(self._coordinator_lists):
-            if since_s <= written_at_s:
+        """Return the coordinators of the operators' list, which is `COORDINATOR_LIST_LAG_S` old."""
+        list_time_s = self.network.now_s - COORDINATOR_LIST_LAG_S
+        for valid_since_s, hosts in reversed(self._coordinator_lists):
+            if valid_since_s <= list_time_s:
                 return hosts
         return self._coordinator_lists[0][1]
 
     def record_members(self, program: CoordinatorProgram) -> None:
-        """Record who has become a member with the newest state of a coordinator."""
+        """Record each host that becomes a member with the newest state of a coordinator."""
         for address in program._control.committed_state.members:
             host = address.partition(":")[0]
             if host in self._known_member_hosts:
                 continue
             self._known_member_hosts.add(host)
-            newcomer = self.coordinators[host].program
-            has_state = newcomer is not None and not newcomer._control._acceptor.state.is_recovering
+            new_member = self.coordinators[host].program
+            has_state = new_member is not None and not new_member._control._acceptor.state.is_recovering
             self.history.member_additions.append(MemberAddition(host, self.network.now_s, has_state))
 
     def add_coordinator(self, host: str) -> SimulatedCoordinator:
@@ -147,7 +147,7 @@
         return machine
 
     def add_external_process(self, host: str) -> ProcessLoop:
-        """Add a process that no fault strikes."""
+        """Add a process that is not subject to faults."""
         loop = ProcessLoop(lambda: self.network.now_s, self.network, host)
         self._external_loops.append(loop)
         return loop
@@ -155,16 +155,16 @@
     # --- The run.
 
     def run(self, plan: Plan | None = None) -> list[Violation]:
-        """Run from the bootstrap to the final reads, and return what did not hold.
+        """Run from the bootstrap to the final reads, and return the violated invariants.
 
-        A plan takes the place of the schedule's operations and faults.
+        If a plan is given, it replaces the schedule's operations and faults.
         """
         with virtual_node_clock(self.network):
             try:
                 self._bootstrap()
-                over_at_s = (plan or Simulation._start_schedule)(self)
-                self.run_until(over_at_s + QUIET_PERIOD_S)
-                self.history.converged_by_s = over_at_s + QUIET_PERIOD_S
+                activity_end_s = (plan or Simulation._start_schedule)(self)
+                self.run_until(activity_end_s + QUIET_PERIOD_S)
+                self.history.converged_by_s = activity_end_s + QUIET_PERIOD_S
                 self._read_back()
                 return find_violations(self.history) + self._unhandled_error_violations()
             finally:
@@ -187,7 +187,7 @@
             )
 
     def _start_schedule(self) -> float:
-        """Start the schedule's workload and faults; return when the last of both is over."""
+        """Start the schedule's workload and faults, and return when both have ended."""
         schedule, history = self.schedule, self.history
         for operator in self.operators:
             operator.loop.spawn(operator.run())
@@ -200,14 +200,14 @@
         return max([schedule.duration_s, *(fault.ends_at_s for fault in schedule.faults)])
 
     def _read_back(self) -> None:
-        """Run the final read of each operator."""
+        """Run the final read of each operator until all have completed or the deadline passes."""
         for operator in self.operators:
             operator.loop.spawn(operator.read_back())
         deadline_s = self.network.now_s + self.history.acknowledgement_bound_s + FINAL_READ_MARGIN_S
-        while self._is_reading_back() and self.network.now_s < deadline_s:
+        while self._has_pending_final_reads() and self.network.now_s < deadline_s:
             self.run_until(self.network.now_s + FINAL_READ_POLL_S)
 
-    def _is_reading_back(self) -> bool:
+    def _has_pending_final_reads(self) -> bool:
         completed = sum(
             operation.is_final_read and operation.completed_at_s is not None for operation in self.history.operations
         )
@@ -221,13 +221,13 @@
         ]
         return [Violation(Invariant.NO_UNHANDLED_ERROR, error) for error in errors]
 
-    def run_until(self, moment_s: float) -> None:
-        """Run all processes and kernels up to a virtual second.
+    def run_until(self, end_s: float) -> None:
+        """Run all processes and network events up to a virtual time.
 
-        At one moment kernels come before processes, and processes in the order in which they were added.
+        At the same time network events run before processes, and processes in the order in which they were added.
 
         Raises:
-            EndlessRunError: The run does not get there.
+            EndlessRunError: The run did not reach this time within `MAX_STEPS` steps.
         """
         network = self.network
         for _ in range(MAX_STEPS):
@@ -237,8 +237,8 @@
                 step_at_s = loop.next_step_at_s()
                 if step_at_s < next_at_s:
                     next_at_s, next_loop = step_at_s, loop
-            if next_at_s > moment_s:
-                network.now_s = moment_s
+            if next_at_s > end_s:
+                network.now_s = end_s
                 return
             network.now_s = max(network.now_s, next_at_s)
             if next_loop is None:
@@ -250,16 +250,16 @@
 
 @contextmanager
 def virtual_node_clock(network: Network) -> Iterator[None]:
-    """Let `hallhitch.node.clock.now` return virtual time, also for parts that are given no clock."""
-    names = vars(node_clock)
-    real_time = names["time"]
-    names["time"] = SimpleNamespace(monotonic=lambda: network.now_s)
+    """Make `hallhitch.node.clock.now` return virtual time, for components that are not given a clock."""
+    clock_globals = vars(node_clock)
+    real_time_module = clock_globals["time"]
+    clock_globals["time"] = SimpleNamespace(monotonic=lambda: network.now_s)
     try:
         yield
     finally:
-        names["time"] = real_time
+        clock_globals["time"] = real_time_module
 
 
 def run_schedule(schedule: Schedule) -> list[Violation]:
-    """Run a schedule and return what did not hold."""
+    """Run a schedule and return the violated invariants."""
     return Simulation(schedule).run()
--- a/hallhitch/lab/simulation/transport.py
+++ b/hallhitch/lab/simulation/transport.py
@@ -1,4 +1,4 @@
-"""One end of a simulated TCP connection, as asyncio and its machine's kernel see it."""
+"""One end of a simulated TCP connection: its asyncio transport and the state that the kernel of its machine keeps."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Segment:
-    """Bytes in flight, or the end of a connection (`data` is None)."""
+    """Bytes in flight, or the close of a connection (`data` is None)."""
 
     __slots__ = ("data", "is_acknowledged", "written_at_s")
 
@@ -24,7 +24,7 @@
 class SimulatedTransport(asyncio.Transport):
     """One end of a connection of a process.
 
-    What arrived before the end of the connection is read before the end is reported.
+    Data that arrived before the close of the connection is delivered before `connection_lost` is called.
     """
 
     def __init__(self, network: Network, loop: ProcessLoop, peer_name: str) -> None:
@@ -34,67 +34,67 @@
         self.peer_name = peer_name
         self.protocol: Any = None
         self.peer: SimulatedTransport | None = None  # the opposite end
-        self.is_closed = False  # for writing
-        self.is_lost = False  # for reading, too
-        self.last_arrival_s = 0.0  # of the newest segment towards the peer
-        self.held_segments: list[Segment] = []  # stopped by a partition on the way to the peer
-        self._is_end_reported = False
+        self.is_closed = False  # nothing more can be written
+        self.is_lost = False  # nothing more can be read either
+        self.last_arrival_s = 0.0  # virtual time at which the newest segment reaches the peer
+        self.held_segments: list[Segment] = []  # segments to the peer that a partition holds back
+        self._is_loss_reported = False
         network.transports.add(self)
 
-    # --- asyncio's side.
+    # --- Called by asyncio.
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Return the peer's name; nothing else is known."""
+        """Return the peer's name, or `default` for all other information."""
         return self.peer_name if name == "peername" else default
 
     def is_closing(self) -> bool:
-        """Whether nothing may be written any more."""
+        """Whether the transport is closed for writing."""
         return self.is_closed
 
     def get_write_buffer_size(self) -> int:
-        """Return 0: everything is handed to the kernel at once."""
+        """Return 0: all bytes are passed to the kernel at once."""
         return 0
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Ignore the limits: nothing is buffered here."""
+        """Ignore the limits: the transport buffers nothing."""
 
     def write(self, data: Any) -> None:
-        """Hand bytes to the kernel."""
+        """Pass bytes to the kernel."""
         if not self.is_closed and not self.loop.has_ended:
             self.network.send(self, bytes(data))
 
     def close(self) -> None:
-        """Close; the peer reads what was written, then the end."""
+        """Close the connection. The peer reads everything that was written, then the close."""
         self.abort()
 
     def abort(self) -> None:
-        """Close; what was written is on its way already."""
+        """Close the connection. Bytes that were written before remain in flight."""
         if not self.is_closed and not self.loop.has_ended:
             self.network.send(self, None)
             self.lose_connection(None)
 
-    # --- The kernel's side.
+    # --- Called by the network, in the place of the kernel.
 
     def lose_connection(self, error: Exception | None) -> None:
-        """End the connection at this end."""
+        """End the connection at this end and report the loss to the protocol."""
         if self.is_lost:
             return
         self.is_closed = self.is_lost = True
         self.network.transports.discard(self)
         if not self.loop.has_ended:
-            self.loop.call_soon(self._report_end, error)
+            self.loop.call_soon(self._report_loss, error)
 
     def receive(self, segment: Segment) -> None:
-        """Take a segment that has reached this machine."""
+        """Handle a segment that has reached this machine."""
         if segment.data is None:
             self.lose_connection(None)
         elif not self.loop.has_ended:
             self.loop.call_soon(self._deliver, segment.data)
 
-    def _report_end(self, error: Exception | None) -> None:
-        self._is_end_reported = True
+    def _report_loss(self, error: Exception | None) -> None:
+        self._is_loss_reported = True
         self.protocol.connection_lost(error)
 
     def _deliver(self, data: bytes) -> None:
-        if not self._is_end_reported:
+        if not self._is_loss_reported:
             self.protocol.data_received(data)
--- a/hallhitch/lab/simulation/virtual_time.py
+++ b/hallhitch/lab/simulation/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop in virtual time: its clock jumps to the next timer."""
+"""An event loop in virtual time: instead of blocking, it advances its clock to the next timer."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from typing import Any
 
 
-class SimulationDeadlock(RuntimeError):  # noqa: N818  named for the event, as callers read it
-    """Every task waits, no timer is set, and nothing can arrive."""
+class SimulationDeadlock(RuntimeError):  # noqa: N818  the name describes the event
+    """All tasks are waiting, no timer is set, and no input can arrive."""
 
     def __init__(self, at_s: float) -> None:
-        super().__init__(f"deadlock at virtual second {at_s:.3f}: every task waits and no timer is set")
+        super().__init__(f"deadlock at virtual second {at_s:.3f}: all tasks are waiting and no timer is set")
         self.at_s = at_s
 
 
 class _ClockAdvancingSelector(selectors.DefaultSelector):
-    """Advances the clock by the time for which the loop would block."""
+    """Advances the clock by the time for which the loop would have blocked."""
 
     def __init__(self, now_s: float) -> None:
         super().__init__()
@@ -32,18 +32,18 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop that never blocks; virtual time begins at `start_s`."""
+    """An event loop that never blocks. Its virtual clock starts at `start_s`."""
 
     def __init__(self, start_s: float = 0.0) -> None:
         self._clock_selector = _ClockAdvancingSelector(start_s)
         super().__init__(self._clock_selector)
 
     def time(self) -> float:
-        """Return virtual seconds."""
+        """Return the virtual time in seconds."""
         return self._clock_selector.now_s
 
     def now(self) -> float:
-        """Return steady ms, as `hallhitch.node.clock.now` does."""
+        """Return the virtual time in ms, the unit of `hallhitch.node.clock.now`."""
         return self._clock_selector.now_s * 1000
 
     def suspend(self, seconds: float) -> None:
@@ -52,7 +52,7 @@
 
 
 def close_loop(loop: VirtualLoop) -> None:
-    """Cancel what still runs on the loop and close it."""
+    """Cancel the remaining tasks of the loop and close it."""
     for task in asyncio.all_tasks(loop):
         task.cancel()
     loop.run_until_complete(asyncio.sleep(0))
