--- a/tests/system/simulation/scenario_plan.py
+++ b/tests/system/simulation/scenario_plan.py
@@ -1,4 +1,4 @@
-"""Plans of runs message by message: which operation, fault or change of members happens at which virtual second."""
+"""Builder for scenarios: schedules operations, faults and membership changes at given virtual times, in seconds."""
 
 from __future__ import annotations
 
@@ -23,36 +23,36 @@
 from hallhitch.planes.control.membership import Membership
 
 MEMBERSHIP_CHANGE_TIMEOUT_MS: Final = 800.0
-EXTRA_TIMEOUT_S_PER_ROUTE: Final = 0.001  # a big configuration is waited for longer
-Scenario = Callable[["ScenarioPlan"], float]  # plans what happens and returns the second at which it is over
+EXTRA_TIMEOUT_S_PER_ROUTE: Final = 0.001  # a large configuration takes longer to process
+Scenario = Callable[["ScenarioPlan"], float]  # schedules the events and returns when the last of them ends
 
 
 class ScenarioPlan:
-    """What happens in a simulation, at which virtual second."""
+    """Schedules the events of a scenario in a simulation. `at_s` is the virtual time of an event."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
         self._partitions: dict[tuple[str, str], Partition] = {}
-        self._caller_count = 0
+        self._client_count = 0
 
-    def at(self, moment_s: float, action: Callable[[], None]) -> None:
-        """Run an action."""
-        self.simulation.network.call_at(moment_s, action)
+    def at(self, at_s: float, action: Callable[[], None]) -> None:
+        """Run an action at a virtual time."""
+        self.simulation.network.call_at(at_s, action)
 
     def invoke(
         self,
-        moment_s: float,
+        at_s: float,
         machine: SimulatedMachine,
         kind: OperationKind,
         version: int = -1,
         zone: str = "",
         routes: int = 1,
     ) -> Operation:
-        """Send a single attempt of an operation from a client of its own."""
-        self._caller_count += 1
-        loop = self.simulation.add_external_process(f"caller-{self._caller_count}")
+        """Send a single attempt of an operation from a new client."""
+        self._client_count += 1
+        loop = self.simulation.add_external_process(f"caller-{self._client_count}")
         content = f"content-{version}" if version >= 0 else ""
-        operation = Operation(loop.host, kind, moment_s, version, content, zone, is_single_attempt=True)
+        operation = Operation(loop.host, kind, at_s, version, content, zone, is_single_attempt=True)
         self.simulation.history.operations.append(operation)
         body = encode_config(version, content, routes) if version >= 0 else b""
         timeout_s = RESPONSE_TIMEOUT_S + EXTRA_TIMEOUT_S_PER_ROUTE * routes
@@ -62,22 +62,22 @@
             if response.status == 200 or 400 <= response.status < 500:
                 record_response(operation, response, loop.time())
 
-        self.at(moment_s, lambda: loop.spawn(send()))
+        self.at(at_s, lambda: loop.spawn(send()))
         return operation
 
-    def start_spare(self, moment_s: float) -> SimulatedCoordinator:
-        """Start one more coordinator machine."""
+    def start_spare(self, at_s: float) -> SimulatedCoordinator:
+        """Add a coordinator machine and start it."""
         machine = self.simulation.add_coordinator(f"10.0.3.{len(self.simulation.machines)}")
-        self.at(moment_s, machine.start)
+        self.at(at_s, machine.start)
         return machine
 
     def change_members(
-        self, moment_s: float, proposer: SimulatedCoordinator, members: Iterable[SimulatedCoordinator]
+        self, at_s: float, proposer: SimulatedCoordinator, members: Iterable[SimulatedCoordinator]
     ) -> None:
-        """Let a coordinator propose a change of members."""
+        """Make a coordinator propose a membership change."""
         addresses = [f"{machine.host}:{INTERNAL_PORT}" for machine in members]
 
-        async def change() -> None:
+        async def propose_change() -> None:
             assert proposer.program is not None
             control = proposer.program._control
             with suppress(PeerCallError):
@@ -86,47 +86,51 @@
                     MEMBERSHIP_CHANGE_TIMEOUT_MS,
                 )
 
-        self.at(moment_s, lambda: proposer.loop.spawn(change()) if proposer.loop is not None else None)
+        self.at(at_s, lambda: proposer.loop.spawn(propose_change()) if proposer.loop is not None else None)
 
-    def set_disk_slowdown(self, moment_s: float, machine: SimulatedMachine, slowdown: float) -> None:
-        """Let the jobs of a disk take so many times as long."""
-        self.at(moment_s, lambda: setattr(machine.disk, "slowdown", slowdown))
+    def set_disk_slowdown(self, at_s: float, machine: SimulatedMachine, slowdown: float) -> None:
+        """Multiply the duration of the jobs of a disk by a factor."""
+        self.at(at_s, lambda: setattr(machine.disk, "slowdown", slowdown))
 
-    def set_disk_full(self, moment_s: float, machine: SimulatedMachine, is_full: bool) -> None:
-        """Let a disk refuse all writes, or accept them again."""
-        self.at(moment_s, lambda: setattr(machine.disk, "is_full", is_full))
+    def set_disk_full(self, at_s: float, machine: SimulatedMachine, is_full: bool) -> None:
+        """Make all writes to a disk fail, or succeed again."""
+        self.at(at_s, lambda: setattr(machine.disk, "is_full", is_full))
 
-    def pause(self, moment_s: float, machine: SimulatedMachine) -> None:
+    def pause(self, at_s: float, machine: SimulatedMachine) -> None:
         """Pause the process of a machine."""
-        self.at(moment_s, lambda: machine.set_paused(True))
+        self.at(at_s, lambda: machine.set_paused(True))
 
-    def resume(self, moment_s: float, machine: SimulatedMachine) -> None:
+    def resume(self, at_s: float, machine: SimulatedMachine) -> None:
         """Resume the process of a machine."""
-        self.at(moment_s, lambda: machine.set_paused(False))
+        self.at(at_s, lambda: machine.set_paused(False))
 
-    def remove(self, moment_s: float, machine: SimulatedCoordinator) -> None:
-        """Let a machine leave in order, for good."""
-        self.at(moment_s, lambda: setattr(machine, "is_removed", True))
-        self.at(moment_s, machine.terminate)
+    def remove(self, at_s: float, machine: SimulatedCoordinator) -> None:
+        """Remove a machine for good with a graceful shutdown."""
+        self.at(at_s, lambda: setattr(machine, "is_removed", True))
+        self.at(at_s, machine.terminate)
 
-    def block(self, moment_s: float, sources: Iterable[SimulatedMachine], targets: Iterable[SimulatedMachine]) -> None:
-        """Let nothing get from these machines to those."""
+    def block(self, at_s: float, sources: Iterable[SimulatedMachine], targets: Iterable[SimulatedMachine]) -> None:
+        """Block all links from the sources to the targets."""
         for source in sources:
             for target in targets:
                 if source is not target:
-                    self.at(moment_s, partial(self._block, source.host, target.host))
+                    self.at(at_s, partial(self._block, source.host, target.host))
 
-    def partition(self, moment_s: float, some: Iterable[SimulatedMachine], others: Iterable[SimulatedMachine]) -> None:
-        """Let nothing get from these machines to those, nor back."""
-        some, others = list(some), list(others)
-        self.block(moment_s, some, others)
-        self.block(moment_s, others, some)
-
-    def heal(self, moment_s: float, some: Iterable[SimulatedMachine], others: Iterable[SimulatedMachine]) -> None:
-        """Open all links between these machines and those again."""
-        some, others = list(some), list(others)
-        for source, target in [(a, b) for a in some for b in others] + [(b, a) for a in some for b in others]:
-            self.at(moment_s, partial(self._heal, source.host, target.host))
+    def partition(
+        self, at_s: float, group: Iterable[SimulatedMachine], other_group: Iterable[SimulatedMachine]
+    ) -> None:
+        """Block all links between two groups of machines in both directions."""
+        group, other_group = list(group), list(other_group)
+        self.block(at_s, group, other_group)
+        self.block(at_s, other_group, group)
+
+    def heal(self, at_s: float, group: Iterable[SimulatedMachine], other_group: Iterable[SimulatedMachine]) -> None:
+        """Unblock all links between two groups of machines in both directions."""
+        group, other_group = list(group), list(other_group)
+        for source, target in [(a, b) for a in group for b in other_group] + [
+            (b, a) for a in group for b in other_group
+        ]:
+            self.at(at_s, partial(self._heal, source.host, target.host))
 
     def _block(self, source: str, target: str) -> None:
         if (source, target) not in self._partitions:
@@ -142,7 +146,7 @@
 
 
 def run_scenario(scenario: Scenario, initial_coordinators: int = 3, gateways: int = 1) -> list[Violation]:
-    """Bootstrap a system, run the scenario on it, and return what did not hold."""
+    """Bootstrap a system, run the scenario on it, and return the violated invariants."""
     tolerated_losses = (initial_coordinators - 1) // 2
     schedule = Schedule(1, tolerated_losses, initial_coordinators, gateways, (), duration_s=0.0, link_delay_ms=1.0)
     return Simulation(schedule).run(lambda simulation: scenario(ScenarioPlan(simulation)))
--- a/tests/system/simulation/test_invariants.py
+++ b/tests/system/simulation/test_invariants.py
@@ -1,4 +1,4 @@
-"""The checker itself: each invariant is found violated where it is, and by no proper history; schedules shrink."""
+"""Tests of the checker: it finds a violation of each invariant and none in a valid history. Also tests shrinking."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 def history(*events: Operation | Observation | MemberAddition) -> OperationHistory:
-    """A history without faults, with one gateway that runs throughout."""
-    recorded = OperationHistory(CONFIG_APPLY_BOUND_S, 10.0, 5.0, converged_by_s=40.0)
-    recorded.gateway_lifetimes["gateway#1"] = Interval(0.0, float("inf"))
+    """Return a history without faults, with one gateway that runs throughout."""
+    result = OperationHistory(CONFIG_APPLY_BOUND_S, 10.0, 5.0, converged_by_s=40.0)
+    result.gateway_lifetimes["gateway#1"] = Interval(0.0, float("inf"))
     for event in events:
         if isinstance(event, Operation):
-            recorded.operations.append(event)
+            result.operations.append(event)
         elif isinstance(event, MemberAddition):
-            recorded.member_additions.append(event)
+            result.member_additions.append(event)
         else:
-            recorded.gateway_observations.append(event)
-    return recorded
+            result.gateway_observations.append(event)
+    return result
 
 
 def write(version: int, invoked_at_s: float, content: str = "a", status: int = 200) -> Operation:
-    """A write that completed after a tenth of a second."""
+    """Return a write that completed after 0.1 s."""
     return Operation(
         "one",
         OperationKind.REPLACE_CONFIG,
@@ -50,7 +50,7 @@
 
 
 def read(version: int, invoked_at_s: float, content: str = "a") -> Operation:
-    """A read and what it returned."""
+    """Return a read that returned this version and content."""
     return Operation(
         "one",
         OperationKind.DESCRIBE_CONFIG,
@@ -62,20 +62,22 @@
     )
 
 
-def evacuation(kind: OperationKind, invoked_at_s: float, completed_at_s: float, client: str = "one") -> Operation:
-    """An acknowledged start or stop of the evacuation of zone z."""
+def evacuation_change(
+    kind: OperationKind, invoked_at_s: float, completed_at_s: float, client: str = "one"
+) -> Operation:
+    """Return an acknowledged start or stop of the evacuation of zone z."""
     return Operation(client, kind, invoked_at_s, zone="z", completed_at_s=completed_at_s, status=200)
 
 
 def observed(
     serial: int, version: int, at_s: float, content: str = "a", zones: frozenset[str] = frozenset()
 ) -> Observation:
-    """What the gateway came to know."""
+    """Return an observation of the gateway."""
     return Observation("gateway#1", at_s, 0.0, serial, version, content, zones)
 
 
-START = evacuation(OperationKind.START_EVACUATION, 1.0, 1.1)
-STOP = evacuation(OperationKind.STOP_EVACUATION, 2.0, 2.1)
+START = evacuation_change(OperationKind.START_EVACUATION, 1.0, 1.1)
+STOP = evacuation_change(OperationKind.STOP_EVACUATION, 2.0, 2.1)
 INCOMPLETE_WRITE = Operation("one", OperationKind.REPLACE_CONFIG, 1.0, 1, "a")
 SUPERSEDED_BY_ITSELF = Operation(
     "one",
@@ -106,17 +108,17 @@
 
 
 @pytest.mark.parametrize("invariant", VIOLATING_HISTORIES)
-def test_violation_of_each_invariant_is_found(invariant: Invariant) -> None:
+def test_checker_finds_violation_of_each_invariant(invariant: Invariant) -> None:
     assert invariant in violated_invariants(find_violations(VIOLATING_HISTORIES[invariant]))
 
 
-def test_proper_history_violates_nothing() -> None:
-    proper = history(
+def test_valid_history_has_no_violations() -> None:
+    valid_history = history(
         write(1, 6.0),
         write(1, 6.2, "b", status=409),
         write(3, 7.0),
-        evacuation(OperationKind.START_EVACUATION, 8.0, 8.1, client="two"),
-        evacuation(OperationKind.STOP_EVACUATION, 9.0, 9.1, client="two"),
+        evacuation_change(OperationKind.START_EVACUATION, 8.0, 8.1, client="two"),
+        evacuation_change(OperationKind.STOP_EVACUATION, 9.0, 9.1, client="two"),
         observed(1, 1, 6.1),
         observed(2, 3, 7.1),
         observed(3, 3, 8.1, zones=frozenset("z")),
@@ -124,17 +126,19 @@
         read(3, 10.0),
         MemberAddition("d", 11.0, True),
     )
-    assert not find_violations(proper)
+    assert not find_violations(valid_history)
 
 
-def test_shrinking_keeps_only_the_faults_that_are_needed() -> None:
+def test_shrinking_keeps_only_required_faults() -> None:
     faults = tuple(Fault(FaultKind.KILL, float(at_s), 1.0, at_s % 3) for at_s in range(12))
-    needed = {faults[3], faults[7]}
-    smallest = shrink_schedule(Schedule(1, 1, 3, 1, faults, 20.0), lambda candidate: needed <= set(candidate.faults))
-    assert set(smallest.faults) == needed
+    required_faults = {faults[3], faults[7]}
+    smallest = shrink_schedule(
+        Schedule(1, 1, 3, 1, faults, 20.0), lambda candidate: required_faults <= set(candidate.faults)
+    )
+    assert set(smallest.faults) == required_faults
 
 
-def test_drawn_schedules_lose_no_more_than_is_tolerated() -> None:
+def test_drawn_schedules_lose_no_more_machines_than_tolerated() -> None:
     for seed in range(300):
         schedule = draw_schedule(seed)
         assert is_tolerable(list(schedule.faults), schedule)
--- a/tests/system/simulation/test_mechanisms.py
+++ b/tests/system/simulation/test_mechanisms.py
@@ -1,6 +1,6 @@
-"""Each mechanism switched off, one at a time: the checker must find it, and find nothing with it on.
+"""Mutation tests: the checker reports violations when one mechanism is disabled, and none when all are enabled.
 
-docs/design/control-under-faults.md has the table: mechanism, what was switched off, the invariants that were violated.
+docs/design/control-under-faults.md lists each mechanism, how it was disabled, and the invariants that were violated.
 """
 
 from __future__ import annotations
@@ -31,37 +31,37 @@
 Run = Callable[[], list[Violation]]
 
 
-def _without_incarnations(patch: pytest.MonkeyPatch) -> None:
-    """Count votes of ended incarnations."""
-    patch.setattr(VoteTally, "valid_votes", lambda tally: set(tally._granted))
+def _without_incarnations(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Count the votes of ended incarnations, too."""
+    monkeypatch.setattr(VoteTally, "valid_votes", lambda tally: set(tally._granted))
 
 
-def _without_directory_sync(patch: pytest.MonkeyPatch) -> None:
-    """Leave the names of new and removed files unsynced."""
-    patch.setattr(SimulatedDisk, "sync_directory", lambda disk: None)
+def _without_directory_sync(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Don't sync the names of created and removed files."""
+    monkeypatch.setattr(SimulatedDisk, "sync_directory", lambda disk: None)
 
 
-def _without_serving_lease(patch: pytest.MonkeyPatch) -> None:
-    """Let a confirmation by a majority last for ever."""
+def _without_serving_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make a confirmation by a majority valid without limit."""
 
     def was_confirmed(lease: ServingLease) -> bool:
         return lease.confirmed_at_ms > float("-inf")
 
-    patch.setattr(ServingLease, "is_valid", lambda lease, now: was_confirmed(lease))
-    patch.setattr(ServingLease, "age_ms", lambda lease, now: 0.0 if was_confirmed(lease) else -1.0)
+    monkeypatch.setattr(ServingLease, "is_valid", lambda lease, now: was_confirmed(lease))
+    monkeypatch.setattr(ServingLease, "age_ms", lambda lease, now: 0.0 if was_confirmed(lease) else -1.0)
 
 
-def _without_joint_consensus(patch: pytest.MonkeyPatch) -> None:
-    """Let a majority of the new members suffice while members change."""
-    patch.setattr(
+def _without_joint_consensus(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Require only a majority of the new members during a membership change."""
+    monkeypatch.setattr(
         Membership,
         "quorum_sets",
         property(lambda membership: (frozenset(membership.members),) if membership.members else ()),
     )
 
 
-def _without_candidate_state(patch: pytest.MonkeyPatch) -> None:
-    """Admit any candidate, whatever state it holds."""
+def _without_candidate_state(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Admit all candidates, whichever state they have."""
     record_query = PeerObservations.record_query
 
     def record_as_current(observations: PeerObservations, message: AcceptorQuery, now: float, newest: Ballot) -> None:
@@ -69,21 +69,21 @@
         for querier in observations._queriers.values():
             querier.last_current_ms = querier.last_query_ms
 
-    patch.setattr(PeerObservations, "record_query", record_as_current)
+    monkeypatch.setattr(PeerObservations, "record_query", record_as_current)
 
 
-def _without_digests(patch: pytest.MonkeyPatch) -> None:
-    """Acknowledge a write by its version alone."""
-    patch.setattr(operator_api, "config_outcome", lambda state, version, digest: ConfigOutcome.RECORDED)
+def _without_digests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Acknowledge a write if its version was committed, with whichever content."""
+    monkeypatch.setattr(operator_api, "config_outcome", lambda state, version, digest: ConfigOutcome.RECORDED)
 
 
-def _without_identity_check(patch: pytest.MonkeyPatch) -> None:
-    """Accept calls and replies from any address and incarnation."""
-    patch.setattr(Identity, "mismatch", lambda identity, address, incarnation: None)
+def _without_identity_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Accept calls and replies of any address and incarnation."""
+    monkeypatch.setattr(Identity, "mismatch", lambda identity, address, incarnation: None)
 
 
-def _all_lose_power(seed: int) -> list[Violation]:
-    """Let all coordinators lose power amid frequent writes."""
+def _power_loss_of_all_coordinators(seed: int) -> list[Violation]:
+    """Cut the power of all coordinators during frequent writes."""
     fault = Fault(FaultKind.ALL_POWER_LOSS, starts_at_s=4.0 + 0.37 * seed, duration_s=0.5)
     return run_schedule(
         Schedule(
@@ -100,8 +100,8 @@
     )
 
 
-def _racing_writes(seed: int) -> list[Violation]:
-    """Let operators often write different contents under one version; no faults."""
+def _conflicting_writes(seed: int) -> list[Violation]:
+    """Make operators often write different contents under one version, without faults."""
     return run_schedule(
         Schedule(
             seed, 1, 3, 1, (), duration_s=6.0, link_delay_ms=5.0, response_loss_ratio=0.1, operation_rate_factor=2.0
@@ -111,9 +111,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """How it is switched off, the runs that exercise it, and an invariant that each of them violates then."""
+    """How to disable a mechanism, runs that exercise it, and an invariant that each of them violates without it."""
 
-    switch_off: Callable[[pytest.MonkeyPatch], None]
+    disable: Callable[[pytest.MonkeyPatch], None]
     runs: tuple[Run, ...]
     invariant: Invariant
 
@@ -122,15 +122,15 @@
     "serving lease": Mechanism(
         _without_serving_lease,
         (
-            partial(run_scenario, scenarios.gateway_starts_beside_a_partitioned_coordinator),
-            partial(run_scenario, scenarios.gateway_starts_beside_a_coordinator_without_inbound_links),
-            partial(run_scenario, scenarios.gateway_starts_beside_a_coordinator_that_resumes),
+            partial(run_scenario, scenarios.gateway_reaches_only_partitioned_coordinator),
+            partial(run_scenario, scenarios.gateway_reaches_only_coordinator_without_inbound_links),
+            partial(run_scenario, scenarios.gateway_reaches_only_resumed_coordinator),
         ),
         Invariant.BOUNDED_STALENESS,
     ),
     "incarnations": Mechanism(
         _without_incarnations,
-        (partial(run_scenario, scenarios.vote_of_a_forgotten_incarnation, 5),),
+        (partial(run_scenario, scenarios.vote_of_incarnation_that_lost_its_disk, 5),),
         Invariant.DURABILITY,
     ),
     "joint consensus": Mechanism(
@@ -140,22 +140,22 @@
     ),
     "candidate state": Mechanism(
         _without_candidate_state,
-        (partial(run_scenario, scenarios.newcomer_with_a_full_disk),),
+        (partial(run_scenario, scenarios.new_member_with_full_disk),),
         Invariant.MEMBERS_HOLD_STATE,
     ),
     "digests": Mechanism(
         _without_digests,
-        tuple(partial(_racing_writes, seed) for seed in range(3)),
+        tuple(partial(_conflicting_writes, seed) for seed in range(3)),
         Invariant.SINGLE_ACKNOWLEDGED_CONTENT,
     ),
     "identity check": Mechanism(
         _without_identity_check,
-        (partial(run_scenario, scenarios.address_taken_by_another),),
+        (partial(run_scenario, scenarios.peer_address_redirected_to_caller),),
         Invariant.DURABILITY,
     ),
     "directory sync": Mechanism(
         _without_directory_sync,
-        tuple(partial(_all_lose_power, seed) for seed in range(4)),
+        tuple(partial(_power_loss_of_all_coordinators, seed) for seed in range(4)),
         Invariant.DURABILITY,
     ),
 }
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize("name", MECHANISMS)
 def test_each_run_violates_an_invariant_without_the_mechanism(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     mechanism = MECHANISMS[name]
-    mechanism.switch_off(monkeypatch)
+    mechanism.disable(monkeypatch)
     for run in mechanism.runs:
         assert mechanism.invariant in violated_invariants(run())
 
--- a/tests/system/simulation/test_schedules.py
+++ b/tests/system/simulation/test_schedules.py
@@ -1,4 +1,4 @@
-"""Schedules that once violated an invariant, and planned scenarios: all invariants hold now."""
+"""Regression tests: schedules and scenarios that once violated an invariant."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from tests.system.simulation import scenarios
 from tests.system.simulation.scenario_plan import Scenario, run_scenario
 
-SECOND_LOSSES = {
+FAULTS_AFTER_REPAIR = {
     "planned replacement, then power lost": (
         Fault(FaultKind.PLANNED_REPLACEMENT, 5.8, 0.75, 2),
         Fault(FaultKind.POWER_LOSS, 12.6, 12.4, 0),
     ),
-    "planned replacement, then the newcomer is lost": (
+    "planned replacement, then the new machine is lost": (
         Fault(FaultKind.PLANNED_REPLACEMENT, 3.5, 1.0, 0),
         Fault(FaultKind.UNPLANNED_REPLACEMENT, 9.6, 9.7, 0),
     ),
@@ -41,9 +41,9 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize("name", SECOND_LOSSES)
+@pytest.mark.parametrize("name", FAULTS_AFTER_REPAIR)
 def test_second_loss_right_after_a_repair_leaves_a_majority(name: str, seed: int) -> None:
-    faults = SECOND_LOSSES[name]
+    faults = FAULTS_AFTER_REPAIR[name]
     duration_s = max(fault.starts_at_s for fault in faults) + 4.0
     check_schedule(
         Schedule(seed, 1, 3, 2, faults, duration_s, link_delay_ms=(1.0, 35.0)[seed], operation_rate_factor=0.5)
@@ -53,9 +53,9 @@
 @pytest.mark.parametrize(
     "scenario",
     [
-        scenarios.gateway_starts_beside_a_partitioned_coordinator,
-        scenarios.gateway_starts_beside_a_coordinator_without_inbound_links,
-        scenarios.gateway_starts_beside_a_coordinator_that_resumes,
+        scenarios.gateway_reaches_only_partitioned_coordinator,
+        scenarios.gateway_reaches_only_coordinator_without_inbound_links,
+        scenarios.gateway_reaches_only_resumed_coordinator,
     ],
 )
 def test_new_gateway_is_not_sent_stale_state(scenario: Scenario) -> None:
--- a/tests/system/simulation/test_simulation.py
+++ b/tests/system/simulation/test_simulation.py
@@ -1,6 +1,6 @@
-"""The control plane in virtual time under drawn faults: no invariant is violated.
+"""Simulates the control plane under randomly drawn faults and checks all invariants.
 
-A few hundred seeds here; `make soak` runs thousands (HALLHITCH_SIMULATION_SEEDS). The schedule of a seed that fails is
+The default is 160 seeds; `make soak` runs thousands (HALLHITCH_SIMULATION_SEEDS). The schedule of a failing seed is
 shrunk and printed.
 """
 
@@ -15,7 +15,7 @@
 from hallhitch.lab.simulation.simulation import Simulation
 
 SEED_COUNT = int(os.environ.get("HALLHITCH_SIMULATION_SEEDS", "160"))
-SHARD_COUNT = 40  # tests that the seeds are spread over, for workers to share
+SHARD_COUNT = 40  # number of tests among which the seeds are divided, so that workers run them in parallel
 
 
 @pytest.mark.parametrize("shard", range(SHARD_COUNT))
