--- a/tests/system/simulation/test_schedules.py
+++ b/tests/system/simulation/test_schedules.py
@@ -1,4 +1,4 @@
-"""Regression tests: schedules and scenarios that once violated an invariant."""
+"""Regression tests: the invariants hold in schedules that once violated one, and in scenarios of stale reads."""
 
 from __future__ import annotations
 
