--- a/hallhitch/lab/sockets/__init__.py
+++ b/hallhitch/lab/sockets/__init__.py
@@ -1,5 +1,5 @@
 """Runs of a scenario on real sockets.
 
-Emulated nodes, counter and discovery on loopback, real gateway processes between them and HTTP clients. Models,
-traffic and faults are those of virtual runs, and so is the journal.
+The nodes, the counter and discovery are emulated on loopback; real gateway processes run between them and HTTP
+clients. The models, the traffic, the faults and the journal format are the same as in virtual runs.
 """
--- a/hallhitch/lab/sockets/counter_listener.py
+++ b/hallhitch/lab/sockets/counter_listener.py
@@ -1,4 +1,4 @@
-"""The counter's listener for one gateway: faults of the link between them are applied before the counter reads."""
+"""The counter's listener for one gateway. It applies the faults of their link before the counter reads the data."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 async def start_counter_listener(gateway: int, form: str, environment: SocketEnvironment) -> Listener:
-    """Start a listener that speaks one form of the counter's protocol: `http` or `resp`."""
-    side = COUNTER_SERVERS[form](environment.counter)
+    """Start a listener that serves one form of the counter's protocol: `http` or `resp`."""
+    server = COUNTER_SERVERS[form](environment.counter)
 
     async def serve(reader: Reader, writer: Writer) -> None:
-        arrived = asyncio.StreamReader()
-        forwarding = asyncio.get_running_loop().create_task(_forward(reader, arrived, gateway, environment))
+        forwarded = asyncio.StreamReader()
+        forward_task = asyncio.get_running_loop().create_task(_forward(reader, forwarded, gateway, environment))
         try:
-            await side.serve(arrived, writer)
+            await server.serve(forwarded, writer)
         finally:
-            forwarding.cancel()
+            forward_task.cancel()
 
     return await Listener(serve).start()
 
 
-async def _forward(reader: Reader, arrived: Reader, gateway: int, environment: SocketEnvironment) -> None:
-    """Forward what a gateway sends; after a cut nothing more arrives on the same connection."""
+async def _forward(reader: Reader, forwarded: Reader, gateway: int, environment: SocketEnvironment) -> None:
+    """Forward the data that a gateway sends; once the link is cut, this connection delivers nothing more."""
     is_open = True
     with contextlib.suppress(OSError):
         while data := await reader.read(READ_BYTES):
             is_open = is_open and await environment.reaches(gateway, "counter")
             if is_open:
-                arrived.feed_data(data)
-    arrived.feed_eof()
+                forwarded.feed_data(data)
+    forwarded.feed_eof()
--- a/hallhitch/lab/sockets/emulated_node.py
+++ b/hallhitch/lab/sockets/emulated_node.py
@@ -1,7 +1,7 @@
 """A model node behind an HTTP listener.
 
-A node listens once for all gateways: which gateway an attempt comes from follows from the id of its request. Faults of
-the network are applied at the node, when an attempt arrives.
+One listener serves all gateways; the request id tells which gateway an attempt comes from. Network faults are applied
+at the node, when an attempt arrives.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from hallhitch.lab.sockets.environment import AttemptInProgress, SocketEnvironment
 from hallhitch.lab.sockets.listener import Listener
 
-DEFAULT_DEADLINE_MS: Final = "10000"  # of an attempt without the header: longer than any deadline of a scenario
+DEFAULT_DEADLINE_MS: Final = "10000"  # for attempts without the deadline header; longer than any deadline in a scenario
 
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedAttempt:
-    """An attempt that has arrived at the node."""
+    """An attempt that has arrived at the node, and the connection it arrived on."""
 
     id: int
     number: int
     reader: Reader
     writer: Writer
-    idle_ms: float  # how long its connection was idle before it
-    ends_at: float
+    idle_ms: float  # how long the connection was idle before the attempt
+    ends_at: float  # the deadline, in Unix ms
 
 
 class EmulatedNode:
-    """Serves a model node's work over HTTP."""
+    """Serves the work of a modelled node over HTTP."""
 
     def __init__(self, model: Node, environment: SocketEnvironment) -> None:
         self.model = model
@@ -47,7 +47,7 @@
         self.listener = Listener(self._serve)
 
     async def start(self) -> EmulatedNode:
-        """Listen."""
+        """Start listening."""
         await self.listener.start()
         return self
 
@@ -76,12 +76,13 @@
             model.connections -= 1
 
     async def _serve_request(self, headers: dict[str, str], reader: Reader, writer: Writer, idle_ms: float) -> bool:
-        """Serve one attempt; whether its connection can be used again."""
+        """Serve one attempt; returns whether its connection can be reused."""
         id = int(headers["req-id"], 16)
         in_progress = AttemptInProgress(reader)
         previous = self._requests.in_progress.get(id)
         if previous is not None:
-            # The loop reports connections in any order: the end of a closed one is journalled before this attempt.
+            # The event loop reports connections in any order. If the connection of the previous attempt is closed, the
+            # end of that attempt must be journalled before this one.
             await asyncio.sleep(0)
             if previous.reader.at_eof():
                 await previous.is_journalled.wait()
@@ -98,28 +99,28 @@
     ) -> bool:
         gateway = self._requests.gateways[id]
         if not await self._environment.reaches(gateway, self.model.name):
-            await reader.read(1)  # it never arrived: the gateway gets nothing until it gives up
+            await reader.read(1)  # the attempt never arrived: the gateway gets no response until it gives up
             return False
         number = self._requests.next_attempt_number(id)
         self._journal.add(self._time.now, "send", id, number, gateway, self.model.name)
         ends_at = self._time.now + float(headers.get("req-deadline-ms", DEFAULT_DEADLINE_MS))
         attempt = _ReceivedAttempt(id, number, reader, writer, idle_ms, ends_at)
-        if self._is_reset(attempt):
+        if self._draw_reset(attempt):
             self._journal.add(self._time.now, "done", id, number, "reset")
             return False
         return await self._execute(attempt)
 
-    def _is_reset(self, attempt: _ReceivedAttempt) -> bool:
-        """Draw whether the connection breaks, before the node has the request or after it."""
+    def _draw_reset(self, attempt: _ReceivedAttempt) -> bool:
+        """Draw whether the connection is reset; the node may do the work all the same if the request had arrived."""
         is_stale = attempt.idle_ms > self._network.stale
         if not is_stale and not self._network.draw_reset():
             return False
         if not is_stale and not self._network.draw_lost_before_arrival():
-            self.model.take(self._work(attempt, lambda outcome, echo: None))
+            self.model.take(self._make_work(attempt, lambda outcome, echo: None))
         return True
 
     async def _execute(self, attempt: _ReceivedAttempt) -> bool:
-        """Have the model do the work, unless the gateway closes the connection before; write the response."""
+        """Have the model do the work and write the response, unless the gateway closes the connection first."""
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[tuple[str, int]] = loop.create_future()
 
@@ -127,11 +128,11 @@
             if not reply.done():
                 reply.set_result((outcome, echo))
 
-        self.model.take(self._work(attempt, on_reply))
-        # Requests are not pipelined: whatever can be read now is the connection's end.
-        closed: asyncio.Future[bytes] = loop.create_task(attempt.reader.read(1))
-        awaited: set[asyncio.Future[Any]] = {closed, reply}
-        await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
+        self.model.take(self._make_work(attempt, on_reply))
+        # Requests are not pipelined, so a read that completes now means that the connection was closed.
+        connection_closed: asyncio.Future[bytes] = loop.create_task(attempt.reader.read(1))
+        pending: set[asyncio.Future[Any]] = {connection_closed, reply}
+        await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
         if not reply.done():
             self._journal.add(self._time.now, "done", attempt.id, attempt.number, "cancelled")
             return False
@@ -139,12 +140,12 @@
         outcome_at_gateway = OUTCOME_AT_GATEWAY.get(outcome, outcome)
         self._journal.add(self._time.now, "done", attempt.id, attempt.number, outcome_at_gateway)
         attempt.writer.write(response_bytes(outcome, echo))
-        closed.cancel()
+        connection_closed.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await closed
+            await connection_closed
         return outcome in REUSABLE_OUTCOMES
 
-    def _work(self, attempt: _ReceivedAttempt, on_reply: Callable[[str, int], None]) -> Work:
+    def _make_work(self, attempt: _ReceivedAttempt, on_reply: Callable[[str, int], None]) -> Work:
         intent = self._requests.intents[attempt.id]
         request_class = self._environment.settings.classes[intent.class_index]
         return Work(
@@ -160,7 +161,7 @@
 
 
 def response_bytes(outcome: str, echo: int) -> bytes:
-    """Encode a node's response to an outcome of its model; nothing for a reset."""
+    """Encode the response to an outcome of the node's model; empty for a reset."""
     if outcome == "ok":
         return encode_response(200, b"%d" % echo)
     if outcome == "twice":
--- a/hallhitch/lab/sockets/environment.py
+++ b/hallhitch/lab/sockets/environment.py
@@ -1,4 +1,4 @@
-"""The parts of a run on sockets that its emulated parties share."""
+"""State that the emulated parties of a run on sockets share."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptInProgress:
-    """An attempt at a node: the connection that it came on, and whether its end is in the journal."""
+    """An attempt that a node serves: its connection, and whether its end has been journalled."""
 
     reader: Reader
     is_journalled: asyncio.Event = field(default_factory=asyncio.Event)
@@ -26,15 +26,15 @@
 
 @dataclass(slots=True)
 class RequestRegistry:
-    """The requests sent so far, by the id that each carries through its gateway to the nodes."""
+    """The requests sent so far, by the request id that the gateway passes on to the nodes."""
 
     intents: dict[int, PlannedRequest] = field(default_factory=dict)
-    gateways: dict[int, int] = field(default_factory=dict)  # number of the gateway that each was sent to
+    gateways: dict[int, int] = field(default_factory=dict)  # number of the gateway that each request was sent to
     attempt_counts: dict[int, int] = field(default_factory=dict)
     in_progress: dict[int, AttemptInProgress] = field(default_factory=dict)
 
     def next_attempt_number(self, id: int) -> int:
-        """Number the next attempt of a request, from 0."""
+        """Return the number of the next attempt of a request, counted from 0."""
         number = self.attempt_counts.get(id, 0)
         self.attempt_counts[id] = number + 1
         return number
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketEnvironment:
-    """The models and records of a run."""
+    """The models, the journal and the request registry of a run."""
 
     world: WorldSettings
     settings: api.Settings
@@ -52,4 +52,4 @@
     counter: Counter
     discovery: Discovery
     requests: RequestRegistry
-    reaches: Callable[[int, str], Awaitable[bool]]  # whether a gateway's bytes reach a party; waits on a stalled link
+    reaches: Callable[[int, str], Awaitable[bool]]  # whether a gateway's data reach a party; waits on a stalled link
--- a/hallhitch/lab/sockets/faults.py
+++ b/hallhitch/lab/sockets/faults.py
@@ -1,4 +1,4 @@
-"""Fault injection of runs on sockets: into emulated nodes and into gateway processes by signals."""
+"""Fault injection for runs on sockets: into emulated nodes, and into gateway processes by signals."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
     tasks: TaskOwner
 
     def add_node(self, started_at: float) -> Awaitable[EmulatedNode]:
-        """Add a node."""
+        """Add a node; with `started_at` 0 it is warm."""
 
-    def restart_node(self, lost: EmulatedNode) -> Awaitable[EmulatedNode]:
-        """Start a cold node of the same name in place of one that was lost."""
+    def restart_node(self, lost_node: EmulatedNode) -> Awaitable[EmulatedNode]:
+        """Start a cold node with the name of a lost one, in its place."""
 
     async def start_gateway(self, number: int) -> None:
         """Start a gateway's process and wait until it serves."""
 
     async def reload_gateway(self, number: int, process: asyncio.subprocess.Process) -> None:
-        """Have a gateway's process read its settings again."""
+        """Have a gateway's process reload its configuration file."""
 
 
 class SocketFaultInjector(FaultInjector[EmulatedNode]):
@@ -43,7 +43,7 @@
         self._fleet = fleet
 
     def _on_injected(self, fault: Fault) -> None:
-        pass  # the end of a fault is not journalled on sockets
+        pass  # the end of a fault is not journalled in runs on sockets
 
     def _nodes(self) -> Iterable[EmulatedNode]:
         return self._fleet.nodes.values()
@@ -57,21 +57,21 @@
     def _restart_node_after(self, node: EmulatedNode, delay_ms: float) -> None:
         self._fleet.tasks.spawn(self._restart_node(node, delay_ms))
 
-    async def _restart_node(self, lost: EmulatedNode, delay_ms: float) -> None:
+    async def _restart_node(self, lost_node: EmulatedNode, delay_ms: float) -> None:
         await asyncio.sleep(delay_ms / 1000)
-        node = await self._fleet.restart_node(lost)
+        node = await self._fleet.restart_node(lost_node)
         self._discovery.publish(node.model, "up")
 
     def _remove_or_replace(self, fault: Fault, nodes: list[EmulatedNode]) -> None:
-        for turn, node in enumerate(nodes):
-            delay_ms = fault.for_s * 1000 * turn / len(nodes) if fault.kind == "replace" else 0.0
+        for index, node in enumerate(nodes):
+            delay_ms = fault.for_s * 1000 * index / len(nodes) if fault.kind == "replace" else 0.0
             self._time.after(delay_ms, self._spawn_removal, fault, node)
 
     def _spawn_removal(self, fault: Fault, node: EmulatedNode) -> None:
         self._fleet.tasks.spawn(self._remove_node(fault, node))
 
     async def _remove_node(self, fault: Fault, node: EmulatedNode) -> None:
-        """Crash, drain or replace a node; a crashed or replaced one has a cold node in its place."""
+        """Crash, drain or replace a node; a cold node takes the place of a crashed or replaced one."""
         if node.model.state is not NodeState.UP:
             return
         if fault.kind == "crash":
@@ -112,7 +112,7 @@
         self._fleet.tasks.spawn(self._fleet.start_gateway(number))
 
     def _suspend_gateway(self, number: int) -> Callable[[], None]:
-        """Stop a gateway's process, its connections open."""
+        """Suspend a gateway's process (SIGSTOP); its connections stay open. Returns the function to resume it."""
         process = self._process(number)
         self._journal.add(self._time.now, "gateway", number, "stopped")
         process.send_signal(signal.SIGSTOP)
--- a/hallhitch/lab/sockets/gateway_config.py
+++ b/hallhitch/lab/sockets/gateway_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of a gateway in the platform's form."""
+"""The gateway settings of a run, in the platform's configuration format."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def gateway_settings(settings: api.Settings, index: int, gateways: int, zones: int) -> dict[str, Any]:
-    """Write a gateway's settings in the platform's form."""
+    """Convert the settings of one gateway to the platform's configuration format."""
     return {
         "balancers": gateways,
         "index": index,
--- a/hallhitch/lab/sockets/http_clients.py
+++ b/hallhitch/lab/sockets/http_clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run on sockets: real HTTP requests through the front, at the times that were drawn."""
+"""The clients of a run on sockets: they send HTTP requests through the front router at the drawn times."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from hallhitch.lab.traffic import PlannedRequest
 
 OnSecond = Callable[[int, dict[str, int]], None]
-MAX_SLEEP_S: Final = 1.0  # while waiting for the next request, so that each second is reported in time
-RESPONSE_GRACE_S: Final = 1.0  # past a client's deadline, so that late answers are journalled as late
+MAX_SLEEP_S: Final = 1.0  # between requests, so that the counts of each second are reported in time
+RESPONSE_GRACE_S: Final = 1.0  # after a client's deadline, so that late answers are still received and journalled
 REJECTED_CODES: Final = (429, 503)
 Connection = tuple[Reader, Writer]
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """The outcome of a try: its status, and the gateway's advice when to retry."""
+    """The outcome of a try: its status, and the delay of the gateway's Retry-After header."""
 
     status: str
     retry_after_ms: float = 0.0
@@ -40,7 +40,7 @@
 
 
 class HttpClients:
-    """Sends the drawn requests; `on_second` gets the counts of statuses so far, each second.
+    """Sends the drawn requests; `on_second` is called every second with the counts of statuses so far.
 
     Connections to a gateway are pooled; each carries one request at a time.
     """
@@ -64,10 +64,10 @@
         self._idle: dict[int, list[Connection]] = {}
         self._last_id = 0
         self.statuses: dict[str, int] = {}
-        self.send_delays_ms: list[float] = []  # by which requests were sent late: the rig's own cost
+        self.send_delays_ms: list[float] = []  # delays past the due times, caused by the test rig itself
 
     def drop_connections(self, gateway: int) -> None:
-        """Forget the pooled connections to a gateway, whose process is new."""
+        """Drop the pooled connections to a gateway whose process has been replaced."""
         self._idle[gateway] = []
 
     async def send_all(self, intents: list[PlannedRequest], begin_s: float) -> None:
@@ -84,7 +84,7 @@
             self._tasks.spawn(self._send(ClientTry(intent)))
 
     async def _send(self, client_try: ClientTry) -> None:
-        """Send a try, and the client's retry of it."""
+        """Send a try and, if it is not served, the client's retry."""
         preferred, spread = client_try.preferred_gateway, client_try.intent.customer.gateway_count
         number = self._router.route(preferred, spread, self._environment.time.now)
         answer = ClientAnswer("nobody there")
@@ -100,10 +100,10 @@
             await self._send(ClientTry(client_try.intent, is_retry=True))
 
     async def _exchange(self, sent: _SentTry) -> ClientAnswer:
-        """Send a try on a connection of its own for as long as it lasts.
+        """Send a try on a pooled or new connection that carries no other request meanwhile.
 
-        A pooled connection that was closed between two requests is replaced by a new one, once: the gateway has not
-        read the request there.
+        If the gateway closed a pooled connection while it was idle, the try is sent once more on a new connection: the
+        gateway has not read the request.
         """
         is_journalled = False
         deadline_ms = sent.client_try.deadline_ms
--- a/hallhitch/lab/sockets/listener.py
+++ b/hallhitch/lab/sockets/listener.py
@@ -1,4 +1,4 @@
-"""What all emulated parties on loopback need: the event loop's time, a listener, a free port and an owner of tasks."""
+"""Utilities of the emulated parties on loopback: a clock, a listener, a task owner and a search for a free port."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LoopTime:
-    """Unix ms on the running loop, for the models; advances with the monotonic clock."""
+    """The clock of the models, in Unix ms; it advances with the monotonic clock and schedules on the running loop."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -21,16 +21,16 @@
 
     @property
     def now(self) -> float:
-        """Return the present moment in ms of the lab's clock."""
+        """The current time in Unix ms."""
         return self._unix_offset_ms + time.monotonic() * 1000
 
     def after(self, delay: float, callback: Callable[..., object], /, *args: object) -> object:
-        """Schedule a callback after a delay in milliseconds."""
+        """Schedule a callback after a delay in ms."""
         return self._loop.call_later(max(0.0, delay) / 1000, callback, *args)
 
 
 class Listener:
-    """A listener on loopback whose connections can all be aborted at once."""
+    """A listener on loopback; stopping it also aborts its open connections."""
 
     def __init__(self, serve: Callable[[Reader, Writer], Awaitable[None]]) -> None:
         self._serve = serve
@@ -38,7 +38,7 @@
         self.address = ""
 
     async def start(self) -> Listener:
-        """Listen on a free port."""
+        """Start listening on a free port."""
         self._server = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -59,26 +59,26 @@
 
 
 class TaskOwner:
-    """Owns the background tasks of a run."""
+    """Keeps references to the background tasks of a run, so that they can be cancelled together."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine as a task of this owner."""
+        """Start a coroutine as a task of this owner."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def cancel(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they have ended."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 def free_port() -> int:
-    """Find a port of loopback that nobody listens on."""
+    """Return a TCP port of 127.0.0.1 that no socket is bound to at the moment."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
--- a/hallhitch/lab/sockets/run.py
+++ b/hallhitch/lab/sockets/run.py
@@ -1,7 +1,7 @@
-"""A run of a scenario on sockets: starts the emulated parties and the gateway processes, drives clients and faults.
+"""A run of a scenario on sockets: starts emulated parties and gateway processes, sends requests and injects faults.
 
-Models, traffic and faults are those of virtual runs, and the journal has the same events, so the same checker reads it.
-Discovery and the counter have a listener for each gateway, so that their links can fail one by one.
+The models, the traffic and the faults are those of virtual runs, and the journal has the same events, so the same
+checker reads it. Discovery and the counter have one listener per gateway, so that each link can fail on its own.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
 from hallhitch.lab.traffic import Traffic, draw_traffic
 from hallhitch.lab.virtual_run import LAST_ANSWERS_MS
 
-START_TIMEOUT_S: Final = 60.0  # for a gateway to log that it serves, on a machine where many start
-STOP_TIMEOUT_S: Final = 10.0  # for a gateway to end by SIGTERM before it is killed
-CONCURRENT_STARTS: Final = 16  # gateways that start at once: each needs a processor for a while
-LEAD_S: Final = 0.2  # before the first request is due, so that it is not late
+START_TIMEOUT_S: Final = 60.0  # until a gateway logs `serving`; covers many gateways that start at once
+STOP_TIMEOUT_S: Final = 10.0  # from SIGTERM to SIGKILL
+CONCURRENT_STARTS: Final = 16  # limited because each start keeps a processor busy for a while
+FIRST_REQUEST_DELAY_S: Final = 0.2  # before the first request is due, so that it is not sent late
 
 
 class SocketRun:
-    """One run on sockets. `on_second` gets the counts of statuses so far, each second."""
+    """One run on sockets. `on_second` is called every second with the counts of statuses so far."""
 
-    module = "hallhitch"  # what is run as the gateway; one that wraps it may measure it
+    module = "hallhitch"  # the module run as the gateway; a measurement may replace it by a wrapper
 
     def __init__(self, scenario: Scenario, seed: int, on_second: OnSecond | None = None) -> None:
         self.scenario = scenario
@@ -61,26 +61,26 @@
         self.tasks = TaskOwner()
         self._agents: list[DiscoveryAgent] = []
         self._counter_listeners: list[Listener] = []
-        self._replaced_listeners: list[Listener] = []  # that gateways were moved away from
+        self._replaced_listeners: list[Listener] = []  # listeners that reloaded gateways no longer use
         self._started: list[asyncio.subprocess.Process] = []
 
     @property
     def statuses(self) -> dict[str, int]:
-        """Tries so far by the status that they ended with."""
+        """The number of tries so far, by the status that they ended with."""
         return self._clients.statuses
 
     @property
     def p99_send_delay_ms(self) -> float:
-        """The delay beyond which one request in a hundred was sent: if large, latencies are the rig's own."""
+        """The 99th percentile of send delays; if it is large, the rig itself distorts the latencies."""
         delays_ms = sorted(self._clients.send_delays_ms)
         return delays_ms[len(delays_ms) * 99 // 100] if delays_ms else 0.0
 
     async def reaches(self, gateway: int, party: str) -> bool:
-        """Whether what a gateway sends a party arrives; on a stalled link, wait until it does."""
+        """Whether data from a gateway reaches a party; on a stalled link, waits until the stall ends."""
         return (gateway, party) not in self.network.cut
 
     async def play(self) -> None:
-        """Run to the end; the events are in `journal`."""
+        """Run the scenario to its end; the events are in `journal`."""
         with tempfile.TemporaryDirectory() as folder:
             try:
                 await self.open(Path(folder))
@@ -89,7 +89,7 @@
                 await self.close()
 
     async def open(self, folder: Path) -> None:
-        """Start all parties, and wait until the gateways serve."""
+        """Start all parties and wait until the gateways serve."""
         self._folder = folder
         world, streams = self.scenario.world, Streams(self.seed)
         self.time = LoopTime()
@@ -132,21 +132,21 @@
         for number in range(world.gateways):
             self._agents.append(await DiscoveryAgent(number, self._environment, self._describe_host).start())
             self._counter_listeners.append(await start_counter_listener(number, world.counter_form, self._environment))
-        for number in range(world.gateways):  # after all listeners, so that none of them takes a port found free here
+        for number in range(world.gateways):  # after all listeners, which could otherwise take a port found free here
             self.addresses[number] = self._gateway_address(number)
 
     async def _start_gateways(self) -> None:
-        starting = asyncio.Semaphore(CONCURRENT_STARTS)
+        start_slots = asyncio.Semaphore(CONCURRENT_STARTS)
 
         async def start(number: int) -> None:
-            async with starting:
+            async with start_slots:
                 await self.start_gateway(number)
 
         await asyncio.gather(*(start(number) for number in range(self.scenario.world.gateways)))
 
     async def drive(self) -> None:
-        """Send the requests and inject the faults at their times, and wait for the last answers."""
-        begin_s = time.monotonic() + LEAD_S
+        """Send the requests and inject the faults at their times, then wait for the last answers."""
+        begin_s = time.monotonic() + FIRST_REQUEST_DELAY_S
         for fault in self.scenario.faults:
             delay_s = begin_s - time.monotonic() + fault.at_s
             asyncio.get_running_loop().call_later(delay_s, self._fault_injector.inject, fault)
@@ -155,7 +155,7 @@
         await asyncio.sleep((longest_deadline_ms + LAST_ANSWERS_MS) / 1000)
 
     async def close(self) -> None:
-        """End the gateway processes, tasks and listeners of this run."""
+        """Stop the gateway processes, tasks and listeners of this run."""
         running = [process for process in self._started if process.returncode is None]
         for process in running:
             process.send_signal(signal.SIGCONT)
@@ -180,25 +180,25 @@
         node = self.nodes[model.name] = await EmulatedNode(model, self._environment).start()
         return node
 
-    async def restart_node(self, lost: EmulatedNode) -> EmulatedNode:
-        """Start a cold node of the same name in place of one that was lost."""
-        node = await EmulatedNode(lost.model.restarted(self.time.now), self._environment).start()
+    async def restart_node(self, lost_node: EmulatedNode) -> EmulatedNode:
+        """Start a cold node with the name of a lost one, in its place."""
+        node = await EmulatedNode(lost_node.model.restarted(self.time.now), self._environment).start()
         self.nodes[node.model.name] = node
         return node
 
     def _describe_host(self, entry: api.ServerEntry) -> dict[str, Any]:
         return describe_host(entry, self.nodes[entry.server].listener.address)
 
-    # Gateways. What differs for gateways with membership is overridden there.
+    # Gateways. Subclasses override what differs for gateways with membership.
 
     def on_log_line(self, number: int, line: bytes) -> None:
-        """Receive a line of a gateway's log."""
+        """Handle a line of a gateway's log; does nothing by default."""
 
     def _gateway_address(self, number: int) -> tuple[str, int]:
         return "127.0.0.1", free_port()
 
     def _gateway_config(self, number: int) -> dict[str, Any]:
-        """A gateway's configuration file, in the platform's form."""
+        """The content of a gateway's configuration file, in the platform's format."""
         world = self.scenario.world
         host, port = self.addresses[number]
         return {
@@ -217,7 +217,7 @@
         }
 
     def _gateway_arguments(self, number: int) -> list[str]:
-        """Arguments that a gateway's process is started with."""
+        """The command-line arguments of a gateway's process."""
         if self.scenario.world.counter_form != "resp":
             return []
         path = self._folder / f"n{number}.toml"
@@ -232,10 +232,10 @@
         return self.processes.get(number) is not None
 
     async def start_gateway(self, number: int) -> None:
-        """Start a gateway's process, and follow its log until it serves.
+        """Start a gateway's process and read its log until it serves.
 
         Raises:
-            GatewayStartError: the process ended before.
+            GatewayStartError: the process ended before it served.
         """
         path = self._config_path(number)
         path.write_text(json.dumps(self._gateway_config(number)))
@@ -265,7 +265,7 @@
         self.discovery.watch(number, self._agents[number].on_server_list)
 
     async def reload_gateway(self, number: int, process: asyncio.subprocess.Process) -> None:
-        """Have a gateway's process read its file again: discovery and counter have moved to other ports."""
+        """Move discovery and the counter to other ports and have the gateway reload its configuration file."""
         self._replaced_listeners += [self._counter_listeners[number], self._agents[number].listener]
         self._counter_listeners[number] = await start_counter_listener(number, "http", self._environment)
         await self._agents[number].start()
@@ -279,7 +279,7 @@
 
 
 def play(scenario: Scenario, seed: int, on_second: OnSecond | None = None) -> SocketRun:
-    """Run a scenario on sockets, in real time."""
+    """Run a scenario on sockets in real time; returns the finished run."""
     run = SocketRun(scenario, seed, on_second)
     asyncio.run(run.play())
     return run
