--- a/hallhitch/lab/fleet/__init__.py
+++ b/hallhitch/lab/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""Many gateways with faults between them: time lines, links that fail, members in virtual time, real processes."""
+"""Fleets of gateways with faults between them.
+
+Fault timelines, the state of links under faults, a modelled membership cluster in virtual time, and real processes.
+"""
--- a/hallhitch/lab/fleet/cluster.py
+++ b/hallhitch/lab/fleet/cluster.py
@@ -1,7 +1,7 @@
-"""Membership in virtual time: the real protocol state machines on modelled links, hundreds or a thousand of them.
+"""Membership in virtual time: the real protocol state machines of up to about a thousand members on modelled links.
 
-Each change of each member's view is recorded, so that detection times, false accusations and the time to agree can be
-read from it. Times in ms.
+Every change of every member's view is recorded. Detection times, false accusations and the time to agreement are
+computed from these records. Times are in ms.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 from hallhitch.membership.swim import Swim
 
 ONE_WAY_DELAY_MS: Final = (0.2, 0.8)
-TERMINATION_MS: Final = 500.0  # from SIGTERM to the end of the process
-SEED_COUNT: Final = 3  # members whose addresses each member is started with
-SOCKET_BUFFER_DATAGRAMS: Final = 256  # as many as the socket of a suspended process holds
+TERMINATION_MS: Final = 500.0  # from SIGTERM until the process ends
+SEED_COUNT: Final = 3  # number of members whose addresses each member gets at its start
+SOCKET_BUFFER_DATAGRAMS: Final = 256  # capacity of the receive buffer of a suspended process
 CLUSTER_NAME: Final = "lab"
 
 
 @dataclass(frozen=True, slots=True)
 class ViewChange:
-    """One change of one member's view."""
+    """One change in the view of one member."""
 
-    at: float  # since the run began
+    at: float  # ms since the run began
     by: int  # number of the member whose view changed
-    about: str
+    about: str  # name of the member whose state changed
     instance: int
     state: MemberState
     previous_state: MemberState | None
@@ -45,12 +45,12 @@
 
 @dataclass(slots=True, eq=False)
 class ModelledMember:
-    """One process; while it is suspended, datagrams are queued for it."""
+    """A modelled process; datagrams for it are queued while it is suspended."""
 
     number: int
     protocol: MembershipProtocol
     is_alive: bool = True
-    queued: list[Datagram] | None = None  # None while it runs
+    queued: list[Datagram] | None = None  # None while the process is not suspended
     timer: Handle | None = None
     counts: list[GatewayCounts] = field(default_factory=list)
     sent: int = 0
@@ -58,33 +58,33 @@
 
     @property
     def swim(self) -> Swim:
-        """Its view."""
+        """The protocol state machine with the member's view."""
         return self.protocol.swim
 
     @property
     def damped_view(self) -> DampedView:
-        """Its view, damped."""
+        """The damped view of the member."""
         return self.protocol.damped_view
 
     @property
     def is_running(self) -> bool:
-        """Whether it is alive and not suspended."""
+        """Whether the process is alive and not suspended."""
         return self.is_alive and self.queued is None
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterOptions:
-    """What is special about a run."""
+    """Options of a run."""
 
     protocol_settings: ProtocolSettings = field(default_factory=ProtocolSettings)
     damping: DampingSettings = field(default_factory=DampingSettings)
-    counts_bytes: bool = False  # whether datagrams are encoded, to count their bytes
-    process_delay_ms: Callable[[int], float] = lambda number: 0.0  # by which a busy process handles events late
+    counts_bytes: bool = False  # encode each datagram to count its bytes
+    process_delay_ms: Callable[[int], float] = lambda number: 0.0  # by which a busy process delays its events
     on_counts: Callable[[int, GatewayCounts], None] = lambda number, counts: None
 
 
 class Cluster:
-    """The members of a run."""
+    """The members of a run, and the links between them."""
 
     def __init__(
         self, count: int, seed: int, time: VirtualTime | None = None, options: ClusterOptions | None = None
@@ -100,19 +100,19 @@
         self.members: dict[int, ModelledMember] = {}
         self._starts: Counter[int] = Counter()
         self.view_changes: list[ViewChange] = []
-        self._stalled: list[tuple[int, int, Datagram]] = []  # sender, receiver and datagram on stalled links
+        self._stalled: list[tuple[int, int, Datagram]] = []  # sender, receiver and datagram held back on stalled links
 
     # Processes.
 
     def start(self, number: int, name: str = "", gateway_id: int | None = None) -> ModelledMember:
-        """Start a process; one with the `gateway_id` of another is its replacement."""
+        """Start a process; with the `gateway_id` of another process it is the replacement of that one."""
         member = self._create(number, name, gateway_id)
         member.swim.start(self.time.now)
         self._finish_step(member)
         return member
 
     def start_settled(self) -> None:
-        """Start all processes with complete views, as after a long time without changes."""
+        """Start all processes with complete views, as if nothing had changed for a long time."""
         for number in range(self.count):
             self._create(number, "", None)
         records = [member.swim.local for member in self.members.values()]
@@ -122,7 +122,7 @@
             self._finish_step(member)
 
     def start_all(self, within_ms: float = 0.0) -> None:
-        """Schedule the start of all processes, evenly within a time."""
+        """Schedule the start of all processes, spread evenly over `within_ms`."""
         for number in range(self.count):
             self.time.after(within_ms * number / self.count, self.start, number)
 
@@ -149,11 +149,11 @@
         self.members[number].is_alive = False
 
     def suspend(self, number: int) -> None:
-        """Stop a process (SIGSTOP)."""
+        """Suspend a process (SIGSTOP)."""
         self.members[number].queued = []
 
     def resume(self, number: int) -> None:
-        """Continue a process (SIGCONT), with the datagrams that were queued."""
+        """Resume a process (SIGCONT); it first handles the queued datagrams."""
         member = self.members[number]
         queued, member.queued = member.queued or [], None
         for message in queued:
@@ -161,7 +161,7 @@
         self._on_timer(member)
 
     def terminate(self, number: int) -> None:
-        """End a process (SIGTERM): it leaves, and is gone a little later."""
+        """Terminate a process (SIGTERM): it announces its departure and ends after `TERMINATION_MS`."""
         member = self.members[number]
         member.swim.leave(self.time.now)
         self._finish_step(member)
@@ -179,7 +179,7 @@
                 self.time.at(EPOCH + begins_at, self.begin_fault, fault, ends_at - begins_at)
 
     def begin_fault(self, fault: FleetFault, duration_ms: float) -> None:
-        """Begin a fault now."""
+        """Begin a fault that ends after `duration_ms`; with 0, killed and terminated processes are not restarted."""
         numbers = gateway_numbers(fault.whom, self.count)
         targets = [n for n in numbers if n in self.members and self.members[n].is_alive]
         if fault.kind in ("kill", "restart", "term"):
@@ -210,7 +210,7 @@
         return [member for member in self.members.values() if member.is_running]
 
     def is_agreed(self) -> bool:
-        """Whether all that run hold exactly the present members to be alive."""
+        """Whether every running member has exactly the present members in its view, all of them alive."""
         present = {
             member.swim.local.key
             for member in self.members.values()
@@ -224,16 +224,16 @@
         )
 
     def run_until(self, condition: Callable[[], bool], limit_ms: float, step_ms: float = 100.0) -> float:
-        """Run until a condition holds, and return the ms that it took; `limit_ms` if it did not."""
+        """Run until a condition holds; returns the elapsed ms, or `limit_ms` if the condition did not hold by then."""
         began_at = self.time.now
         while not condition() and self.time.now - began_at < limit_ms:
             self.time.run(self.time.now + step_ms)
         return min(limit_ms, self.time.now - began_at)
 
-    # Driving.
+    # Execution of the state machines.
 
     def _finish_step(self, member: ModelledMember) -> None:
-        """Carry out what a step of a member's state machine produced, and set its timer."""
+        """Send the datagrams and record the changes of a state machine's step, and reset the member's timer."""
         step = member.protocol.finish_step(self.time.now)
         for address, message in step.outgoing:
             member.sent += 1
--- a/hallhitch/lab/fleet/links.py
+++ b/hallhitch/lab/fleet/links.py
@@ -1,4 +1,4 @@
-"""The state of the links between parties under the faults in force: free of I/O and of time. Delays in ms."""
+"""The state of the links between parties under the active faults. It does no I/O and reads no clock; delays in ms."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 @dataclass(slots=True)
 class _ActiveFault:
     fault: FleetFault
-    senders: frozenset[str]  # none means all
-    receivers: frozenset[str]  # none means all
-    groups: list[frozenset[str]]  # of a split
+    senders: frozenset[str]  # empty means all
+    receivers: frozenset[str]  # empty means all
+    groups: list[frozenset[str]]  # the partitions of a split
 
     def affects(self, sender: str, receiver: str) -> bool:
-        """Whether it affects what is sent this way."""
+        """Whether the fault affects data from a sender to a receiver."""
         if self.fault.kind == "split":
             sender_group, receiver_group = self._group_of(sender), self._group_of(receiver)
             is_known = sender_group is not None and receiver_group is not None
@@ -35,7 +35,7 @@
 
 
 class Links:
-    """All links of a run, and the faults in force."""
+    """All links of a run, and the active faults."""
 
     def __init__(self, gateways: int, stream: Stream) -> None:
         self._gateways = gateways
@@ -44,15 +44,15 @@
         self._last_id = 0
 
     def begin(self, fault: FleetFault) -> int:
-        """Put a fault in force; returns the id to end it by."""
+        """Begin a fault; returns the id to pass to `end`."""
         self._last_id += 1
-        senders, receivers = self._names(fault.whom), self._names(fault.to)
+        senders, receivers = self._party_names(fault.whom), self._party_names(fault.to)
         groups = partition_groups(fault.parts, self._gateways)
         self._active[self._last_id] = _ActiveFault(fault, senders, receivers, groups)
         return self._last_id
 
     def end(self, fault_id: int) -> None:
-        """End a fault."""
+        """End a fault; an unknown id is ignored."""
         self._active.pop(fault_id, None)
 
     def end_all(self) -> None:
@@ -60,20 +60,20 @@
         self._active.clear()
 
     def is_cut(self, sender: str, receiver: str) -> bool:
-        """Whether neither data nor new connections pass this way."""
+        """Whether the link from a sender to a receiver passes neither data nor new connections."""
         return any(
             active.fault.kind in ("cut", "split") and active.affects(sender, receiver)
             for active in self._active.values()
         )
 
     def is_stalled(self, sender: str, receiver: str) -> bool:
-        """Whether what is sent this way waits until the fault ends."""
+        """Whether data from a sender to a receiver are held back until the fault ends."""
         return any(
             active.fault.kind == "stall" and active.affects(sender, receiver) for active in self._active.values()
         )
 
     def datagram_delays(self, sender: str, receiver: str) -> list[float]:
-        """Draw the delay of each copy of a datagram that arrives; none if it is lost."""
+        """Draw the delays of a datagram, one for each copy that arrives; empty if the datagram is lost."""
         if not self._active:
             return [0.0]
         delays_ms = [0.0]
@@ -94,6 +94,6 @@
     def _draw_delay(self, fault: FleetFault) -> float:
         return self._stream.uniform(*fault.delay_ms) if self._stream.chance(fault.share) else 0.0
 
-    def _names(self, parties: Parties) -> frozenset[str]:
+    def _party_names(self, parties: Parties) -> frozenset[str]:
         gateways = {f"g{number}" for number in gateway_numbers(parties, self._gateways)}
         return frozenset(gateways | {name for name in parties if not name.startswith("g")})
--- a/hallhitch/lab/fleet/processes.py
+++ b/hallhitch/lab/fleet/processes.py
@@ -1,8 +1,9 @@
-"""Real gateway processes with membership: a run on sockets with each gateway's datagrams over a relay.
+"""Real gateway processes with membership: a run on sockets that sends each gateway's datagrams through a relay.
 
-A gateway has a loopback address of its own and advertises the address of its relay. A relay is one socket: it knows
-the sender of a datagram by the source address, and forwards it from the sender's relay. So a fleet of any size needs
-one relay socket a gateway, and the link between any two can be cut, delayed or stalled on its own.
+Each gateway has its own loopback address and advertises the address of its relay. A relay is one socket: it identifies
+the sender of a datagram by the source address and forwards the datagram from the sender's relay. So a fleet of any size
+needs only one relay socket per gateway, and the link between any two gateways can be cut, delayed or stalled
+separately.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 from hallhitch.lab.sockets.run import SocketRun
 from hallhitch.lab.streams import Streams
 
-VIEW_POLL_S: Final = 0.03  # between looks at the gateways' views
-WAIT_TIMEOUT_S: Final = 60.0  # for a condition of the views to hold
-MAX_STALLED_DATAGRAMS: Final = 4_096  # that are kept on stalled links
-SEEDS: Final = (0, 1, 2)  # gateways whose addresses each gateway is started with
+VIEW_POLL_S: Final = 0.03  # interval at which the gateways' views are polled
+WAIT_TIMEOUT_S: Final = 60.0  # default timeout for a condition on the views
+MAX_STALLED_DATAGRAMS: Final = 4_096  # kept for stalled links; further ones are dropped
+SEEDS: Final = (0, 1, 2)  # gateways whose addresses each gateway gets as seeds
 
 
 class GatewayFleet(SocketRun):
-    """A run whose gateways know each other by membership, with faults between them; a context manager."""
+    """A run whose gateways use membership, with faults between them; a context manager."""
 
     def __init__(
         self,
@@ -43,7 +44,7 @@
         has_membership: bool = True,
         peers_settings: str = "",
     ) -> None:
-        """`peers_settings` are further lines of each gateway's peers file."""
+        """`peers_settings` holds further lines for each gateway's peers file."""
         super().__init__(scenario, seed)
         self.timeline = timeline or FaultTimeline()
         self._has_membership = has_membership
@@ -52,16 +53,16 @@
         self.links = Links(self.count, Streams(seed).of("links"))
         self.port, self.ops_port = free_port(), free_port()
         self.relays: dict[int, Relay] = {}
-        self._stalled: list[tuple[int, int, bytes]] = []  # sender, receiver and datagram on stalled links
+        self._stalled: list[tuple[int, int, bytes]] = []  # sender, receiver and datagram held back on stalled links
         self._links_changed = asyncio.Event()
         self._number_by_host = {gateway_host(number): number for number in range(self.count)}
         self.log_lines: dict[int, list[dict[str, Any]]] = {number: [] for number in range(self.count)}
         self.datagram_counts: Counter[str] = Counter()
 
     async def __aenter__(self) -> GatewayFleet:
-        self._temporary = tempfile.TemporaryDirectory()
+        self._temporary_folder = tempfile.TemporaryDirectory()
         try:
-            await self.open(Path(self._temporary.name))
+            await self.open(Path(self._temporary_folder.name))
         except BaseException:
             await self.__aexit__()
             raise
@@ -73,7 +74,7 @@
         await self.close()
         for relay in self.relays.values():
             relay.transport.close()
-        self._temporary.cleanup()
+        self._temporary_folder.cleanup()
 
     # The start of gateways.
 
@@ -106,7 +107,7 @@
         return path
 
     def on_log_line(self, number: int, line: bytes) -> None:
-        """Keep a line of a gateway's log."""
+        """Store a line of a gateway's log; one that is not JSON becomes an entry with the text as its event."""
         try:
             self.log_lines[number].append(json.loads(line))
         except ValueError:
@@ -115,7 +116,7 @@
     # Links.
 
     def forward(self, sender_host: str, receiver: int, data: bytes) -> None:
-        """Forward a datagram, as its link allows."""
+        """Forward a datagram, subject to the faults of its link."""
         sender = self._number_by_host.get(sender_host)
         if sender is None or sender not in self.relays:
             self.datagram_counts["unknown"] += 1
@@ -142,7 +143,7 @@
             transport.sendto(data, (gateway_host(receiver), self.port))
 
     async def reaches(self, gateway: int, party: str) -> bool:
-        """Whether what a gateway sends a party arrives; on a stalled link, wait until it does."""
+        """Whether data from a gateway reaches a party; on a stalled link, waits until the stall ends."""
         sender = f"g{gateway}"
         names = (party, "nodes") if party.startswith("node") else (party,)
         while any(self.links.is_stalled(sender, name) for name in names):
@@ -153,18 +154,22 @@
     # Faults.
 
     async def drive(self) -> None:
-        """Drive the scenario's traffic and faults, and the timeline beside them."""
+        """Schedule the timeline's faults, then run the scenario's traffic and faults."""
         self.schedule()
         await super().drive()
 
     def schedule(self) -> None:
-        """Schedule the faults of the timeline from now on."""
+        """Schedule the faults of the timeline, with times relative to now."""
         for fault in self.timeline.faults:
             for begins_at, ends_at in fault.times():
                 self.time.after(begins_at, self.begin_fault, fault, (ends_at - begins_at) / 1000)
 
     def begin_fault(self, fault: FleetFault, duration_s: float = 0.0) -> int:
-        """Begin a fault now, for a time (0: until it is ended); returns the id to end a link's fault by, or 0."""
+        """Begin a fault now; returns the id to pass to `end_fault`, or 0 if it is no link fault.
+
+        With `duration_s` 0, a link fault lasts until `end_fault` and a suspension until `resume`; killed and terminated
+        processes are not restarted.
+        """
         numbers = gateway_numbers(fault.whom, self.count)
         if fault.kind in ("kill", "restart", "term"):
             restart_after_s = duration_s if duration_s or fault.kind == "restart" else None
@@ -184,20 +189,20 @@
         return fault_id
 
     def end_fault(self, fault_id: int) -> None:
-        """End a fault of a link."""
+        """End a link fault."""
         self.links.end(fault_id)
         self._on_links_changed()
 
     def _on_links_changed(self) -> None:
-        """Wake what waits on stalled links, and forward the datagrams kept for them."""
-        changed, self._links_changed = self._links_changed, asyncio.Event()
-        changed.set()
+        """Wake the senders that wait on stalled links, and forward the datagrams held back."""
+        previous_event, self._links_changed = self._links_changed, asyncio.Event()
+        previous_event.set()
         stalled, self._stalled = self._stalled, []
         for sender, receiver, data in stalled:
             self.forward(gateway_host(sender), receiver, data)
 
     async def end_process(self, number: int, is_graceful: bool, restart_after_s: float | None) -> None:
-        """Terminate or kill a gateway's process, and start it again after a time, unless that is None.
+        """Terminate or kill a gateway's process; restart it after `restart_after_s`, unless that is None.
 
         Raises:
             GatewayNotRunningError: there is no such process.
@@ -205,7 +210,7 @@
         process = self._running_process(number)
         unaware_ms = self.router.draw_unaware_ms()
         if is_graceful:
-            self.processes[number] = None  # it gets no new clients; those that it has are served
+            self.processes[number] = None  # it gets no new clients but serves those that it has
             process.send_signal(signal.SIGTERM)
         else:
             self.journal.add(self.time.now, "gateway", number, "killed")
@@ -219,7 +224,7 @@
             await self.start_gateway(number)
 
     def suspend(self, number: int) -> None:
-        """Stop a gateway's process until `resume`.
+        """Suspend a gateway's process until `resume`.
 
         Raises:
             GatewayNotRunningError: there is no such process.
@@ -230,7 +235,7 @@
         process.send_signal(signal.SIGSTOP)
 
     def resume(self, number: int) -> None:
-        """Continue a gateway's process, unless it has ended."""
+        """Resume a gateway's process, unless it has ended."""
         process = self.processes[number]
         self.router.suspended.discard(number)
         if process is not None and process.returncode is None:
@@ -254,22 +259,22 @@
         ]
 
     async def fetch(self, number: int, path: str = MEMBERS_PATH, host: str = "") -> Any:
-        """Fetch a path from a gateway's operator address: decoded JSON for its view, text otherwise."""
+        """Fetch a path from a gateway's operator address; returns decoded JSON for its view, text for other paths."""
         return await fetch(host or gateway_host(number), self.ops_port, path)
 
     async def fetch_views(self) -> dict[int, View]:
-        """Fetch the views of all running gateways; those that fail to answer are left out."""
+        """Fetch the views of all running gateways; gateways that fail to respond are left out."""
         running = self.running()
-        answers = await asyncio.gather(*(self.fetch(number) for number in running), return_exceptions=True)
-        return {number: view for number, view in zip(running, answers, strict=True) if isinstance(view, dict)}
+        responses = await asyncio.gather(*(self.fetch(number) for number in running), return_exceptions=True)
+        return {number: view for number, view in zip(running, responses, strict=True) if isinstance(view, dict)}
 
     async def wait_until(
         self, condition: Callable[[dict[int, View]], bool], timeout_s: float = WAIT_TIMEOUT_S
     ) -> float:
-        """Wait until a condition of the views holds; returns the seconds that it took.
+        """Wait until a condition on the views holds; returns the elapsed seconds.
 
         Raises:
-            TimeoutError: it did not hold in time; has the views.
+            TimeoutError: the condition did not hold in time; its argument has the members' states by gateway.
         """
         loop = asyncio.get_running_loop()
         began_s = loop.time()
@@ -282,7 +287,7 @@
             await asyncio.sleep(VIEW_POLL_S)
 
     async def wait_until_agreed(self, timeout_s: float = WAIT_TIMEOUT_S) -> float:
-        """Wait until all running gateways hold exactly each other to be present, and nobody suspect."""
+        """Wait until every running gateway has exactly the running ones present in its view, none of them suspect."""
 
         def is_agreed(views: dict[int, View]) -> bool:
             running = sorted(f"n{number}" for number in self.running())
@@ -294,5 +299,5 @@
         return await self.wait_until(is_agreed, timeout_s)
 
     def log_lines_of(self, number: int, event: str) -> list[dict[str, Any]]:
-        """The lines of a gateway's log with an event."""
+        """The lines of a gateway's log that record an event."""
         return [line for line in self.log_lines[number] if line.get("event") == event]
--- a/hallhitch/lab/fleet/relay.py
+++ b/hallhitch/lab/fleet/relay.py
@@ -1,7 +1,7 @@
-"""Relays of datagrams: each gateway advertises the address of its relay, at which others send to it.
+"""Datagram relays: each gateway advertises the address of its relay, and the other gateways send to that address.
 
-A relay is one socket. It knows the sender of a datagram by the source address, and hands it to a callback that forwards
-it from the sender's relay.
+A relay is one socket. It passes each datagram, with the source address that identifies the sender, to a callback; the
+callback forwards it from the sender's relay.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Final, cast
 
-RELAY_BUFFER_BYTES: Final = 1 << 20  # of a relay's socket, so that bursts of a large fleet are not lost there
+RELAY_BUFFER_BYTES: Final = 1 << 20  # receive buffer; bursts of a large fleet must not overflow it
 
 
 def gateway_host(number: int) -> str:
@@ -42,12 +42,12 @@
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, sock=sock)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket's transport."""
+        """Store the socket's transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand on a datagram for this gateway."""
+        """Pass a datagram for this gateway to the callback."""
         self._on_datagram(addr[0], self.number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a gateway does not listen: the datagram is lost, as on any network."""
+        """Ignore errors from gateways that do not listen: the datagram is lost, as on any network."""
--- a/hallhitch/lab/fleet/timeline.py
+++ b/hallhitch/lab/fleet/timeline.py
@@ -1,7 +1,8 @@
-"""Timelines of faults between gateways, as TOML: the same files for virtual time and for real processes.
+"""Timelines of faults between gateways, in TOML; runs in virtual time and with real processes read the same files.
 
-Gateways are written `g0`, `g1` and so on, `g4-g9` for several, `gateways` for all; other parties are `nodes`,
-`node-3`, `counter` and `discovery`. A ratio such as `0.5` takes that part of the gateways, the next ones in order.
+Gateways are written `g0`, `g1` and so on, `g4-g9` for a range, `gateways` for all; other parties are `nodes`,
+`node-3`, `counter` and `discovery`. In the parts of a split, a ratio such as `0.5` stands for that fraction of the
+gateways, taken in order after those of the parts before.
 """
 
 from __future__ import annotations
@@ -22,38 +23,38 @@
 
 
 class FleetFault(Struct, frozen=True, forbid_unknown_fields=True):
-    """One fault: from `at_s` on, for `for_s`, or repeated `every_s` until `until_s`."""
+    """One fault: it begins at `at_s` and lasts `for_s`; it may be repeated `every_s` until `until_s`."""
 
     kind: Literal["cut", "split", "drop", "duplicate", "delay", "stall", "kill", "stop", "term", "restart"]
     at_s: Annotated[float, Meta(ge=0)]
     for_s: Annotated[float, Meta(ge=0)] = 0.0
-    whom: Parties = ()  # of a link: the senders; of a process: the gateways
-    to: Parties = ()  # the receivers; none means all
+    whom: Parties = ()  # the senders of a link fault, or the gateways of a process fault
+    to: Parties = ()  # the receivers of a link fault; empty means all
     one_way: bool = False
-    parts: tuple[Ratio | Parties, ...] = ()  # of a split: the groups that still reach each other
-    share: Ratio = 1.0  # of the datagrams that are dropped, duplicated or delayed
-    delay_ms: tuple[float, float] = (0.0, 0.0)  # drawn for each datagram: so they overtake each other
+    parts: tuple[Ratio | Parties, ...] = ()  # of a split: the groups; parties within one still reach each other
+    share: Ratio = 1.0  # ratio of the datagrams that are dropped, duplicated or delayed
+    delay_ms: tuple[float, float] = (0.0, 0.0)  # range, drawn for each datagram, so that datagrams are reordered
     every_s: Annotated[float, Meta(ge=0)] = 0.0
     until_s: Annotated[float, Meta(ge=0)] = 0.0
 
     def __post_init__(self) -> None:
         if self.kind == "split" and len(self.parts) < 2:
-            raise ValueError("field 'parts': a split has two or more")
+            raise ValueError("field 'parts': a split needs at least two parts")
         if self.kind in PROCESS_FAULTS and not self.whom:
-            raise ValueError("field 'whom': nobody")
-        is_repeated_wrongly = self.every_s <= self.for_s or self.until_s <= self.at_s
-        if self.every_s and is_repeated_wrongly:
-            raise ValueError("field 'every_s': shorter than 'for_s', or without an end")
+            raise ValueError("field 'whom': a process fault must name at least one gateway")
+        is_period_invalid = self.every_s <= self.for_s or self.until_s <= self.at_s
+        if self.every_s and is_period_invalid:
+            raise ValueError("field 'every_s': must be longer than 'for_s', and 'until_s' must be after 'at_s'")
         parties_of_parts = tuple(name for part in self.parts if isinstance(part, tuple) for name in part)
         for field, names in (("whom", self.whom), ("to", self.to), ("parts", parties_of_parts)):
             for name in names:
                 check_field(field, lambda name=name: check_party(name))  # type: ignore[misc]
 
     def times(self) -> list[tuple[float, float]]:
-        """When it begins and ends each time, in ms."""
+        """The begin and the end of each occurrence, in ms."""
         if not self.every_s:
             return [(self.at_s * 1000, (self.at_s + self.for_s) * 1000)]
-        count = int((self.until_s - self.at_s) / self.every_s - 1e-9) + 1  # the end itself is exclusive
+        count = int((self.until_s - self.at_s) / self.every_s - 1e-9) + 1  # `until_s` is exclusive
         return [
             ((self.at_s + n * self.every_s) * 1000, (self.at_s + n * self.every_s + self.for_s) * 1000)
             for n in range(count)
@@ -64,22 +65,24 @@
     """All faults of a run."""
 
     seconds: Annotated[float, Meta(gt=0)] = 30.0
-    faults: tuple[FleetFault, ...] = msgspec.field(default=(), name="troubles")  # the name that users' files have
+    faults: tuple[FleetFault, ...] = msgspec.field(default=(), name="troubles")  # the key in users' files
 
 
 def check_party(name: str) -> str:
-    """Return a party's name.
+    """Return the name if it is that of a party or of a range of gateways.
 
     Raises:
-        ValueError: there is no such party.
+        ValueError: the name is none of these.
     """
     if not PARTY_NAME.fullmatch(name):
-        raise ValueError(f"'{name}' is nobody: g0, g2-g5, gateways, nodes, node-3, counter or discovery")
+        raise ValueError(
+            f"unknown party '{name}': expected a name such as g0, g2-g5, gateways, nodes, node-3, counter or discovery"
+        )
     return name
 
 
 def gateway_numbers(parties: Parties, gateways: int) -> list[int]:
-    """The numbers of the gateways among some parties."""
+    """The numbers of the gateways among the parties, up to the number of gateways in the run."""
     numbers: list[int] = []
     for name in parties:
         match = GATEWAY_RANGE.fullmatch(name)
@@ -92,7 +95,7 @@
 
 
 def partition_groups(parts: tuple[Ratio | Parties, ...], gateways: int) -> list[frozenset[str]]:
-    """The names in each group of a split."""
+    """The names of the parties in each group of a split."""
     groups: list[frozenset[str]] = []
     next_gateway = 0
     for part in parts:
