--- a/hallhitch/lab/load/__init__.py
+++ b/hallhitch/lab/load/__init__.py
@@ -1,6 +1,6 @@
-"""Open-loop load on a server of one's own: requests go when they are due, whether or not earlier ones were answered.
+"""Open-loop load on a local server: each request is sent when it is due, whether or not earlier ones were answered.
 
-A generator that waits for replies sends less while the server stands still, and so hides the delays that cost most
-(coordinated omission). This one keeps to its schedule, counts latencies from the due times, and reports by how much it
-was late itself: a run whose generator was late is no measurement.
+A generator that waits for replies sends fewer requests while the server stalls, and so hides the longest delays
+(coordinated omission). This generator keeps to its schedule, measures latencies from the due times, and reports its own
+send delays: a run whose generator was late is not valid.
 """
--- a/hallhitch/lab/load/generator.py
+++ b/hallhitch/lab/load/generator.py
@@ -1,4 +1,4 @@
-"""The load generator: worker processes, each with a part of the schedule."""
+"""The load generator: worker processes that each send a part of the schedule."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 StreamPair = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Connect = Callable[[str, int], Awaitable[StreamPair]]
-MAX_CONNECTIONS: Final = 2_000  # of a worker; a request past them waits, and its latency counts
-REPLY_TIMEOUT_S: Final = 30.0  # past the last request, after which requests count as unanswered
-START_S: Final = 0.8  # for a worker process to start,
-START_S_PER_WORKER: Final = 0.05  # and for each one more
-POLL_S: Final = 0.2  # between looks at the workers
+MAX_CONNECTIONS: Final = 2_000  # per worker; a request beyond them waits, and the wait counts in its latency
+REPLY_TIMEOUT_S: Final = 30.0  # after the last request; requests still open then count as unanswered
+START_S: Final = 0.8  # for the worker processes to start
+START_S_PER_WORKER: Final = 0.05  # added to START_S for each worker process
+POLL_S: Final = 0.2  # interval at which the workers are polled
 
 
 class WorkerEndedError(LabError):
-    """A worker process that ended without sending its tally."""
+    """A worker process ended without sending its tally."""
 
     def __init__(self) -> None:
-        super().__init__("a load worker ended without a result")
+        super().__init__("a load worker process ended without sending its result")
 
 
 class LoadPlan(Struct, frozen=True):
-    """A run: which requests go where."""
+    """The requests of a run and the server that they are sent to."""
 
     address: str
     protocol: Literal["http", "resp"]
@@ -44,7 +44,7 @@
 
 
 class LoadWorker:
-    """Sends a part of the schedule from one process; `begin_s` is on the given clock."""
+    """Sends a part of the schedule from one process; `begin_s` is a time of `clock`."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self.tally = LoadTally()
 
     async def run(self, requests: list[TraceRequest]) -> LoadTally:
-        """Send all requests when they are due, then wait for the replies."""
+        """Send each request when it is due, then wait for the replies."""
         tasks: set[asyncio.Task[None]] = set()
         for request in requests:
             due_s = self._begin_s + request.at_ms / 1000
@@ -83,9 +83,9 @@
         return self.tally
 
     async def _send(self, request: TraceRequest, due_s: float) -> None:
-        """Send a request and tally its end, which is `unanswered` if it is cancelled."""
+        """Send a request and tally its final status, which is `unanswered` if the task is cancelled."""
         self.tally.sent += 1
-        # The generator's own delay is that of the loop and the pacing, without the time to connect.
+        # The generator's own delay is that of the event loop and the pacing; it does not include the time to connect.
         self.tally.send_delays.record_value(clamp_us(self._clock() - due_s))
         status = "unanswered"
         try:
@@ -102,7 +102,7 @@
         self.tally.record_end(request, status, (self._clock() - due_s) * 1000)
 
     async def _exchange(self, request: TraceRequest) -> str:
-        """Send a request on a pooled connection, or on a new one if the server had closed that."""
+        """Send a request on a pooled connection, or on a new one if the server has closed the pooled one."""
         for may_reuse in (True, False):
             is_reused = may_reuse and bool(self._idle)
             reader, writer = await self._open_connection(is_reused)
@@ -112,7 +112,7 @@
             except (asyncio.IncompleteReadError, ConnectionError) as error:
                 writer.close()
                 if is_reused and not getattr(error, "partial", b""):
-                    continue  # closed while idle: the request was not read
+                    continue  # closed while idle: the server has not read the request
                 raise
             if reply.is_connection_kept:
                 self._idle.append((reader, writer))
@@ -128,7 +128,7 @@
 
 
 def _run_worker(plan: LoadPlan, number: int, begin_s: float, pipe: Connection) -> None:
-    """Run a worker in its process, and send its tally."""
+    """Run a worker in this process and send its tally through the pipe."""
     import uvloop
 
     async def run() -> LoadTally:
@@ -138,15 +138,15 @@
 
 
 def run_load(plan: LoadPlan, on_progress: Callable[[float], None] = lambda ratio: None) -> LoadTally:
-    """Run a plan in processes of its own; `on_progress` gets the ratio of its time that has passed.
+    """Run a plan in worker processes; `on_progress` gets the elapsed ratio of the schedule.
 
     Raises:
-        WorkerEndedError: a worker process died.
-        ValueError: the address is not of loopback.
+        WorkerEndedError: a worker process ended without a result.
+        ValueError: the address is not a loopback address.
     """
     parse_loopback_address(plan.address)
     context = multiprocessing.get_context("spawn")
-    # The monotonic clock is the machine's, so that all workers begin together.
+    # All processes of the machine share the monotonic clock, so the workers begin at the same time.
     begin_s = time.monotonic() + START_S + START_S_PER_WORKER * plan.workers
     workers = []
     for number in range(plan.workers):
@@ -155,10 +155,10 @@
         process.start()
         workers.append((receiver, process))
     tally = LoadTally()
-    last_s = plan.requests[-1].at_ms / 1000 if plan.requests else 0.0
+    duration_s = plan.requests[-1].at_ms / 1000 if plan.requests else 0.0
     for receiver, process in workers:
         while not receiver.poll(POLL_S):
-            on_progress(min(1.0, max(0.0, (time.monotonic() - begin_s) / max(last_s, 0.001))))
+            on_progress(min(1.0, max(0.0, (time.monotonic() - begin_s) / max(duration_s, 0.001))))
             if not process.is_alive() and not receiver.poll():
                 raise WorkerEndedError
         with contextlib.suppress(EOFError):
--- a/hallhitch/lab/load/protocols.py
+++ b/hallhitch/lab/load/protocols.py
@@ -1,4 +1,4 @@
-"""The protocols that load is sent by: the platform's HTTP, and TAKE of the limit server."""
+"""The protocols of generated load: the platform's HTTP protocol, and the limit server's TAKE command."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class NotLoopbackError(LabError, ValueError):
-    """An address that is not of loopback: this is no tool against others' servers."""
+    """The address is not a loopback address; load is never sent to servers on other machines."""
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"{address} is no loopback address")
+        super().__init__(f"{address} is not a loopback address")
         self.address = address
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A server's reply, as far as it is tallied."""
+    """The parts of a server's reply that the generator uses."""
 
     status: str
     is_connection_kept: bool
@@ -40,7 +40,7 @@
 
 
 class HttpProtocol:
-    """The platform's protocol."""
+    """The platform's HTTP protocol."""
 
     def __init__(self, gateways: int) -> None:
         self._ids = itertools.count(time.monotonic_ns() & 0xFFFFFFFFFFFF)
@@ -73,11 +73,11 @@
 
 
 class RespProtocol:
-    """TAKE of the limit server, over RESP."""
+    """The limit server's TAKE command over RESP."""
 
     def encode(self, request: TraceRequest) -> bytes:
-        """Encode a command."""
-        words = (
+        """Encode a request as a TAKE command."""
+        arguments = (
             "TAKE",
             request.customer,
             request.klass,
@@ -85,25 +85,25 @@
             f"{request.units:g}",
             str(request.deadline_ms),
         )
-        encoded = b"".join(b"$%d\r\n%s\r\n" % (len(word), word.encode()) for word in words)
-        return b"*%d\r\n" % len(words) + encoded
+        encoded = b"".join(b"$%d\r\n%s\r\n" % (len(word), word.encode()) for word in arguments)
+        return b"*%d\r\n" % len(arguments) + encoded
 
     async def read_reply(self, reader: asyncio.StreamReader) -> Reply:
-        """Read a reply: an array of two integers, or an error."""
-        first = (await reader.readuntil(b"\r\n"))[:-2]
-        if first != b"*2":
-            return Reply(f"failed {first.split()[0].decode(errors='replace')}", True)
+        """Read a reply, which is an array of two integers or an error."""
+        first_line = (await reader.readuntil(b"\r\n"))[:-2]
+        if first_line != b"*2":
+            return Reply(f"failed {first_line.split()[0].decode(errors='replace')}", True)
         is_granted = (await reader.readuntil(b"\r\n"))[:-2] == b":1"
         await reader.readuntil(b"\r\n")
         return Reply("served" if is_granted else "refused", True)
 
 
 def parse_loopback_address(address: str) -> tuple[str, int]:
-    """Split an address into host and port.
+    """Split a loopback address into host and port.
 
     Raises:
-        NotLoopbackError: the host is an address of another network.
-        ValueError: it is no address at all.
+        NotLoopbackError: the host is not a loopback address.
+        ValueError: the host is not an IP address, or the port is not a number.
     """
     host, _, port = address.rpartition(":")
     if not ipaddress.ip_address(host.strip("[]")).is_loopback:
--- a/hallhitch/lab/load/schedule.py
+++ b/hallhitch/lab/load/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of requests: the times of a shape, and the requests of a mix at these times. Times in ms."""
+"""Request schedules: arrival times of a given shape, and the requests of a mix at these times. Times are in ms."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 from hallhitch.lab.streams import Streams
 
 Shape = Literal["poisson", "constant", "bursts", "ramp", "onoff"]
-PEAK_INTENSITY: Final = {"ramp": 2.0, "onoff": 2.0, "bursts": 5.5}  # of the mean rate; 1.0 for other shapes
+PEAK_INTENSITY: Final = {
+    "ramp": 2.0,
+    "onoff": 2.0,
+    "bursts": 5.5,
+}  # relative to the mean rate; 1.0 for the other shapes
 BURST_PERIOD_MS: Final = 2000
-BURST_MS: Final = 200  # of each period, in which 55 of 100 requests go
+BURST_MS: Final = 200  # of each period; 55 % of the requests are due in it
 ON_OFF_MS: Final = 1000
 
 
 class MixedClass(Struct, frozen=True):
-    """A class of a mix."""
+    """The share and the properties of one request class in a mix."""
 
     share: float
     deadline_ms: int
@@ -26,16 +30,16 @@
 
 
 class RequestMix(Struct, frozen=True):
-    """The requests of a run without a trace."""
+    """The composition of the requests in a run without a trace."""
 
     classes: dict[str, MixedClass]
-    plans: dict[str, float]  # shares
+    plans: dict[str, float]  # share of each plan
     customers: int = 200
     body_bytes: int = 4096
 
 
 def arrival_times(shape: Shape, rate_per_s: float, seconds: float, seed: int) -> list[float]:
-    """Draw the times at which requests are due, at a mean rate; by thinning, where the shape varies it."""
+    """Draw the due times of requests at a mean rate; shapes that vary the rate are drawn by thinning."""
     stream, end = Streams(seed).of("load"), seconds * 1000
     if shape == "constant":
         return [number * 1000 / rate_per_s for number in range(int(rate_per_s * seconds))]
@@ -49,7 +53,7 @@
 
 
 def _intensity(shape: Shape, at: float, end: float) -> float:
-    """The rate at a time, relative to the mean rate."""
+    """The rate of a shape at a time, relative to the mean rate."""
     if shape == "ramp":
         return 2 * at / end
     if shape == "onoff":
@@ -60,7 +64,7 @@
 
 
 def make_requests(times: Iterable[float], mix: RequestMix, seed: int) -> list[TraceRequest]:
-    """Draw the requests of a mix at given times."""
+    """Draw the requests of a mix that are due at the given times."""
     stream = Streams(seed).of("mix")
 
     def pick(shares: Iterator[tuple[str, float]]) -> str:
--- a/hallhitch/lab/load/tally.py
+++ b/hallhitch/lab/load/tally.py
@@ -1,4 +1,4 @@
-"""The tally of a load run: latencies and statuses by group, and the generator's own delays."""
+"""The tally of a load run: latencies by group, counts of statuses, and the generator's own send delays."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from hallhitch.lab.load.trace_format import TraceRequest
 
-MAX_LATENCY_US: Final = 600_000_000  # the longest that is distinguished: ten minutes
+MAX_LATENCY_US: Final = 600_000_000  # ten minutes; longer latencies are recorded as this value
 SIGNIFICANT_DIGITS: Final = 3
-MAX_P99_SEND_DELAY_MS: Final = 5.0  # of a valid run: small beside the latencies that are measured
+MAX_P99_SEND_DELAY_MS: Final = 5.0  # of a valid run; small compared with the measured latencies
 PERCENTILES: Final = (50.0, 90.0, 99.0, 99.9, 99.99)
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedTally:
-    """A tally in a form that passes between processes."""
+    """A tally encoded for transfer between processes."""
 
     latencies: dict[str, bytes]
     statuses: dict[str, int]
@@ -27,12 +27,12 @@
 
 
 def make_histogram() -> Any:
-    """Make a histogram of times in microseconds."""
+    """Create a histogram of times in microseconds."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def clamp_us(seconds: float) -> int:
-    """Convert a time to whole microseconds within the histograms' range."""
+    """Convert seconds to whole microseconds, clamped to the range of the histograms."""
     return min(MAX_LATENCY_US, max(1, int(seconds * 1_000_000)))
 
 
@@ -46,7 +46,7 @@
     sent: int = 0
 
     def record_end(self, request: TraceRequest, status: str, latency_ms: float) -> None:
-        """Record the end of a request; its latency counts from the time when it was due."""
+        """Record the final status of a request, and its latency from the time when it was due."""
         value = min(MAX_LATENCY_US, max(1, int(latency_ms * 1000)))
         for group in ("all", f"class {request.klass}", f"plan {request.plan}", f"status {status}"):
             self.latencies[group].record_value(value)
@@ -60,7 +60,7 @@
         return EncodedTally(latencies, dict(self.statuses), self.send_delays.encode(), self.sent)
 
     def add(self, part: EncodedTally) -> None:
-        """Add a worker's part."""
+        """Add the tally of a worker."""
         for group, histogram in part.latencies.items():
             self.latencies[group].decode_and_add(histogram)
         self.statuses.update(part.statuses)
@@ -69,17 +69,17 @@
 
     @property
     def p99_send_delay_ms(self) -> float:
-        """The delay within which 99 of 100 requests were sent after they were due."""
+        """The 99th percentile of the delays between due time and sending."""
         if not self.send_delays.get_total_count():
             return 0.0
         return float(self.send_delays.get_value_at_percentile(99.0)) / 1000
 
     @property
     def is_valid(self) -> bool:
-        """Whether the generator kept to its schedule; otherwise the run measures the generator."""
+        """Whether the generator kept to its schedule; otherwise the latencies measure the generator itself."""
         return self.p99_send_delay_ms <= MAX_P99_SEND_DELAY_MS
 
     def percentiles(self, group: str = "all") -> dict[float, float]:
-        """Latencies in ms by percentile."""
+        """The latencies of a group in ms, by percentile."""
         histogram = self.latencies[group]
         return {percentile: histogram.get_value_at_percentile(percentile) / 1000 for percentile in PERCENTILES}
--- a/hallhitch/lab/load/trace_format.py
+++ b/hallhitch/lab/load/trace_format.py
@@ -1,4 +1,4 @@
-"""Traces of requests: a file of JSON lines, ordered by time."""
+"""The trace format: one request per line as a JSON object, ordered by time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TraceError(LabError, ValueError):
-    """A trace that cannot be read: names the line."""
+    """A trace cannot be read; the message names the line."""
 
     def __init__(self, line_number: int, reason: object) -> None:
         super().__init__(f"line {line_number}: {reason}")
@@ -28,14 +28,14 @@
     units: float = 1.0
     deadline_ms: int = 4000
     body: int = 0  # bytes
-    tenant: str = ""  # whose host name is requested; none on the platform
+    tenant: str = ""  # host name of the tenant; empty on the platform
 
 
 def read_trace(lines: Iterable[bytes]) -> list[TraceRequest]:
     """Read a trace.
 
     Raises:
-        TraceError: a line is no request, or its time is before that of the line before.
+        TraceError: a line is not a valid request, or its time is earlier than that of the previous line.
     """
     requests: list[TraceRequest] = []
     for number, line in enumerate(lines, 1):
@@ -44,12 +44,12 @@
         except ValueError as error:
             raise TraceError(number, error) from error
         if requests and request.at_ms < requests[-1].at_ms:
-            raise TraceError(number, "goes back in time")
+            raise TraceError(number, "at_ms is less than in the previous line")
         requests.append(request)
     return requests
 
 
 def write_trace(requests: Iterable[TraceRequest]) -> Iterator[bytes]:
-    """Encode the lines of a trace."""
+    """Encode requests as the lines of a trace."""
     for request in requests:
         yield msgspec.json.encode(request) + b"\n"
--- a/hallhitch/lab/load/trace_import.py
+++ b/hallhitch/lab/load/trace_import.py
@@ -1,4 +1,4 @@
-"""Imports of traces from access logs and from tables of other tools."""
+"""Import of traces from access logs and from CSV tables of other tools."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 from hallhitch.lab.load.trace_format import TraceError, TraceRequest
 
-# The common and the combined log format, as most servers write them: host, two names, time, request line, status, size.
+# The common and the combined log format, which most servers write: host, identity, user, time, request line, status and
+# size; any further fields are ignored.
 ACCESS_LOG_LINE: Final = re.compile(r'\S+ \S+ \S+ \[([^\]]+)\] "([A-Z]+) (\S+)(?: HTTP/[\d.]+)?" \d{3} \S+')
 ACCESS_LOG_TIME: Final = "%d/%b/%Y:%H:%M:%S %z"
-# The class comes first in a path of the platform's protocol, the customer last.
+# In a path of the platform's protocol the first segment is the class and the last one the customer.
 REQUEST_PATH: Final = re.compile(r"/([^/?#]+)/(?:[^?#]*/)?([0-9a-fA-F]{16})(?:[?#].*)?")
 REQUIRED_COLUMNS: Final = {"class", "customer", "plan"}
 TIME_COLUMNS: Final = {"at_ms", "time"}
@@ -25,16 +26,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AccessLogDefaults:
-    """What an access log does not say of its requests."""
+    """Values for the request fields that access logs lack."""
 
     plan: str
     deadline_ms: int
-    body_bytes: int  # of a POST
+    body_bytes: int  # body size of a POST request
 
 
 @dataclass(frozen=True, slots=True)
 class ImportedTrace:
-    """A trace, and the number of requests left out since they name no class and customer."""
+    """An imported trace, and the number of requests skipped because they name no class and customer."""
 
     requests: list[TraceRequest]
     skipped: int = 0
@@ -48,12 +49,12 @@
 
 
 def import_access_log(lines: Iterable[str], defaults: AccessLogDefaults) -> ImportedTrace:
-    """Make a trace of an access log.
+    """Import a trace from an access log.
 
-    Such a log knows seconds only: the requests of one second are spread evenly over it, in their order.
+    Access logs have a resolution of one second: the requests of each second are spread evenly over it, in their order.
 
     Raises:
-        TraceError: a line is none of an access log.
+        TraceError: a line is not in an access log format.
     """
     by_second: dict[int, list[_LoggedRequest]] = {}
     skipped = 0
@@ -62,7 +63,7 @@
             continue
         match = ACCESS_LOG_LINE.match(line)
         if match is None:
-            raise TraceError(number, "no line of an access log")
+            raise TraceError(number, "not in the common or combined log format")
         try:
             second = int(datetime.strptime(match[1], ACCESS_LOG_TIME).timestamp())
         except ValueError as error:
@@ -90,27 +91,27 @@
 
 
 def import_csv(lines: Iterable[str], default_deadline_ms: int) -> list[TraceRequest]:
-    """Make a trace of a table with a header.
+    """Import a trace from a CSV table with a header.
 
-    Columns are class, customer, plan, and `at_ms` or `time` (ISO 8601); units, deadline_ms, body and tenant (a host
-    name) may be there too. Rows may come in any order.
+    Required columns are class, customer, plan, and either `at_ms` or `time` (ISO 8601); units, deadline_ms, body and
+    tenant (a host name) are optional. Rows may be in any order.
 
     Raises:
-        TraceError: the header or a row is not as it should be.
+        TraceError: the header or a row is invalid.
     """
     table = csv.DictReader(lines)
     columns = set(table.fieldnames or ())
     has_required = columns >= REQUIRED_COLUMNS and len(columns & TIME_COLUMNS) == 1
     if not has_required or not columns <= REQUIRED_COLUMNS | OPTIONAL_COLUMNS:
         reason = (
-            f"the header needs {', '.join(sorted(REQUIRED_COLUMNS))} and one of at_ms and time; it may have "
+            f"the header must have {', '.join(sorted(REQUIRED_COLUMNS))} and one of at_ms and time; it may have "
             f"units, deadline_ms, body and tenant; found {', '.join(sorted(columns)) or 'nothing'}"
         )
         raise TraceError(1, reason)
     requests = []
     for row in table:
         if None in row or None in row.values():
-            raise TraceError(table.line_num, "another number of columns than the header")
+            raise TraceError(table.line_num, "the number of columns differs from the header")
         try:
             requests.append(_request_of_row(row, default_deadline_ms))
         except ValueError as error:
--- a/hallhitch/lab/load/trace_recorder.py
+++ b/hallhitch/lab/load/trace_recorder.py
@@ -1,6 +1,7 @@
-"""A recording proxy on loopback before a gateway: bytes pass both ways as they come, and each request is recorded.
+"""A recording proxy on loopback in front of a gateway: it relays bytes unchanged both ways and records each request.
 
-What is recorded is the request and when it had arrived completely, never a response. Times in ms since the first one.
+It records a request with the time at which it had arrived completely, in ms since the first request, and never records
+responses.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def trace_request_of(message: Message, at_ms: float) -> TraceRequest | None:
-    """Read a request of the platform's protocol; None for one that names no class and customer."""
+    """Convert a request of the platform's protocol; None if it has no class, customer or valid headers."""
     path = REQUEST_PATH.fullmatch(message.target.decode("latin-1"))
     headers = message.headers
     if path is None or b"x-contract" not in headers:
@@ -44,8 +45,8 @@
 class TraceRecorder:
     """The recording proxy.
 
-    A connection whose bytes are no HTTP requests is passed on all the same and counted in `unreadable_connections`;
-    requests that name no class and customer are counted in `skipped`.
+    A connection whose bytes are not HTTP requests is still relayed, and counted in `unreadable_connections`. Requests
+    that name no class and customer are relayed and counted in `skipped`.
     """
 
     def __init__(self, gateway_address: str, file: IO[bytes]) -> None:
@@ -59,11 +60,11 @@
         self.address = ""
 
     async def start(self, address: str) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
             OSError: the address cannot be bound.
-            ValueError: it is no address of loopback.
+            ValueError: the address is not a loopback address.
         """
         host, port = parse_loopback_address(address)
         self._server = await asyncio.start_server(self._serve, host, port)
@@ -103,7 +104,7 @@
                 upstream_writer.transport.abort()
 
     async def _forward_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Forward what a client sends, and record its requests as long as they can be read."""
+        """Forward a client's data, and record its requests as long as they can be parsed."""
         parser: RequestReader | None = RequestReader()
         while data := await reader.read(READ_BYTES):
             writer.write(data)
@@ -123,7 +124,7 @@
             writer.write_eof()
 
     def _record(self, parser: RequestReader, data: bytes) -> bool:
-        """Record the requests that are complete with this data; whether the connection can be read on."""
+        """Record the requests that this data completes; returns whether the connection can still be parsed."""
         try:
             messages = parser.feed(data)
         except Malformed:
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator against a server whose true delays are known, and a closed loop beside it."""
+"""The load generator against a server with known delays, compared with a closed-loop client."""
 
 from __future__ import annotations
 
@@ -26,132 +26,136 @@
 )
 
 
-class JumpingLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock jumps to the next timer: what it runs takes no time, so no verdict hangs on the machine."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop in virtual time: the clock jumps to the next timer, so results do not depend on the machine."""
 
     def __init__(self) -> None:
-        super().__init__(_Jumps(self))
+        super().__init__(_VirtualTimeSelector(self))
         self.now = 0.0
 
     def time(self) -> float:
-        """Seconds."""
+        """The virtual time in seconds."""
         return self.now
 
 
-class _Jumps(selectors.SelectSelector):
-    def __init__(self, loop: JumpingLoop) -> None:
+class _VirtualTimeSelector(selectors.SelectSelector):
+    def __init__(self, loop: VirtualTimeLoop) -> None:
         super().__init__()
-        self._jumping = loop
+        self._virtual_loop = loop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        assert timeout is not None, "everything waits and nothing is to come"
-        self._jumping.now += timeout
+        assert timeout is not None, "deadlock: all tasks wait and no timer is scheduled"
+        self._virtual_loop.now += timeout
         return super().select(0)
 
 
 class StallingServer:
-    """A server in memory that answers in 1 ms, but for one stall; knows each true delay."""
+    """An in-memory server that answers in 1 ms, except during one stall, and records when it sent each response."""
 
-    def __init__(self, loop: JumpingLoop, stall: tuple[float, float]) -> None:
+    def __init__(self, loop: VirtualTimeLoop, stall: tuple[float, float]) -> None:
         self.loop, self.stall = loop, stall
-        self.wrote: dict[str, float] = {}  # when each customer's answer went
-        self.connections, self.heard = 0, b""
+        self.responded_at: dict[str, float] = {}  # when the response to each customer was sent
+        self.connections, self.received = 0, b""
 
     async def connect(self, host: str, port: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A connection of its own."""
+        """Open a connection to this server; host and port are ignored."""
         self.connections += 1
         reader = asyncio.StreamReader(loop=self.loop)
-        return reader, cast(asyncio.StreamWriter, _Side(self, reader))
+        return reader, cast(asyncio.StreamWriter, _InMemoryWriter(self, reader))
 
-    def take(self, request: bytes, reader: asyncio.StreamReader) -> None:
-        """One request."""
-        self.heard += request
-        who, now = request.split()[1].rpartition(b"/")[2].decode(), self.loop.now
-        ends = self.stall[1] if self.stall[0] <= now < self.stall[1] else now + 0.001
-        self.loop.call_at(ends, self._answer, who, reader)
+    def receive(self, request: bytes, reader: asyncio.StreamReader) -> None:
+        """Receive a request and schedule its response."""
+        self.received += request
+        customer_name, now = request.split()[1].rpartition(b"/")[2].decode(), self.loop.now
+        responds_at = self.stall[1] if self.stall[0] <= now < self.stall[1] else now + 0.001
+        self.loop.call_at(responds_at, self._answer, customer_name, reader)
 
-    def _answer(self, who: str, reader: asyncio.StreamReader) -> None:
-        self.wrote[who] = self.loop.now
+    def _answer(self, customer_name: str, reader: asyncio.StreamReader) -> None:
+        self.responded_at[customer_name] = self.loop.now
         reader.feed_data(http(200, b"x"))
 
 
-class _Side:
+class _InMemoryWriter:
     def __init__(self, server: StallingServer, reader: asyncio.StreamReader) -> None:
         self._server, self._reader = server, reader
 
     def write(self, data: bytes) -> None:
-        self._server.take(data, self._reader)
+        self._server.receive(data, self._reader)
 
     def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: the connection has no socket."""
 
 
 class Percentiles(unittest.TestCase):
-    """Percentiles, on a clock that jumps."""
+    """Percentiles of latencies, in virtual time."""
 
     def setUp(self) -> None:
-        self.loop = JumpingLoop()
+        self.loop = VirtualTimeLoop()
         self.addCleanup(self.loop.close)
 
-    def test_stall_of_two_seconds_is_measured_as_it_was(self) -> None:
-        """The generator keeps sending during a stall, and its percentiles are those of the true delays."""
+    def test_latencies_during_a_stall_match_the_true_delays(self) -> None:
+        """The generator keeps sending during a stall, and its percentiles match the server's true delays."""
         server = StallingServer(self.loop, (1.0, 3.0))
-        hosts = ("", "acme.example.org")
-        asked = [
-            msgspec.structs.replace(line, customer=f"{number:016x}", tenant=hosts[number % 2])
-            for number, line in enumerate(make_requests(arrival_times("poisson", 150.0, 5.0, 3), MIX, 3))
+        tenants = ("", "acme.example.org")
+        requests = [
+            msgspec.structs.replace(request, customer=f"{number:016x}", tenant=tenants[number % 2])
+            for number, request in enumerate(make_requests(arrival_times("poisson", 150.0, 5.0, 3), MIX, 3))
         ]
-        plan = LoadPlan("127.0.0.1:9", "http", asked)
-        tally = self.loop.run_until_complete(LoadWorker(plan, 0.0, self.loop.time, server.connect).run(asked))
-        true = [server.wrote[line.customer] * 1000 - line.at_ms for line in asked]
-        found = tally.percentiles()
-        for percent in (50.0, 90.0, 99.0, 99.9):
-            truth = float(np.percentile(true, percent, method="inverted_cdf"))
-            self.assertLess(abs(found[percent] - truth), 0.02 * truth, (percent, found[percent], truth))
-        self.assertGreater(found[90.0], 1000.0)
+        plan = LoadPlan("127.0.0.1:9", "http", requests)
+        tally = self.loop.run_until_complete(LoadWorker(plan, 0.0, self.loop.time, server.connect).run(requests))
+        true_latencies_ms = [server.responded_at[request.customer] * 1000 - request.at_ms for request in requests]
+        percentiles_ms = tally.percentiles()
+        for percentile in (50.0, 90.0, 99.0, 99.9):
+            expected_ms = float(np.percentile(true_latencies_ms, percentile, method="inverted_cdf"))
+            self.assertLess(
+                abs(percentiles_ms[percentile] - expected_ms),
+                0.02 * expected_ms,
+                (percentile, percentiles_ms[percentile], expected_ms),
+            )
+        self.assertGreater(percentiles_ms[90.0], 1000.0)
         self.assertTrue(tally.is_valid)
-        self.assertEqual(tally.statuses["served"], len(asked))
-        self.assertEqual(tally.latencies["tenant acme.example.org"].get_total_count(), len(asked) // 2)
-        self.assertIn(b"Host: acme.example.org\r\n", server.heard)
-        self.assertGreater(server.connections, 250, "each request of the stall has gone")
+        self.assertEqual(tally.statuses["served"], len(requests))
+        self.assertEqual(tally.latencies["tenant acme.example.org"].get_total_count(), len(requests) // 2)
+        self.assertIn(b"Host: acme.example.org\r\n", server.received)
+        self.assertGreater(server.connections, 250, "all requests due during the stall were sent")
 
     def test_closed_loop_hides_the_stall(self) -> None:
-        """A closed loop sees one slow request of the same stall (coordinated omission)."""
+        """A closed-loop client sees only one slow request in the same stall (coordinated omission)."""
         server = StallingServer(self.loop, (1.0, 3.0))
 
-        async def ask() -> list[float]:
+        async def send_sequentially() -> list[float]:
             reader, writer = await server.connect("", 0)
-            seen = []
+            latencies_ms = []
             for number in range(750):
-                began = self.loop.now
+                sent_at = self.loop.now
                 writer.write(b"GET /inspect/%016x HTTP/1.1" % number)
                 await read_http(reader)
-                seen.append((self.loop.now - began) * 1000)
+                latencies_ms.append((self.loop.now - sent_at) * 1000)
                 await asyncio.sleep(0.005)
-            return seen
+            return latencies_ms
 
-        seen = self.loop.run_until_complete(ask())
-        self.assertEqual(sum(ms > 500 for ms in seen), 1)
-        self.assertLess(float(np.percentile(seen, 99)), 10.0)
+        latencies_ms = self.loop.run_until_complete(send_sequentially())
+        self.assertEqual(sum(ms > 500 for ms in latencies_ms), 1)
+        self.assertLess(float(np.percentile(latencies_ms, 99)), 10.0)
 
     def test_late_generator_makes_the_run_invalid(self) -> None:
-        """A run whose generator was late is invalid, and its latencies count from the due times."""
+        """A run with a late generator is invalid, and its latencies are measured from the due times."""
         server = StallingServer(self.loop, (9.0, 9.0))
-        asked = make_requests(arrival_times("constant", 200.0, 1.0, 1), MIX, 1)
-        worker = LoadWorker(LoadPlan("127.0.0.1:9", "http", asked), 0.0, self.loop.time, server.connect)
+        requests = make_requests(arrival_times("constant", 200.0, 1.0, 1), MIX, 1)
+        worker = LoadWorker(LoadPlan("127.0.0.1:9", "http", requests), 0.0, self.loop.time, server.connect)
 
-        def hog() -> None:
-            self.loop.now += 0.4  # the process is kept from its work
+        def block_loop() -> None:
+            self.loop.now += 0.4  # as if the process got no CPU time for 0.4 s
 
-        self.loop.call_at(0.2, hog)
-        tally = self.loop.run_until_complete(worker.run(asked))
+        self.loop.call_at(0.2, block_loop)
+        tally = self.loop.run_until_complete(worker.run(requests))
         self.assertFalse(tally.is_valid)
-        self.assertGreater(tally.percentiles()[90.0], 100.0, "counted from when they were meant to go")
+        self.assertGreater(tally.percentiles()[90.0], 100.0, "latencies are measured from the due times")
         self.assertGreater(tally.p99_send_delay_ms, 100.0)
 
 
 class PromptServer(StandIn):
-    """Answers each request at once, on a real socket."""
+    """A server on a real socket that answers each request immediately."""
 
     async def serve(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer requests."""
@@ -161,39 +165,39 @@
 
 
 class SocketFailures(unittest.IsolatedAsyncioTestCase):
-    """Failures on real sockets."""
+    """Failures and worker processes, with real sockets."""
 
     async def asyncSetUp(self) -> None:
-        # unittest turns the loop's debugging on, which costs more than what is measured.
+        # unittest enables the debug mode of the event loop, whose cost exceeds the measured times.
         asyncio.get_running_loop().set_debug(False)
 
     async def test_failures_are_tallied_by_cause(self) -> None:
-        """Aborted connections, rejections and errors have statuses of their own."""
+        """Aborted connections, rejections and errors are tallied as separate statuses."""
 
         class FailingServer(StandIn):
             async def serve(self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                for turn in range(1000):
-                    first, *_ = await read_http(reader)
-                    if "reject" in first:
+                for index in range(1000):
+                    request_line, *_ = await read_http(reader)
+                    if "reject" in request_line:
                         return writer.transport.abort()
-                    writer.write(http([200, 429, 503, 502][turn % 4], b"x"))
+                    writer.write(http([200, 429, 503, 502][index % 4], b"x"))
                 return None
 
         server = FailingServer()
         await server.start()
-        asked = make_requests(arrival_times("constant", 100.0, 1.0, 1), MIX, 1)
-        tally = await LoadWorker(LoadPlan(server.address, "http", asked), time.monotonic()).run(asked)
-        rejects = sum(line.klass == "reject" for line in asked)
-        self.assertEqual(tally.statuses["failed connection"], rejects)
-        self.assertEqual(sum(tally.statuses.values()), len(asked))
+        requests = make_requests(arrival_times("constant", 100.0, 1.0, 1), MIX, 1)
+        tally = await LoadWorker(LoadPlan(server.address, "http", requests), time.monotonic()).run(requests)
+        aborted_count = sum(request.klass == "reject" for request in requests)
+        self.assertEqual(tally.statuses["failed connection"], aborted_count)
+        self.assertEqual(sum(tally.statuses.values()), len(requests))
         self.assertGreater(tally.statuses["refused"], tally.statuses["failed 502"])
         await server.stop()
 
     async def test_command_with_several_workers(self) -> None:
-        """The tallies of all workers add up."""
+        """The command adds up the tallies of its workers."""
         server = PromptServer()
         await server.start()
-        done = await asyncio.to_thread(
+        completed = await asyncio.to_thread(
             run_command,
             "load",
             server.address,
@@ -207,39 +211,39 @@
             "--shape",
             "constant",
         )
-        self.assertIn('"sent": 90', done.stdout, done.stderr)
-        self.assertIn('"served": 90', done.stdout)
+        self.assertIn('"sent": 90', completed.stdout, completed.stderr)
+        self.assertIn('"served": 90', completed.stdout)
         await server.stop()
 
 
 class Schedules(unittest.TestCase):
-    """Shapes, traces, addresses."""
+    """Arrival shapes, traces and addresses."""
 
     def test_shapes_keep_the_mean_rate(self) -> None:
-        """Each shape has the mean rate, and its own course."""
+        """Each shape keeps the mean rate and varies the rate over time as it should."""
         for shape in ("poisson", "constant", "bursts", "ramp", "onoff"):
-            made = arrival_times(shape, 200.0, 20.0, 5)
-            self.assertEqual(made, sorted(made))
-            self.assertLess(abs(len(made) / 4000 - 1), 0.06, shape)
+            times = arrival_times(shape, 200.0, 20.0, 5)
+            self.assertEqual(times, sorted(times))
+            self.assertLess(abs(len(times) / 4000 - 1), 0.06, shape)
         ramp = arrival_times("ramp", 200.0, 20.0, 5)
         self.assertLess(sum(at < 10_000 for at in ramp), len(ramp) * 0.3)
         self.assertEqual([at for at in arrival_times("onoff", 50.0, 4.0, 1) if 1000 <= at < 2000], [])
 
-    def test_trace_survives_encoding(self) -> None:
-        """A trace read from its lines equals the one written; a wrong line is named."""
-        asked = make_requests(arrival_times("bursts", 50.0, 4.0, 1), MIX, 1)
-        self.assertEqual(read_trace(write_trace(asked)), asked)
-        good = next(write_trace(asked[1:]))
-        for bad in (b"{}", b"x", b'{"at_ms":"1"}', next(write_trace(asked[:1]))):
-            with self.subTest(line=bad), self.assertRaisesRegex(ValueError, "line 2"):
-                read_trace([good, bad])
+    def test_written_trace_is_read_back(self) -> None:
+        """A trace that is written and read again is equal; an error names the invalid line."""
+        requests = make_requests(arrival_times("bursts", 50.0, 4.0, 1), MIX, 1)
+        self.assertEqual(read_trace(write_trace(requests)), requests)
+        valid_line = next(write_trace(requests[1:]))
+        for invalid_line in (b"{}", b"x", b'{"at_ms":"1"}', next(write_trace(requests[:1]))):
+            with self.subTest(line=invalid_line), self.assertRaisesRegex(ValueError, "line 2"):
+                read_trace([valid_line, invalid_line])
 
     def test_only_loopback_addresses_are_accepted(self) -> None:
-        """Addresses of other networks are errors."""
+        """Addresses that are not loopback addresses are rejected."""
         for address in ("10.0.0.1:80", "192.168.1.1:80", "8.8.8.8:53", "example.org:80", "[2001:db8::1]:80"):
             with self.subTest(address=address), self.assertRaises(ValueError):
                 parse_loopback_address(address)
         self.assertEqual(parse_loopback_address("127.9.9.9:80"), ("127.9.9.9", 80))
         with tempfile.TemporaryDirectory() as folder, contextlib.suppress(FileNotFoundError):
-            done = run_command("load", "10.0.0.1:80", "--record", str(Path(folder) / "t"))
-            self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 1), done.stderr)
+            completed = run_command("load", "10.0.0.1:80", "--record", str(Path(folder) / "trace"))
+            self.assertEqual((completed.returncode, len(completed.stderr.splitlines())), (2, 1), completed.stderr)
