--- a/hallhitch/lab/load/schedule.py
+++ b/hallhitch/lab/load/schedule.py
@@ -10,7 +10,7 @@
 from hallhitch.lab.load.trace_format import TraceRequest
 from hallhitch.lab.streams import Streams
 
-Shape = Literal["poisson", "constant", "bursts", "ramp", "onoff"]
+ArrivalShape = Literal["poisson", "constant", "bursts", "ramp", "onoff"]
 PEAK_INTENSITY: Final = {
     "ramp": 2.0,
     "onoff": 2.0,
@@ -38,7 +38,7 @@
     body_bytes: int = 4096
 
 
-def arrival_times(shape: Shape, rate_per_s: float, seconds: float, seed: int) -> list[float]:
+def arrival_times(shape: ArrivalShape, rate_per_s: float, seconds: float, seed: int) -> list[float]:
     """Draw the due times of requests at a mean rate; shapes that vary the rate are drawn by thinning."""
     stream, end = Streams(seed).of("load"), seconds * 1000
     if shape == "constant":
@@ -52,7 +52,7 @@
     return times
 
 
-def _intensity(shape: Shape, at: float, end: float) -> float:
+def _intensity(shape: ArrivalShape, at: float, end: float) -> float:
     """The rate of a shape at a time, relative to the mean rate."""
     if shape == "ramp":
         return 2 * at / end
--- a/hallhitch/lab/load/trace_recorder.py
+++ b/hallhitch/lab/load/trace_recorder.py
@@ -21,8 +21,8 @@
 READ_BYTES: Final = 65_536
 
 
-def trace_request_of(message: Message, at_ms: float) -> TraceRequest | None:
-    """Convert a request of the platform's protocol; None if it has no class, customer or valid headers."""
+def parse_trace_request(message: Message, at_ms: float) -> TraceRequest | None:
+    """Parse a request of the platform's protocol; None if it has no class, customer or valid headers."""
     path = REQUEST_PATH.fullmatch(message.target.decode("latin-1"))
     headers = message.headers
     if path is None or b"x-contract" not in headers:
@@ -134,7 +134,7 @@
             now = time.monotonic() * 1000
             if self._first_request_at is None:
                 self._first_request_at = now
-            request = trace_request_of(message, round(now - self._first_request_at, 3))
+            request = parse_trace_request(message, round(now - self._first_request_at, 3))
             if request is None:
                 self.skipped += 1
                 continue
