--- a/benchmarks/cpu_per_request.py
+++ b/benchmarks/cpu_per_request.py
@@ -23,7 +23,7 @@
 from benchmarks.measuring import BenchmarkError
 from benchmarks.memory_by_trouble import Quiet, QuietCounter
 from hallhitch.lab.load.generator import LoadPlan, run_load
-from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
+from hallhitch.lab.load.schedule import ClassShare, RequestMix, arrival_times, make_requests
 from hallhitch.lab.load.tally import LoadTally
 from tests.stand_ins import ROOT, Backend, Discovery, Program, free_port, http
 
@@ -31,7 +31,7 @@
 WARM_UP_S: Final = 1.5
 BACKEND_COUNT: Final = 4
 REQUEST_MIX: Final = RequestMix(
-    {"inspect": MixedClass(0.78, 4000, False), "reject": MixedClass(0.22, 1500, True)}, {"full-plant": 1.0}, 400, 64
+    {"inspect": ClassShare(0.78, 4000, False), "reject": ClassShare(0.22, 1500, True)}, {"full-plant": 1.0}, 400, 64
 )
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -71,11 +71,11 @@
     c = Cluster(size, seed, options=ClusterOptions(counts_bytes=True))
     c.start_settled()
     c.time.run(c.time.now + 8_000)
-    sent, size_of = sum(p.sent for p in c.members.values()), sum(p.bytes for p in c.members.values())
+    sent, size_of = sum(p.datagrams_sent for p in c.members.values()), sum(p.bytes_sent for p in c.members.values())
     c.time.run(c.time.now + 10_000)
     found = {
-        "datagrams": (sum(p.sent for p in c.members.values()) - sent) / size / 10,
-        "bytes": (sum(p.bytes for p in c.members.values()) - size_of) / size / 10,
+        "datagrams": (sum(p.datagrams_sent for p in c.members.values()) - sent) / size / 10,
+        "bytes": (sum(p.bytes_sent for p in c.members.values()) - size_of) / size / 10,
     }
     loss = c.links.begin(FleetFault("drop", 0.0, share=0.3))
     c.time.run(c.time.now + 20_000)
--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -107,7 +107,7 @@
             f"{gateways} gateways, {scenario.world.nodes} nodes; members that each gateway sees, itself included"
         )
         click.echo(f"{'s':>6}  " + " ".join(f"{f'n{n}':>2}"[:3] for n in range(gateways)))
-        watching, traffic = asyncio.create_task(watch_views(run)), asyncio.create_task(run.drive())
+        watching, traffic = asyncio.create_task(watch_views(run)), asyncio.create_task(run.run_workload())
         click.echo(f"        one view agreed after {await run.wait_until_agreed():.1f} s")
         await _partition_and_heal(run)
         await traffic
@@ -228,11 +228,11 @@
 
     async with GatewayFleet(scenario, seed, timeline, has_membership) as run:
         if not has_membership:
-            await run.drive()
+            await run.run_workload()
             return run
         click.echo(f"one view agreed after {await run.wait_until_agreed():.1f} s")
         watching = asyncio.create_task(watch_views(run))
-        await run.drive()
+        await run.run_workload()
         watching.cancel()
         return run
 
--- a/hallhitch/cli/load.py
+++ b/hallhitch/cli/load.py
@@ -53,7 +53,7 @@
     """
     from hallhitch.lab.load.generator import LoadPlan, run_load
     from hallhitch.lab.load.protocols import parse_loopback_address
-    from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
+    from hallhitch.lab.load.schedule import ClassShare, RequestMix, arrival_times, make_requests
     from hallhitch.lab.load.tally import MAX_P99_SEND_DELAY_MS, PERCENTILES
     from hallhitch.lab.load.trace_format import read_trace, write_trace
 
@@ -64,7 +64,7 @@
                 requests = read_trace(file)
         else:
             mix = RequestMix(
-                {name: MixedClass(*fields) for name, fields in REQUEST_CLASSES.items()}, PLAN_SHARES, customers
+                {name: ClassShare(*fields) for name, fields in REQUEST_CLASSES.items()}, PLAN_SHARES, customers
             )
             requests = make_requests(arrival_times(shape, rate, seconds, seed), mix, seed)
     except (ValueError, OSError) as error:
--- a/hallhitch/lab/fleet/cluster.py
+++ b/hallhitch/lab/fleet/cluster.py
@@ -35,9 +35,9 @@
 class ViewChange:
     """One change in the view of one member."""
 
-    at: float  # ms since the run began
-    by: int  # number of the member whose view changed
-    about: str  # name of the member whose state changed
+    at_ms: float  # since the run began
+    observer: int  # number of the member whose view changed
+    member_name: str  # of the member whose state changed
     instance: int
     state: MemberState
     previous_state: MemberState | None
@@ -53,8 +53,8 @@
     queued: list[Datagram] | None = None  # None while the process is not suspended
     timer: Handle | None = None
     counts: list[GatewayCounts] = field(default_factory=list)
-    sent: int = 0
-    bytes: int = 0
+    datagrams_sent: int = 0
+    bytes_sent: int = 0  # only counted with `ClusterOptions.counts_bytes`
 
     @property
     def swim(self) -> Swim:
@@ -236,9 +236,9 @@
         """Send the datagrams and record the changes of a state machine's step, and reset the member's timer."""
         step = member.protocol.finish_step(self.time.now)
         for address, message in step.outgoing:
-            member.sent += 1
+            member.datagrams_sent += 1
             if self._options.counts_bytes:
-                member.bytes += len(encode(message))
+                member.bytes_sent += len(encode(message))
             self._send(member.number, int(address.rpartition(":")[2]) - 1, message)
         for change in step.changes:
             self._record_change(member, change)
@@ -286,9 +286,9 @@
 
     def _record_change(self, member: ModelledMember, change: MemberChange) -> None:
         record = change.record
-        at = self.time.now - EPOCH
+        at_ms = self.time.now - EPOCH
         self.view_changes.append(
-            ViewChange(at, member.number, record.name, record.instance, record.state, change.previous_state)
+            ViewChange(at_ms, member.number, record.name, record.instance, record.state, change.previous_state)
         )
 
 
--- a/hallhitch/lab/fleet/processes.py
+++ b/hallhitch/lab/fleet/processes.py
@@ -153,10 +153,10 @@
 
     # Faults.
 
-    async def drive(self) -> None:
+    async def run_workload(self) -> None:
         """Schedule the timeline's faults, then run the scenario's traffic and faults."""
         self.schedule()
-        await super().drive()
+        await super().run_workload()
 
     def schedule(self) -> None:
         """Schedule the faults of the timeline, with times relative to now."""
--- a/hallhitch/lab/load/schedule.py
+++ b/hallhitch/lab/load/schedule.py
@@ -21,7 +21,7 @@
 ON_OFF_MS: Final = 1000
 
 
-class MixedClass(Struct, frozen=True):
+class ClassShare(Struct, frozen=True):
     """The share and the properties of one request class in a mix."""
 
     share: float
@@ -32,7 +32,7 @@
 class RequestMix(Struct, frozen=True):
     """The composition of the requests in a run without a trace."""
 
-    classes: dict[str, MixedClass]
+    classes: dict[str, ClassShare]
     plans: dict[str, float]  # share of each plan
     customers: int = 200
     body_bytes: int = 4096
--- a/hallhitch/lab/sockets/run.py
+++ b/hallhitch/lab/sockets/run.py
@@ -84,7 +84,7 @@
         with tempfile.TemporaryDirectory() as folder:
             try:
                 await self.open(Path(folder))
-                await self.drive()
+                await self.run_workload()
             finally:
                 await self.close()
 
@@ -144,7 +144,7 @@
 
         await asyncio.gather(*(start(number) for number in range(self.scenario.world.gateways)))
 
-    async def drive(self) -> None:
+    async def run_workload(self) -> None:
         """Send the requests and inject the faults at their times, then wait for the last answers."""
         begin_s = time.monotonic() + FIRST_REQUEST_DELAY_S
         for fault in self.scenario.faults:
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -16,13 +16,13 @@
 
 from hallhitch.lab.load.generator import LoadPlan, LoadWorker
 from hallhitch.lab.load.protocols import parse_loopback_address
-from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
+from hallhitch.lab.load.schedule import ClassShare, RequestMix, arrival_times, make_requests
 from hallhitch.lab.load.trace_format import read_trace, write_trace
 from tests.cli.command_runner import run_command
 from tests.stand_ins import StandIn, http, read_http
 
 MIX = RequestMix(
-    {"inspect": MixedClass(0.8, 4000, False), "reject": MixedClass(0.2, 1500, True)}, {"small-shop": 1.0}, 50, 64
+    {"inspect": ClassShare(0.8, 4000, False), "reject": ClassShare(0.2, 1500, True)}, {"small-shop": 1.0}, 50, 64
 )
 
 
--- a/tests/lab/test_traces.py
+++ b/tests/lab/test_traces.py
@@ -13,7 +13,7 @@
 
 from hallhitch.lab.load.generator import LoadPlan, LoadWorker
 from hallhitch.lab.load.protocols import HttpProtocol, parse_loopback_address
-from hallhitch.lab.load.schedule import MixedClass, RequestMix, arrival_times, make_requests
+from hallhitch.lab.load.schedule import ClassShare, RequestMix, arrival_times, make_requests
 from hallhitch.lab.load.trace_format import TraceRequest, read_trace, write_trace
 from hallhitch.lab.load.trace_import import AccessLogDefaults, import_access_log, import_csv
 from hallhitch.lab.load.trace_recorder import TraceRecorder
@@ -64,7 +64,7 @@
     async def test_all_requests_are_recorded_and_served(self) -> None:
         """The trace holds exactly the requests sent, and all of them are served."""
         mix = RequestMix(
-            {"inspect": MixedClass(0.6, 4000, False), "reject": MixedClass(0.4, 1500, True)},
+            {"inspect": ClassShare(0.6, 4000, False), "reject": ClassShare(0.4, 1500, True)},
             {"a": 0.5, "b": 0.5},
             9,
             70,
--- a/tests/membership/modelled_cluster.py
+++ b/tests/membership/modelled_cluster.py
@@ -31,7 +31,7 @@
 
 def reported_failures(cluster: Cluster) -> list[str]:
     """Return the names of the members declared failed; a name occurs once for each view that changed."""
-    return [change.about for change in cluster.view_changes if change.state is MemberState.FAILED]
+    return [change.member_name for change in cluster.view_changes if change.state is MemberState.FAILED]
 
 
 def states_of(peer: ModelledMember, name: str) -> set[MemberState]:
--- a/tests/membership/test_faults.py
+++ b/tests/membership/test_faults.py
@@ -248,9 +248,9 @@
     advance(cluster, 30_000)
     peers = cluster.running()
     assert {peer.swim.pending_updates for peer in peers} == {0}
-    sent_before = sum(peer.sent for peer in peers)
+    sent_before = sum(peer.datagrams_sent for peer in peers)
     advance(cluster, 10_000)
-    assert (sum(peer.sent for peer in peers) - sent_before) / len(peers) / 10 < 6
+    assert (sum(peer.datagrams_sent for peer in peers) - sent_before) / len(peers) / 10 < 6
 
 
 def test_table_is_bounded_and_absent_members_are_evicted() -> None:
--- a/tests/membership/test_foreign_members.py
+++ b/tests/membership/test_foreign_members.py
@@ -27,7 +27,7 @@
                 lambda views: len(views) == 4
                 and all(list(v["conflicts"]) == ["n1"] and v["places"] == 4 for v in views.values())
             )
-            await fleet.drive()
+            await fleet.run_workload()
             self.assert_no_violations(fleet)
             for number in range(4):
                 self.assertEqual(len(fleet.log_lines_of(number, "member name conflict")), 1)
--- a/tests/membership/test_link_faults.py
+++ b/tests/membership/test_link_faults.py
@@ -33,7 +33,7 @@
         async with make_fleet(6, seconds=14.0) as fleet:
             await fleet.wait_until_agreed()
             await fleet.wait_until(lambda views: all(v["places"] == 6 and v["budgets"] == 6 for v in views.values()))
-            load = asyncio.create_task(fleet.drive())
+            load = asyncio.create_task(fleet.run_workload())
             halves = fleet.begin_fault(FleetFault("split", 0.0, parts=(0.5, 0.5)))
             await fleet.wait_until(
                 lambda views: all(
@@ -93,7 +93,7 @@
     async def test_flapping_and_lossy_links_and_a_partition_during_a_rolling_restart(self) -> None:
         async with make_fleet(5, seconds=12.0) as fleet:
             await fleet.wait_until_agreed()
-            load = asyncio.create_task(fleet.drive())
+            load = asyncio.create_task(fleet.run_workload())
             lossy = [
                 fleet.begin_fault(FleetFault("drop", 0.0, share=0.3)),
                 fleet.begin_fault(FleetFault("duplicate", 0.0, share=0.3)),
--- a/tests/membership/test_process_faults.py
+++ b/tests/membership/test_process_faults.py
@@ -93,7 +93,7 @@
     async def test_overloaded_gateway_declares_no_failure(self) -> None:
         async with make_fleet(4, seconds=6.0) as fleet:
             await fleet.wait_until_agreed()
-            load = asyncio.create_task(fleet.drive())
+            load = asyncio.create_task(fleet.run_workload())
             process = fleet.processes[3]
             assert process is not None
             while not load.done():  # the process runs for a third of the time
