--- a/hallhitch/lab/fleet/links.py
+++ b/hallhitch/lab/fleet/links.py
@@ -67,7 +67,7 @@
         )
 
     def is_stalled(self, sender: str, receiver: str) -> bool:
-        """Whether data from a sender to a receiver are held back until the fault ends."""
+        """Whether data from a sender to a receiver is held back until the fault ends."""
         return any(
             active.fault.kind == "stall" and active.affects(sender, receiver) for active in self._active.values()
         )
--- a/hallhitch/lab/sockets/emulated_node.py
+++ b/hallhitch/lab/sockets/emulated_node.py
@@ -111,7 +111,10 @@
         return await self._execute(attempt)
 
     def _draw_reset(self, attempt: _ReceivedAttempt) -> bool:
-        """Draw whether the connection is reset; the node may do the work all the same if the request had arrived."""
+        """Return whether the connection is reset, either because it was idle for too long or by a draw.
+
+        A drawn reset may come after the request has arrived; the node then does the work without a response.
+        """
         is_stale = attempt.idle_ms > self._network.stale
         if not is_stale and not self._network.draw_reset():
             return False
--- a/hallhitch/lab/sockets/environment.py
+++ b/hallhitch/lab/sockets/environment.py
@@ -52,4 +52,4 @@
     counter: Counter
     discovery: Discovery
     requests: RequestRegistry
-    reaches: Callable[[int, str], Awaitable[bool]]  # whether a gateway's data reach a party; waits on a stalled link
+    reaches: Callable[[int, str], Awaitable[bool]]  # whether a gateway's data reaches a party; waits on a stalled link
