--- a/hallhitch/lab/client_request.py
+++ b/hallhitch/lab/client_request.py
@@ -1,4 +1,4 @@
-"""A client's tries, how they are journalled, and the answer port of a modelled exchange. Times in ms."""
+"""The tries of a simulated client, their journal events, and the answer port of an exchange. Times in ms."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from hallhitch.lab.journal import Journal
 from hallhitch.lab.traffic import PlannedRequest
 
-RETRY_DEADLINE_RATIO: Final = 0.75  # of its first deadline that a client gives its own retry: it has waited already
+RETRY_DEADLINE_RATIO: Final = 0.75  # of the first deadline: the client allows its retry less, having waited already
 
 
 @dataclass(frozen=True, slots=True)
 class ClientTry:
-    """One try of a client: its first one, or the one retry that it makes by itself."""
+    """One try of a client's request: the first, or the single retry that the client itself makes."""
 
     intent: PlannedRequest
     is_retry: bool = False
 
     @property
     def preferred_gateway(self) -> int:
-        """The gateway that the front would send it to."""
+        """The gateway to which the front router sends the try if that gateway is available."""
         return self.intent.retry_gateway if self.is_retry else self.intent.gateway
 
     @property
     def deadline_ms(self) -> float:
-        """The time that the client gives it."""
+        """How long the client waits for the answer to this try."""
         return self.intent.deadline_ms * (RETRY_DEADLINE_RATIO if self.is_retry else 1.0)
 
     @property
     def is_retried(self) -> bool:
-        """Whether the client tries once more if this try is not served."""
+        """Whether the client retries if this try is not served."""
         return self.intent.is_retried and not self.is_retry
 
     def retry_delay_ms(self, advice_ms: float) -> float:
-        """The time before the client's retry, given the gateway's advice."""
+        """Return the delay before the client's retry, at least the gateway's advice."""
         return max(self.intent.retry_delay_ms, advice_ms)
 
     def journal(self, journal: Journal, settings: api.Settings, id: int, gateway: int, now: float) -> None:
@@ -59,16 +59,16 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A try in a modelled gateway: the payload of its exchange, and the port that gets the final answer."""
+    """A try in a simulated gateway: the payload of its exchange, and the port that receives the final answer."""
 
     id: int
     intent: PlannedRequest
-    on_answer: Callable[[str, float], None]  # status, and the time after which to retry
+    on_answer: Callable[[str, float], None]  # status, and the advised delay before a retry
     journal: Journal
     now: Callable[[], float]
 
     def on_served(self, payload: object) -> None:
-        """Record a node's answer."""
+        """Record the answer of a node."""
         self.journal.add(self.now(), "answer", self.id, "served", payload)
         self.on_answer("served", 0.0)
 
@@ -78,6 +78,6 @@
         self.on_answer("refused", advice)
 
     def on_failed(self) -> None:
-        """Record that no result is known."""
+        """Record that the request failed and its result is unknown."""
         self.journal.add(self.now(), "answer", self.id, "failed", 0)
         self.on_answer("failed", 0.0)
--- a/hallhitch/lab/services.py
+++ b/hallhitch/lab/services.py
@@ -1,4 +1,4 @@
-"""Models of the quota counter and of discovery, with their faults. Times in ms."""
+"""Simulated quota counter and discovery service, with their faults. Times in ms."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from hallhitch.lab.scenario import Fault, WorldSettings
 from hallhitch.lab.streams import Stream
 
-MAX_COUNT_LIFETIME_MS: Final = 60_000.0  # that the platform's counter grants a name
-SWEEP_COUNTS_ABOVE: Final = 50_000  # counts, from which on expired ones are removed: bounds the memory of long runs
+MAX_COUNT_LIFETIME_MS: Final = 60_000.0  # longest lifetime of a count in the platform's counter
+SWEEP_COUNTS_ABOVE: Final = 50_000  # expired counts are removed above this number, to bound the memory of long runs
 
 
 @dataclass(slots=True)
@@ -22,9 +22,9 @@
 
 
 class Counter:
-    """Adds units to names and returns totals. Names are sharded; each shard serves its calls in turn.
+    """Adds units to named counts and returns their totals. Names are sharded; a shard serves its calls one by one.
 
-    Invariant: a call gets at most one reply; a silent counter, or one that goes down meanwhile, gives none.
+    Invariant: a call gets at most one reply. It gets none if the counter is silent, or goes down before it replies.
     """
 
     def __init__(self, world: WorldSettings, time: Time, stream: Stream) -> None:
@@ -32,7 +32,7 @@
         self._time = time
         self._stream = stream
         self._counts: dict[int, _Count] = {}
-        self._idle_at = [0.0] * world.counter_parts  # when each shard has served the calls that it was given
+        self._idle_at = [0.0] * world.counter_parts  # by shard: when it will have served all calls it has accepted
         self.is_down = False
         self.is_silent = False
         self.slowdown = 1.0
@@ -41,7 +41,7 @@
         self.unanswered = 0
 
     def call(self, name: int, units: float, lifetime_ms: float, on_reply: Callable[[str, float], None]) -> None:
-        """Receive a call; `on_reply` gets its outcome and total, or is never called."""
+        """Accept a call; `on_reply` is called with its outcome and total, or never."""
         self.calls += 1
         now, shard = self._time.now, name % self._world.counter_parts
         if self.is_silent:
@@ -71,7 +71,7 @@
             self.failed_shards.add(0)
 
     def recover(self, fault: Fault) -> None:
-        """End a fault; where its data is lost, the counter comes back empty."""
+        """End a fault; the counts are cleared if the fault loses its data."""
         self.is_down = False
         self.is_silent = False
         self.slowdown = 1.0
@@ -80,7 +80,7 @@
             self._counts.clear()
 
     def totals(self) -> list[float]:
-        """The totals of all names, those that have expired but are not removed yet included."""
+        """Return the totals of all names, including expired ones that have not been removed yet."""
         return [count.value for count in self._counts.values()]
 
     def _serve(self, name: int, units: float, lifetime_ms: float, on_reply: Callable[[str, float], None]) -> None:
@@ -103,8 +103,8 @@
 class Discovery:
     """The list of nodes, published to watchers.
 
-    Invariants: a watcher receives its updates in their order, each after a delay of its own; while discovery is down it
-    receives none, and afterwards those that it missed.
+    Invariants: a watcher receives updates in order, each after a delay drawn for it. It is sent none while discovery is
+    down, and the missed ones after the recovery.
     """
 
     def __init__(self, world: WorldSettings, time: Time, stream: Stream) -> None:
@@ -113,12 +113,12 @@
         self._stream = stream
         self.entries: dict[str, api.ServerEntry] = {}
         self._watchers: dict[int, OnServerList] = {}
-        self._last_delivery_at: dict[int, float] = {}  # by watcher: when the update sent last arrives
+        self._last_delivery_at: dict[int, float] = {}  # by watcher: when its most recent update arrives
         self._missed: dict[int, list[api.ServerEntry]] = {}
         self.is_down = False
 
     def register(self, node: Node) -> None:
-        """Add a node that was there before the run began; nobody is notified."""
+        """Add a node that is up before the run starts, without notifying watchers."""
         self.entries[node.name] = self._entry(node, "up")
 
     def publish(self, node: Node, state: str) -> None:
@@ -135,7 +135,7 @@
                 self._send(watcher, api.ServerList("changes", (entry,)))
 
     def recover(self) -> None:
-        """Come back up: watchers are sent the updates that they missed."""
+        """End an outage and send each watcher the updates that it missed."""
         self.is_down = False
         for watcher, entries in sorted(self._missed.items()):
             if watcher in self._watchers:
@@ -143,7 +143,7 @@
         self._missed.clear()
 
     def watch(self, watcher: int, on_server_list: OnServerList) -> None:
-        """Add a watcher; it is sent the full list first, with a delay like every update."""
+        """Add a watcher and send it the full list, delayed like any update; nothing is sent while discovery is down."""
         self._watchers[watcher] = on_server_list
         self._last_delivery_at[watcher] = 0.0
         if not self.is_down:
@@ -155,14 +155,14 @@
         self._missed.pop(watcher, None)
 
     def delay_until(self, watcher: int, until: float) -> None:
-        """Deliver nothing to a watcher before a time; updates sent meanwhile arrive then, in order."""
+        """Hold back updates to a watcher until a time, at which they arrive in order."""
         self._last_delivery_at[watcher] = max(self._last_delivery_at.get(watcher, 0.0), until)
 
     def _entry(self, node: Node, state: str) -> api.ServerEntry:
         return api.ServerEntry(node.name, state, node.zone, node.cell, node.started_at, 1.0)
 
     def _send(self, watcher: int, update: api.ServerList | None) -> None:
-        """Send an update, or the full list as it is on arrival; lost if the watcher is replaced meanwhile."""
+        """Send an update, or if None the full list as of its arrival; dropped if the watcher is replaced or removed."""
         on_server_list = self._watchers[watcher]
         now = self._time.now
         arrives_at = max(self._last_delivery_at[watcher], now + self._stream.uniform(*self._world.list_late))
--- a/hallhitch/lab/traffic.py
+++ b/hallhitch/lab/traffic.py
@@ -1,7 +1,7 @@
-"""Clients and all requests that they will send, drawn before a run, so that no setting of a gateway changes them.
+"""Draws the clients and all requests that they will send before a run starts, so that no gateway setting changes them.
 
-Invariant: requests depend on the scenario's traffic, faults and seed alone; the order of the draws is part of what a
-seed fixes. Times in ms, rates per second unless a name says otherwise.
+Invariant: requests depend only on the seed and on the scenario's size, classes, plans, traffic and faults. A change in
+the order of the draws changes the traffic of a seed. Times in ms, rates per second unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from hallhitch.lab.scenario import Scenario
 from hallhitch.lab.streams import Stream, Streams
 
-FULL_USE: Final = (0.85, 0.98)  # of their rate, by clients that use nearly all of it
-NO_LEAVE: Final = 2.0  # leave ratio of clients that stay: any above 1
+FULL_USE: Final = (0.85, 0.98)  # range of the use ratio of clients that use nearly all of their quota
+NO_LEAVE: Final = 2.0  # leave ratio of clients that wait for their answer: any value above 1
 MIN_BURST_S: Final = 0.05
-BURST_SKEW: Final = 0.5  # of the gateways that a burst comes through
-FRESH_SKEW: Final = 1.0
+BURST_SKEW: Final = 0.5  # skew of the requests of a burst over gateways
+FRESH_SKEW: Final = 1.0  # skew of the requests of fresh clients over gateways
 FIRST_CUSTOMER_ID: Final = 0x10000
-CUSTOMER_ID_STEP: Final = 7919  # a prime, so that the ids differ in all their digits
+CUSTOMER_ID_STEP: Final = 7919  # a prime, so that the ids differ in all digits
 FIRST_FRESH_ID: Final = 0x1_0000_0000
-FRESH_GATEWAYS: Final = 2  # that the request of a fresh client may come through
+FRESH_GATEWAYS: Final = 2  # through which the request of a fresh client may come
 
 
 @dataclass(slots=True)
@@ -35,32 +35,32 @@
     name: str
     plan_index: int
     kind: str  # calm, full, heavy, spiky or fresh
-    first_gateway: int  # number of the first of its gateways
+    first_gateway: int  # index of the first of its consecutive gateways
     gateway_count: int
-    use_ratio: float  # of its rate, when it sends as usual
+    use_ratio: float  # of its quota rate, outside spikes
 
 
 @dataclass(slots=True)
 class PlannedRequest:
-    """A request that a client will send, with all that is drawn about it."""
+    """A request that a client will send, with all of its drawn properties."""
 
-    due_at: float  # since the run began
+    due_at: float  # since the start of the run
     customer: Customer
     class_index: int
-    service_ms: float  # of one core
+    service_ms: float  # work, as time on one core
     deadline_ms: float
-    is_retried: bool  # whether the client retries by itself
+    is_retried: bool  # whether the client itself retries once
     retry_delay_ms: float
-    leave_ratio: float  # of its deadline, after which the client leaves; above 1: it stays
+    leave_ratio: float  # of the deadline, after which the client disconnects; above 1: never
     gateway: int
     retry_gateway: int
     key: str
-    is_within_quota: bool = True  # as one that sees all first tries would count
+    is_within_quota: bool = True  # for an ideal counter that sees the first tries of all gateways
 
 
 @dataclass(frozen=True, slots=True)
 class _Spike:
-    """A time in which a client sends a multiple of its usual rate."""
+    """A period in which a client sends a multiple of its usual rate."""
 
     begins_at: float
     ends_at: float
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """All requests of a run in the order of their times, and the drawn rate and burst of each plan."""
+    """All requests of a run in order of time, its clients, and the drawn rate and burst of each plan."""
 
     intents: list[PlannedRequest]
     rates: dict[str, tuple[float, float]]
@@ -99,7 +99,7 @@
 
 
 def _draw_customers(scenario: Scenario, stream: Stream, rates: dict[str, tuple[float, float]]) -> list[Customer]:
-    """Draw clients of each plan until their use within quotas adds up to the plan's share of the traffic."""
+    """Draw clients of each plan until their use within quotas reaches the plan's share of the traffic."""
     world, traffic = scenario.world, scenario.traffic
     mean_work_ms = sum(each.share * (each.work[0] + each.work[1]) / 2 for each in scenario.classes.values())
     total_rate = traffic.rate or traffic.load * world.nodes * world.cores * 1000 / mean_work_ms
@@ -116,7 +116,7 @@
 def _draw_customer(scenario: Scenario, stream: Stream, plan_index: int, number: int) -> Customer:
     traffic, gateways = scenario.traffic, scenario.world.gateways
     kind = _kind_of(scenario, stream.random())
-    # All three are drawn for each client, so that its kind leaves the later draws as they are.
+    # All three are drawn for every client, so that the later draws do not depend on its kind.
     full_use, heavy_use = stream.uniform(*FULL_USE), stream.uniform(*traffic.heavy_x)
     calm_use = stream.uniform(*traffic.calm_use)
     use_ratio = {"full": full_use, "heavy": heavy_use}.get(kind, calm_use)
@@ -137,7 +137,7 @@
 
 
 def _draw_spikes(scenario: Scenario, stream: Stream, customer: Customer) -> list[_Spike]:
-    """Draw the spikes of a client, and add those that faults of the traffic cause."""
+    """Draw the spikes of a client, and add one for each fault `flash`."""
     traffic, end = scenario.traffic, scenario.seconds * 1000
     spikes: list[_Spike] = []
     if customer.kind == "spiky":
@@ -154,7 +154,7 @@
 
 
 def _draw_times(scenario: Scenario, stream: Stream, customer: Customer, rate: float) -> list[float]:
-    """Draw the times of a client's requests: a Poisson process whose intensity its spikes change, by thinning."""
+    """Draw the times of a client's requests: an inhomogeneous Poisson process with its spikes, by thinning."""
     end = scenario.seconds * 1000
     spikes = _draw_spikes(scenario, stream, customer)
     base_intensity = rate * customer.use_ratio / 1000
@@ -170,14 +170,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _RequestDraw:
-    """Draws the requests of one client from one stream."""
+    """Draws requests of one client from one stream."""
 
     scenario: Scenario
     stream: Stream
     customer: Customer
 
     def request(self, due_at: float, class_index: int, key: str, weights: list[float]) -> PlannedRequest:
-        """Draw a request that comes through a gateway by the weights."""
+        """Draw a request; its gateways are drawn by cumulative weights."""
         traffic, stream = self.scenario.traffic, self.stream
         request_class = list(self.scenario.classes.values())[class_index]
         return PlannedRequest(
@@ -195,7 +195,7 @@
         )
 
     def gateway_weights(self, skew: float) -> list[float]:
-        """Draw how unevenly the client's requests come through its gateways for a while: cumulative shares."""
+        """Draw the cumulative weights of the client's gateways; a higher skew makes them less even."""
         count = self.customer.gateway_count
         order = sorted(range(count), key=lambda _: self.stream.random())
         raw = [math.exp(-skew * order[number]) for number in range(count)]
@@ -208,7 +208,7 @@
 
 
 def _draw_requests(scenario: Scenario, stream: Stream, customer: Customer, rate: float) -> list[PlannedRequest]:
-    """Draw the requests that a client sends as usual."""
+    """Draw the regular requests of a client, whose gateway weights change from time to time."""
     traffic = scenario.traffic
     cumulative_shares = np.cumsum([each.share for each in scenario.classes.values()])
     times = _draw_times(scenario, stream, customer, rate)
@@ -226,7 +226,7 @@
 
 
 def _mark_within_quota(requests: list[PlannedRequest], rate: float, burst: float) -> None:
-    """Mark the requests that one gateway that saw all first tries would admit (token bucket)."""
+    """Mark the requests within quota: those that a single token bucket over all gateways would admit."""
     tokens, updated_at = burst, 0.0
     for request in requests:
         tokens = min(burst, tokens + (request.due_at - updated_at) / 1000 * rate)
@@ -237,7 +237,7 @@
 
 
 def _draw_bursts(scenario: Scenario, streams: Streams, customers: list[Customer]) -> list[PlannedRequest]:
-    """Draw the faults `burst`: `size` requests of the most valuable class, from clients of the first plan."""
+    """Draw the requests of faults `burst`: `size` of the most valuable class, from clients of the first plan."""
     requests: list[PlannedRequest] = []
     stream = streams.of("bursts")
     values = [each.worth for each in scenario.classes.values()]
@@ -255,13 +255,13 @@
 
 
 def _crowd_gateways(scenario: Scenario, streams: Streams, requests: list[PlannedRequest]) -> None:
-    """Move much of the traffic to few gateways, if the scenario says so."""
+    """Move requests to a few busy gateways until these have the share of the traffic that `traffic.crowded` gives."""
     stream, gateways = streams.of("crowd"), scenario.world.gateways
     busy_share, traffic_share = scenario.traffic.crowded
     if not traffic_share:
         return
     busy_count = max(1, round(busy_share * gateways))
-    # Without being moved, the busy gateways have their share already.
+    # The busy gateways get this share of the requests without any move.
     usual_share = busy_count / gateways
     move_probability = max(0.0, (traffic_share - usual_share) / max(1e-9, 1 - usual_share))
     for request in requests:
@@ -270,7 +270,7 @@
 
 
 def _draw_fresh_clients(scenario: Scenario, streams: Streams) -> list[PlannedRequest]:
-    """Draw clients that were never seen before, each with one request."""
+    """Draw clients that no gateway has seen before, each with one request."""
     requests: list[PlannedRequest] = []
     stream = streams.of("fresh")
     rate, gateways = scenario.traffic.fresh_per_s, scenario.world.gateways
