--- a/hallhitch/lab/cases.py
+++ b/hallhitch/lab/cases.py
@@ -1,4 +1,4 @@
-"""Files of cases: one scenario, and many small changes of it that are judged side by side."""
+"""Files of cases: a base scenario, and variants of it that are compared with each other."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Case(Struct, frozen=True, forbid_unknown_fields=True):
-    """One change: settings at dotted paths, and faults in place of the scenario's."""
+    """A variant of the base scenario: settings by dotted path, and faults that replace those of the base."""
 
     name: Annotated[str, Meta(min_length=1)]
     about: str = ""
@@ -22,24 +22,24 @@
 
 
 class Cases(Struct, frozen=True, forbid_unknown_fields=True):
-    """A file of cases."""
+    """The content of a file of cases."""
 
-    base: str  # a scenario's path, from the file's folder
+    base: str  # path of a scenario file, relative to this file's directory
     case: Annotated[tuple[Case, ...], Meta(min_length=1)]
 
 
 def load_cases(path: str, settings: dict[str, Any]) -> dict[str, Scenario]:
-    """Read the scenarios of a file by name, with these settings applied before each case's own.
+    """Read the scenarios of a file of cases by name; `settings` apply to all, before the settings of each case.
 
     Raises:
-        SettingsError: the file or a case of it is wrong; names the field.
+        SettingsError: the file or one of its cases is invalid; names the field.
     """
     file = read(path, Cases)
     base = read(str(Path(path).parent / file.base), Scenario)
     scenarios: dict[str, Scenario] = {}
     for number, case in enumerate(file.case):
         if case.name in scenarios:
-            raise SettingsError(f"{path}: field 'case.{number}.name': there are two '{case.name}'")
+            raise SettingsError(f"{path}: field 'case.{number}.name': more than one case is named '{case.name}'")
         try:
             scenarios[case.name] = msgspec.structs.replace(
                 replaced(base, settings | case.settings), name=case.name, about=case.about, faults=case.faults
@@ -50,15 +50,15 @@
 
 
 def load_scenario(text: str) -> Scenario:
-    """Read the scenario FILE, or one case of a file of them, written FILE:CASE.
+    """Read a scenario given as FILE, or one case of a file of cases given as FILE:CASE.
 
     Raises:
-        SettingsError: there is no such case, or the file is wrong.
+        SettingsError: the file is invalid or has no such case.
     """
     path, colon, case = text.partition(":")
     if not colon:
         return read(path, Scenario)
     scenarios = load_cases(path, {})
     if case not in scenarios:
-        raise SettingsError(f"{path}: there is no case '{case}'; there are {', '.join(sorted(scenarios))}")
+        raise SettingsError(f"{path}: no case '{case}'; the cases are {', '.join(sorted(scenarios))}")
     return scenarios[case]
--- a/hallhitch/lab/experiments.py
+++ b/hallhitch/lab/experiments.py
@@ -1,7 +1,7 @@
-"""Experiments: scenarios times settings times seeds, run in parallel processes.
+"""Experiments: one run for each combination of scenario, setting and seed, in parallel processes.
 
-A result is saved as soon as it is there, under a key of all that it depends on: the scenario, setting, seed and the
-program's text. So an experiment that was interrupted continues where it was, and ends with the same results.
+Each result is saved when its run ends, under a key that covers all that it depends on: the scenario, the setting, the
+seed and the source code. An interrupted experiment therefore resumes where it stopped and ends with the same results.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 from hallhitch.settings_file import SettingsError, read
 
 PACKAGE = Path(__file__).parents[1]
-CODE_FOLDERS = ("core", "decision", "lab")  # whose text a result depends on
+CODE_FOLDERS = ("core", "decision", "lab")  # folders of the package whose source code a result depends on
 
 
 class Setting(Struct, frozen=True, forbid_unknown_fields=True):
-    """One of the settings compared: fields of the scenario, and constants of the decision module, replaced."""
+    """One of the settings to compare: it replaces fields of the scenario and constants of the decision module."""
 
     name: Annotated[str, Meta(min_length=1)]
     scenario: dict[str, Any] = {}  # dotted path to value, such as "world.nodes"
@@ -42,10 +42,10 @@
 
 
 class Experiment(Struct, frozen=True, forbid_unknown_fields=True):
-    """An experiment's file."""
+    """The content of an experiment file."""
 
     name: Annotated[str, Meta(min_length=1)]
-    scenarios: Annotated[tuple[str, ...], Meta(min_length=1)]  # paths, relative to the file's folder
+    scenarios: Annotated[tuple[str, ...], Meta(min_length=1)]  # paths relative to this file's directory
     seeds: Annotated[int, Meta(ge=1, le=100_000)] = 20
     first_seed: int = 1
     settings: Annotated[tuple[Setting, ...], Meta(min_length=1)] = (Setting("as it is"),)
@@ -54,12 +54,12 @@
     def __post_init__(self) -> None:
         names = [setting.name for setting in self.settings]
         if len(set(names)) < len(names):
-            raise ValueError("field 'settings': two have the same name")
+            raise ValueError("field 'settings': names must be unique")
         for number, setting in enumerate(self.settings):
             for constant in setting.module:
                 if not isinstance(getattr(policy, constant, None), int | float):
                     where = f"field 'settings.{number}.module.{constant}'"
-                    raise ValueError(f"{where}: decision/policy.py has none")  # noqa: TRY004  msgspec reports it
+                    raise ValueError(f"{where}: decision/policy.py has no such number")  # noqa: TRY004  msgspec reports it
 
 
 class Job(Struct, frozen=True):
@@ -72,7 +72,7 @@
 
     @property
     def key(self) -> str:
-        """A hash of all that the result depends on."""
+        """The hash of all inputs of the result, and of the names of the experiment and the setting."""
         inputs = (self.scenario, self.setting.scenario, self.setting.module, self.seed, code_hash())
         encoded = msgspec.json.encode(inputs, order="deterministic")
         return hashlib.sha256(self.experiment.encode() + self.setting.name.encode() + encoded).hexdigest()
@@ -82,23 +82,23 @@
     """The result of one run."""
 
     figures: Figures
-    broken: list[str]  # violations of rules, as text
-    seconds: float  # that the run took
+    broken: list[str]  # the rule violations, as text
+    seconds: float  # duration of the run
 
 
 class OutcomeStore(Protocol):
-    """Where outcomes are kept."""
+    """Storage of outcomes by job."""
 
     def missing(self, jobs: list[Job]) -> list[Job]:
-        """The jobs that have no result yet."""
+        """Return the jobs that have no result yet."""
 
     def save(self, job: Job, outcome: Outcome) -> None:
-        """Write the result of a job."""
+        """Store the result of a job."""
 
 
 @cache
 def code_hash() -> str:
-    """Hash the program's text: a result of other code is another result."""
+    """Hash the source code, so that results of different code are kept apart."""
     digest = hashlib.sha256()
     for folder in CODE_FOLDERS:
         for path in sorted((PACKAGE / folder).rglob("*.py")):
@@ -107,7 +107,7 @@
 
 
 def commit() -> str:
-    """The commit that the working tree is based on; empty outside a repository."""
+    """Return the short hash of the checked-out commit, or an empty string outside a repository."""
     completed = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"], cwd=Path(__file__).parent, capture_output=True, text=True, check=False
     )
@@ -116,7 +116,7 @@
 
 @contextlib.contextmanager
 def replaced_constants(values: dict[str, float]) -> Iterator[None]:
-    """Replace constants of the decision module in this process for a while."""
+    """Replace constants of the decision module, in this process, while the context is open."""
     originals = {name: getattr(policy, name) for name in values}
     try:
         for name, value in values.items():
@@ -128,10 +128,10 @@
 
 
 def load_experiment(path: str) -> tuple[Experiment, list[Scenario]]:
-    """Read an experiment's file and its scenarios, and check that all settings fit them.
+    """Read an experiment file and its scenarios, and check that each setting is valid for each scenario.
 
     Raises:
-        SettingsError: a file cannot be read or a setting does not fit; names the field.
+        SettingsError: a file cannot be read or a setting is invalid; names the field.
     """
     experiment = read(path, Experiment)
     scenarios = [read(str(Path(path).parent / name), Scenario) for name in experiment.scenarios]
@@ -145,7 +145,7 @@
 
 
 def make_jobs(experiment: Experiment, scenarios: list[Scenario]) -> list[Job]:
-    """List all runs of an experiment, seed by seed, so that early results can be compared."""
+    """Return all runs of an experiment, ordered by seed so that early results can already be compared."""
     return [
         Job(experiment.name, scenario, setting, experiment.first_seed + number)
         for number in range(experiment.seeds)
@@ -155,7 +155,7 @@
 
 
 def run_job(job: Job) -> Outcome:
-    """Make one run, in this process."""
+    """Execute one run in this process."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     started_at = time.perf_counter()
     with replaced_constants(job.setting.module):
@@ -167,7 +167,7 @@
 
 
 def run_missing(store: OutcomeStore, jobs: list[Job], workers: int, on_outcome: Callable[[Job, Outcome], None]) -> int:
-    """Make the runs that have no result yet, in parallel processes; how many that were."""
+    """Execute the runs that have no result yet in parallel processes, and return their number."""
     missing = store.missing(jobs)
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(workers, mp_context=context) as pool:
--- a/hallhitch/lab/report.py
+++ b/hallhitch/lab/report.py
@@ -1,4 +1,4 @@
-"""The report of an experiment: one HTML file without references to anything outside it."""
+"""Renders the report of an experiment as a self-contained HTML file."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def _chart(by_setting: dict[str, dict[int, Outcome]]) -> str:
-    """Draw service over time with its error bars, and each setting's mean, as a PNG in base64."""
+    """Draw service over time with a 95 % band, and the mean of each setting, as a PNG in base64."""
     figure, (left, right) = plt.subplots(1, 2, figsize=(12, 3.6), width_ratios=(3, 1))
     for name, outcomes in by_setting.items():
         curves = np.asarray([o.figures.curve for o in outcomes.values()])
@@ -81,7 +81,7 @@
 
 
 def encode_chart(figure: Figure) -> str:
-    """Encode a figure as a PNG in base64, and close it."""
+    """Encode a figure as a PNG in base64 and close the figure."""
     figure.tight_layout()
     buffer = io.BytesIO()
     figure.savefig(buffer, format="png", dpi=110)
@@ -90,7 +90,7 @@
 
 
 def page(name: str, results: dict[tuple[str, str], dict[int, Outcome]], figures: Sequence[str] = FIGURES) -> str:
-    """Render the report."""
+    """Render the report; the first setting of each scenario is the one that others are compared with."""
     scenarios: dict[str, dict[str, dict[int, Outcome]]] = {}
     for (scenario, setting), outcomes in results.items():
         scenarios.setdefault(scenario, {})[setting] = outcomes
--- a/hallhitch/lab/result_store.py
+++ b/hallhitch/lab/result_store.py
@@ -1,4 +1,4 @@
-"""Results of experiments, kept in SQLite. A result is written under a key of all that it depends on (`Job.key`)."""
+"""Stores results of experiments in SQLite, each under a key that covers all of its inputs (`Job.key`)."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     seconds REAL NOT NULL, at REAL NOT NULL, what BLOB NOT NULL);
 CREATE INDEX IF NOT EXISTS result_of ON result (experiment, scenario, setting, seed);
 """
-OutcomesBySetting = dict[tuple[str, str], dict[int, Outcome]]  # by scenario and setting, then by seed
+OutcomesBySetting = dict[tuple[str, str], dict[int, Outcome]]  # by (scenario, setting), then by seed
 
 
 class ExperimentSummary(Struct, frozen=True):
-    """What the store has of an experiment."""
+    """The number of stored runs of an experiment, and the time of the last one."""
 
     name: str
     runs: int
@@ -35,7 +35,7 @@
 
 
 class ResultStore:
-    """The results kept in one database file."""
+    """The results in one database file."""
 
     def __init__(self, path: Path) -> None:
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -48,12 +48,12 @@
         self._database.close()
 
     def missing(self, jobs: list[Job]) -> list[Job]:
-        """The jobs that have no result yet."""
+        """Return the jobs that have no result yet."""
         existing = {key for (key,) in self._database.execute("SELECT key FROM result")}
         return [job for job in jobs if job.key not in existing]
 
     def save(self, job: Job, outcome: Outcome) -> None:
-        """Write the result of a job."""
+        """Store the result of a job."""
         definition = msgspec.json.encode({"scenario": job.scenario, "setting": job.setting})
         self._database.execute(
             "INSERT OR REPLACE INTO result VALUES (?,?,?,?,?,?,?,?,?,?,?,?)",
@@ -74,7 +74,7 @@
         )
 
     def experiments(self) -> list[ExperimentSummary]:
-        """The experiments that have results, the one with the newest result last."""
+        """Return the experiments that have results, ordered by their newest result."""
         rows = self._database.execute(
             "SELECT experiment, count(*), sum(CAST(broken AS TEXT) <> '[]'), max(at) FROM result "
             "GROUP BY experiment ORDER BY max(at)"
@@ -82,7 +82,7 @@
         return [ExperimentSummary(*row) for row in rows]
 
     def outcomes(self, experiment: str) -> OutcomesBySetting:
-        """The newest outcome of each scenario, setting and seed of an experiment."""
+        """Return the newest outcome of an experiment for each scenario, setting and seed."""
         outcomes: OutcomesBySetting = {}
         rows = self._database.execute(
             "SELECT scenario, setting, seed, figures, broken, seconds FROM result WHERE experiment=? ORDER BY at",
--- a/hallhitch/lab/scenario.py
+++ b/hallhitch/lab/scenario.py
@@ -1,4 +1,7 @@
-"""Scenarios: the world, its traffic and its faults, as TOML. Times in ms unless a name says s; rates a second."""
+"""Scenario files (TOML): the simulated deployment, its traffic and its faults.
+
+Times are in ms, or in seconds where a name ends in `_s` or is `seconds`; rates are per second.
+"""
 
 from __future__ import annotations
 
@@ -18,30 +21,30 @@
 
 
 class ClassSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The settings of a class of requests."""
+    """Settings of a class of requests."""
 
-    aim: Positive
+    aim: Positive  # latency target
     deadline: Positive
-    share: Share
-    work: Range  # of one core
-    worth: Positive = 1.0
+    share: Share  # of all requests
+    work: Range  # time on one core
+    worth: Positive = 1.0  # value of a request served in time
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    window: Natural = 0.0  # for which the nodes of a pod remember its keys
+    window: Natural = 0.0  # how long the nodes of a pod remember its idempotency keys
 
 
 class PlanSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The settings of a plan, and how its clients use it."""
+    """Settings of a plan, and its share of the traffic."""
 
-    share: Share  # of the use inside quotas
-    rate: Range  # of each client
-    burst_s: Range
-    price: Positive = 1.0
-    beyond_worth: Share = 0.0
-    beyond_cost: Natural = 0.0
+    share: Share  # of the traffic within quotas
+    rate: Range  # quota of each client, drawn once for the plan
+    burst_s: Range  # burst, as seconds of the rate
+    price: Positive = 1.0  # factor of the value of its requests
+    beyond_worth: Share = 0.0  # ratio of its value that a request beyond quota earns
+    beyond_cost: Natural = 0.0  # cost of a forwarded try beyond quota, as a ratio of its value
 
 
 class WorldSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The nodes, gateways, network, counter and discovery of a scenario."""
+    """Settings of the gateways, nodes, network, counter and discovery."""
 
     gateways: Count = 3
     nodes: Count = 10
@@ -50,65 +53,65 @@
     cores: Positive = 2.0
     slots: Count = 6  # requests in service at once
     queue: Count = 24  # requests queued; more are rejected
-    crowding: Share = 0.01  # ratio of a node's speed that each request it holds costs
-    speed: Range = (0.9, 1.1)  # of each node, drawn once
-    able: tuple[Positive, ...] = ()  # factors of that for the first nodes, which no gateway knows
-    shuffled: bool = False  # whether each gateway's saved list has an order of its own
-    cold_s: Natural = 12.0
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.2
-    fall_ms: Positive = 1500.0
-    fall_multiple: Positive = 3.0
-    connections: Count = 64  # that a node holds
-    handshake: Range = (1.0, 2.0)  # time of a new connection
-    handshake_work: Natural = 0.5
+    crowding: Share = 0.01  # ratio of its speed that a node loses for each request it holds
+    speed: Range = (0.9, 1.1)  # factor of each node's cores, drawn once
+    able: tuple[Positive, ...] = ()  # further factors for the first nodes, unknown to the gateways
+    shuffled: bool = False  # whether the saved server list of each gateway has its own order
+    cold_s: Natural = 12.0  # warm-up of a started node
+    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.2  # ratio of its speed with which a warming node starts
+    fall_ms: Positive = 1500.0  # window in which the load of a warming node is limited
+    fall_multiple: Positive = 3.0  # multiple of its capacity in that window above which a warming node goes down
+    connections: Count = 64  # limit of open connections to a node
+    handshake: Range = (1.0, 2.0)  # duration of opening a connection
+    handshake_work: Natural = 0.5  # work that a handshake costs the node
     keepalive: Positive = 30_000.0
-    delay: Range = (0.2, 0.4)  # one way inside a zone
-    across: Range = (0.5, 0.8)  # one way between zones
-    list_late: Range = (500.0, 3000.0)
-    counter_per_s: Positive = 1500.0
-    counter_parts: Count = 2
-    counter_ms: Range = (0.4, 1.2)
-    counter_queue: Count = 200
+    delay: Range = (0.2, 0.4)  # one way, within a zone
+    across: Range = (0.5, 0.8)  # one way, between zones
+    list_late: Range = (500.0, 3000.0)  # delay of discovery's updates
+    counter_per_s: Positive = 1500.0  # calls that the counter serves, over all shards
+    counter_parts: Count = 2  # shards
+    counter_ms: Range = (0.4, 1.2)  # latency of a call
+    counter_queue: Count = 200  # calls queued per shard; more are rejected
     counter_timeout: Positive = 50.0
-    attempts: Count = 5
-    peers: bool = False  # whether gateways know each other (in virtual time; real processes: lab/fleet)
-    numbers: Literal["own", "zero"] = "own"  # the index that each gateway gets: its own number, or 0
-    choice: Literal["module", "uniform", "round_robin", "two", "least", "informed"] = "module"  # lab/baselines.py
-    choice_near: bool = True  # whether another choice than the module's keeps to the module's subset of servers
-    choice_late_ms: Natural = 0.0  # age of the node loads that `informed` gets
-    counter_form: Literal["http", "resp"] = "http"  # the counter's protocol, on sockets
+    attempts: Count = 5  # limit per request
+    peers: bool = False  # whether gateways have a membership (only in virtual time; for real processes see lab/fleet)
+    numbers: Literal["own", "zero"] = "own"  # index that each gateway is given: its own, or 0 for all
+    choice: Literal["module", "uniform", "round_robin", "two", "least", "informed"] = "module"  # see lab/baselines.py
+    choice_near: bool = True  # whether a baseline selects within the decision module's subset of servers
+    choice_late_ms: Natural = 0.0  # age of the node loads that `informed` reads
+    counter_form: Literal["http", "resp"] = "http"  # protocol of the counter in runs on sockets
 
     def ability(self, number: int) -> float:
-        """How much more than others a node can do."""
+        """Return the capacity of a node relative to the others."""
         return self.able[number] if number < len(self.able) else 1.0
 
 
 class TrafficSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The traffic of a scenario."""
-
-    load: Natural = 0.55  # use inside quotas, as a share of what the nodes can do
-    rate: Natural = 0.0  # the same in requests a second, in place of `load`: for settings that differ in their nodes
-    full: Share = 0.15  # of the clients: these use nearly all of their quota
-    heavy: Share = 0.1  # these send far more, all the time
-    heavy_x: Range = (1.6, 4.5)
-    spiky: Share = 0.2  # these send far more for some seconds
-    spiky_x: Range = (2.0, 6.0)
-    spike_s: Range = (1.8, 5.0)
-    spike_every_s: Range = (10.0, 25.0)
-    calm_use: Range = (0.15, 0.5)  # of the rate, by all others
-    spread: Range = (0.7, 1.0)  # of the gateways, that a client's requests come through
-    skew: Range = (0.3, 1.5)
-    shift_s: Range = (12.0, 22.0)  # until the busiest gateways of a client change
-    retry: Share = 0.5  # of clients that try once more by themselves
-    retry_wait: Range = (100.0, 600.0)
-    patience: Range = (0.5, 1.0)  # of the class's deadline
-    leave: Share = 0.0  # chance that a client leaves before its answer
-    crowded: tuple[Share, Share] = (0.0, 0.0)  # this share of the gateways gets that share of the traffic
-    fresh_per_s: Natural = 0.0  # clients that were never seen before, each with one request
+    """Settings of the clients and of their requests."""
+
+    load: Natural = 0.55  # traffic within quotas, as a ratio of the capacity of all nodes
+    rate: Natural = 0.0  # requests per second, instead of `load`; for comparisons of settings with different nodes
+    full: Share = 0.15  # ratio of clients that use nearly all of their quota
+    heavy: Share = 0.1  # ratio of clients that always exceed their quota
+    heavy_x: Range = (1.6, 4.5)  # multiple of their quota that these send
+    spiky: Share = 0.2  # ratio of clients that exceed their quota in spikes
+    spiky_x: Range = (2.0, 6.0)  # multiple of their quota that these send in a spike
+    spike_s: Range = (1.8, 5.0)  # duration of a spike
+    spike_every_s: Range = (10.0, 25.0)  # from the end of a spike to the next
+    calm_use: Range = (0.15, 0.5)  # ratio of the quota that all other clients use
+    spread: Range = (0.7, 1.0)  # ratio of the gateways through which a client's requests come
+    skew: Range = (0.3, 1.5)  # how unevenly they come through these; 0 is even
+    shift_s: Range = (12.0, 22.0)  # interval after which a client's busiest gateways change
+    retry: Share = 0.5  # ratio of requests that the client itself retries once
+    retry_wait: Range = (100.0, 600.0)  # delay before that retry
+    patience: Range = (0.5, 1.0)  # ratio of the class's deadline that a client waits
+    leave: Share = 0.0  # probability that a client disconnects before its deadline
+    crowded: tuple[Share, Share] = (0.0, 0.0)  # ratio of the gateways, and the share of the traffic that these get
+    fresh_per_s: Natural = 0.0  # new clients, each with one request
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """A fault from `at_s` on, for `for_s`. `part` is the ratio of its possible targets that it affects."""
+    """A fault that starts at `at_s` and lasts `for_s`; `part` is the ratio of possible targets that it affects."""
 
     kind: Literal[
         "slow",
@@ -140,12 +143,12 @@
     at_s: Natural
     for_s: Natural = 0.0
     part: Share = 0.1
-    size: Natural = 1.0
-    empty: bool = False  # whether the counter has lost its data afterwards
+    size: Natural = 1.0  # its meaning depends on the kind, such as a slowdown or a number of requests
+    empty: bool = False  # whether the counter loses its data
 
 
 class Scenario(Struct, frozen=True, forbid_unknown_fields=True):
-    """A scenario's file."""
+    """The content of a scenario file."""
 
     name: str
     about: str = ""
@@ -158,7 +161,7 @@
 
     def __post_init__(self) -> None:
         if not self.classes or not self.plans:
-            raise ValueError("field 'classes': a scenario needs classes and plans")
+            raise ValueError("field 'classes': a scenario needs at least one class and one plan")
         for field, things in (("classes", self.classes), ("plans", self.plans)):
             if abs(sum(thing.share for thing in things.values()) - 1) > 1e-6:
                 raise ValueError(f"field '{field}': the shares must add up to 1")
@@ -166,13 +169,13 @@
             if kind.deadline < kind.aim:
                 raise ValueError(f"field 'classes.{name}.deadline': shorter than the aim")
             if kind.effect == "keyed" and kind.window <= 0:
-                raise ValueError(f"field 'classes.{name}.window': a keyed class has one")
+                raise ValueError(f"field 'classes.{name}.window': a class with effect 'keyed' needs a window above 0")
         for number, fault in enumerate(self.faults):
             if fault.at_s > self.seconds:
-                raise ValueError(f"field 'faults.{number}.at_s': after the end")
+                raise ValueError(f"field 'faults.{number}.at_s': after the end of the run")
 
     def settings(self, rates: dict[str, tuple[float, float]]) -> api.Settings:
-        """Make the settings of its gateways; `rates` has the drawn rate and burst of each plan."""
+        """Return the settings of the scenario's gateways; `rates` has the drawn rate and burst of each plan."""
         world = self.world
         classes = tuple(
             api.RequestClass(
@@ -202,15 +205,15 @@
 
 
 class UnknownSettingError(LabError, ValueError):
-    """A dotted path that leads to no field of a scenario."""
+    """A dotted path that names no field of a scenario."""
 
     def __init__(self, path: str) -> None:
-        super().__init__(f"field '{path}': there is none in this scenario")
+        super().__init__(f"field '{path}': no such field in this scenario")
         self.path = path
 
 
 def journal_header(scenario: Scenario, settings: api.Settings) -> tuple[Any, ...]:
-    """Make the fields of a journal's first event: what figures and checker need of the scenario."""
+    """Return the fields of the event `world`: the part of the scenario that the figures and the checker need."""
     classes = {k.name: [k.aim, k.deadline, k.worth, k.effect, k.repeat_window] for k in settings.classes}
     plans = {p.name: [p.rate, p.burst, p.price, p.beyond_worth, p.beyond_cost] for p in settings.plans}
     world = scenario.world
@@ -221,8 +224,8 @@
     """Return a scenario with the settings at dotted paths replaced, validated again.
 
     Raises:
-        UnknownSettingError: there is no such path.
-        ValueError: the scenario is not valid with them.
+        UnknownSettingError: a path names no field.
+        ValueError: the scenario is invalid with these settings.
     """
     plain = msgspec.to_builtins(scenario)
     for path, value in settings.items():
--- a/tests/lab/short_scenarios.py
+++ b/tests/lab/short_scenarios.py
@@ -1,4 +1,4 @@
-"""The repository's scenarios, cut down to the time that a test has."""
+"""The repository's scenarios, shortened for tests."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 SCENARIOS = sorted((ROOT / "scenarios").glob("*.toml"))
 CASES_FILE = str(ROOT / "scenarios" / "cases" / "evenness.toml")
 SHORT_SECONDS = 16.0
-MIN_FAULT_RATIO = 0.3  # of its duration that a fault keeps
+MIN_FAULT_RATIO = 0.3  # a fault keeps at least this ratio of its duration
 
 
 def short_scenario(path: Path) -> Scenario:
-    """Read a scenario with its time, and the times of its faults, cut down."""
+    """Read a scenario, scale it down to `SHORT_SECONDS`, and scale the times of its faults likewise."""
     scenario = read(str(path), Scenario)
     ratio = min(1.0, SHORT_SECONDS / scenario.seconds)
     faults = tuple(
