--- a/hallhitch/lab/baselines.py
+++ b/hallhitch/lab/baselines.py
@@ -1,8 +1,8 @@
-"""Baselines of server selection, for comparison only: the decision module with nothing but its selection replaced.
+"""Baselines of server selection, for comparison only: the decision module with only its server selection replaced.
 
-They are chosen by `world.choice` of a scenario, so they meet the same traffic, faults and draws as the module.
-`informed` cannot be built in practice: it gets the load of every node, some time late, and shows what any exchange
-between gateways could gain at most at that lateness.
+A scenario selects one by `world.choice`, so each gets the same traffic, faults and draws as the decision module.
+`informed` cannot be built in practice: it reads the load of every node with a given delay, and so is an upper bound on
+what any exchange of loads between gateways could gain at that delay.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from hallhitch.lab.scenario import WorldSettings
 from hallhitch.lab.virtual import VirtualTime
 
-SAMPLE_INTERVAL_MS: Final = 5.0  # between samples of all nodes' load: short beside a request
-ROUND_ROBIN_STARTS: Final = 10_000  # names that a round robin may start behind
+SAMPLE_INTERVAL_MS: Final = 5.0  # between samples of the load of all nodes; short compared with a request
+ROUND_ROBIN_STARTS: Final = 10_000  # number of node names after which a round robin may start
 
 
 class MissingLoadBoardError(LabError):
-    """An informed choice without a board of the nodes' load."""
+    """The choice `informed` was requested without a `LoadBoard`."""
 
     def __init__(self) -> None:
-        super().__init__("the choice 'informed' needs a board of the nodes' load")
+        super().__init__("world.choice 'informed' needs a LoadBoard")
 
 
 class SelectionBaseline(Gateway):
-    """The decision module with another choice among the servers that may take a request."""
+    """The decision module with a different choice among the servers that accept a request."""
 
-    uses_subset = True  # whether it keeps to the module's subset of servers, or sends to any
+    uses_subset = True  # whether it selects within the module's subset of servers, or among all
 
     def select_server(self, r: OpenRequest) -> Server | None:
-        """Select a server that was not tried yet, if any accepts the request."""
+        """Select a server that accepts the request and has not been tried for it, or None."""
         if self.now >= self.subset_expires_at:
             self.select_subset()
         tried = [attempt.entry.server for attempt in r.attempts]
@@ -45,56 +45,56 @@
         return self.pick(accepting, r) if accepting else None
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
-        """Pick one of some servers."""
+        """Pick one of the accepting servers."""
         raise NotImplementedError
 
 
 class UniformChoice(SelectionBaseline):
-    """Any server, at random."""
+    """Picks a server at random."""
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
-        """Return any of them."""
+        """Return a random server."""
         return self.rng.choice(accepting)
 
 
 class RoundRobin(SelectionBaseline):
-    """Servers in turn, from a random start."""
+    """Picks servers in turn, in the order of their names from a random start."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self._last = f"node-{self.rng.randrange(ROUND_ROBIN_STARTS)}"
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
-        """Return the next in turn."""
+        """Return the server whose name follows the last one."""
         server = min(accepting, key=lambda server: (server.entry.server <= self._last, server.entry.server))
         self._last = server.entry.server
         return server
 
 
 class TwoChoices(SelectionBaseline):
-    """Of two servers at random, the one with less in flight from this gateway (power of two choices)."""
+    """Picks the server with fewer requests in flight from this gateway, of two at random (power of two choices)."""
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
-        """Return the less loaded of two at random."""
+        """Return the less loaded of two random servers."""
         sample = self.rng.sample(accepting, min(2, len(accepting)))
         return min(sample, key=lambda server: len(server.in_flight))
 
 
 class LeastInFlight(SelectionBaseline):
-    """The server with the least in flight from this gateway; ties at random."""
+    """Picks the server with the fewest requests in flight from this gateway; ties are broken at random."""
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
-        """Return the least loaded; at random among equals."""
+        """Return the least loaded server; ties are broken at random."""
         return min(accepting, key=lambda server: (len(server.in_flight), self.rng.random()))
 
 
 class InformedChoice(SelectionBaseline):
-    """The module's own latency prediction, given what other gateways have in flight at each server."""
+    """Picks by the decision module's latency prediction, with the load that other gateways put on each server."""
 
     load_of: Callable[[str], float]
 
     def pick(self, accepting: list[Server], request: OpenRequest) -> Server:
-        """Return the one of the lowest predicted latency."""
+        """Return the server with the lowest predicted latency."""
 
         def predicted_latency(server: Server) -> float:
             from_others = max(0.0, self.load_of(server.entry.server) - len(server.in_flight))
@@ -114,7 +114,7 @@
 
 
 class LoadBoard:
-    """The load of every node, some time late."""
+    """The load of every node as it was `delay_ms` ago."""
 
     def __init__(self, nodes: dict[str, Node], delay_ms: float, time: VirtualTime) -> None:
         self._nodes = nodes
@@ -125,7 +125,7 @@
             self._sample()
 
     def load_of(self, name: str) -> float:
-        """Requests in service and queued at a node."""
+        """Return the number of requests in service and queued at a node."""
         if self._delay_ms:
             return float(self._samples[0].get(name, 0))
         node = self._nodes.get(name)
@@ -137,10 +137,10 @@
 
 
 def make_decision_module(world: WorldSettings, settings: api.Settings, seed: int, board: LoadBoard | None) -> Gateway:
-    """Make the module that a scenario's gateways decide by.
+    """Create the decision module of one of the scenario's gateways.
 
     Raises:
-        MissingLoadBoardError: the choice is `informed` and there is no board.
+        MissingLoadBoardError: the choice is `informed` and `board` is None.
     """
     module = CHOICES[world.choice](settings, seed)
     if isinstance(module, SelectionBaseline):
--- a/hallhitch/lab/evenness.py
+++ b/hallhitch/lab/evenness.py
@@ -1,8 +1,8 @@
-"""How evenly load is spread over nodes, from a journal alone: by time scale, idle nodes, thundering herds, moves.
+"""Measures how evenly load is spread over nodes, from a journal: by time scale, idle nodes, thundering herds, moves.
 
-All is relative to what a node can do at that moment (its capacity, and its warmth while it warms up), and to nodes that
-are up. What a fault takes from a node is not in the journal, so a slow node counts with all its cores: that gateways
-avoid it shows as unevenness, as it should where the fault is the subject. Times in ms.
+All figures count only nodes that are up, in relation to their capacity at that moment (reduced during warm-up). The
+journal does not record the capacity that a node loses by a fault, so a slow node counts with its full capacity: where
+gateways avoid it, this shows as unevenness. That is intended, since such runs are about the fault. Times in ms.
 """
 
 from __future__ import annotations
@@ -18,51 +18,51 @@
 from hallhitch.lab.journal import Event
 from hallhitch.lab.node_load import NodeTimeline, Numbers, RequestTable, count_held
 
-MOMENT_MS: Final = 50.0  # the shortest time scale, about a request's time
+MOMENT_MS: Final = 50.0  # the shortest time scale, about the duration of a request
 SECOND_MS: Final = 1_000.0
-QUEUE_LENGTH: Final = 3  # requests held, for a node of mean capacity, from which on its newest waits for others
-CONNECT_MS: Final = 5.0  # until a new connection carries its request: within it, sends by others cannot be seen
-USED_MS: Final = 10_000.0  # for which a gateway counts as using a node that it sent to
-CAUSE_MS: Final = 10_000.0  # after a change of nodes, gateways or faults in which a move of load has a cause
-CHANCE_DRAWS: Final = 200  # random assignments that herds are compared with
-RUSH_MS: Final = 100.0  # in which first sends to a started node are a rush
-FAIR_RATIO: Final = 0.5  # of its share by capacity, from which on a started node is used fairly
+QUEUE_LENGTH: Final = 3  # requests held by a node of mean capacity, from which on the newest one waits
+CONNECT_MS: Final = 5.0  # time to open a connection; sends by other gateways within it cannot be seen
+USED_MS: Final = 10_000.0  # for how long after a send a gateway counts as using the node
+CAUSE_MS: Final = 10_000.0  # period after a change of nodes, gateways or faults that explains a move of load
+CHANCE_DRAWS: Final = 200  # number of random assignments with which herds are compared
+RUSH_MS: Final = 100.0  # interval within which first sends to a started node count as a rush
+FAIR_RATIO: Final = 0.5  # ratio of its share by capacity from which on a started node is fairly used
 
 
 class Arrival(Struct, frozen=True):
-    """How gateways came to a node that started while the run went on."""
+    """How gateways started to use a node that started during the run."""
 
     node: str
-    met: float  # ms until half of the gateways that came within 10 s had sent to it
-    rush: float  # of them, how many had their first send in one tenth of a second with another: 0 none, 1 all
-    fair: float  # ms until its work in a second was first at least half of what it could do by others' measure
+    met: float  # ms until half of the gateways that sent to it within 10 s had done so
+    rush: float  # ratio of these whose first sends fell within the same 0.1 s: 0 none, 1 all
+    fair: float  # ms until the first second in which it got at least half of its share by capacity
 
 
 class Evenness(Struct, frozen=True):
-    """Figures of one run. Ratios are to the mean over nodes by what they can do; CV: standard deviation by mean."""
-
-    moment_cv: float  # of requests in work, over nodes, mean over moments
-    idle: float  # share of nodes with nothing in work, mean over moments
-    idle_beside_line: float  # the same, of moments and nodes at which another had a line
-    second_cv: float  # of requests sent in a second
-    second_most: float  # fullest node of a second, mean over seconds
-    run_least: float  # of the whole run, nodes that were up all the while
-    run_most: float
-    herd_most: int  # most sends by different gateways to one node within one connect time
-    herd_pairs: float  # pairs of such sends, against what as many sends would make by chance alone
-    herd_chance: float  # share of draws by chance with as many pairs or more: small means a herd
-    moves: float  # share of sends, without a cause, to a node that the gateway had not used for 10 s
+    """Figures of one run. Loads are relative to the mean load per capacity; CV: standard deviation / mean."""
+
+    moment_cv: float  # of requests held, over nodes; mean over moments
+    idle: float  # ratio of nodes that hold no request; mean over moments
+    idle_beside_line: float  # the same, counting only moments at which another node has a queue
+    second_cv: float  # of requests sent in a second, over nodes; mean over seconds
+    second_most: float  # load of the fullest node of each second; mean over seconds
+    run_least: float  # least load over the whole run, of nodes that were up throughout
+    run_most: float  # greatest load, likewise
+    herd_most: int  # most gateways that sent to one node within one `CONNECT_MS`
+    herd_pairs: float  # pairs of such sends, relative to the mean of random assignments
+    herd_chance: float  # ratio of random assignments with at least as many pairs; small means a herd
+    moves: float  # ratio of sends to a node that the gateway had not used for 10 s, without a cause
     arrivals: list[Arrival]
 
 
 class _Spread(NamedTuple):
     cv: float
-    fullest_ratio: float  # of the fullest node to the mean
+    fullest_ratio: float  # load of the fullest node, relative to the mean
 
 
 class _IdleRatios(NamedTuple):
     overall: float
-    beside_queue: float  # counted at moments at which another node had a queue
+    beside_queue: float  # counts only moments at which another node had a queue
 
 
 class _Herds(NamedTuple):
@@ -77,7 +77,7 @@
 
 
 def evenness(events: list[Event], seed: int = 1) -> Evenness:
-    """Compute all figures of a run; `seed` is that of the random assignments that herds are compared with."""
+    """Compute all figures of a run; `seed` is for the random assignments with which herds are compared."""
     nodes = NodeTimeline(events)
     requests = RequestTable(events)
     begin = _traffic_begin(events)
@@ -108,7 +108,7 @@
 
 
 def _traffic_begin(events: list[Event]) -> float:
-    """When the traffic began: real processes take a while to start, with the journal begun."""
+    """Return when the traffic began: the journal of real processes includes the time that they take to start."""
     begin = next((float(event[0]) for event in events if event[1] in ("ask", "send")), 0.0)
     return begin if begin > SECOND_MS else 0.0
 
@@ -123,7 +123,7 @@
 
 
 def _spread(counts: Numbers, capacity: Numbers) -> _Spread:
-    """Means over columns of the CV and of the fullest node; counts by capacity, of nodes that are up alone."""
+    """Return the means over columns of the CV and of the fullest node, for counts per capacity of nodes that are up."""
     if not capacity.size:
         return _Spread(0.0, 1.0)
     is_up = capacity > 0
@@ -150,7 +150,7 @@
 
 
 def _run_range(sends: Numbers, capacity: Numbers) -> _RunRange:
-    """The least and the most used node of the whole run, of those that were up all the while."""
+    """Return the least and the greatest load over the whole run, of the nodes that were up throughout."""
     second_count = capacity.shape[1]
     is_always_up = (capacity > 0).all(axis=1) if second_count else np.zeros(len(capacity), dtype=bool)
     if not is_always_up.any():
@@ -165,11 +165,11 @@
 
 
 def _herds(requests: RequestTable, nodes: NodeTimeline, end: float, seed: int) -> _Herds:
-    """The most sends by different gateways to a node in one connect time, pairs against chance, and their rarity."""
+    """Compare how often gateways send to the same node within `CONNECT_MS` with random assignments."""
     if not len(requests.sent_at):
         return _Herds(0, 1.0, 1.0)
     window = (requests.sent_at / CONNECT_MS).astype(np.int64)
-    # Several sends of one gateway to a node in a window are its own doing, no herd.
+    # Several sends of one gateway to a node within a window count once: they are no herd.
     groups = np.unique(np.stack([window, requests.sent_to, requests.sent_by]), axis=1)
     _, counts = np.unique(groups[:2], axis=1, return_counts=True)
     pairs = _count_pairs(counts)
@@ -182,7 +182,7 @@
 def _draw_chance_pairs(
     requests: RequestTable, nodes: NodeTimeline, window: NDArray[np.int64], end: float, seed: int
 ) -> list[float]:
-    """Draw the pairs of as many sends in each window, each to a node by its capacity in that second."""
+    """Count pairs in random assignments that send each request to a node with a probability by its capacity then."""
     rng = np.random.default_rng(seed)
     seconds = np.arange(SECOND_MS / 2, end + SECOND_MS, SECOND_MS)
     capacity = nodes.capacity(seconds)
@@ -200,7 +200,7 @@
 
 
 def _moves_ratio(events: list[Event], requests: RequestTable) -> float:
-    """Ratio of sends to a node not used for long, of those with no change shortly before."""
+    """Return the ratio of sends to a node not used for `USED_MS`, among sends without a recent change."""
     changes_at = [event[0] for event in events if event[1] in ("fault", "told", "node", "gateway")]
     last_used_at: dict[tuple[int, int], float] = {}
     moves = counted = 0
@@ -217,7 +217,7 @@
 
 
 def _arrivals(nodes: NodeTimeline, requests: RequestTable, begin: float, end: float) -> list[Arrival]:
-    """How gateways came to each node that started during the traffic."""
+    """Return how gateways started to use each node that started during the traffic."""
     arrivals = []
     for index, up_at in enumerate(nodes.up_at):
         until = min(up_at + CAUSE_MS, nodes.down_at[index], end)
@@ -240,7 +240,7 @@
 
 
 def _fair_use_ms(nodes: NodeTimeline, requests: RequestTable, index: int, until: float) -> float:
-    """Time from a node's start to the first second in which it got its part of the sends, by capacity."""
+    """Return the time from a node's start to the first second in which it got a fair share of the sends."""
     up_at = nodes.up_at[index]
     for at in np.arange(up_at, until - SECOND_MS + 1, SECOND_MS / 4):
         is_inside = (requests.sent_at >= at) & (requests.sent_at < at + SECOND_MS)
--- a/hallhitch/lab/evenness_page.py
+++ b/hallhitch/lab/evenness_page.py
@@ -1,4 +1,4 @@
-"""The page of one or several runs' evenness: one HTML file without references to anything outside it."""
+"""Renders the evenness of one or several runs as a self-contained HTML file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hallhitch.lab.node_load import NodeTimeline, RequestTable, count_held, make_heat_map
 from hallhitch.lab.report import STYLE, encode_chart
 
-DARKEST_LOAD = 4.0  # requests held by a node of one core's capacity that are shown as the darkest
+DARKEST_LOAD = 4.0  # requests held per core of capacity, shown in the darkest colour
 PAGE = Environment(autoescape=select_autoescape(default=True)).from_string("""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Evenness</title><style>{{ style }}</style></head><body>
 <h1>Evenness</h1>
@@ -52,7 +52,7 @@
 
 
 def _draw_distributions(runs: dict[str, list[Event]]) -> str:
-    """Draw how often nodes hold at least so much, run by run."""
+    """Draw the complementary distribution of the load of nodes, one line per run."""
     figure, axes = plt.subplots(figsize=(12, 3.6))
     for name, events in runs.items():
         nodes = NodeTimeline(events)
@@ -72,7 +72,7 @@
 
 
 def page(runs: dict[str, list[Event]]) -> str:
-    """Render the page of runs by name."""
+    """Render the page; `runs` maps names to journals."""
     rows, maps, names = [], [], list[str]()
     for name, events in runs.items():
         plain = msgspec.to_builtins(evenness(events))
--- a/hallhitch/lab/process_time.py
+++ b/hallhitch/lab/process_time.py
@@ -1,7 +1,7 @@
-"""The time of one modelled process, which can be suspended (SIGSTOP) and can die.
+"""Clock and scheduler of one simulated process, which can be suspended (SIGSTOP) and can die.
 
-Invariants: a dead process runs no callback. A suspended process runs none either: what falls due meanwhile is queued
-and runs in its order, at the time of the resumption.
+Invariants: a dead process runs no callback. A suspended process runs none either: callbacks that fall due meanwhile are
+queued, and run in order when the process is resumed.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 
 class ProcessTime:
-    """Clock and scheduler of one modelled process, on the run's virtual time."""
+    """Schedules the callbacks of one simulated process on the virtual time of the run."""
 
     def __init__(self, time: VirtualTime) -> None:
         self._time = time
         self.is_alive = True
-        self._suspended: list[tuple[Callable[..., object], tuple[object, ...]]] | None = None  # None while it runs
+        self._suspended: list[tuple[Callable[..., object], tuple[object, ...]]] | None = None  # None while running
 
     def __call__(self) -> float:
-        """Return the present moment in ms."""
+        """Return the current time in ms."""
         return self._time.now
 
     def call_soon(self, callback: Callable[..., object], /, *args: object) -> Handle:
-        """Schedule a callback at the present time."""
+        """Schedule a callback at the current time."""
         return self._time.call_soon(self._run_due, callback, args)
 
     def call_later(self, delay_s: float, callback: Callable[..., object], /, *args: object) -> Handle:
@@ -36,12 +36,12 @@
         return self.call_later(delay_ms / 1000, callback, *args)
 
     def suspend(self) -> None:
-        """Queue callbacks from now on."""
+        """Suspend the process: queue its callbacks from now on."""
         if self._suspended is None:
             self._suspended = []
 
     def resume(self) -> None:
-        """Run the queued callbacks in order, at the present time."""
+        """Resume the process: run the queued callbacks in order, at the current time."""
         queued, self._suspended = self._suspended or [], None
         for callback, args in queued:
             self.run(callback, *args)
