--- a/hallhitch/lab/evenness.py
+++ b/hallhitch/lab/evenness.py
@@ -228,13 +228,13 @@
 
 def _arrival(nodes: NodeTimeline, requests: RequestTable, index: int, until: float) -> Arrival:
     up_at = nodes.up_at[index]
-    is_here = (requests.sent_to == index) & (requests.sent_at >= up_at) & (requests.sent_at < until)
-    _, first_sends = np.unique(requests.sent_by[is_here], return_index=True)
-    first_ms = np.sort(requests.sent_at[is_here][first_sends]) - up_at
+    is_to_node = (requests.sent_to == index) & (requests.sent_at >= up_at) & (requests.sent_at < until)
+    _, first_sends = np.unique(requests.sent_by[is_to_node], return_index=True)
+    first_ms = np.sort(requests.sent_at[is_to_node][first_sends]) - up_at
     if not len(first_ms):
         return Arrival(nodes.names[index], math.inf, 0.0, math.inf)
-    together = max(np.searchsorted(first_ms, first_ms + RUSH_MS) - np.arange(len(first_ms))) - 1
-    rush = float(together / max(1, len(first_ms) - 1))
+    largest_rush = max(np.searchsorted(first_ms, first_ms + RUSH_MS) - np.arange(len(first_ms))) - 1
+    rush = float(largest_rush / max(1, len(first_ms) - 1))
     fair_ms = _fair_use_ms(nodes, requests, index, until)
     return Arrival(nodes.names[index], float(np.median(first_ms)), rush, fair_ms)
 
--- a/hallhitch/lab/report.py
+++ b/hallhitch/lab/report.py
@@ -62,10 +62,10 @@
     figure, (left, right) = plt.subplots(1, 2, figsize=(12, 3.6), width_ratios=(3, 1))
     for name, outcomes in by_setting.items():
         curves = np.asarray([o.figures.curve for o in outcomes.values()])
-        middle, spread = curves.mean(axis=0), curves.std(axis=0) / max(1, len(curves)) ** 0.5 * 1.96
-        seconds = np.arange(len(middle))
-        left.plot(seconds, middle, label=name, linewidth=1.2)
-        left.fill_between(seconds, middle - spread, middle + spread, alpha=0.2)
+        mean_curve, half_width = curves.mean(axis=0), curves.std(axis=0) / max(1, len(curves)) ** 0.5 * 1.96
+        seconds = np.arange(len(mean_curve))
+        left.plot(seconds, mean_curve, label=name, linewidth=1.2)
+        left.fill_between(seconds, mean_curve - half_width, mean_curve + half_width, alpha=0.2)
     left.set(xlabel="s", ylabel="service of what was asked in that second", ylim=(0, 1.05))
     left.legend(loc="lower left", fontsize=8)
     means = [bootstrap_interval([o.figures.service for o in outcomes.values()]) for outcomes in by_setting.values()]
--- a/hallhitch/lab/scenario.py
+++ b/hallhitch/lab/scenario.py
@@ -162,13 +162,13 @@
     def __post_init__(self) -> None:
         if not self.classes or not self.plans:
             raise ValueError("field 'classes': a scenario needs at least one class and one plan")
-        for field, things in (("classes", self.classes), ("plans", self.plans)):
-            if abs(sum(thing.share for thing in things.values()) - 1) > 1e-6:
+        for field, sections in (("classes", self.classes), ("plans", self.plans)):
+            if abs(sum(section.share for section in sections.values()) - 1) > 1e-6:
                 raise ValueError(f"field '{field}': the shares must add up to 1")
-        for name, kind in self.classes.items():
-            if kind.deadline < kind.aim:
+        for name, request_class in self.classes.items():
+            if request_class.deadline < request_class.aim:
                 raise ValueError(f"field 'classes.{name}.deadline': shorter than the aim")
-            if kind.effect == "keyed" and kind.window <= 0:
+            if request_class.effect == "keyed" and request_class.window <= 0:
                 raise ValueError(f"field 'classes.{name}.window': a class with effect 'keyed' needs a window above 0")
         for number, fault in enumerate(self.faults):
             if fault.at_s > self.seconds:
@@ -230,13 +230,13 @@
     plain = msgspec.to_builtins(scenario)
     for path, value in settings.items():
         *parents, last = path.split(".")
-        here = plain
+        container = plain
         for part in parents:
-            here = here[int(part)] if isinstance(here, list) else here.get(part)
-            if here is None:
+            container = container[int(part)] if isinstance(container, list) else container.get(part)
+            if container is None:
                 raise UnknownSettingError(path)
-        if isinstance(here, list):
-            here[int(last)] = value
+        if isinstance(container, list):
+            container[int(last)] = value
         else:
-            here[last] = value
+            container[last] = value
     return msgspec.convert(plain, Scenario)
--- a/hallhitch/lab/traffic.py
+++ b/hallhitch/lab/traffic.py
@@ -105,10 +105,10 @@
     total_rate = traffic.rate or traffic.load * world.nodes * world.cores * 1000 / mean_work_ms
     customers: list[Customer] = []
     for plan_index, (name, plan) in enumerate(scenario.plans.items()):
-        missing = total_rate * plan.share / rates[name][0]
-        while missing > 0:
+        remaining_use = total_rate * plan.share / rates[name][0]
+        while remaining_use > 0:
             customer = _draw_customer(scenario, stream, plan_index, len(customers))
-            missing -= min(1.0, customer.use_ratio)
+            remaining_use -= min(1.0, customer.use_ratio)
             customers.append(customer)
     return customers
 
