--- a/hallhitch/lab/evenness.py
+++ b/hallhitch/lab/evenness.py
@@ -20,7 +20,7 @@
 
 MOMENT_MS: Final = 50.0  # the shortest time scale, about the duration of a request
 SECOND_MS: Final = 1_000.0
-QUEUE_LENGTH: Final = 3  # requests held by a node of mean capacity, from which on the newest one waits
+QUEUE_LENGTH: Final = 3  # requests held by a node of mean capacity, from which on the newest one waits for others
 CONNECT_MS: Final = 5.0  # time to open a connection; sends by other gateways within it cannot be seen
 USED_MS: Final = 10_000.0  # for how long after a send a gateway counts as using the node
 CAUSE_MS: Final = 10_000.0  # period after a change of nodes, gateways or faults that explains a move of load
@@ -39,7 +39,7 @@
 
 
 class Evenness(Struct, frozen=True):
-    """Figures of one run. Loads are relative to the mean load per capacity; CV: standard deviation / mean."""
+    """Figures of one run. Loads are per capacity, relative to the mean over nodes; CV: standard deviation / mean."""
 
     moment_cv: float  # of requests held, over nodes; mean over moments
     idle: float  # ratio of nodes that hold no request; mean over moments
@@ -165,7 +165,7 @@
 
 
 def _herds(requests: RequestTable, nodes: NodeTimeline, end: float, seed: int) -> _Herds:
-    """Compare how often gateways send to the same node within `CONNECT_MS` with random assignments."""
+    """Return the largest herd, the pairs of sends relative to random assignments, and how rare so many pairs are."""
     if not len(requests.sent_at):
         return _Herds(0, 1.0, 1.0)
     window = (requests.sent_at / CONNECT_MS).astype(np.int64)
@@ -182,7 +182,7 @@
 def _draw_chance_pairs(
     requests: RequestTable, nodes: NodeTimeline, window: NDArray[np.int64], end: float, seed: int
 ) -> list[float]:
-    """Count pairs in random assignments that send each request to a node with a probability by its capacity then."""
+    """Return the number of pairs in each random assignment; nodes are weighted by their capacity in that second."""
     rng = np.random.default_rng(seed)
     seconds = np.arange(SECOND_MS / 2, end + SECOND_MS, SECOND_MS)
     capacity = nodes.capacity(seconds)
--- a/hallhitch/lab/traffic.py
+++ b/hallhitch/lab/traffic.py
@@ -17,7 +17,7 @@
 from hallhitch.lab.scenario import Scenario
 from hallhitch.lab.streams import Stream, Streams
 
-FULL_USE: Final = (0.85, 0.98)  # range of the use ratio of clients that use nearly all of their quota
+FULL_USE: Final = (0.85, 0.98)  # ratio of the quota used by clients that use nearly all of it
 NO_LEAVE: Final = 2.0  # leave ratio of clients that wait for their answer: any value above 1
 MIN_BURST_S: Final = 0.05
 BURST_SKEW: Final = 0.5  # skew of the requests of a burst over gateways
