--- a/benchmarks/calibration.py
+++ b/benchmarks/calibration.py
@@ -19,7 +19,7 @@
 
 from hallhitch.lab import virtual_run
 from hallhitch.lab.checker import check
-from hallhitch.lab.figures import Figures, figures
+from hallhitch.lab.figures import Figures, compute_figures
 from hallhitch.lab.scenario import Scenario, replaced
 from hallhitch.lab.sockets import run
 from hallhitch.lab.statistics import bootstrap_interval
@@ -40,8 +40,8 @@
     virtual = virtual_run.play(told, seed)
     real = run.play(told, seed)
     return (
-        figures(virtual.journal.events, virtual.traffic, virtual.counter_calls),
-        figures(real.journal.events, real.traffic, real.counter.calls),
+        compute_figures(virtual.journal.events, virtual.traffic, virtual.counter_calls),
+        compute_figures(real.journal.events, real.traffic, real.counter.calls),
         len(check(real.journal.events)),
     )
 
--- a/benchmarks/evenness.py
+++ b/benchmarks/evenness.py
@@ -29,9 +29,9 @@
 from hallhitch.lab import virtual_run
 from hallhitch.lab.cases import load_cases
 from hallhitch.lab.checker import check
-from hallhitch.lab.evenness import evenness
+from hallhitch.lab.evenness import measure_evenness
 from hallhitch.lab.experiments import replaced_constants
-from hallhitch.lab.figures import figures
+from hallhitch.lab.figures import compute_figures
 from hallhitch.lab.scenario import Scenario, replaced
 from hallhitch.lab.statistics import bootstrap_interval
 from hallhitch.settings_file import read
@@ -128,8 +128,8 @@
     """Return all numeric figures of one run, with broken rules and how arriving servers were met."""
     with replaced_constants(constants):
         run = virtual_run.play(scenario, seed)
-    service = figures(run.journal.events, run.traffic, run.counter_calls)
-    balance = evenness(run.journal.events)
+    service = compute_figures(run.journal.events, run.traffic, run.counter_calls)
+    balance = measure_evenness(run.journal.events)
     values = {
         name: float(getattr(record, name))
         for record in (service, balance)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -30,7 +30,7 @@
 
 from hallhitch.decision.policy import SUBSET_SIZE
 from hallhitch.lab import virtual_run
-from hallhitch.lab.figures import figures
+from hallhitch.lab.figures import compute_figures
 from hallhitch.lab.fleet.cluster import Cluster, ClusterOptions
 from hallhitch.lab.fleet.member_views import member_states
 from hallhitch.lab.fleet.processes import GatewayFleet
@@ -204,7 +204,7 @@
         | sets,
     )
     run = virtual_run.play(msgspec.structs.replace(told, faults=faults), seed)
-    found = figures(run.journal.events, run.traffic, run.counter_calls)
+    found = compute_figures(run.journal.events, run.traffic, run.counter_calls)
     return found.service, found.p99
 
 
--- a/benchmarks/weak_days.py
+++ b/benchmarks/weak_days.py
@@ -17,7 +17,7 @@
 import structlog
 
 from hallhitch.lab import virtual_run
-from hallhitch.lab.figures import Figures, figures
+from hallhitch.lab.figures import Figures, compute_figures
 from hallhitch.lab.scenario import Scenario, replaced
 from hallhitch.lab.statistics import bootstrap_interval
 from hallhitch.settings_file import read
@@ -40,7 +40,7 @@
     if not faults:
         told = msgspec.structs.replace(told, faults=())
     run = virtual_run.play(told, seed)
-    return figures(run.journal.events, run.traffic, run.counter_calls)
+    return compute_figures(run.journal.events, run.traffic, run.counter_calls)
 
 
 def main() -> None:
--- a/hallhitch/cli/demo_fleet.py
+++ b/hallhitch/cli/demo_fleet.py
@@ -67,7 +67,7 @@
     Exit code 1 if a rule was violated.
     """
     from hallhitch.lab.checker import check
-    from hallhitch.lab.figures import figures
+    from hallhitch.lab.figures import compute_figures
     from hallhitch.lab.sockets.run import play
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
@@ -80,7 +80,7 @@
     click.echo(f"{'s':>4} {'served':>8} {'refused':>8} {'failed':>8}   in this second")
     run = play(shortened, seed, SecondPrinter().print_second)
     events = run.journal.events
-    run_figures, violations = figures(events, run.traffic, run.counter.calls), check(events)
+    run_figures, violations = compute_figures(events, run.traffic, run.counter.calls), check(events)
     _write_results(run, run_figures, violations, to)
     print_table(("figure", "value"), [(name, f"{getattr(run_figures, name):.4g}") for name in PRINTED_FIGURES])
     click.echo(f"{len(events)} events written to {to / 'log.jsonl'}, the report to {to / 'report.html'}")
@@ -104,11 +104,11 @@
 def _write_results(run: SocketRun, figures: Figures, violations: list[Violation], folder: Path) -> None:
     """Write the event log and the HTML report."""
     from hallhitch.lab.experiments import Outcome
-    from hallhitch.lab.report import page
+    from hallhitch.lab.report import render_page
 
     scenario = run.scenario
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "log.jsonl").write_bytes(b"".join(run.journal.encoded_lines()))
     outcome = Outcome(figures, [str(violation) for violation in violations], scenario.seconds)
     results = {(scenario.name, "two gateways on sockets"): {run.seed: outcome}}
-    (folder / "report.html").write_text(page(scenario.name, results))
+    (folder / "report.html").write_text(render_page(scenario.name, results))
--- a/hallhitch/cli/experiment.py
+++ b/hallhitch/cli/experiment.py
@@ -64,7 +64,7 @@
 
     from hallhitch.lab.cases import load_scenario
     from hallhitch.lab.checker import check
-    from hallhitch.lab.figures import figures
+    from hallhitch.lab.figures import compute_figures
     from hallhitch.lab.scenario import replaced
     from hallhitch.lab.virtual_run import play
 
@@ -77,7 +77,7 @@
         raise SettingsError(f"--set: {error}") from error
     result = play(modified, seed)
     events = result.journal.events
-    run_figures, violations = figures(events, result.traffic, result.counter_calls), check(events)
+    run_figures, violations = compute_figures(events, result.traffic, result.counter_calls), check(events)
     if log is not None:
         log.write_bytes(b"".join(result.journal.encoded_lines()))
     if json_output:
@@ -200,10 +200,10 @@
 @DATABASE_OPTION
 def report(name: str, to: Path | None, db: Path) -> None:
     """Write the results of an experiment as one HTML page with charts."""
-    from hallhitch.lab.report import page
+    from hallhitch.lab.report import render_page
 
     outcomes = _load_outcomes(db, name)
     path = to or Path("found") / f"{name.replace(' ', '-')}.html"
     path.parent.mkdir(parents=True, exist_ok=True)
-    path.write_text(page(name, outcomes))
+    path.write_text(render_page(name, outcomes))
     click.echo(str(path))
--- a/hallhitch/cli/fleet.py
+++ b/hallhitch/cli/fleet.py
@@ -141,7 +141,7 @@
 @click.option("--write", type=click.Path(path_type=Path), required=True, help="HTML file to write.")
 def report_(logs: tuple[Path, ...], write: Path) -> None:
     """Write an HTML page that compares how evenly load was spread in several runs, from their event LOGS."""
-    from hallhitch.lab.evenness_page import page
+    from hallhitch.lab.evenness_page import render_page
     from hallhitch.lab.journal import read_journal
 
     runs = {}
@@ -153,7 +153,7 @@
             raise CommandError(f"{path}: {error}") from error
         if not runs[path.stem]:
             raise CommandError(f"{path}: the event log is empty")
-    write.write_text(page(runs))
+    write.write_text(render_page(runs))
 
 
 @fleet.command("run")
@@ -199,7 +199,7 @@
     or if the load generator itself sent requests too late for a valid measurement.
     """
     from hallhitch.lab.checker import check
-    from hallhitch.lab.evenness_page import page
+    from hallhitch.lab.evenness_page import render_page
     from hallhitch.lab.fleet.timeline import FaultTimeline
 
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
@@ -214,7 +214,7 @@
         log.write_bytes(b"".join(run.journal.encoded_lines()))
     violations = check(events)
     if report is not None:
-        report.write_text(page({f"{prepared.name}, {gateways} gateways": events}))
+        report.write_text(render_page({f"{prepared.name}, {gateways} gateways": events}))
     _print_figures(run)
     if (delay_ms := run.p99_send_delay_ms) > late:
         raise CommandError(f"invalid run: the load generator was {delay_ms:.0f} ms late (p99), more than --late allows")
@@ -239,11 +239,11 @@
 
 def _print_figures(run: GatewayFleet) -> None:
     """Print the figures of a run, and how evenly its load was spread."""
-    from hallhitch.lab.evenness import evenness
-    from hallhitch.lab.figures import figures
+    from hallhitch.lab.evenness import measure_evenness
+    from hallhitch.lab.figures import compute_figures
 
     events = run.journal.events
-    run_figures, run_evenness = figures(events, run.traffic, run.counter.calls), evenness(events)
+    run_figures, run_evenness = compute_figures(events, run.traffic, run.counter.calls), measure_evenness(events)
     print_table(
         ("figure", "value"),
         [(name, f"{getattr(run_figures, name):.4g}") for name in PRINTED_FIGURES]
--- a/hallhitch/lab/baselines.py
+++ b/hallhitch/lab/baselines.py
@@ -23,11 +23,11 @@
 ROUND_ROBIN_STARTS: Final = 10_000  # number of node names after which a round robin may start
 
 
-class MissingLoadBoardError(LabError):
-    """The choice `informed` was requested without a `LoadBoard`."""
+class MissingNodeLoadsError(LabError):
+    """The choice `informed` was requested without `NodeLoads`."""
 
     def __init__(self) -> None:
-        super().__init__("world.choice 'informed' needs a LoadBoard")
+        super().__init__("world.choice 'informed' needs the loads of the nodes")
 
 
 class SelectionBaseline(Gateway):
@@ -113,7 +113,7 @@
 }
 
 
-class LoadBoard:
+class NodeLoads:
     """The load of every node as it was `delay_ms` ago."""
 
     def __init__(self, nodes: dict[str, Node], delay_ms: float, time: VirtualTime) -> None:
@@ -136,17 +136,19 @@
         self._time.after(SAMPLE_INTERVAL_MS, self._sample)
 
 
-def make_decision_module(world: WorldSettings, settings: api.Settings, seed: int, board: LoadBoard | None) -> Gateway:
+def make_decision_module(
+    world: WorldSettings, settings: api.Settings, seed: int, node_loads: NodeLoads | None
+) -> Gateway:
     """Create the decision module of one of the scenario's gateways.
 
     Raises:
-        MissingLoadBoardError: the choice is `informed` and `board` is None.
+        MissingNodeLoadsError: the choice is `informed` and `node_loads` is None.
     """
     module = CHOICES[world.choice](settings, seed)
     if isinstance(module, SelectionBaseline):
         module.uses_subset = world.choice_near
     if isinstance(module, InformedChoice):
-        if board is None:
-            raise MissingLoadBoardError
-        module.load_of = board.load_of
+        if node_loads is None:
+            raise MissingNodeLoadsError
+        module.load_of = node_loads.load_of
     return module
--- a/hallhitch/lab/client_request.py
+++ b/hallhitch/lab/client_request.py
@@ -17,41 +17,41 @@
 class ClientTry:
     """One try of a client's request: the first, or the single retry that the client itself makes."""
 
-    intent: PlannedRequest
+    planned_request: PlannedRequest
     is_retry: bool = False
 
     @property
     def preferred_gateway(self) -> int:
         """The gateway to which the front router sends the try if that gateway is available."""
-        return self.intent.retry_gateway if self.is_retry else self.intent.gateway
+        return self.planned_request.retry_gateway if self.is_retry else self.planned_request.gateway
 
     @property
     def deadline_ms(self) -> float:
         """How long the client waits for the answer to this try."""
-        return self.intent.deadline_ms * (RETRY_DEADLINE_RATIO if self.is_retry else 1.0)
+        return self.planned_request.deadline_ms * (RETRY_DEADLINE_RATIO if self.is_retry else 1.0)
 
     @property
     def is_retried(self) -> bool:
         """Whether the client retries if this try is not served."""
-        return self.intent.is_retried and not self.is_retry
+        return self.planned_request.is_retried and not self.is_retry
 
     def retry_delay_ms(self, advice_ms: float) -> float:
         """Return the delay before the client's retry, at least the gateway's advice."""
-        return max(self.intent.retry_delay_ms, advice_ms)
+        return max(self.planned_request.retry_delay_ms, advice_ms)
 
     def journal(self, journal: Journal, settings: api.Settings, id: int, gateway: int, now: float) -> None:
         """Add the event `ask` to the journal."""
-        intent = self.intent
+        planned_request = self.planned_request
         ends_at = now + self.deadline_ms
         journal.add(
             now,
             "ask",
             id,
             gateway,
-            intent.customer.name,
-            settings.plans[intent.customer.plan_index].name,
-            settings.classes[intent.class_index].name,
-            intent.key,
+            planned_request.customer.name,
+            settings.plans[planned_request.customer.plan_index].name,
+            settings.classes[planned_request.class_index].name,
+            planned_request.key,
             round(ends_at - journal.started_at, 3),
             not self.is_retry,
         )
@@ -62,7 +62,7 @@
     """A try in a simulated gateway: the payload of its exchange, and the port that receives the final answer."""
 
     id: int
-    intent: PlannedRequest
+    planned_request: PlannedRequest
     on_answer: Callable[[str, float], None]  # status, and the advised delay before a retry
     journal: Journal
     now: Callable[[], float]
--- a/hallhitch/lab/evenness.py
+++ b/hallhitch/lab/evenness.py
@@ -76,7 +76,7 @@
     most: float
 
 
-def evenness(events: list[Event], seed: int = 1) -> Evenness:
+def measure_evenness(events: list[Event], seed: int = 1) -> Evenness:
     """Compute all figures of a run; `seed` is for the random assignments with which herds are compared."""
     nodes = NodeTimeline(events)
     requests = RequestTable(events)
--- a/hallhitch/lab/evenness_page.py
+++ b/hallhitch/lab/evenness_page.py
@@ -7,7 +7,7 @@
 import numpy as np
 from jinja2 import Environment, select_autoescape
 
-from hallhitch.lab.evenness import MOMENT_MS, evenness
+from hallhitch.lab.evenness import MOMENT_MS, measure_evenness
 from hallhitch.lab.journal import Event
 from hallhitch.lab.node_load import NodeTimeline, RequestTable, count_held, make_heat_map
 from hallhitch.lab.report import STYLE, encode_chart
@@ -71,11 +71,11 @@
     return encode_chart(figure)
 
 
-def page(runs: dict[str, list[Event]]) -> str:
+def render_page(runs: dict[str, list[Event]]) -> str:
     """Render the page; `runs` maps names to journals."""
     rows, maps, names = [], [], list[str]()
     for name, events in runs.items():
-        plain = msgspec.to_builtins(evenness(events))
+        plain = msgspec.to_builtins(measure_evenness(events))
         arrivals = plain.pop("arrivals")
         names = list(plain)
         rows.append({"name": name, "cells": [f"{value:.4g}" for value in plain.values()]})
--- a/hallhitch/lab/experiments.py
+++ b/hallhitch/lab/experiments.py
@@ -24,7 +24,7 @@
 
 from hallhitch.decision import policy
 from hallhitch.lab.checker import check
-from hallhitch.lab.figures import Figures, figures
+from hallhitch.lab.figures import Figures, compute_figures
 from hallhitch.lab.scenario import Scenario, replaced
 from hallhitch.lab.virtual_run import play
 from hallhitch.settings_file import SettingsError, read
@@ -161,7 +161,7 @@
     with replaced_constants(job.setting.module):
         result = play(replaced(job.scenario, job.setting.scenario), job.seed)
     events = result.journal.events
-    run_figures = figures(events, result.traffic, result.counter_calls)
+    run_figures = compute_figures(events, result.traffic, result.counter_calls)
     violations = [str(violation) for violation in check(events)]
     return Outcome(run_figures, violations, time.perf_counter() - started_at)
 
--- a/hallhitch/lab/figures.py
+++ b/hallhitch/lab/figures.py
@@ -104,7 +104,7 @@
 
     def __init__(self, journal: _JournalSummary, traffic: Traffic) -> None:
         self._journal = journal
-        self.values = {request.key: self._value_of(request) for request in traffic.intents}
+        self.values = {request.key: self._value_of(request) for request in traffic.planned_requests}
         self.earned: dict[str, float] = defaultdict(float)
         self.statuses: dict[str, str] = {}
         self.served_ms: list[float] = []
@@ -155,13 +155,13 @@
         self.missed += request_class[3] != "safe" and not self._journal.effects.get(key)
 
 
-def figures(events: list[Event], traffic: Traffic, counter_calls: int) -> Figures:
+def compute_figures(events: list[Event], traffic: Traffic, counter_calls: int) -> Figures:
     """Compute all figures of a run."""
     journal = _JournalSummary(events)
     earnings = _Earnings(journal, traffic)
-    within = {request.key: request for request in traffic.intents if request.is_within_quota}
+    within = {request.key: request for request in traffic.planned_requests if request.is_within_quota}
     count = len(within) or 1
-    earnable = sum(earnings.earnable(request) for request in traffic.intents) or 1.0
+    earnable = sum(earnings.earnable(request) for request in traffic.planned_requests) or 1.0
 
     def status_ratio(status: str) -> float:
         return sum(earnings.statuses.get(key) == status for key in within) / count
@@ -182,7 +182,7 @@
         timeouts=journal.outcome_ratio("timeout"),
         duplicates=sum(executions > 1 for executions in journal.effects.values()),
         missed=earnings.missed,
-        counter_calls=counter_calls / max(1, len(traffic.intents)),
+        counter_calls=counter_calls / max(1, len(traffic.planned_requests)),
         by_class={
             name: earnings.service_of([key for key, request in within.items() if request.class_index == index])
             for index, name in enumerate(journal.classes)
--- a/hallhitch/lab/model_gateway.py
+++ b/hallhitch/lab/model_gateway.py
@@ -8,7 +8,7 @@
 from hallhitch.core.deadlines import Deadlines
 from hallhitch.core.module import Core
 from hallhitch.decision import api
-from hallhitch.lab.baselines import LoadBoard, make_decision_module
+from hallhitch.lab.baselines import NodeLoads, make_decision_module
 from hallhitch.lab.client_request import ClientRequest
 from hallhitch.lab.model_upstream import ModelCounter, ModelUpstream, UpstreamEnvironment
 from hallhitch.lab.process_time import ProcessTime
@@ -24,7 +24,7 @@
     seed: int
     stream: Stream
     saved_entries: tuple[api.ServerEntry, ...]  # the server list that it has saved
-    board: LoadBoard | None = None
+    node_loads: NodeLoads | None = None
 
 
 class ModelGateway:
@@ -35,7 +35,7 @@
         self._time = ProcessTime(time)
         self._journal = environment.journal
         world = environment.world
-        module = make_decision_module(world, start.settings, start.seed, start.board)
+        module = make_decision_module(world, start.settings, start.seed, start.node_loads)
         self.core = Core(module, Deadlines(self._time, self._time), self._time, f"gateway {number}")
         self.upstream = ModelUpstream(self.core, number, environment, self._time, start.stream)
         self.core.upstream = self.upstream
@@ -73,17 +73,17 @@
 
     def begin(self, request: ClientRequest, deadline_ms: float, is_retry: bool) -> int:
         """Begin the exchange of a client's request; its number in the core."""
-        intent = request.intent
-        request_class = self.core.gateway.config.classes[intent.class_index]
+        planned_request = request.planned_request
+        request_class = self.core.gateway.config.classes[planned_request.class_index]
         return self.core.open_exchange(
-            intent.customer.name,
-            intent.customer.plan_index,
-            intent.class_index,
+            planned_request.customer.name,
+            planned_request.customer.plan_index,
+            planned_request.class_index,
             deadline_ms,
             request,
             request,
             units=1.0,
-            spread=float(intent.customer.gateway_count),
+            spread=float(planned_request.customer.gateway_count),
             is_write=request_class.effect != api.SAFE,
             is_retry=is_retry,
         )
--- a/hallhitch/lab/model_upstream.py
+++ b/hallhitch/lab/model_upstream.py
@@ -165,7 +165,7 @@
     def _work(self, in_flight: ModelAttempt, is_reply_lost: bool = False) -> Work:
         """Make the node's part of an attempt."""
         request, attempt = in_flight.request, in_flight.attempt
-        request_class = self._core.gateway.config.classes[request.intent.class_index]
+        request_class = self._core.gateway.config.classes[request.planned_request.class_index]
 
         def on_reply(outcome: str, echo: int) -> None:
             if not is_reply_lost:
@@ -174,9 +174,9 @@
         return Work(
             request.id,
             attempt.number,
-            request.intent.service_ms,
+            request.planned_request.service_ms,
             attempt.ends_at,
-            request.intent.key,
+            request.planned_request.key,
             request_class.repeat_window,
             request_class.effect != api.SAFE,
             on_reply,
--- a/hallhitch/lab/report.py
+++ b/hallhitch/lab/report.py
@@ -89,7 +89,7 @@
     return base64.b64encode(buffer.getvalue()).decode()
 
 
-def page(name: str, results: dict[tuple[str, str], dict[int, Outcome]], figures: Sequence[str] = FIGURES) -> str:
+def render_page(name: str, results: dict[tuple[str, str], dict[int, Outcome]], figures: Sequence[str] = FIGURES) -> str:
     """Render the report; the first setting of each scenario is the one that others are compared with."""
     scenarios: dict[str, dict[str, dict[int, Outcome]]] = {}
     for (scenario, setting), outcomes in results.items():
--- a/hallhitch/lab/sockets/emulated_node.py
+++ b/hallhitch/lab/sockets/emulated_node.py
@@ -149,14 +149,14 @@
         return outcome in REUSABLE_OUTCOMES
 
     def _make_work(self, attempt: _ReceivedAttempt, on_reply: Callable[[str, int], None]) -> Work:
-        intent = self._requests.intents[attempt.id]
-        request_class = self._environment.settings.classes[intent.class_index]
+        planned_request = self._requests.planned_requests[attempt.id]
+        request_class = self._environment.settings.classes[planned_request.class_index]
         return Work(
             attempt.id,
             attempt.number,
-            intent.service_ms,
+            planned_request.service_ms,
             attempt.ends_at,
-            intent.key,
+            planned_request.key,
             request_class.repeat_window,
             request_class.effect != api.SAFE,
             on_reply,
--- a/hallhitch/lab/sockets/environment.py
+++ b/hallhitch/lab/sockets/environment.py
@@ -28,7 +28,7 @@
 class RequestRegistry:
     """The requests sent so far, by the request id that the gateway passes on to the nodes."""
 
-    intents: dict[int, PlannedRequest] = field(default_factory=dict)
+    planned_requests: dict[int, PlannedRequest] = field(default_factory=dict)
     gateways: dict[int, int] = field(default_factory=dict)  # number of the gateway that each request was sent to
     attempt_counts: dict[int, int] = field(default_factory=dict)
     in_progress: dict[int, AttemptInProgress] = field(default_factory=dict)
--- a/hallhitch/lab/sockets/http_clients.py
+++ b/hallhitch/lab/sockets/http_clients.py
@@ -70,34 +70,34 @@
         """Drop the pooled connections to a gateway whose process has been replaced."""
         self._idle[gateway] = []
 
-    async def send_all(self, intents: list[PlannedRequest], begin_s: float) -> None:
+    async def send_all(self, planned_requests: list[PlannedRequest], begin_s: float) -> None:
         """Send all requests at their times after `begin_s` on the monotonic clock."""
         second = 0
-        for intent in intents:
-            due_s = begin_s + intent.due_at / 1000
+        for planned_request in planned_requests:
+            due_s = begin_s + planned_request.due_at / 1000
             while (remaining_s := due_s - time.monotonic()) > 0:  # noqa: ASYNC110  polls another process
                 await asyncio.sleep(min(remaining_s, MAX_SLEEP_S))
-            while self._on_second is not None and second <= intent.due_at / 1000:
+            while self._on_second is not None and second <= planned_request.due_at / 1000:
                 self._on_second(second, dict(self.statuses))
                 second += 1
             self.send_delays_ms.append((time.monotonic() - due_s) * 1000)
-            self._tasks.spawn(self._send(ClientTry(intent)))
+            self._tasks.spawn(self._send(ClientTry(planned_request)))
 
     async def _send(self, client_try: ClientTry) -> None:
         """Send a try and, if it is not served, the client's retry."""
-        preferred, spread = client_try.preferred_gateway, client_try.intent.customer.gateway_count
+        preferred, spread = client_try.preferred_gateway, client_try.planned_request.customer.gateway_count
         number = self._router.route(preferred, spread, self._environment.time.now)
         answer = ClientAnswer("nobody there")
         if number is not None and self._is_running(number):
             self._last_id += 1
             requests = self._environment.requests
-            requests.intents[self._last_id] = client_try.intent
+            requests.planned_requests[self._last_id] = client_try.planned_request
             requests.gateways[self._last_id] = number
             answer = await self._exchange(_SentTry(self._last_id, number, client_try, self._environment.time.now))
         self.statuses[answer.status] = self.statuses.get(answer.status, 0) + 1
         if answer.status != "served" and client_try.is_retried:
             await asyncio.sleep(client_try.retry_delay_ms(answer.retry_after_ms) / 1000)
-            await self._send(ClientTry(client_try.intent, is_retry=True))
+            await self._send(ClientTry(client_try.planned_request, is_retry=True))
 
     async def _exchange(self, sent: _SentTry) -> ClientAnswer:
         """Send a try on a pooled or new connection that carries no other request meanwhile.
@@ -141,20 +141,20 @@
         return await asyncio.open_connection(*self._addresses[gateway])
 
     def _request_bytes(self, sent: _SentTry, remaining_ms: float) -> bytes:
-        intent = sent.client_try.intent
-        request_class = self._settings.classes[intent.class_index]
+        planned = sent.client_try.planned_request
+        request_class = self._settings.classes[planned.class_index]
         is_safe = request_class.effect == api.SAFE
         lines = [
-            f"{'GET' if is_safe else 'POST'} /{request_class.name}/{intent.customer.name} HTTP/1.1",
+            f"{'GET' if is_safe else 'POST'} /{request_class.name}/{planned.customer.name} HTTP/1.1",
             "Host: service.internal",
             f"Req-Id: {sent.id:016x}",
-            f"X-Contract: {self._settings.plans[intent.customer.plan_index].name}",
+            f"X-Contract: {self._settings.plans[planned.customer.plan_index].name}",
             f"Req-Deadline-Ms: {max(1, round(remaining_ms))}",
-            f"X-Metering: units=1,spread={intent.customer.gateway_count},first={intent.customer.first_gateway}",
+            f"X-Metering: units=1,spread={planned.customer.gateway_count},first={planned.customer.first_gateway}",
         ]
         body = b"" if is_safe else b"part"
         if not is_safe:
-            lines += [f"Idempotency-Key: {intent.key}", f"Content-Length: {len(body)}"]
+            lines += [f"Idempotency-Key: {planned.key}", f"Content-Length: {len(body)}"]
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     def _on_response(self, id: int, status_line: str, headers: dict[str, str], body: bytes) -> ClientAnswer:
--- a/hallhitch/lab/sockets/run.py
+++ b/hallhitch/lab/sockets/run.py
@@ -150,7 +150,7 @@
         for fault in self.scenario.faults:
             delay_s = begin_s - time.monotonic() + fault.at_s
             asyncio.get_running_loop().call_later(delay_s, self._fault_injector.inject, fault)
-        await self._clients.send_all(self.traffic.intents, begin_s)
+        await self._clients.send_all(self.traffic.planned_requests, begin_s)
         longest_deadline_ms = max(request_class.deadline for request_class in self.settings.classes)
         await asyncio.sleep((longest_deadline_ms + LAST_ANSWERS_MS) / 1000)
 
--- a/hallhitch/lab/traffic.py
+++ b/hallhitch/lab/traffic.py
@@ -71,7 +71,7 @@
 class Traffic:
     """All requests of a run in order of time, its clients, and the drawn rate and burst of each plan."""
 
-    intents: list[PlannedRequest]
+    planned_requests: list[PlannedRequest]
     rates: dict[str, tuple[float, float]]
     customers: list[Customer]
 
--- a/hallhitch/lab/virtual_clients.py
+++ b/hallhitch/lab/virtual_clients.py
@@ -26,9 +26,9 @@
 class VirtualClients:
     """Sends the drawn requests of a run through the front, in the order of their times."""
 
-    def __init__(self, run: Gateways, intents: list[PlannedRequest]) -> None:
+    def __init__(self, run: Gateways, planned_requests: list[PlannedRequest]) -> None:
         self._run = run
-        self._intents = intents
+        self._planned_requests = planned_requests
         self._last_id = 0
 
     def start(self) -> None:
@@ -36,18 +36,18 @@
         self._schedule(0)
 
     def _schedule(self, index: int) -> None:
-        if index < len(self._intents):
-            self._run.time.at(EPOCH + self._intents[index].due_at, self._on_due, index)
+        if index < len(self._planned_requests):
+            self._run.time.at(EPOCH + self._planned_requests[index].due_at, self._on_due, index)
 
     def _on_due(self, index: int) -> None:
         self._schedule(index + 1)
-        self._send(ClientTry(self._intents[index]))
+        self._send(ClientTry(self._planned_requests[index]))
 
     def _send(self, client_try: ClientTry) -> None:
         """Send a try to the gateway that the front picks; a dead one gives no answer."""
-        run, intent = self._run, client_try.intent
+        run, planned_request = self._run, client_try.planned_request
         preferred = client_try.preferred_gateway
-        routed = run.router.route(preferred, intent.customer.gateway_count, run.time.now)
+        routed = run.router.route(preferred, planned_request.customer.gateway_count, run.time.now)
         number = preferred if routed is None else routed
         gateway = run.gateways.get(number)
         if gateway is None:
@@ -56,8 +56,8 @@
         client_try.journal(run.journal, run.settings, self._last_id, number, run.time.now)
         exchange = _ClientExchange(self, client_try, self._last_id, gateway)
         gateway.run(exchange.begin)
-        if not client_try.is_retry and intent.leave_ratio < 1:
-            run.time.after(client_try.deadline_ms * intent.leave_ratio, self._leave, exchange, number)
+        if not client_try.is_retry and planned_request.leave_ratio < 1:
+            run.time.after(client_try.deadline_ms * planned_request.leave_ratio, self._leave, exchange, number)
             return None
         return None
 
@@ -74,12 +74,12 @@
 
     def make_request(self, exchange: _ClientExchange) -> ClientRequest:
         """Make the request of an exchange."""
-        intent = exchange.client_try.intent
-        return ClientRequest(exchange.id, intent, exchange.on_answer, self._run.journal, self._run.time)
+        planned_request = exchange.client_try.planned_request
+        return ClientRequest(exchange.id, planned_request, exchange.on_answer, self._run.journal, self._run.time)
 
     def _retry(self, client_try: ClientTry, advice_ms: float) -> None:
         if client_try.is_retried:
-            retry = ClientTry(client_try.intent, is_retry=True)
+            retry = ClientTry(client_try.planned_request, is_retry=True)
             self._run.time.after(client_try.retry_delay_ms(advice_ms), self._send, retry)
 
 
--- a/hallhitch/lab/virtual_run.py
+++ b/hallhitch/lab/virtual_run.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from hallhitch.decision import api
-from hallhitch.lab.baselines import LoadBoard
+from hallhitch.lab.baselines import NodeLoads
 from hallhitch.lab.fault_injection import FaultTargets
 from hallhitch.lab.fleet.cluster import Cluster, ClusterOptions
 from hallhitch.lab.front_router import FrontRouter
@@ -69,7 +69,9 @@
             self.discovery.register(self.add_node(0.0))
         self._saved_entries = tuple(self.discovery.entries.values())
         self._upstream = UpstreamEnvironment(world, self.nodes, self.counter, self.network, self.journal)
-        self._board = LoadBoard(self.nodes, world.choice_late_ms, self.time) if world.choice == "informed" else None
+        self._node_loads = (
+            NodeLoads(self.nodes, world.choice_late_ms, self.time) if world.choice == "informed" else None
+        )
         self._gateway_starts = 0
         self.gateways: dict[int, ModelGateway | None] = {}
         options = ClusterOptions(on_counts=self._on_peers)
@@ -86,7 +88,7 @@
         """Run to the end."""
         for fault in self.scenario.faults:
             self.time.at(EPOCH + fault.at_s * 1000, self._fault_injector.inject, fault)
-        VirtualClients(self, self.traffic.intents).start()
+        VirtualClients(self, self.traffic.planned_requests).start()
         longest_deadline_ms = max(request_class.deadline for request_class in self.settings.classes)
         self.time.run(EPOCH + self.scenario.seconds * 1000 + longest_deadline_ms + LAST_ANSWERS_MS)
         effects: dict[str, int] = {}
@@ -112,7 +114,7 @@
             seed=self.seed * 1000 + self._gateway_starts,
             stream=stream,
             saved_entries=self._saved_list(stream),
-            board=self._board,
+            node_loads=self._node_loads,
         )
         gateway = ModelGateway(number, start, self._upstream, self.time)
         if self._mutant is not None:
--- a/tests/lab/test_cases.py
+++ b/tests/lab/test_cases.py
@@ -11,8 +11,8 @@
 
 from hallhitch.lab.cases import load_cases, load_scenario
 from hallhitch.lab.checker import check
-from hallhitch.lab.evenness import evenness
-from hallhitch.lab.figures import figures
+from hallhitch.lab.evenness import measure_evenness
+from hallhitch.lab.figures import compute_figures
 from hallhitch.lab.journal import Event
 from hallhitch.lab.node_load import NodeTimeline, RequestTable
 from hallhitch.lab.scenario import Scenario
@@ -61,7 +61,9 @@
             with self.subTest(case=name):
                 result = play(scenario, 4)
                 self.assertEqual([str(violation) for violation in check(result.journal.events)], [])
-                self.assertGreater(figures(result.journal.events, result.traffic, result.counter_calls).service, 0.75)
+                self.assertGreater(
+                    compute_figures(result.journal.events, result.traffic, result.counter_calls).service, 0.75
+                )
 
     def test_node_that_fails_quickly_attracts_no_load(self) -> None:
         """A node that fails requests quickly is not mistaken for the least loaded one."""
@@ -78,7 +80,7 @@
     def test_nodes_of_a_recovered_zone_are_used_gradually(self) -> None:
         """Gateways start to use restarted nodes, but not all of them at the same time."""
         for events in self.journals("zone"):
-            used = [a for a in evenness(events).arrivals if a.met < 1e9]
+            used = [a for a in measure_evenness(events).arrivals if a.met < 1e9]
             self.assertGreaterEqual(len(used), 6)  # of eight
             self.assertLess(sum(a.rush for a in used) / len(used), 0.5)
 
@@ -94,7 +96,7 @@
     def test_few_busy_gateways_do_not_overload_few_nodes(self) -> None:
         """Busy gateways also use servers outside their subsets."""
         for events in self.journals("crowded"):
-            measured = evenness(events)
+            measured = measure_evenness(events)
             self.assertLess(measured.run_most, 2.0)
             self.assertGreater(measured.run_least, 0.4)
 
@@ -142,7 +144,7 @@
         run = SocketRun(self.without_membership(msgspec.structs.replace(full_case, seconds=6.0, faults=faults)), 3)
         await run.play()
         self.assertEqual([str(violation) for violation in check(run.journal.events)], [])
-        self.assertGreater(figures(run.journal.events, run.traffic, run.counter.calls).service, 0.5)
+        self.assertGreater(compute_figures(run.journal.events, run.traffic, run.counter.calls).service, 0.5)
 
     @staticmethod
     def without_membership(scenario: Scenario) -> Scenario:
--- a/tests/lab/test_sockets.py
+++ b/tests/lab/test_sockets.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from hallhitch.lab.checker import check
-from hallhitch.lab.figures import figures
+from hallhitch.lab.figures import compute_figures
 from hallhitch.lab.scenario import Scenario, replaced
 from hallhitch.lab.sockets.run import SocketRun
 from hallhitch.settings_file import read
@@ -51,7 +51,7 @@
         event_names = {event[1] for event in events}
         self.assertLessEqual({"ask", "send", "arrive", "run", "done", "answer", "told", "gateway", "node"}, event_names)
         self.assertIn("killed", {event[3] for event in events if event[1] == "gateway"})
-        self.assertGreater(figures(events, run.traffic, run.counter.calls).service, 0.5)
+        self.assertGreater(compute_figures(events, run.traffic, run.counter.calls).service, 0.5)
 
     async def test_suspended_and_reloaded_gateways(self) -> None:
         """A gateway that is suspended, or reloaded with another counter and discovery, violates no rule."""
--- a/tests/lab/test_virtual_run.py
+++ b/tests/lab/test_virtual_run.py
@@ -10,7 +10,7 @@
 from collections import Counter
 
 from hallhitch.lab.checker import check
-from hallhitch.lab.figures import figures
+from hallhitch.lab.figures import compute_figures
 from hallhitch.lab.scenario import Scenario, replaced
 from hallhitch.lab.streams import Streams
 from hallhitch.lab.virtual_run import Result, VirtualRun, play
@@ -31,7 +31,7 @@
                 with self.subTest(scenario=path.stem, seed=seed):
                     result = play(short_scenario(path), seed)
                     self.assertEqual([str(b) for b in check(result.journal.events)], [])
-                    found = figures(result.journal.events, result.traffic, result.counter_calls)
+                    found = compute_figures(result.journal.events, result.traffic, result.counter_calls)
                     self.assertGreater(found.service, 0.5)
                     self.assertLessEqual(found.service, 1.0)
                     self.assertEqual(found.missed, 0)
@@ -81,7 +81,7 @@
         """Settings of other parts leave the traffic as it is; another seed changes it."""
 
         def asked(result: Result) -> list[tuple[float, str, float]]:
-            return [(i.due_at, i.key, i.service_ms) for i in result.traffic.intents]
+            return [(i.due_at, i.key, i.service_ms) for i in result.traffic.planned_requests]
 
         base = short_scenario(ROOT / "scenarios" / "calm.toml")
         other = replaced(base, {"world.nodes": base.world.nodes, "world.slots": 3, "world.counter_per_s": 200.0})
